--- a/internal/knot/message.go
+++ b/internal/knot/message.go
@@ -16,7 +16,37 @@
 	return [][]any{bond.Messages(), lore.Messages(), pact.Messages(), toll.Messages(), {Via{}}, bane.Messages(), accord.Messages()}
 }
 
-// The machines' places there.
+// messageNames are the names of the messages in the answer of GET /api/frames, in the order of
+// Messages. They stay when a package or a type is renamed.
+var messageNames = [][]string{
+	{
+		"bond.Beat", "bond.Hello", "bond.Rumour", "bond.Index", "bond.Diff", "bond.Ping", "bond.Probe",
+		"bond.Pong", "bond.Doubt",
+	},
+	{
+		"lore.News", "lore.Ack", "lore.Pass", "lore.Sum", "lore.Parts", "lore.Index", "lore.Diff", "lore.Fetch",
+		"lore.Whole",
+	},
+	{
+		"pact.Hello", "pact.Found", "pact.Ask", "pact.View", "pact.Beat", "pact.Beaten", "pact.Resign",
+		"pact.Probe", "pact.Probed", "pact.Prepare", "pact.Promise", "pact.Refuse", "pact.Copy", "pact.Copied",
+		"pact.Enact", "pact.Enacted", "pact.Append", "pact.Appended", "pact.Confirm", "pact.Confirmed",
+		"pact.Forward", "pact.Answered", "pact.Push", "pact.Pull", "pact.Amended", "pact.Fenced", "pact.Leave",
+		"pact.Released", "pact.Handover", "pact.Void",
+	},
+	{"toll.Add", "toll.Answer"},
+	{"knot.Via"},
+	{
+		"bane.Claim", "bane.Claimed", "bane.Append", "bane.Appended", "bane.Beat", "bane.Beaten", "bane.Push",
+		"bane.Ask", "bane.Lease", "bane.Forward", "bane.Answered",
+	},
+	{"accord.Ask", "accord.Grant", "accord.Withdraw", "accord.Withdrew"},
+}
+
+// MessageName is the name that operators see of a message: the j-th of machine i in Messages.
+func MessageName(i, j int) string { return messageNames[i][j] }
+
+// The machines' places in Messages.
 const (
 	ofBond = iota
 	ofLore
--- /dev/null
+++ b/internal/knot/message_test.go
@@ -0,0 +1,119 @@
+package knot
+
+import (
+	"reflect"
+	"testing"
+
+	"asterwell/internal/accord"
+	"asterwell/internal/bane"
+	"asterwell/internal/bond"
+	"asterwell/internal/lore"
+	"asterwell/internal/pact"
+	"asterwell/internal/toll"
+)
+
+// The kinds in the answer of GET /api/frames, with the message that each one counts.
+var outerNames = [][]struct {
+	msg  any
+	name string
+}{
+	{
+		{bond.Beat{}, "bond.Beat"},
+		{bond.Hello{}, "bond.Hello"},
+		{bond.Rumour{}, "bond.Rumour"},
+		{bond.Index{}, "bond.Index"},
+		{bond.Diff{}, "bond.Diff"},
+		{bond.Ping{}, "bond.Ping"},
+		{bond.Probe{}, "bond.Probe"},
+		{bond.Pong{}, "bond.Pong"},
+		{bond.Doubt{}, "bond.Doubt"},
+	},
+	{
+		{lore.News{}, "lore.News"},
+		{lore.Ack{}, "lore.Ack"},
+		{lore.Pass{}, "lore.Pass"},
+		{lore.Sum{}, "lore.Sum"},
+		{lore.Parts{}, "lore.Parts"},
+		{lore.Index{}, "lore.Index"},
+		{lore.Diff{}, "lore.Diff"},
+		{lore.Fetch{}, "lore.Fetch"},
+		{lore.Whole{}, "lore.Whole"},
+	},
+	{
+		{pact.Hello{}, "pact.Hello"},
+		{pact.Found{}, "pact.Found"},
+		{pact.Ask{}, "pact.Ask"},
+		{pact.View{}, "pact.View"},
+		{pact.Beat{}, "pact.Beat"},
+		{pact.Beaten{}, "pact.Beaten"},
+		{pact.Resign{}, "pact.Resign"},
+		{pact.Probe{}, "pact.Probe"},
+		{pact.Probed{}, "pact.Probed"},
+		{pact.Prepare{}, "pact.Prepare"},
+		{pact.Promise{}, "pact.Promise"},
+		{pact.Refuse{}, "pact.Refuse"},
+		{pact.Copy{}, "pact.Copy"},
+		{pact.Copied{}, "pact.Copied"},
+		{pact.Enact{}, "pact.Enact"},
+		{pact.Enacted{}, "pact.Enacted"},
+		{pact.Append{}, "pact.Append"},
+		{pact.Appended{}, "pact.Appended"},
+		{pact.Confirm{}, "pact.Confirm"},
+		{pact.Confirmed{}, "pact.Confirmed"},
+		{pact.Forward{}, "pact.Forward"},
+		{pact.Answered{}, "pact.Answered"},
+		{pact.Push{}, "pact.Push"},
+		{pact.Pull{}, "pact.Pull"},
+		{pact.Amended{}, "pact.Amended"},
+		{pact.Fenced{}, "pact.Fenced"},
+		{pact.Leave{}, "pact.Leave"},
+		{pact.Released{}, "pact.Released"},
+		{pact.Handover{}, "pact.Handover"},
+		{pact.Void{}, "pact.Void"},
+	},
+	{
+		{toll.Add{}, "toll.Add"},
+		{toll.Answer{}, "toll.Answer"},
+	},
+	{
+		{Via{}, "knot.Via"},
+	},
+	{
+		{bane.Claim{}, "bane.Claim"},
+		{bane.Claimed{}, "bane.Claimed"},
+		{bane.Append{}, "bane.Append"},
+		{bane.Appended{}, "bane.Appended"},
+		{bane.Beat{}, "bane.Beat"},
+		{bane.Beaten{}, "bane.Beaten"},
+		{bane.Push{}, "bane.Push"},
+		{bane.Ask{}, "bane.Ask"},
+		{bane.Lease{}, "bane.Lease"},
+		{bane.Forward{}, "bane.Forward"},
+		{bane.Answered{}, "bane.Answered"},
+	},
+	{
+		{accord.Ask{}, "accord.Ask"},
+		{accord.Grant{}, "accord.Grant"},
+		{accord.Withdraw{}, "accord.Withdraw"},
+		{accord.Withdrew{}, "accord.Withdrew"},
+	},
+}
+
+// Operators' tools read the names of messages, which stay as they are whatever the Go types are called.
+func TestMessageNames(t *testing.T) {
+	all := Messages()
+	if len(all) != len(outerNames) || len(messageNames) != len(all) {
+		t.Fatalf("%d machines, %d with names, %d expected", len(all), len(messageNames), len(outerNames))
+	}
+	for i, messages := range all {
+		if len(messages) != len(outerNames[i]) || len(messageNames[i]) != len(messages) {
+			t.Fatalf("machine %d has %d messages, %d names, %d expected", i, len(messages), len(messageNames[i]), len(outerNames[i]))
+		}
+		for j, msg := range messages {
+			want := outerNames[i][j]
+			if reflect.TypeOf(msg) != reflect.TypeOf(want.msg) || MessageName(i, j) != want.name {
+				t.Errorf("message %d of machine %d is %T, named %q; expected %T, %q", j, i, msg, MessageName(i, j), want.msg, want.name)
+			}
+		}
+	}
+}
--- a/internal/weave/frames.go
+++ b/internal/weave/frames.go
@@ -11,6 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/internal/glass"
+	"asterwell/internal/knot"
 	"asterwell/internal/mesh"
 	"asterwell/internal/pact"
 	"asterwell/internal/toll"
@@ -49,11 +50,11 @@
 // kinds are the counts by message.
 func (t *tally) kinds() map[string]glass.Kind {
 	all := map[string]glass.Kind{}
-	for of, n := range numbers {
+	for _, n := range numbers {
 		c := &t[n]
 		k := glass.Kind{Sent: c.sent.Load(), BytesOut: c.bytesOut.Load(), Got: c.got.Load(), BytesIn: c.bytesIn.Load()}
 		if k != (glass.Kind{}) {
-			all[of.String()] = k
+			all[knot.MessageName(int(n/32), int(n%32))] = k
 		}
 	}
 	return all
