--- a/cmd/loom/main_test.go
+++ b/cmd/loom/main_test.go
@@ -16,7 +16,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 	"golang.org/x/sys/unix"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 	"asterwell/internal/vault"
 )
 
@@ -78,9 +78,9 @@
 	v, err := vault.Open(ts.MkAbs(args[0]))
 	ts.Check(err)
 	defer v.Close()
-	seat := pact.Seat{Addr: "here", Life: 1}
-	body, err := cbor.Marshal(pact.Disk{Life: 1, Format: pact.DiskFormat, Record: pact.Record{Founding: 1, Set: []pact.Seat{seat}}, Count: 7,
-		Marks: []pact.Mark{{Addr: "there", Life: 2, Count: 9, Run: 3}}, Kept: pact.Doc{Version: uint32(args[1][0] - '0'), Body: []byte("configuration of " + args[1])}})
+	seat := consensus.Seat{Addr: "here", Life: 1}
+	body, err := cbor.Marshal(consensus.Disk{Life: 1, Format: consensus.DiskFormat, Record: consensus.Record{Founding: 1, Set: []consensus.Seat{seat}}, Count: 7,
+		Marks: []consensus.Mark{{Addr: "there", Life: 2, Count: 9, Run: 3}}, Kept: consensus.Doc{Version: uint32(args[1][0] - '0'), Body: []byte("configuration of " + args[1])}})
 	ts.Check(err)
 	if args[1] == "later" { // a later program's
 		body, err = cbor.Marshal(map[int]any{1: 1, 6: "of another kind", 10: 2})
@@ -102,9 +102,9 @@
 	defer v.Close()
 	data, err := v.Load(record)
 	ts.Check(err)
-	var d pact.Disk
+	var d consensus.Disk
 	ts.Check(cbor.Unmarshal(data, &d))
-	if new := reflect.DeepEqual(d, pact.Disk{Life: d.Life, Kept: d.Kept}) && d.Life > 1; new == neg ||
+	if new := reflect.DeepEqual(d, consensus.Disk{Life: d.Life, Kept: d.Kept}) && d.Life > 1; new == neg ||
 		neg && (d.Life != 1 || len(d.Record.Set) != 1 || len(d.Marks) > 0) {
 		ts.Fatalf("%+v", d)
 	}
--- a/cmd/loom/state.go
+++ b/cmd/loom/state.go
@@ -12,8 +12,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/lore"
-	"asterwell/internal/pact"
 	"asterwell/internal/vault"
 )
 
@@ -135,7 +135,7 @@
 func holding(name string, data []byte) (string, error) {
 	switch name {
 	case record:
-		d, err := pact.ReadDisk(data)
+		d, err := consensus.ReadDisk(data)
 		if err != nil {
 			return "", fmt.Errorf("record %q: %w", name, err)
 		}
@@ -192,7 +192,7 @@
 	if !ok {
 		return nil
 	}
-	d, err := pact.ReadDisk(data)
+	d, err := consensus.ReadDisk(data)
 	if err != nil {
 		return fmt.Errorf("record %q: %w", record, err)
 	}
@@ -203,7 +203,7 @@
 		if _, err := rand.Read(life[:]); err != nil {
 			return err
 		}
-		d = &pact.Disk{Life: binary.BigEndian.Uint64(life[:]) | 1, Kept: d.Kept}
+		d = &consensus.Disk{Life: binary.BigEndian.Uint64(life[:]) | 1, Kept: d.Kept}
 		clear(records)
 	}
 	data, err = d.Bytes()
--- a/internal/accord/accord_test.go
+++ b/internal/accord/accord_test.go
@@ -5,17 +5,17 @@
 	"testing"
 	"time"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
-	"asterwell/internal/pact"
 	"asterwell/internal/plane"
 )
 
-func doc(version uint32, rollout string) pact.Doc {
-	return pact.Doc{Version: version, Body: fmt.Appendf(nil, `{"Epoch":"%08x","Rollout":{%s}}`, version, rollout)}
+func doc(version uint32, rollout string) consensus.Doc {
+	return consensus.Doc{Version: version, Body: fmt.Appendf(nil, `{"Epoch":"%08x","Rollout":{%s}}`, version, rollout)}
 }
 
 // keeps is Doc where what is to be read is read at once.
-func keeps(m *Machine, now plane.Time, d pact.Doc) {
+func keeps(m *Machine, now plane.Time, d consensus.Doc) {
 	out := m.Doc(now, d, true)
 	if r := out.Read; r != nil {
 		out = m.Taken(now, *r, creed.RolloutOf(r.Body))
@@ -28,11 +28,11 @@
 // What is kept of a document goes by what is live when it comes, and has one outcome.
 func TestEnter(t *testing.T) {
 	const together, each = `"Mode":"together"`, `"Mode":"each"`
-	one := Enter(pact.Doc{}, doc(1, together))
+	one := Enter(consensus.Doc{}, doc(1, together))
 	two := Enter(one, doc(2, each))
 	for _, c := range []struct {
 		name string
-		doc  pact.Doc
+		doc  consensus.Doc
 		fate Fate
 		live uint32
 	}{
@@ -43,8 +43,8 @@
 		{"overtaking", Enter(two, doc(5, each)), Prepared, 1},
 		{"after a withdrawn one", Enter(withdrawn(two, "why"), doc(3, each)), Prepared, 1},
 		{"after each again", Enter(turned(two), doc(3, together)), Live, 3},
-		{"an operator's own words beside it", Enter(one, pact.Doc{Version: 2, Rev: 9, Side: []byte{1}}), Prepared, 1},
-		{"unreadable", pact.Doc{Version: 2, Side: []byte{0xff}}, Withdrawn, 0},
+		{"an operator's own words beside it", Enter(one, consensus.Doc{Version: 2, Rev: 9, Side: []byte{1}}), Prepared, 1},
+		{"unreadable", consensus.Doc{Version: 2, Side: []byte{0xff}}, Withdrawn, 0},
 	} {
 		if s := Read(c.doc); s.Fate != c.fate || s.Version != c.live {
 			t.Errorf("%s: %v, live %d", c.name, s.Fate, s.Version)
@@ -60,9 +60,9 @@
 	m, now := New(Config{Self: "a", Name: "a", Zone: "x"}), time.Hour
 	m.SetBug(bug)
 	m.Nodes([]Node{{Name: "a", Zone: "x", Addr: "a"}, {Name: "b", Zone: "x", Addr: "b"}, {Name: "c", Zone: "y", Addr: "c"}})
-	one := Enter(pact.Doc{}, doc(1, `"Mode":"together","Confirm":3`))
+	one := Enter(consensus.Doc{}, doc(1, `"Mode":"together","Confirm":3`))
 	keeps(m, now, one)
-	m.Leads(now, pact.Ballot{N: 3, By: "a"}, true)
+	m.Leads(now, consensus.Ballot{N: 3, By: "a"}, true)
 	keeps(m, now, Enter(one, doc(2, "")))
 	return m, now
 }
@@ -124,12 +124,12 @@
 // A hold's round counts for the primary that named it only: another's may have the same number.
 func TestRound(t *testing.T) {
 	m, now := fleet(0)
-	a := Ask{ID: 7, Seq: 1, Version: 1, Held: m.lead.epoch.N<<24 + 1, Epoch: pact.Ballot{N: 3, By: "b"}, Name: "c", Checked: 2}
+	a := Ask{ID: 7, Seq: 1, Version: 1, Held: m.lead.epoch.N<<24 + 1, Epoch: consensus.Ballot{N: 3, By: "b"}, Name: "c", Checked: 2}
 	m.Take(now, "c", a)
 	if _, all := m.lead.c.Status(now); len(all) != 1 {
 		t.Fatal(all)
 	}
-	for _, from := range []pact.Ballot{{N: 3, By: "b"}, {N: 3, By: "a"}} {
+	for _, from := range []consensus.Ballot{{N: 3, By: "b"}, {N: 3, By: "a"}} {
 		a.Epoch = from
 		if got := m.lead.held(a); (got != 0) != (from == m.lead.epoch) {
 			t.Errorf("a round of %v counts as %d", from, got)
@@ -149,7 +149,7 @@
 	if len(told) != 1 || told[0].Msg.(Withdrew).Outcome != Absent {
 		t.Fatal(told)
 	}
-	keeps(m, now, Enter(pact.Doc{Version: 2, Body: doc(2, `"Mode":"together"`).Body}, doc(3, "")))
+	keeps(m, now, Enter(consensus.Doc{Version: 2, Body: doc(2, `"Mode":"together"`).Body}, doc(3, "")))
 	if out := m.Take(now, "b", wish); m.side.Fate != Prepared || out.Amend != nil {
 		t.Errorf("%v: the late copy withdraws: %v", m.side.Fate, out.Amend)
 	}
@@ -203,13 +203,13 @@
 // up together and has been overtaken meanwhile is left out.
 func TestTaken(t *testing.T) {
 	m, now := New(Config{Self: "a", Name: "a", Zone: "x"}), time.Hour
-	keep := func(d pact.Doc, reads uint32) {
+	keep := func(d consensus.Doc, reads uint32) {
 		t.Helper()
 		if out := m.Doc(now, d, true); out.Adopt != nil || (out.Read == nil) != (reads == 0) || out.Read != nil && out.Read.Version != reads {
 			t.Errorf("%d: %+v", d.Version, out)
 		}
 	}
-	take := func(d pact.Doc, gate uint32) {
+	take := func(d consensus.Doc, gate uint32) {
 		t.Helper()
 		if m.Taken(now, d, creed.RolloutOf(d.Body)); m.Gate().Version != gate {
 			t.Errorf("after %d was read the gate is that of %d", d.Version, m.Gate().Version)
--- a/internal/accord/doc.go
+++ b/internal/accord/doc.go
@@ -1,5 +1,5 @@
 // Package accord takes a configuration up at all nodes together, where the one in force
-// asks for it ("Rollout": {"Mode": "together"}). It adds three things to package pact,
+// asks for it ("Rollout": {"Mode": "together"}). It adds three things to package consensus,
 // which keeps the newest configuration, and uses package policy's leases and turn:
 //
 //   - Side: what is kept beside a document that is not live yet, above all the text of the
--- a/internal/accord/lead.go
+++ b/internal/accord/lead.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 	"asterwell/internal/plane"
 	"asterwell/internal/policy"
 )
@@ -12,7 +12,7 @@
 // lead is the primary's part in one epoch. All of it may be lost: a successor finds in
 // the document whether a version is live, and asks the nodes anew for the rest.
 type lead struct {
-	epoch   pact.Ballot
+	epoch   consensus.Ballot
 	c       *policy.Conduct // nil: what is live is taken up by each
 	reg     policy.Register
 	addrs   map[uint64]string // of the nodes' lives
@@ -138,7 +138,7 @@
 }
 
 // Dropped tells that an amendment could not be made, as another document is on its way.
-func (m *Machine) Dropped(now plane.Time, d pact.Doc) Out {
+func (m *Machine) Dropped(now plane.Time, d consensus.Doc) Out {
 	if l := m.lead; l != nil && l.c != nil && Read(d).Fate == Live {
 		l.c.Dropped(now)
 		m.carry(now)
--- a/internal/accord/machine.go
+++ b/internal/accord/machine.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 	"time"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
-	"asterwell/internal/pact"
 	"asterwell/internal/plane"
 	"asterwell/internal/policy"
 )
@@ -23,20 +23,20 @@
 // Out is what follows from an input.
 type Out struct {
 	Send   []plane.Send
-	Adopt  *pact.Doc  // to be in force here
-	Read   *pact.Doc  // to be read, then tell Taken; a newer one takes its place
-	Check  *pact.Doc  // the same, then tell Checked
-	Gate   bool       // Gate may have changed
-	Affirm bool       // ask the writers whether this is the primary still, then tell Affirming
-	Told   []Withdrew // to those who made the calls
-	Amend  *pact.Doc  // to be kept by agreement; tell Dropped if it can't be
+	Adopt  *consensus.Doc // to be in force here
+	Read   *consensus.Doc // to be read, then tell Taken; a newer one takes its place
+	Check  *consensus.Doc // the same, then tell Checked
+	Gate   bool           // Gate may have changed
+	Affirm bool           // ask the writers whether this is the primary still, then tell Affirming
+	Told   []Withdrew     // to those who made the calls
+	Amend  *consensus.Doc // to be kept by agreement; tell Dropped if it can't be
 }
 
 // Machine is one process's part.
 type Machine struct {
 	c       Config
 	id      uint64 // of this life
-	doc     pact.Doc
+	doc     consensus.Doc
 	side    Side
 	rollout creed.Rollout // of what is live
 	synced  bool          // doc is on disk, where there is one
@@ -47,7 +47,7 @@
 	nodes   []Node
 
 	holder *policy.Holder
-	epoch  pact.Ballot // whose round the holder holds
+	epoch  consensus.Ballot // whose round the holder holds
 	pulled plane.Time
 	lacks  plane.Time // since when the primary is known to have a newer document; 0: it has none
 	sought plane.Time // when another process was last asked who leads
@@ -105,9 +105,9 @@
 
 // Doc takes the newest document that is kept. Synced says that no disk has to have it
 // first; else Synced is called once it has.
-func (m *Machine) Doc(now plane.Time, d pact.Doc, synced bool) Out {
+func (m *Machine) Doc(now plane.Time, d consensus.Doc, synced bool) Out {
 	m.doc, m.side, m.synced, m.lacks = d, Read(d), synced, 0
-	live := &pact.Doc{Version: m.side.Version, Body: m.side.Body}
+	live := &consensus.Doc{Version: m.side.Version, Body: m.side.Body}
 	switch {
 	case live.Version <= m.adopted:
 	case !m.rollout.Together: // each takes it up when it can, so it may be read first
@@ -126,7 +126,7 @@
 	return m.end()
 }
 
-func (m *Machine) adopt(live *pact.Doc, r creed.Rollout) {
+func (m *Machine) adopt(live *consensus.Doc, r creed.Rollout) {
 	m.adopted, m.rollout = live.Version, r
 	m.out.Adopt, m.out.Gate = live, true
 	m.holder.Again()
@@ -134,7 +134,7 @@
 
 // Taken tells that a text has been read that was to be, and which rollout it wants. One that has been overtaken meanwhile is
 // put in force as well, so that a row of changes holds up none of them, unless it was to be in force together.
-func (m *Machine) Taken(now plane.Time, read pact.Doc, r creed.Rollout) Out {
+func (m *Machine) Taken(now plane.Time, read consensus.Doc, r creed.Rollout) Out {
 	if read.Version > m.adopted && !m.rollout.Together && (read.Version == m.side.Version || !r.Together) {
 		m.adopt(&read, r)
 		m.prepare(now)
@@ -176,7 +176,7 @@
 }
 
 // Leads says whether this process is the primary, and of which epoch.
-func (m *Machine) Leads(now plane.Time, epoch pact.Ballot, leads bool) Out {
+func (m *Machine) Leads(now plane.Time, epoch consensus.Ballot, leads bool) Out {
 	switch {
 	case !leads:
 		m.lead = nil
--- a/internal/accord/message.go
+++ b/internal/accord/message.go
@@ -3,35 +3,35 @@
 import (
 	"time"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 	"asterwell/internal/policy"
 )
 
 // Ask is a node's call to the primary for a lease, with what it says of the change.
 type Ask struct {
-	ID      uint64      `cbor:"1,keyasint"` // of this life
-	Seq     uint64      `cbor:"2,keyasint"`
-	Version int64       `cbor:"3,keyasint"`
-	Checked uint64      `cbor:"4,keyasint,omitempty"`
-	Refusal string      `cbor:"5,keyasint,omitempty"`
-	Held    uint64      `cbor:"6,keyasint,omitempty"`
-	Epoch   pact.Ballot `cbor:"7,keyasint"` // that Held is a round of
-	Name    string      `cbor:"8,keyasint,omitempty"`
-	Zone    string      `cbor:"9,keyasint,omitempty"`
+	ID      uint64           `cbor:"1,keyasint"` // of this life
+	Seq     uint64           `cbor:"2,keyasint"`
+	Version int64            `cbor:"3,keyasint"`
+	Checked uint64           `cbor:"4,keyasint,omitempty"`
+	Refusal string           `cbor:"5,keyasint,omitempty"`
+	Held    uint64           `cbor:"6,keyasint,omitempty"`
+	Epoch   consensus.Ballot `cbor:"7,keyasint"` // that Held is a round of
+	Name    string           `cbor:"8,keyasint,omitempty"`
+	Zone    string           `cbor:"9,keyasint,omitempty"`
 }
 
 // Grant is the primary's answer, or with Seq 0 its call. Texts come by pact.
 type Grant struct {
-	ID      uint64        `cbor:"1,keyasint"`
-	Seq     uint64        `cbor:"2,keyasint,omitempty"`
-	Epoch   pact.Ballot   `cbor:"3,keyasint"`
-	Version int64         `cbor:"4,keyasint"` // live
-	Lease   time.Duration `cbor:"5,keyasint,omitempty"`
-	Change  uint64        `cbor:"6,keyasint,omitempty"` // to be checked
-	Hold    uint64        `cbor:"7,keyasint,omitempty"`
-	Fenced  string        `cbor:"8,keyasint,omitempty"`
-	Kept    uint32        `cbor:"9,keyasint,omitempty"` // the newest document, and
-	Rev     uint32        `cbor:"10,keyasint,omitempty"`
+	ID      uint64           `cbor:"1,keyasint"`
+	Seq     uint64           `cbor:"2,keyasint,omitempty"`
+	Epoch   consensus.Ballot `cbor:"3,keyasint"`
+	Version int64            `cbor:"4,keyasint"` // live
+	Lease   time.Duration    `cbor:"5,keyasint,omitempty"`
+	Change  uint64           `cbor:"6,keyasint,omitempty"` // to be checked
+	Hold    uint64           `cbor:"7,keyasint,omitempty"`
+	Fenced  string           `cbor:"8,keyasint,omitempty"`
+	Kept    uint32           `cbor:"9,keyasint,omitempty"` // the newest document, and
+	Rev     uint32           `cbor:"10,keyasint,omitempty"`
 }
 
 // Withdraw asks the primary to withdraw a version that is not live yet.
--- a/internal/accord/node.go
+++ b/internal/accord/node.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 	"asterwell/internal/plane"
 	"asterwell/internal/policy"
 )
@@ -34,7 +34,7 @@
 
 // pull asks for what the primary has kept. What is prepared comes with the text of what is
 // live, so it takes twice as long as that.
-func (m *Machine) pull(now plane.Time, from string, kept pact.Doc) {
+func (m *Machine) pull(now plane.Time, from string, kept consensus.Doc) {
 	if !kept.Above(m.doc) {
 		m.lacks = 0
 		return
@@ -42,9 +42,9 @@
 	if m.lacks == 0 {
 		m.lacks = now
 	}
-	if wait := pullEvery + 2*pact.Way(len(m.doc.Body)); now-m.lacks >= wait && now-m.pulled >= wait {
+	if wait := pullEvery + 2*consensus.Way(len(m.doc.Body)); now-m.lacks >= wait && now-m.pulled >= wait {
 		m.pulled = now
-		m.send(from, pact.Pull{Held: kept.Version - 1}) // or higher, and so the amended one too
+		m.send(from, consensus.Pull{Held: kept.Version - 1}) // or higher, and so the amended one too
 	}
 }
 
@@ -56,7 +56,7 @@
 	switch v := &m.verdict; {
 	case v.version != m.doc.Version:
 		*v = verdict{version: m.doc.Version}
-		m.out.Check = &pact.Doc{Version: m.doc.Version, Body: m.doc.Body}
+		m.out.Check = &consensus.Doc{Version: m.doc.Version, Body: m.doc.Body}
 	case v.known:
 		m.confirm(now, uint64(v.version), v.refusal)
 	}
@@ -95,7 +95,7 @@
 	for range m.nodes {
 		m.turns++
 		if n := m.nodes[m.turns%len(m.nodes)]; n.Member && n.Addr != m.c.Self {
-			m.send(n.Addr, pact.Ask{})
+			m.send(n.Addr, consensus.Ask{})
 			return
 		}
 	}
@@ -106,7 +106,7 @@
 	if g.ID != m.id || !m.rollout.Together {
 		return
 	}
-	m.pull(now, from, pact.Doc{Version: g.Kept, Rev: g.Rev})
+	m.pull(now, from, consensus.Doc{Version: g.Kept, Rev: g.Rev})
 	if g.Hold != 0 {
 		m.epoch = g.Epoch
 	}
--- a/internal/accord/side.go
+++ b/internal/accord/side.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/fxamacker/cbor/v2"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
-	"asterwell/internal/pact"
 )
 
 // Fate is what has become of a version.
@@ -29,7 +29,7 @@
 
 // Read is what is kept beside a document. What can't be read counts as withdrawn with
 // nothing live, so that nobody goes by it; no program writes such a thing.
-func Read(d pact.Doc) (s Side) {
+func Read(d consensus.Doc) (s Side) {
 	if len(d.Side) == 0 {
 		return Side{Version: d.Version, Body: d.Body}
 	}
@@ -41,12 +41,12 @@
 
 // Enter is what a primary keeps of a new document: live at once, or prepared where the
 // one in force asks for that.
-func Enter(kept, next pact.Doc) pact.Doc {
+func Enter(kept, next consensus.Doc) consensus.Doc {
 	return enter(kept, next, func(s Side) creed.Rollout { return creed.RolloutOf(s.Body) })
 }
 
 // Enter is the same at a primary, which mostly has read what is live.
-func (m *Machine) Enter(kept, next pact.Doc) pact.Doc {
+func (m *Machine) Enter(kept, next consensus.Doc) consensus.Doc {
 	return enter(kept, next, func(s Side) creed.Rollout {
 		if s.Version == m.adopted {
 			return m.rollout
@@ -55,7 +55,7 @@
 	})
 }
 
-func enter(kept, next pact.Doc, rollout func(Side) creed.Rollout) pact.Doc {
+func enter(kept, next consensus.Doc, rollout func(Side) creed.Rollout) consensus.Doc {
 	next.Rev, next.Side, next.Past = 0, nil, past(kept)
 	if was := Read(kept); was.Version != 0 && rollout(was).Together {
 		next.Side = write(Side{Fate: Prepared, Version: was.Version, Body: was.Body})
@@ -68,7 +68,7 @@
 
 // past remembers which versions have been withdrawn, so that the same wish again, whenever and
 // through whoever leads then, has the same outcome.
-func past(kept pact.Doc) []byte {
+func past(kept consensus.Doc) []byte {
 	all := withdrawnBefore(kept)
 	if Read(kept).Fate != Withdrawn {
 		return kept.Past
@@ -83,19 +83,19 @@
 
 // withdrawnBefore are the versions below a document's that have been withdrawn, the newest last.
 // What can't be read counts as none: their wishes hear that they are overtaken.
-func withdrawnBefore(d pact.Doc) (all []uint32) {
+func withdrawnBefore(d consensus.Doc) (all []uint32) {
 	if len(d.Past) > 0 && cbor.Unmarshal(d.Past, &all) != nil {
 		return nil
 	}
 	return all
 }
 
-func turned(d pact.Doc) pact.Doc {
+func turned(d consensus.Doc) consensus.Doc {
 	d.Rev, d.Side = d.Rev+1, nil
 	return d
 }
 
-func withdrawn(d pact.Doc, why string) pact.Doc {
+func withdrawn(d consensus.Doc, why string) consensus.Doc {
 	s := Read(d)
 	s.Fate, s.Why = Withdrawn, why
 	d.Rev, d.Side = d.Rev+1, write(s)
--- a/internal/accord/world/judge.go
+++ b/internal/accord/world/judge.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"asterwell/internal/accord"
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
-	"asterwell/internal/pact"
 )
 
 // word is what a node has last said to a primary.
@@ -123,7 +123,7 @@
 		} else if p.core && uint64(kept(p.disk)) < t.Checked {
 			w.breaks("HELD", "%s confirms %d and has %d on disk", p.name, t.Checked, kept(p.disk))
 		}
-	case pact.Append:
+	case consensus.Append:
 		if t.Doc.Rev > 0 && len(t.Doc.Side) == 0 {
 			w.enough(p, t.Doc)
 		}
@@ -164,7 +164,7 @@
 	return n
 }
 
-func (w *World) enough(p *Proc, d pact.Doc) {
+func (w *World) enough(p *Proc, d consensus.Doc) {
 	if w.confirm[d.Version] != 0 || w.fates[d.Version] == accord.Live { // judged at its first proposal
 		return
 	}
--- a/internal/accord/world/play.go
+++ b/internal/accord/world/play.go
@@ -7,11 +7,11 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"asterwell/internal/accord"
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 )
 
 func diskVersion(data []byte) uint32 {
-	var d pact.Disk
+	var d consensus.Disk
 	if err := cbor.Unmarshal(data, &d); err != nil {
 		panic(err)
 	}
--- a/internal/accord/world/proc.go
+++ b/internal/accord/world/proc.go
@@ -10,9 +10,9 @@
 	"github.com/samber/lo"
 
 	"asterwell/internal/accord"
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/knot"
-	"asterwell/internal/pact"
 	"asterwell/internal/plane"
 	"asterwell/internal/toll"
 )
@@ -53,9 +53,9 @@
 	p.up, p.thaws, p.ice, p.waiting, p.gate, p.wishes = true, 0, nil, nil, accord.Gate{}, map[uint64]wished{}
 	p.puts = map[uint64]uint32{}
 	p.life, p.heard = p.life+1, map[string]said{}
-	var kept *pact.Disk
+	var kept *consensus.Disk
 	if p.disk != nil {
-		kept = &pact.Disk{}
+		kept = &consensus.Disk{}
 		if err := cbor.Unmarshal(p.disk, kept); err != nil {
 			panic(err)
 		}
@@ -166,12 +166,12 @@
 		switch t := r.Value.(type) {
 		case accord.Withdrew:
 			w.told(p, p.wishes[r.Call], t.Outcome)
-		case pact.Answer:
+		case consensus.Answer:
 			switch version := p.puts[r.Call]; t.Verdict {
-			case pact.Kept:
+			case consensus.Kept:
 				w.acked(p, version)
-			case pact.Busy: // no clear answer
-			case pact.Differs:
+			case consensus.Busy: // no clear answer
+			case consensus.Differs:
 				if !w.other[version] {
 					w.breaks("AGAIN", "put of %d at %s: another text has its number, and there is none", version, p.name)
 				}
@@ -387,7 +387,7 @@
 	}
 	w.other[version] = w.other[version] || !bytes.Equal(w.texts[version], body)
 	p.input(func() knot.Out {
-		return p.k.Put(p.clock(), id, pact.Doc{Version: version, Body: body})
+		return p.k.Put(p.clock(), id, consensus.Doc{Version: version, Body: body})
 	})
 }
 
--- a/internal/pact/doc.go
+++ b/internal/consensus/doc.go
@@ -1,4 +1,4 @@
-// Package pact keeps one document, the operator's configuration, on the core machines'
+// Package consensus keeps one document, the operator's configuration, on the core machines'
 // disks, and brings it to all processes.
 //
 // Of the members, a primary and as many backups as machines may be lost (the writers of an
@@ -72,4 +72,4 @@
 // fence.go disks that were put back to an older state; name.go texts that are named; orders.go which text a number has. For the proof of it: explore.go all states
 // of a small core, resume.go from which it goes on, cell.go a machine in it, code.go which states
 // are the same, walk.go drawn schedules of larger cores.
-package pact
+package consensus
--- a/internal/pact/fence_test.go
+++ b/internal/consensus/fence_test.go
@@ -1,4 +1,4 @@
-package pact
+package consensus
 
 import (
 	"reflect"
--- a/internal/pact/member.go
+++ b/internal/consensus/member.go
@@ -1,4 +1,4 @@
-package pact
+package consensus
 
 // willing says whether a candidate may have a promise: not while another one lives.
 func (m *Machine) willing(from string) bool {
--- a/internal/pact/resume.go
+++ b/internal/consensus/resume.go
@@ -1,4 +1,4 @@
-package pact
+package consensus
 
 // judgeResume asks that of a state, and counts.
 func (x *explorer) judgeResume(s *state, at uint32) {
--- a/internal/knot/contact.go
+++ b/internal/knot/contact.go
@@ -5,8 +5,8 @@
 
 	"asterwell/internal/bane"
 	"asterwell/internal/cede"
+	"asterwell/internal/consensus"
 	"asterwell/internal/lore"
-	"asterwell/internal/pact"
 	"asterwell/internal/plane"
 )
 
@@ -35,7 +35,7 @@
 
 // Bugs switches guards of the machines off, for tests.
 type Bugs struct {
-	Pact  pact.Bug
+	Pact  consensus.Bug
 	Bane  bane.Bug
 	Lore  lore.Bug
 	Cede  cede.Bug
@@ -43,7 +43,7 @@
 }
 
 // Prove asks for a proof of contact with most of the core that is as young as the call. Its
-// Reply is a pact.Answer: Proved, or Busy.
+// Reply is a consensus.Answer: Proved, or Busy.
 func (k *Knot) Prove(now plane.Time, call uint64) Out {
 	k.contact.asked[call] = now
 	k.agreed(now, k.pact.Prove(now, call))
@@ -79,14 +79,14 @@
 }
 
 // proof takes the answer of a call that may be one, and says whether a caller waits for it.
-func (k *Knot) proof(now plane.Time, a pact.Answer) bool {
+func (k *Knot) proof(now plane.Time, a consensus.Answer) bool {
 	c := &k.contact
 	asked, ok := c.asked[a.ID]
 	if !ok {
 		return true
 	}
 	delete(c.asked, a.ID)
-	if a.Verdict == pact.Proved {
+	if a.Verdict == consensus.Proved {
 		if c.at == 0 {
 			c.need = a.Version
 		}
--- a/internal/knot/knot.go
+++ b/internal/knot/knot.go
@@ -14,9 +14,9 @@
 	"asterwell/internal/bane"
 	"asterwell/internal/bond"
 	"asterwell/internal/cede"
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/lore"
-	"asterwell/internal/pact"
 	"asterwell/internal/plane"
 	"asterwell/internal/toll"
 )
@@ -47,7 +47,7 @@
 	Mute(now plane.Time, holder string) bool // it leaves adds unanswered
 }
 
-// Reply ends a call: a lore.Answer or a pact.Answer.
+// Reply ends a call: a lore.Answer or a consensus.Answer.
 type Reply struct {
 	Call  uint64
 	Value any
@@ -59,21 +59,21 @@
 // Out is what follows from an input.
 type Out struct {
 	Send    []plane.Send // some may be for this process itself
-	Write   *pact.Write
+	Write   *consensus.Write
 	Replies []Reply
-	Adopt   *creed.Table  // to be in force here
-	Text    *Text         // to be read beside the loop, then tell Read
-	Refused error         // a configuration that is kept and can't be in force here
-	Doc     *pact.Doc     // the text of either
-	Gate    bool          // Gate has changed
-	Serve   bool          // Servers has changed,
-	Changes []lore.Server // by these
-	Members bool          // View has changed, and
-	Shares  Gateways      // this with it
-	Rules   *bane.Write   // of fault rules
-	News    string        // of them, for the log
-	Fenced  bool          // the disk had been put back to an older state
-	Drains  bool          // Draining has changed; the next tick tells it
+	Adopt   *creed.Table   // to be in force here
+	Text    *Text          // to be read beside the loop, then tell Read
+	Refused error          // a configuration that is kept and can't be in force here
+	Doc     *consensus.Doc // the text of either
+	Gate    bool           // Gate has changed
+	Serve   bool           // Servers has changed,
+	Changes []lore.Server  // by these
+	Members bool           // View has changed, and
+	Shares  Gateways       // this with it
+	Rules   *bane.Write    // of fault rules
+	News    string         // of them, for the log
+	Fenced  bool           // the disk had been put back to an older state
+	Drains  bool           // Draining has changed; the next tick tells it
 }
 
 // Knot is one process's machines.
@@ -81,7 +81,7 @@
 	self    string
 	bond    *bond.Machine
 	lore    *lore.Machine
-	pact    *pact.Machine
+	pact    *consensus.Machine
 	accord  *accord.Machine
 	prepare uint64 // what is prepared is on disk with that write; 0: it is
 	meter   Meter
@@ -99,7 +99,7 @@
 	stood   bool // this process stood still before the tick: it is not others that are late
 
 	contact   contact
-	seated    pact.Ballot // whose seats the list of servers knows
+	seated    consensus.Ballot // whose seats the list of servers knows
 	seatsTold bool
 	bugs      Bugs
 
@@ -113,7 +113,7 @@
 }
 
 // New starts a process. A nil disk is an empty one, or none.
-func New(c Config, meter Meter, disk *pact.Disk, now plane.Time) *Knot {
+func New(c Config, meter Meter, disk *consensus.Disk, now plane.Time) *Knot {
 	k := &Knot{
 		self: c.Self, meter: meter, bane: c.faults(now), counter: toll.NewCounter(c.Self, c.Life), round: map[string]*detour{},
 		bond: bond.New(bond.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.Control, Member: c.Member,
@@ -123,7 +123,7 @@
 		cede: cede.New(c.Self, cedeSalt(c), c.Bugs.Cede),
 		bugs: c.Bugs, contact: contact{asked: map[uint64]plane.Time{}, pause: proveAgain},
 	}
-	k.pact = pact.New(pact.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
+	k.pact = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
 		Losses: c.Losses, Seeds: c.Seeds, Seed: c.Seed, Enter: k.accord.Enter}, disk, now)
 	k.pact.SetBug(c.Bugs.Pact)
 	k.lore.SetBug(c.Bugs.Lore)
@@ -207,7 +207,7 @@
 }
 
 // Put takes an operator's configuration, which has been checked.
-func (k *Knot) Put(now plane.Time, call uint64, doc pact.Doc) Out {
+func (k *Knot) Put(now plane.Time, call uint64, doc consensus.Doc) Out {
 	k.agreed(now, k.pact.Put(now, call, doc))
 	return k.end()
 }
@@ -233,12 +233,12 @@
 	k.leaving, k.ready = true, false
 	k.cede.Fit(false, true)
 	k.bonded(now, k.bond.Leave(now))
-	k.agreed(now, k.pact.Leave(now, pact.Leaves))
+	k.agreed(now, k.pact.Leave(now, consensus.Leaves))
 	return k.end()
 }
 
 // Depart says that this process ends as soon as the others can go on without it, or soon in any case.
-func (k *Knot) Depart(now plane.Time, n pact.Notice) Out {
+func (k *Knot) Depart(now plane.Time, n consensus.Notice) Out {
 	k.agreed(now, k.pact.Leave(now, n))
 	return k.end()
 }
@@ -274,10 +274,10 @@
 func (k *Knot) Services(now plane.Time) []lore.Sight { return k.lore.Sights(now) }
 
 // Epochs are those that this process has seen, the newest last.
-func (k *Knot) Epochs() []pact.Change { return k.pact.Past() }
+func (k *Knot) Epochs() []consensus.Change { return k.pact.Past() }
 
 // Pact tells how agreement stands.
-func (k *Knot) Pact() pact.Status { return k.pact.Status() }
+func (k *Knot) Pact() consensus.Status { return k.pact.Status() }
 
 func (k *Knot) end() Out {
 	out := k.out
@@ -314,8 +314,8 @@
 	k.late, k.looked, k.seen = false, now, len(view)
 	up := lo.Filter(view, func(n bond.Node, _ int) bool { return n.State == bond.Up })
 	k.learnt(k.lore.Nodes(now, view)) // who leaves still serves, and must hear of servers
-	k.pact.Peers(now, lo.Map(view, func(n bond.Node, _ int) pact.Peer {
-		return pact.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == bond.Up, Held: n.Held}
+	k.pact.Peers(now, lo.Map(view, func(n bond.Node, _ int) consensus.Peer {
+		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == bond.Up, Held: n.Held}
 	}))
 	k.accord.Nodes(lo.Map(up, func(n bond.Node, _ int) accord.Node {
 		return accord.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
@@ -347,7 +347,7 @@
 }
 
 // agreed carries out what agreement wants.
-func (k *Knot) agreed(now plane.Time, out pact.Out) {
+func (k *Knot) agreed(now plane.Time, out consensus.Out) {
 	if out.Write != nil {
 		k.out.Write = out.Write
 	}
--- a/internal/knot/life_test.go
+++ b/internal/knot/life_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/lore"
-	"asterwell/internal/pact"
 	"asterwell/internal/plane"
 	"asterwell/internal/toll"
 )
@@ -52,7 +52,7 @@
 // call makes calls by the numbers 1 to 4, as each life does.
 func (p *pair) call(life string) {
 	k := p.knots["calls"]
-	p.carry("calls", k.Put(p.now, 1, pact.Doc{Version: 7, Body: []byte(life)}))
+	p.carry("calls", k.Put(p.now, 1, consensus.Doc{Version: 7, Body: []byte(life)}))
 	p.carry("calls", k.Get(p.now, 2))
 	p.carry("calls", k.Beat(p.now, 3, lore.Beat{ID: life + "-1", Addr: life + "1:1", Service: "s", Zone: "z", Seq: 2, Quiescing: true}))
 	p.carry("calls", k.Delete(p.now, 4, life+"-2"))
@@ -74,7 +74,7 @@
 	for _, m := range former {
 		kinds[fmt.Sprintf("%T", m)]++
 	}
-	if kinds["pact.Answered"] < 2 || kinds["lore.Ack"] == 0 {
+	if kinds["consensus.Answered"] < 2 || kinds["lore.Ack"] == 0 {
 		t.Fatalf("nothing to tell apart: %v", kinds)
 	}
 	delete(p.held, "calls")
--- a/internal/knot/text.go
+++ b/internal/knot/text.go
@@ -3,8 +3,8 @@
 import (
 	"bytes"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
-	"asterwell/internal/pact"
 	"asterwell/internal/plane"
 	"asterwell/internal/toll"
 )
@@ -15,7 +15,7 @@
 
 // Text is one to be read.
 type Text struct {
-	Doc   pact.Doc
+	Doc   consensus.Doc
 	check bool // whether it can be taken, not to be in force yet
 	judge func(text []byte) error
 }
@@ -54,7 +54,7 @@
 	return r
 }
 
-func (r *Reading) of(d pact.Doc) bool {
+func (r *Reading) of(d consensus.Doc) bool {
 	return r.text.Doc.Version == d.Version && bytes.Equal(r.text.Doc.Body, d.Body)
 }
 
@@ -99,7 +99,7 @@
 }
 
 // adopt puts a configuration in force here. It has been read, but for one that was missed while others had it prepared.
-func (k *Knot) adopt(now plane.Time, doc *pact.Doc) {
+func (k *Knot) adopt(now plane.Time, doc *consensus.Doc) {
 	r := k.taken
 	switch c := k.reader.checked; {
 	case r != nil && r.of(*doc):
--- a/internal/knot/text_test.go
+++ b/internal/knot/text_test.go
@@ -9,8 +9,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/knot"
-	"asterwell/internal/pact"
 	"asterwell/internal/plane"
 	"asterwell/internal/toll"
 	"asterwell/internal/yarn"
@@ -24,7 +24,7 @@
 	texts   []func() // to be read
 	most    int      // under way at one process
 	waiting map[int]int
-	said    []pact.Answer
+	said    []consensus.Answer
 	adopted map[int][]uint32
 	queue   []func()
 
@@ -74,7 +74,7 @@
 		c.adopted[i] = append(c.adopted[i], out.Doc.Version)
 	}
 	for _, r := range out.Replies {
-		if a, ok := r.Value.(pact.Answer); ok {
+		if a, ok := r.Value.(consensus.Answer); ok {
 			c.said = append(c.said, a)
 		}
 	}
@@ -123,10 +123,10 @@
 	at := bytes.Index(text, []byte(`"RatePerS":20`)) + 11
 	copy(text[at:], fmt.Append(nil, 20+version))
 	c.step(2, "put", func() knot.Out {
-		return c.knots[2].Put(c.now, uint64(version), pact.Doc{Version: version, Body: text})
+		return c.knots[2].Put(c.now, uint64(version), consensus.Doc{Version: version, Body: text})
 	})
 	c.run(300*time.Millisecond, false)
-	if len(c.said) != 1 || c.said[0].Verdict != pact.Kept {
+	if len(c.said) != 1 || c.said[0].Verdict != consensus.Kept {
 		t.Fatalf("version %d: %+v", version, c.said)
 	}
 }
--- a/internal/knot/together.go
+++ b/internal/knot/together.go
@@ -2,12 +2,12 @@
 
 import (
 	"asterwell/internal/accord"
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 	"asterwell/internal/plane"
 )
 
 // roll tells the taking up of configurations what agreement has come to.
-func (k *Knot) roll(now plane.Time, out pact.Out) {
+func (k *Knot) roll(now plane.Time, out consensus.Out) {
 	k.accord.Primary(k.pact.Primary())
 	epoch, leads := k.pact.Leads()
 	if !leads {
--- a/internal/lab/agreement.go
+++ b/internal/lab/agreement.go
@@ -10,7 +10,7 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 	"asterwell/internal/yarn"
 )
 
@@ -26,8 +26,8 @@
 
 // agreementModels: those that end by themselves first, then one with all that may go wrong,
 // by breadth and by depth.
-func agreementModels(states int) []pact.Bounds {
-	all := []pact.Bounds{
+func agreementModels(states int) []consensus.Bounds {
+	all := []consensus.Bounds{
 		{Puts: 2, Reads: 1},
 		{Puts: 2, Same: true},
 		{Silent: true, Puts: 2},
@@ -46,7 +46,7 @@
 		{Silent: true, Puts: 1, Shorts: 1, Deaths: 1},
 		{Silent: true, Puts: 1, Shorts: 1, Wipes: 1},
 	}
-	full := pact.Bounds{Silent: true, Puts: 2, Reads: 1, Lost: 1, Late: 1, Doubled: 1, Deaths: 2, Wipes: 1, Shorts: 2, Longs: 4}
+	full := consensus.Bounds{Silent: true, Puts: 2, Reads: 1, Lost: 1, Late: 1, Doubled: 1, Deaths: 2, Wipes: 1, Shorts: 2, Longs: 4}
 	deep := full
 	deep.Deep = true
 	all = append(all, full, deep)
@@ -57,7 +57,7 @@
 }
 
 // bounded tells bounds in few words.
-func bounded(b pact.Bounds) string {
+func bounded(b consensus.Bounds) string {
 	var words []string
 	add := func(n int, word string) {
 		if n > 0 {
@@ -128,11 +128,11 @@
 
 func (o AgreementOptions) models(r *Report, say func(string, ...any)) {
 	models := agreementModels(o.States)
-	found := make([]pact.Survey, len(models))
+	found := make([]consensus.Survey, len(models))
 	took := make([]time.Duration, len(models))
 	side(len(models), o.Side, func(i int) {
 		began := time.Now()
-		found[i] = pact.Explore(models[i])
+		found[i] = consensus.Explore(models[i])
 		took[i] = time.Since(began)
 		say("%s: %d states, all of them: %v %s", bounded(models[i]), found[i].States, found[i].All, found[i].Broken)
 	})
@@ -155,16 +155,16 @@
 }
 
 // agreementWalks are schedules for cores of several sizes.
-func agreementWalks() (names []string, bounds []pact.Bounds, pairs []pact.Pair) {
-	add := func(name string, b pact.Bounds, p pact.Pair) {
+func agreementWalks() (names []string, bounds []consensus.Bounds, pairs []consensus.Pair) {
+	add := func(name string, b consensus.Bounds, p consensus.Pair) {
 		b.Silent, b.Puts, b.Reads, b.Lost, b.Late, b.Doubled, b.Shorts, b.Longs = true, 4, 2, 3, 3, 3, 30, 15*b.Members
 		names, bounds, pairs = append(names, name), append(bounds, b), append(pairs, p)
 	}
-	add("3 members, 2 deaths, 1 wipe", pact.Bounds{Members: 3, Losses: 1, Deaths: 2, Wipes: 1}, pact.NoPair)
-	add("5 members for 1 loss", pact.Bounds{Members: 5, Losses: 1, Deaths: 2, Wipes: 1}, pact.NoPair)
+	add("3 members, 2 deaths, 1 wipe", consensus.Bounds{Members: 3, Losses: 1, Deaths: 2, Wipes: 1}, consensus.NoPair)
+	add("5 members for 1 loss", consensus.Bounds{Members: 5, Losses: 1, Deaths: 2, Wipes: 1}, consensus.NoPair)
 	for _, n := range []int{6, 8} {
 		for i, what := range []string{"2 killed at once", "2 at once, 1 wiped", "2 wiped at once"} {
-			add(fmt.Sprintf("%d members, %s", n, what), pact.Bounds{Members: n, Losses: 2}, pact.BothKilled+pact.Pair(i))
+			add(fmt.Sprintf("%d members, %s", n, what), consensus.Bounds{Members: n, Losses: 2}, consensus.BothKilled+consensus.Pair(i))
 		}
 	}
 	return names, bounds, pairs
@@ -174,9 +174,9 @@
 
 func (o AgreementOptions) walks(r *Report, say func(string, ...any)) {
 	names, bounds, pairs := agreementWalks()
-	found := make([]pact.Walks, len(names))
+	found := make([]consensus.Walks, len(names))
 	side(len(names), o.Side, func(i int) {
-		found[i] = pact.Walk(bounds[i], pairs[i], o.Seed, o.Walks, walkSteps)
+		found[i] = consensus.Walk(bounds[i], pairs[i], o.Seed, o.Walks, walkSteps)
 		say("%s: %d schedules, %d with a takeover %s", names[i], found[i].Count, found[i].Epochs, found[i].Broken)
 	})
 	r.Row("drawn schedules", "", "schedules", "steps", "with a takeover", "acked")
@@ -191,25 +191,25 @@
 
 // mutants hunts faults: by the small model, by schedules, by days of the whole system.
 func (o AgreementOptions) mutants(r *Report, say func(string, ...any)) {
-	three := pact.Bounds{Members: 3, Losses: 1, Silent: true, Puts: 4, Reads: 2, Lost: 1, Late: 1, Doubled: 1, Shorts: 20,
+	three := consensus.Bounds{Members: 3, Losses: 1, Silent: true, Puts: 4, Reads: 2, Lost: 1, Late: 1, Doubled: 1, Shorts: 20,
 		Longs: 30, Deaths: 2, Wipes: 1}
 	five := three
 	five.Members = 5
 	hunts := []struct {
 		what  string
-		bug   pact.Bug
-		small pact.Bounds
-		walk  pact.Bounds
+		bug   consensus.Bug
+		small consensus.Bounds
+		walk  consensus.Bounds
 		day   yarn.Bug
 	}{
-		{"acknowledged by the primary alone", pact.BugAckEarly, pact.Bounds{Silent: true, Puts: 1, Shorts: 1}, three, yarn.Sound},
-		{"acknowledged before the disks have synced", pact.BugUnsynced, pact.Bounds{}, three, yarn.Sound},
-		{"taken over without the witnesses", pact.BugAlone, pact.Bounds{}, five, yarn.Sound},
-		{"an overtaken primary obeyed", pact.BugNoPromise, pact.Bounds{}, three, yarn.Sound},
-		{"an empty disk counts as one that remembers", pact.BugAmnesia, pact.Bounds{Silent: true, Puts: 1, Wipes: 1}, three, yarn.Sound},
-		{"a disk says so before it has synced", 0, pact.Bounds{}, pact.Bounds{}, yarn.Early},
-		{"a home does not tell that a server leaves", 0, pact.Bounds{}, pact.Bounds{}, yarn.Mute},
-		{"an add counted twice after a restart", 0, pact.Bounds{}, pact.Bounds{}, yarn.Twice},
+		{"acknowledged by the primary alone", consensus.BugAckEarly, consensus.Bounds{Silent: true, Puts: 1, Shorts: 1}, three, yarn.Sound},
+		{"acknowledged before the disks have synced", consensus.BugUnsynced, consensus.Bounds{}, three, yarn.Sound},
+		{"taken over without the witnesses", consensus.BugAlone, consensus.Bounds{}, five, yarn.Sound},
+		{"an overtaken primary obeyed", consensus.BugNoPromise, consensus.Bounds{}, three, yarn.Sound},
+		{"an empty disk counts as one that remembers", consensus.BugAmnesia, consensus.Bounds{Silent: true, Puts: 1, Wipes: 1}, three, yarn.Sound},
+		{"a disk says so before it has synced", 0, consensus.Bounds{}, consensus.Bounds{}, yarn.Early},
+		{"a home does not tell that a server leaves", 0, consensus.Bounds{}, consensus.Bounds{}, yarn.Mute},
+		{"an add counted twice after a restart", 0, consensus.Bounds{}, consensus.Bounds{}, yarn.Twice},
 	}
 	type hit struct {
 		by, rule string
@@ -226,15 +226,15 @@
 				hits[i].n, hits[i].rule = hits[i].n+1, s.Broken
 			}
 		default:
-			if h.small != (pact.Bounds{}) {
+			if h.small != (consensus.Bounds{}) {
 				h.small.Bug, h.small.States = h.bug, o.States
-				f := pact.Explore(h.small)
+				f := consensus.Explore(h.small)
 				if hits[i] = (hit{"states", f.Broken, f.States}); f.Broken != "" {
 					break
 				}
 			}
 			h.walk.Bug = h.bug
-			w := pact.Walk(h.walk, pact.NoPair, o.Seed, 10*o.Most, walkSteps)
+			w := consensus.Walk(h.walk, consensus.NoPair, o.Seed, 10*o.Most, walkSteps)
 			hits[i] = hit{"schedules", w.Broken, w.Count}
 		}
 		say("mutant, %s: %d %s: %s", h.what, hits[i].n, hits[i].by, hits[i].rule)
--- a/internal/lab/callerframes.go
+++ b/internal/lab/callerframes.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"asterwell/internal/actor"
+	"asterwell/internal/consensus"
 	"asterwell/internal/mesh"
-	"asterwell/internal/pact"
 	"asterwell/internal/plane"
 	"asterwell/internal/standin/snag"
 	"asterwell/internal/weave"
@@ -51,13 +51,13 @@
 
 // formerAnswer is the frame that answers a call of the asker's earlier life.
 func formerAnswer(from string, call uint64) []byte {
-	return weave.Frames.Encode(&weave.Frame{From: from, Msg: pact.Answered{ID: call, Salt: 7, Verdict: pact.Kept,
-		Doc: &pact.Doc{Version: uint32(call), Body: []byte(frameText("former", call))}}})
+	return weave.Frames.Encode(&weave.Frame{From: from, Msg: consensus.Answered{ID: call, Salt: 7, Verdict: consensus.Kept,
+		Doc: &consensus.Doc{Version: uint32(call), Body: []byte(frameText("former", call))}}})
 }
 
 // play makes three calls by the asker's real machine, over the real mesh, to one that answers
 // each with its own text. The fault meets the second.
-func (c frameCase) play(bug pact.Bug) (p framePlayed) {
+func (c frameCase) play(bug consensus.Bug) (p framePlayed) {
 	p.c, p.answers = c, map[uint64][]string{}
 	host := callerHost()
 	here, err := snag.PassFrames(host)
@@ -86,9 +86,9 @@
 	ready.Add(1)
 	answerer = listen(there, func(f *weave.Frame) {
 		ready.Wait()
-		if q, ok := f.Msg.(pact.Forward); ok {
+		if q, ok := f.Msg.(consensus.Forward); ok {
 			doc := q.Doc
-			answerer.To(f.From).Send(&weave.Frame{From: there.Addr, Msg: pact.Answered{ID: q.ID, Salt: q.Salt, Verdict: pact.Kept, Doc: &doc}})
+			answerer.To(f.From).Send(&weave.Frame{From: there.Addr, Msg: consensus.Answered{ID: q.ID, Salt: q.Salt, Verdict: consensus.Kept, Doc: &doc}})
 		}
 	})
 	ready.Done()
@@ -104,25 +104,25 @@
 }
 
 // ask is the asker's loop.
-func (p *framePlayed) ask(c frameCase, m *mesh.Mesh[*weave.Frame], in *actor.Box[any], here, there *snag.FrameProxy, bug pact.Bug) {
+func (p *framePlayed) ask(c frameCase, m *mesh.Mesh[*weave.Frame], in *actor.Box[any], here, there *snag.FrameProxy, bug consensus.Bug) {
 	start := time.Now()
 	now := func() plane.Time { return time.Hour + frameSpeed*time.Since(start) }
-	a := pact.New(pact.Config{Self: here.Addr, Name: "asker", Seeds: []string{there.Addr}, Seed: 5}, nil, now())
+	a := consensus.New(consensus.Config{Self: here.Addr, Name: "asker", Seeds: []string{there.Addr}, Seed: 5}, nil, now())
 	a.SetBug(bug)
-	took := func(out pact.Out) {
+	took := func(out consensus.Out) {
 		for _, s := range out.Send {
 			m.To(s.To).Send(&weave.Frame{From: here.Addr, Msg: s.Msg})
 		}
 		for _, an := range out.Answers {
 			text := "busy"
-			if an.Verdict == pact.Kept && an.Doc != nil {
+			if an.Verdict == consensus.Kept && an.Doc != nil {
 				text = string(an.Doc.Body)
 			}
 			p.answers[an.ID] = append(p.answers[an.ID], text)
 		}
 	}
 	call := func(id uint64) {
-		took(a.Put(now(), id, pact.Doc{Version: uint32(id), Body: []byte(frameText("this", id))}))
+		took(a.Put(now(), id, consensus.Doc{Version: uint32(id), Body: []byte(frameText("this", id))}))
 	}
 	until := func(done func() bool) {
 		for end := time.Now().Add(5 * time.Second); !done() && time.Now().Before(end); {
@@ -133,13 +133,13 @@
 			took(a.Tick(now()))
 		}
 	}
-	took(a.Take(now(), there.Addr, pact.View{Leads: true, Record: pact.Record{Founding: 1, Ballot: pact.Ballot{N: 1, By: there.Addr, Life: 1},
-		Set: []pact.Seat{{Addr: there.Addr, Life: 1}}, Writers: []string{there.Addr}, Active: true}}))
+	took(a.Take(now(), there.Addr, consensus.View{Leads: true, Record: consensus.Record{Founding: 1, Ballot: consensus.Ballot{N: 1, By: there.Addr, Life: 1},
+		Set: []consensus.Seat{{Addr: there.Addr, Life: 1}}, Writers: []string{there.Addr}, Active: true}}))
 	call(1)
 	until(func() bool { return len(p.answers[1]) > 0 })
-	proxy, kind := there, frameKind(pact.Forward{})
+	proxy, kind := there, frameKind(consensus.Forward{})
 	if c.back {
-		proxy, kind = here, frameKind(pact.Answered{})
+		proxy, kind = here, frameKind(consensus.Answered{})
 	}
 	f := c.fault
 	if f.Kind == snag.Before {
@@ -194,7 +194,7 @@
 
 // frameSweep plays each case until its fault has met a frame: on a busy machine a call's time may be over before it is
 // sent. All plays are judged.
-func frameSweep(cases []frameCase, width int, bug pact.Bug) []framePlayed {
+func frameSweep(cases []frameCase, width int, bug consensus.Bug) []framePlayed {
 	ends := make([][]framePlayed, len(cases))
 	side(len(cases), width, func(i int) {
 		for range frameTries {
@@ -217,7 +217,7 @@
 			if c.fault.Kind != snag.Before {
 				continue
 			}
-			if p := c.play(pact.BugAnyLife); p.err == nil {
+			if p := c.play(consensus.BugAnyLife); p.err == nil {
 				p.judge(func(_, form string, args ...any) { found = fmt.Sprintf(form, args...) })
 			}
 			if found != "" {
--- a/internal/lab/controlorders.go
+++ b/internal/lab/controlorders.go
@@ -10,7 +10,7 @@
 	"asterwell/internal/bane"
 	faultworld "asterwell/internal/bane/world"
 	"asterwell/internal/cede"
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 	"asterwell/internal/yarn"
 )
 
@@ -126,15 +126,15 @@
 }
 
 // ordersWalk draws schedules of a small core that is given several texts of one number.
-func ordersWalk(seed uint64, count int, bug pact.Bug) string {
-	w := pact.Walk(ordersBounds(bug), pact.NoPair, seed, count, orderSteps)
+func ordersWalk(seed uint64, count int, bug consensus.Bug) string {
+	w := consensus.Walk(ordersBounds(bug), consensus.NoPair, seed, count, orderSteps)
 	return w.Broken
 }
 
 const orderSteps = 160
 
-func ordersBounds(bug pact.Bug) pact.Bounds {
-	return pact.Bounds{Members: 3, Losses: 1, Silent: true, Puts: 4, Over: true, Lost: 1, Shorts: 20, Longs: 30, Deaths: 2, Bug: bug}
+func ordersBounds(bug consensus.Bug) consensus.Bounds {
+	return consensus.Bounds{Members: 3, Losses: 1, Silent: true, Puts: 4, Over: true, Lost: 1, Shorts: 20, Longs: 30, Deaths: 2, Bug: bug}
 }
 
 // controlOrders plays what must not make two texts of a number, or refuse an order that was taken.
@@ -152,8 +152,8 @@
 		}
 		p.Lines = append(p.Lines, where+": "+why)
 	}
-	models := []pact.Bounds{{Puts: 2, Same: true}, {Puts: 3, Over: true, States: 100_000}, {Silent: true, Puts: 2, Same: true, Shorts: 1, States: 100_000}}
-	explore := each(len(models), func(i int) { met(bounded(models[i]), twoTexts, pact.Explore(models[i]).Broken) })
+	models := []consensus.Bounds{{Puts: 2, Same: true}, {Puts: 3, Over: true, States: 100_000}, {Silent: true, Puts: 2, Same: true, Shorts: 1, States: 100_000}}
+	explore := each(len(models), func(i int) { met(bounded(models[i]), twoTexts, consensus.Explore(models[i]).Broken) })
 	walk := func() { met("drawn schedules", twoTexts, ordersWalk(seed, 200, 0)) }
 	play := each(days, func(i int) {
 		at := seed + uint64(i)
@@ -193,9 +193,9 @@
 		func(s uint64) bool { key, _ := faultSetsDay(s, bane.Refuses); return key != "" },
 		func(s uint64) bool { key, _ := faultSetsDay(s, bane.Confuses); return key != "" },
 		func(s uint64) bool { key, _ := faultSetsDay(s, bane.Numberless); return key == otherStopped },
-		func(s uint64) bool { return ordersWalk(s, 1, pact.BugAnyText) != "" },
+		func(s uint64) bool { return ordersWalk(s, 1, consensus.BugAnyText) != "" },
 		func(s uint64) bool { // met by one schedule of 30 to some thousands: hunted once, in many
-			return s == seed && walkFinds(ordersBounds(pact.BugForgets), pact.NoPair, seed, orderSteps)
+			return s == seed && walkFinds(ordersBounds(consensus.BugForgets), consensus.NoPair, seed, orderSteps)
 		},
 	}
 	p.Mutants = len(mutants)
--- a/internal/lab/controlseats.go
+++ b/internal/lab/controlseats.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sync"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 	"asterwell/internal/yarn"
 )
 
@@ -18,7 +18,7 @@
 )
 
 // seatModels are small cores with leaves that are visited whole, and looked at whether they go on.
-var seatModels = []pact.Bounds{
+var seatModels = []consensus.Bounds{
 	{Leaves: 1, Resumes: 1}, {Leaves: 2, Resumes: 2}, {Leaves: 1, Learner: true, Resumes: 10}, {Leaves: 1, Puts: 1},
 	{Leaves: 1, Deaths: 1, Resumes: 10}, {Leaves: 1, Wipes: 1, Resumes: 10}, {Leaves: 1, Ends: true, Wipes: 1, Resumes: 10}, {Wipes: 1, Shorts: 1, Resumes: 10},
 }
@@ -29,17 +29,17 @@
 	find func(seed uint64) (broken string)
 }{
 	{"who leaves keeps its seat", func(uint64) string {
-		return pact.Explore(pact.Bounds{Leaves: 1, Wipes: 1, Resumes: 5, Bug: pact.BugStay}).Broken
+		return consensus.Explore(consensus.Bounds{Leaves: 1, Wipes: 1, Resumes: 5, Bug: consensus.BugStay}).Broken
 	}},
 	{"who leaves ends before the others know the epoch", func(uint64) string {
-		return pact.Explore(pact.Bounds{Leaves: 1, Wipes: 1, Resumes: 5, Bug: pact.BugReleased}).Broken
+		return consensus.Explore(consensus.Bounds{Leaves: 1, Wipes: 1, Resumes: 5, Bug: consensus.BugReleased}).Broken
 	}},
 	{"silence counts as a loss", func(seed uint64) string {
-		return pact.Walk(pact.Bounds{Members: 4, Losses: 1, Silent: true, Puts: 4, Reads: 2, Lost: 3, Late: 3, Doubled: 3, Shorts: 30,
-			Longs: 60, Leaves: 1, Bug: pact.BugUnproven}, pact.NoPair, seed, 1000, 220).Broken
+		return consensus.Walk(consensus.Bounds{Members: 4, Losses: 1, Silent: true, Puts: 4, Reads: 2, Lost: 3, Late: 3, Doubled: 3, Shorts: 30,
+			Longs: 60, Leaves: 1, Bug: consensus.BugUnproven}, consensus.NoPair, seed, 1000, 220).Broken
 	}},
 	{"who is ended soon while another one is missing keeps its seat", func(uint64) string {
-		return pact.Explore(pact.Bounds{Leaves: 1, Ends: true, Wipes: 1, Resumes: 5, Bug: pact.BugRemnant}).Broken
+		return consensus.Explore(consensus.Bounds{Leaves: 1, Ends: true, Wipes: 1, Resumes: 5, Bug: consensus.BugRemnant}).Broken
 	}},
 	{"a seat for a newcomer that has gone again", func(seed uint64) string {
 		for n := range uint64(8) {
@@ -103,7 +103,7 @@
 	}
 	for _, b := range seatModels {
 		todo = append(todo, func() {
-			f := pact.Explore(b)
+			f := consensus.Explore(b)
 			if f.Broken != "" || !f.All {
 				broke(noQuorum, "model %+v: %d states, all %v: %s", b, f.States, f.All, f.Broken)
 			}
--- a/internal/lab/controlstate.go
+++ b/internal/lab/controlstate.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 	"asterwell/internal/yarn"
 )
 
@@ -58,8 +58,8 @@
 const edgeRate = 2e6 / 8 // bytes a second of a link of 2 Mbit/s
 
 // stateWalk is the model's bounds for disks that are put back.
-func stateWalk(members, losses int) pact.Bounds {
-	return pact.Bounds{Members: members, Losses: losses, Silent: true, Puts: 4, Reads: 2, Lost: 3, Late: 2, Doubled: 1, Shorts: 60, Longs: 90}
+func stateWalk(members, losses int) consensus.Bounds {
+	return consensus.Bounds{Members: members, Losses: losses, Silent: true, Puts: 4, Reads: 2, Lost: 3, Late: 2, Doubled: 1, Shorts: 60, Longs: 90}
 }
 
 const (
@@ -105,13 +105,13 @@
 			b = stateWalk(6, 2)
 		}
 		from := seed + uint64(i*stateChunk)
-		if w := pact.Walk(b, pact.OneBack, from, min(stateChunk, 2*days-i*stateChunk), stateSteps); w.Broken != "" {
+		if w := consensus.Walk(b, consensus.OneBack, from, min(stateChunk, 2*days-i*stateChunk), stateSteps); w.Broken != "" {
 			broke(walkKey(w.Broken), "disk put back, %d members, schedule %d: %s", b.Members, w.Seed, w.Broken)
 		}
 	})
-	small := []pact.Bounds{{Silent: true, Backs: 1, Shorts: 1}, {Silent: true, Backs: 1, Puts: 1}, {Silent: true, Backs: 1, Longs: 1}}
+	small := []consensus.Bounds{{Silent: true, Backs: 1, Shorts: 1}, {Silent: true, Backs: 1, Puts: 1}, {Silent: true, Backs: 1, Longs: 1}}
 	models := each(len(small), func(i int) {
-		if f := pact.Explore(small[i]); f.Broken != "" || !f.All {
+		if f := consensus.Explore(small[i]); f.Broken != "" || !f.All {
 			broke(walkKey(f.Broken), "disk put back, small model %+v: %s", small[i], f.Broken)
 		}
 	})
@@ -139,21 +139,21 @@
 }{
 	{"a disk that was put back counts as the newer one", func(seed uint64) bool {
 		old := stateWalk(3, 1)
-		old.Bug = pact.BugOldDisk
-		return walkFinds(old, pact.OneBack, seed, 2*stateSteps) // a copy has to grow old first
+		old.Bug = consensus.BugOldDisk
+		return walkFinds(old, consensus.OneBack, seed, 2*stateSteps) // a copy has to grow old first
 	}},
 	{"who is behind leads with what it has", func(seed uint64) bool {
-		any := pact.Bounds{Members: 5, Losses: 1, Silent: true, Puts: 4, Reads: 2, Lost: 3, Late: 3, Doubled: 3, Shorts: 30, Longs: 75,
-			Bug: pact.BugAnyData}
-		return walkFinds(any, pact.BothKilled, seed, walkSteps)
+		any := consensus.Bounds{Members: 5, Losses: 1, Silent: true, Puts: 4, Reads: 2, Lost: 3, Late: 3, Doubled: 3, Shorts: 30, Longs: 75,
+			Bug: consensus.BugAnyData}
+		return walkFinds(any, consensus.BothKilled, seed, walkSteps)
 	}},
 	{"a candidate that lacks a text which a promise names goes on with its own", func(seed uint64) bool {
 		own := stateWalk(3, 1)
-		own.Bug, own.Late = pact.BugOwnText, 3
-		return walkFinds(own, pact.BothKilled, seed, stateSteps)
+		own.Bug, own.Late = consensus.BugOwnText, 3
+		return walkFinds(own, consensus.BothKilled, seed, stateSteps)
 	}},
 	{"an empty disk counts as the one that was there", func(uint64) bool {
-		return pact.Explore(pact.Bounds{Silent: true, Wipes: 1, Bug: pact.BugAmnesia}).Broken != ""
+		return consensus.Explore(consensus.Bounds{Silent: true, Wipes: 1, Bug: consensus.BugAmnesia}).Broken != ""
 	}},
 	{"who has missed a document doesn't ask for it", func(seed uint64) bool {
 		return yarn.Return(yarn.Away{How: "kill", Who: "witness", Changes: 10, Routes: 30, Sync: time.Millisecond, Seed: seed, Bug: yarn.Deaf}).Never != ""
@@ -166,7 +166,7 @@
 }
 
 // walkFinds hunts a mutant by drawn schedules, several at a time.
-func walkFinds(b pact.Bounds, pair pact.Pair, seed uint64, steps int) bool {
+func walkFinds(b consensus.Bounds, pair consensus.Pair, seed uint64, steps int) bool {
 	var mu sync.Mutex
 	found := false
 	side(stateMutant/stateChunk, huntSide, func(i int) {
@@ -176,7 +176,7 @@
 		if over {
 			return
 		}
-		w := pact.Walk(b, pair, seed+uint64(i*stateChunk), stateChunk, steps)
+		w := consensus.Walk(b, pair, seed+uint64(i*stateChunk), stateChunk, steps)
 		mu.Lock()
 		defer mu.Unlock()
 		found = found || w.Broken != ""
--- a/internal/lab/state.go
+++ b/internal/lab/state.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 	"asterwell/internal/vault"
 	"asterwell/internal/yarn"
 )
@@ -89,15 +89,15 @@
 	}
 	most, stop := watchSize(dir)
 	began := time.Now()
-	seats := []pact.Seat{{Addr: "10.0.0.1:7000", Life: 1 << 60}, {Addr: "10.0.0.2:7000", Life: 1 << 61}, {Addr: "10.0.0.3:7000", Life: 1 << 62}}
-	d := pact.Disk{Life: seats[0].Life, Format: pact.DiskFormat, Record: pact.Record{Founding: 1, Set: seats, Old: seats, Active: true}}
+	seats := []consensus.Seat{{Addr: "10.0.0.1:7000", Life: 1 << 60}, {Addr: "10.0.0.2:7000", Life: 1 << 61}, {Addr: "10.0.0.3:7000", Life: 1 << 62}}
+	d := consensus.Disk{Life: seats[0].Life, Format: consensus.DiskFormat, Record: consensus.Record{Founding: 1, Set: seats, Old: seats, Active: true}}
 	for _, s := range seats[1:] {
-		d.Marks = append(d.Marks, pact.Mark{Addr: s.Addr, Life: s.Life, Count: 1 << 20, Run: 1 << 60})
+		d.Marks = append(d.Marks, consensus.Mark{Addr: s.Addr, Life: s.Life, Count: 1 << 20, Run: 1 << 60})
 	}
 	for i := range changes {
-		doc := pact.Doc{Version: uint32(i + 1), Body: body}
+		doc := consensus.Doc{Version: uint32(i + 1), Body: body}
 		for _, next := range []bool{true, false} {
-			if d.Next = (pact.Doc{}); next {
+			if d.Next = (consensus.Doc{}); next {
 				d.Next = doc
 			} else {
 				d.Kept = doc
@@ -127,7 +127,7 @@
 	if err != nil {
 		return g, err
 	}
-	kept, err := pact.ReadDisk(data)
+	kept, err := consensus.ReadDisk(data)
 	g.open = time.Since(began)
 	if err != nil || kept.Kept.Version != uint32(changes) {
 		return g, fmt.Errorf("version %d is not read back: %w", changes, err)
--- a/internal/lab/texts_test.go
+++ b/internal/lab/texts_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/delta"
 	digest "asterwell/internal/ledger"
-	"asterwell/internal/pact"
 )
 
 // plannedTexts are two configurations of the size to design for, one route apart.
@@ -24,7 +24,7 @@
 	}
 	difference, _ := delta.Make(one, two)
 	whole, _ := delta.Whole(two)
-	disk := pact.Disk{Life: 1, Kept: pact.Doc{Version: 1, Body: one}, Next: pact.Doc{Version: 2, Body: two}}
+	disk := consensus.Disk{Life: 1, Kept: consensus.Doc{Version: 1, Body: one}, Next: consensus.Doc{Version: 2, Body: two}}
 	packed, _ := disk.Bytes()
 	b.Logf("%d bytes; a difference of %d, %d packed, %d on disk", len(two), len(difference.Steps), len(whole.Steps), len(packed))
 	for _, s := range []struct {
--- a/internal/weave/calls.go
+++ b/internal/weave/calls.go
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/lore"
-	"asterwell/internal/pact"
 )
 
 // call is one that servers and operators may make, beside its handler. The handler
@@ -132,13 +132,13 @@
 		ctx.Error(err.Error()+"\n", http.StatusBadRequest)
 		return
 	}
-	doc := pact.Doc{Version: c.Version(), Body: body}
-	a, _ := p.ask(func(call uint64) { p.box.Put(proposed{call, doc}) }).(pact.Answer)
+	doc := consensus.Doc{Version: c.Version(), Body: body}
+	a, _ := p.ask(func(call uint64) { p.box.Put(proposed{call, doc}) }).(consensus.Answer)
 	switch a.Verdict {
-	case pact.Kept:
+	case consensus.Kept:
 		ctx.SetContentType("application/json")
 		ctx.SetBodyString("{}")
-	case pact.Differs: // for good: the same order would never get another answer
+	case consensus.Differs: // for good: the same order would never get another answer
 		p.say.WithField("version", fmt.Sprintf("%08x", doc.Version)).Info("refused: the number has another text")
 		ctx.Error(fmt.Sprintf("Epoch: %08x was accepted with another text: read what is in force, and send this above it\n", doc.Version),
 			http.StatusConflict)
@@ -148,12 +148,12 @@
 }
 
 func (p *Process) get(ctx *fasthttp.RequestCtx, _ string) {
-	a, _ := p.ask(func(call uint64) { p.box.Put(fetched{call}) }).(pact.Answer)
+	a, _ := p.ask(func(call uint64) { p.box.Put(fetched{call}) }).(consensus.Answer)
 	switch {
-	case a.Verdict == pact.Read && a.Doc != nil:
+	case a.Verdict == consensus.Read && a.Doc != nil:
 		ctx.SetContentType("application/json")
 		ctx.SetBody(a.Doc.Body)
-	case a.Verdict == pact.None:
+	case a.Verdict == consensus.None:
 		ctx.Error("there is no configuration yet\n", http.StatusNotFound)
 	default:
 		p.busy(ctx)
--- a/internal/weave/contact.go
+++ b/internal/weave/contact.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 )
 
 // proving asks for proof of contact with most of the core, as young as the call.
@@ -12,8 +12,8 @@
 // proof is what was kept when most of the core was last heard from; false: this process is
 // not in touch, and must promise nothing and refuse nothing for good.
 func (p *Process) proof(within time.Duration) (kept uint32, ok bool) {
-	a, _ := p.askFor(within, func(call uint64) { p.box.Put(proving{call}) }).(pact.Answer)
-	return a.Version, a.Verdict == pact.Proved
+	a, _ := p.askFor(within, func(call uint64) { p.box.Put(proving{call}) }).(consensus.Answer)
+	return a.Version, a.Verdict == consensus.Proved
 }
 
 // patience is how long a call waits for proof before something else; with that it still
--- a/internal/weave/disk.go
+++ b/internal/weave/disk.go
@@ -10,8 +10,8 @@
 
 	"asterwell/internal/accord"
 	"asterwell/internal/bond"
+	"asterwell/internal/consensus"
 	"asterwell/internal/lore"
-	"asterwell/internal/pact"
 	"asterwell/internal/shuttle"
 	"asterwell/internal/vault"
 )
@@ -22,7 +22,7 @@
 // open reads what is on disk, and begins to write what comes. sound is false where
 // something was lost: what a member has forgotten, it may have promised, so that it
 // joins anew like one with an empty disk.
-func (p *Process) open(dir string) (v *vault.Vault, d *pact.Disk, sound bool, err error) {
+func (p *Process) open(dir string) (v *vault.Vault, d *consensus.Disk, sound bool, err error) {
 	var lost *vault.Damaged
 	if v, err = vault.Open(dir); v == nil {
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
@@ -46,7 +46,7 @@
 	case err != nil:
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
 	}
-	if d, err = pact.ReadDisk(data); err != nil {
+	if d, err = consensus.ReadDisk(data); err != nil {
 		return nil, nil, false, fmt.Errorf("StateDir: record %q: %w", record, err)
 	}
 	return v, d, true, nil
@@ -130,7 +130,7 @@
 	Leaving    bool
 	Draining   bool
 	Version    string
-	Pact       pact.Status
+	Pact       consensus.Status
 	Rollout    accord.Status
 	Turns      shuttle.Turns
 	Nodes      []bond.Node
--- a/internal/weave/frame_test.go
+++ b/internal/weave/frame_test.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 )
 
 // A frame that is cut at any of its bytes is no frame, and one that is damaged is no reason to
@@ -45,10 +45,10 @@
 	p, first := &Process{}, uint64(0)
 	got := p.ask(func(call uint64) {
 		first = call
-		p.reply(call, pact.Answer{ID: 1})
-		p.reply(call, pact.Answer{ID: 2})
+		p.reply(call, consensus.Answer{ID: 1})
+		p.reply(call, consensus.Answer{ID: 2})
 	})
-	if a, ok := got.(pact.Answer); !ok || a.ID != 1 {
+	if a, ok := got.(consensus.Answer); !ok || a.ID != 1 {
 		t.Errorf("answered twice: got %v", got)
 	}
 	got = p.ask(func(call uint64) {
--- a/internal/weave/frames.go
+++ b/internal/weave/frames.go
@@ -10,10 +10,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/glass"
 	"asterwell/internal/knot"
 	"asterwell/internal/mesh"
-	"asterwell/internal/pact"
 	"asterwell/internal/toll"
 )
 
@@ -61,7 +61,7 @@
 }
 
 // duty is what a process does in agreement: a member is a backup or a witness.
-func duty(s pact.Status, self string) string {
+func duty(s consensus.Status, self string) string {
 	switch {
 	case s.Role != "member":
 		return s.Role
--- a/internal/weave/frames_test.go
+++ b/internal/weave/frames_test.go
@@ -5,15 +5,15 @@
 	"bytes"
 	"testing"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/glass"
-	"asterwell/internal/pact"
 )
 
 // Frames are counted by their message, on the way out and in, with their bytes on the wire.
 func TestFrames(t *testing.T) {
 	var out, in tally
 	var wire bytes.Buffer
-	for _, msg := range []any{pact.Ask{}, pact.Pull{Held: 7}, pact.Ask{}} {
+	for _, msg := range []any{consensus.Ask{}, consensus.Pull{Held: 7}, consensus.Ask{}} {
 		wire.Write(out.codec(func() bool { return false }).Encode(&frame{From: "127.0.0.1:1", Msg: msg}))
 	}
 	all := int64(wire.Len())
@@ -39,7 +39,7 @@
 	for _, c := range []struct {
 		role, self, want string
 	}{{"primary", "a", "primary"}, {"member", "b", "backup"}, {"member", "c", "witness"}, {"follower", "b", "follower"}} {
-		if got := duty(pact.Status{Role: c.role, Writers: []string{"a", "b"}}, c.self); got != c.want {
+		if got := duty(consensus.Status{Role: c.role, Writers: []string{"a", "b"}}, c.self); got != c.want {
 			t.Errorf("%s %s: %s, want %s", c.role, c.self, got, c.want)
 		}
 	}
--- a/internal/weave/leave.go
+++ b/internal/weave/leave.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 )
 
 // How a process leaves: clients are sent here until the platform has seen twice that it
@@ -18,7 +18,7 @@
 // leave is how far a process has come with leaving.
 type leave struct {
 	called bool
-	told   pact.Notice
+	told   consensus.Notice
 }
 
 type step int
@@ -35,13 +35,13 @@
 const departs = time.Second
 
 // notice is what the others are to be told now, if anything is new.
-func (l *leave) notice(gone, grace time.Duration, idle bool) pact.Notice {
+func (l *leave) notice(gone, grace time.Duration, idle bool) consensus.Notice {
 	n := l.told
 	switch {
 	case gone > grace-departs:
-		n = pact.Ends
+		n = consensus.Ends
 	case idle:
-		n = max(n, pact.Last)
+		n = max(n, consensus.Last)
 	}
 	if n == l.told {
 		return 0
--- a/internal/weave/leave_test.go
+++ b/internal/weave/leave_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 )
 
 // What is open near the end of the grace is answered once, and in time to be sent.
@@ -51,13 +51,13 @@
 func TestNotice(t *testing.T) {
 	for _, idle := range []time.Duration{3 * time.Second, 5500 * time.Millisecond} {
 		var l leave
-		var told []pact.Notice
+		var told []consensus.Notice
 		for gone := time.Duration(0); gone < 6*time.Second; gone += 50 * time.Millisecond {
 			if n := l.notice(gone, 6*time.Second, gone >= idle); n != 0 {
 				told = append(told, n)
 			}
 		}
-		want := []pact.Notice{pact.Last, pact.Ends}
+		want := []consensus.Notice{consensus.Last, consensus.Ends}
 		if idle > 5*time.Second {
 			want = want[1:]
 		}
--- a/internal/weave/show.go
+++ b/internal/weave/show.go
@@ -11,9 +11,9 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/internal/bond"
+	"asterwell/internal/consensus"
 	"asterwell/internal/glass"
 	"asterwell/internal/lore"
-	"asterwell/internal/pact"
 )
 
 // shown asks the loop for something that operators are shown.
@@ -84,8 +84,8 @@
 	p.show(ctx, func(p *Process) any {
 		now, today := p.now(), time.Now()
 		return glass.Epochs{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Role: p.knot.Pact().Role,
-			Epochs: lo.Map(p.knot.Epochs(), func(c pact.Change, _ int) glass.Epoch {
-				return glass.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Seats, func(d pact.Duty, _ int) glass.Seat {
+			Epochs: lo.Map(p.knot.Epochs(), func(c consensus.Change, _ int) glass.Epoch {
+				return glass.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Seats, func(d consensus.Duty, _ int) glass.Seat {
 					return glass.Seat{Name: cmp.Or(d.Name, d.Addr), Zone: d.Zone, Addr: d.Addr, Does: d.Does}
 				})}
 			})}
--- a/internal/weave/weave.go
+++ b/internal/weave/weave.go
@@ -21,12 +21,12 @@
 
 	"asterwell/internal/actor"
 	"asterwell/internal/bane"
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/knot"
 	"asterwell/internal/logring"
 	"asterwell/internal/lore"
 	"asterwell/internal/mesh"
-	"asterwell/internal/pact"
 	"asterwell/internal/plane"
 	"asterwell/internal/protocol"
 	"asterwell/internal/seam"
@@ -59,7 +59,7 @@
 	version   atomic.Uint32
 	up, known atomic.Int64 // processes and servers, for who counts them often
 	vault     *vault.Vault // nil: no disk
-	disk      *actor.Box[*pact.Write]
+	disk      *actor.Box[*consensus.Write]
 	texts     *actor.Box[*knot.Text] // to be read: one at a time
 	readings  *knot.Readings         // nil: nobody shares them
 	rows      *actor.Box[[]lore.Row] // the servers, to be kept
@@ -138,7 +138,7 @@
 }
 
 func assemble(path string, set *creed.Settings, shared Shared) (*Process, error) {
-	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: actor.NewBox[any](nil), disk: actor.NewBox[*pact.Write](nil), texts: actor.NewBox[*knot.Text](nil), rows: actor.NewBox[[]lore.Row](nil),
+	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: actor.NewBox[any](nil), disk: actor.NewBox[*consensus.Write](nil), texts: actor.NewBox[*knot.Text](nil), rows: actor.NewBox[[]lore.Row](nil),
 		rules: actor.NewBox[*bane.Write](nil), judge: bane.NewJudge(), tape: &tape{},
 		self: meshAddr(set.IpAddr, set)}
 	p.ring = logring.NewRing(shared.Log, set.NodeName, 256, log.InfoLevel)
@@ -146,7 +146,7 @@
 	now, seed := p.now(), seam.Real.Random()
 	member := set.QuorumMember && set.StateDir != ""
 	life := uint64(time.Now().UnixMilli())
-	var kept *pact.Disk
+	var kept *consensus.Disk
 	sound := true
 	if member {
 		var err error
@@ -229,7 +229,7 @@
 	}
 	proposed struct {
 		call uint64
-		doc  pact.Doc
+		doc  consensus.Doc
 	}
 	withdrawn struct {
 		call    uint64
--- a/internal/yarn/bug.go
+++ b/internal/yarn/bug.go
@@ -5,9 +5,9 @@
 
 	"asterwell/internal/bane"
 	"asterwell/internal/cede"
+	"asterwell/internal/consensus"
 	"asterwell/internal/knot"
 	"asterwell/internal/lore"
-	"asterwell/internal/pact"
 	"asterwell/internal/toll"
 )
 
@@ -47,17 +47,17 @@
 func (b Bug) guards() knot.Bugs {
 	switch b {
 	case OldDisk:
-		return knot.Bugs{Pact: pact.BugOldDisk}
+		return knot.Bugs{Pact: consensus.BugOldDisk}
 	case Deaf:
-		return knot.Bugs{Pact: pact.BugDeaf}
+		return knot.Bugs{Pact: consensus.BugDeaf}
 	case Unheard:
-		return knot.Bugs{Pact: pact.BugNoLearner}
+		return knot.Bugs{Pact: consensus.BugNoLearner}
 	case Remnant:
-		return knot.Bugs{Pact: pact.BugRemnant}
+		return knot.Bugs{Pact: consensus.BugRemnant}
 	case Whole:
-		return knot.Bugs{Pact: pact.BugWhole}
+		return knot.Bugs{Pact: consensus.BugWhole}
 	case Unread:
-		return knot.Bugs{Pact: pact.BugUnconfirmed}
+		return knot.Bugs{Pact: consensus.BugUnconfirmed}
 	case Unvouched:
 		return knot.Bugs{Lore: lore.Unvouched}
 	case Straight:
@@ -83,7 +83,7 @@
 // send is what becomes of a message that a process sends.
 func (b Bug) send(p *proc, msg any) []any {
 	switch t := msg.(type) {
-	case pact.Leave, pact.Handover:
+	case consensus.Leave, consensus.Handover:
 		if b == Keeps {
 			return nil
 		}
@@ -93,17 +93,17 @@
 			again.Life, again.Read, again.Echo = ^t.Life, false, false
 			return []any{again, msg}
 		}
-	case pact.Answered:
-		if b == Confirms && t.Verdict == pact.Differs {
-			t.Verdict = pact.Kept
+	case consensus.Answered:
+		if b == Confirms && t.Verdict == consensus.Differs {
+			t.Verdict = consensus.Kept
 		}
 		return []any{t}
-	case pact.Copy:
+	case consensus.Copy:
 		if b == Forgets {
 			t.Kept, t.Next = t.Kept.Forgetful(), t.Next.Forgetful()
 		}
 		return []any{t}
-	case pact.Promise:
+	case consensus.Promise:
 		if b == Forgets {
 			t.Kept, t.Next = t.Kept.Forgetful(), t.Next.Forgetful()
 		}
--- a/internal/yarn/callers.go
+++ b/internal/yarn/callers.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/knot"
-	"asterwell/internal/pact"
 )
 
 // Ends of an operator's call.
@@ -116,15 +116,15 @@
 }
 
 // try calls once. The call or its answer may be lost on the way.
-func (c *caller) try(do func(p *proc, id uint64) knot.Out, done func(p *proc, a pact.Answer, ok bool)) {
+func (c *caller) try(do func(p *proc, id uint64) knot.Out, done func(p *proc, a consensus.Answer, ok bool)) {
 	w, p := c.w, c.at()
 	if c.rng.Float64() < c.lost/3 {
-		w.after(patience, func() { done(p, pact.Answer{}, false) })
+		w.after(patience, func() { done(p, consensus.Answer{}, false) })
 		return
 	}
 	deaf := c.rng.Float64() < c.lost
 	w.call(p, far, func(id uint64) knot.Out { return do(p, id) }, func(v any) {
-		a, ok := v.(pact.Answer)
+		a, ok := v.(consensus.Answer)
 		done(p, a, ok && !deaf)
 	})
 }
@@ -132,7 +132,7 @@
 // send offers an order until there is a clear answer, or for so many tries.
 func (c *caller) send(s sent, then func()) {
 	from, tries := c.w.now, 0
-	doc := pact.Doc{Version: s.o.version, Body: s.body}
+	doc := consensus.Doc{Version: s.o.version, Body: s.body}
 	if _, err := creed.Parse(s.body); err != nil {
 		c.w.breaks("SCRIPT", "%v", err)
 	}
@@ -145,12 +145,12 @@
 		then()
 	}
 	try = func() {
-		c.try(func(p *proc, id uint64) knot.Out { return p.k.Put(p.clock(), id, doc) }, func(p *proc, a pact.Answer, ok bool) {
+		c.try(func(p *proc, id uint64) knot.Out { return p.k.Put(p.clock(), id, doc) }, func(p *proc, a consensus.Answer, ok bool) {
 			switch {
-			case ok && a.Verdict == pact.Kept:
+			case ok && a.Verdict == consensus.Kept:
 				c.w.kept(s.o, p)
 				end(Acked)
-			case ok && a.Verdict == pact.Differs:
+			case ok && a.Verdict == consensus.Differs:
 				end(Differed)
 			case tries == triesOf:
 				end(Unclear)
@@ -168,8 +168,8 @@
 func (c *caller) read(then func()) {
 	w, from := c.w, c.w.now
 	floor := w.acked
-	c.try(func(p *proc, id uint64) knot.Out { return p.k.Get(p.clock(), id) }, func(p *proc, a pact.Answer, ok bool) {
-		if ok && a.Verdict == pact.Read {
+	c.try(func(p *proc, id uint64) knot.Out { return p.k.Get(p.clock(), id) }, func(p *proc, a consensus.Answer, ok bool) {
+		if ok && a.Verdict == consensus.Read {
 			w.seen(p, "reads", a.Doc)
 			if a.Doc.Version < floor {
 				w.breaks("LOST", "%s reads version %d, %d was acknowledged", p.name, a.Doc.Version, floor)
--- a/internal/yarn/disk.go
+++ b/internal/yarn/disk.go
@@ -5,8 +5,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/knot"
-	"asterwell/internal/pact"
 )
 
 // disk is a machine's. It syncs one write at a time, the newest of what has come.
@@ -17,12 +17,12 @@
 	synced,
 	under []byte // kept; being written
 	old   []byte // a copy that was taken
-	wait  *pact.Write
+	wait  *consensus.Write
 	busy  bool
 	spins int // counts cuts of power and ends of the process: what was under way is no more
 }
 
-func (d *disk) put(w *pact.Write) {
+func (d *disk) put(w *consensus.Write) {
 	d.wait = w
 	if d.p.w.bug == Early {
 		seq, spins := w.Seq, d.spins
@@ -72,11 +72,11 @@
 	d.spins++
 }
 
-func (d *disk) open() *pact.Disk {
+func (d *disk) open() *consensus.Disk {
 	if d.synced == nil {
 		return nil
 	}
-	kept := &pact.Disk{}
+	kept := &consensus.Disk{}
 	if err := cbor.Unmarshal(d.synced, kept); err != nil {
 		panic(err)
 	}
@@ -93,7 +93,7 @@
 }
 
 // keep puts a state on the disk of a machine on which nothing runs.
-func (d *disk) keep(kept *pact.Disk) {
+func (d *disk) keep(kept *consensus.Disk) {
 	data, err := cbor.Marshal(kept)
 	if err != nil {
 		panic(err)
--- a/internal/yarn/operator.go
+++ b/internal/yarn/operator.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
+	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/knot"
-	"asterwell/internal/pact"
 	"asterwell/internal/toll"
 )
 
@@ -94,16 +94,16 @@
 			w.note("%s refuses version %d: %v", p.name, o.version, err)
 			return knot.Out{}
 		}
-		return p.k.Put(p.clock(), id, pact.Doc{Version: c.Version(), Body: o.body})
+		return p.k.Put(p.clock(), id, consensus.Doc{Version: c.Version(), Body: o.body})
 	}, func(v any) {
-		if a, ok := v.(pact.Answer); ok && a.Verdict == pact.Kept {
+		if a, ok := v.(consensus.Answer); ok && a.Verdict == consensus.Kept {
 			w.kept(o, p)
 			return
-		} else if ok && a.Verdict == pact.Differs && o.rival != nil && !o.acked {
+		} else if ok && a.Verdict == consensus.Differs && o.rival != nil && !o.acked {
 			w.note("%s has another text as version %d", p.name, o.version)
 			o.over = true
 			return
-		} else if ok && a.Verdict != pact.Busy {
+		} else if ok && a.Verdict != consensus.Busy {
 			w.breaks("REFUSED", "%s refuses version %d, which is in order: %v", p.name, o.version, a.Verdict)
 		}
 		w.after(pause, func() { w.send(o, nil, min(pause*3/2, time.Second)) })
@@ -151,10 +151,10 @@
 func (w *world) read(p *proc) {
 	floor := w.acked
 	w.call(p, far, func(id uint64) knot.Out { return p.k.Get(p.clock(), id) }, func(v any) {
-		a, ok := v.(pact.Answer)
+		a, ok := v.(consensus.Answer)
 		switch {
-		case !ok || a.Verdict == pact.Busy || a.Verdict == pact.Kept:
-		case a.Verdict == pact.None:
+		case !ok || a.Verdict == consensus.Busy || a.Verdict == consensus.Kept:
+		case a.Verdict == consensus.None:
 			if floor > 0 {
 				w.breaks("LOST", "%s reads nothing, version %d was acknowledged", p.name, floor)
 			}
@@ -169,7 +169,7 @@
 }
 
 // adopted: a configuration is in force at a process.
-func (w *world) adopted(p *proc, t *creed.Table, doc *pact.Doc) {
+func (w *world) adopted(p *proc, t *creed.Table, doc *consensus.Doc) {
 	w.note("%s has version %d in force", p.name, doc.Version)
 	if doc.Version <= p.version {
 		w.breaks("CONFIG", "%s goes back from version %d to %d", p.name, p.version, doc.Version)
@@ -181,7 +181,7 @@
 }
 
 // seen judges a text that came out of the system: one that was sent under its number, and no two.
-func (w *world) seen(p *proc, how string, doc *pact.Doc) {
+func (w *world) seen(p *proc, how string, doc *consensus.Doc) {
 	o := w.orders[doc.Version]
 	if o == nil || !o.reads(doc.Body) && !o.texts[string(doc.Body)] {
 		w.breaks("CONFIG", "%s %s version %d, and it is not what was sent", p.name, how, doc.Version)
--- a/internal/yarn/script.go
+++ b/internal/yarn/script.go
@@ -9,8 +9,8 @@
 
 	"asterwell/internal/bane"
 	"asterwell/internal/cede"
+	"asterwell/internal/consensus"
 	"asterwell/internal/knot"
-	"asterwell/internal/pact"
 	"asterwell/internal/toll"
 )
 
@@ -740,14 +740,14 @@
 			then()
 		}
 	}
-	depart := func(n pact.Notice) {
+	depart := func(n consensus.Notice) {
 		if p.life == life && p.up {
 			p.input(func() knot.Out { return p.k.Depart(p.clock(), n) })
 		}
 	}
-	w.after(grace-departs, func() { depart(pact.Ends) })
+	w.after(grace-departs, func() { depart(consensus.Ends) })
 	w.after(2500*ms+w.upTo(grace-2800*ms), func() { // nothing is open any more
-		depart(pact.Last)
+		depart(consensus.Last)
 		ends()
 	})
 }
--- a/internal/yarn/takeover_test.go
+++ b/internal/yarn/takeover_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/pact"
+	"asterwell/internal/consensus"
 )
 
 // takeover kills the primary of a core whose configuration has so many routes, while a change is on its way, and gives
@@ -41,7 +41,7 @@
 
 // TestTakeover: a new primary is not sent texts that it has, nor sends them to who has them.
 func TestTakeover(t *testing.T) {
-	prepare, promise, state := reflect.TypeFor[pact.Prepare]().Name(), reflect.TypeFor[pact.Promise]().Name(), reflect.TypeFor[pact.Copy]().Name()
+	prepare, promise, state := reflect.TypeFor[consensus.Prepare]().Name(), reflect.TypeFor[consensus.Promise]().Name(), reflect.TypeFor[consensus.Copy]().Name()
 	for _, routes := range []int{30, 10600} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%d routes, seed %d", routes, seed+1), func(t *testing.T) {
