--- a/internal/knot/drain.go
+++ b/internal/knot/drain.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 	"time"
 
-	"asterwell/internal/bond"
 	"asterwell/internal/cede"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 )
 
@@ -28,12 +28,12 @@
 
 // peers tells whom a drain may count on. One that was seen lately and is not may be on the other
 // side of a cut, or has not been seen again yet: nothing is refused for good for want of it.
-func (k *Knot) peers(view []bond.Node) {
+func (k *Knot) peers(view []memberlist.Node) {
 	var up []cede.Peer
 	missing := false
 	for _, n := range view {
-		missing = missing || n.State == bond.Gone
-		if n.State == bond.Up && n.Addr != k.self {
+		missing = missing || n.State == memberlist.Gone
+		if n.State == memberlist.Up && n.Addr != k.self {
 			up = append(up, cede.Peer{Addr: n.Addr, Ready: n.Ready})
 		}
 	}
--- a/internal/knot/knot.go
+++ b/internal/knot/knot.go
@@ -12,11 +12,11 @@
 
 	"asterwell/internal/accord"
 	"asterwell/internal/bane"
-	"asterwell/internal/bond"
 	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/lore"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 	"asterwell/internal/toll"
 )
@@ -79,7 +79,7 @@
 // Knot is one process's machines.
 type Knot struct {
 	self    string
-	bond    *bond.Machine
+	bond    *memberlist.Machine
 	lore    *lore.Machine
 	pact    *consensus.Machine
 	accord  *accord.Machine
@@ -116,7 +116,7 @@
 func New(c Config, meter Meter, disk *consensus.Disk, now plane.Time) *Knot {
 	k := &Knot{
 		self: c.Self, meter: meter, bane: c.faults(now), counter: toll.NewCounter(c.Self, c.Life), round: map[string]*detour{},
-		bond: bond.New(bond.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.Control, Member: c.Member,
+		bond: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.Control, Member: c.Member,
 			Life: c.Life}, c.Seeds, c.Seed, now),
 		lore:   lore.New(c.Self, c.Zone, c.Heartbeat, c.Seed, now),
 		accord: accord.New(accord.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), judge: c.Check,
@@ -262,13 +262,13 @@
 func (k *Knot) Version() uint32 { return k.version }
 
 // View is every process known.
-func (k *Knot) View() []bond.Node { return k.bond.View() }
+func (k *Knot) View() []memberlist.Node { return k.bond.View() }
 
 // Servers is every server known.
 func (k *Knot) Servers() []lore.Server { return k.lore.Servers() }
 
 // Gateways is every process with what is known of it here.
-func (k *Knot) Gateways(now plane.Time) []bond.Sight { return k.bond.Sights(now) }
+func (k *Knot) Gateways(now plane.Time) []memberlist.Sight { return k.bond.Sights(now) }
 
 // Services is every server with what is known of it here.
 func (k *Knot) Services(now plane.Time) []lore.Sight { return k.lore.Sights(now) }
@@ -298,7 +298,7 @@
 )
 
 // bonded carries out what membership wants.
-func (k *Knot) bonded(now plane.Time, out bond.Out) {
+func (k *Knot) bonded(now plane.Time, out memberlist.Out) {
 	k.send(out.Send)
 	for _, h := range out.Holds {
 		k.pact.Holds(h.Addr, h.Held)
@@ -312,20 +312,20 @@
 	}
 	view := k.bond.View()
 	k.late, k.looked, k.seen = false, now, len(view)
-	up := lo.Filter(view, func(n bond.Node, _ int) bool { return n.State == bond.Up })
+	up := lo.Filter(view, func(n memberlist.Node, _ int) bool { return n.State == memberlist.Up })
 	k.learnt(k.lore.Nodes(now, view)) // who leaves still serves, and must hear of servers
-	k.pact.Peers(now, lo.Map(view, func(n bond.Node, _ int) consensus.Peer {
-		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == bond.Up, Held: n.Held}
+	k.pact.Peers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
+		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Held: n.Held}
 	}))
-	k.accord.Nodes(lo.Map(up, func(n bond.Node, _ int) accord.Node {
+	k.accord.Nodes(lo.Map(up, func(n memberlist.Node, _ int) accord.Node {
 		return accord.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
 	}))
 	k.peers(view)
 	k.out.Members = true
-	k.bane.Nodes(lo.FilterMap(view, func(n bond.Node, _ int) (bane.Node, bool) {
-		return bane.Node{Addr: n.Addr, Life: n.Life}, n.State != bond.Gone
+	k.bane.Nodes(lo.FilterMap(view, func(n memberlist.Node, _ int) (bane.Node, bool) {
+		return bane.Node{Addr: n.Addr, Life: n.Life}, n.State != memberlist.Gone
 	}))
-	k.out.Shares = Gateways{len(up), slices.IndexFunc(up, func(n bond.Node) bool { return n.Addr == k.self })}
+	k.out.Shares = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == k.self })}
 	holders := inOrder(up)
 	k.counter.Nodes(holders)
 	k.meter.Nodes(now, len(up), holders)
@@ -334,7 +334,7 @@
 // inOrder is the agreed order for duties that one process does, of processes by their
 // addresses: those with a disk first, since they have more of a processor and are the
 // last to be taken away.
-func inOrder(up []bond.Node) []string {
+func inOrder(up []memberlist.Node) []string {
 	all := make([]string, 0, len(up))
 	for _, members := range []bool{true, false} {
 		for i := range up {
--- a/internal/knot/message_test.go
+++ b/internal/knot/message_test.go
@@ -6,9 +6,9 @@
 
 	"asterwell/internal/accord"
 	"asterwell/internal/bane"
-	"asterwell/internal/bond"
 	"asterwell/internal/consensus"
 	"asterwell/internal/lore"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/toll"
 )
 
@@ -18,15 +18,15 @@
 	name string
 }{
 	{
-		{bond.Beat{}, "bond.Beat"},
-		{bond.Hello{}, "bond.Hello"},
-		{bond.Rumour{}, "bond.Rumour"},
-		{bond.Index{}, "bond.Index"},
-		{bond.Diff{}, "bond.Diff"},
-		{bond.Ping{}, "bond.Ping"},
-		{bond.Probe{}, "bond.Probe"},
-		{bond.Pong{}, "bond.Pong"},
-		{bond.Doubt{}, "bond.Doubt"},
+		{memberlist.Beat{}, "bond.Beat"},
+		{memberlist.Hello{}, "bond.Hello"},
+		{memberlist.Rumour{}, "bond.Rumour"},
+		{memberlist.Index{}, "bond.Index"},
+		{memberlist.Diff{}, "bond.Diff"},
+		{memberlist.Ping{}, "bond.Ping"},
+		{memberlist.Probe{}, "bond.Probe"},
+		{memberlist.Pong{}, "bond.Pong"},
+		{memberlist.Doubt{}, "bond.Doubt"},
 	},
 	{
 		{lore.News{}, "lore.News"},
--- a/internal/lab/faultlosses.go
+++ b/internal/lab/faultlosses.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"asterwell/internal/bane"
-	"asterwell/internal/bond"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/tell"
 )
 
@@ -180,12 +180,12 @@
 
 // gone waits until membership knows that a process is gone.
 func (f *faultFleet) gone(ctx context.Context, n *faultNode) error {
-	return f.until(ctx, n, "is still live", func(state string, _ bool) bool { return state == bond.Gone.String() })
+	return f.until(ctx, n, "is still live", func(state string, _ bool) bool { return state == memberlist.Gone.String() })
 }
 
 // back waits until a process is there again.
 func (f *faultFleet) back(ctx context.Context, n *faultNode) error {
-	return f.until(ctx, n, "does not come back", func(state string, ready bool) bool { return state == bond.Up.String() && ready })
+	return f.until(ctx, n, "does not come back", func(state string, ready bool) bool { return state == memberlist.Up.String() && ready })
 }
 
 func (f *faultFleet) until(ctx context.Context, n *faultNode, why string, is func(state string, ready bool) bool) error {
--- a/internal/lore/home.go
+++ b/internal/lore/home.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/samber/lo"
 
-	"asterwell/internal/bond"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 )
 
@@ -33,9 +33,9 @@
 )
 
 // reaches tells how near a process is.
-func (p *place) reaches(n *bond.Node) int {
+func (p *place) reaches(n *memberlist.Node) int {
 	switch {
-	case n.State != bond.Up || n.Control == "":
+	case n.State != memberlist.Up || n.Control == "":
 		return nowhere
 	case n.Zone == p.zone:
 		return near
@@ -44,7 +44,7 @@
 }
 
 // offer lets a process be the home, if it ranks before the one there is.
-func (p *place) offer(n *bond.Node, buf []byte) []byte {
+func (p *place) offer(n *memberlist.Node, buf []byte) []byte {
 	reach := p.reaches(n)
 	if reach == nowhere || reach < p.reach {
 		return buf
@@ -85,7 +85,7 @@
 }
 
 // Nodes takes the membership as it is now, sorted by address.
-func (m *Machine) Nodes(now plane.Time, all []bond.Node) Out {
+func (m *Machine) Nodes(now plane.Time, all []memberlist.Node) Out {
 	m.begins(now)
 	moved := map[string]bool{} // otherwise than before, as far as homes and news depend on it
 	var came []string          // up again, or new, or another life
@@ -100,7 +100,7 @@
 			}
 			m.me = *n
 			continue
-		case n.State == bond.Gone:
+		case n.State == memberlist.Gone:
 			continue
 		}
 		for len(before) > 0 && before[0] < n.Addr {
@@ -137,8 +137,8 @@
 	if len(moved) == 0 {
 		return m.take()
 	}
-	m.fleet = lo.Map(m.peers, func(a string, _ int) *bond.Node { return m.nodes[a] })
-	m.zones = lo.GroupBy(m.fleet, func(n *bond.Node) string { return n.Zone })
+	m.fleet = lo.Map(m.peers, func(a string, _ int) *memberlist.Node { return m.nodes[a] })
+	m.zones = lo.GroupBy(m.fleet, func(n *memberlist.Node) string { return n.Zone })
 	m.groups = nil
 	m.rehome(moved)
 	m.drop()
@@ -146,14 +146,14 @@
 	return m.take()
 }
 
-func alike(a, b bond.Node) bool {
+func alike(a, b memberlist.Node) bool {
 	return a.Addr == b.Addr && a.Zone == b.Zone && a.Control == b.Control && a.State == b.State && a.Life == b.Life
 }
 
 // rehome finds homes anew where a process that is otherwise than before was the home, or may
 // be. Where we have become one, the waits begin.
 func (m *Machine) rehome(moved map[string]bool) {
-	var came []*bond.Node
+	var came []*memberlist.Node
 	for a := range moved {
 		if n := m.nodes[a]; n != nil {
 			came = append(came, n)
--- a/internal/lore/keep_test.go
+++ b/internal/lore/keep_test.go
@@ -4,14 +4,14 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/bond"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 )
 
 // pair are two processes that carry each other's messages at once.
 func pair(t *testing.T, kept []Row) (a, b *Machine, step func(now plane.Time)) {
 	t.Helper()
-	nodes := []bond.Node{{Addr: "a", Zone: "z", Member: true}, {Addr: "b", Zone: "z"}}
+	nodes := []memberlist.Node{{Addr: "a", Zone: "z", Member: true}, {Addr: "b", Zone: "z"}}
 	a, b = New("a", "z", 1500*time.Millisecond, 1, time.Second), New("b", "z", 1500*time.Millisecond, 2, time.Second)
 	by := map[string]*Machine{"a": a, "b": b}
 	var carry func(from string, now plane.Time, out Out)
--- a/internal/lore/machine.go
+++ b/internal/lore/machine.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/bond"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 )
 
@@ -50,15 +50,15 @@
 	rand       *rand.Rand
 
 	items map[string]*item
-	all   []*item                 // the same by ID
-	sum   uint64                  // the marks of those not ended: tombstones go at each process's own time
-	at    map[uint32]*item        // those not ended by the hash of their address, a chain
-	kinds map[uint32]*service     // by the hash of the name
-	nodes map[string]*bond.Node   // not gone, without self
-	peers []string                // their addresses, sorted,
-	fleet []*bond.Node            // they themselves in that order,
-	zones map[string][]*bond.Node // and those of each zone
-	me    bond.Node
+	all   []*item                       // the same by ID
+	sum   uint64                        // the marks of those not ended: tombstones go at each process's own time
+	at    map[uint32]*item              // those not ended by the hash of their address, a chain
+	kinds map[uint32]*service           // by the hash of the name
+	nodes map[string]*memberlist.Node   // not gone, without self
+	peers []string                      // their addresses, sorted,
+	fleet []*memberlist.Node            // they themselves in that order,
+	zones map[string][]*memberlist.Node // and those of each zone
+	me    memberlist.Node
 	homes map[spot]*place
 	dues  dues // of those at home here
 
@@ -93,10 +93,10 @@
 func New(self, zone string, heartbeat time.Duration, seed uint64, now plane.Time) *Machine {
 	m := &Machine{
 		self: self, zone: zone, wait: heartbeat * 7 / 2, rand: rand.New(rand.NewPCG(seed, 0x1076)),
-		items: map[string]*item{}, nodes: map[string]*bond.Node{}, homes: map[spot]*place{},
+		items: map[string]*item{}, nodes: map[string]*memberlist.Node{}, homes: map[spot]*place{},
 		at: map[uint32]*item{}, kinds: map[uint32]*service{}, ending: map[string]bool{},
 		spreads: map[string]*spread{}, live: map[string]bool{}, posts: map[uint64]*post{}, relays: map[passage]*relay{}, queue: map[string]bool{},
-		me:  bond.Node{Addr: self, Zone: zone},
+		me:  memberlist.Node{Addr: self, Zone: zone},
 		now: now, ticked: now, began: now, fetch: now, alone: now, learnt: now, compared: now,
 	}
 	m.no = m.rand.Uint64() >> 32 // late confirmations for an earlier life mean nothing
--- a/internal/lore/merge_test.go
+++ b/internal/lore/merge_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/bond"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 )
 
@@ -57,7 +57,7 @@
 // that calls after it at once.
 func TestRepeatedLeaving(t *testing.T) {
 	m := New("a:1", "z", time.Second, 1, 0)
-	m.Nodes(0, []bond.Node{{Addr: "a:1", Control: "a:2"}, {Addr: "b:1", Control: "b:2"}})
+	m.Nodes(0, []memberlist.Node{{Addr: "a:1", Control: "a:2"}, {Addr: "b:1", Control: "b:2"}})
 	say := func(now plane.Time, call, seq uint64) Out {
 		return m.Beat(now, call, Beat{ID: "s", Addr: "s:1", Service: "x", Zone: "z", Quiescing: true, Seq: seq})
 	}
@@ -103,7 +103,7 @@
 // Whose home has gone elsewhere is not called silent by the one that it had, and is watched again when it is back;
 // with a server on either side that stays.
 func TestHomeMoves(t *testing.T) {
-	nodes := []bond.Node{{Addr: "a:1", Zone: "z", Control: "a:2"}, {Addr: "b:1", Zone: "z", Control: "b:2"}}
+	nodes := []memberlist.Node{{Addr: "a:1", Zone: "z", Control: "a:2"}, {Addr: "b:1", Zone: "z", Control: "b:2"}}
 	m, now := New("a:1", "z", time.Second, 1, 0), plane.Time(0)
 	m.Nodes(now, nodes[:1])
 	m.filled = true
--- a/internal/lore/returns.go
+++ b/internal/lore/returns.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/bond"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 )
 
@@ -35,14 +35,14 @@
 }
 
 // leaves takes note of one that is gone, and comes of one that is there again.
-func (r *returns) leaves(now plane.Time, n *bond.Node) {
+func (r *returns) leaves(now plane.Time, n *memberlist.Node) {
 	if r.gone == nil {
 		r.gone = map[string]absent{}
 	}
 	r.gone[n.Addr] = absent{n.Life, now}
 }
 
-func (r *returns) comes(now plane.Time, n *bond.Node, wait time.Duration) {
+func (r *returns) comes(now plane.Time, n *memberlist.Node, wait time.Duration) {
 	was, known := r.gone[n.Addr]
 	if delete(r.gone, n.Addr); !known || was.life != n.Life || now-was.at < wait {
 		return
--- a/internal/lore/returns_test.go
+++ b/internal/lore/returns_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/bond"
+	"asterwell/internal/memberlist"
 )
 
 // TestReturn: homes of a large fleet say again what they hear, once, when a region comes back that was away for as long as a
@@ -46,7 +46,7 @@
 				}
 			}
 		}
-		set := func(state bond.State, life uint64) {
+		set := func(state memberlist.State, life uint64) {
 			for i := range c.away {
 				n := &p.nodes[len(p.nodes)-1-i]
 				n.State, n.Life = state, life
@@ -57,7 +57,7 @@
 			}
 		}
 		run(2 * time.Second)
-		set(bond.Gone, 1)
+		set(memberlist.Gone, 1)
 		run(c.span)
 		mine := 0
 		for _, r := range p.mine[1:] {
@@ -66,7 +66,7 @@
 			}
 		}
 		clear(told)
-		set(bond.Up, c.life)
+		set(memberlist.Up, c.life)
 		run(6 * time.Second)
 		full := 0
 		for id, n := range told {
--- a/internal/lore/script_test.go
+++ b/internal/lore/script_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/bond"
-	"asterwell/internal/bond/links"
+	"asterwell/internal/memberlist"
+	"asterwell/internal/memberlist/links"
 	"asterwell/internal/plane"
 )
 
@@ -27,12 +27,12 @@
 	w     *world
 	no    int
 	addr  string
-	bond  *bond.Machine
+	bond  *memberlist.Machine
 	lore  *Machine
 	silly int // nodes it has reported gone
 }
 
-func (g *gate) member(now plane.Time, o bond.Out) []plane.Send {
+func (g *gate) member(now plane.Time, o memberlist.Out) []plane.Send {
 	g.silly += len(o.Silent)
 	sends := o.Send
 	if o.Changed {
@@ -56,7 +56,7 @@
 }
 
 func (g *gate) Take(now plane.Time, from string, msg any) []plane.Send {
-	if strings.HasPrefix(fmt.Sprintf("%T", msg), "bond.") {
+	if strings.HasPrefix(fmt.Sprintf("%T", msg), "memberlist.") {
 		return g.member(now, g.bond.Take(now, from, msg))
 	}
 	return g.table(g.lore.Take(now, from, msg))
@@ -91,9 +91,9 @@
 
 func (w *world) boot(no int) {
 	g := &gate{w: w, no: no, addr: address(no)}
-	self := bond.Node{Addr: g.addr, Name: fmt.Sprintf("edge-%d", no), Zone: fmt.Sprintf("z%d", no%3),
+	self := memberlist.Node{Addr: g.addr, Name: fmt.Sprintf("edge-%d", no), Zone: fmt.Sprintf("z%d", no%3),
 		Control: fmt.Sprintf("10.%d.0.%d:8042", no%3, no), Member: no < 3, Life: 1}
-	g.bond = bond.New(self, w.seeds, w.rand.Uint64(), w.net.Now)
+	g.bond = memberlist.New(self, w.seeds, w.rand.Uint64(), w.net.Now)
 	g.lore = New(g.addr, self.Zone, heartbeat, w.rand.Uint64(), w.net.Now)
 	if no < len(w.gates) {
 		g.silly = w.gates[no].silly
--- a/internal/lore/size_test.go
+++ b/internal/lore/size_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/bond"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 )
 
@@ -16,7 +16,7 @@
 type plan struct {
 	m     *Machine
 	now   plane.Time
-	nodes []bond.Node
+	nodes []memberlist.Node
 	rows  []Row
 	mine  []Row // at home there
 	call  uint64
@@ -27,7 +27,7 @@
 func newPlan(tb testing.TB, gateways, servers int) *plan {
 	p := &plan{now: time.Hour}
 	for i := range gateways {
-		p.nodes = append(p.nodes, bond.Node{Addr: fmt.Sprintf("10.%d.%03d.1:7100", i%10, i/10), Zone: fmt.Sprint("zone-", i%10),
+		p.nodes = append(p.nodes, memberlist.Node{Addr: fmt.Sprintf("10.%d.%03d.1:7100", i%10, i/10), Zone: fmt.Sprint("zone-", i%10),
 			Control: fmt.Sprintf("10.%d.%d.1:8042", i%10, i/10), Life: 1, Member: i < 8})
 	}
 	p.m = New(p.nodes[0].Addr, "zone-0", 1500*time.Millisecond, 1, p.now)
@@ -136,7 +136,7 @@
 		})
 		run("gateway", func(b *testing.B, p *plan) { // one goes, or comes back
 			for i := range b.N {
-				p.nodes[17].State = []bond.State{bond.Gone, bond.Up}[i%2]
+				p.nodes[17].State = []memberlist.State{memberlist.Gone, memberlist.Up}[i%2]
 				p.m.Nodes(p.now, p.nodes)
 			}
 		})
--- a/internal/bond/node.go
+++ b/internal/memberlist/node.go
@@ -1,8 +1,8 @@
-// Package bond knows which processes of the system there are. Each one sends
+// Package memberlist knows which processes of the system there are. Each one sends
 // heartbeats to a few watchers that its place on a ring names (a failure detector); a
 // watcher that misses them spreads the word (gossip), and whoever lives takes it back with
 // its next incarnation. Tables that differ are mended by anti-entropy.
-package bond
+package memberlist
 
 import (
 	"encoding/binary"
--- a/internal/bond/sight.go
+++ b/internal/memberlist/sight.go
@@ -1,4 +1,4 @@
-package bond
+package memberlist
 
 import (
 	"slices"
--- a/internal/bond/storm_test.go
+++ b/internal/memberlist/storm_test.go
@@ -1,4 +1,4 @@
-package bond
+package memberlist
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/bond/links"
+	"asterwell/internal/memberlist/links"
 	"asterwell/internal/plane"
 )
 
--- a/internal/tell/faults.go
+++ b/internal/tell/faults.go
@@ -17,7 +17,7 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/bond"
+	"asterwell/internal/memberlist"
 )
 
 const faults = "/api/faults"
@@ -139,7 +139,7 @@
 	var wg sync.WaitGroup
 	known, unheard := map[key]Strike{}, map[string]error{}
 	for _, n := range s.Nodes {
-		if n.State == state(bond.Gone.String()) || n.Control == "" {
+		if n.State == state(memberlist.Gone.String()) || n.Control == "" {
 			continue
 		}
 		wg.Go(func() {
--- a/internal/tell/status.go
+++ b/internal/tell/status.go
@@ -12,8 +12,8 @@
 	"github.com/samber/lo"
 
 	"asterwell/internal/accord"
-	"asterwell/internal/bond"
 	"asterwell/internal/lore"
+	"asterwell/internal/memberlist"
 )
 
 // Status is what one gateway knows: of itself, of agreement, of the others.
@@ -67,7 +67,7 @@
 )
 
 func (s *state) UnmarshalJSON(b []byte) error {
-	return word(b, (*string)(s), func(n uint8) string { return bond.State(n).String() })
+	return word(b, (*string)(s), func(n uint8) string { return memberlist.State(n).String() })
 }
 
 func (p *phase) UnmarshalJSON(b []byte) error {
--- a/internal/weave/disk.go
+++ b/internal/weave/disk.go
@@ -9,9 +9,9 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"asterwell/internal/accord"
-	"asterwell/internal/bond"
 	"asterwell/internal/consensus"
 	"asterwell/internal/lore"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/shuttle"
 	"asterwell/internal/vault"
 )
@@ -133,7 +133,7 @@
 	Pact       consensus.Status
 	Rollout    accord.Status
 	Turns      shuttle.Turns
-	Nodes      []bond.Node
+	Nodes      []memberlist.Node
 	Servers    []lore.Server
 	Mesh_      map[string]int64 `json:"Frames"`
 }
--- a/internal/weave/shed_test.go
+++ b/internal/weave/shed_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/bond"
+	"asterwell/internal/memberlist"
 	"asterwell/internal/toll"
 )
 
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	if a.put(&frame{Msg: bond.Beat{}}, start) {
+	if a.put(&frame{Msg: memberlist.Beat{}}, start) {
 		t.Fatal("a sign of life waits among adds")
 	}
 	taken := func(now time.Time) (got []int) {
@@ -66,7 +66,7 @@
 func TestSkip(t *testing.T) {
 	var out, in tally
 	var wire bytes.Buffer
-	for _, msg := range []any{toll.Add{Life: 7}, bond.Ping{}} {
+	for _, msg := range []any{toll.Add{Life: 7}, memberlist.Ping{}} {
 		wire.Write(out.codec(nil).Encode(&frame{From: "127.0.0.1:1", Msg: msg}))
 	}
 	r := bufio.NewReader(&wire)
@@ -74,7 +74,7 @@
 	if f, size, err := codec.Read(r); f != nil || size == 0 || err != nil {
 		t.Errorf("%+v, %d, %v", f, size, err)
 	}
-	if f, _, err := codec.Read(r); err != nil || f.Msg != (bond.Ping{}) {
+	if f, _, err := codec.Read(r); err != nil || f.Msg != (memberlist.Ping{}) {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
--- a/internal/weave/show.go
+++ b/internal/weave/show.go
@@ -10,10 +10,10 @@
 	"github.com/samber/lo"
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/bond"
 	"asterwell/internal/consensus"
 	"asterwell/internal/glass"
 	"asterwell/internal/lore"
+	"asterwell/internal/memberlist"
 )
 
 // shown asks the loop for something that operators are shown.
@@ -49,7 +49,7 @@
 		all := p.knot.Gateways(p.now())
 		name := named(all)
 		return glass.Members{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Draining: p.draining.Load(),
-			Gateways: lo.Map(all, func(s bond.Sight, _ int) glass.Gateway {
+			Gateways: lo.Map(all, func(s memberlist.Sight, _ int) glass.Gateway {
 				return glass.Gateway{Name: s.Name, Zone: s.Zone, Addr: s.Addr, Control: s.Control, Core: s.Member, State: s.State.String(),
 					ForS: s.For.Seconds(), Ready: s.Ready, Started: time.UnixMilli(int64(s.Life)).UTC(), NewsS: s.News.Seconds(),
 					Watched: s.Here, Watchers: lo.Map(s.Watchers, func(a string, _ int) string { return name(a) }),
@@ -59,15 +59,15 @@
 }
 
 // named finds the names of addresses.
-func named(all []bond.Sight) func(addr string) string {
-	names := lo.SliceToMap(all, func(s bond.Sight) (string, string) { return s.Addr, s.Name })
+func named(all []memberlist.Sight) func(addr string) string {
+	names := lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Name })
 	return func(addr string) string { return cmp.Or(names[addr], addr) }
 }
 
 func (p *Process) services(ctx *fasthttp.RequestCtx, _ string) {
 	p.show(ctx, func(p *Process) any {
 		all := p.knot.Gateways(p.now())
-		name, at := named(all), lo.SliceToMap(all, func(s bond.Sight) (string, string) { return s.Addr, s.Control })
+		name, at := named(all), lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Control })
 		return glass.Services{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(),
 			Servers: lo.Map(p.knot.Services(p.now()), func(s lore.Sight, _ int) glass.Server {
 				v := glass.Server{ID: s.ID, Service: s.Service, Endpoint: s.Addr, Zone: s.Zone, Epoch: s.Epoch, Capacity: s.Capacity,
