--- a/cmd/loom/state.go
+++ b/cmd/loom/state.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/lore"
+	"asterwell/internal/registry"
 	"asterwell/internal/vault"
 )
 
@@ -141,7 +141,7 @@
 		}
 		return fmt.Sprintf("configuration %08x, epoch %d", d.Kept.Version, d.Record.Ballot.N), nil
 	case list:
-		var rows []lore.Row
+		var rows []registry.Row
 		if err := cbor.Unmarshal(data, &rows); err != nil {
 			return "", fmt.Errorf("record %q: %w", name, err)
 		}
--- a/internal/knot/contact.go
+++ b/internal/knot/contact.go
@@ -6,8 +6,8 @@
 	"asterwell/internal/bane"
 	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
-	"asterwell/internal/lore"
 	"asterwell/internal/plane"
+	"asterwell/internal/registry"
 )
 
 // contact is what this life of the process has of proofs that it was in touch with the core.
@@ -37,7 +37,7 @@
 type Bugs struct {
 	Pact  consensus.Bug
 	Bane  bane.Bug
-	Lore  lore.Bug
+	Lore  registry.Bug
 	Cede  cede.Bug
 	Unmet bool // ready without contact
 }
--- a/internal/knot/keep.go
+++ b/internal/knot/keep.go
@@ -1,13 +1,13 @@
 package knot
 
 import (
-	"asterwell/internal/lore"
 	"asterwell/internal/plane"
+	"asterwell/internal/registry"
 )
 
 // Keep is the list of servers as it is worth keeping on disk; nil while it can't be
 // relied on.
-func (k *Knot) Keep() []lore.Row {
+func (k *Knot) Keep() []registry.Row {
 	if !k.lore.Filled() {
 		return nil
 	}
@@ -15,7 +15,7 @@
 }
 
 // Restore takes what was kept.
-func (k *Knot) Restore(now plane.Time, rows []lore.Row) Out {
+func (k *Knot) Restore(now plane.Time, rows []registry.Row) Out {
 	k.learnt(k.lore.Restore(now, rows))
 	return k.end()
 }
--- a/internal/knot/knot.go
+++ b/internal/knot/knot.go
@@ -15,9 +15,9 @@
 	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
-	"asterwell/internal/lore"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
+	"asterwell/internal/registry"
 	"asterwell/internal/toll"
 )
 
@@ -47,7 +47,7 @@
 	Mute(now plane.Time, holder string) bool // it leaves adds unanswered
 }
 
-// Reply ends a call: a lore.Answer or a consensus.Answer.
+// Reply ends a call: a registry.Answer or a consensus.Answer.
 type Reply struct {
 	Call  uint64
 	Value any
@@ -61,26 +61,26 @@
 	Send    []plane.Send // some may be for this process itself
 	Write   *consensus.Write
 	Replies []Reply
-	Adopt   *creed.Table   // to be in force here
-	Text    *Text          // to be read beside the loop, then tell Read
-	Refused error          // a configuration that is kept and can't be in force here
-	Doc     *consensus.Doc // the text of either
-	Gate    bool           // Gate has changed
-	Serve   bool           // Servers has changed,
-	Changes []lore.Server  // by these
-	Members bool           // View has changed, and
-	Shares  Gateways       // this with it
-	Rules   *bane.Write    // of fault rules
-	News    string         // of them, for the log
-	Fenced  bool           // the disk had been put back to an older state
-	Drains  bool           // Draining has changed; the next tick tells it
+	Adopt   *creed.Table      // to be in force here
+	Text    *Text             // to be read beside the loop, then tell Read
+	Refused error             // a configuration that is kept and can't be in force here
+	Doc     *consensus.Doc    // the text of either
+	Gate    bool              // Gate has changed
+	Serve   bool              // Servers has changed,
+	Changes []registry.Server // by these
+	Members bool              // View has changed, and
+	Shares  Gateways          // this with it
+	Rules   *bane.Write       // of fault rules
+	News    string            // of them, for the log
+	Fenced  bool              // the disk had been put back to an older state
+	Drains  bool              // Draining has changed; the next tick tells it
 }
 
 // Knot is one process's machines.
 type Knot struct {
 	self    string
 	bond    *memberlist.Machine
-	lore    *lore.Machine
+	lore    *registry.Machine
 	pact    *consensus.Machine
 	accord  *accord.Machine
 	prepare uint64 // what is prepared is on disk with that write; 0: it is
@@ -118,7 +118,7 @@
 		self: c.Self, meter: meter, bane: c.faults(now), counter: toll.NewCounter(c.Self, c.Life), round: map[string]*detour{},
 		bond: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.Control, Member: c.Member,
 			Life: c.Life}, c.Seeds, c.Seed, now),
-		lore:   lore.New(c.Self, c.Zone, c.Heartbeat, c.Seed, now),
+		lore:   registry.New(c.Self, c.Zone, c.Heartbeat, c.Seed, now),
 		accord: accord.New(accord.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), judge: c.Check,
 		cede: cede.New(c.Self, cedeSalt(c), c.Bugs.Cede),
 		bugs: c.Bugs, contact: contact{asked: map[uint64]plane.Time{}, pause: proveAgain},
@@ -195,7 +195,7 @@
 }
 
 // Beat takes a server's call.
-func (k *Knot) Beat(now plane.Time, call uint64, b lore.Beat) Out {
+func (k *Knot) Beat(now plane.Time, call uint64, b registry.Beat) Out {
 	k.learnt(k.lore.Beat(now, call, b))
 	return k.end()
 }
@@ -265,13 +265,13 @@
 func (k *Knot) View() []memberlist.Node { return k.bond.View() }
 
 // Servers is every server known.
-func (k *Knot) Servers() []lore.Server { return k.lore.Servers() }
+func (k *Knot) Servers() []registry.Server { return k.lore.Servers() }
 
 // Gateways is every process with what is known of it here.
 func (k *Knot) Gateways(now plane.Time) []memberlist.Sight { return k.bond.Sights(now) }
 
 // Services is every server with what is known of it here.
-func (k *Knot) Services(now plane.Time) []lore.Sight { return k.lore.Sights(now) }
+func (k *Knot) Services(now plane.Time) []registry.Sight { return k.lore.Sights(now) }
 
 // Epochs are those that this process has seen, the newest last.
 func (k *Knot) Epochs() []consensus.Change { return k.pact.Past() }
@@ -366,7 +366,7 @@
 }
 
 // learnt carries out what the list of servers wants.
-func (k *Knot) learnt(out lore.Out) {
+func (k *Knot) learnt(out registry.Out) {
 	k.send(out.Send)
 	for _, a := range out.Answers {
 		k.out.Replies = append(k.out.Replies, Reply{a.Call, a})
--- a/internal/knot/life_test.go
+++ b/internal/knot/life_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/lore"
 	"asterwell/internal/plane"
+	"asterwell/internal/registry"
 	"asterwell/internal/toll"
 )
 
@@ -54,7 +54,7 @@
 	k := p.knots["calls"]
 	p.carry("calls", k.Put(p.now, 1, consensus.Doc{Version: 7, Body: []byte(life)}))
 	p.carry("calls", k.Get(p.now, 2))
-	p.carry("calls", k.Beat(p.now, 3, lore.Beat{ID: life + "-1", Addr: life + "1:1", Service: "s", Zone: "z", Seq: 2, Quiescing: true}))
+	p.carry("calls", k.Beat(p.now, 3, registry.Beat{ID: life + "-1", Addr: life + "1:1", Service: "s", Zone: "z", Seq: 2, Quiescing: true}))
 	p.carry("calls", k.Delete(p.now, 4, life+"-2"))
 	p.carry("calls", k.Tick(p.now))
 }
@@ -74,7 +74,7 @@
 	for _, m := range former {
 		kinds[fmt.Sprintf("%T", m)]++
 	}
-	if kinds["consensus.Answered"] < 2 || kinds["lore.Ack"] == 0 {
+	if kinds["consensus.Answered"] < 2 || kinds["registry.Ack"] == 0 {
 		t.Fatalf("nothing to tell apart: %v", kinds)
 	}
 	delete(p.held, "calls")
--- a/internal/knot/message_test.go
+++ b/internal/knot/message_test.go
@@ -7,8 +7,8 @@
 	"asterwell/internal/accord"
 	"asterwell/internal/bane"
 	"asterwell/internal/consensus"
-	"asterwell/internal/lore"
 	"asterwell/internal/memberlist"
+	"asterwell/internal/registry"
 	"asterwell/internal/toll"
 )
 
@@ -29,15 +29,15 @@
 		{memberlist.Doubt{}, "bond.Doubt"},
 	},
 	{
-		{lore.News{}, "lore.News"},
-		{lore.Ack{}, "lore.Ack"},
-		{lore.Pass{}, "lore.Pass"},
-		{lore.Sum{}, "lore.Sum"},
-		{lore.Parts{}, "lore.Parts"},
-		{lore.Index{}, "lore.Index"},
-		{lore.Diff{}, "lore.Diff"},
-		{lore.Fetch{}, "lore.Fetch"},
-		{lore.Whole{}, "lore.Whole"},
+		{registry.News{}, "lore.News"},
+		{registry.Ack{}, "lore.Ack"},
+		{registry.Pass{}, "lore.Pass"},
+		{registry.Sum{}, "lore.Sum"},
+		{registry.Parts{}, "lore.Parts"},
+		{registry.Index{}, "lore.Index"},
+		{registry.Diff{}, "lore.Diff"},
+		{registry.Fetch{}, "lore.Fetch"},
+		{registry.Whole{}, "lore.Whole"},
 	},
 	{
 		{consensus.Hello{}, "pact.Hello"},
--- a/internal/lore/server.go
+++ b/internal/registry/server.go
@@ -1,6 +1,6 @@
-// Package lore knows which servers there are. Each service has a home gateway in each
+// Package registry knows which servers there are. Each service has a home gateway in each
 // zone: its servers beat there, and it tells the others what has changed.
-package lore
+package registry
 
 import (
 	"encoding/binary"
--- a/internal/lore/watch.go
+++ b/internal/registry/watch.go
@@ -1,4 +1,4 @@
-package lore
+package registry
 
 import (
 	"container/heap"
--- a/internal/tell/status.go
+++ b/internal/tell/status.go
@@ -12,8 +12,8 @@
 	"github.com/samber/lo"
 
 	"asterwell/internal/accord"
-	"asterwell/internal/lore"
 	"asterwell/internal/memberlist"
+	"asterwell/internal/registry"
 )
 
 // Status is what one gateway knows: of itself, of agreement, of the others.
@@ -71,7 +71,7 @@
 }
 
 func (p *phase) UnmarshalJSON(b []byte) error {
-	return word(b, (*string)(p), func(n uint8) string { return lore.Phase(n).String() })
+	return word(b, (*string)(p), func(n uint8) string { return registry.Phase(n).String() })
 }
 
 func word(b []byte, to *string, name func(uint8) string) error {
--- a/internal/weave/calls.go
+++ b/internal/weave/calls.go
@@ -11,7 +11,7 @@
 
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
-	"asterwell/internal/lore"
+	"asterwell/internal/registry"
 )
 
 // call is one that servers and operators may make, beside its handler. The handler
@@ -99,7 +99,7 @@
 		ctx.Error(err.Error()+"\n", http.StatusBadRequest)
 		return
 	}
-	b := lore.Beat{ID: id, Addr: r.Endpoint, Service: r.SelfInfo.Backend, Zone: r.SelfInfo.Zone, Epoch: r.SelfInfo.Epoch,
+	b := registry.Beat{ID: id, Addr: r.Endpoint, Service: r.SelfInfo.Backend, Zone: r.SelfInfo.Zone, Epoch: r.SelfInfo.Epoch,
 		Capacity: r.SelfInfo.Capacity, Quiescing: r.HealthState.Phase == "quiescing", Seq: r.HealthState.Sequence,
 		WarmMs: int(r.HealthState.WarmupLeftMs)}
 	p.member(ctx, func(call uint64) { p.box.Put(beaten{call, b}) })
@@ -111,7 +111,7 @@
 
 // member answers a server's call.
 func (p *Process) member(ctx *fasthttp.RequestCtx, put func(call uint64)) {
-	a, ok := p.ask(put).(lore.Answer)
+	a, ok := p.ask(put).(registry.Answer)
 	if !ok || !a.OK {
 		p.busy(ctx)
 		return
--- a/internal/weave/disk.go
+++ b/internal/weave/disk.go
@@ -10,8 +10,8 @@
 
 	"asterwell/internal/accord"
 	"asterwell/internal/consensus"
-	"asterwell/internal/lore"
 	"asterwell/internal/memberlist"
+	"asterwell/internal/registry"
 	"asterwell/internal/shuttle"
 	"asterwell/internal/vault"
 )
@@ -97,7 +97,7 @@
 }
 
 // restore reads the servers as they were last kept.
-func (p *Process) restore() (rows []lore.Row) {
+func (p *Process) restore() (rows []registry.Row) {
 	if p.vault == nil {
 		return nil
 	}
@@ -134,7 +134,7 @@
 	Rollout    accord.Status
 	Turns      shuttle.Turns
 	Nodes      []memberlist.Node
-	Servers    []lore.Server
+	Servers    []registry.Server
 	Mesh_      map[string]int64 `json:"Frames"`
 }
 
--- a/internal/weave/serve.go
+++ b/internal/weave/serve.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/choice"
-	"asterwell/internal/lore"
+	"asterwell/internal/registry"
 	"asterwell/internal/shuttle"
 	"asterwell/internal/transport"
 )
@@ -98,7 +98,7 @@
 }
 
 // listed tells the data plane of servers that are otherwise than before.
-func (p *Process) listed(all []lore.Server) {
+func (p *Process) listed(all []registry.Server) {
 	list, gone := lately(all)
 	for _, s := range list {
 		if s.State == choice.Up {
@@ -117,12 +117,12 @@
 }
 
 // lately sums up words on servers: of each the last one counts, and who has ended is nobody's any more.
-func lately(all []lore.Server) (list []shuttle.Server, gone []string) {
+func lately(all []registry.Server) (list []shuttle.Server, gone []string) {
 	seen := make(map[string]bool, len(all))
 	for _, s := range slices.Backward(all) {
 		switch {
 		case seen[s.ID]:
-		case s.Phase == lore.Ended:
+		case s.Phase == registry.Ended:
 			gone = append(gone, s.ID)
 		default:
 			list = append(list, served(s))
@@ -133,12 +133,12 @@
 }
 
 // served is a server as the data plane sees it.
-func served(s lore.Server) shuttle.Server {
+func served(s registry.Server) shuttle.Server {
 	state := choice.Up
 	switch s.Phase {
-	case lore.Quiescing:
+	case registry.Quiescing:
 		state = choice.Draining
-	case lore.Silent:
+	case registry.Silent:
 		state = choice.Down
 	}
 	return shuttle.Server{ID: s.ID, Addr: s.Addr, Service: s.Service, Zone: s.Zone, Capacity: s.Capacity, Warm: s.Warm, State: state}
--- a/internal/weave/serve_test.go
+++ b/internal/weave/serve_test.go
@@ -4,16 +4,16 @@
 	"testing"
 
 	"asterwell/choice"
-	"asterwell/internal/lore"
+	"asterwell/internal/registry"
 )
 
 // Of a server the last word counts, and one that has ended is not served from any more.
 func TestLately(t *testing.T) {
-	s := func(id string, phase lore.Phase) lore.Server {
-		return lore.Server{ID: id, Addr: id + ":1", Service: "toy", Phase: phase}
+	s := func(id string, phase registry.Phase) registry.Server {
+		return registry.Server{ID: id, Addr: id + ":1", Service: "toy", Phase: phase}
 	}
-	list, gone := lately([]lore.Server{s("a", lore.Serving), s("b", lore.Serving), s("c", lore.Ended), s("a", lore.Quiescing),
-		s("b", lore.Ended), s("c", lore.Serving), s("d", lore.Silent)})
+	list, gone := lately([]registry.Server{s("a", registry.Serving), s("b", registry.Serving), s("c", registry.Ended), s("a", registry.Quiescing),
+		s("b", registry.Ended), s("c", registry.Serving), s("d", registry.Silent)})
 	states := map[string]choice.State{}
 	for _, v := range list {
 		states[v.ID] = v.State
--- a/internal/weave/show.go
+++ b/internal/weave/show.go
@@ -12,8 +12,8 @@
 
 	"asterwell/internal/consensus"
 	"asterwell/internal/glass"
-	"asterwell/internal/lore"
 	"asterwell/internal/memberlist"
+	"asterwell/internal/registry"
 )
 
 // shown asks the loop for something that operators are shown.
@@ -69,7 +69,7 @@
 		all := p.knot.Gateways(p.now())
 		name, at := named(all), lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Control })
 		return glass.Services{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(),
-			Servers: lo.Map(p.knot.Services(p.now()), func(s lore.Sight, _ int) glass.Server {
+			Servers: lo.Map(p.knot.Services(p.now()), func(s registry.Sight, _ int) glass.Server {
 				v := glass.Server{ID: s.ID, Service: s.Service, Endpoint: s.Addr, Zone: s.Zone, Epoch: s.Epoch, Capacity: s.Capacity,
 					Phase: s.Phase.String(), WarmLeftS: s.WarmLeft.Seconds(), Home: name(s.Home), HomeAt: at[s.Home]}
 				if s.Beat >= 0 {
--- a/internal/weave/weave.go
+++ b/internal/weave/weave.go
@@ -25,10 +25,10 @@
 	"asterwell/internal/creed"
 	"asterwell/internal/knot"
 	"asterwell/internal/logring"
-	"asterwell/internal/lore"
 	"asterwell/internal/mesh"
 	"asterwell/internal/plane"
 	"asterwell/internal/protocol"
+	"asterwell/internal/registry"
 	"asterwell/internal/seam"
 	"asterwell/internal/shuttle"
 	"asterwell/internal/toll"
@@ -60,9 +60,9 @@
 	up, known atomic.Int64 // processes and servers, for who counts them often
 	vault     *vault.Vault // nil: no disk
 	disk      *actor.Box[*consensus.Write]
-	texts     *actor.Box[*knot.Text] // to be read: one at a time
-	readings  *knot.Readings         // nil: nobody shares them
-	rows      *actor.Box[[]lore.Row] // the servers, to be kept
+	texts     *actor.Box[*knot.Text]     // to be read: one at a time
+	readings  *knot.Readings             // nil: nobody shares them
+	rows      *actor.Box[[]registry.Row] // the servers, to be kept
 	rules     *actor.Box[*bane.Write]
 	judge     *bane.Judge
 	ban       *ban // nil: no fault rules
@@ -138,7 +138,7 @@
 }
 
 func assemble(path string, set *creed.Settings, shared Shared) (*Process, error) {
-	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: actor.NewBox[any](nil), disk: actor.NewBox[*consensus.Write](nil), texts: actor.NewBox[*knot.Text](nil), rows: actor.NewBox[[]lore.Row](nil),
+	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: actor.NewBox[any](nil), disk: actor.NewBox[*consensus.Write](nil), texts: actor.NewBox[*knot.Text](nil), rows: actor.NewBox[[]registry.Row](nil),
 		rules: actor.NewBox[*bane.Write](nil), judge: bane.NewJudge(), tape: &tape{},
 		self: meshAddr(set.IpAddr, set)}
 	p.ring = logring.NewRing(shared.Log, set.NodeName, 256, log.InfoLevel)
@@ -221,7 +221,7 @@
 type (
 	beaten struct {
 		call uint64
-		beat lore.Beat
+		beat registry.Beat
 	}
 	deleted struct {
 		call uint64
--- a/internal/yarn/bug.go
+++ b/internal/yarn/bug.go
@@ -7,7 +7,7 @@
 	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
 	"asterwell/internal/knot"
-	"asterwell/internal/lore"
+	"asterwell/internal/registry"
 	"asterwell/internal/toll"
 )
 
@@ -59,9 +59,9 @@
 	case Unread:
 		return knot.Bugs{Pact: consensus.BugUnconfirmed}
 	case Unvouched:
-		return knot.Bugs{Lore: lore.Unvouched}
+		return knot.Bugs{Lore: registry.Unvouched}
 	case Straight:
-		return knot.Bugs{Lore: lore.Straight}
+		return knot.Bugs{Lore: registry.Straight}
 	case Unmet:
 		return knot.Bugs{Unmet: true}
 	case Unasked:
@@ -108,22 +108,22 @@
 			t.Kept, t.Next = t.Kept.Forgetful(), t.Next.Forgetful()
 		}
 		return []any{t}
-	case lore.News:
+	case registry.News:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
-	case lore.Diff:
+	case registry.Diff:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
-	case lore.Whole:
+	case registry.Whole:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
 	}
 	return []any{msg}
 }
 
-func (b Bug) rows(rows []lore.Row) []lore.Row {
+func (b Bug) rows(rows []registry.Row) []registry.Row {
 	if b != Mute {
 		return rows
 	}
-	return slices.DeleteFunc(slices.Clone(rows), func(r lore.Row) bool { return r.Phase == lore.Quiescing })
+	return slices.DeleteFunc(slices.Clone(rows), func(r registry.Row) bool { return r.Phase == registry.Quiescing })
 }
--- a/internal/yarn/heal.go
+++ b/internal/yarn/heal.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/lore"
+	"asterwell/internal/registry"
 )
 
 func proved(v any) (uint32, bool) {
@@ -61,7 +61,7 @@
 	}
 	knows, core := 0, w.core()
 	for _, c := range core {
-		if c.ended >= s.leaves || c.up && slices.ContainsFunc(c.k.Servers(), func(o lore.Server) bool { return o.ID == s.id && o.Phase >= lore.Quiescing }) {
+		if c.ended >= s.leaves || c.up && slices.ContainsFunc(c.k.Servers(), func(o registry.Server) bool { return o.ID == s.id && o.Phase >= registry.Quiescing }) {
 			knows++
 		}
 	}
--- a/internal/yarn/proc.go
+++ b/internal/yarn/proc.go
@@ -8,8 +8,8 @@
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/knot"
-	"asterwell/internal/lore"
 	"asterwell/internal/plane"
+	"asterwell/internal/registry"
 	"asterwell/internal/toll"
 )
 
@@ -196,9 +196,9 @@
 }
 
 // list takes in what has changed in the process's list of servers.
-func (p *proc) list(changes []lore.Server) {
+func (p *proc) list(changes []registry.Server) {
 	for _, c := range changes {
-		s, serves := p.w.byID[c.ID], c.Phase == lore.Serving
+		s, serves := p.w.byID[c.ID], c.Phase == registry.Serving
 		switch of := p.of[s.service]; {
 		case serves == p.serves[s]:
 		case serves:
--- a/internal/yarn/processor.go
+++ b/internal/yarn/processor.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/lore"
+	"asterwell/internal/registry"
 )
 
 // processor is what a machine's processor gives a process: a share of a core, as a quota of each
@@ -111,8 +111,8 @@
 func (w *world) spread(p, to *proc, msg any) time.Duration {
 	kind := 0
 	switch msg.(type) {
-	case lore.News:
-	case lore.Ack:
+	case registry.News:
+	case registry.Ack:
 		kind = 1
 	default:
 		return 0
--- a/internal/yarn/server.go
+++ b/internal/yarn/server.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"asterwell/internal/knot"
-	"asterwell/internal/lore"
+	"asterwell/internal/registry"
 )
 
 // server is one life of a server.
@@ -61,7 +61,7 @@
 
 // report sends the server's word to one process after another until one takes it.
 func (s *server) report(tries int, done func(by *proc)) {
-	b := lore.Beat{ID: s.id, Addr: s.addr, Service: s.service, Zone: s.zone, Epoch: "v1", Capacity: 4, Quiescing: s.leaving}
+	b := registry.Beat{ID: s.id, Addr: s.addr, Service: s.service, Zone: s.zone, Epoch: "v1", Capacity: 4, Quiescing: s.leaving}
 	s.seq++
 	b.Seq = s.seq
 	s.ask(tries, func(p *proc, id uint64) knot.Out { return p.k.Beat(p.clock(), id, b) }, done)
@@ -82,7 +82,7 @@
 		p = all[w.rng.IntN(len(all))]
 	}
 	w.call(p, 200*time.Microsecond+w.upTo(time.Millisecond), func(id uint64) knot.Out { return do(p, id) }, func(v any) {
-		a, ok := v.(lore.Answer)
+		a, ok := v.(registry.Answer)
 		if !ok || !a.OK {
 			s.target = nil
 			pause := 20 * ms
