--- a/internal/knot/knot.go
+++ b/internal/knot/knot.go
@@ -10,7 +10,6 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/bane"
 	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
@@ -18,6 +17,7 @@
 	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 	"asterwell/internal/registry"
+	"asterwell/internal/rollout"
 	"asterwell/internal/toll"
 )
 
@@ -82,7 +82,7 @@
 	bond    *memberlist.Machine
 	lore    *registry.Machine
 	pact    *consensus.Machine
-	accord  *accord.Machine
+	accord  *rollout.Machine
 	prepare uint64 // what is prepared is on disk with that write; 0: it is
 	meter   Meter
 	counter *toll.Counter
@@ -119,7 +119,7 @@
 		bond: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.Control, Member: c.Member,
 			Life: c.Life}, c.Seeds, c.Seed, now),
 		lore:   registry.New(c.Self, c.Zone, c.Heartbeat, c.Seed, now),
-		accord: accord.New(accord.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), judge: c.Check,
+		accord: rollout.New(rollout.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), judge: c.Check,
 		cede: cede.New(c.Self, cedeSalt(c), c.Bugs.Cede),
 		bugs: c.Bugs, contact: contact{asked: map[uint64]plane.Time{}, pause: proveAgain},
 	}
@@ -317,8 +317,8 @@
 	k.pact.Peers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
 		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Held: n.Held}
 	}))
-	k.accord.Nodes(lo.Map(up, func(n memberlist.Node, _ int) accord.Node {
-		return accord.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
+	k.accord.Nodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
+		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
 	}))
 	k.peers(view)
 	k.out.Members = true
--- a/internal/knot/message.go
+++ b/internal/knot/message.go
@@ -3,17 +3,17 @@
 import (
 	"reflect"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/bane"
 	"asterwell/internal/consensus"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/registry"
+	"asterwell/internal/rollout"
 	"asterwell/internal/toll"
 )
 
 // Messages lists what each machine takes; the wire numbers them by their places here.
 func Messages() [][]any {
-	return [][]any{memberlist.Messages(), registry.Messages(), consensus.Messages(), toll.Messages(), {Via{}}, bane.Messages(), accord.Messages()}
+	return [][]any{memberlist.Messages(), registry.Messages(), consensus.Messages(), toll.Messages(), {Via{}}, bane.Messages(), rollout.Messages()}
 }
 
 // messageNames are the names of the messages in the answer of GET /api/frames, in the order of
--- a/internal/knot/message_test.go
+++ b/internal/knot/message_test.go
@@ -4,11 +4,11 @@
 	"reflect"
 	"testing"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/bane"
 	"asterwell/internal/consensus"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/registry"
+	"asterwell/internal/rollout"
 	"asterwell/internal/toll"
 )
 
@@ -92,10 +92,10 @@
 		{bane.Answered{}, "bane.Answered"},
 	},
 	{
-		{accord.Ask{}, "accord.Ask"},
-		{accord.Grant{}, "accord.Grant"},
-		{accord.Withdraw{}, "accord.Withdraw"},
-		{accord.Withdrew{}, "accord.Withdrew"},
+		{rollout.Ask{}, "accord.Ask"},
+		{rollout.Grant{}, "accord.Grant"},
+		{rollout.Withdraw{}, "accord.Withdraw"},
+		{rollout.Withdrew{}, "accord.Withdrew"},
 	},
 }
 
--- a/internal/knot/together.go
+++ b/internal/knot/together.go
@@ -1,9 +1,9 @@
 package knot
 
 import (
-	"asterwell/internal/accord"
 	"asterwell/internal/consensus"
 	"asterwell/internal/plane"
+	"asterwell/internal/rollout"
 )
 
 // roll tells the taking up of configurations what agreement has come to.
@@ -28,7 +28,7 @@
 }
 
 // together carries out what the taking up wants.
-func (k *Knot) together(now plane.Time, out accord.Out) {
+func (k *Knot) together(now plane.Time, out rollout.Out) {
 	k.send(out.Send)
 	k.out.Gate = k.out.Gate || out.Gate
 	for _, t := range out.Told {
@@ -59,10 +59,10 @@
 }
 
 // Gate is by what a request may be decided here.
-func (k *Knot) Gate() accord.Gate { return k.accord.Gate() }
+func (k *Knot) Gate() rollout.Gate { return k.accord.Gate() }
 
 // Rollout tells how the taking up stands.
-func (k *Knot) Rollout(now plane.Time) accord.Status { return k.accord.Status(now) }
+func (k *Knot) Rollout(now plane.Time) rollout.Status { return k.accord.Status(now) }
 
 // Withdraw asks that a version which is not live yet never be.
 func (k *Knot) Withdraw(now plane.Time, call uint64, version uint32, by string) Out {
@@ -71,4 +71,4 @@
 }
 
 // Accord is the machine itself, for tests that switch its guards off.
-func (k *Knot) Accord() *accord.Machine { return k.accord }
+func (k *Knot) Accord() *rollout.Machine { return k.accord }
--- a/internal/lab/controlrollout.go
+++ b/internal/lab/controlrollout.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"asterwell/internal/accord"
-	"asterwell/internal/accord/world"
+	"asterwell/internal/rollout"
+	"asterwell/internal/rollout/world"
 )
 
 // rolloutKeys are the keys of the report that a rule of the world's judge counts under.
@@ -74,25 +74,25 @@
 // rolloutMutant is a guard that is taken out, and what is to meet it.
 type rolloutMutant struct {
 	name  string
-	bug   accord.Bug
+	bug   rollout.Bug
 	seeds int // at most
-	play  func(seed uint64, bug accord.Bug) []world.Broken
+	play  func(seed uint64, bug rollout.Bug) []world.Broken
 }
 
 var rolloutMutants = []rolloutMutant{
-	{"a hold in which all leases ran out counts", accord.Vacuous, 10, world.StillHold},
-	{"withdrawn versions are forgotten", accord.Forgetful, 3, world.OrdersAgain},
-	{"a wish withdraws what came after it", accord.Unfenced, 3, world.LateWish},
-	{"absent without the writers' word", accord.Cocksure, 5, cutOffMutant},
-	{"leases without the writers' word", accord.Unaffirmed, 10, cutOffMutant},
-	{"one confirmation short is enough", accord.Early, 300, dayMutant},
-	{"the turn does not wait for leases", accord.Impatient, 300, dayMutant},
-	{"confirmed before it is held", accord.Careless, 300, dayMutant},
-	{"a successor does not wait out leases", accord.Successor, 300, dayMutant},
-	{"a withdrawal is told before it is kept", accord.Hasty, 300, dayMutant},
+	{"a hold in which all leases ran out counts", rollout.Vacuous, 10, world.StillHold},
+	{"withdrawn versions are forgotten", rollout.Forgetful, 3, world.OrdersAgain},
+	{"a wish withdraws what came after it", rollout.Unfenced, 3, world.LateWish},
+	{"absent without the writers' word", rollout.Cocksure, 5, cutOffMutant},
+	{"leases without the writers' word", rollout.Unaffirmed, 10, cutOffMutant},
+	{"one confirmation short is enough", rollout.Early, 300, dayMutant},
+	{"the turn does not wait for leases", rollout.Impatient, 300, dayMutant},
+	{"confirmed before it is held", rollout.Careless, 300, dayMutant},
+	{"a successor does not wait out leases", rollout.Successor, 300, dayMutant},
+	{"a withdrawal is told before it is kept", rollout.Hasty, 300, dayMutant},
 }
 
-func cutOffMutant(seed uint64, bug accord.Bug) []world.Broken {
+func cutOffMutant(seed uint64, bug rollout.Bug) []world.Broken {
 	for _, c := range world.CutOffs(seed, 11*time.Millisecond, bug) {
 		if len(c.Broken) > 0 {
 			return c.Broken
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func dayMutant(seed uint64, bug accord.Bug) []world.Broken {
+func dayMutant(seed uint64, bug rollout.Bug) []world.Broken {
 	return world.Play(world.Options{Seed: seed, Bug: bug}).Broken
 }
 
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -10,8 +10,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"asterwell/internal/accord/world"
 	"asterwell/internal/policy"
+	"asterwell/internal/rollout/world"
 )
 
 // RolloutOptions of the measurement of configurations that all nodes take up together.
--- a/internal/accord/doc.go
+++ b/internal/rollout/doc.go
@@ -1,4 +1,4 @@
-// Package accord takes a configuration up at all nodes together, where the one in force
+// Package rollout takes a configuration up at all nodes together, where the one in force
 // asks for it ("Rollout": {"Mode": "together"}). It adds three things to package consensus,
 // which keeps the newest configuration, and uses package policy's leases and turn:
 //
@@ -15,4 +15,4 @@
 // A primary grants a lease only if all of its epoch's writers have confirmed it after the
 // lease was asked for; a successor has a promise of one of them, and waits out what was
 // asked before that.
-package accord
+package rollout
--- a/internal/accord/machine.go
+++ b/internal/rollout/machine.go
@@ -1,4 +1,4 @@
-package accord
+package rollout
 
 import (
 	"math/rand/v2"
--- a/internal/accord/message.go
+++ b/internal/rollout/message.go
@@ -1,4 +1,4 @@
-package accord
+package rollout
 
 import (
 	"time"
--- a/internal/accord/world/cutoff.go
+++ b/internal/rollout/world/cutoff.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/accord"
+	"asterwell/internal/rollout"
 )
 
 // contact is a time that covers what is under way at the moment of a cut: syncs and answers.
@@ -56,7 +56,7 @@
 // CutOffs cuts the primary off for 20 s, in each way, at a moment after a version was put; operators
 // on both sides put and withdraw, the same again and again. What an operator is told without a
 // quorum breaks ALONE.
-func CutOffs(seed uint64, at time.Duration, bug accord.Bug) (all []CutOff) {
+func CutOffs(seed uint64, at time.Duration, bug rollout.Bug) (all []CutOff) {
 	for _, c := range cutOffs {
 		all = append(all, c.play(stage(Options{Seed: seed, Bug: bug}, 0, 0), at))
 	}
@@ -108,11 +108,11 @@
 		}
 	}
 	for _, k := range w.res.Told {
-		if in(k.Node) && k.At > from+contact && k.Outcome == accord.Absent { // the others never change any more
+		if in(k.Node) && k.At > from+contact && k.Outcome == rollout.Absent { // the others never change any more
 			w.breaks("ALONE", "%s tells that %d is %v, %v into the cut", k.Node, k.Version, k.Outcome, k.At-from)
 		}
 	}
-	longest := time.Duration(float64(accord.Terms.Lease) * (1 + accord.Terms.Drift)) // by the slowest clock
+	longest := time.Duration(float64(rollout.Terms.Lease) * (1 + rollout.Terms.Drift)) // by the slowest clock
 	for _, m := range w.res.Marks {
 		if in(m.Node) && m.At > from+longest {
 			w.breaks("ALONE", "%s decides by %d, %v into the cut", m.Node, m.Version, m.At-from)
--- a/internal/accord/world/cutoff_test.go
+++ b/internal/rollout/world/cutoff_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/accord"
+	"asterwell/internal/rollout"
 )
 
 // A primary of rollouts that is cut off for 20 s confirms nothing, declares nothing live and tells
@@ -30,7 +30,7 @@
 
 func TestCutOffMutants(t *testing.T) {
 	t.Parallel()
-	for name, bug := range map[string]accord.Bug{"unaffirmed": accord.Unaffirmed, "cocksure": accord.Cocksure} {
+	for name, bug := range map[string]rollout.Bug{"unaffirmed": rollout.Unaffirmed, "cocksure": rollout.Cocksure} {
 		found := ""
 		for seed := uint64(0); seed < 10 && found == ""; seed++ {
 			for _, c := range CutOffs(seed, 11*ms, bug) {
--- a/internal/accord/world/hard_test.go
+++ b/internal/rollout/world/hard_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/accord"
+	"asterwell/internal/rollout"
 )
 
 // A node that refuses ends it, wherever it is and whoever else is away; the next goes through.
@@ -19,7 +19,7 @@
 			}
 			w.Put(w.nodes[4], 3, 0, 0, name)
 			w.Run(3 * time.Second)
-			if w.fates[3] != accord.Withdrawn || w.newest != 2 {
+			if w.fates[3] != rollout.Withdrawn || w.newest != 2 {
 				t.Errorf("%s refuses: 3 is %v, requests go by %d", name, w.fates[3], w.newest)
 			}
 			w.Put(w.nodes[4], 4, 0, 0, "")
@@ -64,7 +64,7 @@
 				w.Run(time.Second)
 				w.calm()
 				w.Run(Settled)
-				w.want(t, accord.Live)
+				w.want(t, rollout.Live)
 				if t.Failed() {
 					t.Fatalf("%s cut after %v, deaf: %v", who, at, deaf)
 				}
@@ -95,7 +95,7 @@
 			}
 			w.calm()
 			w.Run(Settled)
-			w.want(t, accord.Live)
+			w.want(t, rollout.Live)
 		}
 	}
 }
@@ -113,5 +113,5 @@
 	if w.res.Refused != refused || w.res.All[3] == 0 {
 		t.Errorf("%d refused, at all nodes after %v", w.res.Refused-refused, w.res.All[3])
 	}
-	w.want(t, accord.Live)
+	w.want(t, rollout.Live)
 }
--- a/internal/accord/world/hold_test.go
+++ b/internal/rollout/world/hold_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/accord"
+	"asterwell/internal/rollout"
 )
 
 // Once nobody has a lease any more nobody is missing in a hold. That is no confirmation: the
@@ -14,16 +14,16 @@
 	for _, still := range []time.Duration{200 * ms, time.Second, 1700 * ms, 3 * time.Second, 6 * time.Second} {
 		for seed := range uint64(10) {
 			w := stilled(seed, 0, still)
-			if w.newest != 2 || w.fates[3] != accord.Prepared {
+			if w.newest != 2 || w.fates[3] != rollout.Prepared {
 				t.Errorf("seed %d, still for %v: goes by %d, 3 is %v", seed, still, w.newest, w.fates[3])
 			}
 			w.calm()
 			w.Run(Settled)
-			w.want(t, accord.Live)
+			w.want(t, rollout.Live)
 		}
 	}
 	for seed := range uint64(10) {
-		if w := stilled(seed, accord.Vacuous, 3*time.Second); len(w.res.Broken) > 0 && w.res.Broken[0].Rule == "FEW" {
+		if w := stilled(seed, rollout.Vacuous, 3*time.Second); len(w.res.Broken) > 0 && w.res.Broken[0].Rule == "FEW" {
 			t.Logf("seed %d: %v", seed, w.res.Broken[0])
 			return
 		}
--- a/internal/accord/world/judge.go
+++ b/internal/rollout/world/judge.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
+	"asterwell/internal/rollout"
 )
 
 // word is what a node has last said to a primary.
@@ -52,29 +52,29 @@
 		}
 		w.newest, w.first[version] = version, w.now
 	}
-	if w.fates[version] == accord.Withdrawn {
+	if w.fates[version] == rollout.Withdrawn {
 		w.breaks("DEAD", "%s takes a request up by %d, which is withdrawn", p.name, version)
 	}
 	w.res.Marks = append(w.res.Marks, Mark{w.now, version, p.name})
 }
 
 // told holds an operator's answer against what is so.
-func (w *World) told(p *Proc, wish wished, o accord.Outcome) {
+func (w *World) told(p *Proc, wish wished, o rollout.Outcome) {
 	version := wish.version
 	w.note("%s: %d is %v", p.name, version, o)
 	switch {
-	case o == accord.Absent && wish.known:
+	case o == rollout.Absent && wish.known:
 		w.breaks("TOLD", "%d was kept, its operator was told: %v", version, o)
-	case o != accord.TakenBack && w.back[version]:
+	case o != rollout.TakenBack && w.back[version]:
 		w.breaks("AGAIN", "%d was withdrawn, the same wish again was told: %v", version, o)
 	}
-	w.back[version] = w.back[version] || o == accord.TakenBack
+	w.back[version] = w.back[version] || o == rollout.TakenBack
 	w.res.Told = append(w.res.Told, Told{w.now, p.name, version, o})
 	switch is, known := w.fates[version]; {
-	case o == accord.Remains && (is != accord.Live || !known), o == accord.TakenBack && is != accord.Withdrawn,
-		o == accord.Surpassed && w.maxFate() <= version:
+	case o == rollout.Remains && (is != rollout.Live || !known), o == rollout.TakenBack && is != rollout.Withdrawn,
+		o == rollout.Surpassed && w.maxFate() <= version:
 		w.breaks("TOLD", "%d is %v, its operator was told: %v", version, is, o)
-	case (o == accord.TakenBack || o == accord.Surpassed) && w.first[version] == 0 && (is != accord.Live || !known):
+	case (o == rollout.TakenBack || o == rollout.Surpassed) && w.first[version] == 0 && (is != rollout.Live || !known):
 		w.never[version] = true
 	}
 }
@@ -97,14 +97,14 @@
 }
 
 // fate judges what a process holds for a version's fate: it comes once.
-func (w *World) fate(p *Proc, version uint32, fate accord.Fate) {
+func (w *World) fate(p *Proc, version uint32, fate rollout.Fate) {
 	was, known := w.fates[version]
-	if known && was != accord.Prepared && fate != was && fate != accord.Prepared {
+	if known && was != rollout.Prepared && fate != was && fate != rollout.Prepared {
 		w.breaks("SPLIT", "%s has %d as %v, it was %v", p.name, version, fate, was)
 	}
-	if !known || was == accord.Prepared {
+	if !known || was == rollout.Prepared {
 		w.fates[version] = fate
-		if fate == accord.Withdrawn && w.newest >= version && w.first[version] != 0 {
+		if fate == rollout.Withdrawn && w.newest >= version && w.first[version] != 0 {
 			w.breaks("DEAD", "%d is withdrawn, and requests went by it", version)
 		}
 	}
@@ -114,7 +114,7 @@
 // enough that have confirmed.
 func (w *World) watch(p, to *Proc, msg any) {
 	switch t := msg.(type) {
-	case accord.Ask:
+	case rollout.Ask:
 		if t.Checked == 0 || t.Refusal != "" {
 			return
 		}
@@ -132,7 +132,7 @@
 
 // came notes a node's word that reaches a process.
 func (w *World) came(from string, to *Proc, msg any) {
-	if a, ok := msg.(accord.Ask); ok && !to.frozen() {
+	if a, ok := msg.(rollout.Ask); ok && !to.frozen() {
 		p := w.byAddr[from]
 		if x := w.words[p.name]; x.id == a.ID && x.seq > a.Seq {
 			return // overtaken on the way
@@ -143,7 +143,7 @@
 
 // takes notes a node's word that a process takes up now.
 func (w *World) takes(from string, to *Proc, msg any, sent time.Duration) {
-	if a, ok := msg.(accord.Ask); ok {
+	if a, ok := msg.(rollout.Ask); ok {
 		name := w.byAddr[from].name
 		if x := to.heard[name]; x.sent <= sent {
 			to.heard[name] = said{a.Checked, a.Refusal != "", sent}
@@ -152,7 +152,7 @@
 }
 
 // freshFor is how old a word may be that a turn counts on: it was said in the hold before it.
-var freshFor = accord.Terms.HoldWithin + 10*ms
+var freshFor = rollout.Terms.HoldWithin + 10*ms
 
 // fresh counts those whose word a primary has taken that they had said just now.
 func (w *World) fresh(p *Proc, version uint32) (n int) {
@@ -165,7 +165,7 @@
 }
 
 func (w *World) enough(p *Proc, d consensus.Doc) {
-	if w.confirm[d.Version] != 0 || w.fates[d.Version] == accord.Live { // judged at its first proposal
+	if w.confirm[d.Version] != 0 || w.fates[d.Version] == rollout.Live { // judged at its first proposal
 		return
 	}
 	w.confirm[d.Version] = 1
--- a/internal/accord/world/orders.go
+++ b/internal/rollout/world/orders.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/knot"
+	"asterwell/internal/rollout"
 )
 
 // holds runs until the primary has told everybody to decide nothing, and ends before any word
@@ -20,7 +20,7 @@
 
 // stilled is a core that stands still in the moment of a turn that eleven have to confirm;
 // two of the others end meanwhile.
-func stilled(seed uint64, bug accord.Bug, still time.Duration) *World {
+func stilled(seed uint64, bug rollout.Bug, still time.Duration) *World {
 	w := stage(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.Put(w.primary(), 3, 0, 0, "")
 	w.holds()
@@ -34,14 +34,14 @@
 }
 
 // StillHold plays a core that stands still in a hold for longer than any lease.
-func StillHold(seed uint64, bug accord.Bug) []Broken {
+func StillHold(seed uint64, bug rollout.Bug) []Broken {
 	w := stilled(seed, bug, 3*time.Second)
 	w.heal()
 	return w.res.Broken
 }
 
 // waits is a fleet in which version 3 waits for one that is down.
-func waits(seed uint64, bug accord.Bug) *World {
+func waits(seed uint64, bug rollout.Bug) *World {
 	w := stage(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.nodes[8].kill()
 	w.Put(w.primary(), 3, 0, 0, "")
@@ -61,7 +61,7 @@
 
 // OrdersAgain has a version withdrawn and put at three processes at once while the primary is
 // killed, and again once a higher one is live, and once more after all have started anew.
-func OrdersAgain(seed uint64, bug accord.Bug) []Broken {
+func OrdersAgain(seed uint64, bug rollout.Bug) []Broken {
 	w := waits(seed, bug)
 	orders := func(from int) {
 		for _, n := range w.nodes[from : from+3] {
@@ -90,10 +90,10 @@
 
 // LateWish has a version withdrawn that is not there, and put once another leads; then copies of
 // that wish arrive at it which the network has held up.
-func LateWish(seed uint64, bug accord.Bug) []Broken {
+func LateWish(seed uint64, bug rollout.Bug) []Broken {
 	w := stage(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.nodes[8].kill()
-	w.late = []accord.Withdraw{}
+	w.late = []rollout.Withdraw{}
 	asker := w.nodes[7]
 	w.Withdraw(asker, 3)
 	w.Run(time.Second)
@@ -108,7 +108,7 @@
 		p.input(func() knot.Out { return p.k.Take(p.clock(), asker.addr, wish) })
 	}
 	w.Run(time.Second)
-	if p := w.primary(); len(copies) == 0 || p.k.Rollout(p.clock()).Fate == accord.Withdrawn.String() {
+	if p := w.primary(); len(copies) == 0 || p.k.Rollout(p.clock()).Fate == rollout.Withdrawn.String() {
 		w.breaks("LATE", "version 3 is withdrawn by %d copies of a wish from before it came", len(copies))
 	}
 	w.heal()
--- a/internal/accord/world/play.go
+++ b/internal/rollout/world/play.go
@@ -6,8 +6,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/consensus"
+	"asterwell/internal/rollout"
 )
 
 func diskVersion(data []byte) uint32 {
@@ -63,7 +63,7 @@
 		case lived:
 			w.res.Live++
 			w.res.LiveIn = append(w.res.LiveIn, at-w.puts[v])
-		case w.fates[v] == accord.Withdrawn:
+		case w.fates[v] == rollout.Withdrawn:
 			w.res.Withdrawn++
 		default:
 			w.res.Overtaken++
@@ -89,7 +89,7 @@
 	for _, p := range w.nodes {
 		switch v, fate := p.k.Accord().Kept(); {
 		case p.frozen():
-		case fate == accord.Prepared:
+		case fate == rollout.Prepared:
 			w.breaks("STUCK", "%s has %d as prepared", p.name, v)
 		case v != w.maxFate():
 			w.breaks("STUCK", "%s holds %d, the newest is %d", p.name, v, w.maxFate())
--- a/internal/accord/world/proc.go
+++ b/internal/rollout/world/proc.go
@@ -9,11 +9,11 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/samber/lo"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/knot"
 	"asterwell/internal/plane"
+	"asterwell/internal/rollout"
 	"asterwell/internal/toll"
 )
 
@@ -32,7 +32,7 @@
 	disk             []byte
 	synced           time.Duration // when it is through with what it has
 	started          bool          // once
-	gate             accord.Gate
+	gate             rollout.Gate
 	waiting          []time.Duration // when the requests that wait at the gate came
 	sends, takes     time.Duration   // when its link is through with what it has, each way
 	calls            uint64
@@ -50,7 +50,7 @@
 		return
 	}
 	w := p.w
-	p.up, p.thaws, p.ice, p.waiting, p.gate, p.wishes = true, 0, nil, nil, accord.Gate{}, map[uint64]wished{}
+	p.up, p.thaws, p.ice, p.waiting, p.gate, p.wishes = true, 0, nil, nil, rollout.Gate{}, map[uint64]wished{}
 	p.puts = map[uint64]uint32{}
 	p.life, p.heard = p.life+1, map[string]said{}
 	var kept *consensus.Disk
@@ -164,7 +164,7 @@
 	}
 	for _, r := range out.Replies {
 		switch t := r.Value.(type) {
-		case accord.Withdrew:
+		case rollout.Withdrew:
 			w.told(p, p.wishes[r.Call], t.Outcome)
 		case consensus.Answer:
 			switch version := p.puts[r.Call]; t.Verdict {
@@ -204,7 +204,7 @@
 func (p *Proc) decide(came time.Duration) {
 	w := p.w
 	now := p.clock()
-	if w.opt.Bug == accord.Lasting {
+	if w.opt.Bug == rollout.Lasting {
 		now = p.base + time.Duration(float64(came)*p.rate)
 	}
 	g := p.gate
@@ -255,7 +255,7 @@
 		return
 	}
 	w.watch(p, to, s.Msg)
-	if wish, ok := s.Msg.(accord.Withdraw); ok && w.late != nil {
+	if wish, ok := s.Msg.(rollout.Withdraw); ok && w.late != nil {
 		w.late = append(w.late, wish)
 	}
 	if to == p {
--- a/internal/accord/world/scenario_test.go
+++ b/internal/rollout/world/scenario_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/accord"
+	"asterwell/internal/rollout"
 )
 
-func stageOf(t *testing.T, seed uint64, bug accord.Bug, confirm, within int) *World {
+func stageOf(t *testing.T, seed uint64, bug rollout.Bug, confirm, within int) *World {
 	t.Helper()
 	return open(t, Options{Seed: seed, Bug: bug}, confirm, within)
 }
@@ -28,7 +28,7 @@
 }
 
 // want runs until all is calm, and holds what came of version 3 against what should have.
-func (w *World) want(t *testing.T, fate accord.Fate) {
+func (w *World) want(t *testing.T, fate rollout.Fate) {
 	t.Helper()
 	w.settled()
 	for _, b := range w.res.Broken {
@@ -37,7 +37,7 @@
 	if got := w.fates[3]; got != fate {
 		t.Errorf("3 is %v, want %v", got, fate)
 	}
-	if (fate == accord.Live) != (w.newest >= 3) {
+	if (fate == rollout.Live) != (w.newest >= 3) {
 		t.Errorf("requests go by %d", w.newest)
 	}
 }
@@ -118,7 +118,7 @@
 			}
 			w.calm()
 			w.Run(Settled)
-			w.want(t, accord.Live)
+			w.want(t, rollout.Live)
 		})
 	}
 }
@@ -131,7 +131,7 @@
 	x.kill()
 	w.Put(w.primary(), 3, 0, 0, "")
 	w.Run(5 * time.Second)
-	if w.newest != 2 || w.fates[3] != accord.Prepared {
+	if w.newest != 2 || w.fates[3] != rollout.Prepared {
 		t.Fatalf("goes by %d, 3 is %v", w.newest, w.fates[3])
 	}
 	s := w.primary().k.Rollout(w.primary().clock())
@@ -141,7 +141,7 @@
 	x.boot()
 	w.within(t, 3, 2*time.Second)
 	w.Run(Settled)
-	w.want(t, accord.Live)
+	w.want(t, rollout.Live)
 
 	for name, back := range map[string]func(w *World){
 		"after its time":  func(*World) {},
@@ -165,7 +165,7 @@
 			w.Run(3 * time.Second)
 			w.calm()
 			w.Run(Settled)
-			w.want(t, accord.Withdrawn)
+			w.want(t, rollout.Withdrawn)
 			w.Put(w.nodes[3], 4, 0, 0, "") // the next one goes through
 			w.within(t, 4, 2*time.Second)
 		})
@@ -200,7 +200,7 @@
 }
 
 // An old primary thaws and is asked by a node that sees nobody else.
-func oldPrimary(t *testing.T, seed uint64, bug accord.Bug) *World {
+func oldPrimary(t *testing.T, seed uint64, bug rollout.Bug) *World {
 	w := stageOf(t, seed, bug, 0, 0)
 	p, x := w.primary(), w.nodes[9]
 	rest := slices.DeleteFunc(slices.Clone(w.nodes), func(n *Proc) bool { return n == p || n == x })
@@ -221,7 +221,7 @@
 			w := oldPrimary(t, seed, 0)
 			w.calm()
 			w.Run(Settled)
-			w.want(t, accord.Live)
+			w.want(t, rollout.Live)
 		})
 	}
 }
@@ -232,20 +232,20 @@
 	for name, c := range map[string]struct {
 		before  func(w *World)
 		version uint32
-		want    accord.Outcome
+		want    rollout.Outcome
 	}{
-		"prepared":    {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 3, accord.TakenBack},
-		"live":        {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Run(3 * time.Second) }, 3, accord.Remains},
-		"not there":   {func(w *World) { w.Run(time.Second) }, 3, accord.Absent},
-		"overtaken":   {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Put(w.nodes[4], 4, 0, 0, ""); w.Run(3 * time.Second) }, 3, accord.Surpassed},
-		"the old one": {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 2, accord.Remains},
+		"prepared":    {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 3, rollout.TakenBack},
+		"live":        {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Run(3 * time.Second) }, 3, rollout.Remains},
+		"not there":   {func(w *World) { w.Run(time.Second) }, 3, rollout.Absent},
+		"overtaken":   {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Put(w.nodes[4], 4, 0, 0, ""); w.Run(3 * time.Second) }, 3, rollout.Surpassed},
+		"the old one": {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 2, rollout.Remains},
 		"the primary stands still": {func(w *World) {
 			w.nodes[8].kill()
 			w.Put(w.primary(), 3, 0, 0, "")
 			w.Run(time.Second)
 			w.primary().freeze(2 * time.Second)
 			w.Run(1900 * ms)
-		}, 3, accord.TakenBack},
+		}, 3, rollout.TakenBack},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/accord/world/seeds_test.go
+++ b/internal/rollout/world/seeds_test.go
@@ -4,11 +4,11 @@
 	"sync"
 	"testing"
 
-	"asterwell/internal/accord"
+	"asterwell/internal/rollout"
 )
 
 // plays plays seeds side by side; it ends once bad says so.
-func plays(bug accord.Bug, count int, each func(seed uint64, r Result) (end bool)) {
+func plays(bug rollout.Bug, count int, each func(seed uint64, r Result) (end bool)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next, over := uint64(0), false
@@ -52,12 +52,12 @@
 	}
 }
 
-// TestMutants shows that the judge misses none of the guards; package accord's own test
+// TestMutants shows that the judge misses none of the guards; package rollout's own test
 // has one more.
 func TestMutants(t *testing.T) {
 	t.Parallel()
-	for name, bug := range map[string]accord.Bug{"early": accord.Early, "impatient": accord.Impatient, "careless": accord.Careless,
-		"lasting": accord.Lasting, "successor": accord.Successor, "hasty": accord.Hasty} {
+	for name, bug := range map[string]rollout.Bug{"early": rollout.Early, "impatient": rollout.Impatient, "careless": rollout.Careless,
+		"lasting": rollout.Lasting, "successor": rollout.Successor, "hasty": rollout.Hasty} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			found := false
@@ -76,7 +76,7 @@
 	t.Run("vacuous", func(t *testing.T) { // one drawn day in some hundreds meets it, so it has a scenario
 		t.Parallel()
 		for seed := range uint64(10) {
-			if all := StillHold(seed, accord.Vacuous); len(all) > 0 && all[0].Rule == "FEW" {
+			if all := StillHold(seed, rollout.Vacuous); len(all) > 0 && all[0].Rule == "FEW" {
 				t.Logf("seed %d: %v", seed, all[0])
 				return
 			}
@@ -86,7 +86,7 @@
 	t.Run("unaffirmed", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(100) {
-			if w := oldPrimary(t, seed, accord.Unaffirmed); len(w.res.Broken) > 0 {
+			if w := oldPrimary(t, seed, rollout.Unaffirmed); len(w.res.Broken) > 0 {
 				t.Logf("seed %d: %v", seed, w.res.Broken[0])
 				return
 			}
--- a/internal/accord/world/withdraw_test.go
+++ b/internal/rollout/world/withdraw_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/accord"
+	"asterwell/internal/rollout"
 )
 
 // The wish that was granted is granted again, whatever has come since its first answer, which
@@ -32,7 +32,7 @@
 			w.Run(2 * time.Second)
 		},
 	} {
-		for _, bug := range []accord.Bug{0, accord.Forgetful} {
+		for _, bug := range []rollout.Bug{0, rollout.Forgetful} {
 			w := waits(3, bug)
 			w.Withdraw(w.nodes[7], 3)
 			w.Run(time.Second)
@@ -58,7 +58,7 @@
 	}
 }
 
-func notBack(x Told) bool { return x.Version != 3 || x.Outcome != accord.TakenBack }
+func notBack(x Told) bool { return x.Version != 3 || x.Outcome != rollout.TakenBack }
 
 // Eight send the same wish at once, each through another gateway, and again until they have an
 // answer; the primary is killed or stands still at any moment of it.
@@ -89,7 +89,7 @@
 			}
 			w.calm()
 			w.Run(Settled)
-			w.want(t, accord.Withdrawn)
+			w.want(t, rollout.Withdrawn)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 			}
 			w.calm()
 			w.Run(Settled)
-			w.want(t, accord.Live)
+			w.want(t, rollout.Live)
 			told := map[string]bool{}
 			for _, k := range w.res.Kept {
 				told[k.Node] = told[k.Node] || k.Version == 3
@@ -135,7 +135,7 @@
 	t.Parallel()
 	found := false
 	for seed := range uint64(20) {
-		for _, bug := range []accord.Bug{0, accord.Cocksure} {
+		for _, bug := range []rollout.Bug{0, rollout.Cocksure} {
 			w := stageOf(t, seed, bug, 0, 0)
 			p, x := w.primary(), w.nodes[9]
 			rest := slices.DeleteFunc(slices.Clone(w.nodes), func(n *Proc) bool { return n == p || n == x })
@@ -153,7 +153,7 @@
 			}
 			w.calm()
 			w.Run(Settled)
-			w.want(t, accord.Live)
+			w.want(t, rollout.Live)
 			if len(w.res.Told) > 0 {
 				t.Errorf("seed %d: told %v", seed, w.res.Told)
 			}
@@ -172,7 +172,7 @@
 			t.Errorf("seed %d: %v", seed, all)
 		}
 	}
-	if all := LateWish(1, accord.Unfenced); len(all) == 0 || all[0].Rule != "LATE" {
+	if all := LateWish(1, rollout.Unfenced); len(all) == 0 || all[0].Rule != "LATE" {
 		t.Errorf("the guard taken out is not met: %v", all)
 	}
 }
--- a/internal/accord/world/world.go
+++ b/internal/rollout/world/world.go
@@ -10,8 +10,8 @@
 	"math/rand/v2"
 	"time"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/plane"
+	"asterwell/internal/rollout"
 )
 
 const ms = time.Millisecond
@@ -20,7 +20,7 @@
 type Options struct {
 	Seed  uint64
 	Nodes int // the first three are the core; default 11
-	Bug   accord.Bug
+	Bug   rollout.Bug
 	Again bool // operators send the same orders again, at other processes
 	Bytes bool // count what goes over the wire
 	Every time.Duration
@@ -58,7 +58,7 @@
 	At      time.Duration
 	Node    string
 	Version uint32
-	Outcome accord.Outcome
+	Outcome rollout.Outcome
 }
 
 // Mark is a request that was decided.
@@ -96,15 +96,15 @@
 	first   map[uint32]time.Duration
 	puts    map[uint32]time.Duration
 	bodies  map[uint32]string
-	fates   map[uint32]accord.Fate
+	fates   map[uint32]rollout.Fate
 	words   map[string]word // the newest word of each node that the primary has heard
 	confirm map[uint32]int
 	top     uint32
 	open    map[uint32]map[*Proc]bool
 	bytes   int
-	late    []accord.Withdraw // copies that the network holds up
-	quiet   bool              // no clients
-	never   map[uint32]bool   // versions of which an operator was told so
+	late    []rollout.Withdraw // copies that the network holds up
+	quiet   bool               // no clients
+	never   map[uint32]bool    // versions of which an operator was told so
 	texts   map[uint32][]byte
 	other   map[uint32]bool // versions that were put with another text too
 	back    map[uint32]bool // versions that an operator was told to be withdrawn
@@ -115,7 +115,7 @@
 	o.Nodes, o.Every = cmp.Or(o.Nodes, 11), cmp.Or(o.Every, 6*ms)
 	w := &World{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 27)), byAddr: map[string]*Proc{}, cuts: map[[2]string]bool{},
 		first: map[uint32]time.Duration{}, puts: map[uint32]time.Duration{}, bodies: map[uint32]string{},
-		fates: map[uint32]accord.Fate{}, words: map[string]word{}, confirm: map[uint32]int{}}
+		fates: map[uint32]rollout.Fate{}, words: map[string]word{}, confirm: map[uint32]int{}}
 	w.texts, w.other = map[uint32][]byte{}, map[uint32]bool{}
 	w.never, w.back = map[uint32]bool{}, map[uint32]bool{}
 	w.open, w.res.All, w.res.PutAt = map[uint32]map[*Proc]bool{}, map[uint32]time.Duration{}, w.puts
--- a/internal/shuttle/gate.go
+++ b/internal/shuttle/gate.go
@@ -7,8 +7,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/creed"
+	"asterwell/internal/rollout"
 )
 
 const (
@@ -44,12 +44,12 @@
 
 // gate is by what effectful requests may be decided.
 type gate struct {
-	accord.Gate
+	rollout.Gate
 	changed chan struct{}
 }
 
 // Gate takes it over. The configuration that it is for has been adopted.
-func (p *Plane) Gate(g accord.Gate) {
+func (p *Plane) Gate(g rollout.Gate) {
 	if was := p.gate.Swap(&gate{g, make(chan struct{})}); was != nil {
 		close(was.changed)
 	}
--- a/internal/shuttle/gate_test.go
+++ b/internal/shuttle/gate_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/bane"
 	"asterwell/internal/policy"
+	"asterwell/internal/rollout"
 )
 
 // Without a lease effectful requests are refused, and pure ones where the rules want it.
@@ -19,15 +19,15 @@
 	read := strings.TrimSuffix(g.url, "x") + "look"
 	for _, c := range []struct {
 		name        string
-		gate        accord.Gate
+		gate        rollout.Gate
 		write, read int
 	}{
-		{"each", accord.Gate{Version: 1}, 200, 200},
-		{"leased", accord.Gate{Version: 1, Together: true, Reads: true, Lease: lease}, 200, 200},
-		{"no lease, reads by the last", accord.Gate{Version: 1, Together: true}, 503, 200},
-		{"no lease, reads by what is live", accord.Gate{Version: 1, Together: true, Reads: true}, 503, 503},
-		{"run out", accord.Gate{Version: 1, Together: true, Reads: true, Lease: policy.Lease{Version: 1, Until: time.Minute}}, 503, 503},
-		{"in a turn that does not end", accord.Gate{Version: 1, Together: true, Reads: true, Soon: true}, 503, 503},
+		{"each", rollout.Gate{Version: 1}, 200, 200},
+		{"leased", rollout.Gate{Version: 1, Together: true, Reads: true, Lease: lease}, 200, 200},
+		{"no lease, reads by the last", rollout.Gate{Version: 1, Together: true}, 503, 200},
+		{"no lease, reads by what is live", rollout.Gate{Version: 1, Together: true, Reads: true}, 503, 503},
+		{"run out", rollout.Gate{Version: 1, Together: true, Reads: true, Lease: policy.Lease{Version: 1, Until: time.Minute}}, 503, 503},
+		{"in a turn that does not end", rollout.Gate{Version: 1, Together: true, Reads: true, Soon: true}, 503, 503},
 	} {
 		g.plane.Gate(c.gate)
 		for url, want := range map[string]int{write: c.write, read: c.read} {
@@ -43,8 +43,8 @@
 		t.Errorf("%+v", n)
 	}
 	// What waits in a turn goes on once it is over.
-	g.plane.Gate(accord.Gate{Version: 1, Together: true, Soon: true})
-	go g.plane.Gate(accord.Gate{Version: 1, Together: true, Lease: lease})
+	g.plane.Gate(rollout.Gate{Version: 1, Together: true, Soon: true})
+	go g.plane.Gate(rollout.Gate{Version: 1, Together: true, Lease: lease})
 	g.url = write
 	if status, _, _ := g.ask(t, http.DefaultClient, "k10", "waits", "x"); status != http.StatusOK {
 		t.Errorf("after the turn: %d", status)
--- a/internal/tell/rollout.go
+++ b/internal/tell/rollout.go
@@ -11,11 +11,11 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/accord"
+	"asterwell/internal/rollout"
 )
 
 // Rollout is how the taking up of a configuration stands.
-type Rollout struct{ accord.Status }
+type Rollout struct{ rollout.Status }
 
 // Withdrawal is what has come of a version that was to be withdrawn.
 type Withdrawal struct{ Version, Outcome, Live, Newest string }
--- a/internal/tell/status.go
+++ b/internal/tell/status.go
@@ -11,9 +11,9 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/registry"
+	"asterwell/internal/rollout"
 )
 
 // Status is what one gateway knows: of itself, of agreement, of the others.
@@ -23,7 +23,7 @@
 	Ready, Leaving bool
 	Version        string // of the configuration in force there
 	Pact           Pact
-	Rollout        accord.Status
+	Rollout        rollout.Status
 	Turns          Turns
 	Nodes          []Node
 	Servers        []Server
--- a/internal/tell/watch.go
+++ b/internal/tell/watch.go
@@ -7,7 +7,7 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/accord"
+	"asterwell/internal/rollout"
 )
 
 // Progress is how far a version's rollout is: lines for people, and once it has ended how.
@@ -43,7 +43,7 @@
 		say("the primary is not known, and only it knows the nodes")
 		return p
 	}
-	refused := lo.SliceToMap(r.Refused, func(x accord.Refusal) (string, string) { return x.Name, x.Why })
+	refused := lo.SliceToMap(r.Refused, func(x rollout.Refusal) (string, string) { return x.Name, x.Why })
 	zones := lo.GroupBy(lo.Filter(s.Nodes, func(n Node, _ int) bool { return n.State == "up" }), func(n Node) string { return n.Zone })
 	for _, z := range sorted(zones) {
 		confirmed, parts := 0, []string{}
--- a/internal/weave/disk.go
+++ b/internal/weave/disk.go
@@ -8,10 +8,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/accord"
 	"asterwell/internal/consensus"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/registry"
+	"asterwell/internal/rollout"
 	"asterwell/internal/shuttle"
 	"asterwell/internal/vault"
 )
@@ -131,7 +131,7 @@
 	Draining   bool
 	Version    string
 	Pact       consensus.Status
-	Rollout    accord.Status
+	Rollout    rollout.Status
 	Turns      shuttle.Turns
 	Nodes      []memberlist.Node
 	Servers    []registry.Server
--- a/internal/weave/rollout.go
+++ b/internal/weave/rollout.go
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/accord"
+	"asterwell/internal/rollout"
 )
 
 // Withdrawal tells an operator what has come of a version that was to be withdrawn.
@@ -22,12 +22,12 @@
 		return
 	}
 	by := ctx.RemoteIP().String()
-	a, _ := p.ask(func(call uint64) { p.box.Put(withdrawn{call, uint32(v), by}) }).(accord.Withdrew)
+	a, _ := p.ask(func(call uint64) { p.box.Put(withdrawn{call, uint32(v), by}) }).(rollout.Withdrew)
 	switch a.Outcome {
-	case accord.Unclear: // it may still be taken up
+	case rollout.Unclear: // it may still be taken up
 		p.busy(ctx)
 		return
-	case accord.Absent: // as far as a primary knew that may have been followed
+	case rollout.Absent: // as far as a primary knew that may have been followed
 		if kept, ok := p.proof(glance); !ok || kept >= uint32(v) {
 			p.busy(ctx)
 			return
