--- a/cmd/reed/faults.go
+++ b/cmd/reed/faults.go
@@ -13,7 +13,7 @@
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/tell"
 )
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := bane.Parse(body, 24*time.Hour); err != nil { // the gateway's bound may be lower
+	if _, err := faultrules.Parse(body, 24*time.Hour); err != nil { // the gateway's bound may be lower
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	client, err := r.client(c)
--- a/internal/bane/bug.go
+++ b/internal/faultrules/bug.go
@@ -1,4 +1,4 @@
-package bane
+package faultrules
 
 // Bug is a fault put in, to show that the tests find it.
 type Bug uint8
--- a/internal/bane/doc.go
+++ b/internal/faultrules/doc.go
@@ -1,4 +1,4 @@
-// Package bane brings operators' fault rules to every process and holds what they may do:
+// Package faultrules brings operators' fault rules to every process and holds what they may do:
 // one tenant, some of its requests, one effect, so many strikes in all, and an end.
 //
 // Rules are control state like the configuration, but weigh nothing while there are none:
@@ -25,4 +25,4 @@
 // Files: rule.go reads sets; judge.go is what requests are held against; record.go is what
 // is kept; machine.go is the shell, node.go what any process does, member.go what those with
 // a disk do, lead.go what the primary does, call.go operators' calls.
-package bane
+package faultrules
--- a/internal/bane/machine.go
+++ b/internal/faultrules/machine.go
@@ -1,4 +1,4 @@
-package bane
+package faultrules
 
 import (
 	"hash/fnv"
--- a/internal/bane/world/day.go
+++ b/internal/faultrules/world/day.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 )
 
 // Play plays the day of a seed: rules come and are stopped, and what can go wrong does.
-func Play(seed uint64, bug bane.Bug) *World {
+func Play(seed uint64, bug faultrules.Bug) *World {
 	w := New(seed, bug, 5, 3)
 	w.Traffic(20*ms, nil)
 	w.reads(70 * ms)
@@ -47,7 +47,7 @@
 			if w.rng.IntN(2) == 0 {
 				budget *= 100
 			}
-			w.Put(p, []bane.Rule{{Name: "r", Tenant: Struck, Share: 0.2 + 0.8*w.rng.Float64(), Effect: bane.VanishBefore,
+			w.Put(p, []faultrules.Rule{{Name: "r", Tenant: Struck, Share: 0.2 + 0.8*w.rng.Float64(), Effect: faultrules.VanishBefore,
 				EndsS: 0.5 + 6*w.rng.Float64(), Budget: budget}}, nil)
 		}
 	case 4:
--- a/internal/bane/world/rules.go
+++ b/internal/faultrules/world/rules.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 )
 
 // Rules is what is judged, and what came of the day.
@@ -38,7 +38,7 @@
 
 type set struct {
 	ack    time.Duration
-	rules  []bane.Rule
+	rules  []faultrules.Rule
 	struck map[string]int
 
 	body   []byte
@@ -58,13 +58,13 @@
 }
 
 // Put sends a set to a process; done may be nil.
-func (w *World) Put(p *Proc, rules []bane.Rule, done func(bane.Answer)) {
+func (w *World) Put(p *Proc, rules []faultrules.Rule, done func(faultrules.Answer)) {
 	w.version++
-	body, err := json.Marshal(bane.Set{Version: w.version, By: "op", Why: "exercise", Rules: rules})
+	body, err := json.Marshal(faultrules.Set{Version: w.version, By: "op", Why: "exercise", Rules: rules})
 	if err != nil {
 		panic(err)
 	}
-	doc := bane.Doc{Version: w.version, Body: body}
+	doc := faultrules.Doc{Version: w.version, Body: body}
 	if w.sets == nil {
 		w.sets = map[uint32]*set{}
 	}
@@ -73,8 +73,8 @@
 	if w.open > 0 {
 		w.mean(w.version)
 	}
-	p.call(bane.OpPut, doc, func(a bane.Answer) {
-		if a.Outcome == bane.Done && a.State.Version == doc.Version && !a.State.Stopped {
+	p.call(faultrules.OpPut, doc, func(a faultrules.Answer) {
+		if a.Outcome == faultrules.Done && a.State.Version == doc.Version && !a.State.Stopped {
 			of.ack = w.now
 			w.told = max(w.told, a.State.Turn)
 		}
@@ -92,21 +92,21 @@
 	if other {
 		body = bytes.Replace(body, []byte(`"exercise"`), []byte(`"another exercise"`), 1)
 	}
-	p.call(bane.OpPut, bane.Doc{Version: version, Body: body}, func(a bane.Answer) { w.judged(of, body, a) })
+	p.call(faultrules.OpPut, faultrules.Doc{Version: version, Body: body}, func(a faultrules.Answer) { w.judged(of, body, a) })
 }
 
 // judged: of a number one text is acknowledged, and what was is never refused.
-func (w *World) judged(of *set, body []byte, a bane.Answer) {
+func (w *World) judged(of *set, body []byte, a faultrules.Answer) {
 	text := string(body)
 	switch a.Outcome {
-	case bane.Done:
+	case faultrules.Done:
 		if of.taken != "" && of.taken != text {
 			w.breaks("TEXTS", "two texts of one number are acknowledged: %s and %s", of.taken, text)
 		}
 		if of.taken = text; of.denied[text] {
 			w.breaks("TEXTS", "%s was refused, and is acknowledged", text)
 		}
-	case bane.Below:
+	case faultrules.Below:
 		if of.denied[text] = true; of.taken == text {
 			w.breaks("REFUSED", "%s was acknowledged, and is refused", text)
 		}
@@ -114,12 +114,12 @@
 }
 
 // Stop stops whatever set is kept when the call comes to a process.
-func (w *World) Stop(p *Proc, done func(bane.Answer)) {
+func (w *World) Stop(p *Proc, done func(faultrules.Answer)) {
 	for v := range w.sets {
 		w.mean(v)
 	}
 	w.open++
-	w.stop(p, 0, func(a bane.Answer) {
+	w.stop(p, 0, func(a faultrules.Answer) {
 		w.open--
 		if done != nil {
 			done(a)
@@ -128,22 +128,22 @@
 }
 
 // StopOf stops a set, whether it is the newest or another one by then.
-func (w *World) StopOf(p *Proc, version uint32, done func(bane.Answer)) {
+func (w *World) StopOf(p *Proc, version uint32, done func(faultrules.Answer)) {
 	w.mean(version)
 	w.stop(p, version, done)
 }
 
 func (w *World) mean(version uint32) { w.meant[version] = true }
 
-func (w *World) stop(p *Proc, version uint32, done func(bane.Answer)) {
-	p.call(bane.OpStop, bane.Doc{Version: version}, func(a bane.Answer) {
+func (w *World) stop(p *Proc, version uint32, done func(faultrules.Answer)) {
+	p.call(faultrules.OpStop, faultrules.Doc{Version: version}, func(a faultrules.Answer) {
 		switch a.Outcome {
-		case bane.Done:
+		case faultrules.Done:
 			w.stopped, w.stopTurn = w.now, max(w.stopTurn, a.State.Turn)
 			w.told = max(w.told, a.State.Turn)
 			w.Stops++
 			w.ended[version] = true
-		case bane.Absent:
+		case faultrules.Absent:
 			if version > 0 && w.ended[version] {
 				w.breaks("REFUSED", "the stop of set %d was acknowledged, and is refused", version)
 			}
@@ -156,7 +156,7 @@
 }
 
 // spared: no set is stopped but those that a stop was sent for.
-func (w *World) spared(a bane.Answer) {
+func (w *World) spared(a faultrules.Answer) {
 	if s := a.State; s.Stopped && s.Version > 0 && !w.meant[s.Version] {
 		w.breaks("SPARED", "set %d is stopped, and nobody asked for it", s.Version)
 	}
@@ -164,10 +164,10 @@
 
 // Read asks a process how the rules stand: an answer must know of all that was acknowledged
 // before.
-func (w *World) Read(p *Proc, done func(bane.Answer)) {
+func (w *World) Read(p *Proc, done func(faultrules.Answer)) {
 	floor := w.told
-	p.call(bane.OpGet, bane.Doc{}, func(a bane.Answer) {
-		if a.Outcome == bane.Read {
+	p.call(faultrules.OpGet, faultrules.Doc{}, func(a faultrules.Answer) {
+		if a.Outcome == faultrules.Read {
 			w.Reads++
 			if a.State.Turn < floor {
 				w.breaks("STALE", "%s reads turn %d, %d was acknowledged", p.Name, a.State.Turn, floor)
@@ -191,11 +191,11 @@
 	})
 }
 
-func (p *Proc) call(op bane.Op, doc bane.Doc, done func(bane.Answer)) {
+func (p *Proc) call(op faultrules.Op, doc faultrules.Doc, done func(faultrules.Answer)) {
 	p.last++
 	id := p.last
 	p.calls[id] = done
-	p.input(func() bane.Out { return p.m.Call(p.clock(), id, op, doc) })
+	p.input(func() faultrules.Out { return p.m.Call(p.clock(), id, op, doc) })
 }
 
 // Traffic sends each process requests at a pace, of the struck tenant and of another.
@@ -208,7 +208,7 @@
 			w.Requests++
 			w.Others++
 			id := fmt.Sprintf("r%d", w.Requests)
-			if _, v := p.judge.Strike(p.clock(), bane.Request{ID: id, Tenant: other, Route: "renominate", Method: "POST"}); v != bane.Pass {
+			if _, v := p.judge.Strike(p.clock(), faultrules.Request{ID: id, Tenant: other, Route: "renominate", Method: "POST"}); v != faultrules.Pass {
 				w.OthersStruck++
 				w.breaks("OTHERS", "%s strikes %s", p.Name, other)
 			}
@@ -220,18 +220,18 @@
 // strike is what the data plane does with a request, waiting for a part if it must.
 func (p *Proc) strike(id string, since time.Duration, leave func()) {
 	w := p.w
-	q := bane.Request{ID: id, Tenant: Struck, Route: "renominate", Method: "POST"}
+	q := faultrules.Request{ID: id, Tenant: Struck, Route: "renominate", Method: "POST"}
 	s, v := p.judge.Strike(p.clock(), q)
 	if leave != nil {
 		leave()
 	}
 	switch {
-	case v == bane.Hit:
+	case v == faultrules.Hit:
 		p.hurry()
 		p.made(s, q, w.now)
-	case v == bane.Short && w.now-since >= patience:
+	case v == faultrules.Short && w.now-since >= patience:
 		w.Missed++
-	case v == bane.Short:
+	case v == faultrules.Short:
 		leave := p.judge.Queue(s.Rule)
 		p.hurry()
 		p.soon(func() { p.strike(id, since, leave) })
@@ -239,15 +239,15 @@
 }
 
 // made waits until a strike is on record, and lets it befall its request.
-func (p *Proc) made(s bane.Strike, q bane.Request, since time.Duration) {
+func (p *Proc) made(s faultrules.Strike, q faultrules.Request, since time.Duration) {
 	w := p.w
 	switch v := p.judge.Made(p.clock(), s); {
-	case v == bane.Hit:
+	case v == faultrules.Hit:
 		w.struck(p, s)
 		if p.judge.Struck(s, q, "ran"); w.afterStrike != nil {
 			w.afterStrike(p)
 		}
-	case v == bane.Short && w.now-since < patience:
+	case v == faultrules.Short && w.now-since < patience:
 		p.hurry()
 		p.soon(func() { p.made(s, q, since) })
 	default:
@@ -256,7 +256,7 @@
 	}
 }
 
-func (p *Proc) hurry() { p.input(func() bane.Out { return p.m.Hurry(p.clock()) }) }
+func (p *Proc) hurry() { p.input(func() faultrules.Out { return p.m.Hurry(p.clock()) }) }
 
 func (p *Proc) soon(do func()) {
 	life := p.life
@@ -284,7 +284,7 @@
 	return n
 }
 
-func (w *World) struck(p *Proc, s bane.Strike) {
+func (w *World) struck(p *Proc, s faultrules.Strike) {
 	if n := w.recorded(p.addr, p.number(), s.Seq); n <= len(w.members)/2 {
 		w.breaks("RECORD", "strike %d of %s, life %d, is on %d of %d disks", s.Seq, p.Name, p.life, n, len(w.members))
 	}
@@ -319,7 +319,7 @@
 	}
 	if w.stopped > 0 && turn < w.stopTurn {
 		w.AfterStop = max(w.AfterStop, w.now-w.stopped)
-		if w.now > w.stopped+bane.LeaseFor {
+		if w.now > w.stopped+faultrules.LeaseFor {
 			w.breaks("STOP", "%s strikes %v after the stop", p.Name, w.now-w.stopped)
 		}
 	}
--- a/internal/bane/world/world.go
+++ b/internal/faultrules/world/world.go
@@ -12,7 +12,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/plane"
 )
 
@@ -30,7 +30,7 @@
 	now   time.Duration
 	queue plane.Events
 	order uint64
-	bug   bane.Bug
+	bug   faultrules.Bug
 
 	procs   []*Proc
 	by      map[string]*Proc
@@ -51,8 +51,8 @@
 	Name    string
 	addr    string
 	member  bool
-	m       *bane.Machine
-	judge   *bane.Judge
+	m       *faultrules.Machine
+	judge   *faultrules.Judge
 	start   time.Duration
 	life    int
 	booted  time.Duration
@@ -62,15 +62,15 @@
 	old     bool // of a version that doesn't put strikes on record
 	thaws   time.Duration
 	disk    []byte
-	log     []bane.Entry  // beside it
-	synced  time.Duration // when the last write will be: they come in their order
+	log     []faultrules.Entry // beside it
+	synced  time.Duration      // when the last write will be: they come in their order
 	Strikes int
-	calls   map[uint64]func(bane.Answer)
+	calls   map[uint64]func(faultrules.Answer)
 	last    uint64
 }
 
 // New starts so many processes, the first of which have disks and the very first is primary.
-func New(seed uint64, bug bane.Bug, nodes, members int) *World {
+func New(seed uint64, bug faultrules.Bug, nodes, members int) *World {
 	w := &World{Rules: Rules{meant: map[uint32]bool{}, ended: map[uint32]bool{}}, rng: rand.New(rand.NewPCG(seed, 0xfa17)), bug: bug, by: map[string]*Proc{}, cuts: map[[2]string]time.Duration{}}
 	for i := range nodes {
 		p := &Proc{w: w, Name: fmt.Sprintf("n%d", i+1), addr: fmt.Sprintf("10.1.0.%d:7000", i+1), member: i < members}
@@ -120,16 +120,16 @@
 	p.up, p.thaws, p.blind, p.unaware = true, 0, false, !p.member && p.life > 0
 	p.life++
 	p.booted = p.w.now
-	p.start, p.calls = p.w.now-time.Duration(p.w.rng.Int64N(int64(time.Hour))), map[uint64]func(bane.Answer){}
-	var d *bane.Disk
+	p.start, p.calls = p.w.now-time.Duration(p.w.rng.Int64N(int64(time.Hour))), map[uint64]func(faultrules.Answer){}
+	var d *faultrules.Disk
 	if p.disk != nil {
-		d = new(bane.Disk)
+		d = new(faultrules.Disk)
 		if err := cbor.Unmarshal(p.disk, d); err != nil {
 			panic(err)
 		}
 	}
-	p.judge = bane.NewJudge()
-	p.m = bane.New(bane.Config{Self: p.addr, Name: p.Name, Life: p.number(), Seed: p.w.rng.Uint64(), Member: p.member, Longest: Longest, Bug: p.w.bug},
+	p.judge = faultrules.NewJudge()
+	p.m = faultrules.New(faultrules.Config{Self: p.addr, Name: p.Name, Life: p.number(), Seed: p.w.rng.Uint64(), Member: p.member, Longest: Longest, Bug: p.w.bug},
 		p.judge, d, p.clock())
 	life := p.life
 	p.w.after(0, func() { p.tick(life) })
@@ -141,7 +141,7 @@
 	if !p.up || p.life != life {
 		return
 	}
-	p.input(func() bane.Out { return p.m.Tick(p.clock()) })
+	p.input(func() faultrules.Out { return p.m.Tick(p.clock()) })
 	next := tick
 	if p.frozen() {
 		next = p.thaws - p.w.now
@@ -150,7 +150,7 @@
 }
 
 // input gives something to a process once it has thawed.
-func (p *Proc) input(do func() bane.Out) {
+func (p *Proc) input(do func() faultrules.Out) {
 	if !p.up {
 		return
 	}
@@ -169,19 +169,19 @@
 // see tells a process what membership and agreement know. Its own word goes first.
 func (p *Proc) see() {
 	w := p.w
-	var nodes []bane.Node
+	var nodes []faultrules.Node
 	for _, o := range w.procs {
 		if o.up && !w.apart(p, o, gone) {
-			nodes = append(nodes, bane.Node{Addr: o.addr, Life: o.number()})
+			nodes = append(nodes, faultrules.Node{Addr: o.addr, Life: o.number()})
 		}
 	}
 	p.m.Nodes(nodes)
 	if leader := w.by[w.primary]; !p.blind && !p.unaware && (p == leader || !w.apart(p, leader, 0)) {
-		p.m.Place(bane.Place{N: w.epoch, Primary: w.primary, Leads: p == leader, Members: w.members})
+		p.m.Place(faultrules.Place{N: w.epoch, Primary: w.primary, Leads: p == leader, Members: w.members})
 	}
 }
 
-func (p *Proc) carry(out bane.Out) {
+func (p *Proc) carry(out faultrules.Out) {
 	w, life := p.w, p.life
 	if out.Write != nil {
 		data, err := cbor.Marshal(out.Write.Disk)
@@ -193,7 +193,7 @@
 		w.after(p.synced-w.now, func() {
 			if p.up && p.life == life {
 				p.disk, p.log = data, append(p.log, notes...)
-				p.input(func() bane.Out { return p.m.Written(p.clock(), seq) })
+				p.input(func() faultrules.Out { return p.m.Written(p.clock(), seq) })
 			}
 		})
 	}
@@ -209,13 +209,13 @@
 			d += w.upTo(300 * ms)
 		}
 		msg := s.Msg
-		if a, ok := msg.(bane.Ask); ok && p.old {
+		if a, ok := msg.(faultrules.Ask); ok && p.old {
 			a.Form = 0
 			msg = a
 		}
 		deliver := func() {
 			if to.life == reach && !w.severed(p, to) {
-				to.input(func() bane.Out { return to.m.Take(to.clock(), p.addr, msg) })
+				to.input(func() faultrules.Out { return to.m.Take(to.clock(), p.addr, msg) })
 			}
 		}
 		if h := w.held; h != nil && h.from == p && h.to == to && h.fits(msg) {
--- a/internal/bane/world/world_test.go
+++ b/internal/faultrules/world/world_test.go
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 )
 
-func rule(share, ends float64, budget int) []bane.Rule {
-	return []bane.Rule{{Name: "r", Tenant: Struck, Share: share, Effect: bane.VanishBefore, EndsS: ends, Budget: budget}}
+func rule(share, ends float64, budget int) []faultrules.Rule {
+	return []faultrules.Rule{{Name: "r", Tenant: Struck, Share: share, Effect: faultrules.VanishBefore, EndsS: ends, Budget: budget}}
 }
 
 // put puts a set that must be kept.
-func put(t *testing.T, w *World, p *Proc, rules []bane.Rule) {
+func put(t *testing.T, w *World, p *Proc, rules []faultrules.Rule) {
 	t.Helper()
 	kept := false
-	w.Put(p, rules, func(a bane.Answer) { kept = a.Outcome == bane.Done })
+	w.Put(p, rules, func(a faultrules.Answer) { kept = a.Outcome == faultrules.Done })
 	w.Run(500 * ms)
 	if !kept {
 		t.Fatal("not kept")
@@ -33,7 +33,7 @@
 
 func TestIdle(t *testing.T) {
 	t.Parallel()
-	w := New(1, bane.Sound, 10, 3)
+	w := New(1, faultrules.Sound, 10, 3)
 	w.Traffic(10*ms, nil)
 	w.Run(time.Minute)
 	if w.Messages != 0 || w.Strikes != 0 {
@@ -52,7 +52,7 @@
 // TestEveryNode: thirty processes at once, a share of 30% and 100 strikes.
 func TestEveryNode(t *testing.T) {
 	t.Parallel()
-	w := New(2, bane.Sound, 30, 3)
+	w := New(2, faultrules.Sound, 30, 3)
 	w.Traffic(50*ms, nil)
 	put(t, w, w.procs[20], rule(0.3, 60, 100))
 	w.Run(20 * time.Second)
@@ -74,7 +74,7 @@
 // with a lease at the most.
 func TestCut(t *testing.T) {
 	t.Parallel()
-	w := New(3, bane.Sound, 6, 3)
+	w := New(3, faultrules.Sound, 6, 3)
 	w.Traffic(10*ms, nil)
 	w.Cut(w.procs[5])
 	put(t, w, w.procs[1], rule(1, 60, 100000))
@@ -97,7 +97,7 @@
 	w.Stop(w.procs[2], nil)
 	w.Run(5 * time.Second)
 	sound(t, w)
-	if w.Stops != 1 || w.AfterStop > bane.LeaseFor {
+	if w.Stops != 1 || w.AfterStop > faultrules.LeaseFor {
 		t.Error(w.Stops, "stops,", w.AfterStop)
 	}
 	w.Mend()
@@ -111,7 +111,7 @@
 // TestEnd: the end passes while a process is cut off, and while another primary comes.
 func TestEnd(t *testing.T) {
 	t.Parallel()
-	w := New(4, bane.Sound, 6, 3)
+	w := New(4, faultrules.Sound, 6, 3)
 	w.Traffic(10*ms, nil)
 	put(t, w, w.procs[1], rule(1, 4, 100000))
 	w.Run(2 * time.Second)
@@ -140,12 +140,12 @@
 
 func primaryLost(t *testing.T, at time.Duration, kill bool) {
 	t.Parallel()
-	w := New(uint64(at), bane.Sound, 6, 3)
+	w := New(uint64(at), faultrules.Sound, 6, 3)
 	w.Traffic(10*ms, nil)
 	put(t, w, w.procs[1], rule(1, 1, 1)) // the first ever needs all that have a disk
 	acks := 0
-	w.Put(w.procs[4], rule(0.5, 20, 200), func(a bane.Answer) {
-		if a.Outcome == bane.Done {
+	w.Put(w.procs[4], rule(0.5, 20, 200), func(a faultrules.Answer) {
+		if a.Outcome == faultrules.Done {
 			acks++
 		}
 	})
@@ -171,7 +171,7 @@
 // TestRestart: processes that start anew have none of the budget that their last life had.
 func TestRestart(t *testing.T) {
 	t.Parallel()
-	w := New(5, bane.Sound, 5, 3)
+	w := New(5, faultrules.Sound, 5, 3)
 	w.Traffic(10*ms, nil)
 	put(t, w, w.procs[1], rule(0.2, 60, 150))
 	for i := range 40 {
@@ -191,7 +191,7 @@
 	}
 }
 
-func play(from, to uint64, bug bane.Bug) []*World {
+func play(from, to uint64, bug faultrules.Bug) []*World {
 	all := make([]*World, to-from)
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, 8)
@@ -209,7 +209,7 @@
 func TestDays(t *testing.T) {
 	t.Parallel()
 	strikes, missed := 0, 0
-	for i, w := range play(0, 200, bane.Sound) {
+	for i, w := range play(0, 200, faultrules.Sound) {
 		if w.Broken != "" {
 			t.Errorf("seed %d: %s at %v: %s", i+1, w.Broken, w.At, w.Detail)
 		}
@@ -225,9 +225,9 @@
 // TestBugs: each fault put in is found.
 func TestBugs(t *testing.T) {
 	t.Parallel()
-	for bug, rule := range map[bane.Bug]string{bane.Outlives: "END", bane.PerNode: "BUDGET", bane.Hasty: "ACTIVE",
-		bane.Forgets: "RECORD", bane.Early: "RECORD", bane.Regrants: "BUDGET", bane.Unkept: "RECORD",
-		bane.Refuses: "REFUSED", bane.Confuses: "TEXTS", bane.Numberless: "SPARED"} {
+	for bug, rule := range map[faultrules.Bug]string{faultrules.Outlives: "END", faultrules.PerNode: "BUDGET", faultrules.Hasty: "ACTIVE",
+		faultrules.Forgets: "RECORD", faultrules.Early: "RECORD", faultrules.Regrants: "BUDGET", faultrules.Unkept: "RECORD",
+		faultrules.Refuses: "REFUSED", faultrules.Confuses: "TEXTS", faultrules.Numberless: "SPARED"} {
 		by, days := map[string]int{}, 0
 		for ; days < 300 && by[rule] == 0; days += 25 {
 			for _, w := range play(uint64(days), uint64(days+25), bug) {
@@ -272,7 +272,7 @@
 				wg.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
-					w := New(uint64(at)+7, bane.Sound, 7, 3)
+					w := New(uint64(at)+7, faultrules.Sound, 7, 3)
 					w.Kill(w.procs[6])
 					w.Traffic(10*ms, nil)
 					put(t, w, w.procs[1], rule(1, 1, 1)) // the first ever needs all that have a disk
@@ -313,7 +313,7 @@
 // besides goes to others.
 func TestGivenBack(t *testing.T) {
 	t.Parallel()
-	w := New(8, bane.Sound, 6, 3)
+	w := New(8, faultrules.Sound, 6, 3)
 	w.Traffic(5*ms, nil)
 	kills := 0
 	w.afterStrike = func(p *Proc) {
@@ -334,7 +334,7 @@
 // TestOlder: while a process is up that doesn't put strikes on record, no set is in force.
 func TestOlder(t *testing.T) {
 	t.Parallel()
-	w := New(9, bane.Sound, 5, 3)
+	w := New(9, faultrules.Sound, 5, 3)
 	w.Traffic(10*ms, nil)
 	w.procs[4].old = true
 	put(t, w, w.procs[1], rule(1, 60, 100000))
--- a/internal/knot/contact.go
+++ b/internal/knot/contact.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"asterwell/internal/bane"
 	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/plane"
 	"asterwell/internal/registry"
 )
@@ -36,7 +36,7 @@
 // Bugs switches guards of the machines off, for tests.
 type Bugs struct {
 	Pact  consensus.Bug
-	Bane  bane.Bug
+	Bane  faultrules.Bug
 	Lore  registry.Bug
 	Cede  cede.Bug
 	Unmet bool // ready without contact
--- a/internal/knot/faults.go
+++ b/internal/knot/faults.go
@@ -3,29 +3,29 @@
 import (
 	"time"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/plane"
 )
 
 // Faults is what a process has for fault rules.
 type Faults struct {
-	Longest time.Duration // that they may live; 0: there are none
-	Judge   *bane.Judge   // what requests are held against
-	Disk    *bane.Disk
+	Longest time.Duration     // that they may live; 0: there are none
+	Judge   *faultrules.Judge // what requests are held against
+	Disk    *faultrules.Disk
 }
 
-func (c *Config) faults(now plane.Time) *bane.Machine {
+func (c *Config) faults(now plane.Time) *faultrules.Machine {
 	if c.Faults.Judge == nil {
-		c.Faults.Judge = bane.NewJudge()
+		c.Faults.Judge = faultrules.NewJudge()
 	}
-	return bane.New(bane.Config{Self: c.Self, Name: c.Name, Life: c.Life, Seed: c.Seed, Member: c.Member, Longest: c.Faults.Longest, Bug: c.Bugs.Bane},
+	return faultrules.New(faultrules.Config{Self: c.Self, Name: c.Name, Life: c.Life, Seed: c.Seed, Member: c.Member, Longest: c.Faults.Longest, Bug: c.Bugs.Bane},
 		c.Faults.Judge, c.Faults.Disk, now)
 }
 
 // ruled gives an input to the fault rules, once they know how agreement stands.
-func (k *Knot) ruled(do func() bane.Out) {
+func (k *Knot) ruled(do func() faultrules.Out) {
 	s := k.pact.Status()
-	k.bane.Place(bane.Place{N: s.Epoch, Primary: s.Primary, Leads: s.Role == "primary", Members: s.Members})
+	k.bane.Place(faultrules.Place{N: s.Epoch, Primary: s.Primary, Leads: s.Role == "primary", Members: s.Members})
 	out := do()
 	k.send(out.Send)
 	if out.Write != nil {
@@ -43,20 +43,20 @@
 }
 
 // Rule makes an operator's call for fault rules.
-func (k *Knot) Rule(now plane.Time, call uint64, op bane.Op, doc bane.Doc) Out {
-	k.ruled(func() bane.Out { return k.bane.Call(now, call, op, doc) })
+func (k *Knot) Rule(now plane.Time, call uint64, op faultrules.Op, doc faultrules.Doc) Out {
+	k.ruled(func() faultrules.Out { return k.bane.Call(now, call, op, doc) })
 	return k.end()
 }
 
 // Ruled says that a write of fault rules, and all before it, are synced.
 func (k *Knot) Ruled(now plane.Time, seq uint64) Out {
-	k.ruled(func() bane.Out { return k.bane.Written(now, seq) })
+	k.ruled(func() faultrules.Out { return k.bane.Written(now, seq) })
 	return k.end()
 }
 
 // Short asks for strikes that requests wait for.
 func (k *Knot) Short(now plane.Time) Out {
-	k.ruled(func() bane.Out { return k.bane.Hurry(now) })
+	k.ruled(func() faultrules.Out { return k.bane.Hurry(now) })
 	return k.end()
 }
 
--- a/internal/knot/knot.go
+++ b/internal/knot/knot.go
@@ -10,10 +10,10 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/bane"
 	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 	"asterwell/internal/registry"
@@ -70,7 +70,7 @@
 	Changes []registry.Server // by these
 	Members bool              // View has changed, and
 	Shares  Gateways          // this with it
-	Rules   *bane.Write       // of fault rules
+	Rules   *faultrules.Write // of fault rules
 	News    string            // of them, for the log
 	Fenced  bool              // the disk had been put back to an older state
 	Drains  bool              // Draining has changed; the next tick tells it
@@ -86,7 +86,7 @@
 	prepare uint64 // what is prepared is on disk with that write; 0: it is
 	meter   Meter
 	counter *toll.Counter
-	bane    *bane.Machine
+	bane    *faultrules.Machine
 	cede    *cede.Machine
 	round   map[string]*detour // to holders
 	turn    int                // where to go on among ways,
@@ -142,7 +142,7 @@
 	case of == ofPact:
 		k.agreed(now, k.pact.Take(now, from, msg))
 	case of == ofBane:
-		k.ruled(func() bane.Out { return k.bane.Take(now, from, msg) })
+		k.ruled(func() faultrules.Out { return k.bane.Take(now, from, msg) })
 	case of == ofAccord:
 		k.together(now, k.accord.Take(now, from, msg))
 	case of == ofKnot:
@@ -174,7 +174,7 @@
 	k.count(now)
 	k.meet(now)
 	if k.bane.Awake() {
-		k.ruled(func() bane.Out { return k.bane.Tick(now) })
+		k.ruled(func() faultrules.Out { return k.bane.Tick(now) })
 	}
 	k.cede.Fit(k.fit(), k.leaving)
 	k.ceded(k.cede.Tick(now))
@@ -322,8 +322,8 @@
 	}))
 	k.peers(view)
 	k.out.Members = true
-	k.bane.Nodes(lo.FilterMap(view, func(n memberlist.Node, _ int) (bane.Node, bool) {
-		return bane.Node{Addr: n.Addr, Life: n.Life}, n.State != memberlist.Gone
+	k.bane.Nodes(lo.FilterMap(view, func(n memberlist.Node, _ int) (faultrules.Node, bool) {
+		return faultrules.Node{Addr: n.Addr, Life: n.Life}, n.State != memberlist.Gone
 	}))
 	k.out.Shares = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == k.self })}
 	holders := inOrder(up)
--- a/internal/knot/message_test.go
+++ b/internal/knot/message_test.go
@@ -4,8 +4,8 @@
 	"reflect"
 	"testing"
 
-	"asterwell/internal/bane"
 	"asterwell/internal/consensus"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/registry"
 	"asterwell/internal/rollout"
@@ -79,17 +79,17 @@
 		{Via{}, "knot.Via"},
 	},
 	{
-		{bane.Claim{}, "bane.Claim"},
-		{bane.Claimed{}, "bane.Claimed"},
-		{bane.Append{}, "bane.Append"},
-		{bane.Appended{}, "bane.Appended"},
-		{bane.Beat{}, "bane.Beat"},
-		{bane.Beaten{}, "bane.Beaten"},
-		{bane.Push{}, "bane.Push"},
-		{bane.Ask{}, "bane.Ask"},
-		{bane.Lease{}, "bane.Lease"},
-		{bane.Forward{}, "bane.Forward"},
-		{bane.Answered{}, "bane.Answered"},
+		{faultrules.Claim{}, "bane.Claim"},
+		{faultrules.Claimed{}, "bane.Claimed"},
+		{faultrules.Append{}, "bane.Append"},
+		{faultrules.Appended{}, "bane.Appended"},
+		{faultrules.Beat{}, "bane.Beat"},
+		{faultrules.Beaten{}, "bane.Beaten"},
+		{faultrules.Push{}, "bane.Push"},
+		{faultrules.Ask{}, "bane.Ask"},
+		{faultrules.Lease{}, "bane.Lease"},
+		{faultrules.Forward{}, "bane.Forward"},
+		{faultrules.Answered{}, "bane.Answered"},
 	},
 	{
 		{rollout.Ask{}, "accord.Ask"},
--- a/internal/lab/controlcut.go
+++ b/internal/lab/controlcut.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
-	"asterwell/internal/bane"
-	"asterwell/internal/bane/world"
+	"asterwell/internal/faultrules"
+	"asterwell/internal/faultrules/world"
 	"asterwell/internal/yarn"
 )
 
@@ -88,8 +88,8 @@
 // knows nothing of its successor.
 func cutFinds(i int, scripts map[string]string) bool {
 	if i == len(cutGuards) {
-		w, taken := world.Deposed(bane.Unconfirmed)
-		sound, _ := world.Deposed(bane.Sound)
+		w, taken := world.Deposed(faultrules.Unconfirmed)
+		sound, _ := world.Deposed(faultrules.Sound)
 		return taken && w.Broken == "STALE" && sound.Broken == ""
 	}
 	g := cutGuards[i]
--- a/internal/lab/controlorders.go
+++ b/internal/lab/controlorders.go
@@ -7,10 +7,10 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"asterwell/internal/bane"
-	faultworld "asterwell/internal/bane/world"
 	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
+	"asterwell/internal/faultrules"
+	faultworld "asterwell/internal/faultrules/world"
 	"asterwell/internal/yarn"
 )
 
@@ -112,7 +112,7 @@
 }
 
 // faultSetsDay plays a seed's day of fault rules, whose sets come again.
-func faultSetsDay(seed uint64, bug bane.Bug) (key, why string) {
+func faultSetsDay(seed uint64, bug faultrules.Bug) (key, why string) {
 	w := faultworld.Play(seed, bug)
 	switch w.Broken {
 	case "TEXTS":
@@ -159,7 +159,7 @@
 		at := seed + uint64(i)
 		key, why := ordersDay(at, yarn.Sound)
 		met(fmt.Sprint("orders, seed ", at), key, why)
-		key, why = faultSetsDay(at, bane.Sound)
+		key, why = faultSetsDay(at, faultrules.Sound)
 		met(fmt.Sprint("fault rules, seed ", at), key, why)
 	})
 	scripts := yarn.ControlScripts()
@@ -190,9 +190,9 @@
 		func(uint64) bool { return drains(cede.Both) },
 		func(s uint64) bool { key, _ := ordersDay(s, yarn.Confirms); return key != "" },
 		func(s uint64) bool { key, _ := ordersDay(s, yarn.Forgets); return key != "" },
-		func(s uint64) bool { key, _ := faultSetsDay(s, bane.Refuses); return key != "" },
-		func(s uint64) bool { key, _ := faultSetsDay(s, bane.Confuses); return key != "" },
-		func(s uint64) bool { key, _ := faultSetsDay(s, bane.Numberless); return key == otherStopped },
+		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Refuses); return key != "" },
+		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Confuses); return key != "" },
+		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Numberless); return key == otherStopped },
 		func(s uint64) bool { return ordersWalk(s, 1, consensus.BugAnyText) != "" },
 		func(s uint64) bool { // met by one schedule of 30 to some thousands: hunted once, in many
 			return s == seed && walkFinds(ordersBounds(consensus.BugForgets), consensus.NoPair, seed, orderSteps)
--- a/internal/lab/faultlosses.go
+++ b/internal/lab/faultlosses.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/tell"
 )
@@ -17,8 +17,8 @@
 // loses: the primary is killed while a budget is being used, and comes back. What it had been
 // handed and had not used goes to the others.
 func (f *faultFleet) loses(ctx context.Context, r *Report) error {
-	if err := f.put(ctx, bane.Rule{Name: "part", Tenant: faultStruck, Share: 0.5,
-		Effect: bane.VanishAfter, EndsS: 60, Budget: faultBudget}); err != nil {
+	if err := f.put(ctx, faultrules.Rule{Name: "part", Tenant: faultStruck, Share: 0.5,
+		Effect: faultrules.VanishAfter, EndsS: 60, Budget: faultBudget}); err != nil {
 		return err
 	}
 	var sent []sentOne
@@ -66,8 +66,8 @@
 	n := f.nodes[len(f.nodes)-1]
 	twice, unrecorded := 0, 0
 	for k := range deaths {
-		rule := bane.Rule{Name: fmt.Sprint("dies-", k), Tenant: faultStruck, Share: 1,
-			Effect: bane.Double, MostPerS: 1000, EndsS: 60, Budget: 1000}
+		rule := faultrules.Rule{Name: fmt.Sprint("dies-", k), Tenant: faultStruck, Share: 1,
+			Effect: faultrules.Double, MostPerS: 1000, EndsS: 60, Budget: 1000}
 		if err := f.put(ctx, rule); err != nil {
 			return err
 		}
@@ -121,8 +121,8 @@
 
 // passes: in the middle of a rule, a configuration passes the struck tenant's key on.
 func (f *faultFleet) passes(ctx context.Context, r *Report) error {
-	if err := f.put(ctx, bane.Rule{Name: "key", Tenant: faultStruck, Share: 1,
-		Effect: bane.Double, MostPerS: 1000, EndsS: 60, Budget: 100000}); err != nil {
+	if err := f.put(ctx, faultrules.Rule{Name: "key", Tenant: faultStruck, Share: 1,
+		Effect: faultrules.Double, MostPerS: 1000, EndsS: 60, Budget: 100000}); err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
--- a/internal/lab/faultpairs.go
+++ b/internal/lab/faultpairs.go
@@ -9,7 +9,7 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 )
 
 // Spans with and without the rule take turns, so that whatever else the machine does is in both.
@@ -69,7 +69,7 @@
 // beside measures what a rule does to the others: pairs of spans with it and without, the first
 // of each pair being by turns one or the other.
 func (f *faultFleet) beside(ctx context.Context, r *Report, pairs int) error {
-	rule := bane.Rule{Name: "beside", Tenant: faultStruck, Routes: []string{"renominate"}, Share: faultShare, Effect: bane.Double,
+	rule := faultrules.Rule{Name: "beside", Tenant: faultStruck, Routes: []string{"renominate"}, Share: faultShare, Effect: faultrules.Double,
 		MostPerS: 100, EndsS: 300, Budget: 1_000_000}
 	if _, _, err := f.client().StopFaults(ctx); err != nil {
 		return err
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -10,8 +10,8 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/bane"
-	"asterwell/internal/bane/world"
+	"asterwell/internal/faultrules"
+	"asterwell/internal/faultrules/world"
 	"asterwell/internal/tell"
 )
 
@@ -86,9 +86,9 @@
 // each: a doubled renomination and a doubled deferral of one tenant at each process, with another
 // tenant's before, between and behind them.
 func (f *faultFleet) each(ctx context.Context, r *Report) error {
-	rules := make([]bane.Rule, 0, 2)
+	rules := make([]faultrules.Rule, 0, 2)
 	for _, route := range []string{"renominate", "defer"} {
-		rules = append(rules, bane.Rule{Name: "each-" + route, Tenant: faultStruck, Routes: []string{route}, Share: 1, Effect: bane.Double,
+		rules = append(rules, faultrules.Rule{Name: "each-" + route, Tenant: faultStruck, Routes: []string{route}, Share: 1, Effect: faultrules.Double,
 			MostPerS: 1000, EndsS: 120, Budget: len(f.nodes)})
 	}
 	if err := f.put(ctx, rules...); err != nil {
@@ -144,7 +144,7 @@
 // request shares a connection and a pipeline with one of another tenant.
 func (f *faultFleet) doubles(ctx context.Context, r *Report) error {
 	f.run++
-	rule := bane.Rule{Name: fmt.Sprint("twice-", f.run), Tenant: faultStruck, Routes: []string{"renominate"}, Share: faultShare, Effect: bane.Double,
+	rule := faultrules.Rule{Name: fmt.Sprint("twice-", f.run), Tenant: faultStruck, Routes: []string{"renominate"}, Share: faultShare, Effect: faultrules.Double,
 		MostPerS: 1000, EndsS: 120, Budget: faultBudget}
 	if err := f.put(ctx, rule); err != nil {
 		return err
@@ -202,7 +202,7 @@
 
 // stops: all requests vanish; a process stands still while the rules are stopped, and goes on.
 func (f *faultFleet) stops(ctx context.Context, r *Report) error {
-	if err := f.put(ctx, bane.Rule{Name: "gone", Tenant: faultStruck, Share: 1, Effect: bane.VanishBefore, EndsS: 60, Budget: 100000}); err != nil {
+	if err := f.put(ctx, faultrules.Rule{Name: "gone", Tenant: faultStruck, Share: 1, Effect: faultrules.VanishBefore, EndsS: 60, Budget: 100000}); err != nil {
 		return err
 	}
 	var sent []sentOne
@@ -231,13 +231,13 @@
 	}
 	r.Figure["vanished"], r.Figure["after_stop"], r.Figure["after_stop_ms_max"] = struck, after, latest.Milliseconds()
 	r.Rule(struck > 10, "hardly anything vanished: %d", struck)
-	r.Rule(latest <= bane.LeaseFor+100*time.Millisecond, "struck %v after the stop", latest)
+	r.Rule(latest <= faultrules.LeaseFor+100*time.Millisecond, "struck %v after the stop", latest)
 	return nil
 }
 
 // ends: a rule that ends by itself.
 func (f *faultFleet) ends(ctx context.Context, r *Report) error {
-	rule := bane.Rule{Name: "late", Tenant: faultStruck, Share: 1, Effect: bane.Delay, DelayMs: 150, EndsS: 4, Budget: 100000}
+	rule := faultrules.Rule{Name: "late", Tenant: faultStruck, Share: 1, Effect: faultrules.Delay, DelayMs: 150, EndsS: 4, Budget: 100000}
 	if err := f.put(ctx, rule); err != nil {
 		return err
 	}
@@ -265,7 +265,7 @@
 
 // spare: what the check costs a request while there are no rules, of what requests cost.
 func (f *faultFleet) spare(r *Report, cpu float64, requests int) {
-	j, n, on := bane.NewJudge(), 50_000_000, 0
+	j, n, on := faultrules.NewJudge(), 50_000_000, 0
 	began := time.Now()
 	for range n {
 		if j.On() {
@@ -286,7 +286,7 @@
 	for i := range worlds {
 		wg.Go(func() {
 			slots <- struct{}{}
-			worlds[i] = world.Play(o.Seed*100000+uint64(i), bane.Sound)
+			worlds[i] = world.Play(o.Seed*100000+uint64(i), faultrules.Sound)
 			<-slots
 		})
 	}
@@ -300,9 +300,9 @@
 }
 
 // put sends a set, and waits until it is in force.
-func (f *faultFleet) put(ctx context.Context, rules ...bane.Rule) error {
+func (f *faultFleet) put(ctx context.Context, rules ...faultrules.Rule) error {
 	f.version++
-	body, err := json.Marshal(bane.Set{Version: f.version, By: "asterlab", Why: "measure faults", Rules: rules})
+	body, err := json.Marshal(faultrules.Set{Version: f.version, By: "asterlab", Why: "measure faults", Rules: rules})
 	if err != nil {
 		return err
 	}
--- a/internal/shuttle/fault.go
+++ b/internal/shuttle/fault.go
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/protocol"
 	"asterwell/internal/routing"
 	"asterwell/internal/transport"
@@ -18,12 +18,12 @@
 type Faults interface {
 	On() bool
 	// Strike judges a request. It may wait a little for a strike of the budget.
-	Strike(q bane.Request, left time.Duration) (bane.Strike, bool)
+	Strike(q faultrules.Request, left time.Duration) (faultrules.Strike, bool)
 	// Made waits until the strike is on record, and reports whether it may be made now.
-	Made(s bane.Strike, left time.Duration) bool
+	Made(s faultrules.Strike, left time.Duration) bool
 	// Struck records what became of one that was made, Unmade of one that never was and won't be.
-	Struck(q bane.Request, s bane.Strike, outcome string)
-	Unmade(q bane.Request, s bane.Strike, outcome string)
+	Struck(q faultrules.Request, s faultrules.Strike, outcome string)
+	Unmade(q faultrules.Request, s faultrules.Strike, outcome string)
 }
 
 const (
@@ -39,8 +39,8 @@
 	l     *lane
 	id    string
 	r     *routing.Request
-	q     bane.Request
-	s     bane.Strike
+	q     faultrules.Request
+	s     faultrules.Strike
 	whole time.Duration // that the route gives a request
 	from  time.Duration // when it was struck
 	uses  atomic.Int32  // who needs its place among those held
@@ -66,7 +66,7 @@
 		return false
 	}
 	b := &blow{p: p, ctx: ctx, l: l, id: id, r: r, whole: whole,
-		q: bane.Request{ID: id, Tenant: r.Customer, Route: route, Method: string(ctx.Method())}}
+		q: faultrules.Request{ID: id, Tenant: r.Customer, Route: route, Method: string(ctx.Method())}}
 	b.stay()
 	defer b.leave()
 	var hit bool
@@ -74,7 +74,7 @@
 		return false
 	}
 	b.from = p.opt.Now()
-	if b.s.Kind == bane.Double {
+	if b.s.Kind == faultrules.Double {
 		b.double()
 		return true
 	}
@@ -83,11 +83,11 @@
 		return false
 	}
 	switch b.s.Kind {
-	case bane.Delay:
+	case faultrules.Delay:
 		b.delay()
-	case bane.VanishBefore:
+	case faultrules.VanishBefore:
 		b.silence("never ran")
-	case bane.VanishAfter:
+	case faultrules.VanishAfter:
 		b.silence(ran(b.await()))
 	}
 	return true
--- a/internal/shuttle/fault_test.go
+++ b/internal/shuttle/fault_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"asterwell/choice"
-	"asterwell/internal/bane"
 	"asterwell/internal/creed"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/seam"
 	"asterwell/internal/transport"
 )
@@ -65,18 +65,18 @@
 
 // always strikes every request of ship-1 alike.
 type always struct {
-	strike bane.Strike
+	strike faultrules.Strike
 	told   chan string
 	never  atomic.Bool // nothing gets on record
 }
 
 func (a *always) On() bool { return true }
-func (a *always) Strike(q bane.Request, _ time.Duration) (bane.Strike, bool) {
+func (a *always) Strike(q faultrules.Request, _ time.Duration) (faultrules.Strike, bool) {
 	return a.strike, q.Tenant == "ship-1"
 }
-func (a *always) Made(bane.Strike, time.Duration) bool              { return !a.never.Load() }
-func (a *always) Unmade(q bane.Request, s bane.Strike, what string) { a.Struck(q, s, what) }
-func (a *always) Struck(_ bane.Request, _ bane.Strike, what string) { a.told <- what }
+func (a *always) Made(faultrules.Strike, time.Duration) bool                    { return !a.never.Load() }
+func (a *always) Unmade(q faultrules.Request, s faultrules.Strike, what string) { a.Struck(q, s, what) }
+func (a *always) Struck(_ faultrules.Request, _ faultrules.Strike, what string) { a.told <- what }
 
 // pause is the machine's world, but for requests that a rule holds: as long as it is locked, their time
 // doesn't end. So what is answered meanwhile has waited for none of them, however busy the machine is.
@@ -104,7 +104,7 @@
 	servers []Server
 }
 
-func newStage(t *testing.T, s bane.Strike, more ...func(*Options)) *stage {
+func newStage(t *testing.T, s faultrules.Strike, more ...func(*Options)) *stage {
 	c, err := creed.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -170,18 +170,18 @@
 // another tenant's requests, on connections of their own, are as ever.
 func TestEffects(t *testing.T) {
 	for _, c := range []struct {
-		strike       bane.Strike
+		strike       faultrules.Strike
 		status, runs int
 		body         string
 		least        time.Duration
 		told         string
 		within       string // its deadline, in ms
 	}{
-		{bane.Strike{Kind: bane.Delay, Delay: 150 * time.Millisecond}, 200, 1, "id 1 b", 150 * time.Millisecond, "delayed", "3000"},
-		{bane.Strike{Kind: bane.Delay, Delay: time.Minute}, 504, 0, "", 400 * time.Millisecond, "never ran", "400"},
-		{bane.Strike{Kind: bane.VanishBefore}, 504, 0, "", 400 * time.Millisecond, "never ran", "400"},
-		{bane.Strike{Kind: bane.VanishAfter}, 504, 1, "", 400 * time.Millisecond, "ran", "400"},
-		{bane.Strike{Kind: bane.Double}, 200, 2, "id 1 b", 0, "ran twice", "3000"},
+		{faultrules.Strike{Kind: faultrules.Delay, Delay: 150 * time.Millisecond}, 200, 1, "id 1 b", 150 * time.Millisecond, "delayed", "3000"},
+		{faultrules.Strike{Kind: faultrules.Delay, Delay: time.Minute}, 504, 0, "", 400 * time.Millisecond, "never ran", "400"},
+		{faultrules.Strike{Kind: faultrules.VanishBefore}, 504, 0, "", 400 * time.Millisecond, "never ran", "400"},
+		{faultrules.Strike{Kind: faultrules.VanishAfter}, 504, 1, "", 400 * time.Millisecond, "ran", "400"},
+		{faultrules.Strike{Kind: faultrules.Double}, 200, 2, "id 1 b", 0, "ran twice", "3000"},
 	} {
 		t.Run(string(c.strike.Kind)+c.told, func(t *testing.T) {
 			t.Parallel()
@@ -222,7 +222,7 @@
 
 // TestDoubleQuota: the second takes from the caller's own quota, or isn't sent.
 func TestDoubleQuota(t *testing.T) {
-	g := newStage(t, bane.Strike{Kind: bane.Double})
+	g := newStage(t, faultrules.Strike{Kind: faultrules.Double})
 	left := 1
 	g.quota = func(string) bool { left--; return left >= 0 }
 	status, _, _ := g.ask(t, &http.Client{}, "k1", "id", "b")
@@ -236,7 +236,7 @@
 
 // TestClientLeaves: a held request ends with its client.
 func TestClientLeaves(t *testing.T) {
-	g := newStage(t, bane.Strike{Kind: bane.Delay, Delay: 2 * time.Second})
+	g := newStage(t, faultrules.Strike{Kind: faultrules.Delay, Delay: 2 * time.Second})
 	c, err := net.Dial("tcp", strings.TrimSuffix(strings.TrimPrefix(g.url, "http://"), "/x"))
 	if err != nil {
 		t.Fatal(err)
@@ -254,8 +254,8 @@
 
 // TestOffRecord: what can't be put on record isn't made, and the request goes its way.
 func TestOffRecord(t *testing.T) {
-	for _, kind := range []bane.Kind{bane.Delay, bane.VanishBefore, bane.VanishAfter, bane.Double} {
-		g := newStage(t, bane.Strike{Kind: kind, Delay: time.Minute})
+	for _, kind := range []faultrules.Kind{faultrules.Delay, faultrules.VanishBefore, faultrules.VanishAfter, faultrules.Double} {
+		g := newStage(t, faultrules.Strike{Kind: kind, Delay: time.Minute})
 		g.f.never.Store(true)
 		status, body, _ := g.ask(t, &http.Client{}, "k1", "id", "b", "X-Deadline-Ms", "2000")
 		if what := g.told(); status != 200 || body != "id 1 b" || !strings.HasPrefix(what, "not made") {
@@ -270,7 +270,7 @@
 // TestKeyPassedOn: a key goes to another tenant, or to nobody, while its last owner's requests are
 // held. The rule follows the name.
 func TestKeyPassedOn(t *testing.T) {
-	g := newStage(t, bane.Strike{Kind: bane.Delay, Delay: 300 * time.Millisecond})
+	g := newStage(t, faultrules.Strike{Kind: faultrules.Delay, Delay: 300 * time.Millisecond})
 	g.pause.Lock()
 	adopt := func(epoch, ship1, ship10 string) {
 		c, err := creed.Parse([]byte(strings.NewReplacer("00000001", epoch, `["k1"]`, ship1, `["k10"]`, ship10).Replace(text)))
@@ -314,7 +314,7 @@
 // TestHeld: as many are held as may be, with their clients there or gone; others don't notice, and
 // the next ones of the struck tenant go free.
 func TestHeld(t *testing.T) {
-	g := newStage(t, bane.Strike{Kind: bane.Delay, Delay: 1500 * time.Millisecond})
+	g := newStage(t, faultrules.Strike{Kind: faultrules.Delay, Delay: 1500 * time.Millisecond})
 	addr := strings.TrimSuffix(strings.TrimPrefix(g.url, "http://"), "/x")
 	before := runtime.NumGoroutine()
 	most := int(g.plane.mayHold())
@@ -367,7 +367,7 @@
 
 // TestLongBody: bodies that stream are doubled whole, as far as there is room for copies of them.
 func TestLongBody(t *testing.T) {
-	g := newStage(t, bane.Strike{Kind: bane.Double})
+	g := newStage(t, faultrules.Strike{Kind: faultrules.Double})
 	long := strings.Repeat("nomination ", 300_000) // 3.3 MB
 	sum := fmt.Sprintf("%d %x", len(long), sha256.Sum256([]byte(long)))
 	for _, length := range []int64{int64(len(long)), -1} {
--- a/internal/shuttle/front_test.go
+++ b/internal/shuttle/front_test.go
@@ -5,13 +5,13 @@
 	"strconv"
 	"testing"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 )
 
 // A gateway that has left for long promises that what still comes has not run: it
 // could not wait for its answer.
 func TestClosing(t *testing.T) {
-	g := newStage(t, bane.Strike{})
+	g := newStage(t, faultrules.Strike{})
 	if status, _, _ := g.ask(t, http.DefaultClient, "k10", "before", "x"); status != http.StatusOK {
 		t.Fatalf("before: %d", status)
 	}
@@ -25,7 +25,7 @@
 // A request for a service without a server is not counted against its tenant's quota: it has
 // not run, and will be asked again.
 func TestNoServer(t *testing.T) {
-	g := newStage(t, bane.Strike{})
+	g := newStage(t, faultrules.Strike{})
 	counted := 0
 	g.quota = func(string) bool { counted++; return counted <= 1 }
 	g.plane.Serve(nil)
@@ -44,7 +44,7 @@
 
 // A request has one name at most: two would leave open whose its answer is.
 func TestNames(t *testing.T) {
-	g := newStage(t, bane.Strike{})
+	g := newStage(t, faultrules.Strike{})
 	ask := func(names ...string) int {
 		r, _ := http.NewRequest("GET", g.url, nil)
 		r.Host = "toy.example"
--- a/internal/shuttle/gate_test.go
+++ b/internal/shuttle/gate_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/policy"
 	"asterwell/internal/rollout"
 )
 
 // Without a lease effectful requests are refused, and pure ones where the rules want it.
 func TestGate(t *testing.T) {
-	g := newStage(t, bane.Strike{})
+	g := newStage(t, faultrules.Strike{})
 	lease := policy.Lease{Version: 1, Until: 10 * time.Hour}
 	write := g.url
 	read := strings.TrimSuffix(g.url, "x") + "look"
--- a/internal/shuttle/lane_test.go
+++ b/internal/shuttle/lane_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/choice"
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/routing"
 )
 
@@ -20,7 +20,7 @@
 // A stream that comes when its request has been answered is given up: nobody else would ever
 // read it, and its connection would stay open for good.
 func TestLateStream(t *testing.T) {
-	g := newStage(t, bane.Strike{})
+	g := newStage(t, faultrules.Strike{})
 	l, late := (*g.plane.lanes.Load())["toy"], &closable{}
 	resp := fasthttp.AcquireResponse()
 	resp.SetBodyStream(late, -1)
--- a/internal/shuttle/times_test.go
+++ b/internal/shuttle/times_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/protocol"
 )
 
 // A request that was served came to each stage, one after the other.
 func TestTimes(t *testing.T) {
 	got := make(chan [protocol.Stages]int64, 1)
-	g := newStage(t, bane.Strike{}, func(o *Options) {
+	g := newStage(t, faultrules.Strike{}, func(o *Options) {
 		o.Faults = nil // what a fault rule strikes goes another way
 		o.Times = func(id string, times *protocol.Times) {
 			if id == "one" {
--- a/internal/weave/faults.go
+++ b/internal/weave/faults.go
@@ -9,15 +9,15 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 )
 
 // What the loop is told of fault rules.
 type (
 	ruled struct {
 		call uint64
-		op   bane.Op
-		doc  bane.Doc
+		op   faultrules.Op
+		doc  faultrules.Doc
 	}
 	rulesWritten struct{ seq uint64 }
 	short        struct{} // requests wait for strikes
@@ -33,7 +33,7 @@
 		return
 	}
 	body := append([]byte(nil), ctx.PostBody()...)
-	set, err := bane.Parse(body, p.longest())
+	set, err := faultrules.Parse(body, p.longest())
 	if err == nil {
 		known := func() error {
 			t := p.plane.Table()
@@ -55,12 +55,12 @@
 		ctx.Error(err.Error()+"\n", http.StatusBadRequest)
 		return
 	}
-	p.rule(ctx, bane.OpPut, bane.Doc{Version: set.Version, Body: body})
+	p.rule(ctx, faultrules.OpPut, faultrules.Doc{Version: set.Version, Body: body})
 }
 
 func (p *Process) getFaults(ctx *fasthttp.RequestCtx, _ string) {
 	if !p.noFaults(ctx) {
-		p.rule(ctx, bane.OpGet, bane.Doc{})
+		p.rule(ctx, faultrules.OpGet, faultrules.Doc{})
 	}
 }
 
@@ -79,13 +79,13 @@
 		ctx.Error("path: not a version of fault rules: "+strconv.Quote(number)+"\n", http.StatusBadRequest)
 		return
 	}
-	p.rule(ctx, bane.OpStop, bane.Doc{Version: uint32(v)})
+	p.rule(ctx, faultrules.OpStop, faultrules.Doc{Version: uint32(v)})
 }
 
 // nameFaults sends a caller to the set that is kept now; if there is none, it is told so.
 func (p *Process) nameFaults(ctx *fasthttp.RequestCtx) {
-	a, _ := p.ask(func(call uint64) { p.box.Put(ruled{call, bane.OpGet, bane.Doc{}}) }).(bane.Answer)
-	if s := a.State; a.Outcome == bane.Busy || s.Version == 0 || s.Stopped {
+	a, _ := p.ask(func(call uint64) { p.box.Put(ruled{call, faultrules.OpGet, faultrules.Doc{}}) }).(faultrules.Answer)
+	if s := a.State; a.Outcome == faultrules.Busy || s.Version == 0 || s.Stopped {
 		p.ruling(ctx, a)
 		return
 	}
@@ -103,24 +103,24 @@
 }
 
 // rule makes a call, and answers with how the rules stand.
-func (p *Process) rule(ctx *fasthttp.RequestCtx, op bane.Op, doc bane.Doc) {
-	a, _ := p.ask(func(call uint64) { p.box.Put(ruled{call, op, doc}) }).(bane.Answer)
+func (p *Process) rule(ctx *fasthttp.RequestCtx, op faultrules.Op, doc faultrules.Doc) {
+	a, _ := p.ask(func(call uint64) { p.box.Put(ruled{call, op, doc}) }).(faultrules.Answer)
 	p.ruling(ctx, a)
 }
 
-func (p *Process) ruling(ctx *fasthttp.RequestCtx, a bane.Answer) {
+func (p *Process) ruling(ctx *fasthttp.RequestCtx, a faultrules.Answer) {
 	switch a.Outcome {
-	case bane.Busy:
+	case faultrules.Busy:
 		p.busy(ctx)
 		return
-	case bane.Below:
+	case faultrules.Below:
 		ctx.SetStatusCode(http.StatusConflict)
-	case bane.Absent: // which is no promise that it won't come
+	case faultrules.Absent: // which is no promise that it won't come
 		ctx.Error("no such set was accepted\n", http.StatusNotFound)
 		return
 	}
 	body, err := json.Marshal(struct {
-		bane.State
+		faultrules.State
 		LeaseMs int64
 		Set     json.RawMessage `json:",omitempty"`
 	}{a.State, a.State.Lease.Milliseconds(), a.State.Body})
--- a/internal/weave/strikes.go
+++ b/internal/weave/strikes.go
@@ -10,7 +10,7 @@
 	"github.com/apex/log"
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/shuttle"
 )
 
@@ -61,19 +61,19 @@
 }
 
 // Strike judges a request, and waits where it was drawn and no strike is here yet.
-func (b *ban) Strike(q bane.Request, left time.Duration) (bane.Strike, bool) {
+func (b *ban) Strike(q faultrules.Request, left time.Duration) (faultrules.Strike, bool) {
 	p := b.p
 	at := time.Now()
 	q.At = at.UnixMilli()
 	s, v := p.judge.Strike(p.now(), q)
-	for end := p.now() + min(partWait, left/2); v == bane.Short && p.now() < end; {
+	for end := p.now() + min(partWait, left/2); v == faultrules.Short && p.now() < end; {
 		leave := p.judge.Queue(s.Rule)
 		b.hurry()
 		time.Sleep(partLook)
 		s, v = p.judge.Strike(p.now(), q)
 		leave()
 	}
-	if v != bane.Hit {
+	if v != faultrules.Hit {
 		return s, false
 	}
 	b.hurry()
@@ -87,37 +87,37 @@
 }
 
 // Made waits until the strike is on record.
-func (b *ban) Made(s bane.Strike, left time.Duration) bool {
+func (b *ban) Made(s faultrules.Strike, left time.Duration) bool {
 	p := b.p
 	for end := p.now() + min(partWait, left/2); ; time.Sleep(partLook) {
 		switch v := p.judge.Made(p.now(), s); {
-		case v == bane.Hit:
+		case v == faultrules.Hit:
 			return true
-		case v == bane.Pass, p.now() >= end:
+		case v == faultrules.Pass, p.now() >= end:
 			return false
 		}
 		b.hurry()
 	}
 }
 
-func (b *ban) line(q bane.Request, s bane.Strike, outcome string) strike {
+func (b *ban) line(q faultrules.Request, s faultrules.Strike, outcome string) strike {
 	return strike{At: time.UnixMilli(q.At), Rule: s.Rule, Effect: string(s.Kind), Tenant: q.Tenant, Route: q.Route, Method: q.Method, ID: q.ID,
 		DelayMs: s.Delay.Seconds() * 1000, Node: b.p.set.NodeName, Outcome: outcome, Life: b.life, Seq: s.Seq}
 }
 
 // Struck records what became of a strike.
-func (b *ban) Struck(q bane.Request, s bane.Strike, outcome string) {
+func (b *ban) Struck(q faultrules.Request, s faultrules.Strike, outcome string) {
 	b.p.judge.Struck(s, q, outcome)
 	b.came(q, s, outcome)
 }
 
 // Unmade records a strike that was not made, and gives it back.
-func (b *ban) Unmade(q bane.Request, s bane.Strike, outcome string) {
+func (b *ban) Unmade(q faultrules.Request, s faultrules.Strike, outcome string) {
 	b.p.judge.Unmade(s, q, outcome)
 	b.came(q, s, outcome)
 }
 
-func (b *ban) came(q bane.Request, s bane.Strike, outcome string) {
+func (b *ban) came(q faultrules.Request, s faultrules.Strike, outcome string) {
 	b.p.say.WithFields(log.Fields{"rule": s.Rule, "effect": s.Kind, "tenant": q.Tenant, "route": q.Route, "id": q.ID,
 		"outcome": outcome}).Info("struck")
 	b.mu.Lock()
--- a/internal/weave/tape.go
+++ b/internal/weave/tape.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/vault"
 )
 
@@ -31,16 +31,16 @@
 }
 
 type taped struct {
-	bane.Disk
-	Full uint64       `cbor:"3,keyasint,omitempty"` // pages that were ever filled
-	Tail []bane.Entry `cbor:"4,keyasint,omitempty"` // the page after them
+	faultrules.Disk
+	Full uint64             `cbor:"3,keyasint,omitempty"` // pages that were ever filled
+	Tail []faultrules.Entry `cbor:"4,keyasint,omitempty"` // the page after them
 }
 
 func page(n uint64) string { return fmt.Sprintf("strikes-%d", n%pages) }
 
 // keptRules reads what is on disk. A state that lost anything counts for nothing; the record is
 // only for people.
-func (p *Process) keptRules(sound bool) *bane.Disk {
+func (p *Process) keptRules(sound bool) *faultrules.Disk {
 	if p.vault == nil {
 		return nil
 	}
@@ -58,7 +58,7 @@
 	if err != nil || !sound {
 		return nil
 	}
-	return &bane.Disk{Promised: d.Promised, Kept: d.Kept}
+	return &faultrules.Disk{Promised: d.Promised, Kept: d.Kept}
 }
 
 // writeRules syncs fault rules, the newest of what has come, with all notes for the record.
@@ -69,7 +69,7 @@
 			continue
 		}
 		last := all[len(all)-1]
-		var notes []bane.Entry
+		var notes []faultrules.Entry
 		for _, w := range all {
 			notes = append(notes, w.Notes...)
 		}
@@ -93,7 +93,7 @@
 }
 
 // add takes what is to be kept, and returns what to save, in this order.
-func (t *tape) add(d bane.Disk, notes []bane.Entry) (save []toSave) {
+func (t *tape) add(d faultrules.Disk, notes []faultrules.Entry) (save []toSave) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.disk.Disk = d
@@ -101,20 +101,20 @@
 	for len(t.disk.Tail) >= pageNotes {
 		save = append(save, toSave{page(t.disk.Full), t.disk.Tail[:pageNotes]})
 		t.disk.Full++
-		t.disk.Tail = append([]bane.Entry(nil), t.disk.Tail[pageNotes:]...)
+		t.disk.Tail = append([]faultrules.Entry(nil), t.disk.Tail[pageNotes:]...)
 	}
 	return append(save, toSave{rulesKept, t.disk})
 }
 
 // all reads the record, the oldest first.
-func (t *tape) all() (all []bane.Entry) {
+func (t *tape) all() (all []faultrules.Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.vault == nil {
 		return nil
 	}
 	for n := t.disk.Full - min(t.disk.Full, pages); n < t.disk.Full; n++ {
-		var some []bane.Entry
+		var some []faultrules.Entry
 		data, err := t.vault.Load(page(n))
 		if errors.Is(err, fs.ErrNotExist) || cbor.Unmarshal(data, &some) != nil {
 			continue // damaged, or not written yet; others have it
--- a/internal/weave/tape_test.go
+++ b/internal/weave/tape_test.go
@@ -7,7 +7,7 @@
 	"github.com/apex/log/handlers/discard"
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/vault"
 )
 
@@ -25,7 +25,7 @@
 func TestTape(t *testing.T) {
 	dir := t.TempDir()
 	p, v := reopened(t, dir)
-	old, _ := cbor.Marshal(bane.Disk{Promised: bane.Term{N: 7}, Kept: bane.Record{Seq: 9}})
+	old, _ := cbor.Marshal(faultrules.Disk{Promised: faultrules.Term{N: 7}, Kept: faultrules.Record{Seq: 9}})
 	if err := v.Save(rulesKept, old); err != nil {
 		t.Fatal(err)
 	}
@@ -36,10 +36,10 @@
 			t.Fatal("start", start, "with", d)
 		}
 		for range 50 {
-			var notes []bane.Entry
+			var notes []faultrules.Entry
 			for range 30 {
 				seq++
-				notes = append(notes, bane.Entry{Node: "n1", Life: 3, Note: bane.Note{Seq: seq}})
+				notes = append(notes, faultrules.Entry{Node: "n1", Life: 3, Note: faultrules.Note{Seq: seq}})
 			}
 			for _, r := range p.tape.add(*d, notes) {
 				data, err := cbor.Marshal(r.value)
--- a/internal/weave/weave.go
+++ b/internal/weave/weave.go
@@ -20,9 +20,9 @@
 	"golang.org/x/sys/unix"
 
 	"asterwell/internal/actor"
-	"asterwell/internal/bane"
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/knot"
 	"asterwell/internal/logring"
 	"asterwell/internal/mesh"
@@ -63,8 +63,8 @@
 	texts     *actor.Box[*knot.Text]     // to be read: one at a time
 	readings  *knot.Readings             // nil: nobody shares them
 	rows      *actor.Box[[]registry.Row] // the servers, to be kept
-	rules     *actor.Box[*bane.Write]
-	judge     *bane.Judge
+	rules     *actor.Box[*faultrules.Write]
+	judge     *faultrules.Judge
 	ban       *ban // nil: no fault rules
 	tape      *tape
 	heapLimit int64 // of the whole process; 0: it shares the runtime
@@ -139,7 +139,7 @@
 
 func assemble(path string, set *creed.Settings, shared Shared) (*Process, error) {
 	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: actor.NewBox[any](nil), disk: actor.NewBox[*consensus.Write](nil), texts: actor.NewBox[*knot.Text](nil), rows: actor.NewBox[[]registry.Row](nil),
-		rules: actor.NewBox[*bane.Write](nil), judge: bane.NewJudge(), tape: &tape{},
+		rules: actor.NewBox[*faultrules.Write](nil), judge: faultrules.NewJudge(), tape: &tape{},
 		self: meshAddr(set.IpAddr, set)}
 	p.ring = logring.NewRing(shared.Log, set.NodeName, 256, log.InfoLevel)
 	p.say = &log.Logger{Handler: p.ring, Level: log.DebugLevel}
--- a/internal/yarn/bug.go
+++ b/internal/yarn/bug.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"asterwell/internal/bane"
 	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/knot"
 	"asterwell/internal/registry"
 	"asterwell/internal/toll"
@@ -65,15 +65,15 @@
 	case Unmet:
 		return knot.Bugs{Unmet: true}
 	case Unasked:
-		return knot.Bugs{Bane: bane.Unconfirmed}
+		return knot.Bugs{Bane: faultrules.Unconfirmed}
 	case Numberless:
-		return knot.Bugs{Bane: bane.Numberless}
+		return knot.Bugs{Bane: faultrules.Numberless}
 	case Uncalled:
 		return knot.Bugs{Cede: cede.Hasty}
 	case Outdated:
 		return knot.Bugs{Cede: cede.Stale}
 	case Unfenced:
-		return knot.Bugs{Bane: bane.Unfenced}
+		return knot.Bugs{Bane: faultrules.Unfenced}
 	}
 	return knot.Bugs{}
 }
--- a/internal/yarn/faults.go
+++ b/internal/yarn/faults.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/bane"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/knot"
 )
 
@@ -18,18 +18,18 @@
 	till   time.Duration // writes come in their order
 }
 
-func (p *proc) openRules() *bane.Disk {
+func (p *proc) openRules() *faultrules.Disk {
 	if p.rules.synced == nil {
 		return nil
 	}
-	kept := &bane.Disk{}
+	kept := &faultrules.Disk{}
 	if err := cbor.Unmarshal(p.rules.synced, kept); err != nil {
 		panic(err)
 	}
 	return kept
 }
 
-func (p *proc) keepRules(wr *bane.Write) {
+func (p *proc) keepRules(wr *faultrules.Write) {
 	w, life := p.w, p.life
 	data, err := cbor.Marshal(wr.Disk)
 	if err != nil {
@@ -51,29 +51,29 @@
 }
 
 // rule makes a call for fault rules at a process, and goes on elsewhere until it is answered.
-func (w *world) rule(op bane.Op, version uint32, p *proc, tries int) {
-	doc := bane.Doc{Version: version}
-	if op == bane.OpPut {
-		doc.Body, _ = json.Marshal(bane.Set{Version: version, By: "op", Why: "exercise", Rules: []bane.Rule{{Name: "r", Tenant: "t1", Share: 1,
-			Effect: bane.VanishBefore, EndsS: 300, Budget: 1000}}})
+func (w *world) rule(op faultrules.Op, version uint32, p *proc, tries int) {
+	doc := faultrules.Doc{Version: version}
+	if op == faultrules.OpPut {
+		doc.Body, _ = json.Marshal(faultrules.Set{Version: version, By: "op", Why: "exercise", Rules: []faultrules.Rule{{Name: "r", Tenant: "t1", Share: 1,
+			Effect: faultrules.VanishBefore, EndsS: 300, Budget: 1000}}})
 	}
 	floor := w.ruling.told
 	w.call(p, far, func(id uint64) knot.Out { return p.k.Rule(p.clock(), id, op, doc) }, func(v any) {
-		a, _ := v.(bane.Answer)
+		a, _ := v.(faultrules.Answer)
 		switch a.Outcome {
-		case bane.Busy:
+		case faultrules.Busy:
 			if tries > 1 {
 				all := w.listed()
 				w.after(200*ms, func() { w.rule(op, version, all[w.rng.IntN(len(all))], tries-1) })
 			}
 			return
-		case bane.Read:
+		case faultrules.Read:
 			w.stats.Reads++
-		case bane.Below:
+		case faultrules.Below:
 			if !w.ruling.higher(version) {
 				w.breaks("REFUSED", "%s refuses fault rules %d, and no others were sent", p.name, version)
 			}
-		case bane.Done:
+		case faultrules.Done:
 			w.note("%s: fault rules %d acknowledged, turn %d", p.name, version, a.State.Turn)
 			w.ruling.told = max(w.ruling.told, a.State.Turn)
 		}
--- a/internal/yarn/script.go
+++ b/internal/yarn/script.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"asterwell/internal/bane"
 	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
+	"asterwell/internal/faultrules"
 	"asterwell/internal/knot"
 	"asterwell/internal/toll"
 )
@@ -56,7 +56,7 @@
 		{"drain P", func(w *world, a *args) error { return w.each(a, "", func(p *proc) { w.drain(p, cede.Start) }, nil) }},
 		{"undrain P", func(w *world, a *args) error { return w.each(a, "", func(p *proc) { w.drain(p, cede.Stop) }, nil) }},
 		{"readrules P", func(w *world, a *args) error {
-			return w.each(a, "", func(p *proc) { w.rule(bane.OpGet, 0, p, 1) }, nil)
+			return w.each(a, "", func(p *proc) { w.rule(faultrules.OpGet, 0, p, 1) }, nil)
 		}},
 		{"prove P", func(w *world, a *args) error { return w.each(a, "", w.prove, nil) }},
 		{"poll P EVERY for TIME", (*world).doPoll},
@@ -531,7 +531,7 @@
 		w.after(at, func() {
 			for _, p := range all {
 				w.read(p)
-				w.rule(bane.OpGet, 0, p, 1)
+				w.rule(faultrules.OpGet, 0, p, 1)
 				w.prove(p)
 			}
 		})
@@ -561,7 +561,7 @@
 	if w.ruling.sent[v] = true; named {
 		a.words = append(a.words, "at", at)
 	}
-	return w.doRule(a, bane.OpPut, v)
+	return w.doRule(a, faultrules.OpPut, v)
 }
 
 func (w *world) doStopRules(a *args) error {
@@ -569,10 +569,10 @@
 	if of, ok := a.after("of"); ok {
 		v = (&args{words: []string{of}}).version()
 	}
-	return w.doRule(a, bane.OpStop, v)
+	return w.doRule(a, faultrules.OpStop, v)
 }
 
-func (w *world) doRule(a *args, op bane.Op, version uint32) error {
+func (w *world) doRule(a *args, op faultrules.Op, version uint32) error {
 	at := w.at(a)
 	if a.err != nil {
 		return a.err
