--- a/internal/knot/knot.go
+++ b/internal/knot/knot.go
@@ -16,9 +16,9 @@
 	"asterwell/internal/faultrules"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
+	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
 	"asterwell/internal/rollout"
-	"asterwell/internal/toll"
 )
 
 // Config is what a process knows about itself.
@@ -37,11 +37,11 @@
 	Bugs       Bugs
 }
 
-// Meter is what a Knot tells a *toll.Meter. Requests are metered beside the loop, so
+// Meter is what a Knot tells a *quotas.Meter. Requests are metered beside the loop, so
 // that the user may have put a lock round it.
 type Meter interface {
 	Nodes(now plane.Time, gateways int, holders []string)
-	Enter(now plane.Time, r *toll.Roster)
+	Enter(now plane.Time, r *quotas.Roster)
 	Take(now plane.Time, from string, msg any) []plane.Send
 	Tick(now plane.Time) []plane.Send
 	Mute(now plane.Time, holder string) bool // it leaves adds unanswered
@@ -85,7 +85,7 @@
 	accord  *rollout.Machine
 	prepare uint64 // what is prepared is on disk with that write; 0: it is
 	meter   Meter
-	counter *toll.Counter
+	counter *quotas.Counter
 	bane    *faultrules.Machine
 	cede    *cede.Machine
 	round   map[string]*detour // to holders
@@ -115,7 +115,7 @@
 // New starts a process. A nil disk is an empty one, or none.
 func New(c Config, meter Meter, disk *consensus.Disk, now plane.Time) *Knot {
 	k := &Knot{
-		self: c.Self, meter: meter, bane: c.faults(now), counter: toll.NewCounter(c.Self, c.Life), round: map[string]*detour{},
+		self: c.Self, meter: meter, bane: c.faults(now), counter: quotas.NewCounter(c.Self, c.Life), round: map[string]*detour{},
 		bond: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.Control, Member: c.Member,
 			Life: c.Life}, c.Seeds, c.Seed, now),
 		lore:   registry.New(c.Self, c.Zone, c.Heartbeat, c.Seed, now),
@@ -148,7 +148,7 @@
 	case of == ofKnot:
 		k.via(now, from, msg.(Via))
 	case of == ofToll:
-		if a, ok := msg.(toll.Answer); ok && !a.Ask {
+		if a, ok := msg.(quotas.Answer); ok && !a.Ask {
 			if d := k.round[from]; d != nil {
 				d.straight(a)
 			}
--- a/internal/knot/life_test.go
+++ b/internal/knot/life_test.go
@@ -7,8 +7,8 @@
 
 	"asterwell/internal/consensus"
 	"asterwell/internal/plane"
+	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
-	"asterwell/internal/toll"
 )
 
 // pair is two processes: one with a disk, and one that has calls made at it.
@@ -21,7 +21,7 @@
 
 func (p *pair) start(addr string, life uint64) {
 	p.knots[addr] = New(Config{Self: addr, Name: addr, Zone: "z", Control: addr, Member: addr == "disk", Genesis: true, Heartbeat: time.Second,
-		Seeds: []string{"disk", "calls"}, Life: life, Seed: life}, toll.NewMeter(addr, life, life), nil, p.now)
+		Seeds: []string{"disk", "calls"}, Life: life, Seed: life}, quotas.NewMeter(addr, life, life), nil, p.now)
 }
 
 func (p *pair) carry(from string, out Out) {
--- a/internal/knot/message_test.go
+++ b/internal/knot/message_test.go
@@ -7,9 +7,9 @@
 	"asterwell/internal/consensus"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/memberlist"
+	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
 	"asterwell/internal/rollout"
-	"asterwell/internal/toll"
 )
 
 // The kinds in the answer of GET /api/frames, with the message that each one counts.
@@ -72,8 +72,8 @@
 		{consensus.Void{}, "pact.Void"},
 	},
 	{
-		{toll.Add{}, "toll.Add"},
-		{toll.Answer{}, "toll.Answer"},
+		{quotas.Add{}, "toll.Add"},
+		{quotas.Answer{}, "toll.Answer"},
 	},
 	{
 		{Via{}, "knot.Via"},
--- a/internal/knot/text.go
+++ b/internal/knot/text.go
@@ -6,7 +6,7 @@
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/plane"
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
 // A configuration of some MB takes longer to read than a beat may wait. So it is read beside the loop: Out.Text is for the
@@ -24,7 +24,7 @@
 type Reading struct {
 	text    Text
 	table   *creed.Table // nil: it can't be in force here
-	roster  *toll.Roster
+	roster  *quotas.Roster
 	rollout creed.Rollout
 	err     error
 }
@@ -44,13 +44,13 @@
 		r.rollout = *c.Rollout
 	}
 	r.table = c.Table()
-	limits := map[string]toll.Limit{}
+	limits := map[string]quotas.Limit{}
 	for _, tenant := range r.table.Tenants() {
 		if tenant.Rate > 0 {
-			limits[tenant.Name] = toll.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
+			limits[tenant.Name] = quotas.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 		}
 	}
-	r.roster = toll.NewRoster(limits)
+	r.roster = quotas.NewRoster(limits)
 	return r
 }
 
--- a/internal/knot/text_test.go
+++ b/internal/knot/text_test.go
@@ -12,7 +12,7 @@
 	"asterwell/internal/consensus"
 	"asterwell/internal/knot"
 	"asterwell/internal/plane"
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 	"asterwell/internal/yarn"
 )
 
@@ -110,7 +110,7 @@
 	c := &core{now: time.Hour, names: []string{"a", "b", "c"}, waiting: map[int]int{}, adopted: map[int][]uint32{}}
 	for i, name := range c.names {
 		c.knots = append(c.knots, knot.New(knot.Config{Self: name, Name: name, Zone: name, Control: name, Member: true, Genesis: true, Losses: 1,
-			Heartbeat: time.Second, Seeds: c.names, Life: uint64(i + 1), Seed: uint64(i + 1)}, toll.NewMeter(name, 1, 1), nil, c.now))
+			Heartbeat: time.Second, Seeds: c.names, Life: uint64(i + 1), Seed: uint64(i + 1)}, quotas.NewMeter(name, 1, 1), nil, c.now))
 	}
 	c.run(5*time.Second, true)
 	return c
--- a/internal/knot/via.go
+++ b/internal/knot/via.go
@@ -9,7 +9,7 @@
 	"asterwell/internal/cede"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
 // Via carries a meter's add past a cut: to a counter's holder, or its answer back,
@@ -17,13 +17,13 @@
 // holders alone passes its even share on top of all that the others pass. A holder's
 // question for a sign of life goes the same way.
 type Via struct {
-	From   string       `cbor:"1,keyasint"`
-	To     string       `cbor:"2,keyasint"`
-	By     string       `cbor:"3,keyasint,omitempty"`
-	Add    *toll.Add    `cbor:"4,keyasint,omitempty"`
-	Answer *toll.Answer `cbor:"5,keyasint,omitempty"`
-	Ask    bool         `cbor:"6,keyasint,omitempty"`
-	Drain  *cede.Word   `cbor:"7,keyasint,omitempty"` // straight; a program of the version before takes no notice
+	From   string         `cbor:"1,keyasint"`
+	To     string         `cbor:"2,keyasint"`
+	By     string         `cbor:"3,keyasint,omitempty"`
+	Add    *quotas.Add    `cbor:"4,keyasint,omitempty"`
+	Answer *quotas.Answer `cbor:"5,keyasint,omitempty"`
+	Ask    bool           `cbor:"6,keyasint,omitempty"`
+	Drain  *cede.Word     `cbor:"7,keyasint,omitempty"` // straight; a program of the version before takes no notice
 }
 
 // detour is a way round to one holder.
@@ -46,7 +46,7 @@
 }
 
 // straight ends a way round: its end has answered by itself.
-func (d *detour) straight(a toll.Answer) {
+func (d *detour) straight(a quotas.Answer) {
 	d.by, d.till = "", 0
 	if stamp, ok := a.Stamped(); ok {
 		d.answered = max(d.answered, stamp)
@@ -55,7 +55,7 @@
 
 // open takes a way that an answer has come by, if that add, or a later one, wasn't answered straight too: else each way
 // would keep itself open, since while there is one each add goes both ways.
-func (d *detour) open(now plane.Time, by string, a toll.Answer) {
+func (d *detour) open(now plane.Time, by string, a quotas.Answer) {
 	if stamp, ok := a.Stamped(); ok && stamp > d.answered {
 		d.by, d.till = by, now+detourFor
 	}
@@ -77,7 +77,7 @@
 	adds := k.meter.Tick(now)
 	k.send(adds)
 	for _, s := range adds {
-		add, ok := s.Msg.(toll.Add)
+		add, ok := s.Msg.(quotas.Add)
 		if !ok || s.To == k.self {
 			continue
 		}
@@ -156,14 +156,14 @@
 		k.ceded(k.cede.Take(now, v.From, *v.Drain))
 	case v.Add != nil:
 		for _, s := range k.counter.Take(now, v.From, *v.Add) {
-			if a, ok := s.Msg.(toll.Answer); ok && s.To == v.From {
+			if a, ok := s.Msg.(quotas.Answer); ok && s.To == v.From {
 				s = plane.Send{To: v.By, Msg: Via{From: k.self, To: v.From, Answer: &a}}
 			}
 			k.send([]plane.Send{s})
 		}
 	case v.Ask:
-		for _, s := range k.meter.Take(now, v.From, toll.Answer{Ask: true}) {
-			if a, ok := s.Msg.(toll.Add); ok {
+		for _, s := range k.meter.Take(now, v.From, quotas.Answer{Ask: true}) {
+			if a, ok := s.Msg.(quotas.Add); ok {
 				k.send([]plane.Send{{To: v.By, Msg: Via{From: k.self, To: v.From, Add: &a}}})
 			}
 		}
--- a/internal/knot/via_test.go
+++ b/internal/knot/via_test.go
@@ -8,7 +8,7 @@
 
 	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
 // Ways round are looked for again and again, but no more often than the links bear; an
@@ -22,7 +22,7 @@
 			if d.may(now, gateways) {
 				looks++
 			}
-			d.straight(toll.Answer{})
+			d.straight(quotas.Answer{})
 		}
 		if looks < most*3/4 || looks > most || looks*gateways > 10*450 {
 			t.Errorf("%d gateways: %d looks of each in 10 s", gateways, looks)
@@ -34,11 +34,11 @@
 type unheard struct{}
 
 func (unheard) Nodes(plane.Time, int, []string)           {}
-func (unheard) Enter(plane.Time, *toll.Roster)            {}
+func (unheard) Enter(plane.Time, *quotas.Roster)          {}
 func (unheard) Take(plane.Time, string, any) []plane.Send { return nil }
 func (unheard) Mute(plane.Time, string) bool              { return true }
 func (unheard) Tick(plane.Time) []plane.Send {
-	return []plane.Send{{To: "h:1", Msg: toll.Add{Life: 1}}}
+	return []plane.Send{{To: "h:1", Msg: quotas.Add{Life: 1}}}
 }
 
 // TestStood: of a large fleet who stood still itself looks for no way round, since it is not the holder that is late; in a
@@ -75,7 +75,7 @@
 
 func (s *seldom) Mute(plane.Time, string) bool { return s.late }
 func (s *seldom) Tick(now plane.Time) []plane.Send {
-	return []plane.Send{{To: "h:1", Msg: toll.Add{Life: 1, Stamp: now}}}
+	return []plane.Send{{To: "h:1", Msg: quotas.Add{Life: 1, Stamp: now}}}
 }
 
 // TestWayCloses: a holder that was late once and answers again isn't told round for good. While a way is open
@@ -91,11 +91,11 @@
 			ways := 0
 			for i := range 40 {
 				now += 50 * time.Millisecond
-				var adds []toll.Add
+				var adds []quotas.Add
 				var round []Via
 				for _, s := range k.Tick(now).Send {
 					switch v := s.Msg.(type) {
-					case toll.Add:
+					case quotas.Add:
 						adds = append(adds, v)
 					case Via:
 						if v.Add != nil {
@@ -107,11 +107,11 @@
 				if i > 1 {
 					ways += len(round)
 				}
-				answer := func(a toll.Add) toll.Answer {
+				answer := func(a quotas.Add) quotas.Answer {
 					if brief { // flags, the life in four bytes, the period, the stamp
-						return toll.Answer{Brief: binary.AppendUvarint([]byte{0, 0, 0, 0, 1, 7}, uint64(a.Stamp))}
+						return quotas.Answer{Brief: binary.AppendUvarint([]byte{0, 0, 0, 0, 1, 7}, uint64(a.Stamp))}
 					}
-					return toll.Answer{Life: 1, Stamp: a.Stamp}
+					return quotas.Answer{Life: 1, Stamp: a.Stamp}
 				}
 				if back && i > 0 {
 					for _, a := range adds {
@@ -150,12 +150,12 @@
 		k.counter.Nodes(nodes)
 		k.counter.Tick(now)
 		for _, n := range nodes[1:] {
-			k.counter.Take(now, n, toll.Add{Life: 1, Signs: true, Near: true})
+			k.counter.Take(now, n, quotas.Add{Life: 1, Signs: true, Near: true})
 		}
 		all := map[string]bool{}
 		for range 100 {
 			now += 50 * time.Millisecond
-			k.counter.Take(now, "w:1", toll.Add{Life: 1, Near: true})
+			k.counter.Take(now, "w:1", quotas.Add{Life: 1, Near: true})
 			k.stood = c.stood
 			k.look(now, k.counter.Tick(now))
 			round := map[string]bool{}
@@ -178,7 +178,7 @@
 type wordy struct{ unheard }
 
 func (wordy) Tick(now plane.Time) []plane.Send {
-	return []plane.Send{{To: "h:1", Msg: toll.Add{Life: 1, Stamp: now, Read: true, List: 7, Packed: make([]byte, 900), Items: make([]toll.Item, 9)}}}
+	return []plane.Send{{To: "h:1", Msg: quotas.Add{Life: 1, Stamp: now, Read: true, List: 7, Packed: make([]byte, 900), Items: make([]quotas.Item, 9)}}}
 }
 
 // TestOnlyAQuestionGoesRound: of a large fleet what looks for a way round carries no items, and the add after an answer that
@@ -203,7 +203,7 @@
 				if v.Add.Life != 1 || v.Add.List != 7 || !v.Add.Read && !v.Add.Echo {
 					t.Errorf("%d gateways: %+v is answered by nobody", known, *v.Add)
 				}
-				k.Take(now, "w:1", Via{From: "h:1", To: "g:1", By: "w:1", Answer: &toll.Answer{Life: 1, Stamp: v.Add.Stamp}})
+				k.Take(now, "w:1", Via{From: "h:1", To: "g:1", By: "w:1", Answer: &quotas.Answer{Life: 1, Stamp: v.Add.Stamp}})
 			}
 		}
 		if len(sizes) != 2 || sizes[0] != first || sizes[1] != 909 {
@@ -222,7 +222,7 @@
 	for _, other := range []string{"w:1", "x:1"} {
 		k.bond.Take(now, other, memberlist.Hello{Node: memberlist.Node{Addr: other, Name: other, Zone: "z", Life: 1}})
 	}
-	k.detour("h:1").open(now, "w:1", toll.Answer{Stamp: now})
+	k.detour("h:1").open(now, "w:1", quotas.Answer{Stamp: now})
 	by := func() map[string]bool {
 		ways := map[string]bool{}
 		for range 6 {
--- a/internal/toll/doc.go
+++ b/internal/quotas/doc.go
@@ -1,4 +1,4 @@
-// Package toll holds tenants to their quotas over all gateways together.
+// Package quotas holds tenants to their quotas over all gateways together.
 //
 // A Meter stands at each gateway and decides by one TAT per tenant (GCRA), as
 // SYSTEM.md has it: test, update, others' units pushed in as they are read. A
@@ -89,4 +89,4 @@
 // to the holder that issued it, so that a holder that takes over starts a new name
 // at nothing, and sums of two holders are never measured against one another. A name
 // that a gateway was only told of, and never read, is not measured.
-package toll
+package quotas
--- a/internal/toll/pack.go
+++ b/internal/quotas/pack.go
@@ -1,4 +1,4 @@
-package toll
+package quotas
 
 import (
 	"encoding/binary"
--- a/internal/rollout/world/proc.go
+++ b/internal/rollout/world/proc.go
@@ -13,8 +13,8 @@
 	"asterwell/internal/creed"
 	"asterwell/internal/knot"
 	"asterwell/internal/plane"
+	"asterwell/internal/quotas"
 	"asterwell/internal/rollout"
-	"asterwell/internal/toll"
 )
 
 // Proc is a process, and what is left of it when it is gone.
@@ -63,7 +63,7 @@
 	seed := w.rng.Uint64()
 	p.k = knot.New(knot.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core, Genesis: !p.started,
 		Losses: 1, Heartbeat: time.Second, Seeds: []string{w.nodes[0].addr, w.nodes[1].addr, w.nodes[2].addr},
-		Life: uint64(1e12) + uint64(w.now), Seed: seed, Check: p.check}, toll.NewMeter(p.addr, uint64(p.life), seed), kept, p.clock())
+		Life: uint64(1e12) + uint64(w.now), Seed: seed, Check: p.check}, quotas.NewMeter(p.addr, uint64(p.life), seed), kept, p.clock())
 	p.started = true
 	p.k.Accord().SetBug(w.opt.Bug)
 	w.note("%s starts", p.name)
--- a/internal/weave/frames.go
+++ b/internal/weave/frames.go
@@ -14,10 +14,10 @@
 	"asterwell/internal/glass"
 	"asterwell/internal/knot"
 	"asterwell/internal/mesh"
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
-var addKind = numbers[reflect.TypeOf(toll.Add{})]
+var addKind = numbers[reflect.TypeOf(quotas.Add{})]
 
 // tally counts frames by their number on the wire.
 type tally [256]struct{ sent, bytesOut, got, bytesIn atomic.Int64 }
--- a/internal/weave/meter.go
+++ b/internal/weave/meter.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"asterwell/internal/plane"
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
 // meter is the one that requests of all connections ask beside the loop.
 type meter struct {
 	mu sync.Mutex
-	m  *toll.Meter
+	m  *quotas.Meter
 }
 
 // pass takes units of a quota, and says whether others should hear of it at once.
@@ -29,7 +29,7 @@
 	l.m.Nodes(now, gateways, holders)
 }
 
-func (l *meter) Enter(now plane.Time, r *toll.Roster) {
+func (l *meter) Enter(now plane.Time, r *quotas.Roster) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.m.Enter(now, r)
--- a/internal/weave/quotas.go
+++ b/internal/weave/quotas.go
@@ -8,11 +8,11 @@
 
 	"asterwell/internal/glass"
 	"asterwell/internal/plane"
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
 // account is what the meter's decisions went by.
-func (l *meter) account(now plane.Time) toll.Account {
+func (l *meter) account(now plane.Time) quotas.Account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.m.Account(now)
@@ -25,7 +25,7 @@
 		return glass.Quotas{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Holder: cmp.Or(name(a.Holder), a.Holder),
 			HolderChanges: a.Changes, SharesFor: a.Gateways, InTouch: a.InTouch, UnansweredMs: a.UnheardMS,
 			BehindUnits: a.Behind, BehindAnswers: a.Answers,
-			Decided: lo.Map(toll.Bases(), func(b toll.Basis, _ int) glass.Decision {
+			Decided: lo.Map(quotas.Bases(), func(b quotas.Basis, _ int) glass.Decision {
 				return glass.Decision{Basis: b.String(), Passed: a.Decided[b].Passed, Refused: a.Decided[b].Refused}
 			})}
 	})
--- a/internal/weave/shed.go
+++ b/internal/weave/shed.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"asterwell/internal/knot"
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
 // Load shedding: what gateways tell the counters of a holder is most of what comes to it, and the only thing that a
@@ -47,7 +47,7 @@
 // tells: it is an add, or takes one round to a holder or its answer back.
 func (f *frame) tells() bool {
 	switch m := f.Msg.(type) {
-	case toll.Add:
+	case quotas.Add:
 		return true
 	case knot.Via:
 		return m.Add != nil || m.Answer != nil
--- a/internal/weave/weave.go
+++ b/internal/weave/weave.go
@@ -28,10 +28,10 @@
 	"asterwell/internal/mesh"
 	"asterwell/internal/plane"
 	"asterwell/internal/protocol"
+	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
 	"asterwell/internal/seam"
 	"asterwell/internal/shuttle"
-	"asterwell/internal/toll"
 	"asterwell/internal/transport"
 	"asterwell/internal/vault"
 )
@@ -154,7 +154,7 @@
 			return nil, err
 		}
 	}
-	p.meter = &meter{m: toll.NewMeter(p.self, life, seed)}
+	p.meter = &meter{m: quotas.NewMeter(p.self, life, seed)}
 	p.knot = knot.New(knot.Config{Self: p.self, Name: set.NodeName, Zone: set.Zone, Control: set.Bind.ControlPlane,
 		Member: member, Genesis: set.Genesis && sound, Losses: set.FaultBudget.MachineLosses,
 		Heartbeat: time.Duration(set.HeartbeatMs) * time.Millisecond, Seeds: p.seeds(), Life: life, Seed: seed,
--- a/internal/yarn/bug.go
+++ b/internal/yarn/bug.go
@@ -7,8 +7,8 @@
 	"asterwell/internal/consensus"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/knot"
+	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
-	"asterwell/internal/toll"
 )
 
 // Bug is a fault put into every process, to show that the rules find it.
@@ -87,7 +87,7 @@
 		if b == Keeps {
 			return nil
 		}
-	case toll.Add:
+	case quotas.Add:
 		if b == Twice && p.life > 1 {
 			again, _ := t.Lengthen(^t.Life)
 			again.Life, again.Read, again.Echo = ^t.Life, false, false
--- a/internal/yarn/operator.go
+++ b/internal/yarn/operator.go
@@ -11,14 +11,14 @@
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
 	"asterwell/internal/knot"
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
 // order is a configuration on its way.
 type order struct {
 	version uint32
 	body    []byte
-	limits  map[string]toll.Limit
+	limits  map[string]quotas.Limit
 	sent    time.Duration
 	acked   bool
 	texts   map[string]bool // others that were sent under the number
@@ -42,7 +42,7 @@
 
 // write makes the configuration of a version.
 func (w *world) write(version uint32) *order {
-	o := &order{version: version, sent: w.now, limits: map[string]toll.Limit{}}
+	o := &order{version: version, sent: w.now, limits: map[string]quotas.Limit{}}
 	c := creed.Configuration{Epoch: fmt.Sprintf("%08x", version),
 		BoundsReq: creed.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderReadMs: 3000, KeepaliveMs: keepalive}}
 	for _, t := range w.tenants {
--- a/internal/yarn/proc.go
+++ b/internal/yarn/proc.go
@@ -9,8 +9,8 @@
 	"asterwell/internal/creed"
 	"asterwell/internal/knot"
 	"asterwell/internal/plane"
+	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
-	"asterwell/internal/toll"
 )
 
 // proc is a machine of the system, and the process on it while one runs.
@@ -24,7 +24,7 @@
 	met              time.Duration // when it last had a way to most of the core
 
 	k       *knot.Knot
-	meter   *toll.Meter
+	meter   *quotas.Meter
 	start   time.Duration
 	life    int           // counts starts
 	ended   time.Duration // when the last process on it did; 0: none has
@@ -87,7 +87,7 @@
 	if p.disk != nil {
 		kept = p.disk.open()
 	}
-	p.meter = toll.NewMeter(p.addr, life, seed)
+	p.meter = quotas.NewMeter(p.addr, life, seed)
 	p.k = knot.New(knot.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core,
 		Genesis: p.genesis, Losses: w.losses, Heartbeat: heartbeat, Seeds: w.seeds, Life: life, Seed: seed,
 		Faults: knot.Faults{Longest: longestRules, Disk: p.openRules()}, Bugs: w.bug.guards()},
@@ -242,7 +242,7 @@
 }
 
 // pass takes a unit of a tenant's quota, and says what that went by.
-func (p *proc) pass(tenant string) (bool, toll.Basis) {
+func (p *proc) pass(tenant string) (bool, quotas.Basis) {
 	ok, _ := p.meter.Pass(p.clock(), tenant, 1)
 	if p.meter.Due(p.clock()) && !p.due {
 		p.due = true
--- a/internal/yarn/quotatrace.go
+++ b/internal/yarn/quotatrace.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
 // run is one request of a tenant that a server runs: when it arrived, which process passed it, and what that
@@ -14,7 +14,7 @@
 type run struct {
 	at    time.Duration
 	by    *proc
-	basis toll.Basis
+	basis quotas.Basis
 }
 
 // explainQuota traces who passed a tenant's requests in the window that broke its bound, in spans of half a second: by
--- a/internal/yarn/script.go
+++ b/internal/yarn/script.go
@@ -11,7 +11,7 @@
 	"asterwell/internal/consensus"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/knot"
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
 // verb is a command of scripts.
@@ -341,7 +341,7 @@
 }
 
 func (w *world) doTenant(a *args) error {
-	t := &tenant{name: a.next(), limit: toll.Limit{Rate: a.number(), Burst: a.number()}, offer: a.number(), hot: 1}
+	t := &tenant{name: a.next(), limit: quotas.Limit{Rate: a.number(), Burst: a.number()}, offer: a.number(), hot: 1}
 	if a.err == nil && t.offer <= 0 {
 		a.fail("it must offer something")
 	}
@@ -389,7 +389,7 @@
 }
 
 func (w *world) doQuota(a *args) error {
-	w.tenant(a).limit = toll.Limit{Rate: a.number(), Burst: a.number()}
+	w.tenant(a).limit = quotas.Limit{Rate: a.number(), Burst: a.number()}
 	return a.err
 }
 
--- a/internal/yarn/traffic.go
+++ b/internal/yarn/traffic.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"asterwell/internal/toll"
+	"asterwell/internal/quotas"
 )
 
 // tenant is a client with a quota.
 type tenant struct {
 	name    string
-	limit   toll.Limit
+	limit   quotas.Limit
 	offer   float64 // requests a second
 	hot     float64 // times that, for a while
 	runs    []run
@@ -109,7 +109,7 @@
 }
 
 // arrives judges a request at its server.
-func (w *world) arrives(t *tenant, p *proc, s *server, basis toll.Basis) {
+func (w *world) arrives(t *tenant, p *proc, s *server, basis quotas.Basis) {
 	if s.touched && w.now > s.ackedAt+drainTime && w.inTouch(p) {
 		w.breaks("DRAIN", "%s sends to %s %v after it may leave", p.name, s.id, w.now-s.ackedAt)
 	}
@@ -134,14 +134,14 @@
 }
 
 // limit is the highest that may bind a tenant now.
-func (w *world) limit(t *tenant) toll.Limit {
+func (w *world) limit(t *tenant) quotas.Limit {
 	floor := uint32(0)
 	for v, o := range w.orders {
 		if o.binds > 0 && w.now >= o.binds+quotaSpan {
 			floor = max(floor, v)
 		}
 	}
-	var l toll.Limit
+	var l quotas.Limit
 	for v, o := range w.orders {
 		if v >= floor {
 			l.Rate, l.Burst = max(l.Rate, o.limits[t.name].Rate), max(l.Burst, o.limits[t.name].Burst)
