--- a/internal/lab/srv.go
+++ b/internal/lab/srv.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"asterwell/choice"
-	"asterwell/internal/membership"
 	"asterwell/internal/protocol"
 	"asterwell/internal/routing"
+	"asterwell/internal/serverset"
 	"asterwell/internal/standin/counter"
 	standin "asterwell/internal/standin/dns"
 	"asterwell/internal/standin/list"
@@ -458,14 +458,14 @@
 // applyCost brings 5,000 targets into a core by the membership, and then single
 // changes of the list.
 func applyCost() (apply, change time.Duration, mb float64, err error) {
-	var targets []membership.Target
-	var listed []membership.Listed
+	var targets []serverset.Target
+	var listed []serverset.Listed
 	for i := range 5000 {
-		targets = append(targets, membership.Target{Name: fmt.Sprintf("s%d.example.org.", i), Port: 80, Weight: 1,
+		targets = append(targets, serverset.Target{Name: fmt.Sprintf("s%d.example.org.", i), Port: 80, Weight: 1,
 			Addrs: []string{fmt.Sprintf("127.1.%d.%d:80", i/250, i%250)}})
 	}
 	for i := range 1000 {
-		listed = append(listed, membership.Listed{Name: fmt.Sprint("n", i), Addr: targets[i].Addrs[0],
+		listed = append(listed, serverset.Listed{Name: fmt.Sprint("n", i), Addr: targets[i].Addrs[0],
 			Member: choice.Member{Weight: 1, Zone: "a"}})
 	}
 	fleet := protocol.NewFleet(transport.PeerOptions{Connect: time.Second, Keep: transport.NewKeep(time.Second),
@@ -480,7 +480,7 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go core.Run()
-	m := membership.New(membership.Options{RemovedHold: time.Minute, DrainFor: time.Minute, Keep: time.Minute, JoinBelow: 0.7,
+	m := serverset.New(serverset.Options{RemovedHold: time.Minute, DrainFor: time.Minute, Keep: time.Minute, JoinBelow: 0.7,
 		LeaveAbove: 0.9, LeaveHold: time.Minute, DeadAfter: 3})
 	pass := func() time.Duration { // until the core has taken the changes
 		began := time.Now()
@@ -508,7 +508,7 @@
 	for i := range changes {
 		l := listed[i]
 		l.State = choice.Draining
-		m.List(now(), []membership.Listed{l}, false, false)
+		m.List(now(), []serverset.Listed{l}, false, false)
 		pass()
 	}
 	return apply, time.Since(began) / changes, mb, nil
--- a/internal/program/members.go
+++ b/internal/program/members.go
@@ -9,9 +9,9 @@
 	"asterwell/choice"
 	"asterwell/internal/actor"
 	"asterwell/internal/dns"
-	"asterwell/internal/membership"
 	"asterwell/internal/routing"
 	"asterwell/internal/seam"
+	"asterwell/internal/serverset"
 )
 
 // members is the actor that owns the membership: it hears the resolver, the list
@@ -24,12 +24,12 @@
 	now      func() time.Duration
 	box      *actor.Box[any]
 	resolver *dns.Resolver
-	is       *membership.Membership
+	is       *serverset.Membership
 	tell     func(routing.News)
 	told     bool // the core knows that a source has spoken
 	begun    bool // the core has heard anything
 	trust    atomic.Bool
-	stats    atomic.Pointer[membership.Stats]
+	stats    atomic.Pointer[serverset.Stats]
 
 	failing map[uint32]bool // on the core's goroutine: those that answered last are left out
 }
@@ -47,9 +47,9 @@
 	if !conf.Enabled {
 		return nil
 	}
-	m := &members{world: world, conf: conf, seed: seed, now: now, box: actor.NewBox[any](world), is: membership.New(conf.membership()),
+	m := &members{world: world, conf: conf, seed: seed, now: now, box: actor.NewBox[any](world), is: serverset.New(conf.membership()),
 		failing: map[uint32]bool{}}
-	m.stats.Store(&membership.Stats{})
+	m.stats.Store(&serverset.Stats{})
 	return m
 }
 
@@ -135,9 +135,9 @@
 			m.is.ListBroken(now)
 			m.tell(e)
 		default:
-			nodes := make([]membership.Listed, len(e.Members))
+			nodes := make([]serverset.Listed, len(e.Members))
 			for i, s := range e.Members {
-				nodes[i] = membership.Listed{Name: s.Name, Addr: s.Addr, Member: s.Member}
+				nodes[i] = serverset.Listed{Name: s.Name, Addr: s.Addr, Member: s.Member}
 			}
 			m.is.List(now, nodes, e.Whole, e.Saved)
 		}
@@ -173,15 +173,15 @@
 // targets brings the records into the membership's form. Weights are scaled so that
 // the mean of each priority is 1, as the list's usual one is; weight 0 among others
 // leaves "a very small chance" (RFC 2782).
-func (m *members) targets(list []dns.Target) []membership.Target {
+func (m *members) targets(list []dns.Target) []serverset.Target {
 	sum, n := map[uint16]float64{}, map[uint16]float64{}
 	for _, t := range list {
 		sum[t.Priority] += float64(t.Weight)
 		n[t.Priority]++
 	}
-	out := make([]membership.Target, len(list))
+	out := make([]serverset.Target, len(list))
 	for i, t := range list {
-		o := membership.Target{Name: t.Host, Port: t.Port, Priority: t.Priority, Weight: 1, Zone: m.conf.zone(t.Host)}
+		o := serverset.Target{Name: t.Host, Port: t.Port, Priority: t.Priority, Weight: 1, Zone: m.conf.zone(t.Host)}
 		if sum[t.Priority] > 0 {
 			o.Weight = max(float64(t.Weight)*n[t.Priority]/sum[t.Priority], leastWeight)
 		}
--- a/internal/program/srv.go
+++ b/internal/program/srv.go
@@ -16,7 +16,7 @@
 	mdns "github.com/miekg/dns"
 
 	"asterwell/internal/dns"
-	"asterwell/internal/membership"
+	"asterwell/internal/serverset"
 )
 
 // SRV is the operator's file for servers named by DNS SRV records. ASTERWELL_SRV
@@ -230,8 +230,8 @@
 }
 
 // membership are the figures of the rule.
-func (s *SRV) membership() membership.Options {
-	return membership.Options{RemovedHold: ms(s.RemovedHoldMs), DrainFor: ms(s.DrainMs), Keep: ms(s.KeepMs),
+func (s *SRV) membership() serverset.Options {
+	return serverset.Options{RemovedHold: ms(s.RemovedHoldMs), DrainFor: ms(s.DrainMs), Keep: ms(s.KeepMs),
 		KeepListed: s.WithdrawnListed == withdrawnKeep, OnlySilent: s.SRVOnly == srvOnlySilent, NoList: !s.List, JoinBelow: s.JoinBelow,
 		LeaveAbove: s.LeaveAbove, LeaveHold: ms(s.LeaveHoldMs), DeadAfter: s.DeadAfter, ListPriority: s.ListPriority}
 }
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -64,7 +64,7 @@
 		"../weave":      {"asterwell/internal/standin*", "asterwell/internal/lab", "asterwell/internal/yarn", "cuelang.org/*", "testing"},
 		"../turn":       {"net*", "os*", "log*", "io*", "time", "encoding/*", "github.com/*", "own"},
 		"../health":     {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
-		"../membership": {"net*", "os*", "log*", "io*", "encoding/*", "own", "!asterwell/choice"},
+		"../serverset":  {"net*", "os*", "log*", "io*", "encoding/*", "own", "!asterwell/choice"},
 		"../dns":        {"encoding/json", "net/http", "own", "!asterwell/internal/actor", "!asterwell/internal/seam"},
 		"../transport":  {"own", "!asterwell/internal/actor", "!asterwell/internal/seam"},
 		"../protocol":   {"asterwell/internal/program", "asterwell/internal/standin*", "asterwell/internal/lab", "asterwell/internal/dns"},
--- a/internal/membership/membership.go
+++ b/internal/serverset/serverset.go
@@ -1,4 +1,4 @@
-// Package membership decides which servers the decision module may use when
+// Package serverset decides which servers the decision module may use when
 // several sources name them: DNS SRV records (RFC 2782), discovery's list, and the
 // list saved from before the start. It has no I/O and reads no clock; every method
 // takes the time, on the core's clock.
@@ -39,7 +39,7 @@
 // Priorities (RFC 2782): servers of the lowest priority are offered; where fewer than
 // JoinBelow of them live, the next tier joins, and it leaves again once LeaveAbove of
 // them have lived for LeaveHold.
-package membership
+package serverset
 
 import (
 	"cmp"
--- a/internal/membership/membership_test.go
+++ b/internal/serverset/serverset_test.go
@@ -1,4 +1,4 @@
-package membership
+package serverset
 
 import (
 	"fmt"
