--- a/internal/cede/doc.go
+++ b/internal/drainpermit/doc.go
@@ -1,4 +1,4 @@
-// Package cede decides which gateways may drain: of those that clients have, one stays. It is
+// Package drainpermit decides which gateways may drain: of those that clients have, one stays. It is
 // mutual exclusion by permission, with one permission enough: who wants to drain asks the others,
 // and does so once one that is ready, and neither drains nor asks, has said that it stays.
 //
@@ -8,4 +8,4 @@
 // there would be a ring of processes of which each was let by the next one, and whose asks began
 // one after the other all the way round. No clock, disk or memory of words is in that: messages
 // may be late, lost, doubled and out of order, and processes may start anew.
-package cede
+package drainpermit
--- a/internal/cede/cede.go
+++ b/internal/drainpermit/drainpermit.go
@@ -1,4 +1,4 @@
-package cede
+package drainpermit
 
 import (
 	"maps"
--- a/internal/knot/contact.go
+++ b/internal/knot/contact.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
+	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/plane"
 	"asterwell/internal/registry"
@@ -38,7 +38,7 @@
 	Pact  consensus.Bug
 	Bane  faultrules.Bug
 	Lore  registry.Bug
-	Cede  cede.Bug
+	Cede  drainpermit.Bug
 	Unmet bool // ready without contact
 }
 
--- a/internal/knot/drain.go
+++ b/internal/knot/drain.go
@@ -5,14 +5,14 @@
 	"hash/fnv"
 	"time"
 
-	"asterwell/internal/cede"
+	"asterwell/internal/drainpermit"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 )
 
 // Drain takes an operator's call that clients go elsewhere, or come again, to be answered within
-// a time by a cede.Answer.
-func (k *Knot) Drain(now plane.Time, call uint64, op cede.Op, within time.Duration) Out {
+// a time by a drainpermit.Answer.
+func (k *Knot) Drain(now plane.Time, call uint64, op drainpermit.Op, within time.Duration) Out {
 	k.cede.Fit(k.fit(), k.leaving)
 	k.ceded(k.cede.Call(now, call, op, within))
 	return k.end()
@@ -29,21 +29,21 @@
 // peers tells whom a drain may count on. One that was seen lately and is not may be on the other
 // side of a cut, or has not been seen again yet: nothing is refused for good for want of it.
 func (k *Knot) peers(view []memberlist.Node) {
-	var up []cede.Peer
+	var up []drainpermit.Peer
 	missing := false
 	for _, n := range view {
 		missing = missing || n.State == memberlist.Gone
 		if n.State == memberlist.Up && n.Addr != k.self {
-			up = append(up, cede.Peer{Addr: n.Addr, Ready: n.Ready})
+			up = append(up, drainpermit.Peer{Addr: n.Addr, Ready: n.Ready})
 		}
 	}
 	k.cede.Peers(up, missing)
 }
 
 // ceded carries out what drains want.
-func (k *Knot) ceded(out cede.Out) {
+func (k *Knot) ceded(out drainpermit.Out) {
 	for _, s := range out.Send {
-		w := s.Msg.(cede.Word)
+		w := s.Msg.(drainpermit.Word)
 		k.send([]plane.Send{{To: s.To, Msg: Via{From: k.self, To: s.To, Drain: &w}}})
 	}
 	for _, r := range out.Replies {
--- a/internal/knot/knot.go
+++ b/internal/knot/knot.go
@@ -10,9 +10,9 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
 	"asterwell/internal/creed"
+	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
@@ -87,7 +87,7 @@
 	meter   Meter
 	counter *quotas.Counter
 	bane    *faultrules.Machine
-	cede    *cede.Machine
+	cede    *drainpermit.Machine
 	round   map[string]*detour // to holders
 	turn    int                // where to go on among ways,
 	asking  int                // and among those that leave questions unanswered
@@ -120,7 +120,7 @@
 			Life: c.Life}, c.Seeds, c.Seed, now),
 		lore:   registry.New(c.Self, c.Zone, c.Heartbeat, c.Seed, now),
 		accord: rollout.New(rollout.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), judge: c.Check,
-		cede: cede.New(c.Self, cedeSalt(c), c.Bugs.Cede),
+		cede: drainpermit.New(c.Self, cedeSalt(c), c.Bugs.Cede),
 		bugs: c.Bugs, contact: contact{asked: map[uint64]plane.Time{}, pause: proveAgain},
 	}
 	k.pact = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
--- a/internal/knot/via.go
+++ b/internal/knot/via.go
@@ -6,7 +6,7 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/cede"
+	"asterwell/internal/drainpermit"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
@@ -17,13 +17,13 @@
 // holders alone passes its even share on top of all that the others pass. A holder's
 // question for a sign of life goes the same way.
 type Via struct {
-	From   string         `cbor:"1,keyasint"`
-	To     string         `cbor:"2,keyasint"`
-	By     string         `cbor:"3,keyasint,omitempty"`
-	Add    *quotas.Add    `cbor:"4,keyasint,omitempty"`
-	Answer *quotas.Answer `cbor:"5,keyasint,omitempty"`
-	Ask    bool           `cbor:"6,keyasint,omitempty"`
-	Drain  *cede.Word     `cbor:"7,keyasint,omitempty"` // straight; a program of the version before takes no notice
+	From   string            `cbor:"1,keyasint"`
+	To     string            `cbor:"2,keyasint"`
+	By     string            `cbor:"3,keyasint,omitempty"`
+	Add    *quotas.Add       `cbor:"4,keyasint,omitempty"`
+	Answer *quotas.Answer    `cbor:"5,keyasint,omitempty"`
+	Ask    bool              `cbor:"6,keyasint,omitempty"`
+	Drain  *drainpermit.Word `cbor:"7,keyasint,omitempty"` // straight; a program of the version before takes no notice
 }
 
 // detour is a way round to one holder.
--- a/internal/lab/controlorders.go
+++ b/internal/lab/controlorders.go
@@ -7,8 +7,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
+	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
 	faultworld "asterwell/internal/faultrules/world"
 	"asterwell/internal/yarn"
@@ -176,18 +176,18 @@
 			}
 		})
 	}
-	for _, b := range []cede.Bounds{{Procs: 2, Starts: 3, Stops: 1, Repeats: 2, States: 50_000}, {Procs: 3, Starts: 3, States: 50_000}} {
-		met(fmt.Sprintf("drains, %+v", b), noneStays, cede.Explore(b).Broken)
+	for _, b := range []drainpermit.Bounds{{Procs: 2, Starts: 3, Stops: 1, Repeats: 2, States: 50_000}, {Procs: 3, Starts: 3, States: 50_000}} {
+		met(fmt.Sprintf("drains, %+v", b), noneStays, drainpermit.Explore(b).Broken)
 	}
-	drains := func(bug cede.Bug) bool {
-		return cede.Explore(cede.Bounds{Procs: 2, Starts: 3, Stops: 1, Repeats: 2, Bug: bug}).Broken != ""
+	drains := func(bug drainpermit.Bug) bool {
+		return drainpermit.Explore(drainpermit.Bounds{Procs: 2, Starts: 3, Stops: 1, Repeats: 2, Bug: bug}).Broken != ""
 	}
 	mutants := []func(seed uint64) bool{
 		func(s uint64) bool { return yarn.Run(scripts["stops"], s, yarn.Numberless, nil).Broken == "EXPECT" },
 		func(s uint64) bool { return yarn.Run(scripts["drains"], s, yarn.Uncalled, nil).Broken == "STAYED" },
-		func(uint64) bool { return drains(cede.Hasty) },
-		func(uint64) bool { return drains(cede.Stale) },
-		func(uint64) bool { return drains(cede.Both) },
+		func(uint64) bool { return drains(drainpermit.Hasty) },
+		func(uint64) bool { return drains(drainpermit.Stale) },
+		func(uint64) bool { return drains(drainpermit.Both) },
 		func(s uint64) bool { key, _ := ordersDay(s, yarn.Confirms); return key != "" },
 		func(s uint64) bool { key, _ := ordersDay(s, yarn.Forgets); return key != "" },
 		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Refuses); return key != "" },
--- a/internal/weave/drain.go
+++ b/internal/weave/drain.go
@@ -6,23 +6,23 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/cede"
+	"asterwell/internal/drainpermit"
 )
 
 // drained asks the loop to drain, or to end that.
 type drained struct {
 	call   uint64
-	op     cede.Op
+	op     drainpermit.Op
 	within time.Duration
 }
 
-var drainOps = map[string]cede.Op{"start": cede.Start, "start-alone": cede.StartAlone, "stop": cede.Stop}
+var drainOps = map[string]drainpermit.Op{"start": drainpermit.Start, "start-alone": drainpermit.StartAlone, "stop": drainpermit.Stop}
 
 // Why a drain is refused.
-var drainNoes = map[cede.Answer]string{
-	cede.Alone: "no other gateway is ready: clients would have nowhere to go",
-	cede.Ends:  "this process is ending",
-	cede.Other: "another order has come since",
+var drainNoes = map[drainpermit.Answer]string{
+	drainpermit.Alone: "no other gateway is ready: clients would have nowhere to go",
+	drainpermit.Ends:  "this process is ending",
+	drainpermit.Other: "another order has come since",
 }
 
 // drain is an operator's: the platform and clients go elsewhere, and what still comes is
@@ -34,19 +34,19 @@
 		return
 	}
 	end := time.Now().Add(drainWithin)
-	if op == cede.Start { // it counts on another gateway, and is refused where there is none
+	if op == drainpermit.Start { // it counts on another gateway, and is refused where there is none
 		if _, ok := p.proof(drainProof); !ok {
 			p.busy(ctx)
 			return
 		}
 	}
 	within := time.Until(end)
-	a, answered := p.askFor(within+tick, func(call uint64) { p.box.Put(drained{call, op, within}) }).(cede.Answer)
+	a, answered := p.askFor(within+tick, func(call uint64) { p.box.Put(drained{call, op, within}) }).(drainpermit.Answer)
 	switch {
-	case a == cede.Done:
+	case a == drainpermit.Done:
 		ctx.SetContentType("application/json")
 		ctx.SetBodyString("{}")
-	case !answered || a == cede.Lost:
+	case !answered || a == drainpermit.Lost:
 		p.busy(ctx)
 	default:
 		ctx.Error(drainNoes[a]+"\n", http.StatusConflict)
--- a/internal/yarn/bug.go
+++ b/internal/yarn/bug.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
+	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/knot"
 	"asterwell/internal/quotas"
@@ -69,9 +69,9 @@
 	case Numberless:
 		return knot.Bugs{Bane: faultrules.Numberless}
 	case Uncalled:
-		return knot.Bugs{Cede: cede.Hasty}
+		return knot.Bugs{Cede: drainpermit.Hasty}
 	case Outdated:
-		return knot.Bugs{Cede: cede.Stale}
+		return knot.Bugs{Cede: drainpermit.Stale}
 	case Unfenced:
 		return knot.Bugs{Bane: faultrules.Unfenced}
 	}
--- a/internal/yarn/script.go
+++ b/internal/yarn/script.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"asterwell/internal/cede"
 	"asterwell/internal/consensus"
+	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/knot"
 	"asterwell/internal/quotas"
@@ -53,8 +53,12 @@
 		{"raise P N", (*world).doRaise},
 		{"rules VERSION [at P]", (*world).doRules},
 		{"norules [of VERSION] [at P]", func(w *world, a *args) error { return w.doStopRules(a) }},
-		{"drain P", func(w *world, a *args) error { return w.each(a, "", func(p *proc) { w.drain(p, cede.Start) }, nil) }},
-		{"undrain P", func(w *world, a *args) error { return w.each(a, "", func(p *proc) { w.drain(p, cede.Stop) }, nil) }},
+		{"drain P", func(w *world, a *args) error {
+			return w.each(a, "", func(p *proc) { w.drain(p, drainpermit.Start) }, nil)
+		}},
+		{"undrain P", func(w *world, a *args) error {
+			return w.each(a, "", func(p *proc) { w.drain(p, drainpermit.Stop) }, nil)
+		}},
 		{"readrules P", func(w *world, a *args) error {
 			return w.each(a, "", func(p *proc) { w.rule(faultrules.OpGet, 0, p, 1) }, nil)
 		}},
