--- a/cmd/reed/calls.go
+++ b/cmd/reed/calls.go
@@ -9,7 +9,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"asterwell/internal/creed/schema"
+	"asterwell/internal/sysconfig/schema"
 )
 
 func (r *reed) put(ctx context.Context, c *cli.Command) error {
--- a/cmd/reed/diff.go
+++ b/cmd/reed/diff.go
@@ -8,8 +8,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"asterwell/internal/creed"
-	"asterwell/internal/creed/schema"
+	"asterwell/internal/sysconfig"
+	"asterwell/internal/sysconfig/schema"
 )
 
 // errDiffers ends the program with its own status; there is nothing more to say.
@@ -20,7 +20,7 @@
 	Old, New        string // what was compared
 	OldEpoch, Epoch string
 	WouldTakeEffect bool // the new one's version is above the old one's
-	Changes         []creed.Change
+	Changes         []sysconfig.Change
 }
 
 func (r *reed) diff(ctx context.Context, c *cli.Command) error {
@@ -32,7 +32,7 @@
 		return errors.New("diff: standard input can be one of the two only")
 	}
 	d := difference{}
-	var old, next *creed.Configuration
+	var old, next *sysconfig.Configuration
 	var err error
 	if second == "" {
 		if d.New, next, err = r.parsed(first); err != nil {
@@ -47,7 +47,7 @@
 			return err
 		}
 		d.Old = "in force at " + a.At
-		if old, err = creed.Parse(a.Body); err != nil {
+		if old, err = sysconfig.Parse(a.Body); err != nil {
 			return fmt.Errorf("%s: the configuration in force: %w", a.At, err)
 		}
 	} else {
@@ -59,7 +59,7 @@
 		}
 	}
 	d.OldEpoch, d.Epoch = fmt.Sprintf("%08x", old.Version()), fmt.Sprintf("%08x", next.Version())
-	d.WouldTakeEffect, d.Changes = next.Version() > old.Version(), creed.Diff(old, next)
+	d.WouldTakeEffect, d.Changes = next.Version() > old.Version(), sysconfig.Diff(old, next)
 	if err := r.differs(c, d); err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 	return nil
 }
 
-func (r *reed) parsed(file string) (name string, c *creed.Configuration, err error) {
+func (r *reed) parsed(file string) (name string, c *sysconfig.Configuration, err error) {
 	name, text, err := r.open("diff", file)
 	if err == nil {
 		c, err = parse(name, text)
@@ -78,11 +78,11 @@
 }
 
 // parse reads a configuration, and names the file with all that is wrong.
-func parse(name string, text []byte) (*creed.Configuration, error) {
+func parse(name string, text []byte) (*sysconfig.Configuration, error) {
 	if err := explain(name, text); err != nil {
 		return nil, err
 	}
-	return creed.Parse(text)
+	return sysconfig.Parse(text)
 }
 
 // explain tells all that is wrong with a configuration, each with the file's name.
@@ -93,7 +93,7 @@
 		all = many.Unwrap()
 	}
 	for _, e := range all {
-		if f := (*creed.Fault)(nil); errors.As(e, &f) && f.File == "" {
+		if f := (*sysconfig.Fault)(nil); errors.As(e, &f) && f.File == "" {
 			f.File = name
 		}
 	}
--- a/cmd/reed/main.go
+++ b/cmd/reed/main.go
@@ -15,7 +15,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"asterwell/internal/creed"
+	"asterwell/internal/sysconfig"
 	"asterwell/internal/tell"
 )
 
@@ -155,7 +155,7 @@
 func (r *reed) client(c *cli.Command) (*tell.Client, error) {
 	at := c.StringSlice("at")
 	if path := c.String("from"); len(at) == 0 && path != "" {
-		set, err := creed.ReadSettings(path)
+		set, err := sysconfig.ReadSettings(path)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/knot/knot.go
+++ b/internal/knot/knot.go
@@ -11,7 +11,6 @@
 	"github.com/samber/lo"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/memberlist"
@@ -19,6 +18,7 @@
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
 	"asterwell/internal/rollout"
+	"asterwell/internal/sysconfig"
 )
 
 // Config is what a process knows about itself.
@@ -61,7 +61,7 @@
 	Send    []plane.Send // some may be for this process itself
 	Write   *consensus.Write
 	Replies []Reply
-	Adopt   *creed.Table      // to be in force here
+	Adopt   *sysconfig.Table  // to be in force here
 	Text    *Text             // to be read beside the loop, then tell Read
 	Refused error             // a configuration that is kept and can't be in force here
 	Doc     *consensus.Doc    // the text of either
--- a/internal/knot/text.go
+++ b/internal/knot/text.go
@@ -4,9 +4,9 @@
 	"bytes"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
+	"asterwell/internal/sysconfig"
 )
 
 // A configuration of some MB takes longer to read than a beat may wait. So it is read beside the loop: Out.Text is for the
@@ -23,21 +23,21 @@
 // Reading is what a text says.
 type Reading struct {
 	text    Text
-	table   *creed.Table // nil: it can't be in force here
+	table   *sysconfig.Table // nil: it can't be in force here
 	roster  *quotas.Roster
-	rollout creed.Rollout
+	rollout sysconfig.Rollout
 	err     error
 }
 
 // Read reads it. It needs no machine, and takes long.
 func (t *Text) Read() *Reading {
 	r := &Reading{text: *t}
-	c, err := creed.Parse(t.Doc.Body)
+	c, err := sysconfig.Parse(t.Doc.Body)
 	if err == nil && t.check && t.judge != nil {
 		err = t.judge(t.Doc.Body)
 	}
 	if err != nil {
-		r.err, r.rollout = err, creed.RolloutOf(t.Doc.Body)
+		r.err, r.rollout = err, sysconfig.RolloutOf(t.Doc.Body)
 		return r
 	}
 	if c.Rollout != nil {
--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -17,9 +17,9 @@
 	"github.com/samber/lo"
 
 	"asterwell/choice"
-	"asterwell/internal/creed"
 	"asterwell/internal/shuttle"
 	"asterwell/internal/standin/snag"
+	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
 )
 
@@ -39,8 +39,8 @@
 	callerRest     = 5 * time.Millisecond   // until a connection may be used again
 )
 
-var callerTable = sync.OnceValues(func() (*creed.Table, error) {
-	c, err := creed.Parse([]byte(callerText))
+var callerTable = sync.OnceValues(func() (*sysconfig.Table, error) {
+	c, err := sysconfig.Parse([]byte(callerText))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"asterwell/internal/actor"
-	"asterwell/internal/creed"
 	"asterwell/internal/glass"
 	"asterwell/internal/knot"
+	"asterwell/internal/sysconfig"
 	"asterwell/internal/weave"
 )
 
@@ -81,7 +81,7 @@
 	}
 	readings := &knot.Readings{}
 	for _, path := range h.spec.Settings {
-		set, err := creed.ReadSettings(path)
+		set, err := sysconfig.ReadSettings(path)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/scaleconfig.go
+++ b/internal/lab/scaleconfig.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"time"
 
-	"asterwell/internal/creed"
+	"asterwell/internal/sysconfig"
 )
 
 // configFigures are what a configuration of the size costs to carry and to read: whole, packed, and as
@@ -28,7 +28,7 @@
 		figure[name+"_bytes"], figure[name+"_ms"] = float64(b.Len()), ms(time.Since(began))
 	}
 	began := time.Now()
-	one, err := creed.Parse(text)
+	one, err := sysconfig.Parse(text)
 	if err != nil {
 		return nil, err
 	}
@@ -36,12 +36,12 @@
 	began = time.Now()
 	one.Table()
 	figure["table_ms"] = ms(time.Since(began))
-	two, err := creed.Parse(scaleText(o, 2))
+	two, err := sysconfig.Parse(scaleText(o, 2))
 	if err != nil {
 		return nil, err
 	}
 	began = time.Now()
-	change, err := json.Marshal(creed.Diff(one, two))
+	change, err := json.Marshal(sysconfig.Diff(one, two))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scalefleet.go
+++ b/internal/lab/scalefleet.go
@@ -26,8 +26,8 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sys/unix"
 
-	"asterwell/internal/creed"
 	"asterwell/internal/glass"
+	"asterwell/internal/sysconfig"
 )
 
 // scaleNode is a gateway of the run.
@@ -183,7 +183,7 @@
 	if err := os.WriteFile(n.settings, text, 0o644); err != nil {
 		return err
 	}
-	_, err = creed.ReadSettings(n.settings)
+	_, err = sysconfig.ReadSettings(n.settings)
 	return err
 }
 
--- a/internal/lab/stages.go
+++ b/internal/lab/stages.go
@@ -20,8 +20,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/creed"
 	"asterwell/internal/protocol"
+	"asterwell/internal/sysconfig"
 	"asterwell/internal/weave"
 )
 
@@ -41,7 +41,7 @@
 
 // Staged is a loom whose requests' stages are taken down. It writes them to a file when its input ends.
 func Staged(settings, file string, in io.Reader) error {
-	set, err := creed.ReadSettings(settings)
+	set, err := sysconfig.ReadSettings(settings)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/texts_test.go
+++ b/internal/lab/texts_test.go
@@ -4,9 +4,9 @@
 	"testing"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/delta"
 	digest "asterwell/internal/ledger"
+	"asterwell/internal/sysconfig"
 )
 
 // plannedTexts are two configurations of the size to design for, one route apart.
@@ -18,7 +18,7 @@
 // BenchmarkStages is what each step of a change of one route costs at that size.
 func BenchmarkStages(b *testing.B) {
 	one, two := plannedTexts()
-	c, err := creed.Parse(two)
+	c, err := sysconfig.Parse(two)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -31,9 +31,9 @@
 		name string
 		do   func()
 	}{
-		{"read", func() { _, _ = creed.Parse(two) }},
+		{"read", func() { _, _ = sysconfig.Parse(two) }},
 		{"table", func() { c.Table() }},
-		{"rollout", func() { creed.RolloutOf(two) }},
+		{"rollout", func() { sysconfig.RolloutOf(two) }},
 		{"digest", func() { digest.Digest(two) }},
 		{"sum", func() { delta.Sum(two) }},
 		{"difference", func() { delta.Make(one, two) }},
@@ -41,7 +41,7 @@
 		{"pack", func() { delta.Whole(two) }},
 		{"unpack", func() { _, _ = whole.Apply(nil) }},
 		{"disk", func() { _, _ = disk.Bytes() }},
-		{"compare", func() { creed.Diff(c, c) }},
+		{"compare", func() { sysconfig.Diff(c, c) }},
 	} {
 		b.Run(s.name, func(b *testing.B) {
 			for b.Loop() {
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/plane"
 	"asterwell/internal/policy"
+	"asterwell/internal/sysconfig"
 )
 
 // Terms are the times of leases and turns, the same at every node.
@@ -38,8 +38,8 @@
 	id      uint64 // of this life
 	doc     consensus.Doc
 	side    Side
-	rollout creed.Rollout // of what is live
-	synced  bool          // doc is on disk, where there is one
+	rollout sysconfig.Rollout // of what is live
+	synced  bool              // doc is on disk, where there is one
 	adopted uint32
 	reading uint32  // the newest that is to be read
 	verdict verdict // on what is prepared
@@ -91,7 +91,7 @@
 	version uint32 // that is looked at
 	known   bool
 	refusal string
-	rollout creed.Rollout
+	rollout sysconfig.Rollout
 }
 
 // New starts a process.
@@ -117,7 +117,7 @@
 	case m.verdict.known && m.verdict.version == live.Version:
 		m.adopt(live, m.verdict.rollout)
 	default: // missed while it was prepared
-		m.adopt(live, creed.RolloutOf(live.Body))
+		m.adopt(live, sysconfig.RolloutOf(live.Body))
 	}
 	m.prepare(now)
 	if m.lead != nil {
@@ -126,7 +126,7 @@
 	return m.end()
 }
 
-func (m *Machine) adopt(live *consensus.Doc, r creed.Rollout) {
+func (m *Machine) adopt(live *consensus.Doc, r sysconfig.Rollout) {
 	m.adopted, m.rollout = live.Version, r
 	m.out.Adopt, m.out.Gate = live, true
 	m.holder.Again()
@@ -134,7 +134,7 @@
 
 // Taken tells that a text has been read that was to be, and which rollout it wants. One that has been overtaken meanwhile is
 // put in force as well, so that a row of changes holds up none of them, unless it was to be in force together.
-func (m *Machine) Taken(now plane.Time, read consensus.Doc, r creed.Rollout) Out {
+func (m *Machine) Taken(now plane.Time, read consensus.Doc, r sysconfig.Rollout) Out {
 	if read.Version > m.adopted && !m.rollout.Together && (read.Version == m.side.Version || !r.Together) {
 		m.adopt(&read, r)
 		m.prepare(now)
@@ -146,7 +146,7 @@
 }
 
 // Checked tells what came of a text that was to be checked; refusal "" is that it can be taken.
-func (m *Machine) Checked(now plane.Time, version uint32, r creed.Rollout, refusal string) Out {
+func (m *Machine) Checked(now plane.Time, version uint32, r sysconfig.Rollout, refusal string) Out {
 	if version == m.verdict.version {
 		m.verdict.known, m.verdict.rollout, m.verdict.refusal = true, r, refusal
 		m.prepare(now)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/plane"
+	"asterwell/internal/sysconfig"
 )
 
 func doc(version uint32, rollout string) consensus.Doc {
@@ -18,10 +18,10 @@
 func keeps(m *Machine, now plane.Time, d consensus.Doc) {
 	out := m.Doc(now, d, true)
 	if r := out.Read; r != nil {
-		out = m.Taken(now, *r, creed.RolloutOf(r.Body))
+		out = m.Taken(now, *r, sysconfig.RolloutOf(r.Body))
 	}
 	if c := out.Check; c != nil {
-		m.Checked(now, c.Version, creed.RolloutOf(c.Body), "")
+		m.Checked(now, c.Version, sysconfig.RolloutOf(c.Body), "")
 	}
 }
 
@@ -211,7 +211,7 @@
 	}
 	take := func(d consensus.Doc, gate uint32) {
 		t.Helper()
-		if m.Taken(now, d, creed.RolloutOf(d.Body)); m.Gate().Version != gate {
+		if m.Taken(now, d, sysconfig.RolloutOf(d.Body)); m.Gate().Version != gate {
 			t.Errorf("after %d was read the gate is that of %d", d.Version, m.Gate().Version)
 		}
 	}
--- a/internal/rollout/side.go
+++ b/internal/rollout/side.go
@@ -4,7 +4,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
+	"asterwell/internal/sysconfig"
 )
 
 // Fate is what has become of a version.
@@ -42,20 +42,20 @@
 // Enter is what a primary keeps of a new document: live at once, or prepared where the
 // one in force asks for that.
 func Enter(kept, next consensus.Doc) consensus.Doc {
-	return enter(kept, next, func(s Side) creed.Rollout { return creed.RolloutOf(s.Body) })
+	return enter(kept, next, func(s Side) sysconfig.Rollout { return sysconfig.RolloutOf(s.Body) })
 }
 
 // Enter is the same at a primary, which mostly has read what is live.
 func (m *Machine) Enter(kept, next consensus.Doc) consensus.Doc {
-	return enter(kept, next, func(s Side) creed.Rollout {
+	return enter(kept, next, func(s Side) sysconfig.Rollout {
 		if s.Version == m.adopted {
 			return m.rollout
 		}
-		return creed.RolloutOf(s.Body)
+		return sysconfig.RolloutOf(s.Body)
 	})
 }
 
-func enter(kept, next consensus.Doc, rollout func(Side) creed.Rollout) consensus.Doc {
+func enter(kept, next consensus.Doc, rollout func(Side) sysconfig.Rollout) consensus.Doc {
 	next.Rev, next.Side, next.Past = 0, nil, past(kept)
 	if was := Read(kept); was.Version != 0 && rollout(was).Together {
 		next.Side = write(Side{Fate: Prepared, Version: was.Version, Body: was.Body})
--- a/internal/rollout/world/judge.go
+++ b/internal/rollout/world/judge.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/rollout"
+	"asterwell/internal/sysconfig"
 )
 
 // word is what a node has last said to a primary.
@@ -185,7 +185,7 @@
 		}
 		zones[n.zone] = z
 	}
-	need := creed.RolloutOf(w.live(p)).Confirm
+	need := sysconfig.RolloutOf(w.live(p)).Confirm
 	if held < need {
 		w.breaks("FEW", "%d is to be live, %d have confirmed it, %d must have", d.Version, held, need)
 	}
--- a/internal/rollout/world/proc.go
+++ b/internal/rollout/world/proc.go
@@ -10,11 +10,11 @@
 	"github.com/samber/lo"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/knot"
 	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
 	"asterwell/internal/rollout"
+	"asterwell/internal/sysconfig"
 )
 
 // Proc is a process, and what is left of it when it is gone.
@@ -73,7 +73,7 @@
 
 // check is this process's view of a text: one that refuses names it.
 func (p *Proc) check(body []byte) error {
-	if _, err := creed.Parse(body); err != nil {
+	if _, err := sysconfig.Parse(body); err != nil {
 		return err
 	}
 	var c struct{ Refused string }
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -55,7 +55,7 @@
 		"../consensus":  {"net*", "os*", "log*", "io*", "encoding/json", "github.com/valyala/*", "own", "!asterwell/internal/plane", "!asterwell/internal/delta", "!asterwell/internal/ledger"},
 		"../quotas":     {"net*", "os*", "log*", "io*", "encoding/json", "github.com/valyala/*", "own", "!asterwell/internal/plane"},
 		"../knot":       {"net*", "os*", "log*", "github.com/valyala/*", "asterwell/internal/weave", "asterwell/internal/shuttle", "asterwell/internal/vault", "asterwell/internal/mesh", "asterwell/internal/seam"},
-		"../creed":      {"net", "net/http", "log*", "cuelang.org/*", "own"},
+		"../sysconfig":  {"net", "net/http", "log*", "cuelang.org/*", "own"},
 		"../vault":      {"net", "net/http", "own"},
 		"../glass":      {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../tell":       {"github.com/valyala/*", "github.com/mattn/*", "cuelang.org/*", "asterwell/internal/weave", "asterwell/internal/vault", "asterwell/internal/knot"},
--- a/internal/shuttle/fault_test.go
+++ b/internal/shuttle/fault_test.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"asterwell/choice"
-	"asterwell/internal/creed"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/seam"
+	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
 )
 
@@ -105,7 +105,7 @@
 }
 
 func newStage(t *testing.T, s faultrules.Strike, more ...func(*Options)) *stage {
-	c, err := creed.Parse([]byte(text))
+	c, err := sysconfig.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -273,7 +273,7 @@
 	g := newStage(t, faultrules.Strike{Kind: faultrules.Delay, Delay: 300 * time.Millisecond})
 	g.pause.Lock()
 	adopt := func(epoch, ship1, ship10 string) {
-		c, err := creed.Parse([]byte(strings.NewReplacer("00000001", epoch, `["k1"]`, ship1, `["k10"]`, ship10).Replace(text)))
+		c, err := sysconfig.Parse([]byte(strings.NewReplacer("00000001", epoch, `["k1"]`, ship1, `["k10"]`, ship10).Replace(text)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/shuttle/gate.go
+++ b/internal/shuttle/gate.go
@@ -7,8 +7,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/creed"
 	"asterwell/internal/rollout"
+	"asterwell/internal/sysconfig"
 )
 
 const (
@@ -63,8 +63,8 @@
 }
 
 // gated says whether requests of a route need a lease.
-func (p *Plane) gated(r *creed.Route) bool {
-	if r.Class == creed.Effectful {
+func (p *Plane) gated(r *sysconfig.Route) bool {
+	if r.Class == sysconfig.Effectful {
 		return true
 	}
 	g := p.gate.Load()
@@ -73,7 +73,7 @@
 
 // pass lets a request in that needs a lease, or refuses it; again tells that a turn was
 // waited for, and all is to be looked up anew.
-func (p *Plane) pass(ctx *fasthttp.RequestCtx, t *creed.Table, r *creed.Route) (ok, again bool) {
+func (p *Plane) pass(ctx *fasthttp.RequestCtx, t *sysconfig.Table, r *sysconfig.Route) (ok, again bool) {
 	if !p.gated(r) || p.may(t.Version) {
 		return true, false
 	}
@@ -102,7 +102,7 @@
 }
 
 // bound makes the core look again when it decides.
-func (p *Plane) bound(t *creed.Table, r *creed.Route) func() error {
+func (p *Plane) bound(t *sysconfig.Table, r *sysconfig.Route) func() error {
 	if g := p.gate.Load(); !p.gated(r) || g == nil || !g.Together {
 		return nil
 	}
--- a/internal/shuttle/lane.go
+++ b/internal/shuttle/lane.go
@@ -11,9 +11,9 @@
 	"github.com/samber/lo"
 
 	"asterwell/choice"
-	"asterwell/internal/creed"
 	"asterwell/internal/protocol"
 	"asterwell/internal/routing"
+	"asterwell/internal/sysconfig"
 )
 
 // lane is one service: a core with the module, and its servers.
@@ -102,7 +102,7 @@
 
 // settings are a service's by the configuration: a class for each route that leads
 // to it and each rank that its requests may have.
-func (p *Plane) settings(t *creed.Table, service string) choice.Settings {
+func (p *Plane) settings(t *sysconfig.Table, service string) choice.Settings {
 	set := choice.Settings{Doors: p.gates, Index: p.index, Zone: p.opt.Zone, MaxTries: 1, Shuts: true, Spare: spare, SecondCopies: true, Cancels: true,
 		RetryAfter: true, ConnectTimeout: connectWithin, Weighted: true, Turns: turns, ColdFrom: 0.5, ColdFor: p.opt.ColdFor,
 		CrossZone: crossZone, RetryShare: p.opt.RetryRatio * budgetUsed, RetryMost: max(1, p.opt.RetrySlack*budgetUsed/float64(p.gates)),
@@ -112,7 +112,7 @@
 	}
 	for _, r := range t.RoutesTo(service) {
 		c := choice.Class{Aim: cmp.Or(r.Target, r.Deadline), Deadline: r.Deadline, LateWorth: 0.3, Tries: max(r.Tries, 1)}
-		if c.Effect = choice.Retryable; r.Class == creed.Effectful {
+		if c.Effect = choice.Retryable; r.Class == sysconfig.Effectful {
 			c.Effect = choice.Fragile
 		}
 		for _, rank := range t.Ranks(r) {
@@ -132,4 +132,4 @@
 )
 
 // class names a route's requests of one rank.
-func class(r *creed.Route, rank int) string { return r.Name + "#" + strconv.Itoa(rank) }
+func class(r *sysconfig.Route, rank int) string { return r.Name + "#" + strconv.Itoa(rank) }
--- a/internal/shuttle/plane_test.go
+++ b/internal/shuttle/plane_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/creed"
+	"asterwell/internal/sysconfig"
 )
 
 // grown is a configuration of the plan of two years.
-func grown(b testing.TB, version int) *creed.Table {
+func grown(b testing.TB, version int) *sysconfig.Table {
 	var t strings.Builder
 	fmt.Fprintf(&t, `{"Epoch": "%08x", "Principals": [`, version)
 	for i := range 12000 {
@@ -26,7 +26,7 @@
 		fmt.Fprintf(&t, `,{"Name": "s-%d"}`, i+1)
 	}
 	t.WriteString(`]}`)
-	c, err := creed.Parse([]byte(t.String()))
+	c, err := sysconfig.Parse([]byte(t.String()))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 	p := New(Options{Now: func() time.Duration { return time.Hour + time.Since(start) }, Pass: func(string, float64) (bool, time.Duration) { return true, 0 },
 		Leaving: func() bool { return false }, Sockets: 100, Seed: 1})
 	defer p.Stop()
-	tables := []*creed.Table{grown(b, 1), grown(b, 2)}
+	tables := []*sysconfig.Table{grown(b, 1), grown(b, 2)}
 	for n := 0; b.Loop(); n++ {
 		p.Adopt(tables[n%2])
 		p.Gateways(490+n%2, 7)
--- a/internal/shuttle/shuttle.go
+++ b/internal/shuttle/shuttle.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"asterwell/choice"
-	"asterwell/internal/creed"
 	"asterwell/internal/protocol"
 	"asterwell/internal/routing"
 	"asterwell/internal/seam"
+	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
 )
 
@@ -52,7 +52,7 @@
 	opt     Options
 	peers   transport.PeerOptions
 	ids     *protocol.IDs
-	table   atomic.Pointer[creed.Table]
+	table   atomic.Pointer[sysconfig.Table]
 	gate    atomic.Pointer[gate] // nil: none
 	lanes   atomic.Pointer[map[string]*lane]
 	mu      sync.Mutex          // of what follows: one change at a time
@@ -85,7 +85,7 @@
 )
 
 // Adopt puts a configuration in force. What is open keeps its rules.
-func (p *Plane) Adopt(t *creed.Table) {
+func (p *Plane) Adopt(t *sysconfig.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	lanes := maps.Clone(*p.lanes.Load())
@@ -115,7 +115,7 @@
 }
 
 // Table is the configuration in force; nil: none.
-func (p *Plane) Table() *creed.Table { return p.table.Load() }
+func (p *Plane) Table() *sysconfig.Table { return p.table.Load() }
 
 // Gateways tells how many share the traffic, and which of them this one is.
 func (p *Plane) Gateways(n, index int) {
--- a/internal/creed/config.go
+++ b/internal/sysconfig/config.go
@@ -1,4 +1,4 @@
-package creed
+package sysconfig
 
 import (
 	"bytes"
@@ -75,7 +75,7 @@
 
 // Parse reads a configuration and refuses an invalid one with a *Fault. Its checks
 // are written in Go: a configuration arrives while traffic runs on a part of a core,
-// and the schema that tells an operator everything at once (package creed/schema)
+// and the schema that tells an operator everything at once (package sysconfig/schema)
 // costs many times as much. What is only strange, and not on the protocol's list, is
 // taken: an operator whose valid change is refused is worse off.
 func Parse(body []byte) (*Configuration, error) {
--- a/internal/creed/fault.go
+++ b/internal/sysconfig/fault.go
@@ -1,7 +1,7 @@
-// Package creed reads what a process is told: its settings file, and the
+// Package sysconfig reads what a process is told: its settings file, and the
 // configurations that operators send. What it returns has been checked whole, so
 // nobody behind it checks again.
-package creed
+package sysconfig
 
 import (
 	"strconv"
--- a/internal/creed/rollout.go
+++ b/internal/sysconfig/rollout.go
@@ -1,4 +1,4 @@
-package creed
+package sysconfig
 
 import (
 	"bytes"
--- a/internal/creed/schema/schema.go
+++ b/internal/sysconfig/schema/schema.go
@@ -1,7 +1,7 @@
 // Package schema checks settings and configurations against schemas in CUE, and tells
 // everything that is wrong at once. It is a package of its own because CUE costs each
 // program that links it some milliseconds and a megabyte at its start, which a gateway
-// on a part of a core does without: package creed refuses the same texts by itself.
+// on a part of a core does without: package sysconfig refuses the same texts by itself.
 package schema
 
 import (
@@ -15,7 +15,7 @@
 	"cuelang.org/go/cue/errors"
 	"go.yaml.in/yaml/v3"
 
-	"asterwell/internal/creed"
+	"asterwell/internal/sysconfig"
 )
 
 var (
@@ -26,16 +26,16 @@
 )
 
 // CheckSettings checks the text of a settings file; path is only named in faults.
-// A file that passes the schema is read by package creed as well.
+// A file that passes the schema is read by package sysconfig as well.
 func CheckSettings(path string, text []byte) error {
 	var tree map[string]any
 	if err := yaml.Unmarshal(text, &tree); err != nil {
-		return &creed.Fault{File: path, Why: strings.TrimPrefix(err.Error(), "yaml: ")}
+		return &sysconfig.Fault{File: path, Why: strings.TrimPrefix(err.Error(), "yaml: ")}
 	}
 	if err := check(path, settings, "#Settings", tree); err != nil {
 		return err
 	}
-	_, err := creed.ParseSettings(path, text)
+	_, err := sysconfig.ParseSettings(path, text)
 	return err
 }
 
@@ -48,7 +48,7 @@
 			return err
 		}
 	}
-	_, err := creed.Parse(body)
+	_, err := sysconfig.Parse(body)
 	return err
 }
 
@@ -57,7 +57,7 @@
 	ctx := cuecontext.New()
 	want := ctx.CompileString(schema).LookupPath(cue.ParsePath(name))
 	if err := want.Err(); err != nil {
-		return &creed.Fault{File: name, Why: err.Error()}
+		return &sysconfig.Fault{File: name, Why: err.Error()}
 	}
 	err := want.Unify(ctx.Encode(bare(tree))).Validate(cue.Concrete(true), cue.Final())
 	var faults []error
@@ -70,7 +70,7 @@
 		seen[key] = true
 		format, args := e.Msg()
 		why := errors.Newf(e.Position(), format, args...).Error()
-		faults = append(faults, &creed.Fault{File: path, Key: key, Why: why})
+		faults = append(faults, &sysconfig.Fault{File: path, Key: key, Why: why})
 	}
 	return stderrors.Join(faults...)
 }
--- a/internal/weave/calls.go
+++ b/internal/weave/calls.go
@@ -10,8 +10,8 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/registry"
+	"asterwell/internal/sysconfig"
 )
 
 // call is one that servers and operators may make, beside its handler. The handler
@@ -127,7 +127,7 @@
 
 func (p *Process) put(ctx *fasthttp.RequestCtx, _ string) {
 	body := append([]byte(nil), ctx.PostBody()...)
-	c, err := creed.Parse(body)
+	c, err := sysconfig.Parse(body)
 	if err != nil {
 		ctx.Error(err.Error()+"\n", http.StatusBadRequest)
 		return
--- a/internal/weave/shared.go
+++ b/internal/weave/shared.go
@@ -3,9 +3,9 @@
 import (
 	"io"
 
-	"asterwell/internal/creed"
 	"asterwell/internal/knot"
 	"asterwell/internal/protocol"
+	"asterwell/internal/sysconfig"
 )
 
 // Link carries a frame to or from a peer: it calls deliver once, later, or never.
@@ -25,7 +25,7 @@
 
 // NewShared puts a process together like New, and leaves the runtime's bounds alone:
 // they are for all that share it.
-func NewShared(path string, set *creed.Settings, shared Shared) (*Process, error) {
+func NewShared(path string, set *sysconfig.Settings, shared Shared) (*Process, error) {
 	return assemble(path, set, shared)
 }
 
--- a/internal/weave/weave.go
+++ b/internal/weave/weave.go
@@ -21,7 +21,6 @@
 
 	"asterwell/internal/actor"
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/knot"
 	"asterwell/internal/logring"
@@ -32,6 +31,7 @@
 	"asterwell/internal/registry"
 	"asterwell/internal/seam"
 	"asterwell/internal/shuttle"
+	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
 	"asterwell/internal/vault"
 )
@@ -39,7 +39,7 @@
 // Process is one of the system.
 type Process struct {
 	path  string // of the settings
-	set   *creed.Settings
+	set   *sysconfig.Settings
 	say   *log.Logger
 	ring  *logring.Ring
 	start time.Time
@@ -97,7 +97,7 @@
 	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	signal.Notify(term, syscall.SIGTERM, os.Interrupt)
-	set, err := creed.ReadSettings(path)
+	set, err := sysconfig.ReadSettings(path)
 	if err != nil {
 		return err
 	}
@@ -122,10 +122,10 @@
 }
 
 // New puts a process together, and begins to listen.
-func New(path string, set *creed.Settings) (*Process, error) { return Timed(path, set, nil) }
+func New(path string, set *sysconfig.Settings) (*Process, error) { return Timed(path, set, nil) }
 
 // Timed is New, of a process whose requests' stages somebody measures.
-func Timed(path string, set *creed.Settings, times func(id string, t *protocol.Times)) (*Process, error) {
+func Timed(path string, set *sysconfig.Settings, times func(id string, t *protocol.Times)) (*Process, error) {
 	runtime.GOMAXPROCS(max(1, int(set.BoundsReq.CpuCount)))
 	debug.SetGCPercent(frugal)
 	limit := int64(set.BoundsReq.MemMb) << 20 * 6 / 10
@@ -137,7 +137,7 @@
 	return p, err
 }
 
-func assemble(path string, set *creed.Settings, shared Shared) (*Process, error) {
+func assemble(path string, set *sysconfig.Settings, shared Shared) (*Process, error) {
 	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: actor.NewBox[any](nil), disk: actor.NewBox[*consensus.Write](nil), texts: actor.NewBox[*knot.Text](nil), rows: actor.NewBox[[]registry.Row](nil),
 		rules: actor.NewBox[*faultrules.Write](nil), judge: faultrules.NewJudge(), tape: &tape{},
 		self: meshAddr(set.IpAddr, set)}
@@ -180,7 +180,7 @@
 func (p *Process) now() plane.Time { return time.Hour + time.Since(p.start) }
 
 // meshAddr is where the process on a machine listens to others.
-func meshAddr(host string, set *creed.Settings) string {
+func meshAddr(host string, set *sysconfig.Settings) string {
 	return fmt.Sprintf("%s:%d", host, set.PortRange[0])
 }
 
@@ -459,7 +459,7 @@
 
 // reread takes over what the settings may change: the seeds.
 func (p *Process) reread() {
-	set, err := creed.ReadSettings(p.path)
+	set, err := sysconfig.ReadSettings(p.path)
 	if err != nil {
 		p.say.WithError(err).Warn("kept the settings in use")
 		return
--- a/internal/yarn/callers.go
+++ b/internal/yarn/callers.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/knot"
+	"asterwell/internal/sysconfig"
 )
 
 // Ends of an operator's call.
@@ -133,7 +133,7 @@
 func (c *caller) send(s sent, then func()) {
 	from, tries := c.w.now, 0
 	doc := consensus.Doc{Version: s.o.version, Body: s.body}
-	if _, err := creed.Parse(s.body); err != nil {
+	if _, err := sysconfig.Parse(s.body); err != nil {
 		c.w.breaks("SCRIPT", "%v", err)
 	}
 	pause := 100 * ms
--- a/internal/yarn/catchup.go
+++ b/internal/yarn/catchup.go
@@ -7,7 +7,7 @@
 	"runtime"
 	"time"
 
-	"asterwell/internal/creed"
+	"asterwell/internal/sysconfig"
 )
 
 // Away is a machine of the core that misses changes, and comes back while they go on.
@@ -178,15 +178,15 @@
 
 // BodyOf is the bytes of a configuration of so many routes and tenants.
 func BodyOf(routes, tenants int) []byte {
-	c := creed.Configuration{Epoch: "00000001", BoundsReq: creed.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderReadMs: 3000, KeepaliveMs: 15000}}
+	c := sysconfig.Configuration{Epoch: "00000001", BoundsReq: sysconfig.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderReadMs: 3000, KeepaliveMs: 15000}}
 	for i := range tenants {
-		c.Principals = append(c.Principals, creed.Principal{Name: fmt.Sprintf("tenant-%05d", i),
+		c.Principals = append(c.Principals, sysconfig.Principal{Name: fmt.Sprintf("tenant-%05d", i),
 			Credentials: []string{fmt.Sprintf("key-of-tenant-%05d", i)}, RatePerS: 20, BurstSize: 40})
 	}
 	w := &world{pad: routes * routeSize}
-	host := creed.Socket{Authority: "host.example"}
+	host := sysconfig.Socket{Authority: "host.example"}
 	w.padded(&host, []string{"pay"})
-	c.Sockets = []creed.Socket{host}
+	c.Sockets = []sysconfig.Socket{host}
 	body, _ := json.Marshal(c)
 	return body
 }
--- a/internal/yarn/grown.go
+++ b/internal/yarn/grown.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"time"
 
-	"asterwell/internal/creed"
+	"asterwell/internal/sysconfig"
 )
 
 // Fleet is a size of the system to be measured.
@@ -204,11 +204,11 @@
 
 // padded makes a configuration as large as those of the storm, with routes that
 // nobody's requests take.
-func (w *world) padded(host *creed.Socket, services []string) {
+func (w *world) padded(host *sysconfig.Socket, services []string) {
 	for i := 0; i*routeSize < w.pad && len(services) > 0; i++ {
-		r := creed.Rule{Name: fmt.Sprintf("fill-%04d", i), RouteClass: "pure", TargetMs: 300}
+		r := sysconfig.Rule{Name: fmt.Sprintf("fill-%04d", i), RouteClass: "pure", TargetMs: 300}
 		r.Predicate.PathPrefix = fmt.Sprintf("/fill/of-the-storm/%04d/", i)
-		r.Effect = creed.Effect{Backend: services[i%len(services)], DeadlineMs: 800, Tries: 2}
+		r.Effect = sysconfig.Effect{Backend: services[i%len(services)], DeadlineMs: 800, Tries: 2}
 		host.Policy = append(host.Policy, r)
 	}
 }
--- a/internal/yarn/operator.go
+++ b/internal/yarn/operator.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/knot"
 	"asterwell/internal/quotas"
+	"asterwell/internal/sysconfig"
 )
 
 // order is a configuration on its way.
@@ -43,22 +43,22 @@
 // write makes the configuration of a version.
 func (w *world) write(version uint32) *order {
 	o := &order{version: version, sent: w.now, limits: map[string]quotas.Limit{}}
-	c := creed.Configuration{Epoch: fmt.Sprintf("%08x", version),
-		BoundsReq: creed.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderReadMs: 3000, KeepaliveMs: keepalive}}
+	c := sysconfig.Configuration{Epoch: fmt.Sprintf("%08x", version),
+		BoundsReq: sysconfig.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 1 << 20, HeaderReadMs: 3000, KeepaliveMs: keepalive}}
 	for _, t := range w.tenants {
 		o.limits[t.name] = t.limit
-		c.Principals = append(c.Principals, creed.Principal{Name: t.name, Credentials: []string{"key-" + t.name},
+		c.Principals = append(c.Principals, sysconfig.Principal{Name: t.name, Credentials: []string{"key-" + t.name},
 			RatePerS: t.limit.Rate, BurstSize: t.limit.Burst})
 	}
-	host := creed.Socket{Authority: "host.example"}
+	host := sysconfig.Socket{Authority: "host.example"}
 	for _, s := range w.services() {
-		r := creed.Rule{Name: "r-" + s, RouteClass: "pure", TargetMs: 300}
-		r.Predicate.PathPrefix, r.Effect = "/"+s+"/", creed.Effect{Backend: s, DeadlineMs: 800, Tries: 2}
+		r := sysconfig.Rule{Name: "r-" + s, RouteClass: "pure", TargetMs: 300}
+		r.Predicate.PathPrefix, r.Effect = "/"+s+"/", sysconfig.Effect{Backend: s, DeadlineMs: 800, Tries: 2}
 		host.Policy = append(host.Policy, r)
-		c.Pools = append(c.Pools, creed.Pool{Name: s, ProbePath: "/probe", MaxConns: 100, Protocol: "h1"})
+		c.Pools = append(c.Pools, sysconfig.Pool{Name: s, ProbePath: "/probe", MaxConns: 100, Protocol: "h1"})
 	}
 	w.padded(&host, w.services())
-	c.Sockets = []creed.Socket{host}
+	c.Sockets = []sysconfig.Socket{host}
 	o.body, _ = json.Marshal(c)
 	w.orders[version] = o
 	return o
@@ -89,7 +89,7 @@
 		p = all[w.rng.IntN(len(all))]
 	}
 	w.call(p, far, func(id uint64) knot.Out {
-		c, err := creed.Parse(o.body)
+		c, err := sysconfig.Parse(o.body)
 		if err != nil {
 			w.note("%s refuses version %d: %v", p.name, o.version, err)
 			return knot.Out{}
@@ -139,10 +139,10 @@
 func (w *world) bad(version uint32) {
 	o := w.write(version)
 	delete(w.orders, version)
-	if _, err := creed.Parse(o.body[:len(o.body)-5]); err == nil {
+	if _, err := sysconfig.Parse(o.body[:len(o.body)-5]); err == nil {
 		w.breaks("CONFIG", "what is cut short counts as valid")
 	}
-	if _, err := creed.Parse(bytes.Replace(o.body, []byte(`"DeadlineMs":800`), []byte(`"DeadlineMs":0`), 1)); err == nil {
+	if _, err := sysconfig.Parse(bytes.Replace(o.body, []byte(`"DeadlineMs":800`), []byte(`"DeadlineMs":0`), 1)); err == nil {
 		w.breaks("CONFIG", "a route without time counts as valid")
 	}
 }
@@ -169,7 +169,7 @@
 }
 
 // adopted: a configuration is in force at a process.
-func (w *world) adopted(p *proc, t *creed.Table, doc *consensus.Doc) {
+func (w *world) adopted(p *proc, t *sysconfig.Table, doc *consensus.Doc) {
 	w.note("%s has version %d in force", p.name, doc.Version)
 	if doc.Version <= p.version {
 		w.breaks("CONFIG", "%s goes back from version %d to %d", p.name, p.version, doc.Version)
--- a/internal/yarn/proc.go
+++ b/internal/yarn/proc.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/creed"
 	"asterwell/internal/knot"
 	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
+	"asterwell/internal/sysconfig"
 )
 
 // proc is a machine of the system, and the process on it while one runs.
@@ -42,7 +42,7 @@
 	last   uint64
 	due    bool
 
-	table   *creed.Table
+	table   *sysconfig.Table
 	version uint32
 	serves  map[*server]bool     // those it may send to, and
 	of      map[string][]*server // the same by service
