--- a/internal/knot/knot.go
+++ b/internal/controlplane/controlplane.go
@@ -1,7 +1,7 @@
-// Package knot ties the machines of one process together: what membership learns goes
+// Package controlplane ties the machines of one process together: what membership learns goes
 // to the list, to agreement and to the counters; what is agreed goes to the meter. It
 // is a machine itself: sockets, disk, clock and the data plane are at its user's rim.
-package knot
+package controlplane
 
 import (
 	"reflect"
--- a/internal/knot/via_test.go
+++ b/internal/controlplane/via_test.go
@@ -1,4 +1,4 @@
-package knot
+package controlplane
 
 import (
 	"encoding/binary"
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"asterwell/internal/actor"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/glass"
-	"asterwell/internal/knot"
 	"asterwell/internal/sysconfig"
 	"asterwell/internal/weave"
 )
@@ -79,7 +79,7 @@
 	if err := json.Unmarshal(lines.Bytes(), &h.spec); err != nil {
 		return fmt.Errorf("the first line: %w", err)
 	}
-	readings := &knot.Readings{}
+	readings := &controlplane.Readings{}
 	for _, path := range h.spec.Settings {
 		set, err := sysconfig.ReadSettings(path)
 		if err != nil {
--- a/internal/rollout/world/orders.go
+++ b/internal/rollout/world/orders.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/rollout"
 )
 
@@ -105,7 +105,7 @@
 	w.Run(time.Second)
 	for _, wish := range copies {
 		p := w.primary()
-		p.input(func() knot.Out { return p.k.Take(p.clock(), asker.addr, wish) })
+		p.input(func() controlplane.Out { return p.k.Take(p.clock(), asker.addr, wish) })
 	}
 	w.Run(time.Second)
 	if p := w.primary(); len(copies) == 0 || p.k.Rollout(p.clock()).Fate == rollout.Withdrawn.String() {
--- a/internal/rollout/world/proc.go
+++ b/internal/rollout/world/proc.go
@@ -10,7 +10,7 @@
 	"github.com/samber/lo"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
 	"asterwell/internal/rollout"
@@ -24,7 +24,7 @@
 	core             bool
 	rate             float64 // of its clock
 	base             time.Duration
-	k                *knot.Knot
+	k                *controlplane.Knot
 	up               bool
 	life             int
 	thaws            time.Duration
@@ -61,7 +61,7 @@
 		}
 	}
 	seed := w.rng.Uint64()
-	p.k = knot.New(knot.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core, Genesis: !p.started,
+	p.k = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core, Genesis: !p.started,
 		Losses: 1, Heartbeat: time.Second, Seeds: []string{w.nodes[0].addr, w.nodes[1].addr, w.nodes[2].addr},
 		Life: uint64(1e12) + uint64(w.now), Seed: seed, Check: p.check}, quotas.NewMeter(p.addr, uint64(p.life), seed), kept, p.clock())
 	p.started = true
@@ -110,7 +110,7 @@
 	})
 }
 
-func (p *Proc) input(do func() knot.Out) {
+func (p *Proc) input(do func() controlplane.Out) {
 	switch {
 	case !p.up:
 	case p.frozen():
@@ -124,7 +124,7 @@
 	if !p.up || p.life != life {
 		return
 	}
-	p.input(func() knot.Out { return p.k.Tick(p.clock()) })
+	p.input(func() controlplane.Out { return p.k.Tick(p.clock()) })
 	next := 50 * ms
 	if p.frozen() {
 		next = p.thaws - p.w.now
@@ -132,7 +132,7 @@
 	p.w.after(next, func() { p.tick(life) })
 }
 
-func (p *Proc) carry(out knot.Out) {
+func (p *Proc) carry(out controlplane.Out) {
 	w := p.w
 	if out.Write != nil {
 		data, err := cbor.Marshal(out.Write.Disk)
@@ -144,7 +144,7 @@
 		w.after(p.synced-w.now, func() {
 			if p.up && p.life == life {
 				p.disk = data
-				p.input(func() knot.Out { return p.k.Written(p.clock(), seq) })
+				p.input(func() controlplane.Out { return p.k.Written(p.clock(), seq) })
 			}
 		})
 	}
@@ -152,7 +152,7 @@
 		life := p.life
 		w.after(w.upTo(20*ms), func() {
 			if p.life == life {
-				p.input(func() knot.Out { return p.k.Read(p.clock(), t.Read()) })
+				p.input(func() controlplane.Out { return p.k.Read(p.clock(), t.Read()) })
 			}
 		})
 	}
@@ -262,7 +262,7 @@
 		life, sent := p.life, w.now
 		w.after(0, func() {
 			if p.life == life {
-				p.input(func() knot.Out {
+				p.input(func() controlplane.Out {
 					w.takes(p.addr, p, s.Msg, sent)
 					return p.k.Take(p.clock(), p.addr, s.Msg)
 				})
@@ -293,7 +293,7 @@
 		w.after(d, func() {
 			if to.life == life && !w.cuts[[2]string{from, to.addr}] {
 				w.came(from, to, s.Msg)
-				to.input(func() knot.Out {
+				to.input(func() controlplane.Out {
 					w.takes(from, to, s.Msg, sent)
 					return to.k.Take(to.clock(), from, s.Msg)
 				})
@@ -386,7 +386,7 @@
 		w.texts[version] = body
 	}
 	w.other[version] = w.other[version] || !bytes.Equal(w.texts[version], body)
-	p.input(func() knot.Out {
+	p.input(func() controlplane.Out {
 		return p.k.Put(p.clock(), id, consensus.Doc{Version: version, Body: body})
 	})
 }
@@ -399,6 +399,6 @@
 		id := p.calls
 		_, known := w.fates[version]
 		p.wishes[id] = wished{version, known}
-		p.input(func() knot.Out { return p.k.Withdraw(p.clock(), id, version, "ops") })
+		p.input(func() controlplane.Out { return p.k.Withdraw(p.clock(), id, version, "ops") })
 	}
 }
--- a/internal/rollout/world/world.go
+++ b/internal/rollout/world/world.go
@@ -1,4 +1,4 @@
-// Package world plays rollouts among whole processes (package knot) in a virtual time:
+// Package world plays rollouts among whole processes (package controlplane) in a virtual time:
 // a seed draws what goes wrong, and the same seed plays the same again. Links, disks,
 // clocks and clients are this package's; so is the judge.
 package world
--- a/internal/weave/frame.go
+++ b/internal/weave/frame.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/mesh"
 )
 
@@ -28,7 +28,7 @@
 
 // The messages of each machine, by the number that they have on the wire: the
 // machine's times 32, and the place in its list.
-var machines = knot.Messages()
+var machines = controlplane.Messages()
 
 var numbers = func() map[reflect.Type]byte {
 	n := map[reflect.Type]byte{}
--- a/internal/weave/frames.go
+++ b/internal/weave/frames.go
@@ -11,8 +11,8 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/internal/consensus"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/glass"
-	"asterwell/internal/knot"
 	"asterwell/internal/mesh"
 	"asterwell/internal/quotas"
 )
@@ -54,7 +54,7 @@
 		c := &t[n]
 		k := glass.Kind{Sent: c.sent.Load(), BytesOut: c.bytesOut.Load(), Got: c.got.Load(), BytesIn: c.bytesIn.Load()}
 		if k != (glass.Kind{}) {
-			all[knot.MessageName(int(n/32), int(n%32))] = k
+			all[controlplane.MessageName(int(n/32), int(n%32))] = k
 		}
 	}
 	return all
--- a/internal/weave/shared.go
+++ b/internal/weave/shared.go
@@ -3,7 +3,7 @@
 import (
 	"io"
 
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/protocol"
 	"asterwell/internal/sysconfig"
 )
@@ -18,7 +18,7 @@
 	Link Link // nil: as the network is
 	Bare bool // the data plane is told nothing, so that what is left is control
 
-	Readings *knot.Readings // of texts; nil: each process reads its own
+	Readings *controlplane.Readings // of texts; nil: each process reads its own
 
 	Times func(id string, t *protocol.Times) // hears of each request's stages; nil: nobody measures
 }
--- a/internal/weave/shed.go
+++ b/internal/weave/shed.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/quotas"
 )
 
@@ -49,7 +49,7 @@
 	switch m := f.Msg.(type) {
 	case quotas.Add:
 		return true
-	case knot.Via:
+	case controlplane.Via:
 		return m.Add != nil || m.Answer != nil
 	}
 	return false
--- a/internal/weave/weave.go
+++ b/internal/weave/weave.go
@@ -21,8 +21,8 @@
 
 	"asterwell/internal/actor"
 	"asterwell/internal/consensus"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/faultrules"
-	"asterwell/internal/knot"
 	"asterwell/internal/logring"
 	"asterwell/internal/mesh"
 	"asterwell/internal/plane"
@@ -47,7 +47,7 @@
 	box   *actor.Box[any]
 	adds  adds // of gateways, to the counters here
 
-	knot  *knot.Knot // the machines, which the loop's goroutine owns
+	knot  *controlplane.Knot // the machines, which the loop's goroutine owns
 	meter *meter
 
 	mesh      *mesh.Mesh[*frame]
@@ -60,9 +60,9 @@
 	up, known atomic.Int64 // processes and servers, for who counts them often
 	vault     *vault.Vault // nil: no disk
 	disk      *actor.Box[*consensus.Write]
-	texts     *actor.Box[*knot.Text]     // to be read: one at a time
-	readings  *knot.Readings             // nil: nobody shares them
-	rows      *actor.Box[[]registry.Row] // the servers, to be kept
+	texts     *actor.Box[*controlplane.Text] // to be read: one at a time
+	readings  *controlplane.Readings         // nil: nobody shares them
+	rows      *actor.Box[[]registry.Row]     // the servers, to be kept
 	rules     *actor.Box[*faultrules.Write]
 	judge     *faultrules.Judge
 	ban       *ban // nil: no fault rules
@@ -138,7 +138,7 @@
 }
 
 func assemble(path string, set *sysconfig.Settings, shared Shared) (*Process, error) {
-	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: actor.NewBox[any](nil), disk: actor.NewBox[*consensus.Write](nil), texts: actor.NewBox[*knot.Text](nil), rows: actor.NewBox[[]registry.Row](nil),
+	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: actor.NewBox[any](nil), disk: actor.NewBox[*consensus.Write](nil), texts: actor.NewBox[*controlplane.Text](nil), rows: actor.NewBox[[]registry.Row](nil),
 		rules: actor.NewBox[*faultrules.Write](nil), judge: faultrules.NewJudge(), tape: &tape{},
 		self: meshAddr(set.IpAddr, set)}
 	p.ring = logring.NewRing(shared.Log, set.NodeName, 256, log.InfoLevel)
@@ -155,10 +155,10 @@
 		}
 	}
 	p.meter = &meter{m: quotas.NewMeter(p.self, life, seed)}
-	p.knot = knot.New(knot.Config{Self: p.self, Name: set.NodeName, Zone: set.Zone, Control: set.Bind.ControlPlane,
+	p.knot = controlplane.New(controlplane.Config{Self: p.self, Name: set.NodeName, Zone: set.Zone, Control: set.Bind.ControlPlane,
 		Member: member, Genesis: set.Genesis && sound, Losses: set.FaultBudget.MachineLosses,
 		Heartbeat: time.Duration(set.HeartbeatMs) * time.Millisecond, Seeds: p.seeds(), Life: life, Seed: seed,
-		Faults: knot.Faults{Longest: p.longest(), Judge: p.judge, Disk: p.keptRules(sound)}},
+		Faults: controlplane.Faults{Longest: p.longest(), Judge: p.judge, Disk: p.keptRules(sound)}},
 		p.meter, kept, now)
 	p.plane = shuttle.New(shuttle.Options{Zone: set.Zone, Now: p.now, Sockets: set.BoundsReq.FdLimit / 3, Seed: seed, Pass: p.pass,
 		Leaving: p.away, Closing: p.closing.Load, RetryRatio: set.Bounds.RetryRatio, RetrySlack: set.Bounds.RetrySlack, ColdFor: 3 * time.Second, Faults: p.faults(life), Times: shared.Times})
@@ -290,7 +290,7 @@
 		p.reply(m.call, m.show(p))
 	case drained:
 		p.carry(p.knot.Drain(now, m.call, m.op, m.within))
-	case *knot.Reading:
+	case *controlplane.Reading:
 		p.carry(p.knot.Read(now, m))
 	case written:
 		p.carry(p.knot.Written(now, m.seq))
@@ -352,7 +352,7 @@
 }
 
 // carry carries out what the machines want.
-func (p *Process) carry(out knot.Out) {
+func (p *Process) carry(out controlplane.Out) {
 	if out.Write != nil {
 		p.disk.Put(out.Write)
 	}
--- a/internal/yarn/bug.go
+++ b/internal/yarn/bug.go
@@ -4,9 +4,9 @@
 	"slices"
 
 	"asterwell/internal/consensus"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
-	"asterwell/internal/knot"
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
 )
@@ -44,38 +44,38 @@
 	"numberless", "uncalled", "outdated", "unheard", "remnant"}
 
 // guards are those that are off in the machines.
-func (b Bug) guards() knot.Bugs {
+func (b Bug) guards() controlplane.Bugs {
 	switch b {
 	case OldDisk:
-		return knot.Bugs{Pact: consensus.BugOldDisk}
+		return controlplane.Bugs{Pact: consensus.BugOldDisk}
 	case Deaf:
-		return knot.Bugs{Pact: consensus.BugDeaf}
+		return controlplane.Bugs{Pact: consensus.BugDeaf}
 	case Unheard:
-		return knot.Bugs{Pact: consensus.BugNoLearner}
+		return controlplane.Bugs{Pact: consensus.BugNoLearner}
 	case Remnant:
-		return knot.Bugs{Pact: consensus.BugRemnant}
+		return controlplane.Bugs{Pact: consensus.BugRemnant}
 	case Whole:
-		return knot.Bugs{Pact: consensus.BugWhole}
+		return controlplane.Bugs{Pact: consensus.BugWhole}
 	case Unread:
-		return knot.Bugs{Pact: consensus.BugUnconfirmed}
+		return controlplane.Bugs{Pact: consensus.BugUnconfirmed}
 	case Unvouched:
-		return knot.Bugs{Lore: registry.Unvouched}
+		return controlplane.Bugs{Lore: registry.Unvouched}
 	case Straight:
-		return knot.Bugs{Lore: registry.Straight}
+		return controlplane.Bugs{Lore: registry.Straight}
 	case Unmet:
-		return knot.Bugs{Unmet: true}
+		return controlplane.Bugs{Unmet: true}
 	case Unasked:
-		return knot.Bugs{Bane: faultrules.Unconfirmed}
+		return controlplane.Bugs{Bane: faultrules.Unconfirmed}
 	case Numberless:
-		return knot.Bugs{Bane: faultrules.Numberless}
+		return controlplane.Bugs{Bane: faultrules.Numberless}
 	case Uncalled:
-		return knot.Bugs{Cede: drainpermit.Hasty}
+		return controlplane.Bugs{Cede: drainpermit.Hasty}
 	case Outdated:
-		return knot.Bugs{Cede: drainpermit.Stale}
+		return controlplane.Bugs{Cede: drainpermit.Stale}
 	case Unfenced:
-		return knot.Bugs{Bane: faultrules.Unfenced}
+		return controlplane.Bugs{Bane: faultrules.Unfenced}
 	}
-	return knot.Bugs{}
+	return controlplane.Bugs{}
 }
 
 func (b Bug) String() string { return bugNames[b] }
--- a/internal/yarn/disk.go
+++ b/internal/yarn/disk.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 )
 
 // disk is a machine's. It syncs one write at a time, the newest of what has come.
@@ -59,7 +59,7 @@
 
 func (d *disk) written(seq uint64, spins int) {
 	if d.spins == spins {
-		d.p.input(func() knot.Out { return d.p.k.Written(d.p.clock(), seq) })
+		d.p.input(func() controlplane.Out { return d.p.k.Written(d.p.clock(), seq) })
 	}
 }
 
--- a/internal/yarn/doc.go
+++ b/internal/yarn/doc.go
@@ -1,5 +1,5 @@
 // Package yarn plays days of the whole system in simulated time: processes (package
-// knot) with their disks, links between them, servers that beat and leave, operators
+// controlplane) with their disks, links between them, servers that beat and leave, operators
 // that call by the protocol, clients of tenants. Troubles come from a script, or from
 // a seed that draws one, and the rules are judged all the while.
 //
--- a/internal/yarn/gauge.go
+++ b/internal/yarn/gauge.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 )
 
 // gauge measures what processes send and cost, and carries messages through links that
@@ -76,7 +76,7 @@
 }
 
 // step measures a process's step.
-func (g *gauge) step(p *proc, do func() knot.Out) knot.Out {
+func (g *gauge) step(p *proc, do func() controlplane.Out) controlplane.Out {
 	if g == nil {
 		return do()
 	}
--- a/internal/yarn/net.go
+++ b/internal/yarn/net.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/plane"
 )
 
@@ -29,7 +29,7 @@
 			life := p.life
 			w.after(0, func() {
 				if p.life == life {
-					p.input(func() knot.Out { return p.k.Take(p.clock(), p.addr, msg) })
+					p.input(func() controlplane.Out { return p.k.Take(p.clock(), p.addr, msg) })
 				}
 			})
 			continue
@@ -56,7 +56,7 @@
 		from, life, sent := p.addr, to.life, w.now
 		arrives := func() {
 			if to.life == life && w.torn[link{from, to.addr}] <= sent && !w.severed(from, to.addr) {
-				to.input(func() knot.Out { return to.k.Take(to.clock(), from, msg) })
+				to.input(func() controlplane.Out { return to.k.Take(to.clock(), from, msg) })
 			}
 		}
 		if cost > 0 {
--- a/internal/yarn/operator.go
+++ b/internal/yarn/operator.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/quotas"
 	"asterwell/internal/sysconfig"
 )
@@ -88,11 +88,11 @@
 		}
 		p = all[w.rng.IntN(len(all))]
 	}
-	w.call(p, far, func(id uint64) knot.Out {
+	w.call(p, far, func(id uint64) controlplane.Out {
 		c, err := sysconfig.Parse(o.body)
 		if err != nil {
 			w.note("%s refuses version %d: %v", p.name, o.version, err)
-			return knot.Out{}
+			return controlplane.Out{}
 		}
 		return p.k.Put(p.clock(), id, consensus.Doc{Version: c.Version(), Body: o.body})
 	}, func(v any) {
@@ -150,7 +150,7 @@
 // read asks one process for the newest configuration, and judges it.
 func (w *world) read(p *proc) {
 	floor := w.acked
-	w.call(p, far, func(id uint64) knot.Out { return p.k.Get(p.clock(), id) }, func(v any) {
+	w.call(p, far, func(id uint64) controlplane.Out { return p.k.Get(p.clock(), id) }, func(v any) {
 		a, ok := v.(consensus.Answer)
 		switch {
 		case !ok || a.Verdict == consensus.Busy || a.Verdict == consensus.Kept:
--- a/internal/yarn/proc.go
+++ b/internal/yarn/proc.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
@@ -23,7 +23,7 @@
 	rules            ruleDisk
 	met              time.Duration // when it last had a way to most of the core
 
-	k       *knot.Knot
+	k       *controlplane.Knot
 	meter   *quotas.Meter
 	start   time.Duration
 	life    int           // counts starts
@@ -88,9 +88,9 @@
 		kept = p.disk.open()
 	}
 	p.meter = quotas.NewMeter(p.addr, life, seed)
-	p.k = knot.New(knot.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core,
+	p.k = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core,
 		Genesis: p.genesis, Losses: w.losses, Heartbeat: heartbeat, Seeds: w.seeds, Life: life, Seed: seed,
-		Faults: knot.Faults{Longest: longestRules, Disk: p.openRules()}, Bugs: w.bug.guards()},
+		Faults: controlplane.Faults{Longest: longestRules, Disk: p.openRules()}, Bugs: w.bug.guards()},
 		p.meter, kept, p.clock())
 	w.note("%s starts, life %d", p.name, p.life)
 	p.tick(p.life)
@@ -116,7 +116,7 @@
 	if !p.up || p.life != life {
 		return
 	}
-	p.input(func() knot.Out { return p.k.Tick(p.clock()) })
+	p.input(func() controlplane.Out { return p.k.Tick(p.clock()) })
 	next := tick
 	if p.frozen() {
 		next = p.thaws - p.w.now
@@ -125,7 +125,7 @@
 }
 
 // input gives something to the process, when it has thawed if it is frozen.
-func (p *proc) input(do func() knot.Out) {
+func (p *proc) input(do func() controlplane.Out) {
 	switch {
 	case !p.up:
 	case p.frozen():
@@ -148,7 +148,7 @@
 }
 
 // carry is the rim.
-func (p *proc) carry(out knot.Out) {
+func (p *proc) carry(out controlplane.Out) {
 	w := p.w
 	if out.Write != nil {
 		p.disk.put(out.Write)
@@ -160,7 +160,7 @@
 		}
 		w.after(time.Duration(len(t.Doc.Body))*readByte, func() {
 			if p.life == life {
-				p.input(func() knot.Out { return p.k.Read(p.clock(), readings.Read(t)) })
+				p.input(func() controlplane.Out { return p.k.Read(p.clock(), readings.Read(t)) })
 			}
 		})
 	}
@@ -213,7 +213,7 @@
 
 // call is one of a server's or an operator's, from a distance. done gets nil when the
 // caller sees a failure; it comes once, after patience at the latest.
-func (w *world) call(p *proc, far time.Duration, do func(id uint64) knot.Out, done func(any)) {
+func (w *world) call(p *proc, far time.Duration, do func(id uint64) controlplane.Out, done func(any)) {
 	over := false
 	finish := func(v any) {
 		if !over {
@@ -237,7 +237,7 @@
 				w.after(far, func() { finish(v) })
 			}
 		}
-		p.input(func() knot.Out { return do(id) })
+		p.input(func() controlplane.Out { return do(id) })
 	})
 }
 
@@ -250,7 +250,7 @@
 		p.w.after(0, func() {
 			if p.life == life {
 				p.due = false
-				p.input(func() knot.Out { return p.k.Count(p.clock()) })
+				p.input(func() controlplane.Out { return p.k.Count(p.clock()) })
 			}
 		})
 	}
--- a/internal/yarn/script.go
+++ b/internal/yarn/script.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"asterwell/internal/consensus"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
-	"asterwell/internal/knot"
 	"asterwell/internal/quotas"
 )
 
@@ -727,7 +727,7 @@
 	if p.core {
 		w.watchHandover(p, life)
 	}
-	p.input(func() knot.Out { return p.k.Leave(p.clock()) })
+	p.input(func() controlplane.Out { return p.k.Leave(p.clock()) })
 	var ends func()
 	ends = func() {
 		switch {
@@ -746,7 +746,7 @@
 	}
 	depart := func(n consensus.Notice) {
 		if p.life == life && p.up {
-			p.input(func() knot.Out { return p.k.Depart(p.clock(), n) })
+			p.input(func() controlplane.Out { return p.k.Depart(p.clock(), n) })
 		}
 	}
 	w.after(grace-departs, func() { depart(consensus.Ends) })
@@ -803,7 +803,7 @@
 		life := p.life
 		w.after(w.upTo(time.Second), func() {
 			if p.up && p.life == life {
-				p.input(func() knot.Out { p.k.Seeds(p.clock(), w.seeds); return knot.Out{} })
+				p.input(func() controlplane.Out { p.k.Seeds(p.clock(), w.seeds); return controlplane.Out{} })
 			}
 		})
 	}
--- a/internal/yarn/world.go
+++ b/internal/yarn/world.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"asterwell/internal/knot"
+	"asterwell/internal/controlplane"
 	"asterwell/internal/plane"
 )
 
@@ -24,11 +24,11 @@
 	trace func(string)
 	gauge *gauge // nil: nothing is measured
 
-	processor *processor        // nil: all is done at once
-	lore      map[*proc]*[4]int // news and Acks sent, frames of them taken, bytes sent; nil: not counted
-	pad       int               // bytes that configurations are made up to
-	readings  *knot.Readings    // that all share
-	still     bool              // clients send nothing
+	processor *processor             // nil: all is done at once
+	lore      map[*proc]*[4]int      // news and Acks sent, frames of them taken, bytes sent; nil: not counted
+	pad       int                    // bytes that configurations are made up to
+	readings  *controlplane.Readings // that all share
+	still     bool                   // clients send nothing
 	sum       *xxhash.Digest
 
 	procs  []*proc // in order of their first start
@@ -67,7 +67,7 @@
 }
 
 func newWorld(seed uint64, bug Bug, trace func(string)) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 0x7a21)), readings: &knot.Readings{}, bug: bug, wire: seed%8 == 0, pace: 5 * ms, trace: trace, sum: xxhash.New(),
+	w := &world{rng: rand.New(rand.NewPCG(seed, 0x7a21)), readings: &controlplane.Readings{}, bug: bug, wire: seed%8 == 0, pace: 5 * ms, trace: trace, sum: xxhash.New(),
 		byAddr: map[string]*proc{}, byName: map[string]*proc{}, cuts: map[link][]*cut{}, holds: map[link]*holding{}, torn: map[link]time.Duration{},
 		ruling: ruling{sent: map[uint32]bool{}},
 		orders: map[uint32]*order{}, byID: map[string]*server{}}
