--- a/internal/shuttle/shuttle.go
+++ b/internal/dataplane/dataplane.go
@@ -1,8 +1,8 @@
-// Package shuttle is the system's data plane: it takes clients' requests by the
+// Package dataplane is the system's data plane: it takes clients' requests by the
 // configuration in force, and carries them with the same core, module and
 // connections as the gateway in service. Each service has a lane of its own, so
 // that one that is overloaded takes nothing from the others.
-package shuttle
+package dataplane
 
 import (
 	"maps"
--- a/internal/shuttle/lane_test.go
+++ b/internal/dataplane/lane_test.go
@@ -1,4 +1,4 @@
-package shuttle
+package dataplane
 
 import (
 	"io"
--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -17,7 +17,7 @@
 	"github.com/samber/lo"
 
 	"asterwell/choice"
-	"asterwell/internal/shuttle"
+	"asterwell/internal/dataplane"
 	"asterwell/internal/standin/snag"
 	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
@@ -97,7 +97,7 @@
 
 // callerStage is a gateway between clients and servers behind proxies.
 type callerStage struct {
-	plane   *shuttle.Plane
+	plane   *dataplane.Plane
 	clients *transport.Listener
 	servers []*snag.Server
 	proxies []*snag.Proxy
@@ -116,11 +116,11 @@
 		return method == "GET" && body == "" || method == "POST" && body == sentBody(name, path)
 	}
 	start := time.Now()
-	g.plane = shuttle.New(shuttle.Options{Zone: "a", Now: func() time.Duration { return time.Hour + time.Since(start) }, Sockets: 100, Seed: 1,
+	g.plane = dataplane.New(dataplane.Options{Zone: "a", Now: func() time.Duration { return time.Hour + time.Since(start) }, Sockets: 100, Seed: 1,
 		Pass:    func(string, float64) (bool, time.Duration) { return true, 0 },
 		Leaving: func() bool { return false }, RetryRatio: 1, RetrySlack: 1000, Bug: bug})
 	g.plane.Adopt(table)
-	host, list := callerHost(), []shuttle.Server(nil)
+	host, list := callerHost(), []dataplane.Server(nil)
 	for range servers {
 		s, err := snag.Listen(host, callerName(), g.ledger)
 		if err != nil {
@@ -131,7 +131,7 @@
 			return nil, err
 		}
 		g.servers, g.proxies = append(g.servers, s), append(g.proxies, p)
-		list = append(list, shuttle.Server{ID: s.ID, Addr: p.Addr, Service: "toy", Zone: "a", Capacity: 50, State: choice.Up})
+		list = append(list, dataplane.Server{ID: s.ID, Addr: p.Addr, Service: "toy", Zone: "a", Capacity: 50, State: choice.Up})
 	}
 	g.plane.Serve(list)
 	if g.clients, err = transport.Listen(nil, host+":0", 100); err != nil {
--- a/internal/weave/disk.go
+++ b/internal/weave/disk.go
@@ -9,10 +9,10 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"asterwell/internal/consensus"
+	"asterwell/internal/dataplane"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/registry"
 	"asterwell/internal/rollout"
-	"asterwell/internal/shuttle"
 	"asterwell/internal/vault"
 )
 
@@ -132,7 +132,7 @@
 	Version    string
 	Pact       consensus.Status
 	Rollout    rollout.Status
-	Turns      shuttle.Turns
+	Turns      dataplane.Turns
 	Nodes      []memberlist.Node
 	Servers    []registry.Server
 	Mesh_      map[string]int64 `json:"Frames"`
--- a/internal/weave/serve.go
+++ b/internal/weave/serve.go
@@ -10,8 +10,8 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/choice"
+	"asterwell/internal/dataplane"
 	"asterwell/internal/registry"
-	"asterwell/internal/shuttle"
 	"asterwell/internal/transport"
 )
 
@@ -117,7 +117,7 @@
 }
 
 // lately sums up words on servers: of each the last one counts, and who has ended is nobody's any more.
-func lately(all []registry.Server) (list []shuttle.Server, gone []string) {
+func lately(all []registry.Server) (list []dataplane.Server, gone []string) {
 	seen := make(map[string]bool, len(all))
 	for _, s := range slices.Backward(all) {
 		switch {
@@ -133,7 +133,7 @@
 }
 
 // served is a server as the data plane sees it.
-func served(s registry.Server) shuttle.Server {
+func served(s registry.Server) dataplane.Server {
 	state := choice.Up
 	switch s.Phase {
 	case registry.Quiescing:
@@ -141,5 +141,5 @@
 	case registry.Silent:
 		state = choice.Down
 	}
-	return shuttle.Server{ID: s.ID, Addr: s.Addr, Service: s.Service, Zone: s.Zone, Capacity: s.Capacity, Warm: s.Warm, State: state}
+	return dataplane.Server{ID: s.ID, Addr: s.Addr, Service: s.Service, Zone: s.Zone, Capacity: s.Capacity, Warm: s.Warm, State: state}
 }
--- a/internal/weave/strikes.go
+++ b/internal/weave/strikes.go
@@ -10,8 +10,8 @@
 	"github.com/apex/log"
 	"github.com/valyala/fasthttp"
 
+	"asterwell/internal/dataplane"
 	"asterwell/internal/faultrules"
-	"asterwell/internal/shuttle"
 )
 
 // strike is one on record.
@@ -42,7 +42,7 @@
 	partLook    = 5 * time.Millisecond
 )
 
-func (p *Process) faults(life uint64) shuttle.Faults {
+func (p *Process) faults(life uint64) dataplane.Faults {
 	if p.longest() == 0 {
 		return nil
 	}
--- a/internal/weave/weave.go
+++ b/internal/weave/weave.go
@@ -22,6 +22,7 @@
 	"asterwell/internal/actor"
 	"asterwell/internal/consensus"
 	"asterwell/internal/controlplane"
+	"asterwell/internal/dataplane"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/logring"
 	"asterwell/internal/mesh"
@@ -30,7 +31,6 @@
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
 	"asterwell/internal/seam"
-	"asterwell/internal/shuttle"
 	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
 	"asterwell/internal/vault"
@@ -71,7 +71,7 @@
 	growth    int   // percent
 	dirty     bool
 	keptAt    time.Time
-	plane     *shuttle.Plane
+	plane     *dataplane.Plane
 	listeners []*transport.Listener
 	clients   *transport.Listener // nil: they are not served
 
@@ -160,7 +160,7 @@
 		Heartbeat: time.Duration(set.HeartbeatMs) * time.Millisecond, Seeds: p.seeds(), Life: life, Seed: seed,
 		Faults: controlplane.Faults{Longest: p.longest(), Judge: p.judge, Disk: p.keptRules(sound)}},
 		p.meter, kept, now)
-	p.plane = shuttle.New(shuttle.Options{Zone: set.Zone, Now: p.now, Sockets: set.BoundsReq.FdLimit / 3, Seed: seed, Pass: p.pass,
+	p.plane = dataplane.New(dataplane.Options{Zone: set.Zone, Now: p.now, Sockets: set.BoundsReq.FdLimit / 3, Seed: seed, Pass: p.pass,
 		Leaving: p.away, Closing: p.closing.Load, RetryRatio: set.Bounds.RetryRatio, RetrySlack: set.Bounds.RetrySlack, ColdFor: 3 * time.Second, Faults: p.faults(life), Times: shared.Times})
 	p.mesh = mesh.New(mesh.Options[*frame]{Codec: p.frames.codec(p.adds.full), Most: 1000, Tune: tune, Buffer: 2 << 10,
 		Handle: func(_ *mesh.Pipe[*frame], f *frame) {
