--- a/cmd/loom/main.go
+++ b/cmd/loom/main.go
@@ -11,7 +11,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"asterwell/internal/weave"
+	"asterwell/internal/daemon"
 )
 
 func main() { os.Exit(run(os.Args, os.Stdout, os.Stderr)) }
@@ -22,7 +22,7 @@
 		Commands: []*cli.Command{
 			{Name: "run", Usage: "serve, by the settings file that ASTERWELL_CONFIG names", Flags: []cli.Flag{
 				&cli.StringFlag{Name: "settings", Usage: "the settings file", Sources: cli.EnvVars("ASTERWELL_CONFIG"), Required: true}},
-				Action: func(ctx context.Context, c *cli.Command) error { return weave.Run(ctx, c.String("settings")) }},
+				Action: func(ctx context.Context, c *cli.Command) error { return daemon.Run(ctx, c.String("settings")) }},
 			{Name: "status", Usage: "tell what a start would find in a state, and change nothing; the process is stopped", ArgsUsage: "DIR",
 				Action: func(_ context.Context, c *cli.Command) error { return status(c.Args().Slice(), out) }},
 			{Name: "snapshot", Usage: "copy the state of a process that is stopped", ArgsUsage: "DIR FILE",
--- a/cmd/loom/state.go
+++ b/cmd/loom/state.go
@@ -19,7 +19,7 @@
 
 const (
 	file   = "vault.db"
-	record = "pact" // as package weave names them
+	record = "pact" // as package daemon names them
 	list   = "lore"
 )
 
--- a/cmd/reed/main_test.go
+++ b/cmd/reed/main_test.go
@@ -17,8 +17,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 	"golang.org/x/sys/unix"
 
+	"asterwell/internal/daemon"
 	"asterwell/internal/tell"
-	"asterwell/internal/weave"
 )
 
 func TestMain(m *testing.M) {
@@ -29,7 +29,7 @@
 				panic(err)
 			}
 		}
-		if err := weave.Run(context.Background(), os.Getenv("ASTERWELL_CONFIG")); err != nil {
+		if err := daemon.Run(context.Background(), os.Getenv("ASTERWELL_CONFIG")); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/example/system/main_test.go
+++ b/example/system/main_test.go
@@ -10,14 +10,14 @@
 	"strings"
 	"testing"
 
+	"asterwell/internal/daemon"
 	"asterwell/internal/tell"
-	"asterwell/internal/weave"
 )
 
 // TestMain is a process of the system where the test starts it as one.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("ASTERWELL_CONFIG"); path != "" {
-		if err := weave.Run(context.Background(), path); err != nil {
+		if err := daemon.Run(context.Background(), path); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/internal/weave/weave.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package weave puts a process of the system together: the machines of each plane,
+// Package daemon puts a process of the system together: the machines of each plane,
 // the mesh between processes, the disk, and the addresses that others call.
-package weave
+package daemon
 
 import (
 	"context"
--- a/internal/weave/drain.go
+++ b/internal/daemon/drain.go
@@ -1,4 +1,4 @@
-package weave
+package daemon
 
 import (
 	"net/http"
--- a/internal/lab/callerframes.go
+++ b/internal/lab/callerframes.go
@@ -8,10 +8,10 @@
 
 	"asterwell/internal/actor"
 	"asterwell/internal/consensus"
+	"asterwell/internal/daemon"
 	"asterwell/internal/mesh"
 	"asterwell/internal/plane"
 	"asterwell/internal/standin/snag"
-	"asterwell/internal/weave"
 )
 
 // frameSpeed is how much faster the asker's clock goes: its repeats and its patience, a second,
@@ -47,11 +47,11 @@
 func frameText(life string, call uint64) string { return fmt.Sprintf("%s/%d", life, call) }
 
 // frameKind is a message's byte on the wire.
-func frameKind(msg any) byte { return weave.Frames.Encode(&weave.Frame{From: "x", Msg: msg})[5] }
+func frameKind(msg any) byte { return daemon.Frames.Encode(&daemon.Frame{From: "x", Msg: msg})[5] }
 
 // formerAnswer is the frame that answers a call of the asker's earlier life.
 func formerAnswer(from string, call uint64) []byte {
-	return weave.Frames.Encode(&weave.Frame{From: from, Msg: consensus.Answered{ID: call, Salt: 7, Verdict: consensus.Kept,
+	return daemon.Frames.Encode(&daemon.Frame{From: from, Msg: consensus.Answered{ID: call, Salt: 7, Verdict: consensus.Kept,
 		Doc: &consensus.Doc{Version: uint32(call), Body: []byte(frameText("former", call))}}})
 }
 
@@ -72,8 +72,8 @@
 		return p
 	}
 	defer there.Close()
-	listen := func(proxy *snag.FrameProxy, handle func(*weave.Frame)) *mesh.Mesh[*weave.Frame] {
-		m := mesh.New(mesh.Options[*weave.Frame]{Codec: weave.Frames, Most: 100, Handle: func(_ *mesh.Pipe[*weave.Frame], f *weave.Frame) { handle(f) }})
+	listen := func(proxy *snag.FrameProxy, handle func(*daemon.Frame)) *mesh.Mesh[*daemon.Frame] {
+		m := mesh.New(mesh.Options[*daemon.Frame]{Codec: daemon.Frames, Most: 100, Handle: func(_ *mesh.Pipe[*daemon.Frame], f *daemon.Frame) { handle(f) }})
 		if err := m.Listen(host + ":0"); err != nil {
 			p.err = err
 			return m
@@ -81,20 +81,20 @@
 		proxy.Lead(m.Addr())
 		return m
 	}
-	var answerer *mesh.Mesh[*weave.Frame]
+	var answerer *mesh.Mesh[*daemon.Frame]
 	var ready sync.WaitGroup
 	ready.Add(1)
-	answerer = listen(there, func(f *weave.Frame) {
+	answerer = listen(there, func(f *daemon.Frame) {
 		ready.Wait()
 		if q, ok := f.Msg.(consensus.Forward); ok {
 			doc := q.Doc
-			answerer.To(f.From).Send(&weave.Frame{From: there.Addr, Msg: consensus.Answered{ID: q.ID, Salt: q.Salt, Verdict: consensus.Kept, Doc: &doc}})
+			answerer.To(f.From).Send(&daemon.Frame{From: there.Addr, Msg: consensus.Answered{ID: q.ID, Salt: q.Salt, Verdict: consensus.Kept, Doc: &doc}})
 		}
 	})
 	ready.Done()
 	defer answerer.Close()
 	in := actor.NewBox[any](nil)
-	asker := listen(here, func(f *weave.Frame) { in.Put(f) })
+	asker := listen(here, func(f *daemon.Frame) { in.Put(f) })
 	defer asker.Close()
 	if p.err != nil {
 		return p
@@ -104,14 +104,14 @@
 }
 
 // ask is the asker's loop.
-func (p *framePlayed) ask(c frameCase, m *mesh.Mesh[*weave.Frame], in *actor.Box[any], here, there *snag.FrameProxy, bug consensus.Bug) {
+func (p *framePlayed) ask(c frameCase, m *mesh.Mesh[*daemon.Frame], in *actor.Box[any], here, there *snag.FrameProxy, bug consensus.Bug) {
 	start := time.Now()
 	now := func() plane.Time { return time.Hour + frameSpeed*time.Since(start) }
 	a := consensus.New(consensus.Config{Self: here.Addr, Name: "asker", Seeds: []string{there.Addr}, Seed: 5}, nil, now())
 	a.SetBug(bug)
 	took := func(out consensus.Out) {
 		for _, s := range out.Send {
-			m.To(s.To).Send(&weave.Frame{From: here.Addr, Msg: s.Msg})
+			m.To(s.To).Send(&daemon.Frame{From: here.Addr, Msg: s.Msg})
 		}
 		for _, an := range out.Answers {
 			text := "busy"
@@ -127,7 +127,7 @@
 	until := func(done func() bool) {
 		for end := time.Now().Add(5 * time.Second); !done() && time.Now().Before(end); {
 			for _, x := range in.Take(2 * time.Millisecond) {
-				f := x.(*weave.Frame)
+				f := x.(*daemon.Frame)
 				took(a.Take(now(), f.From, f.Msg))
 			}
 			took(a.Tick(now()))
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -17,9 +17,9 @@
 
 	"asterwell/internal/actor"
 	"asterwell/internal/controlplane"
+	"asterwell/internal/daemon"
 	"asterwell/internal/glass"
 	"asterwell/internal/sysconfig"
-	"asterwell/internal/weave"
 )
 
 // HollowSpec is what a process of hollow gateways is told in its first line.
@@ -53,7 +53,7 @@
 	spec         HollowSpec
 	mu           sync.Mutex
 	out          *json.Encoder
-	all          []*weave.Process
+	all          []*daemon.Process
 	cut          atomic.Int64 // region; -1: none
 	rate         atomic.Int64 // requests a second drawn at each
 	spent, short atomic.Int64
@@ -67,7 +67,7 @@
 // Hollow serves gateways without clients until its input ends. Lines in: the spec, then
 // "count", "cut REGION", "join", "rate N"; lines out: hollowWord.
 func Hollow(in io.Reader, out io.Writer) error {
-	debug.SetGCPercent(25) // as weave.New does
+	debug.SetGCPercent(25) // as daemon.New does
 	runtime.GOMAXPROCS(1)  // as each real one has
 	h := &hollow{out: json.NewEncoder(out)}
 	h.cut.Store(-1)
@@ -85,7 +85,7 @@
 		if err != nil {
 			return err
 		}
-		p, err := weave.NewShared(path, set, weave.Shared{Log: io.Discard, Bare: h.spec.Bare, Readings: readings, Link: h.link(fmt.Sprintf("%s:%d", set.IpAddr, set.PortRange[0]))})
+		p, err := daemon.NewShared(path, set, daemon.Shared{Log: io.Discard, Bare: h.spec.Bare, Readings: readings, Link: h.link(fmt.Sprintf("%s:%d", set.IpAddr, set.PortRange[0]))})
 		if err != nil {
 			return err
 		}
@@ -177,7 +177,7 @@
 
 // link makes frames between regions late, and loses them where one is cut off. A frame from a
 // hollow gateway is late when it leaves; one from a real process, which knows no regions, when it comes.
-func (h *hollow) link(self string) weave.Link {
+func (h *hollow) link(self string) daemon.Link {
 	type held struct {
 		at      time.Time
 		deliver func()
--- a/internal/lab/stages.go
+++ b/internal/lab/stages.go
@@ -20,9 +20,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"asterwell/internal/daemon"
 	"asterwell/internal/protocol"
 	"asterwell/internal/sysconfig"
-	"asterwell/internal/weave"
 )
 
 // staged is what the measured gateway writes at its end.
@@ -47,7 +47,7 @@
 	}
 	var mu sync.Mutex
 	all := staged{Requests: map[string][protocol.Stages]int64{}}
-	p, err := weave.Timed(settings, set, func(id string, t *protocol.Times) {
+	p, err := daemon.Timed(settings, set, func(id string, t *protocol.Times) {
 		mu.Lock()
 		defer mu.Unlock()
 		all.Requests[id] = t.At()
