--- a/cmd/asterlab/days.go
+++ b/cmd/asterlab/days.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 // days plays days of the whole system in simulated time.
@@ -53,24 +53,24 @@
 
 // drawer finds how days are drawn for a site; "" is as ever.
 func drawer(on string) (func(uint64) string, error) {
-	sites := yarn.Deployments
-	i := slices.IndexFunc(sites, func(d yarn.Deployment) bool { return d.Name == on })
+	sites := systemsim.Deployments
+	i := slices.IndexFunc(sites, func(d systemsim.Deployment) bool { return d.Name == on })
 	switch {
 	case on == "":
-		return yarn.Draw, nil
+		return systemsim.Draw, nil
 	case on == "contact":
-		return yarn.DrawContact, nil
+		return systemsim.DrawContact, nil
 	case on == "all":
-		return func(seed uint64) string { return yarn.DrawAny(seed, sites[seed%uint64(len(sites))]) }, nil
+		return func(seed uint64) string { return systemsim.DrawAny(seed, sites[seed%uint64(len(sites))]) }, nil
 	case i >= 0:
-		return func(seed uint64) string { return yarn.DrawAny(seed, sites[i]) }, nil
+		return func(seed uint64) string { return systemsim.DrawAny(seed, sites[i]) }, nil
 	}
 	return nil, fmt.Errorf("--on: no site %q", on)
 }
 
 // playDays plays them side by side. With first, those after one that broke a rule are left out.
-func playDays(draw func(uint64) string, from uint64, count int, first bool) []yarn.Stats {
-	all := make([]yarn.Stats, count)
+func playDays(draw func(uint64) string, from uint64, count int, first bool) []systemsim.Stats {
+	all := make([]systemsim.Stats, count)
 	var next, end atomic.Int64
 	end.Store(int64(count))
 	var wg sync.WaitGroup
@@ -78,7 +78,7 @@
 		wg.Go(func() {
 			for i := next.Add(1) - 1; i < end.Load(); i = next.Add(1) - 1 {
 				seed := from + uint64(i)
-				all[i] = yarn.Run(draw(seed), seed, yarn.Sound, nil)
+				all[i] = systemsim.Run(draw(seed), seed, systemsim.Sound, nil)
 				for was := end.Load(); first && all[i].Broken != "" && i+1 < was && !end.CompareAndSwap(was, i+1); was = end.Load() {
 				}
 			}
@@ -101,7 +101,7 @@
 	if trace {
 		show = func(line string) { fmt.Println(line) }
 	}
-	s := yarn.Run(script, seed, yarn.Sound, show)
+	s := systemsim.Run(script, seed, systemsim.Sound, show)
 	fmt.Println(s)
 	if s.Broken != "" {
 		return errBroken
@@ -110,8 +110,8 @@
 }
 
 // tellDays prints a table, what broke, and the figures as JSON.
-func tellDays(all []yarn.Stats, took time.Duration, on string) error {
-	var sum yarn.Stats
+func tellDays(all []systemsim.Stats, took time.Duration, on string) error {
+	var sum systemsim.Stats
 	var failing []uint64
 	broken := map[string]int{}
 	for _, s := range all {
@@ -145,7 +145,7 @@
 	fmt.Fprintln(tw, "ms\ttimes\thalf\t99 of 100\tmost")
 	for _, row := range []struct {
 		name, key string
-		times     yarn.Times
+		times     systemsim.Times
 	}{{"a configuration is acknowledged", "ack", sum.Acks}, {"a server may leave", "leave", sum.Leaves},
 		{"another primary serves", "takeover", sum.Takeovers}, {"half is served after most were away", "recovery", sum.Recoveries},
 		{"all have the newest after all is mended", "mend", sum.Mends}} {
--- a/internal/controlplane/text_test.go
+++ b/internal/controlplane/text_test.go
@@ -13,7 +13,7 @@
 	"asterwell/internal/controlplane"
 	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 // core is three processes that keep a configuration, with their reading beside them.
@@ -138,7 +138,7 @@
 func TestBeside(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	c, body := newCore(), bytes.Replace(bytes.Replace(yarn.BodyOf(4800, 12000), []byte(`,"Rollout":null`), nil, 1), []byte(`"Pools":null`), []byte(`"Pools":[{"Name":"pay"}]`), 1)
+	c, body := newCore(), bytes.Replace(bytes.Replace(systemsim.BodyOf(4800, 12000), []byte(`,"Rollout":null`), nil, 1), []byte(`"Pools":null`), []byte(`"Pools":[{"Name":"pay"}]`), 1)
 	c.put(t, body, 1)
 	c.run(time.Second, true)
 	c.counts = true
--- a/internal/lab/agreement.go
+++ b/internal/lab/agreement.go
@@ -11,7 +11,7 @@
 	"github.com/samber/lo"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 // AgreementOptions of the measurement of agreement.
@@ -200,16 +200,16 @@
 		bug   consensus.Bug
 		small consensus.Bounds
 		walk  consensus.Bounds
-		day   yarn.Bug
+		day   systemsim.Bug
 	}{
-		{"acknowledged by the primary alone", consensus.BugAckEarly, consensus.Bounds{Silent: true, Puts: 1, Shorts: 1}, three, yarn.Sound},
-		{"acknowledged before the disks have synced", consensus.BugUnsynced, consensus.Bounds{}, three, yarn.Sound},
-		{"taken over without the witnesses", consensus.BugAlone, consensus.Bounds{}, five, yarn.Sound},
-		{"an overtaken primary obeyed", consensus.BugNoPromise, consensus.Bounds{}, three, yarn.Sound},
-		{"an empty disk counts as one that remembers", consensus.BugAmnesia, consensus.Bounds{Silent: true, Puts: 1, Wipes: 1}, three, yarn.Sound},
-		{"a disk says so before it has synced", 0, consensus.Bounds{}, consensus.Bounds{}, yarn.Early},
-		{"a home does not tell that a server leaves", 0, consensus.Bounds{}, consensus.Bounds{}, yarn.Mute},
-		{"an add counted twice after a restart", 0, consensus.Bounds{}, consensus.Bounds{}, yarn.Twice},
+		{"acknowledged by the primary alone", consensus.BugAckEarly, consensus.Bounds{Silent: true, Puts: 1, Shorts: 1}, three, systemsim.Sound},
+		{"acknowledged before the disks have synced", consensus.BugUnsynced, consensus.Bounds{}, three, systemsim.Sound},
+		{"taken over without the witnesses", consensus.BugAlone, consensus.Bounds{}, five, systemsim.Sound},
+		{"an overtaken primary obeyed", consensus.BugNoPromise, consensus.Bounds{}, three, systemsim.Sound},
+		{"an empty disk counts as one that remembers", consensus.BugAmnesia, consensus.Bounds{Silent: true, Puts: 1, Wipes: 1}, three, systemsim.Sound},
+		{"a disk says so before it has synced", 0, consensus.Bounds{}, consensus.Bounds{}, systemsim.Early},
+		{"a home does not tell that a server leaves", 0, consensus.Bounds{}, consensus.Bounds{}, systemsim.Mute},
+		{"an add counted twice after a restart", 0, consensus.Bounds{}, consensus.Bounds{}, systemsim.Twice},
 	}
 	type hit struct {
 		by, rule string
@@ -219,10 +219,10 @@
 	side(len(hunts), o.Side, func(i int) {
 		h := hunts[i]
 		switch {
-		case h.day != yarn.Sound:
+		case h.day != systemsim.Sound:
 			hits[i] = hit{by: "days"}
 			for seed := o.Seed; seed < o.Seed+uint64(o.Most) && hits[i].rule == ""; seed++ {
-				s := yarn.Run(yarn.Draw(seed), seed, h.day, nil)
+				s := systemsim.Run(systemsim.Draw(seed), seed, h.day, nil)
 				hits[i].n, hits[i].rule = hits[i].n+1, s.Broken
 			}
 		default:
@@ -259,14 +259,14 @@
 	r.Row("stalls a minute, in 60 s", "", "epochs", "changes", "acked p90 ms", "p99 ms")
 	figure := map[string][]float64{}
 	for _, b := range busyDisks {
-		days := make([]yarn.Stats, busySeeds)
+		days := make([]systemsim.Stats, busySeeds)
 		side(busySeeds, o.Side, func(i int) {
 			script := fmt.Sprintf("start 6 zones 3 core 3\nservers pay 3\ntenant t1 60 60 40\nrun 1s\nput 3\nrun 8s\n"+
 				"busy core 17ms %s for 60s\nputs 4 60 1s\nrun 63s\n", b)
-			days[i] = yarn.Run(script, o.Seed+uint64(i)-1, yarn.Sound, nil)
+			days[i] = systemsim.Run(script, o.Seed+uint64(i)-1, systemsim.Sound, nil)
 		})
 		var epochs, changes int
-		var acks yarn.Times
+		var acks systemsim.Times
 		for _, s := range days {
 			epochs += s.Epochs
 			changes += s.Changes
--- a/internal/lab/controlcut.go
+++ b/internal/lab/controlcut.go
@@ -8,7 +8,7 @@
 
 	"asterwell/internal/faultrules"
 	"asterwell/internal/faultrules/world"
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 // Keys of what a cut may break.
@@ -25,15 +25,15 @@
 
 // cutGuards are the guards that cuts need, each with the scenario that misses it.
 var cutGuards = []struct {
-	bug      yarn.Bug
+	bug      systemsim.Bug
 	scenario string
 	rules    string
 }{
-	{yarn.Unread, "thaw", "CONTACT STALE LOST"},
-	{yarn.Unvouched, "gateway", "PROMISE"},
-	{yarn.Straight, "deaf", "EXPECT"},
-	{yarn.Unmet, "restart", "READY"},
-	{yarn.Unfenced, "late", "EXPECT"},
+	{systemsim.Unread, "thaw", "CONTACT STALE LOST"},
+	{systemsim.Unvouched, "gateway", "PROMISE"},
+	{systemsim.Straight, "deaf", "EXPECT"},
+	{systemsim.Unmet, "restart", "READY"},
+	{systemsim.Unfenced, "late", "EXPECT"},
 }
 
 // controlCut plays machines that are cut off for some twenty seconds: the scenarios, so many
@@ -41,7 +41,7 @@
 func controlCut(days int, seed uint64) (ControlPoint, error) {
 	p := ControlPoint{Name: "cut", Days: days, Broken: map[string]int{staleAnswers: 0, refusedAgain: 0, acknowledgedLost: 0, otherRules: 0},
 		Worst: map[string]float64{healedMost: 0}}
-	scripts := yarn.ControlScripts()
+	scripts := systemsim.ControlScripts()
 	names := slices.Sorted(maps.Keys(scripts))
 	if len(names) == 0 {
 		return p, fmt.Errorf("there are no scenarios of cuts")
@@ -57,12 +57,12 @@
 		}
 	}
 	for s := seed; s < seed+uint64(days); s++ {
-		plays = append(plays, play{"drawn day", yarn.DrawCut(s), s})
+		plays = append(plays, play{"drawn day", systemsim.DrawCut(s), s})
 	}
-	all := make([]yarn.Stats, len(plays))
+	all := make([]systemsim.Stats, len(plays))
 	found := make([]bool, len(cutGuards)+1)
 	sideAll(each(len(found), func(i int) { found[i] = cutFinds(i, scripts) }),
-		each(len(plays), func(i int) { all[i] = yarn.Run(plays[i].script, plays[i].seed, yarn.Sound, nil) }))
+		each(len(plays), func(i int) { all[i] = systemsim.Run(plays[i].script, plays[i].seed, systemsim.Sound, nil) }))
 	for i, s := range all {
 		for _, d := range s.Heals {
 			p.Worst[healedMost] = max(p.Worst[healedMost], d.Seconds())
@@ -94,7 +94,7 @@
 	}
 	g := cutGuards[i]
 	for s := range uint64(cutSeeds) {
-		if by := yarn.Run(scripts[g.scenario], s, g.bug, nil).Broken; by != "" && strings.Contains(g.rules, by) {
+		if by := systemsim.Run(scripts[g.scenario], s, g.bug, nil).Broken; by != "" && strings.Contains(g.rules, by) {
 			return true
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // cutKey is what a broken rule counts as.
-func cutKey(s yarn.Stats) string {
+func cutKey(s systemsim.Stats) string {
 	switch {
 	case s.Broken == "LOST" && strings.Contains(s.Detail, " reads version "), s.Broken == "STALE", s.Broken == "CONTACT",
 		s.Broken == "CONFIG", s.Broken == "READY" && strings.Contains(s.Detail, "since it was started"):
--- a/internal/lab/controldays.go
+++ b/internal/lab/controldays.go
@@ -6,7 +6,7 @@
 	"sync"
 	"sync/atomic"
 
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 // controlApart are rules that are known to break in some drawn days: they are counted by name, and
@@ -19,7 +19,7 @@
 	p := ControlPoint{Name: "days", Days: days, Worst: map[string]float64{}, Apart: map[string]int{},
 		Broken: map[string]int{"stale_answers": 0, "refused_again": 0, "two_texts": 0, "led_old": 0, "acknowledged_lost": 0, "no_quorum_within_budget": 0, "never_caught_up": 0}}
 	for i, s := range playAny(days, seed) {
-		on := yarn.Deployments[i%len(yarn.Deployments)].Name
+		on := systemsim.Deployments[i%len(systemsim.Deployments)].Name
 		for _, d := range s.Mends {
 			p.Worst["healed_s_max"] = max(p.Worst["healed_s_max"], d.Seconds())
 		}
@@ -37,7 +37,7 @@
 			p.Lines = append(p.Lines, fmt.Sprintf("%s, %v (asterlab days --trace --on %s --from %d)", on, s, on, s.Seed))
 		}
 	}
-	for _, bug := range []yarn.Bug{yarn.Early, yarn.Mute, yarn.Twice} {
+	for _, bug := range []systemsim.Bug{systemsim.Early, systemsim.Mute, systemsim.Twice} {
 		p.Mutants++
 		if foundAny(bug, seed) {
 			p.Found++
@@ -49,10 +49,10 @@
 }
 
 // playAny plays days on the deployments by turns, side by side.
-func playAny(days int, seed uint64) []yarn.Stats {
-	all := make([]yarn.Stats, days)
+func playAny(days int, seed uint64) []systemsim.Stats {
+	all := make([]systemsim.Stats, days)
 	beside(days, func(i int) bool {
-		all[i] = yarn.PlayAny(seed+uint64(i), yarn.Deployments[i%len(yarn.Deployments)])
+		all[i] = systemsim.PlayAny(seed+uint64(i), systemsim.Deployments[i%len(systemsim.Deployments)])
 		return true
 	})
 	return all
@@ -61,11 +61,11 @@
 // mutantDays is how many days a fault that was put in may go unmet, on the small deployments.
 const mutantDays = 80
 
-func foundAny(bug yarn.Bug, seed uint64) bool {
+func foundAny(bug systemsim.Bug, seed uint64) bool {
 	var met atomic.Bool
 	beside(mutantDays, func(i int) bool {
 		s := seed + uint64(i)
-		if rule := yarn.Run(yarn.DrawAny(s, yarn.Deployments[i%2]), s, bug, nil).Broken; rule != "" && !controlApart[rule] {
+		if rule := systemsim.Run(systemsim.DrawAny(s, systemsim.Deployments[i%2]), s, bug, nil).Broken; rule != "" && !controlApart[rule] {
 			met.Store(true)
 		}
 		return !met.Load()
--- a/internal/lab/controlorders.go
+++ b/internal/lab/controlorders.go
@@ -11,7 +11,7 @@
 	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
 	faultworld "asterwell/internal/faultrules/world"
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 // One number, one text; one order, one outcome.
@@ -48,12 +48,12 @@
 	Step: func(state, in, out any) (bool, any) {
 		held, i := state.(string), in.(textOf)
 		switch out.(string) {
-		case yarn.Acked, yarn.Saw:
+		case systemsim.Acked, systemsim.Saw:
 			if held == "" && !i.read {
 				held = i.text
 			}
 			return held == i.text, held
-		case yarn.Differed:
+		case systemsim.Differed:
 			return held != "" && held != i.text, held
 		}
 		if held == "" { // no clear answer: it was taken at some time, or never
@@ -64,29 +64,29 @@
 }
 
 // oneText holds a history against that, and tells what is wrong with it, by the report's key.
-func oneText(calls []yarn.Call) (key, why string) {
+func oneText(calls []systemsim.Call) (key, why string) {
 	var ops []porcupine.Operation
 	acked, denied := map[uint32]string{}, map[string]bool{}
 	for i, c := range calls {
 		name := fmt.Sprint(c.Number, " ", c.Text)
 		switch c.End {
-		case yarn.Acked:
+		case systemsim.Acked:
 			if t, ok := acked[c.Number]; ok && t != c.Text {
 				return twoTexts, fmt.Sprintf("%08x has the texts %s and %s acknowledged", c.Number, t, c.Text)
 			}
 			acked[c.Number] = c.Text
-		case yarn.Differed:
+		case systemsim.Differed:
 			denied[name] = true
 		}
-		o := porcupine.Operation{ClientId: i, Input: textOf{c.Text, c.End == yarn.Saw}, Output: c.End, Call: int64(c.From), Return: int64(c.To),
+		o := porcupine.Operation{ClientId: i, Input: textOf{c.Text, c.End == systemsim.Saw}, Output: c.End, Call: int64(c.From), Return: int64(c.To),
 			Metadata: c.Number}
-		if c.End == yarn.Unclear {
+		if c.End == systemsim.Unclear {
 			o.Return = math.MaxInt64
 		}
 		ops = append(ops, o)
 	}
 	for _, c := range calls {
-		if c.End == yarn.Acked && denied[fmt.Sprint(c.Number, " ", c.Text)] {
+		if c.End == systemsim.Acked && denied[fmt.Sprint(c.Number, " ", c.Text)] {
 			return refusedNow, fmt.Sprintf("%08x %s is acknowledged, and refused", c.Number, c.Text)
 		}
 	}
@@ -97,8 +97,8 @@
 }
 
 // ordersDay plays a seed's day of operators, and the calls of it that are at fault.
-func ordersDay(seed uint64, bug yarn.Bug) (key, why string) {
-	s := yarn.Run(yarn.DrawOrders(seed), seed, bug, nil)
+func ordersDay(seed uint64, bug systemsim.Bug) (key, why string) {
+	s := systemsim.Run(systemsim.DrawOrders(seed), seed, bug, nil)
 	switch s.Broken {
 	case "":
 	case "TEXTS":
@@ -157,15 +157,15 @@
 	walk := func() { met("drawn schedules", twoTexts, ordersWalk(seed, 200, 0)) }
 	play := each(days, func(i int) {
 		at := seed + uint64(i)
-		key, why := ordersDay(at, yarn.Sound)
+		key, why := ordersDay(at, systemsim.Sound)
 		met(fmt.Sprint("orders, seed ", at), key, why)
 		key, why = faultSetsDay(at, faultrules.Sound)
 		met(fmt.Sprint("fault rules, seed ", at), key, why)
 	})
-	scripts := yarn.ControlScripts()
+	scripts := systemsim.ControlScripts()
 	for _, name := range []string{"stops", "drains"} {
 		side(cutSeeds, 4, func(i int) {
-			switch s := yarn.Run(scripts[name], seed+uint64(i), yarn.Sound, nil); s.Broken {
+			switch s := systemsim.Run(scripts[name], seed+uint64(i), systemsim.Sound, nil); s.Broken {
 			case "":
 			case "STAYED":
 				met("scenario "+name, noneStays, s.String())
@@ -183,13 +183,17 @@
 		return drainpermit.Explore(drainpermit.Bounds{Procs: 2, Starts: 3, Stops: 1, Repeats: 2, Bug: bug}).Broken != ""
 	}
 	mutants := []func(seed uint64) bool{
-		func(s uint64) bool { return yarn.Run(scripts["stops"], s, yarn.Numberless, nil).Broken == "EXPECT" },
-		func(s uint64) bool { return yarn.Run(scripts["drains"], s, yarn.Uncalled, nil).Broken == "STAYED" },
+		func(s uint64) bool {
+			return systemsim.Run(scripts["stops"], s, systemsim.Numberless, nil).Broken == "EXPECT"
+		},
+		func(s uint64) bool {
+			return systemsim.Run(scripts["drains"], s, systemsim.Uncalled, nil).Broken == "STAYED"
+		},
 		func(uint64) bool { return drains(drainpermit.Hasty) },
 		func(uint64) bool { return drains(drainpermit.Stale) },
 		func(uint64) bool { return drains(drainpermit.Both) },
-		func(s uint64) bool { key, _ := ordersDay(s, yarn.Confirms); return key != "" },
-		func(s uint64) bool { key, _ := ordersDay(s, yarn.Forgets); return key != "" },
+		func(s uint64) bool { key, _ := ordersDay(s, systemsim.Confirms); return key != "" },
+		func(s uint64) bool { key, _ := ordersDay(s, systemsim.Forgets); return key != "" },
 		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Refuses); return key != "" },
 		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Confuses); return key != "" },
 		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Numberless); return key == otherStopped },
--- a/internal/lab/controlorders_test.go
+++ b/internal/lab/controlorders_test.go
@@ -4,25 +4,25 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 func TestOneText(t *testing.T) {
-	call := func(number uint32, text string, from, to int, end string) yarn.Call {
-		return yarn.Call{Number: number, Text: text, From: time.Duration(from), To: time.Duration(to), End: end}
+	call := func(number uint32, text string, from, to int, end string) systemsim.Call {
+		return systemsim.Call{Number: number, Text: text, From: time.Duration(from), To: time.Duration(to), End: end}
 	}
 	for name, c := range map[string]struct {
-		calls []yarn.Call
+		calls []systemsim.Call
 		key   string
 	}{
-		"a race":                  {[]yarn.Call{call(5, "a", 1, 9, yarn.Acked), call(5, "b", 2, 8, yarn.Differed), call(5, "a", 10, 11, yarn.Saw)}, ""},
-		"both confirmed":          {[]yarn.Call{call(5, "a", 1, 9, yarn.Acked), call(5, "b", 2, 8, yarn.Acked)}, twoTexts},
-		"refused again":           {[]yarn.Call{call(5, "a", 1, 9, yarn.Acked), call(5, "a", 12, 18, yarn.Differed)}, refusedNow},
-		"refused before any came": {[]yarn.Call{call(5, "a", 1, 2, yarn.Differed), call(5, "b", 3, 4, yarn.Acked)}, twoTexts},
-		"another one read":        {[]yarn.Call{call(5, "a", 1, 2, yarn.Acked), call(5, "b", 3, 4, yarn.Saw)}, twoTexts},
-		"unclear, and taken":      {[]yarn.Call{call(5, "a", 1, 2, yarn.Unclear), call(5, "b", 30, 40, yarn.Differed), call(5, "a", 50, 51, yarn.Saw)}, ""},
-		"unclear, and not taken":  {[]yarn.Call{call(5, "a", 1, 2, yarn.Unclear), call(5, "b", 3, 4, yarn.Acked)}, ""},
-		"of two numbers":          {[]yarn.Call{call(5, "a", 1, 2, yarn.Acked), call(6, "b", 1, 2, yarn.Acked)}, ""},
+		"a race":                  {[]systemsim.Call{call(5, "a", 1, 9, systemsim.Acked), call(5, "b", 2, 8, systemsim.Differed), call(5, "a", 10, 11, systemsim.Saw)}, ""},
+		"both confirmed":          {[]systemsim.Call{call(5, "a", 1, 9, systemsim.Acked), call(5, "b", 2, 8, systemsim.Acked)}, twoTexts},
+		"refused again":           {[]systemsim.Call{call(5, "a", 1, 9, systemsim.Acked), call(5, "a", 12, 18, systemsim.Differed)}, refusedNow},
+		"refused before any came": {[]systemsim.Call{call(5, "a", 1, 2, systemsim.Differed), call(5, "b", 3, 4, systemsim.Acked)}, twoTexts},
+		"another one read":        {[]systemsim.Call{call(5, "a", 1, 2, systemsim.Acked), call(5, "b", 3, 4, systemsim.Saw)}, twoTexts},
+		"unclear, and taken":      {[]systemsim.Call{call(5, "a", 1, 2, systemsim.Unclear), call(5, "b", 30, 40, systemsim.Differed), call(5, "a", 50, 51, systemsim.Saw)}, ""},
+		"unclear, and not taken":  {[]systemsim.Call{call(5, "a", 1, 2, systemsim.Unclear), call(5, "b", 3, 4, systemsim.Acked)}, ""},
+		"of two numbers":          {[]systemsim.Call{call(5, "a", 1, 2, systemsim.Acked), call(6, "b", 1, 2, systemsim.Acked)}, ""},
 	} {
 		if key, why := oneText(c.calls); key != c.key {
 			t.Errorf("%s: %q %s, not %q", name, key, why, c.key)
--- a/internal/lab/controlseats.go
+++ b/internal/lab/controlseats.go
@@ -6,7 +6,7 @@
 	"sync"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 // The keys of a second loss.
@@ -43,7 +43,7 @@
 	}},
 	{"a seat for a newcomer that has gone again", func(seed uint64) string {
 		for n := range uint64(8) {
-			if s := yarn.Run(yarn.GoneAgain, seed+n, yarn.Unheard, nil); s.Broken != "" {
+			if s := systemsim.Run(systemsim.GoneAgain, seed+n, systemsim.Unheard, nil); s.Broken != "" {
 				return s.Broken
 			}
 		}
@@ -51,7 +51,7 @@
 	}},
 	{"no Leave and no Handover comes", func(seed uint64) string {
 		for n := range uint64(60) {
-			if s := yarn.Run(yarn.DrawSeats(seed+n), seed+n, yarn.Keeps, nil); s.Broken != "" {
+			if s := systemsim.Run(systemsim.DrawSeats(seed+n), seed+n, systemsim.Keeps, nil); s.Broken != "" {
 				return s.Broken
 			}
 		}
@@ -70,7 +70,7 @@
 		c.Lines = append(c.Lines, fmt.Sprintf(form, args...))
 	}
 	play := func(script, what string, seed uint64) {
-		s := yarn.Run(script, seed, yarn.Sound, nil)
+		s := systemsim.Run(script, seed, systemsim.Sound, nil)
 		switch s.Broken {
 		case "":
 		case "LOST", "CONFIG":
@@ -89,17 +89,17 @@
 		for _, how := range []string{"planned", "planned first 1s", "planned first 4s"} {
 			for _, at := range []string{"1s", "3s", "4s", "5s", "6s", "7s", "9s"} {
 				todo = append(todo, func() {
-					play(yarn.SecondLoss(who, how, at), fmt.Sprintf("replace %s %s, a disk lost after %s", who, how, at), seed)
+					play(systemsim.SecondLoss(who, how, at), fmt.Sprintf("replace %s %s, a disk lost after %s", who, how, at), seed)
 				})
 			}
 		}
 	}
 	for i := range uint64(4) {
-		todo = append(todo, func() { play(yarn.GoneAgain, "a newcomer that has gone again", seed+i) })
+		todo = append(todo, func() { play(systemsim.GoneAgain, "a newcomer that has gone again", seed+i) })
 	}
 	for i := range days {
 		at := seed + uint64(i)
-		todo = append(todo, func() { play(yarn.DrawSeats(at), fmt.Sprintf("day %d", at), at) })
+		todo = append(todo, func() { play(systemsim.DrawSeats(at), fmt.Sprintf("day %d", at), at) })
 	}
 	for _, b := range seatModels {
 		todo = append(todo, func() {
--- a/internal/lab/controlstate.go
+++ b/internal/lab/controlstate.go
@@ -8,14 +8,14 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 // stateKeys are what the point "after hundreds of changes" is judged by.
 var stateKeys = []string{"never_caught_up", "led_old", "acknowledged_lost"}
 
 // stateKey is the key that a broken rule of a day counts for.
-func stateKey(s yarn.Stats) string {
+func stateKey(s systemsim.Stats) string {
 	switch {
 	case s.Broken == "LOST" && strings.Contains(s.Detail, "is not read back"):
 		return "acknowledged_lost"
@@ -34,23 +34,23 @@
 }
 
 // stateWays are the ways back that are played each time: what was away, how, and on what disks and links.
-func stateWays(seed uint64) []yarn.Away {
-	var all []yarn.Away
+func stateWays(seed uint64) []systemsim.Away {
+	var all []systemsim.Away
 	for _, how := range []string{"kill", "wipe", "putback"} {
 		for _, who := range []string{"primary", "backup", "witness"} {
 			for _, sync := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
-				all = append(all, yarn.Away{How: how, Who: who, Changes: 60, Storm: true, Routes: 30, Sync: sync, Seed: seed})
+				all = append(all, systemsim.Away{How: how, Who: who, Changes: 60, Storm: true, Routes: 30, Sync: sync, Seed: seed})
 			}
 		}
-		all = append(all, yarn.Away{How: how, Who: "backup", Changes: 300, Storm: true, Routes: 30, Sync: 5 * time.Millisecond,
+		all = append(all, systemsim.Away{How: how, Who: "backup", Changes: 300, Storm: true, Routes: 30, Sync: 5 * time.Millisecond,
 			Rate: edgeRate, Seed: seed})
 	}
-	return append(all, yarn.Away{Edge: true, Changes: 300, Storm: true, Routes: 30, Sync: 5 * time.Millisecond, Seed: seed}, largeWay(seed))
+	return append(all, systemsim.Away{Edge: true, Changes: 300, Storm: true, Routes: 30, Sync: 5 * time.Millisecond, Seed: seed}, largeWay(seed))
 }
 
 // largeWay has a configuration as long as one of 4,800 routes and 12,000 tenants.
-func largeWay(seed uint64) yarn.Away {
-	return yarn.Away{How: "kill", Who: "primary", Changes: 2, Storm: true, Every: largeEvery, Routes: largeBytes / 214, Sync: 5 * time.Millisecond, Seed: seed}
+func largeWay(seed uint64) systemsim.Away {
+	return systemsim.Away{How: "kill", Who: "primary", Changes: 2, Storm: true, Every: largeEvery, Routes: largeBytes / 214, Sync: 5 * time.Millisecond, Seed: seed}
 }
 
 const largeBytes = 2234615
@@ -85,7 +85,7 @@
 	}
 	ways := stateWays(seed)
 	back := each(len(ways), func(i int) {
-		b := yarn.Return(ways[i])
+		b := systemsim.Return(ways[i])
 		mu.Lock()
 		p.Worst["caught_up_s_max"] = max(p.Worst["caught_up_s_max"], b.Newest.Seconds(), b.Seat.Seconds())
 		mu.Unlock()
@@ -95,7 +95,7 @@
 	})
 	drawn := each(days, func(i int) {
 		s := seed + uint64(i)
-		if day := yarn.Run(yarn.DrawState(s), s, yarn.Sound, nil); day.Broken != "" {
+		if day := systemsim.Run(systemsim.DrawState(s), s, systemsim.Sound, nil); day.Broken != "" {
 			broke(stateKey(day), "day of state, %v", day)
 		}
 	})
@@ -156,12 +156,12 @@
 		return consensus.Explore(consensus.Bounds{Silent: true, Wipes: 1, Bug: consensus.BugAmnesia}).Broken != ""
 	}},
 	{"who has missed a document doesn't ask for it", func(seed uint64) bool {
-		return yarn.Return(yarn.Away{How: "kill", Who: "witness", Changes: 10, Routes: 30, Sync: time.Millisecond, Seed: seed, Bug: yarn.Deaf}).Never != ""
+		return systemsim.Return(systemsim.Away{How: "kill", Who: "witness", Changes: 10, Routes: 30, Sync: time.Millisecond, Seed: seed, Bug: systemsim.Deaf}).Never != ""
 	}},
 	{"large documents go whole", func(seed uint64) bool {
 		whole := largeWay(seed)
-		whole.Bug = yarn.Whole
-		return yarn.Return(whole).Never != ""
+		whole.Bug = systemsim.Whole
+		return systemsim.Return(whole).Never != ""
 	}},
 }
 
--- a/internal/lab/grown.go
+++ b/internal/lab/grown.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 // GrownOptions of the measurement of what each part costs as the fleet grows.
@@ -34,9 +34,9 @@
 		"core most", "cpu rest", "cpu storm", "conv p99 s", "all s", "drain ms", "recover s")
 	byNodes := map[string]any{}
 	var skipped []int
-	all := make([]yarn.Grown, len(o.Nodes))
+	all := make([]systemsim.Grown, len(o.Nodes))
 	for i, n := range o.Nodes {
-		all[i].Fleet = yarn.FleetOf(n)
+		all[i].Fleet = systemsim.FleetOf(n)
 		if f := &all[i]; f.Core >= n {
 			return nil, fmt.Errorf("--nodes: at least %d, not %d", f.Core+1, n)
 		}
@@ -46,7 +46,7 @@
 		wg.Go(func() {
 			f := all[i].Fleet
 			f.Seed, f.Within, f.Progress = o.Seed, o.Within, o.Progress
-			all[i] = yarn.Grow(f)
+			all[i] = systemsim.Grow(f)
 		})
 	}
 	wg.Wait()
@@ -63,7 +63,7 @@
 	return r, nil
 }
 
-func grownRow(r *Report, g yarn.Grown) map[string]any {
+func grownRow(r *Report, g systemsim.Grown) map[string]any {
 	round := func(x float64, unit float64) float64 { return math.Round(x/unit) * unit }
 	sec := func(d time.Duration) float64 { return math.Round(d.Seconds()*1e3) / 1e3 }
 	rest, busy, storm := g.AtRest, g.Busy, g.Stormy
@@ -83,7 +83,7 @@
 		"kinds_rest": rest.Kinds, "kinds_traffic": busy.Kinds, "kinds_storm": storm.Kinds}
 }
 
-func judgeGrown(r *Report, g yarn.Grown) {
+func judgeGrown(r *Report, g systemsim.Grown) {
 	if g.Stats.Broken != "" {
 		r.Rule(false, "%d nodes: %v", g.Nodes, g.Stats)
 		return
--- a/internal/lab/mutants.go
+++ b/internal/lab/mutants.go
@@ -110,7 +110,7 @@
 // MeasureSystemMutants is the same for the whole system's days.
 func MeasureSystemMutants(repo string, only []string, seed uint64, most int) (*Report, error) {
 	r := &Report{Name: "system-mutants", Seed: seed, Figure: map[string]any{}}
-	return huntAll(r, repo, "internal/yarn", "days", only, seed, most)
+	return huntAll(r, repo, "internal/systemsim", "days", only, seed, most)
 }
 
 // huntAll hunts the mutants of a virtual world, which a command of the laboratory plays.
--- a/internal/lab/mutants_test.go
+++ b/internal/lab/mutants_test.go
@@ -34,7 +34,7 @@
 
 // Those of the cluster's world, and of the whole system's.
 func TestOtherMutantsFit(t *testing.T) {
-	for dir, least := range map[string]int{"../cluster/world": 6, "../yarn": 1} {
+	for dir, least := range map[string]int{"../cluster/world": 6, "../systemsim": 1} {
 		files, err := filepath.Glob(filepath.Join(dir, "testdata/mutants/*.txt"))
 		if err != nil || len(files) < least {
 			t.Fatalf("%s: %d mutants, %v", dir, len(files), err)
--- a/internal/lab/recovery.go
+++ b/internal/lab/recovery.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"asterwell/internal/yarn"
+	"asterwell/internal/systemsim"
 )
 
 // RecoveryOptions of the measurement of what comes back after a loss, and when.
@@ -31,18 +31,18 @@
 // MeasureRecovery plays losses on simulated time, and does them to real processes.
 func MeasureRecovery(o RecoveryOptions) (*Report, error) {
 	r := &Report{Name: "recovery", Seed: o.Seed, Figure: map[string]any{"bound_s": recoveryBound.Seconds()}}
-	r.Row(slices.Concat([]any{"s until it holds for good: half / most", "nodes", "runs", phaseRead}, words(yarn.Phases))...)
+	r.Row(slices.Concat([]any{"s until it holds for good: half / most", "nodes", "runs", phaseRead}, words(systemsim.Phases))...)
 	for _, n := range o.Nodes {
-		if f := yarn.FleetOf(n); f.Core >= n {
+		if f := systemsim.FleetOf(n); f.Core >= n {
 			return nil, fmt.Errorf("--nodes: at least %d, not %d", f.Core+1, n)
 		}
-		for _, loss := range yarn.Losses {
+		for _, loss := range systemsim.Losses {
 			o.Progress(fmt.Sprintf("%d simulated nodes: %s", n, loss))
 			all := recoveries{where: "simulated", loss: string(loss), nodes: n}
 			for i := range o.Runs {
-				f := yarn.FleetOf(n)
+				f := systemsim.FleetOf(n)
 				f.Seed = o.Seed + uint64(i)
-				got := yarn.Recover(f, loss)
+				got := systemsim.Recover(f, loss)
 				r.Rule(got.Stats.Broken == "", "%s, %d nodes: %v", loss, n, got.Stats)
 				all.add(append([]time.Duration{0}, got.Ends...))
 			}
@@ -78,10 +78,10 @@
 	}
 	cells := []any{a.where + ": " + a.loss, a.nodes, len(a.runs)}
 	key := strings.ReplaceAll(fmt.Sprintf("%s_%d_%s", a.where, a.nodes, a.loss), " ", "_")
-	names := append([]string{phaseRead}, yarn.Phases...)
+	names := append([]string{phaseRead}, systemsim.Phases...)
 	figures := map[string][]float64{}
 	for i, name := range names {
-		var ends yarn.Times
+		var ends systemsim.Times
 		for _, run := range a.runs {
 			d := run[i]
 			if d < 0 {
--- a/internal/lab/recoveryreal.go
+++ b/internal/lab/recoveryreal.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"asterwell/internal/systemsim"
 	"asterwell/internal/tell"
-	"asterwell/internal/yarn"
 )
 
 // The course of a real loss. The machine may be busy, so that phases are looked at often,
@@ -27,7 +27,7 @@
 
 // realRecovery does losses to processes on loopback, each to a system of its own.
 func realRecovery(o RecoveryOptions, r *Report) error {
-	for _, loss := range yarn.Losses {
+	for _, loss := range systemsim.Losses {
 		all := recoveries{where: "real", loss: string(loss), nodes: o.RealNodes}
 		for i := range o.RealRuns {
 			o.Progress(fmt.Sprintf("%d real processes: %s, run %d", o.RealNodes, loss, i+1))
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func realLoss(o RecoveryOptions, loss yarn.Loss, r *Report) ([]time.Duration, error) {
+func realLoss(o RecoveryOptions, loss systemsim.Loss, r *Report) ([]time.Duration, error) {
 	f, err := newFaultFleet(o.Binary, o.RealNodes, "")
 	if err != nil {
 		return nil, err
@@ -94,22 +94,22 @@
 	return s.Pact.Epoch, nil
 }
 
-func (x *realRun) lose(loss yarn.Loss) error {
+func (x *realRun) lose(loss systemsim.Loss) error {
 	var back []*faultNode
 	switch loss {
-	case yarn.AllKilled, yarn.PowerLost:
+	case systemsim.AllKilled, systemsim.PowerLost:
 		back = x.nodes
-	case yarn.DiskWiped:
+	case systemsim.DiskWiped:
 		i := slices.IndexFunc(x.nodes, func(n *faultNode) bool { return n.core && n != x.lead })
 		back = x.nodes[i : i+1]
 		x.about = back
-	case yarn.PrimaryLost:
+	case systemsim.PrimaryLost:
 		x.about = slices.DeleteFunc(slices.Clone(x.nodes), func(n *faultNode) bool { return n == x.lead })
 		x.lead.kill()
 		x.zero = time.Now()
 		return nil
 	}
-	if loss == yarn.PowerLost { // the servers' machines have none either
+	if loss == systemsim.PowerLost { // the servers' machines have none either
 		x.stop()
 		x.stop = nil
 		for _, s := range x.http {
@@ -123,7 +123,7 @@
 	for _, n := range back {
 		n.cmd.Wait()
 	}
-	if loss == yarn.DiskWiped {
+	if loss == systemsim.DiskWiped {
 		if err := os.RemoveAll(filepath.Join(x.dir, back[0].name)); err != nil {
 			return err
 		}
@@ -134,11 +134,11 @@
 		if err := x.start(n); err != nil {
 			return err
 		}
-		if loss == yarn.PowerLost { // machines do not come up together
+		if loss == systemsim.PowerLost { // machines do not come up together
 			time.Sleep(2 * realAway / time.Duration(len(back)))
 		}
 	}
-	if loss == yarn.PowerLost {
+	if loss == systemsim.PowerLost {
 		x.toys("toy", realToys, x.servers.note)
 	}
 	return nil
--- a/internal/lab/state.go
+++ b/internal/lab/state.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"asterwell/internal/consensus"
+	"asterwell/internal/systemsim"
 	"asterwell/internal/vault"
-	"asterwell/internal/yarn"
 )
 
 // StateOptions of the measurement of what many changes leave.
@@ -35,7 +35,7 @@
 func MeasureState(o StateOptions) (*Report, error) {
 	r := &Report{Name: "state", Seed: o.Seed, Figure: map[string]any{}}
 	r.Row("disk", "changes", "body B", "MB now", "MB most", "open ms", "save ms", "heap MB")
-	small, large := yarn.BodyOf(smallRoutes, 0), yarn.BodyOf(largeRoutes, largeUses)
+	small, large := systemsim.BodyOf(smallRoutes, 0), systemsim.BodyOf(largeRoutes, largeUses)
 	for _, kind := range []struct {
 		name    string
 		body    []byte
@@ -172,26 +172,26 @@
 func (o StateOptions) ways(r *Report, large int) {
 	r.Row("way back", "changes", "body B", "sync ms", "link Mbit/s", "seat s", "newest s", "KB in", "every ms", "ack worst s", "acked meanwhile")
 	routes := large / 214
-	var all []yarn.Away
+	var all []systemsim.Away
 	for _, n := range o.Missed {
 		for _, sync := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
 			for _, how := range []string{"kill", "wipe", "putback"} {
-				all = append(all, yarn.Away{How: how, Who: "backup", Changes: n, Storm: true, Routes: smallRoutes, Sync: sync})
+				all = append(all, systemsim.Away{How: how, Who: "backup", Changes: n, Storm: true, Routes: smallRoutes, Sync: sync})
 			}
 		}
-		all = append(all, yarn.Away{How: "wipe", Who: "witness", Changes: n, Storm: true, Routes: smallRoutes, Sync: 5 * time.Millisecond, Rate: edgeRate},
-			yarn.Away{How: "kill", Edge: true, Changes: n, Storm: true, Routes: smallRoutes, Sync: 5 * time.Millisecond})
+		all = append(all, systemsim.Away{How: "wipe", Who: "witness", Changes: n, Storm: true, Routes: smallRoutes, Sync: 5 * time.Millisecond, Rate: edgeRate},
+			systemsim.Away{How: "kill", Edge: true, Changes: n, Storm: true, Routes: smallRoutes, Sync: 5 * time.Millisecond})
 	}
 	for _, n := range o.LargeMissed {
-		big := yarn.Away{How: "kill", Who: "backup", Changes: n, Storm: true, Every: largeEvery, ByCore: true, Routes: routes, Sync: 5 * time.Millisecond}
+		big := systemsim.Away{How: "kill", Who: "backup", Changes: n, Storm: true, Every: largeEvery, ByCore: true, Routes: routes, Sync: 5 * time.Millisecond}
 		wiped, back, edge := big, big, big
 		wiped.How, back.How, edge.Edge = "wipe", "putback", true
 		all = append(all, big, wiped, back, edge)
 	}
-	found := make([]yarn.Back, len(all))
+	found := make([]systemsim.Back, len(all))
 	side(len(all), cores(), func(i int) {
 		all[i].Seed = o.Seed
-		found[i] = yarn.Return(all[i])
+		found[i] = systemsim.Return(all[i])
 		o.Progress(fmt.Sprintf("%+v: %s", all[i], found[i].Never))
 	})
 	worst := 0.0
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -61,7 +61,7 @@
 		"../tell":         {"github.com/valyala/*", "github.com/mattn/*", "cuelang.org/*", "asterwell/internal/daemon", "asterwell/internal/vault", "asterwell/internal/controlplane"},
 		"../logring":      {"net*", "own"},
 		"../dataplane":    {"asterwell/internal/daemon", "asterwell/internal/controlplane", "asterwell/internal/consensus", "asterwell/internal/registry", "asterwell/internal/memberlist", "asterwell/internal/quotas", "asterwell/internal/vault"},
-		"../daemon":       {"asterwell/internal/standin*", "asterwell/internal/lab", "asterwell/internal/yarn", "cuelang.org/*", "testing"},
+		"../daemon":       {"asterwell/internal/standin*", "asterwell/internal/lab", "asterwell/internal/systemsim", "cuelang.org/*", "testing"},
 		"../turn":         {"net*", "os*", "log*", "io*", "time", "encoding/*", "github.com/*", "own"},
 		"../health":       {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../serverset":    {"net*", "os*", "log*", "io*", "encoding/*", "own", "!asterwell/choice"},
--- a/internal/yarn/doc.go
+++ b/internal/systemsim/doc.go
@@ -1,11 +1,11 @@
-// Package yarn plays days of the whole system in simulated time: processes (package
+// Package systemsim plays days of the whole system in simulated time: processes (package
 // controlplane) with their disks, links between them, servers that beat and leave, operators
 // that call by the protocol, clients of tenants. Troubles come from a script, or from
 // a seed that draws one, and the rules are judged all the while.
 //
 // A script has one command a line; script.go lists them. The same script with the same
 // seed is the same day, event for event.
-package yarn
+package systemsim
 
 import "time"
 
--- a/internal/yarn/race_test.go
+++ b/internal/systemsim/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package yarn
+package systemsim
 
 func init() { days = 10 }
--- a/internal/yarn/seats.go
+++ b/internal/systemsim/seats.go
@@ -1,4 +1,4 @@
-package yarn
+package systemsim
 
 import (
 	"fmt"
