--- a/internal/consensus/amend.go
+++ b/internal/consensus/amend.go
@@ -1,6 +1,6 @@
 package consensus
 
-import "asterwell/internal/plane"
+import "asterwell/internal/fsm"
 
 // Leads is the epoch that this process serves as its primary, if it does.
 func (m *Machine) Leads() (Ballot, bool) {
@@ -19,7 +19,7 @@
 // Affirm asks all writers whether this still is the primary. Out.Affirmed tells the
 // answer later, by the number returned; never, if another one leads by then. 0: it
 // isn't one.
-func (m *Machine) Affirm(now plane.Time) (round uint64, out Out) {
+func (m *Machine) Affirm(now fsm.Time) (round uint64, out Out) {
 	m.now = max(m.now, now)
 	if l := m.lead; l != nil {
 		l.round++
@@ -35,7 +35,7 @@
 // Amend puts a document in the place of the one that is kept: the same version with
 // the next Rev. It reports whether that is on its way; then it ends as kept, or with
 // this primary: never later under another one that has kept something else.
-func (m *Machine) Amend(now plane.Time, doc Doc) (ok bool, out Out) {
+func (m *Machine) Amend(now fsm.Time, doc Doc) (ok bool, out Out) {
 	m.now = max(m.now, now)
 	l, kept := m.lead, m.d.Kept
 	if ok = l != nil && (l.doc == nil || l.doc.Notes > 0) && m.enough() && doc.Version == kept.Version && doc.Rev == kept.Rev+1; ok {
--- a/internal/consensus/candidate.go
+++ b/internal/consensus/candidate.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 type phase uint8
@@ -25,8 +25,8 @@
 // bid is the way of a candidate to an epoch of its own.
 type bid struct {
 	phase    phase
-	at, sent plane.Time // of the phase, of the last sending
-	begun    plane.Time
+	at, sent fsm.Time // of the phase, of the last sending
+	begun    fsm.Time
 	round    uint64
 	ballot   Ballot
 	base     Record // the newest record met
@@ -35,15 +35,15 @@
 	grants   map[string]uint64 // address to life
 	promises map[string]Promise
 	refused  map[string]bool
-	enough   plane.Time // since when the promises do, or 0
-	rec      Record     // the epoch to be
+	enough   fsm.Time // since when the promises do, or 0
+	rec      Record   // the epoch to be
 	kept     Doc
 	next     Doc
 	copied   map[string]bool
 	enacted  map[string]uint64
 	handed   bool            // by the primary before
 	void     map[string]bool // seats whose memory is lost
-	wanted   plane.Time      // when a text that is named was last asked for; 0: ask
+	wanted   fsm.Time        // when a text that is named was last asked for; 0: ask
 	asked    uint32          // how often one was
 	copies   bool            // the state has been sent
 }
--- a/internal/consensus/cell.go
+++ b/internal/consensus/cell.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // cell is a machine of the model with its disk, and what the judge knows of its life.
@@ -145,7 +145,7 @@
 }
 
 // play gives a copy of a cell an input.
-func (o *course) play(old *cell, from string, msg any, in input) (*cell, []plane.Send, []fact) {
+func (o *course) play(old *cell, from string, msg any, in input) (*cell, []fsm.Send, []fact) {
 	c := old.clone()
 	m := c.m
 	m.bug = o.bug
@@ -171,7 +171,7 @@
 	default:
 		out = m.Tick(m.now + spans[in.kind])
 	}
-	var sends []plane.Send
+	var sends []fsm.Send
 	var facts []fact
 	for {
 		sends = append(sends, out.Send...)
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // A call is repeated when it may be lost, which it isn't while a slow link carries it: the
@@ -28,7 +28,7 @@
 // call is an operator's, made at this process.
 type call struct {
 	f        Forward
-	at, sent plane.Time
+	at, sent fsm.Time
 	again    uint8  // how often it was repeated
 	to       string // whom the document went to last
 }
@@ -52,23 +52,23 @@
 }
 
 // Put offers a document; the answer comes once, in some Out.Answers.
-func (m *Machine) Put(now plane.Time, id uint64, doc Doc) Out {
+func (m *Machine) Put(now fsm.Time, id uint64, doc Doc) Out {
 	return m.call(now, Forward{ID: id, Salt: m.salt, Packs: true, Doc: doc.summed()})
 }
 
 // Get reads the document as it is at some moment between the call and the answer.
-func (m *Machine) Get(now plane.Time, id uint64) Out {
+func (m *Machine) Get(now fsm.Time, id uint64) Out {
 	return m.call(now, Forward{ID: id, Salt: m.salt, Packs: true, Read: true})
 }
 
 // Prove asks for a proof of contact, as young as the call: the primary has had it from all
 // writers, after the call came in, that its epoch stands, so no other majority has decided
 // anything by then; and the way to it and back was open. It carries no document.
-func (m *Machine) Prove(now plane.Time, id uint64) Out {
+func (m *Machine) Prove(now fsm.Time, id uint64) Out {
 	return m.call(now, Forward{ID: id, Salt: m.salt, Read: true, Bare: true})
 }
 
-func (m *Machine) call(now plane.Time, f Forward) Out {
+func (m *Machine) call(now fsm.Time, f Forward) Out {
 	m.now = max(m.now, now)
 	c := &call{f: f, at: m.now, sent: m.now}
 	m.calls = append(m.calls, c)
--- a/internal/consensus/code.go
+++ b/internal/consensus/code.go
@@ -10,7 +10,7 @@
 	"time"
 	"unsafe"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // coder writes a value so that states which can have the same consequences read the same:
@@ -21,7 +21,7 @@
 type coder struct {
 	b       []byte // of which the first n are written: to move its end for each number costs more than the number
 	n       int
-	now     plane.Time
+	now     fsm.Time
 	written uint64
 }
 
@@ -76,7 +76,7 @@
 	c.n += copy(c.b[c.n:], s)
 }
 
-func (c *coder) time(at plane.Time) {
+func (c *coder) time(at fsm.Time) {
 	if at == 0 {
 		c.num(0)
 	} else {
@@ -113,7 +113,7 @@
 		return func(c *coder, at unsafe.Pointer) { c.flag(*(*bool)(at)) }
 	case reflect.Int64, reflect.Int: // of one size here
 		if t == timeType {
-			return func(c *coder, at unsafe.Pointer) { c.time(*(*plane.Time)(at)) }
+			return func(c *coder, at unsafe.Pointer) { c.time(*(*fsm.Time)(at)) }
 		}
 		return func(c *coder, at unsafe.Pointer) { c.num(uint64(*(*int64)(at))) }
 	case reflect.Uint8:
@@ -183,8 +183,8 @@
 		}
 	case map[string]uint64:
 		return func(c *coder, at unsafe.Pointer) { sorted(c, *(*map[string]uint64)(at), c.num) }
-	case map[string]plane.Time:
-		return func(c *coder, at unsafe.Pointer) { sorted(c, *(*map[string]plane.Time)(at), c.time) }
+	case map[string]fsm.Time:
+		return func(c *coder, at unsafe.Pointer) { sorted(c, *(*map[string]fsm.Time)(at), c.time) }
 	}
 	elem := locks.OnceValue(func() scribe { return scribeOf(t.Elem()) })
 	return func(c *coder, at unsafe.Pointer) {
--- a/internal/consensus/code_test.go
+++ b/internal/consensus/code_test.go
@@ -9,13 +9,13 @@
 	locks "sync"
 	"testing"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // slowCoder asks reflection for each field of each value: what scribes are held against.
 type slowCoder struct {
 	b       []byte
-	now     plane.Time
+	now     fsm.Time
 	written uint64
 }
 
@@ -63,7 +63,7 @@
 	case reflect.Int64, reflect.Int:
 		if v.Type() != timeType {
 			c.num(uint64(v.Int()))
-		} else if at := plane.Time(v.Int()); at == 0 {
+		} else if at := fsm.Time(v.Int()); at == 0 {
 			c.num(0)
 		} else {
 			c.num(uint64(min(c.now-at, oldest)+2*oldest) + 1)
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"asterwell/internal/delta"
+	"asterwell/internal/fsm"
 	"asterwell/internal/ledger"
-	"asterwell/internal/plane"
 )
 
 const (
@@ -120,7 +120,7 @@
 
 // Out is what a machine wants done.
 type Out struct {
-	Send     []plane.Send
+	Send     []fsm.Send
 	Write    *Write
 	Answers  []Answer
 	Adopt    *Doc
@@ -148,12 +148,12 @@
 
 type heldSend struct {
 	seq  uint64
-	send plane.Send
+	send fsm.Send
 }
 
 type pendingWrite struct {
 	seq   uint64
-	at    plane.Time
+	at    fsm.Time
 	life  uint64
 	count uint64
 }
@@ -164,18 +164,18 @@
 	d     Disk
 	rng   *rand.Rand
 	salt  uint64
-	now   plane.Time
-	start plane.Time
-	tick  plane.Time
+	now   fsm.Time
+	start fsm.Time
+	tick  fsm.Time
 	out   Out
-	loop  []plane.Send // to itself
+	loop  []fsm.Send // to itself
 
 	dirty   bool
 	seq     uint64
 	written uint64
 	writes  []pendingWrite
 	lag     lag
-	fresh   []plane.Send // to go out once what this input wrote is synced
+	fresh   []fsm.Send // to go out once what this input wrote is synced
 	held    []heldSend
 
 	seeds  []string
@@ -184,43 +184,43 @@
 	view   Record // the newest active one known
 	told   uint32 // highest committed version heard of
 	teller string
-	given  map[string]plane.Time // large documents that were asked for, and may be on their way still
-	primed plane.Time            // when the primary last told its view
+	given  map[string]fsm.Time // large documents that were asked for, and may be on their way still
+	primed fsm.Time            // when the primary last told its view
 
-	alive    plane.Time // when a primary or a candidate promised to was heard
+	alive    fsm.Time // when a primary or a candidate promised to was heard
 	aliveBy  string
 	top      uint64 // highest ballot number seen
-	jitter   plane.Time
-	booked   plane.Time // until when only bookedBy may be granted a probe
+	jitter   fsm.Time
+	booked   fsm.Time // until when only bookedBy may be granted a probe
 	bookedBy string
 	bid      *bid
 	lead     *lead
-	shun     map[string]plane.Time
+	shun     map[string]fsm.Time
 
 	calls   []*call
-	spare   plane.Time // when a document may be repeated again
+	spare   fsm.Time // when a document may be repeated again
 	queue   []*wait
-	hello   plane.Time
-	pulled  plane.Time
-	behind  plane.Time // since when others are known to have more; 0: they haven't
+	hello   fsm.Time
+	pulled  fsm.Time
+	behind  fsm.Time // since when others are known to have more; 0: they haven't
 	turn    int
 	founder founder
 	adopted Doc     // the newest handed out to be put in force
 	recent  []Delta // that led to the document held, for those that were away; never changed in place
 	packed  Delta   // the document held, whole
 	past    []Change
-	notice  Notice     // 0: it does not leave
-	parted  plane.Time // when it first said that it ends as soon as it may
-	left    plane.Time // when it last asked for that
-	free    bool       // it has been released
-	active  uint64     // the write that had the record as an active one first; 0: it is on disk
-	handed  plane.Time // when it handed its epoch over
+	notice  Notice   // 0: it does not leave
+	parted  fsm.Time // when it first said that it ends as soon as it may
+	left    fsm.Time // when it last asked for that
+	free    bool     // it has been released
+	active  uint64   // the write that had the record as an active one first; 0: it is on disk
+	handed  fsm.Time // when it handed its epoch over
 	bug     Bug
 
-	base   uint64     // saves that the disk had when this process started
-	safe   uint64     // saves that are synced
-	noted  plane.Time // since when marks wait to be written; 0: none do
-	flush  bool       // they wait no longer
+	base   uint64   // saves that the disk had when this process started
+	safe   uint64   // saves that are synced
+	noted  fsm.Time // since when marks wait to be written; 0: none do
+	flush  bool     // they wait no longer
 	fenced int
 
 	readers readers     // of packed documents
@@ -259,11 +259,11 @@
 func (m *Machine) SetBug(b Bug) { m.bug = b }
 
 // New starts a process. A nil disk is an empty one, or none.
-func New(c Config, d *Disk, now plane.Time) *Machine {
+func New(c Config, d *Disk, now fsm.Time) *Machine {
 	h := fnv.New64a()
 	h.Write([]byte(c.Self))
 	m := &Machine{c: c, rng: rand.New(rand.NewPCG(c.Seed, h.Sum64())), now: now, start: now, tick: now,
-		alive: now, hello: now - helloEvery, pulled: now - pullEvery, shun: map[string]plane.Time{},
+		alive: now, hello: now - helloEvery, pulled: now - pullEvery, shun: map[string]fsm.Time{},
 		seeds: slices.Clone(c.Seeds)}
 	m.salt = m.rng.Uint64()
 	m.jitter = time.Duration(m.rng.Int64N(int64(60 * time.Millisecond)))
@@ -316,7 +316,7 @@
 }
 
 // Peers takes the membership's view, which may be wrong, and keeps it.
-func (m *Machine) Peers(now plane.Time, peers []Peer) {
+func (m *Machine) Peers(now fsm.Time, peers []Peer) {
 	m.now, m.peers, m.most = max(m.now, now), peers, 0
 	for _, p := range peers {
 		m.most = max(m.most, p.Held)
@@ -332,12 +332,12 @@
 }
 
 // Seeds replaces the addresses to turn to.
-func (m *Machine) Seeds(now plane.Time, seeds []string) {
+func (m *Machine) Seeds(now fsm.Time, seeds []string) {
 	m.now, m.seeds = max(m.now, now), slices.Clone(seeds)
 }
 
 // Tick lets time pass.
-func (m *Machine) Tick(now plane.Time) Out {
+func (m *Machine) Tick(now fsm.Time) Out {
 	m.now = max(m.now, now)
 	if m.now-m.tick > sticky && m.lead == nil { // frozen: what was not heard says nothing
 		m.alive = m.now
@@ -356,7 +356,7 @@
 }
 
 // Written says that a write, and all before it, are synced.
-func (m *Machine) Written(now plane.Time, seq uint64) Out {
+func (m *Machine) Written(now fsm.Time, seq uint64) Out {
 	m.now = max(m.now, now)
 	m.written = max(m.written, seq)
 	if m.active <= m.written {
@@ -384,7 +384,7 @@
 }
 
 // Take takes a message.
-func (m *Machine) Take(now plane.Time, from string, msg any) Out {
+func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
 	m.now = max(m.now, now)
 	m.take(from, msg)
 	return m.end()
@@ -502,15 +502,15 @@
 func (m *Machine) send(to string, msg any) {
 	msg = m.shortened(to, m.stamped(msg))
 	if to == m.c.Self {
-		m.loop = append(m.loop, plane.Send{To: to, Msg: msg})
+		m.loop = append(m.loop, fsm.Send{To: to, Msg: msg})
 		return
 	}
-	m.out.Send = append(m.out.Send, plane.Send{To: to, Msg: msg})
+	m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: msg})
 }
 
 // durable sends once all that is known here now is on disk.
 func (m *Machine) durable(to string, msg any) {
-	m.fresh = append(m.fresh, plane.Send{To: to, Msg: msg})
+	m.fresh = append(m.fresh, fsm.Send{To: to, Msg: msg})
 }
 
 // end closes an input: what it wrote, and what may go out at once.
--- a/internal/consensus/found.go
+++ b/internal/consensus/found.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // founder is the process that the first seed names. It gives out the first record
@@ -13,12 +13,12 @@
 type founder struct {
 	mine  bool
 	hello map[string]joiner
-	grown plane.Time // when the last newcomer came
-	asked plane.Time
+	grown fsm.Time // when the last newcomer came
+	asked fsm.Time
 	rec   Record
 }
 
-func newFounder(c Config, now plane.Time) founder {
+func newFounder(c Config, now fsm.Time) founder {
 	return founder{mine: len(c.Seeds) > 0 && c.Seeds[0] == c.Self, hello: map[string]joiner{},
 		grown: now, asked: now}
 }
--- a/internal/consensus/lag.go
+++ b/internal/consensus/lag.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // A disk that has stalled and come back will stall again: to change the primary each time
@@ -18,20 +18,20 @@
 // lag is the worst that a disk did lately.
 type lag struct {
 	worst span
-	at    plane.Time // 0: nothing worth noting
+	at    fsm.Time // 0: nothing worth noting
 }
 
 // span is a time that passes, not a moment.
 type span time.Duration
 
-func (l *lag) note(now plane.Time, took time.Duration) {
+func (l *lag) note(now fsm.Time, took time.Duration) {
 	if 2*took > stall && (l.at == 0 || span(took) >= l.worst || now-l.at > recent) {
 		l.worst, l.at = span(took), now
 	}
 }
 
 // bears is how long a write may take before the disk counts as lost.
-func (l *lag) bears(now plane.Time) time.Duration {
+func (l *lag) bears(now fsm.Time) time.Duration {
 	if l.at == 0 || now-l.at > recent {
 		return stall
 	}
@@ -39,7 +39,7 @@
 }
 
 // told is the same for the primary: 0 where there is nothing to tell.
-func (l *lag) told(now plane.Time) time.Duration {
+func (l *lag) told(now fsm.Time) time.Duration {
 	if b := l.bears(now); b > stall {
 		return b
 	}
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // A member that leaves gives its seat away while it still can vouch for what it holds: to a
@@ -25,11 +25,11 @@
 type leaver struct {
 	life   uint64
 	notice Notice
-	at     plane.Time
+	at     fsm.Time
 }
 
 // Leave says that this process will end.
-func (m *Machine) Leave(now plane.Time, n Notice) Out {
+func (m *Machine) Leave(now fsm.Time, n Notice) Out {
 	m.now = max(m.now, now)
 	if m.notice < Last && n >= Last {
 		m.parted = m.now
@@ -128,7 +128,7 @@
 func (m *Machine) misses() bool { return m.lead == nil && m.now-m.alive > 2*beatEvery }
 
 // goes says whether a seat is one that is given away.
-func (l *lead) goes(s Seat, now plane.Time) (leaver, bool) {
+func (l *lead) goes(s Seat, now fsm.Time) (leaver, bool) {
 	g, ok := l.leavers[s.Addr]
 	return g, ok && g.life == s.Life && now-g.at < settle
 }
--- a/internal/consensus/past.go
+++ b/internal/consensus/past.go
@@ -3,12 +3,12 @@
 import (
 	"slices"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Change is an epoch that has taken the place of another, as it became known here.
 type Change struct {
-	At     plane.Time
+	At     fsm.Time
 	Ballot Ballot
 	Seats  []Duty
 }
--- a/internal/consensus/primary.go
+++ b/internal/consensus/primary.go
@@ -5,28 +5,28 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // lead is what a primary knows of its epoch. All of it may be lost.
 type lead struct {
 	rec    Record
-	since  plane.Time
-	beat   plane.Time
-	heard  map[string]plane.Time
+	since  fsm.Time
+	beat   fsm.Time
+	heard  map[string]fsm.Time
 	slow   map[string]bool
 	bears  map[string]span // what a member bears of its disk
 	rival  Ballot          // a promise above the epoch that some member gave
-	rivals plane.Time
+	rivals fsm.Time
 
 	doc      *Doc // on its way to the writers
-	docAt    plane.Time
-	docSent  plane.Time
+	docAt    fsm.Time
+	docSent  fsm.Time
 	appended map[string]bool
 
 	round     uint64
-	roundAt   plane.Time
-	roundSent plane.Time
+	roundAt   fsm.Time
+	roundSent fsm.Time
 	confirmed map[string]uint64
 
 	joiners map[string]joiner
@@ -40,14 +40,14 @@
 type joiner struct {
 	seat Seat
 	grow bool
-	at   plane.Time
+	at   fsm.Time
 }
 
 // wait is a call that came to the primary.
 type wait struct {
 	from  string
 	f     Forward
-	at    plane.Time
+	at    fsm.Time
 	round uint64 // of confirmations that a read needs
 }
 
@@ -58,7 +58,7 @@
 	rec := b.rec
 	rec.Active = true
 	m.d.Record, m.dirty, m.view = rec, true, rec
-	m.lead = &lead{rec: rec, since: m.now, heard: map[string]plane.Time{}, slow: map[string]bool{}, bears: map[string]span{},
+	m.lead = &lead{rec: rec, since: m.now, heard: map[string]fsm.Time{}, slow: map[string]bool{}, bears: map[string]span{},
 		confirmed: map[string]uint64{}, joiners: map[string]joiner{}, sums: map[string]uint32{}, leavers: map[string]leaver{},
 		void: b.void, stored: map[string]bool{}, known: map[string]bool{}}
 	m.active = m.seq + 1
--- a/internal/consensus/spread.go
+++ b/internal/consensus/spread.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // near are the processes that may be members, or know them.
@@ -217,7 +217,7 @@
 		return
 	}
 	if m.given == nil {
-		m.given = map[string]plane.Time{}
+		m.given = map[string]fsm.Time{}
 	}
 	m.given[to] = m.now
 	m.send(to, p)
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 const ms = time.Millisecond
@@ -17,7 +17,7 @@
 type world struct {
 	rng     *rand.Rand
 	now     time.Duration
-	queue   plane.Events
+	queue   fsm.Events
 	order   uint64
 	nodes   []*node
 	byAddr  map[string]*node
@@ -98,13 +98,13 @@
 
 func (w *world) after(d time.Duration, do func()) {
 	w.order++
-	heap.Push(&w.queue, plane.Event{At: w.now + d, Order: w.order, Do: do})
+	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.order, Do: do})
 }
 
 func (w *world) run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].At <= end && w.broken == nil {
-		e := heap.Pop(&w.queue).(plane.Event)
+		e := heap.Pop(&w.queue).(fsm.Event)
 		w.now = e.At
 		if w.moment--; w.moment == 0 {
 			w.fault()
@@ -246,7 +246,7 @@
 	w.input(n, life, func() Out { return n.m.Written(w.now, seq) })
 }
 
-func (w *world) carry(from string, s plane.Send) {
+func (w *world) carry(from string, s fsm.Send) {
 	if w.old != "" && (from == w.old || s.To == w.old) {
 		if w.was == nil {
 			w.was = older
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -6,7 +6,7 @@
 	"asterwell/internal/consensus"
 	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/registry"
 )
 
@@ -15,12 +15,12 @@
 // answers. So a process calls itself ready only after a first proof, and with what was kept
 // then. One that has had it goes on through a cut: it serves by what was in force.
 type contact struct {
-	at      plane.Time            // the newest was asked for then; 0: there was none
-	need    uint32                // what was kept at the first, at least
-	asked   map[uint64]plane.Time // calls under way
-	own     uint64                // the last of our own, and whether it is under way
+	at      fsm.Time            // the newest was asked for then; 0: there was none
+	need    uint32              // what was kept at the first, at least
+	asked   map[uint64]fsm.Time // calls under way
+	own     uint64              // the last of our own, and whether it is under way
 	waits   bool
-	next    plane.Time // when to ask again
+	next    fsm.Time // when to ask again
 	pause   time.Duration
 	primary string // who was asked
 }
@@ -44,14 +44,14 @@
 
 // Prove asks for a proof of contact with most of the core that is as young as the call. Its
 // Reply is a consensus.Answer: Proved, or Busy.
-func (k *Knot) Prove(now plane.Time, call uint64) Out {
+func (k *Knot) Prove(now fsm.Time, call uint64) Out {
 	k.contact.asked[call] = now
 	k.agreed(now, k.pact.Prove(now, call))
 	return k.end()
 }
 
 // Contact is how long ago there was contact for certain; false: not in this life.
-func (k *Knot) Contact(now plane.Time) (time.Duration, bool) {
+func (k *Knot) Contact(now fsm.Time) (time.Duration, bool) {
 	return now - k.contact.at, k.contact.at != 0
 }
 
@@ -65,7 +65,7 @@
 }
 
 // meet asks until there is a first proof, at once where another leads.
-func (k *Knot) meet(now plane.Time) {
+func (k *Knot) meet(now fsm.Time) {
 	c := &k.contact
 	if p := k.pact.Primary(); p != c.primary {
 		c.primary, c.next, c.pause = p, now, proveAgain
@@ -79,7 +79,7 @@
 }
 
 // proof takes the answer of a call that may be one, and says whether a caller waits for it.
-func (k *Knot) proof(now plane.Time, a consensus.Answer) bool {
+func (k *Knot) proof(now fsm.Time, a consensus.Answer) bool {
 	c := &k.contact
 	asked, ok := c.asked[a.ID]
 	if !ok {
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -13,8 +13,8 @@
 	"asterwell/internal/consensus"
 	"asterwell/internal/drainpermit"
 	"asterwell/internal/faultrules"
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
 	"asterwell/internal/rollout"
@@ -40,11 +40,11 @@
 // Meter is what a Knot tells a *quotas.Meter. Requests are metered beside the loop, so
 // that the user may have put a lock round it.
 type Meter interface {
-	Nodes(now plane.Time, gateways int, holders []string)
-	Enter(now plane.Time, r *quotas.Roster)
-	Take(now plane.Time, from string, msg any) []plane.Send
-	Tick(now plane.Time) []plane.Send
-	Mute(now plane.Time, holder string) bool // it leaves adds unanswered
+	Nodes(now fsm.Time, gateways int, holders []string)
+	Enter(now fsm.Time, r *quotas.Roster)
+	Take(now fsm.Time, from string, msg any) []fsm.Send
+	Tick(now fsm.Time) []fsm.Send
+	Mute(now fsm.Time, holder string) bool // it leaves adds unanswered
 }
 
 // Reply ends a call: a registry.Answer or a consensus.Answer.
@@ -58,7 +58,7 @@
 
 // Out is what follows from an input.
 type Out struct {
-	Send    []plane.Send // some may be for this process itself
+	Send    []fsm.Send // some may be for this process itself
 	Write   *consensus.Write
 	Replies []Reply
 	Adopt   *sysconfig.Table  // to be in force here
@@ -93,9 +93,9 @@
 	asking  int                // and among those that leave questions unanswered
 	swift   int                // changes of membership taken in since the tick
 	late    bool               // there are more
-	looked  plane.Time         // when they were last taken in, and how many processes there were
+	looked  fsm.Time           // when they were last taken in, and how many processes there were
 	seen    int
-	tickAt  plane.Time
+	tickAt  fsm.Time
 	stood   bool // this process stood still before the tick: it is not others that are late
 
 	contact   contact
@@ -113,7 +113,7 @@
 }
 
 // New starts a process. A nil disk is an empty one, or none.
-func New(c Config, meter Meter, disk *consensus.Disk, now plane.Time) *Knot {
+func New(c Config, meter Meter, disk *consensus.Disk, now fsm.Time) *Knot {
 	k := &Knot{
 		self: c.Self, meter: meter, bane: c.faults(now), counter: quotas.NewCounter(c.Self, c.Life), round: map[string]*detour{},
 		bond: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.Control, Member: c.Member,
@@ -121,7 +121,7 @@
 		lore:   registry.New(c.Self, c.Zone, c.Heartbeat, c.Seed, now),
 		accord: rollout.New(rollout.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), judge: c.Check,
 		cede: drainpermit.New(c.Self, cedeSalt(c), c.Bugs.Cede),
-		bugs: c.Bugs, contact: contact{asked: map[uint64]plane.Time{}, pause: proveAgain},
+		bugs: c.Bugs, contact: contact{asked: map[uint64]fsm.Time{}, pause: proveAgain},
 	}
 	k.pact = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
 		Losses: c.Losses, Seeds: c.Seeds, Seed: c.Seed, Enter: k.accord.Enter}, disk, now)
@@ -132,7 +132,7 @@
 }
 
 // Take takes a message of a process, this one among them.
-func (k *Knot) Take(now plane.Time, from string, msg any) Out {
+func (k *Knot) Take(now fsm.Time, from string, msg any) Out {
 	switch of, ok := owners[reflect.TypeOf(msg)]; {
 	case !ok:
 	case of == ofBond:
@@ -160,7 +160,7 @@
 }
 
 // Tick lets time pass.
-func (k *Knot) Tick(now plane.Time) Out {
+func (k *Knot) Tick(now fsm.Time) Out {
 	k.swift = 0
 	k.stood = k.seen > fewer && now-k.tickAt > standstill
 	k.tickAt = now
@@ -186,40 +186,40 @@
 }
 
 // Strain tells the counter here how long, lately, an add had to wait among many others.
-func (k *Knot) Strain(now plane.Time, waited time.Duration) { k.counter.Strain(now, waited) }
+func (k *Knot) Strain(now fsm.Time, waited time.Duration) { k.counter.Strain(now, waited) }
 
 // Count sends the adds that should not wait for the tick.
-func (k *Knot) Count(now plane.Time) Out {
+func (k *Knot) Count(now fsm.Time) Out {
 	k.count(now)
 	return k.end()
 }
 
 // Beat takes a server's call.
-func (k *Knot) Beat(now plane.Time, call uint64, b registry.Beat) Out {
+func (k *Knot) Beat(now fsm.Time, call uint64, b registry.Beat) Out {
 	k.learnt(k.lore.Beat(now, call, b))
 	return k.end()
 }
 
 // Delete takes a server's last call.
-func (k *Knot) Delete(now plane.Time, call uint64, id string) Out {
+func (k *Knot) Delete(now fsm.Time, call uint64, id string) Out {
 	k.learnt(k.lore.Delete(now, call, id))
 	return k.end()
 }
 
 // Put takes an operator's configuration, which has been checked.
-func (k *Knot) Put(now plane.Time, call uint64, doc consensus.Doc) Out {
+func (k *Knot) Put(now fsm.Time, call uint64, doc consensus.Doc) Out {
 	k.agreed(now, k.pact.Put(now, call, doc))
 	return k.end()
 }
 
 // Get reads the newest configuration.
-func (k *Knot) Get(now plane.Time, call uint64) Out {
+func (k *Knot) Get(now fsm.Time, call uint64) Out {
 	k.agreed(now, k.pact.Get(now, call))
 	return k.end()
 }
 
 // Written says that a write, and all before it, are synced.
-func (k *Knot) Written(now plane.Time, seq uint64) Out {
+func (k *Knot) Written(now fsm.Time, seq uint64) Out {
 	k.agreed(now, k.pact.Written(now, seq))
 	if k.prepare != 0 && seq >= k.prepare {
 		k.prepare = 0
@@ -229,7 +229,7 @@
 }
 
 // Leave says that this process will end.
-func (k *Knot) Leave(now plane.Time) Out {
+func (k *Knot) Leave(now fsm.Time) Out {
 	k.leaving, k.ready = true, false
 	k.cede.Fit(false, true)
 	k.bonded(now, k.bond.Leave(now))
@@ -238,7 +238,7 @@
 }
 
 // Depart says that this process ends as soon as the others can go on without it, or soon in any case.
-func (k *Knot) Depart(now plane.Time, n consensus.Notice) Out {
+func (k *Knot) Depart(now fsm.Time, n consensus.Notice) Out {
 	k.agreed(now, k.pact.Leave(now, n))
 	return k.end()
 }
@@ -247,7 +247,7 @@
 func (k *Knot) Left() bool { return k.pact.Left() }
 
 // Seeds replaces the addresses to turn to.
-func (k *Knot) Seeds(now plane.Time, seeds []string) {
+func (k *Knot) Seeds(now fsm.Time, seeds []string) {
 	k.bond.Seeds(now, seeds)
 	k.pact.Seeds(now, seeds)
 }
@@ -268,10 +268,10 @@
 func (k *Knot) Servers() []registry.Server { return k.lore.Servers() }
 
 // Gateways is every process with what is known of it here.
-func (k *Knot) Gateways(now plane.Time) []memberlist.Sight { return k.bond.Sights(now) }
+func (k *Knot) Gateways(now fsm.Time) []memberlist.Sight { return k.bond.Sights(now) }
 
 // Services is every server with what is known of it here.
-func (k *Knot) Services(now plane.Time) []registry.Sight { return k.lore.Sights(now) }
+func (k *Knot) Services(now fsm.Time) []registry.Sight { return k.lore.Sights(now) }
 
 // Epochs are those that this process has seen, the newest last.
 func (k *Knot) Epochs() []consensus.Change { return k.pact.Past() }
@@ -285,7 +285,7 @@
 	return out
 }
 
-func (k *Knot) send(out []plane.Send) { k.out.Send = append(k.out.Send, out...) }
+func (k *Knot) send(out []fsm.Send) { k.out.Send = append(k.out.Send, out...) }
 
 // mostSwift is how many changes of membership are taken in at once between two ticks;
 // more of them, as where all start, go together. Each is a look at all nodes.
@@ -298,7 +298,7 @@
 )
 
 // bonded carries out what membership wants.
-func (k *Knot) bonded(now plane.Time, out memberlist.Out) {
+func (k *Knot) bonded(now fsm.Time, out memberlist.Out) {
 	k.send(out.Send)
 	for _, h := range out.Holds {
 		k.pact.Holds(h.Addr, h.Held)
@@ -347,7 +347,7 @@
 }
 
 // agreed carries out what agreement wants.
-func (k *Knot) agreed(now plane.Time, out consensus.Out) {
+func (k *Knot) agreed(now fsm.Time, out consensus.Out) {
 	if out.Write != nil {
 		k.out.Write = out.Write
 	}
--- a/internal/controlplane/drain.go
+++ b/internal/controlplane/drain.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"asterwell/internal/drainpermit"
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/plane"
 )
 
 // Drain takes an operator's call that clients go elsewhere, or come again, to be answered within
 // a time by a drainpermit.Answer.
-func (k *Knot) Drain(now plane.Time, call uint64, op drainpermit.Op, within time.Duration) Out {
+func (k *Knot) Drain(now fsm.Time, call uint64, op drainpermit.Op, within time.Duration) Out {
 	k.cede.Fit(k.fit(), k.leaving)
 	k.ceded(k.cede.Call(now, call, op, within))
 	return k.end()
@@ -44,7 +44,7 @@
 func (k *Knot) ceded(out drainpermit.Out) {
 	for _, s := range out.Send {
 		w := s.Msg.(drainpermit.Word)
-		k.send([]plane.Send{{To: s.To, Msg: Via{From: k.self, To: s.To, Drain: &w}}})
+		k.send([]fsm.Send{{To: s.To, Msg: Via{From: k.self, To: s.To, Drain: &w}}})
 	}
 	for _, r := range out.Replies {
 		k.out.Replies = append(k.out.Replies, Reply{r.Call, r.Answer})
--- a/internal/controlplane/faults.go
+++ b/internal/controlplane/faults.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"asterwell/internal/faultrules"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Faults is what a process has for fault rules.
@@ -14,7 +14,7 @@
 	Disk    *faultrules.Disk
 }
 
-func (c *Config) faults(now plane.Time) *faultrules.Machine {
+func (c *Config) faults(now fsm.Time) *faultrules.Machine {
 	if c.Faults.Judge == nil {
 		c.Faults.Judge = faultrules.NewJudge()
 	}
@@ -43,19 +43,19 @@
 }
 
 // Rule makes an operator's call for fault rules.
-func (k *Knot) Rule(now plane.Time, call uint64, op faultrules.Op, doc faultrules.Doc) Out {
+func (k *Knot) Rule(now fsm.Time, call uint64, op faultrules.Op, doc faultrules.Doc) Out {
 	k.ruled(func() faultrules.Out { return k.bane.Call(now, call, op, doc) })
 	return k.end()
 }
 
 // Ruled says that a write of fault rules, and all before it, are synced.
-func (k *Knot) Ruled(now plane.Time, seq uint64) Out {
+func (k *Knot) Ruled(now fsm.Time, seq uint64) Out {
 	k.ruled(func() faultrules.Out { return k.bane.Written(now, seq) })
 	return k.end()
 }
 
 // Short asks for strikes that requests wait for.
-func (k *Knot) Short(now plane.Time) Out {
+func (k *Knot) Short(now fsm.Time) Out {
 	k.ruled(func() faultrules.Out { return k.bane.Hurry(now) })
 	return k.end()
 }
--- a/internal/controlplane/keep.go
+++ b/internal/controlplane/keep.go
@@ -1,7 +1,7 @@
 package controlplane
 
 import (
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/registry"
 )
 
@@ -15,7 +15,7 @@
 }
 
 // Restore takes what was kept.
-func (k *Knot) Restore(now plane.Time, rows []registry.Row) Out {
+func (k *Knot) Restore(now fsm.Time, rows []registry.Row) Out {
 	k.learnt(k.lore.Restore(now, rows))
 	return k.end()
 }
--- a/internal/controlplane/life_test.go
+++ b/internal/controlplane/life_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
 )
 
 // pair is two processes: one with a disk, and one that has calls made at it.
 type pair struct {
-	now   plane.Time
+	now   fsm.Time
 	knots map[string]*Knot
 	held  map[string][]any // for a process, that it does not get; nil: it gets all
 	says  []Reply
--- a/internal/controlplane/text.go
+++ b/internal/controlplane/text.go
@@ -4,7 +4,7 @@
 	"bytes"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/quotas"
 	"asterwell/internal/sysconfig"
 )
@@ -78,7 +78,7 @@
 }
 
 // Read takes what came of a text.
-func (k *Knot) Read(now plane.Time, r *Reading) Out {
+func (k *Knot) Read(now fsm.Time, r *Reading) Out {
 	k.reader.busy = false
 	d := r.text.Doc
 	if r.text.check {
@@ -99,7 +99,7 @@
 }
 
 // adopt puts a configuration in force here. It has been read, but for one that was missed while others had it prepared.
-func (k *Knot) adopt(now plane.Time, doc *consensus.Doc) {
+func (k *Knot) adopt(now fsm.Time, doc *consensus.Doc) {
 	r := k.taken
 	switch c := k.reader.checked; {
 	case r != nil && r.of(*doc):
--- a/internal/controlplane/text_test.go
+++ b/internal/controlplane/text_test.go
@@ -11,14 +11,14 @@
 
 	"asterwell/internal/consensus"
 	"asterwell/internal/controlplane"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/quotas"
 	"asterwell/internal/systemsim"
 )
 
 // core is three processes that keep a configuration, with their reading beside them.
 type core struct {
-	now     plane.Time
+	now     fsm.Time
 	knots   []*controlplane.Knot
 	names   []string
 	texts   []func() // to be read
--- a/internal/controlplane/together.go
+++ b/internal/controlplane/together.go
@@ -2,12 +2,12 @@
 
 import (
 	"asterwell/internal/consensus"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/rollout"
 )
 
 // roll tells the taking up of configurations what agreement has come to.
-func (k *Knot) roll(now plane.Time, out consensus.Out) {
+func (k *Knot) roll(now fsm.Time, out consensus.Out) {
 	k.accord.Primary(k.pact.Primary())
 	epoch, leads := k.pact.Leads()
 	if !leads {
@@ -28,7 +28,7 @@
 }
 
 // together carries out what the taking up wants.
-func (k *Knot) together(now plane.Time, out rollout.Out) {
+func (k *Knot) together(now fsm.Time, out rollout.Out) {
 	k.send(out.Send)
 	k.out.Gate = k.out.Gate || out.Gate
 	for _, t := range out.Told {
@@ -62,10 +62,10 @@
 func (k *Knot) Gate() rollout.Gate { return k.accord.Gate() }
 
 // Rollout tells how the taking up stands.
-func (k *Knot) Rollout(now plane.Time) rollout.Status { return k.accord.Status(now) }
+func (k *Knot) Rollout(now fsm.Time) rollout.Status { return k.accord.Status(now) }
 
 // Withdraw asks that a version which is not live yet never be.
-func (k *Knot) Withdraw(now plane.Time, call uint64, version uint32, by string) Out {
+func (k *Knot) Withdraw(now fsm.Time, call uint64, version uint32, by string) Out {
 	k.together(now, k.accord.Withdraw(now, call, version, by))
 	return k.end()
 }
--- a/internal/controlplane/via.go
+++ b/internal/controlplane/via.go
@@ -7,8 +7,8 @@
 	"github.com/samber/lo"
 
 	"asterwell/internal/drainpermit"
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
 )
 
@@ -29,15 +29,15 @@
 // detour is a way round to one holder.
 type detour struct {
 	by       string
-	till     plane.Time // an answer that came straight ends it sooner
-	tried    plane.Time // when a way was last looked for
-	answered plane.Time // the stamp of the newest add that was answered straight
+	till     fsm.Time // an answer that came straight ends it sooner
+	tried    fsm.Time // when a way was last looked for
+	answered fsm.Time // the stamp of the newest add that was answered straight
 }
 
 // may reports whether to look for a way now. Answers that are late on a full link, or from a
 // holder that can't keep up, look like none, and each look costs four messages on links as full: so
 // the more gateways there are, the more seldom each looks.
-func (d *detour) may(now plane.Time, gateways int) bool {
+func (d *detour) may(now fsm.Time, gateways int) bool {
 	if d.tried > 0 && now-d.tried < max(lookGap, time.Duration(gateways)*lookEach) {
 		return false
 	}
@@ -55,7 +55,7 @@
 
 // open takes a way that an answer has come by, if that add, or a later one, wasn't answered straight too: else each way
 // would keep itself open, since while there is one each add goes both ways.
-func (d *detour) open(now plane.Time, by string, a quotas.Answer) {
+func (d *detour) open(now fsm.Time, by string, a quotas.Answer) {
 	if stamp, ok := a.Stamped(); ok && stamp > d.answered {
 		d.by, d.till = by, now+detourFor
 	}
@@ -73,7 +73,7 @@
 // gets an add twice counts it once. Of a large fleet only a question goes round until a way is known: where
 // the holder can't keep up, each of hundreds would carry its whole add by two ways else, and there is no way then
 // that is quicker. The next add takes the way that was found.
-func (k *Knot) count(now plane.Time) {
+func (k *Knot) count(now fsm.Time) {
 	adds := k.meter.Tick(now)
 	k.send(adds)
 	for _, s := range adds {
@@ -83,7 +83,7 @@
 		}
 		d := k.detour(s.To)
 		if d.till > now {
-			k.send([]plane.Send{{To: d.by, Msg: Via{From: k.self, To: s.To, Add: &add}}})
+			k.send([]fsm.Send{{To: d.by, Msg: Via{From: k.self, To: s.To, Add: &add}}})
 		}
 		// A way that is open is no reason not to look for another: whom it goes by may be gone.
 		if !k.stood && k.meter.Mute(now, s.To) && d.may(now, k.seen) {
@@ -108,12 +108,12 @@
 // look asks for the signs of life that the counter wants, and round where they stay out. Where more stay out than a
 // part of a large fleet, it is rather this process that is late, or the links: then some are asked round, in turn,
 // and none by one that stood still itself. Else each late answer would cost two messages more, in ever larger numbers.
-func (k *Knot) look(now plane.Time, asks []plane.Send) {
+func (k *Knot) look(now fsm.Time, asks []fsm.Send) {
 	k.send(asks)
 	if k.stood {
 		return
 	}
-	blind := lo.Filter(asks, func(s plane.Send, _ int) bool { return k.counter.Blind(now, s.To) })
+	blind := lo.Filter(asks, func(s fsm.Send, _ int) bool { return k.counter.Blind(now, s.To) })
 	if n := len(blind); n > mostBlind {
 		at := k.asking % n
 		k.asking += mostBlind
@@ -127,7 +127,7 @@
 // around sends by all of a few ways.
 func (k *Knot) around(to string, v Via) {
 	for _, by := range k.ways(to) {
-		k.send([]plane.Send{{To: by, Msg: v}})
+		k.send([]fsm.Send{{To: by, Msg: v}})
 	}
 }
 
@@ -144,12 +144,12 @@
 }
 
 // via takes a message that goes round, or passes it on.
-func (k *Knot) via(now plane.Time, from string, v Via) {
+func (k *Knot) via(now fsm.Time, from string, v Via) {
 	switch {
 	case v.To != k.self:
 		if v.By == "" { // one step only
 			v.By = k.self
-			k.send([]plane.Send{{To: v.To, Msg: v}})
+			k.send([]fsm.Send{{To: v.To, Msg: v}})
 		}
 	case v.Drain != nil:
 		k.cede.Fit(k.fit(), k.leaving)
@@ -157,14 +157,14 @@
 	case v.Add != nil:
 		for _, s := range k.counter.Take(now, v.From, *v.Add) {
 			if a, ok := s.Msg.(quotas.Answer); ok && s.To == v.From {
-				s = plane.Send{To: v.By, Msg: Via{From: k.self, To: v.From, Answer: &a}}
+				s = fsm.Send{To: v.By, Msg: Via{From: k.self, To: v.From, Answer: &a}}
 			}
-			k.send([]plane.Send{s})
+			k.send([]fsm.Send{s})
 		}
 	case v.Ask:
 		for _, s := range k.meter.Take(now, v.From, quotas.Answer{Ask: true}) {
 			if a, ok := s.Msg.(quotas.Add); ok {
-				k.send([]plane.Send{{To: v.By, Msg: Via{From: k.self, To: v.From, Add: &a}}})
+				k.send([]fsm.Send{{To: v.By, Msg: Via{From: k.self, To: v.From, Add: &a}}})
 			}
 		}
 	case v.Answer != nil:
--- a/internal/controlplane/via_test.go
+++ b/internal/controlplane/via_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
 )
 
@@ -33,12 +33,12 @@
 // unheard is a meter whose holder never answers.
 type unheard struct{}
 
-func (unheard) Nodes(plane.Time, int, []string)           {}
-func (unheard) Enter(plane.Time, *quotas.Roster)          {}
-func (unheard) Take(plane.Time, string, any) []plane.Send { return nil }
-func (unheard) Mute(plane.Time, string) bool              { return true }
-func (unheard) Tick(plane.Time) []plane.Send {
-	return []plane.Send{{To: "h:1", Msg: quotas.Add{Life: 1}}}
+func (unheard) Nodes(fsm.Time, int, []string)         {}
+func (unheard) Enter(fsm.Time, *quotas.Roster)        {}
+func (unheard) Take(fsm.Time, string, any) []fsm.Send { return nil }
+func (unheard) Mute(fsm.Time, string) bool            { return true }
+func (unheard) Tick(fsm.Time) []fsm.Send {
+	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Life: 1}}}
 }
 
 // TestStood: of a large fleet who stood still itself looks for no way round, since it is not the holder that is late; in a
@@ -73,9 +73,9 @@
 	late bool
 }
 
-func (s *seldom) Mute(plane.Time, string) bool { return s.late }
-func (s *seldom) Tick(now plane.Time) []plane.Send {
-	return []plane.Send{{To: "h:1", Msg: quotas.Add{Life: 1, Stamp: now}}}
+func (s *seldom) Mute(fsm.Time, string) bool { return s.late }
+func (s *seldom) Tick(now fsm.Time) []fsm.Send {
+	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Life: 1, Stamp: now}}}
 }
 
 // TestWayCloses: a holder that was late once and answers again isn't told round for good. While a way is open
@@ -177,8 +177,8 @@
 // wordy is a meter whose adds carry something, and whose holder never answers straight.
 type wordy struct{ unheard }
 
-func (wordy) Tick(now plane.Time) []plane.Send {
-	return []plane.Send{{To: "h:1", Msg: quotas.Add{Life: 1, Stamp: now, Read: true, List: 7, Packed: make([]byte, 900), Items: make([]quotas.Item, 9)}}}
+func (wordy) Tick(now fsm.Time) []fsm.Send {
+	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Life: 1, Stamp: now, Read: true, List: 7, Packed: make([]byte, 900), Items: make([]quotas.Item, 9)}}}
 }
 
 // TestOnlyAQuestionGoesRound: of a large fleet what looks for a way round carries no items, and the add after an answer that
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,9 +24,9 @@
 	"asterwell/internal/controlplane"
 	"asterwell/internal/dataplane"
 	"asterwell/internal/faultrules"
+	"asterwell/internal/fsm"
 	"asterwell/internal/logring"
 	"asterwell/internal/mesh"
-	"asterwell/internal/plane"
 	"asterwell/internal/protocol"
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
@@ -177,7 +177,7 @@
 }
 
 // now is the process's clock: steady, and above 0.
-func (p *Process) now() plane.Time { return time.Hour + time.Since(p.start) }
+func (p *Process) now() fsm.Time { return time.Hour + time.Since(p.start) }
 
 // meshAddr is where the process on a machine listens to others.
 func meshAddr(host string, set *sysconfig.Settings) string {
@@ -419,7 +419,7 @@
 }
 
 // send puts messages on their way. Those for this process itself come back to it.
-func (p *Process) send(out []plane.Send) {
+func (p *Process) send(out []fsm.Send) {
 	for _, s := range out {
 		f := &frame{From: p.self, Msg: s.Msg}
 		if s.To == p.self {
--- a/internal/daemon/quotas.go
+++ b/internal/daemon/quotas.go
@@ -6,13 +6,13 @@
 	"github.com/samber/lo"
 	"github.com/valyala/fasthttp"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/glass"
-	"asterwell/internal/plane"
 	"asterwell/internal/quotas"
 )
 
 // account is what the meter's decisions went by.
-func (l *meter) account(now plane.Time) quotas.Account {
+func (l *meter) account(now fsm.Time) quotas.Account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.m.Account(now)
--- a/internal/drainpermit/drainpermit.go
+++ b/internal/drainpermit/drainpermit.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Kind of a word.
@@ -61,7 +61,7 @@
 
 // Out is what a machine wants done.
 type Out struct {
-	Send    []plane.Send // of Words
+	Send    []fsm.Send // of Words
 	Replies []Reply
 	Turned  bool // Draining has changed
 }
@@ -96,8 +96,8 @@
 	drains bool
 	calls  []uint64 // that wait for the ask; none: nothing is asked
 	id     uint64   // of the ask, or the next one
-	till   plane.Time
-	sent   plane.Time
+	till   fsm.Time
+	sent   fsm.Time
 	rounds int
 	noes   map[string]bool // drain, or are not ready
 }
@@ -119,7 +119,7 @@
 func (m *Machine) Fit(ready, leaves bool) { m.fit, m.leaves = ready && !leaves, leaves }
 
 // Call takes an operator's call, that is answered within a time. A second copy changes nothing.
-func (m *Machine) Call(now plane.Time, call uint64, op Op, within time.Duration) Out {
+func (m *Machine) Call(now fsm.Time, call uint64, op Op, within time.Duration) Out {
 	asks := len(m.calls) > 0
 	switch {
 	case op == Stop && !m.drains && !asks, op != Stop && m.drains:
@@ -141,7 +141,7 @@
 }
 
 // Tick lets time pass.
-func (m *Machine) Tick(now plane.Time) Out {
+func (m *Machine) Tick(now fsm.Time) Out {
 	if len(m.calls) > 0 {
 		switch {
 		case m.leaves:
@@ -157,7 +157,7 @@
 }
 
 // Take takes a word.
-func (m *Machine) Take(now plane.Time, from string, w Word) Out {
+func (m *Machine) Take(now fsm.Time, from string, w Word) Out {
 	asks := len(m.calls) > 0
 	switch {
 	case w.Kind == Ask:
@@ -177,7 +177,7 @@
 
 // answer says whether this one stays. Of two that ask each other the one of the lower address
 // goes first: the other gives its ask up, and begins a new one.
-func (m *Machine) answer(now plane.Time, from string, id uint64) {
+func (m *Machine) answer(now fsm.Time, from string, id uint64) {
 	kind := Stays
 	switch asks := len(m.calls) > 0; {
 	case m.drains || !m.fit:
@@ -193,7 +193,7 @@
 }
 
 // ask sends the ask: to a few that call themselves ready, and if that was in vain to all.
-func (m *Machine) ask(now plane.Time) {
+func (m *Machine) ask(now fsm.Time) {
 	m.sent = now
 	n := 0
 	for _, ready := range []bool{true, false} {
@@ -241,7 +241,7 @@
 func (m *Machine) reply(call uint64, a Answer) { m.out.Replies = append(m.out.Replies, Reply{call, a}) }
 
 func (m *Machine) send(to string, w Word) {
-	m.out.Send = append(m.out.Send, plane.Send{To: to, Msg: w})
+	m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: w})
 }
 
 func (m *Machine) end() Out {
--- a/internal/drainpermit/drainpermit_test.go
+++ b/internal/drainpermit/drainpermit_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // TestExplore: whatever comes late, twice, not at all or in another order, one stays; messages that
@@ -37,15 +37,15 @@
 
 // net plays a few processes whose messages take a time, and that tick together.
 type net struct {
-	now  plane.Time
+	now  fsm.Time
 	all  map[string]*Machine
-	late plane.Time
+	late fsm.Time
 	due  []func()
-	at   []plane.Time
+	at   []fsm.Time
 	told map[uint64]Answer
 }
 
-func newNet(late plane.Time, names ...string) *net {
+func newNet(late fsm.Time, names ...string) *net {
 	n := &net{all: map[string]*Machine{}, late: late, told: map[uint64]Answer{}}
 	for i, name := range names {
 		m := New(name, uint64(i+1)<<32, Sound)
--- a/internal/drainpermit/explore.go
+++ b/internal/drainpermit/explore.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Bounds of a small model: every order in which the messages of a few processes may arrive, be
@@ -140,7 +140,7 @@
 				take(c, i, Out{})
 			}
 			if s.repeats < b.Repeats && len(s.all[i].calls) > 0 {
-				for _, at := range []plane.Time{againEvery, time.Second} {
+				for _, at := range []fsm.Time{againEvery, time.Second} {
 					c := s.copy("%c after %v", 'a'+i, at)
 					c.repeats++
 					c.all[i].sent = 0
--- a/internal/faultrules/call.go
+++ b/internal/faultrules/call.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Outcome of an operator's call.
@@ -49,13 +49,13 @@
 
 type call struct {
 	f        Forward
-	at, sent plane.Time
+	at, sent fsm.Time
 	op       Op // that is wanted; f only reads, until it is known which turn the call is for
 }
 
 // Call makes an operator's call here; the answer comes once, in some Out.Answers. A stop is of
 // doc.Version, and does nothing to another set; 0: of the one that is kept when the call comes.
-func (m *Machine) Call(now plane.Time, id uint64, op Op, doc Doc) Out {
+func (m *Machine) Call(now fsm.Time, id uint64, op Op, doc Doc) Out {
 	m.now = max(m.now, now)
 	c := &call{f: Forward{ID: id, Salt: m.salt, Op: OpGet, Doc: doc}, at: m.now, sent: m.now, op: op}
 	if m.bug == Unfenced {
--- a/internal/faultrules/judge.go
+++ b/internal/faultrules/judge.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Request is what rules look at. Tenant is the one whose key was proved. At is the time of
@@ -45,7 +45,7 @@
 // armed is a rule with what this process may do by it.
 type armed struct {
 	rule  Rule
-	till  plane.Time
+	till  fsm.Time
 	part  int // strikes handed out to this life
 	used  int
 	noted int    // of them are on record
@@ -54,7 +54,7 @@
 	waits int
 	spent bool    // nothing of the budget is left to hand out
 	room  float64 // doubles that may go now
-	at    plane.Time
+	at    fsm.Time
 }
 
 // Judge holds requests against the rules in force. Requests of all connections ask it; a
@@ -98,7 +98,7 @@
 func (j *Judge) On() bool { return j.on.Load() }
 
 // Strike judges a request, and takes a strike of the budget if it is hit.
-func (j *Judge) Strike(now plane.Time, q Request) (Strike, Verdict) {
+func (j *Judge) Strike(now fsm.Time, q Request) (Strike, Verdict) {
 	if !j.on.Load() || q.Tenant == "" || q.ID == "" {
 		return Strike{}, Pass
 	}
@@ -133,7 +133,7 @@
 
 // allows keeps doubles below what the rule may add to a service: each process has its even
 // share of the rate, and saves up one at the most.
-func (a *armed) allows(now plane.Time, nodes int) bool {
+func (a *armed) allows(now fsm.Time, nodes int) bool {
 	if a.rule.Effect != Double {
 		return true
 	}
@@ -172,7 +172,7 @@
 }
 
 // adopt takes other rules, none of which is in force yet.
-func (j *Judge) adopt(now plane.Time, turn uint64, rules []Rule) {
+func (j *Judge) adopt(now fsm.Time, turn uint64, rules []Rule) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, a := range j.rules {
@@ -186,7 +186,7 @@
 }
 
 // lease puts the rules in force, each until its time.
-func (j *Judge) lease(till []plane.Time, parts, noted []int, spent []bool, nodes int) {
+func (j *Judge) lease(till []fsm.Time, parts, noted []int, spent []bool, nodes int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.nodes = nodes
--- a/internal/faultrules/lead.go
+++ b/internal/faultrules/lead.go
@@ -9,15 +9,15 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/samber/lo"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/ledger"
-	"asterwell/internal/plane"
 )
 
 // lead is the primary's, while there is something to do.
 type lead struct {
 	term    Term
 	members []string
-	born    plane.Time
+	born    fsm.Time
 	claimed map[string]Claimed
 	serving bool // rec goes on from what a majority had
 
@@ -26,10 +26,10 @@
 	kept   Record
 	rules  []Rule // of kept
 	left   []time.Duration
-	leftAt plane.Time
+	leftAt fsm.Time
 	acked  map[string]uint64
-	heard  map[string]plane.Time // newest stamp that each member answered
-	sent   plane.Time
+	heard  map[string]fsm.Time // newest stamp that each member answered
+	sent   fsm.Time
 
 	ops    []op // waiting
 	doing  []op // to be answered when rec is kept
@@ -43,9 +43,9 @@
 	noted  map[string]uint64 // so many has each member
 	holds  map[Node]uint64   // confirmed turns
 	active uint64            // the turn in force
-	rest   plane.Time        // a lease of another turn may run until then
-	leased plane.Time        // any lease may
-	pushed plane.Time
+	rest   fsm.Time          // a lease of another turn may run until then
+	leased fsm.Time          // any lease may
+	pushed fsm.Time
 
 	noteBase uint64
 }
@@ -53,7 +53,7 @@
 type op struct {
 	from string
 	f    Forward
-	at   plane.Time
+	at   fsm.Time
 }
 
 // ample is how many strikes for each process are so many that some may lie idle.
@@ -84,7 +84,7 @@
 	}
 	m.rises++
 	l := &lead{term: Term{m.place.N, m.c.Self, m.c.Life<<16 | m.rises}, members: slices.Clone(m.place.Members), born: m.now,
-		claimed: map[string]Claimed{}, acked: map[string]uint64{}, heard: map[string]plane.Time{}, asks: map[string]Ask{},
+		claimed: map[string]Claimed{}, acked: map[string]uint64{}, heard: map[string]fsm.Time{}, asks: map[string]Ask{},
 		wants: map[string]bool{}, tells: map[string]bool{}, seen: map[Node]uint64{}, safe: map[Node]uint64{},
 		noted: map[string]uint64{}, holds: map[Node]uint64{}, rest: m.now + LeaseFor}
 	m.lead = l
@@ -445,13 +445,13 @@
 }
 
 // authority is when a majority last said that the term stands.
-func (m *Machine) authority() plane.Time {
+func (m *Machine) authority() fsm.Time {
 	l := m.lead
-	var at []plane.Time
+	var at []fsm.Time
 	for _, addr := range l.members {
 		at = append(at, l.heard[addr])
 	}
-	slices.SortFunc(at, func(a, b plane.Time) int { return cmp.Compare(b, a) })
+	slices.SortFunc(at, func(a, b fsm.Time) int { return cmp.Compare(b, a) })
 	return at[majority(l.members)-1]
 }
 
--- a/internal/faultrules/machine.go
+++ b/internal/faultrules/machine.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // LeaseFor is how long rules may strike at a process that hears nothing more.
@@ -54,7 +54,7 @@
 
 // Out is what a machine wants done.
 type Out struct {
-	Send    []plane.Send
+	Send    []fsm.Send
 	Write   *Write
 	Answers []Reply
 	News    string // worth a line in the log
@@ -68,7 +68,7 @@
 
 type held struct {
 	seq  uint64
-	send plane.Send
+	send fsm.Send
 }
 
 // Machine is one process's part.
@@ -77,11 +77,11 @@
 	judge *Judge
 	rng   *rand.Rand
 	salt  uint64
-	now   plane.Time
+	now   fsm.Time
 	place Place
 	nodes []Node
 	out   Out
-	loop  []plane.Send // to itself
+	loop  []fsm.Send // to itself
 	bug   Bug
 
 	// as any process: node.go
@@ -89,16 +89,16 @@
 	turn    uint64
 	doc     Doc
 	rules   []Rule
-	ends    []plane.Time // at the latest, by this clock
-	asked   plane.Time
+	ends    []fsm.Time // at the latest, by this clock
+	asked   fsm.Time
 	leased  Record // by which the newest lease went: its term and number
 	confirm bool   // the primary is to hear what is held
 	refused bool   // the set is not valid here
 
 	// as a member: member.go
 	d       Disk
-	since   plane.Time // when Kept was taken
-	sure    bool       // and it was in this life
+	since   fsm.Time // when Kept was taken
+	sure    bool     // and it was in this life
 	dirty   bool
 	seq     uint64
 	written uint64
@@ -113,7 +113,7 @@
 }
 
 // New starts a process. A nil disk is an empty one, or none.
-func New(c Config, j *Judge, d *Disk, now plane.Time) *Machine {
+func New(c Config, j *Judge, d *Disk, now fsm.Time) *Machine {
 	h := fnv.New64a()
 	h.Write([]byte(c.Self))
 	m := &Machine{c: c, judge: j, bug: c.Bug, rng: rand.New(rand.NewPCG(c.Seed^0xba9e, h.Sum64())), now: now}
@@ -141,7 +141,7 @@
 func (m *Machine) Nodes(nodes []Node) { m.nodes = slices.Clone(nodes) }
 
 // Tick lets time pass.
-func (m *Machine) Tick(now plane.Time) Out {
+func (m *Machine) Tick(now fsm.Time) Out {
 	m.now = max(m.now, now)
 	if m.Awake() {
 		m.expire()
@@ -152,7 +152,7 @@
 }
 
 // Hurry asks for strikes at once if requests wait for them.
-func (m *Machine) Hurry(now plane.Time) Out {
+func (m *Machine) Hurry(now fsm.Time) Out {
 	m.now = max(m.now, now)
 	if m.now-m.asked >= hurryEvery && m.judge.Due() {
 		m.ask()
@@ -167,7 +167,7 @@
 func (m *Machine) Holds() bool { return len(m.rules) > 0 }
 
 // Written says that a write, and all before it, are synced.
-func (m *Machine) Written(now plane.Time, seq uint64) Out {
+func (m *Machine) Written(now fsm.Time, seq uint64) Out {
 	m.now, m.written = max(m.now, now), max(m.written, seq)
 	var rest []held
 	for _, h := range m.held {
@@ -182,7 +182,7 @@
 }
 
 // Take takes a message.
-func (m *Machine) Take(now plane.Time, from string, msg any) Out {
+func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
 	m.now = max(m.now, now)
 	if m.c.Longest > 0 {
 		m.take(from, msg)
@@ -217,9 +217,9 @@
 
 func (m *Machine) send(to string, msg any) {
 	if to == m.c.Self {
-		m.loop = append(m.loop, plane.Send{To: to, Msg: msg})
+		m.loop = append(m.loop, fsm.Send{To: to, Msg: msg})
 	} else if to != "" {
-		m.out.Send = append(m.out.Send, plane.Send{To: to, Msg: msg})
+		m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: msg})
 	}
 }
 
@@ -235,7 +235,7 @@
 		m.out.Write, m.fresh = w, nil
 	}
 	if m.seq > m.written {
-		m.held = append(m.held, held{m.seq, plane.Send{To: to, Msg: msg}})
+		m.held = append(m.held, held{m.seq, fsm.Send{To: to, Msg: msg}})
 	} else {
 		m.send(to, msg)
 	}
--- a/internal/faultrules/member.go
+++ b/internal/faultrules/member.go
@@ -1,6 +1,6 @@
 package faultrules
 
-import "asterwell/internal/plane"
+import "asterwell/internal/fsm"
 
 // takeMember is what those with a disk do: they serve the highest term they promised.
 func (m *Machine) takeMember(from string, msg any) {
@@ -40,7 +40,7 @@
 }
 
 // age corrects what a late message made of the record's age.
-func (m *Machine) age(term Term, seq uint64, by plane.Time) {
+func (m *Machine) age(term Term, seq uint64, by fsm.Time) {
 	if term == m.d.Kept.Term && seq == m.d.Kept.Seq && m.sure {
 		m.since = min(m.since, m.now-by)
 	}
--- a/internal/faultrules/node.go
+++ b/internal/faultrules/node.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // onPush takes a set that the primary says is kept, and confirms it.
@@ -114,7 +114,7 @@
 	} else {
 		m.leased = r
 	}
-	till := make([]plane.Time, len(m.rules))
+	till := make([]fsm.Time, len(m.rules))
 	for i := range till {
 		till[i] = min(l.Stamp+min(l.For, l.Left[i]), m.ends[i])
 		if m.bug == Outlives {
--- a/internal/faultrules/note.go
+++ b/internal/faultrules/note.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Note is a strike, or what became of one, on its way to the record. A strike befalls nobody
@@ -46,7 +46,7 @@
 
 // Made reports whether a strike may befall its request now: Short, as long as it is not on
 // record; Pass, if it never will be. Its lease must last, too.
-func (j *Judge) Made(now plane.Time, s Strike) Verdict {
+func (j *Judge) Made(now fsm.Time, s Strike) Verdict {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	a := s.of
--- a/internal/faultrules/record.go
+++ b/internal/faultrules/record.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/ledger"
-	"asterwell/internal/plane"
 )
 
 // Term is a primary's: its epoch in agreement, and a salt that no other start has.
@@ -135,7 +135,7 @@
 }
 
 // aged is what is left after a time.
-func aged(left []time.Duration, by plane.Time) []time.Duration {
+func aged(left []time.Duration, by fsm.Time) []time.Duration {
 	out := slices.Clone(left)
 	for i := range out {
 		out[i] = max(0, out[i]-max(0, by))
--- a/internal/faultrules/world/world.go
+++ b/internal/faultrules/world/world.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"asterwell/internal/faultrules"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 const (
@@ -28,7 +28,7 @@
 type World struct {
 	rng   *rand.Rand
 	now   time.Duration
-	queue plane.Events
+	queue fsm.Events
 	order uint64
 	bug   faultrules.Bug
 
@@ -94,7 +94,7 @@
 
 func (w *World) after(d time.Duration, do func()) {
 	w.order++
-	heap.Push(&w.queue, plane.Event{At: w.now + d, Order: w.order, Do: do})
+	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.order, Do: do})
 }
 
 func (w *World) every(d time.Duration, do func()) {
@@ -105,14 +105,14 @@
 func (w *World) Run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].At <= end && w.Broken == "" {
-		e := heap.Pop(&w.queue).(plane.Event)
+		e := heap.Pop(&w.queue).(fsm.Event)
 		w.now = e.At
 		e.Do()
 	}
 	w.now = end
 }
 
-func (p *Proc) clock() plane.Time { return time.Hour + p.w.now - p.start }
+func (p *Proc) clock() fsm.Time { return time.Hour + p.w.now - p.start }
 
 func (p *Proc) frozen() bool { return p.thaws > p.w.now }
 
--- a/internal/plane/event.go
+++ b/internal/fsm/event.go
@@ -1,4 +1,4 @@
-package plane
+package fsm
 
 // Event is what happens at a moment of simulated time.
 type Event struct {
--- a/internal/plane/plane.go
+++ b/internal/fsm/fsm.go
@@ -1,7 +1,7 @@
-// Package plane has what the state machines of the system share. A machine takes
+// Package fsm has what the state machines of the system share. A machine takes
 // inputs with the time they came at, and returns what to send, write and answer;
 // it has no sockets, files, clock or chance of its own.
-package plane
+package fsm
 
 import "time"
 
--- a/internal/lab/callerframes.go
+++ b/internal/lab/callerframes.go
@@ -9,8 +9,8 @@
 	"asterwell/internal/actor"
 	"asterwell/internal/consensus"
 	"asterwell/internal/daemon"
+	"asterwell/internal/fsm"
 	"asterwell/internal/mesh"
-	"asterwell/internal/plane"
 	"asterwell/internal/standin/snag"
 )
 
@@ -106,7 +106,7 @@
 // ask is the asker's loop.
 func (p *framePlayed) ask(c frameCase, m *mesh.Mesh[*daemon.Frame], in *actor.Box[any], here, there *snag.FrameProxy, bug consensus.Bug) {
 	start := time.Now()
-	now := func() plane.Time { return time.Hour + frameSpeed*time.Since(start) }
+	now := func() fsm.Time { return time.Hour + frameSpeed*time.Since(start) }
 	a := consensus.New(consensus.Config{Self: here.Addr, Name: "asker", Seeds: []string{there.Addr}, Seed: 5}, nil, now())
 	a.SetBug(bug)
 	took := func(out consensus.Out) {
--- a/internal/memberlist/links/links.go
+++ b/internal/memberlist/links/links.go
@@ -11,13 +11,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Actor is a process.
 type Actor interface {
-	Tick(now plane.Time) []plane.Send
-	Take(now plane.Time, from string, msg any) []plane.Send
+	Tick(now fsm.Time) []fsm.Send
+	Take(now fsm.Time, from string, msg any) []fsm.Send
 }
 
 const (
@@ -26,7 +26,7 @@
 )
 
 type event struct {
-	at       plane.Time
+	at       fsm.Time
 	from, to string
 	msg      any // nil: a tick
 	size     int
@@ -43,7 +43,7 @@
 
 // Net is all links.
 type Net struct {
-	Now    plane.Time
+	Now    fsm.Time
 	Delay  time.Duration
 	Jitter time.Duration
 	Loss   float64
@@ -98,7 +98,7 @@
 }
 
 // Post sends what an actor returned.
-func (n *Net) Post(from string, sends []plane.Send) {
+func (n *Net) Post(from string, sends []fsm.Send) {
 	for _, s := range sends {
 		b, err := cbor.Marshal(s.Msg)
 		if err != nil {
--- a/internal/memberlist/machine.go
+++ b/internal/memberlist/machine.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 const (
@@ -53,22 +53,22 @@
 type entry struct {
 	node  Node
 	lost  bool          // held for gone because we ourselves are cut off: not told to anyone
-	heard plane.Time    // of a watched one: the last sign, or the start of the wait
+	heard fsm.Time      // of a watched one: the last sign, or the start of the wait
 	stood time.Duration // Machine.stood then
 	asked int           // times since then
 	via   string        // who last reached it when we couldn't
-	ended plane.Time    // since when it is gone
+	ended fsm.Time      // since when it is gone
 	held  uint32        // the newest version that it has said it holds, in this life
 	mark  uint64        // of node
 	spot  uint64        // its place on the ring
-	since plane.Time    // since when it is in its state, for people
+	since fsm.Time      // since when it is in its state, for people
 }
 
 func (e *entry) live() bool { return e.node.State != Gone && !e.lost }
 
 type doubt struct {
 	node Node
-	till plane.Time
+	till fsm.Time
 }
 
 // Machine is one process's part.
@@ -91,40 +91,40 @@
 	watched []string // by the ring
 	after   []string // our watchers
 
-	drew  []string   // others that news goes to,
-	drawn plane.Time // since then
+	drew  []string // others that news goes to,
+	drawn fsm.Time // since then
 
-	born    plane.Time
-	now     plane.Time
-	ticked  plane.Time
-	heard   plane.Time    // last message of anyone
+	born    fsm.Time
+	now     fsm.Time
+	ticked  fsm.Time
+	heard   fsm.Time      // last message of anyone
 	stood   time.Duration // how long the detector's clock has stood still because we were late
 	stoodAt time.Duration // the same at heard
-	beat    plane.Time    // next ones
-	hello   plane.Time
-	try     plane.Time
-	swapped plane.Time
+	beat    fsm.Time      // next ones
+	hello   fsm.Time
+	try     fsm.Time
+	swapped fsm.Time
 	pause   time.Duration // from then to the next exchange
-	altered plane.Time    // when the table last changed
+	altered fsm.Time      // when the table last changed
 	given   float64       // entries that may be given now
-	wipe    plane.Time
-	told    map[string]plane.Time // when it was last told that it is held for gone
+	wipe    fsm.Time
+	told    map[string]fsm.Time // when it was last told that it is held for gone
 	swift   int
 	late    map[string]*news // by address, what waits to be told
-	rumour  plane.Time       // when news was last told together
-	heldAt  plane.Time       // since when our version is held
-	saidAt  plane.Time       // when all were last told of our entry
+	rumour  fsm.Time         // when news was last told together
+	heldAt  fsm.Time         // since when our version is held
+	saidAt  fsm.Time         // when all were last told of our entry
 	out     Out
 }
 
 // New starts with nothing but seeds. A start's Life should be higher than those before
 // it; where it isn't, the others' memory of the old one mends that.
-func New(self Node, seeds []string, seed uint64, now plane.Time) *Machine {
+func New(self Node, seeds []string, seed uint64, now fsm.Time) *Machine {
 	self.State, self.Seq, self.Form = Up, max(self.Seq, 1), formPacked
 	m := &Machine{
 		self: self, rand: rand.New(rand.NewPCG(seed, 0xb0d)),
 		known: map[string]bool{}, nodes: map[string]*entry{}, doubt: map[string]doubt{},
-		told: map[string]plane.Time{}, late: map[string]*news{},
+		told: map[string]fsm.Time{}, late: map[string]*news{},
 		born: now, now: now, ticked: now, heard: now, swapped: now - swapEvery, pause: swapEvery, stale: true, swift: mostSwift, given: mostGiven,
 	}
 	m.beat, m.hello, m.try = now, now, now
@@ -136,13 +136,13 @@
 }
 
 // Seeds replaces the seeds.
-func (m *Machine) Seeds(now plane.Time, seeds []string) {
+func (m *Machine) Seeds(now fsm.Time, seeds []string) {
 	m.seeds = slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == m.self.Addr || a == "" })
 	m.hello, m.try = now, now
 }
 
 // Know adds addresses remembered from an earlier life.
-func (m *Machine) Know(_ plane.Time, addrs []string) {
+func (m *Machine) Know(_ fsm.Time, addrs []string) {
 	for _, a := range addrs {
 		m.remember(a)
 	}
@@ -155,7 +155,7 @@
 }
 
 // Leave says that this process will end; it goes on beating until then.
-func (m *Machine) Leave(now plane.Time) Out {
+func (m *Machine) Leave(now fsm.Time) Out {
 	m.now = now
 	if m.self.State == Up {
 		m.self.State = Leaving
@@ -310,12 +310,12 @@
 
 func (m *Machine) send(to string, msg any) {
 	if to != m.self.Addr {
-		m.out.Send = append(m.out.Send, plane.Send{To: to, Msg: msg})
+		m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: msg})
 	}
 }
 
 // Tick beats, watches, tries those that may be there, and tells what waited.
-func (m *Machine) Tick(now plane.Time) Out {
+func (m *Machine) Tick(now fsm.Time) Out {
 	m.now = now
 	if now-m.ticked > ownGap {
 		m.thaw()
@@ -357,7 +357,7 @@
 }
 
 // hear begins a node's wait anew.
-func (m *Machine) hear(e *entry, at plane.Time) { e.heard, e.stood, e.asked = at, m.stood, 0 }
+func (m *Machine) hear(e *entry, at fsm.Time) { e.heard, e.stood, e.asked = at, m.stood, 0 }
 
 // silent is for how long a node has said nothing, by the detector's clock: it stands still while we
 // are late, as what came meanwhile may wait to be read.
--- a/internal/memberlist/machine_test.go
+++ b/internal/memberlist/machine_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist/links"
-	"asterwell/internal/plane"
 )
 
 const ms = time.Millisecond
@@ -86,7 +86,7 @@
 	for _, c := range []struct {
 		name string
 		msg  any
-		at   plane.Time
+		at   fsm.Time
 		life uint64
 		seq  uint64
 	}{
@@ -132,9 +132,9 @@
 
 type actor struct{ *Machine }
 
-func (a actor) Tick(now plane.Time) []plane.Send { return a.Machine.Tick(now).Send }
+func (a actor) Tick(now fsm.Time) []fsm.Send { return a.Machine.Tick(now).Send }
 
-func (a actor) Take(now plane.Time, from string, msg any) []plane.Send {
+func (a actor) Take(now fsm.Time, from string, msg any) []fsm.Send {
 	return a.Machine.Take(now, from, msg).Send
 }
 
@@ -175,7 +175,7 @@
 	m := amid(8)
 	var v uint32
 	rumours, last := 0, uint32(0)
-	tick := func(now plane.Time) (beats []Beat) {
+	tick := func(now fsm.Time) (beats []Beat) {
 		for i := 1; i <= 8; i++ {
 			m.Take(now, node(i).Addr, Beat{Life: 1, Seq: 1})
 		}
--- a/internal/memberlist/node.go
+++ b/internal/memberlist/node.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // State of a process.
@@ -141,7 +141,7 @@
 
 // Out is what follows from an input.
 type Out struct {
-	Send    []plane.Send
+	Send    []fsm.Send
 	Changed bool     // View is another, in more than what nodes hold and whether they are ready
 	Silent  []string // addresses newly gone
 	Holds   []Hold   // which is told apart, as each configuration has all nodes hold another
--- a/internal/memberlist/sight.go
+++ b/internal/memberlist/sight.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Sight is a node as people are shown it.
@@ -17,7 +17,7 @@
 }
 
 // Sights is every node with what is known of it, sorted by address.
-func (m *Machine) Sights(now plane.Time) []Sight {
+func (m *Machine) Sights(now fsm.Time) []Sight {
 	all := make([]Sight, 0, len(m.all))
 	for _, e := range m.all {
 		addr := e.node.Addr
--- a/internal/memberlist/storm_test.go
+++ b/internal/memberlist/storm_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist/links"
-	"asterwell/internal/plane"
 )
 
 // fleet is n machines on simulated time, in ten zones of three regions.
@@ -25,17 +25,17 @@
 // member holds a configuration a second after its start, and is ready after another half.
 type member struct {
 	*Machine
-	born plane.Time
+	born fsm.Time
 	held uint32
 }
 
 type stop struct {
-	at, till plane.Time
+	at, till fsm.Time
 	who      int
 	now      bool
 }
 
-func (m *member) Tick(now plane.Time) []plane.Send {
+func (m *member) Tick(now fsm.Time) []fsm.Send {
 	if now-m.born > time.Second {
 		m.SetHeld(m.held)
 	}
@@ -43,7 +43,7 @@
 	return m.Machine.Tick(now).Send
 }
 
-func (m *member) Take(now plane.Time, from string, msg any) []plane.Send {
+func (m *member) Take(now fsm.Time, from string, msg any) []fsm.Send {
 	return m.Machine.Take(now, from, msg).Send
 }
 
@@ -193,7 +193,7 @@
 			f := newFleet(t, 490, 1)
 			f.Cost = cost
 			for range 40 {
-				at := plane.Time(f.rand.Int64N(int64(6 * time.Second)))
+				at := fsm.Time(f.rand.Int64N(int64(6 * time.Second)))
 				f.stops = append(f.stops, stop{at: at, till: at + 2*time.Second, who: f.rand.IntN(490)})
 			}
 			f.startAll()
@@ -280,7 +280,7 @@
 // parts and forms.
 type elder struct{ *member }
 
-func (e elder) strip(out []plane.Send) []plane.Send {
+func (e elder) strip(out []fsm.Send) []fsm.Send {
 	for i := range out {
 		out[i].Msg = e.older(out[i].Msg)
 	}
@@ -309,9 +309,9 @@
 	return msg
 }
 
-func (e elder) Tick(now plane.Time) []plane.Send { return e.strip(e.member.Tick(now)) }
+func (e elder) Tick(now fsm.Time) []fsm.Send { return e.strip(e.member.Tick(now)) }
 
-func (e elder) Take(now plane.Time, from string, msg any) []plane.Send {
+func (e elder) Take(now fsm.Time, from string, msg any) []fsm.Send {
 	return e.strip(e.member.Take(now, from, e.older(msg)))
 }
 
@@ -349,11 +349,11 @@
 func TestLateWatcher(t *testing.T) {
 	for _, c := range []struct {
 		gap  time.Duration
-		gone plane.Time // after this, and before a half more
+		gone fsm.Time // after this, and before a half more
 	}{{50 * ms, 1300 * ms}, {200 * ms, 2600 * ms}, {350 * ms, 4500 * ms}} {
 		m := amid(8)
 		i := slices.IndexFunc(m.all, func(e *entry) bool { return e.node.Addr == m.watched[0] })
-		silent, gone := m.all[i].node.Addr, plane.Time(0)
+		silent, gone := m.all[i].node.Addr, fsm.Time(0)
 		for now := c.gap; now < 10*time.Second && gone == 0; now += c.gap {
 			for j := 1; j <= 8; j++ {
 				if node(j).Addr != silent {
--- a/internal/memberlist/word.go
+++ b/internal/memberlist/word.go
@@ -5,11 +5,11 @@
 	"strings"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Take hears a message.
-func (m *Machine) Take(now plane.Time, from string, msg any) Out {
+func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
 	m.now = now
 	if now-m.ticked > ownGap {
 		m.thaw() // what was read first after a freeze
--- a/internal/quotas/basis.go
+++ b/internal/quotas/basis.go
@@ -1,6 +1,6 @@
 package quotas
 
-import "asterwell/internal/plane"
+import "asterwell/internal/fsm"
 
 // Basis is what a gateway goes by when it decides a request: whose sums it reads, or its own share.
 type Basis uint8
@@ -22,7 +22,7 @@
 func Bases() []Basis { return []Basis{ByFirst, BySecond, Unread, ByShare} }
 
 // basis is what the next decision about a tenant goes by.
-func (m *Meter) basis(now plane.Time, e *entry) Basis {
+func (m *Meter) basis(now fsm.Time, e *entry) Basis {
 	switch {
 	case e.mute || m.reader < 0 && m.silent(now):
 		return ByShare
@@ -53,7 +53,7 @@
 }
 
 // Account tells them.
-func (m *Meter) Account(now plane.Time) Account {
+func (m *Meter) Account(now fsm.Time) Account {
 	a := Account{Decided: m.decided, Changes: m.changes, Behind: m.behind, Answers: m.behindAnswers, Gateways: m.even(now), InTouch: m.present()}
 	if m.reader >= 0 {
 		s := &m.slots[m.reader]
@@ -66,7 +66,7 @@
 }
 
 // BasisOf is what a tenant's next request would be decided by; false: it has no limit here.
-func (m *Meter) BasisOf(now plane.Time, tenant string) (Basis, bool) {
+func (m *Meter) BasisOf(now fsm.Time, tenant string) (Basis, bool) {
 	e := m.entries[tenant]
 	if e == nil {
 		return 0, false
@@ -75,7 +75,7 @@
 }
 
 // compare notes by how much a holder's level is above what is reckoned with here.
-func (m *Meter) compare(e *entry, t Total, stamp plane.Time) {
+func (m *Meter) compare(e *entry, t Total, stamp fsm.Time) {
 	if !e.seen || !t.Sure {
 		return
 	}
--- a/internal/quotas/brief.go
+++ b/internal/quotas/brief.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Where a gateway sees thousands of tenants, nearly all of its messages hold a few items, and
@@ -69,7 +69,7 @@
 	flags := a.Brief[0]
 	long = Add{Life: life, List: binary.BigEndian.Uint32(a.Brief[5:]), Read: flags&briefRead != 0, Echo: flags&briefEcho != 0,
 		Near: flags&briefNear != 0, Signs: flags&briefSigns != 0}
-	long.Period, long.Stamp = u.number(), plane.Time(u.number())
+	long.Period, long.Stamp = u.number(), fsm.Time(u.number())
 	long.Packed = u.b
 	return long, !u.spoilt && long.Stamp >= 0
 }
@@ -108,7 +108,7 @@
 }
 
 // Stamped is the stamp of the add that an answer is to.
-func (a Answer) Stamped() (stamp plane.Time, ok bool) {
+func (a Answer) Stamped() (stamp fsm.Time, ok bool) {
 	switch {
 	case len(a.Brief) == 0:
 		return a.Stamp, true
@@ -117,7 +117,7 @@
 	}
 	u := unpacking{b: a.Brief[5:]}
 	u.number() // the period
-	stamp = plane.Time(u.number())
+	stamp = fsm.Time(u.number())
 	return stamp, !u.spoilt
 }
 
@@ -133,7 +133,7 @@
 	u := unpacking{b: a.Brief[5:]}
 	flags := a.Brief[0]
 	long = Answer{Life: life, Company: flags&briefCompany != 0, Taken: flags&briefTaken != 0, Briefs: true}
-	long.Period, long.Stamp = u.number(), plane.Time(u.number())
+	long.Period, long.Stamp = u.number(), fsm.Time(u.number())
 	if flags&briefPace != 0 && len(u.b) > 0 {
 		long.Pace, u.b = u.b[0], u.b[1:]
 	}
--- a/internal/quotas/brief_test.go
+++ b/internal/quotas/brief_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // TestBrief: what is shortened comes back whole; a part of it is nothing, or something, but never harm.
@@ -18,7 +18,7 @@
 	coin := func() bool { return rng.IntN(2) == 0 }
 	for range 2000 {
 		life := rng.Uint64() >> rng.IntN(60)
-		a := Add{Life: life, Period: rng.Uint64() >> rng.IntN(64), Stamp: plane.Time(rng.Int64() >> rng.IntN(63)), Read: coin(), Echo: coin(),
+		a := Add{Life: life, Period: rng.Uint64() >> rng.IntN(64), Stamp: fsm.Time(rng.Int64() >> rng.IntN(63)), Read: coin(), Echo: coin(),
 			Near: coin(), Signs: coin(), List: rng.Uint32(), Packed: []byte("items")}
 		short := a.shorten()
 		if got, ok := short.Lengthen(life); !ok || cmp.Diff(a, got) != "" {
--- a/internal/quotas/counter.go
+++ b/internal/quotas/counter.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 const (
@@ -32,24 +32,24 @@
 	period uint64
 	total  uint64
 	sums   sums // by the life's number
-	at     plane.Time
-	began  plane.Time
+	at     fsm.Time
+	began  fsm.Time
 }
 
 // ledger is one tenant.
 type ledger struct {
 	names []tally // few, the newest last
 	level float64 // units of the burst in use, draining at the tenant's rate
-	at    plane.Time
+	at    fsm.Time
 	gap   uint64 // of its limit, as last told
 
-	since plane.Time // the counter's, when level began
+	since fsm.Time // the counter's, when level began
 }
 
 // heardFrom is when a gateway was heard.
 type heardFrom struct {
 	gateway string
-	at      plane.Time
+	at      fsm.Time
 }
 
 // Counter sums what the gateways say that they have passed.
@@ -64,11 +64,11 @@
 	ledgers map[string]*ledger
 
 	high, own uint64
-	issuedAt  plane.Time
-	since     plane.Time // listening without a gap
-	heardAt   plane.Time
-	sweptAt   plane.Time
-	tickAt    plane.Time
+	issuedAt  fsm.Time
+	since     fsm.Time // listening without a gap
+	heardAt   fsm.Time
+	sweptAt   fsm.Time
+	tickAt    fsm.Time
 	lastFrom  [2]heardFrom // the last two gateways that were heard
 	heard     bool
 	thawed    bool // since then, it was frozen before
@@ -79,7 +79,7 @@
 	placed    []*ledger // by their places in the newest roster, as far as they were told so
 	lives     lives
 	pace      time.Duration // that it asks of gateways; 0: none
-	pacedAt   plane.Time    // when it was last raised
+	pacedAt   fsm.Time      // when it was last raised
 }
 
 const tagBits = 16
@@ -106,7 +106,7 @@
 }
 
 // ledger is a tenant's, by its place where an add has told that.
-func (c *Counter) ledger(now plane.Time, tenant string, place int32) *ledger {
+func (c *Counter) ledger(now fsm.Time, tenant string, place int32) *ledger {
 	if place >= 0 && c.placed[place] != nil {
 		return c.placed[place]
 	}
@@ -133,10 +133,10 @@
 
 // Blind reports whether a gateway leaves a question unanswered, so that another way to it
 // should be tried.
-func (c *Counter) Blind(now plane.Time, gateway string) bool { return c.sights.blind(now, gateway) }
+func (c *Counter) Blind(now fsm.Time, gateway string) bool { return c.sights.blind(now, gateway) }
 
 // Take sums an add, and answers if it is to be answered.
-func (c *Counter) Take(now plane.Time, from string, msg any) []plane.Send {
+func (c *Counter) Take(now fsm.Time, from string, msg any) []fsm.Send {
 	if ask, ok := msg.(Answer); ok && ask.Ask {
 		c.sights.sign(now, from, true)
 		return nil
@@ -153,7 +153,7 @@
 			return nil
 		}
 		if !known || fold(o.life) != folded { // this process, or what it remembered, is gone since
-			return []plane.Send{{To: from, Msg: Answer{Period: c.high, Stamp: a.Stamp}.lost(folded)}}
+			return []fsm.Send{{To: from, Msg: Answer{Period: c.high, Stamp: a.Stamp}.lost(folded)}}
 		}
 	} else if a.Life == 0 { // one that was shortened, by way of a process that doesn't know that
 		return nil
@@ -241,11 +241,11 @@
 	if out.Briefs = true; brief {
 		out = out.shorten()
 	}
-	return []plane.Send{{To: from, Msg: out}}
+	return []fsm.Send{{To: from, Msg: out}}
 }
 
 // issue begins a period when the last one is over or is another holder's.
-func (c *Counter) issue(now plane.Time) {
+func (c *Counter) issue(now fsm.Time) {
 	age := now - c.issuedAt
 	if c.own != 0 && (age < issueGap || c.own == c.high && age < periodGap) {
 		return
@@ -255,7 +255,7 @@
 }
 
 // refresh brings the level up to now.
-func (l *ledger) refresh(now, since plane.Time, it Item) {
+func (l *ledger) refresh(now, since fsm.Time, it Item) {
 	if l.since != since {
 		l.since, l.level = since, 0
 	}
@@ -268,7 +268,7 @@
 // add takes in an item, and returns what others have in the name, and what this
 // life of the gateway has. What is new to this holder need not be new: Fresh tells,
 // and the rest was drained long ago.
-func (l *ledger) add(now plane.Time, who []one, it Item) (others, mine uint64) {
+func (l *ledger) add(now fsm.Time, who []one, it Item) (others, mine uint64) {
 	n := l.name(it.Period)
 	if n == nil {
 		next := tally{period: it.Period, began: now}
@@ -307,7 +307,7 @@
 
 // Tick asks for signs of life where they matter, and forgets names that nobody has
 // used for two periods, or one.
-func (c *Counter) Tick(now plane.Time) []plane.Send {
+func (c *Counter) Tick(now fsm.Time) []fsm.Send {
 	c.tickAt = now
 	c.sweep(now)
 	return c.sights.tick(now)
@@ -316,14 +316,14 @@
 // keeps is how long a name that nobody uses is kept. The names of a period are most of a holder's memory where gateways
 // are hundreds, and all have left one some seconds after its end. Who was cut off for longer and says what it had in it
 // is told no others' sums of that time; it learns from the level.
-func (c *Counter) keeps() plane.Time {
+func (c *Counter) keeps() fsm.Time {
 	if len(c.sights.nodes) > hundreds {
 		return periodGap
 	}
 	return nameLife
 }
 
-func (c *Counter) sweep(now plane.Time) {
+func (c *Counter) sweep(now fsm.Time) {
 	if now-c.sweptAt < periodGap/2 {
 		return
 	}
--- a/internal/quotas/crowd.go
+++ b/internal/quotas/crowd.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // crowds is the tenants that are near their limits and small for so many gateways: one
@@ -11,13 +11,13 @@
 // of these too.
 type crowds struct {
 	names []string // sorted: messages must not depend on a map's order
-	at    map[string]plane.Time
-	told  map[string]plane.Time // to gateways
+	at    map[string]fsm.Time
+	told  map[string]fsm.Time // to gateways
 }
 
-func (c *crowds) note(now plane.Time, tenant string) {
+func (c *crowds) note(now fsm.Time, tenant string) {
 	if c.at == nil {
-		c.at, c.told = map[string]plane.Time{}, map[string]plane.Time{}
+		c.at, c.told = map[string]fsm.Time{}, map[string]fsm.Time{}
 	}
 	if i, known := slices.BinarySearch(c.names, tenant); !known {
 		c.names = slices.Insert(c.names, i, tenant)
@@ -26,7 +26,7 @@
 }
 
 // due lists them for a gateway, each so often.
-func (c *crowds) due(now plane.Time, gateway string) []string {
+func (c *crowds) due(now fsm.Time, gateway string) []string {
 	c.names = slices.DeleteFunc(c.names, func(t string) bool {
 		over := now-c.at[t] >= nearGap
 		if over {
@@ -46,7 +46,7 @@
 }
 
 // unasked gives the sums of tenants that an add doesn't name.
-func (c *Counter) unasked(now plane.Time, from string, a Add) (out []Total) {
+func (c *Counter) unasked(now fsm.Time, from string, a Add) (out []Total) {
 	for _, tenant := range c.crowds.due(now, from) {
 		l := c.ledgers[tenant]
 		if l == nil || l.name(c.high) == nil || slices.ContainsFunc(a.Items, func(it Item) bool { return it.Tenant == tenant }) {
--- a/internal/quotas/entry.go
+++ b/internal/quotas/entry.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Limit is what a tenant may pass: units a second, and a burst on top.
@@ -39,31 +39,31 @@
 	place  int32 // in the meter's order, which is that of its newest roster
 	limit  Limit
 	gap    float64 // T, in nanoseconds
-	tau    plane.Time
-	tat    plane.Time
-
-	seen   bool       // the counter has said how much of the burst is in use
-	since  plane.Time // when it became unseen
-	asked  bool       // a request came while unseen: there is something to read
-	vague  bool       // the counter doesn't know yet
-	mute   bool       // the counter was silent
-	pushed plane.Time // up to when use by others was assumed
-	known  plane.Time // TAT as a holder told it last, and by what was passed here since: nothing is assumed in it
-	nearAt plane.Time // when it was near its limit, if others should hear of it who don't ask
-	away   int        // gateways out of sight, as was taken in
-	rested float64    // units that may pass unread, where it has only rested and the holder is far; 0: its share
-	lot    float64    // below 1, drawn by gateway and tenant: who has the parts of a unit
+	tau    fsm.Time
+	tat    fsm.Time
+
+	seen   bool     // the counter has said how much of the burst is in use
+	since  fsm.Time // when it became unseen
+	asked  bool     // a request came while unseen: there is something to read
+	vague  bool     // the counter doesn't know yet
+	mute   bool     // the counter was silent
+	pushed fsm.Time // up to when use by others was assumed
+	known  fsm.Time // TAT as a holder told it last, and by what was passed here since: nothing is assumed in it
+	nearAt fsm.Time // when it was near its limit, if others should hear of it who don't ask
+	away   int      // gateways out of sight, as was taken in
+	rested float64  // units that may pass unread, where it has only rested and the holder is far; 0: its share
+	lot    float64  // below 1, drawn by gateway and tenant: who has the parts of a unit
 
 	active bool // it is in the meter's list of those that may have something to say
 
 	cur, old name
-	sent     uint64     // of cur, told to any holder
-	told     [2]uint64  // of cur, told to each holder
-	again    [2]bool    // it is to be told once more: it may be new
-	saidAt   plane.Time // when the holder that is read was last told, or asked
-	credit   uint64     // units settled back, not yet used up
+	sent     uint64    // of cur, told to any holder
+	told     [2]uint64 // of cur, told to each holder
+	again    [2]bool   // it is to be told once more: it may be new
+	saidAt   fsm.Time  // when the holder that is read was last told, or asked
+	credit   uint64    // units settled back, not yet used up
 
-	readAt       plane.Time
+	readAt       fsm.Time
 	readRoom     float64
 	mine, theirs float64 // recent units, fading: which part of the fleet's is ours
 }
@@ -77,7 +77,7 @@
 
 // change carries TAT over: the room left afterwards is at most the room left
 // before, and at most the new burst. What a higher limit adds has to accrue.
-func (e *entry) change(now plane.Time, l Limit) {
+func (e *entry) change(now fsm.Time, l Limit) {
 	room, known := min(e.room(now), e.limit.Burst), float64(e.known-now)/e.gap
 	e.set(l)
 	e.known = now + e.span(min(known, e.limit.Burst))
@@ -85,32 +85,32 @@
 	e.readRoom = min(e.readRoom, e.limit.Burst)
 }
 
-func (e *entry) span(units float64) plane.Time { return plane.Time(units * e.gap) }
+func (e *entry) span(units float64) fsm.Time { return fsm.Time(units * e.gap) }
 
 // room is the number of units that the test lets through now.
-func (e *entry) room(now plane.Time) float64 {
+func (e *entry) room(now fsm.Time) float64 {
 	return float64(now+e.tau-e.tat)/e.gap + 1
 }
 
 // leave sets TAT so that so many units are left, if there are more.
-func (e *entry) leave(now plane.Time, units float64) {
+func (e *entry) leave(now fsm.Time, units float64) {
 	e.tat = max(e.tat, now+e.tau-e.span(units-1))
 }
 
 // start is the allowance of a tenant whose use elsewhere is not known.
-func (e *entry) start(now plane.Time, gateways int) {
+func (e *entry) start(now fsm.Time, gateways int) {
 	e.tat = now + e.tau - e.span(e.share(gateways)-1)
 	e.forget(now)
 }
 
 // forget makes the tenant unseen: the next read says how much of the burst is in use.
-func (e *entry) forget(now plane.Time) {
+func (e *entry) forget(now fsm.Time) {
 	e.seen, e.since, e.pushed, e.cur.based, e.old.based, e.rested = false, now, now, false, false, 0
 }
 
 // assume takes a part of the rate as used by others since the last time.
-func (e *entry) assume(now plane.Time, part float64) {
-	e.tat += plane.Time(float64(max(0, now-e.pushed)) * part)
+func (e *entry) assume(now fsm.Time, part float64) {
+	e.tat += fsm.Time(float64(max(0, now-e.pushed)) * part)
 	e.pushed = max(e.pushed, now)
 }
 
@@ -120,7 +120,7 @@
 
 // rest gives a tenant that has only rested a unit and its even share of the burst, as if it were
 // seen and all of it free, in whole units: of gateways that have 1.4 each, two in five have 2.
-func (e *entry) rest(now plane.Time, gateways int) {
+func (e *entry) rest(now fsm.Time, gateways int) {
 	e.rested = math.Floor(1 + e.limit.Burst/float64(gateways) + e.lot)
 	e.tat = now + e.tau - e.span(e.rested-1)
 }
@@ -136,7 +136,7 @@
 // they passed their part of the rate, and as much of a crowd as those that are in sight,
 // to each; a crowd of long ago has been heard of. What is left here is this side's part of
 // what is left in all.
-func (e *entry) miss(now plane.Time, gone, present, peak int, reserve float64) {
+func (e *entry) miss(now fsm.Time, gone, present, peak int, reserve float64) {
 	if gone <= 0 {
 		return
 	}
@@ -146,7 +146,7 @@
 }
 
 // use is the update of a pass.
-func (e *entry) use(now plane.Time, units float64) {
+func (e *entry) use(now fsm.Time, units float64) {
 	e.tat = max(now, e.tat) + e.span(units)
 	e.known = max(now, e.known) + e.span(units)
 	add := uint64(math.Round(units * milli))
@@ -156,19 +156,19 @@
 }
 
 // learn takes in units that others have added.
-func (e *entry) learn(now plane.Time, units float64) {
+func (e *entry) learn(now fsm.Time, units float64) {
 	e.tat = max(now-e.tau, e.tat) + e.span(units)
 }
 
 // ease takes back what a lump of others' units has made too much: they came over the
 // time since the last read, in which room accrued that this gateway had forgotten at
 // its own pass. The holder saw them come one by one.
-func (e *entry) ease(now plane.Time, level float64) {
+func (e *entry) ease(now fsm.Time, level float64) {
 	e.tat = min(e.tat, now+e.span(level+e.unheard()))
 }
 
 // lift takes in what a holder knew to be in use at a time, where that is more than is reckoned with here.
-func (e *entry) lift(at plane.Time, level float64) {
+func (e *entry) lift(at fsm.Time, level float64) {
 	e.known = max(e.known, at+e.span(level+e.unheard()))
 	e.tat = max(e.tat, e.known)
 }
@@ -183,7 +183,7 @@
 // lead is how much may be unheard: a bit more than this gateway's part of the
 // room at the last read, and of what has accrued since. It keeps eleven
 // gateways that are open at the same moment from passing eleven bursts.
-func (e *entry) lead(now plane.Time, gateways int) float64 {
+func (e *entry) lead(now fsm.Time, gateways int) float64 {
 	room := e.readRoom + (now-e.readAt).Seconds()*e.limit.Rate
 	return 1 + slack*e.part(gateways)*min(max(0, room), e.limit.Burst)
 }
@@ -194,7 +194,7 @@
 }
 
 // weigh notes whose the newest units are; older ones fade within about a second.
-func (e *entry) weigh(now plane.Time, mine, theirs float64) {
+func (e *entry) weigh(now fsm.Time, mine, theirs float64) {
 	fade := faded(now - e.readAt)
 	e.mine, e.theirs = e.mine*fade+mine, e.theirs*fade+theirs
 	e.readAt, e.readRoom = now, e.room(now)
@@ -205,7 +205,7 @@
 // roll moves on to a new period. What no holder has counted under a name that
 // nobody reads any more is counted again under the new one. A tenant that has
 // rested for longer than a period is unseen.
-func (e *entry) roll(now plane.Time, period, prev uint64) {
+func (e *entry) roll(now fsm.Time, period, prev uint64) {
 	if e.cur.period == period {
 		return
 	}
@@ -233,7 +233,7 @@
 
 // used is the part of the burst in use, as messages say it. One that goes by its own share says what it knew before, and
 // has passed since: the holders that come after may have been told by nobody else.
-func (e *entry) used(now plane.Time) uint64 {
+func (e *entry) used(now fsm.Time) uint64 {
 	tat := e.tat
 	if !e.seen || e.mute {
 		tat = e.known
@@ -245,6 +245,6 @@
 }
 
 // wait is how long until so many units pass where a part of the rate is kept for others.
-func (e *entry) wait(now plane.Time, units, part float64) time.Duration {
+func (e *entry) wait(now fsm.Time, units, part float64) time.Duration {
 	return max(0, time.Duration(math.Ceil(float64(e.tat+e.span(units-1)-e.tau-now)/(1-part))))
 }
--- a/internal/quotas/late.go
+++ b/internal/quotas/late.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // An add that was held up tells of units that have drained since: where a cut or a standstill
@@ -21,7 +21,7 @@
 }
 
 // lateness is how much later than its fellows an add has come; 0: it is in time.
-func (c *Counter) lateness(now plane.Time, from string, a Add) time.Duration {
+func (c *Counter) lateness(now fsm.Time, from string, a Add) time.Duration {
 	by := now - a.Stamp
 	o := c.offsets[from]
 	if o.life != a.Life {
--- a/internal/quotas/late_test.go
+++ b/internal/quotas/late_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Twenty seconds of adds that were held up tell of units that have drained; those of the last
@@ -12,9 +12,9 @@
 func TestLate(t *testing.T) {
 	c := NewCounter("h", 1)
 	const begin, gap = time.Hour, 20000 // 50 units a second
-	clock := func(i int) plane.Time { return time.Minute + time.Duration(i)*100*time.Millisecond }
-	at := func(i int) plane.Time { return begin + time.Duration(i)*100*time.Millisecond }
-	add := func(now plane.Time, i int, sum uint64) float64 {
+	clock := func(i int) fsm.Time { return time.Minute + time.Duration(i)*100*time.Millisecond }
+	at := func(i int) fsm.Time { return begin + time.Duration(i)*100*time.Millisecond }
+	add := func(now fsm.Time, i int, sum uint64) float64 {
 		c.Tick(now)
 		out := c.Take(now, "g", Add{Life: 7, Stamp: clock(i), Read: true,
 			Items: []Item{{Tenant: "t", Period: c.high, Sum: sum, Fresh: 4 * milli, Gap: gap}}})
--- a/internal/quotas/least.go
+++ b/internal/quotas/least.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // least is the least of what was measured lately: what was held up, or lost and repeated,
@@ -11,10 +11,10 @@
 type least struct {
 	known     bool
 	now, then time.Duration // of this span and of the one before
-	since     plane.Time
+	since     fsm.Time
 }
 
-func (l *least) note(now plane.Time, v time.Duration) {
+func (l *least) note(now fsm.Time, v time.Duration) {
 	switch {
 	case !l.known || now-l.since > 2*offsetFor:
 		*l = least{known: true, now: v, then: v, since: now}
--- a/internal/quotas/lives.go
+++ b/internal/quotas/lives.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Sums of 490 gateways in 12,000 tenants' names are millions. So each life of a gateway has a number here, and a name
@@ -13,7 +13,7 @@
 type one struct {
 	id     uint64
 	number uint32
-	at     plane.Time // when it was last heard
+	at     fsm.Time // when it was last heard
 }
 
 // lives are those of each gateway, the one that was heard last at the end.
@@ -26,7 +26,7 @@
 const livesFor = 4 * nameLife
 
 // of is a gateway's lives, of which this one is the last.
-func (l *lives) of(now plane.Time, gateway string, id uint64) []one {
+func (l *lives) of(now fsm.Time, gateway string, id uint64) []one {
 	if l.all == nil {
 		l.all = map[string][]one{}
 	}
@@ -46,7 +46,7 @@
 }
 
 // sweep forgets those that were not heard for long.
-func (l *lives) sweep(now plane.Time) {
+func (l *lives) sweep(now fsm.Time) {
 	for gateway, who := range l.all {
 		if who = slices.DeleteFunc(who, func(v one) bool { return now-v.at > livesFor }); len(who) == 0 {
 			delete(l.all, gateway)
--- a/internal/quotas/message.go
+++ b/internal/quotas/message.go
@@ -1,25 +1,25 @@
 package quotas
 
-import "asterwell/internal/plane"
+import "asterwell/internal/fsm"
 
 // Add tells a holder what a gateway has passed. Sums are cumulative within a
 // name, so that a lost, late or doubled add does no harm.
 type Add struct {
-	Life   uint64     `cbor:"1,keyasint,omitempty"`
-	Period uint64     `cbor:"2,keyasint,omitempty"` // the newest that the gateway knows
-	Stamp  plane.Time `cbor:"3,keyasint,omitempty"` // the gateway's clock, given back
-	Read   bool       `cbor:"4,keyasint,omitempty"` // an answer is wanted
-	Items  []Item     `cbor:"5,keyasint,omitempty"`
-	Echo   bool       `cbor:"6,keyasint,omitempty"` // only a sign of life is wanted
-	Near   bool       `cbor:"7,keyasint,omitempty"` // a tenant is near its limit: who is out of sight matters
-	Signs  bool       `cbor:"8,keyasint,omitempty"` // the gateway answers where it is asked for a sign of life
+	Life   uint64   `cbor:"1,keyasint,omitempty"`
+	Period uint64   `cbor:"2,keyasint,omitempty"` // the newest that the gateway knows
+	Stamp  fsm.Time `cbor:"3,keyasint,omitempty"` // the gateway's clock, given back
+	Read   bool     `cbor:"4,keyasint,omitempty"` // an answer is wanted
+	Items  []Item   `cbor:"5,keyasint,omitempty"`
+	Echo   bool     `cbor:"6,keyasint,omitempty"` // only a sign of life is wanted
+	Near   bool     `cbor:"7,keyasint,omitempty"` // a tenant is near its limit: who is out of sight matters
+	Signs  bool     `cbor:"8,keyasint,omitempty"` // the gateway answers where it is asked for a sign of life
 	// Packed has the items of tenants in the roster whose hash List is. A holder that doesn't
 	// know the roster, or of packing, doesn't say Taken. Where nothing is packed, List is the
 	// gateway's own roster; 0: it packs none.
 	Packed []byte `cbor:"9,keyasint,omitempty"`
 	List   uint32 `cbor:"10,keyasint,omitempty"`
 	// Asked is the Stamp of the question that this is the sign of life for; 0: it had none.
-	Asked plane.Time `cbor:"11,keyasint,omitempty"`
+	Asked fsm.Time `cbor:"11,keyasint,omitempty"`
 	// Brief is all of the above in one string (brief.go), for a holder that reads it.
 	Brief []byte `cbor:"12,keyasint,omitempty"`
 }
@@ -46,10 +46,10 @@
 
 // Answer gives the sums of the names that an Add has named.
 type Answer struct {
-	Life   uint64     `cbor:"1,keyasint,omitempty"` // the asker's
-	Period uint64     `cbor:"2,keyasint,omitempty"`
-	Stamp  plane.Time `cbor:"3,keyasint,omitempty"`
-	Totals []Total    `cbor:"4,keyasint,omitempty"`
+	Life   uint64   `cbor:"1,keyasint,omitempty"` // the asker's
+	Period uint64   `cbor:"2,keyasint,omitempty"`
+	Stamp  fsm.Time `cbor:"3,keyasint,omitempty"`
+	Totals []Total  `cbor:"4,keyasint,omitempty"`
 	// Company says that the holder has heard other gateways lately.
 	Company bool `cbor:"5,keyasint,omitempty"`
 	// Missing is how many of the gateways that there should be are out of the holder's sight.
--- a/internal/quotas/meter.go
+++ b/internal/quotas/meter.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 const (
@@ -43,18 +43,18 @@
 type slot struct {
 	addr    string
 	self    bool
-	pending plane.Time // the first read without an answer; 0: none
-	spareAt plane.Time
+	pending fsm.Time // the first read without an answer; 0: none
+	spareAt fsm.Time
 	refill  bool   // it may be new: it is told all sums again
 	list    uint32 // the roster that it is told numbers of; 0: it is told names
 	former  uint32 // the one before, in adds before listAt,
-	listAt  plane.Time
-	sinceAt plane.Time // and since then
-	proveAt plane.Time // when it was last asked which it has, without a read
-	missing uint32     // gateways out of its sight, as it last said
-	brief   bool       // it reads adds that are shortened
-	paced   uint8      // how far apart it wants adds
-	tries   int        // adds repeated since its last answer
+	listAt  fsm.Time
+	sinceAt fsm.Time // and since then
+	proveAt fsm.Time // when it was last asked which it has, without a read
+	missing uint32   // gateways out of its sight, as it last said
+	brief   bool     // it reads adds that are shortened
+	paced   uint8    // how far apart it wants adds
+	tries   int      // adds repeated since its last answer
 
 	last [4]string // tenants that it was told of last, of each kind, where not all had room
 	way  roundTrip
@@ -65,7 +65,7 @@
 
 // unheard is for how long others may have passed units that aren't in an answer: nothing
 // where it is near, since what the quota's margin bears is reckoned with that.
-func (s *slot) unheard(now, stamp plane.Time) plane.Time {
+func (s *slot) unheard(now, stamp fsm.Time) fsm.Time {
 	if s.far() {
 		return now - stamp
 	}
@@ -73,12 +73,12 @@
 }
 
 // late: a read of it has been without an answer for so long that it is repeated.
-func (s *slot) late(now plane.Time) bool {
+func (s *slot) late(now fsm.Time) bool {
 	return s.pending != 0 && now-s.pending >= s.way.stretch(retryGap)
 }
 
 // mute: so long that the holder is silent. One repetition may be lost, as near by.
-func (s *slot) mute(now plane.Time) bool {
+func (s *slot) mute(now fsm.Time) bool {
 	return s.pending != 0 && now-s.pending >= mutedGap+s.way.beyond(retryGap)
 }
 
@@ -92,24 +92,24 @@
 	active  active
 
 	slots    [2]slot
-	reader   int        // the slot that is read; -1: none answers
-	readAt   plane.Time // since when
-	counted  int        // gateways in touch
-	lostAt   plane.Time // when many were last lost
-	gateways int        // as told
-	peak     int        // the most that were told, until the others are taken as gone
-	fellAt   plane.Time
-	bornAt   plane.Time
+	reader   int      // the slot that is read; -1: none answers
+	readAt   fsm.Time // since when
+	counted  int      // gateways in touch
+	lostAt   fsm.Time // when many were last lost
+	gateways int      // as told
+	peak     int      // the most that were told, until the others are taken as gone
+	fellAt   fsm.Time
+	bornAt   fsm.Time
 
 	period, prev uint64
-	periodAt     plane.Time
-	sentAt       plane.Time
-	easeAt       plane.Time
-	tickAt       plane.Time
-	companyAt    plane.Time // when the counter here had heard others lately
+	periodAt     fsm.Time
+	sentAt       fsm.Time
+	easeAt       fsm.Time
+	tickAt       fsm.Time
+	companyAt    fsm.Time // when the counter here had heard others lately
 	due          bool
-	nearAt       plane.Time // when a tenant was near its limit
-	novel        bool       // a tenant that is not seen is in demand
+	nearAt       fsm.Time // when a tenant was near its limit
+	novel        bool     // a tenant that is not seen is in demand
 	quick        quick
 	rosters      rosters
 
@@ -126,17 +126,17 @@
 	rng := rand.New(rand.NewPCG(seed, life))
 	return &Meter{
 		self: self, life: life, entries: map[string]*entry{}, reader: -1,
-		easeAt: plane.Time(rng.Int64N(int64(easeGap))),
+		easeAt: fsm.Time(rng.Int64N(int64(easeGap))),
 	}
 }
 
 // Limits takes the limits of the configuration. See entry.change for what a
 // change leaves; a tenant that had no limit starts as one that was not seen.
-func (m *Meter) Limits(now plane.Time, limits map[string]Limit) { m.Enter(now, NewRoster(limits)) }
+func (m *Meter) Limits(now fsm.Time, limits map[string]Limit) { m.Enter(now, NewRoster(limits)) }
 
 // Enter is Limits with the roster made already: most configurations change none of them, and to go
 // through thousands of tenants would hold requests up.
-func (m *Meter) Enter(now plane.Time, r *Roster) {
+func (m *Meter) Enter(now fsm.Time, r *Roster) {
 	if !m.rosters.renew(r) {
 		return
 	}
@@ -167,7 +167,7 @@
 }
 
 // Nodes takes the number of gateways and the holders in the agreed order.
-func (m *Meter) Nodes(now plane.Time, gateways int, holders []string) {
+func (m *Meter) Nodes(now fsm.Time, gateways int, holders []string) {
 	if m.gateways == 0 {
 		m.bornAt = now
 	}
@@ -205,14 +205,14 @@
 
 // believe keeps the peak: gateways that are missing may only be out of reach, and
 // go on passing their even share.
-func (m *Meter) believe(now plane.Time) {
+func (m *Meter) believe(now fsm.Time) {
 	if m.gateways >= m.peak || now-m.fellAt >= believe {
 		m.peak, m.fellAt = m.gateways, now
 	}
 }
 
 // even is the number of gateways that shares are made for.
-func (m *Meter) even(now plane.Time) int {
+func (m *Meter) even(now fsm.Time) int {
 	if m.gateways == 0 || m.peak == 1 && now-m.bornAt < young {
 		return max(m.peak, unknown)
 	}
@@ -229,7 +229,7 @@
 }
 
 // count notes when many go out of touch at once.
-func (m *Meter) count(now plane.Time) {
+func (m *Meter) count(now fsm.Time) {
 	n := m.present()
 	if 8*(m.counted-n) > m.peak {
 		m.lostAt = now
@@ -255,7 +255,7 @@
 }
 
 // Pass decides a request; a refusal says after which time to come back.
-func (m *Meter) Pass(now plane.Time, tenant string, units float64) (bool, time.Duration) {
+func (m *Meter) Pass(now fsm.Time, tenant string, units float64) (bool, time.Duration) {
 	e := m.entries[tenant]
 	if e == nil {
 		return true, 0
@@ -271,7 +271,7 @@
 }
 
 // decide tests an entry that is up to date, and takes the units if they may pass.
-func (m *Meter) decide(now plane.Time, e *entry, units float64) (bool, time.Duration) {
+func (m *Meter) decide(now fsm.Time, e *entry, units float64) (bool, time.Duration) {
 	if !e.seen {
 		e.asked = true
 	}
@@ -310,7 +310,7 @@
 func (m *Meter) hurry(e *entry) { m.novel = m.novel || !e.seen && !e.mute && !e.vague }
 
 // Settle moves TAT by what an answer cost more, or less, than was taken.
-func (m *Meter) Settle(now plane.Time, tenant string, units float64) {
+func (m *Meter) Settle(now fsm.Time, tenant string, units float64) {
 	e := m.entries[tenant]
 	if e == nil {
 		return
@@ -326,7 +326,7 @@
 }
 
 // urgent says whether the others should hear of a tenant at once.
-func (m *Meter) urgent(now plane.Time, e *entry, room float64) bool {
+func (m *Meter) urgent(now fsm.Time, e *entry, room float64) bool {
 	if !e.seen {
 		return room < e.share(m.even(now))*3/4
 	}
@@ -341,7 +341,7 @@
 }
 
 // touch brings an entry up to now before it is judged.
-func (m *Meter) touch(now plane.Time, e *entry) {
+func (m *Meter) touch(now fsm.Time, e *entry) {
 	m.active.stir(e)
 	e.roll(now, m.period, m.prev)
 	switch silent := m.silent(now); {
@@ -383,18 +383,18 @@
 
 // far says that a first read takes long where a tenant has only rested, and that nobody is
 // or was just out of touch.
-func (m *Meter) far(now plane.Time) bool {
+func (m *Meter) far(now fsm.Time) bool {
 	return m.reader >= 0 && m.slots[m.reader].far() && m.trusts(now) && m.present() >= m.peak
 }
 
 // trusts: the holder that is read has heard of all that was passed lately.
-func (m *Meter) trusts(now plane.Time) bool {
+func (m *Meter) trusts(now fsm.Time) bool {
 	return now-m.readAt >= trustGap && (m.lostAt == 0 || now-m.lostAt >= chargeGap)
 }
 
 // silent says that no holder answers: the gateway has its even share. A holder is
 // not silent before it was asked.
-func (m *Meter) silent(now plane.Time) bool {
+func (m *Meter) silent(now fsm.Time) bool {
 	for i := range m.slots {
 		if m.answers(now, i) {
 			return false
@@ -403,7 +403,7 @@
 	return true
 }
 
-func (m *Meter) answers(now plane.Time, i int) bool {
+func (m *Meter) answers(now fsm.Time, i int) bool {
 	s := &m.slots[i]
 	switch {
 	case s.addr == "" || s.mute(now):
--- a/internal/quotas/pace.go
+++ b/internal/quotas/pace.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Back-pressure: a holder that is told more than it can count says in its answers how far apart adds should be. Those who
@@ -20,7 +20,7 @@
 )
 
 // Strain tells the counter how long, lately, an add had to wait among many others: every 50 ms or so.
-func (c *Counter) Strain(now plane.Time, waited time.Duration) {
+func (c *Counter) Strain(now fsm.Time, waited time.Duration) {
 	switch {
 	case waited >= strained && now-c.pacedAt > 2*c.pace: // what was asked for has to be heard first
 		c.pace, c.pacedAt = min(max(c.pace, leastGap)*5/4, mostPace), now
--- a/internal/quotas/share.go
+++ b/internal/quotas/share.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // What one add may hold. A gateway before 12,000 tenants has thousands of them to tell where a holder is new, a period
@@ -35,7 +35,7 @@
 
 // some is what an add has room for: what was passed and told to nobody, and what somebody waits for, goes before the
 // rest; all of a kind go in turn.
-func (t *talks) some(now plane.Time, s *slot, most int) {
+func (t *talks) some(now fsm.Time, s *slot, most int) {
 	if t.len() <= most {
 		return
 	}
@@ -81,14 +81,14 @@
 
 // onItsWay: what was told lately of a tenant can't have been answered yet. Only where there are many, and the way is
 // long: elsewhere all that isn't answered goes with each add, so that a lost one costs less time.
-func (m *Meter) onItsWay(now plane.Time, e *entry, s *slot) bool {
+func (m *Meter) onItsWay(now fsm.Time, e *entry, s *slot) bool {
 	return len(m.order) > mostItems && s.far() && !s.late(now) && now-e.saidAt < s.way.stretch(retryGap)
 }
 
 // patience is between two adds to a holder that doesn't answer, twice as long after each (exponential backoff): what
 // many gateways repeat keeps a holder that fell behind from ever answering. In small fleets it is below any gap.
-func (m *Meter) patience() plane.Time {
-	once := plane.Time(m.gateways) * seldom
+func (m *Meter) patience() fsm.Time {
+	once := fsm.Time(m.gateways) * seldom
 	if once <= leastGap {
 		return once
 	}
--- a/internal/quotas/share_test.go
+++ b/internal/quotas/share_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // crowded is a gateway before many tenants, of so many gateways.
@@ -195,7 +195,7 @@
 		c := NewCounter("h", 1)
 		c.Limits(limits)
 		type letter struct {
-			at  plane.Time
+			at  fsm.Time
 			msg any
 		}
 		var there, back []letter
@@ -271,7 +271,7 @@
 		c.Limits(limits)
 	}
 	type letter struct {
-		at   plane.Time
+		at   fsm.Time
 		from int
 		add  Add
 		n    int
@@ -373,7 +373,7 @@
 // TestCrowdGap: first reads beyond some a second go together, of many gateways over as long as lies between any two adds;
 // of up to 250 as ever, and those that are few aren't held up by the size of the fleet.
 func TestCrowdGap(t *testing.T) {
-	for gateways, want := range map[int]plane.Time{1: 25, 91: 25, 250: 25, 300: 30, 490: 49, 1000: 50} {
+	for gateways, want := range map[int]fsm.Time{1: 25, 91: 25, 250: 25, 300: 30, 490: 49, 1000: 50} {
 		var q quick
 		now := time.Hour
 		for range int(quickMost) {
--- a/internal/quotas/sight.go
+++ b/internal/quotas/sight.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Among more gateways than few it is counted once in countGap who is missing.
@@ -22,18 +22,18 @@
 	self     string
 	nodes    []string
 	seen     map[string]sight
-	usedAt   plane.Time // a gateway last told this counter what it has passed
-	watchAt  plane.Time // it last mattered who is out of sight
-	tickAt   plane.Time
-	repeatAt plane.Time
+	usedAt   fsm.Time // a gateway last told this counter what it has passed
+	watchAt  fsm.Time // it last mattered who is out of sight
+	tickAt   fsm.Time
+	repeatAt fsm.Time
 	asking   bool // all were, at the last tick
 	missed   uint32
-	missedAt plane.Time // when that was counted
+	missedAt fsm.Time // when that was counted
 }
 
 // sight is of one gateway. asked is the first time since the last sign; 0: not asked.
 type sight struct {
-	heard, asked plane.Time
+	heard, asked fsm.Time
 	signs        bool // it answers
 	way          roundTrip
 }
@@ -43,7 +43,7 @@
 func (v sight) answers() bool { return v.signs || v.heard == 0 }
 
 // begin looks for all at once: a holder that is new knows of nobody who is out of reach.
-func (s *sights) begin(now plane.Time) { s.watchAt = now }
+func (s *sights) begin(now fsm.Time) { s.watchAt = now }
 
 // names takes the gateways there are, the two holders first.
 func (s *sights) names(nodes []string) {
@@ -55,7 +55,7 @@
 	s.seen = next
 }
 
-func (s *sights) hear(now plane.Time, from string, a Add) {
+func (s *sights) hear(now fsm.Time, from string, a Add) {
 	s.sign(now, from, a.Signs)
 	if v, ok := s.seen[from]; ok && a.Asked > 0 && a.Asked <= now {
 		v.way.note(now, now-a.Asked)
@@ -69,7 +69,7 @@
 	}
 }
 
-func (s *sights) sign(now plane.Time, from string, signs bool) {
+func (s *sights) sign(now fsm.Time, from string, signs bool) {
 	s.stood(now)
 	if v, ok := s.seen[from]; ok {
 		s.seen[from] = sight{heard: now, signs: signs, way: v.way}
@@ -89,7 +89,7 @@
 }
 
 // stood: where it was this process that stood still, nobody has failed to answer.
-func (s *sights) stood(now plane.Time) {
+func (s *sights) stood(now fsm.Time) {
 	if now-s.tickAt <= lateGap {
 		return
 	}
@@ -99,10 +99,10 @@
 	}
 }
 
-func (s *sights) watching(now plane.Time) bool { return s.watchAt != 0 && now-s.watchAt < watchGap }
+func (s *sights) watching(now fsm.Time) bool { return s.watchAt != 0 && now-s.watchAt < watchGap }
 
 // tick asks those that are silent.
-func (s *sights) tick(now plane.Time) (out []plane.Send) {
+func (s *sights) tick(now fsm.Time) (out []fsm.Send) {
 	s.stood(now)
 	s.tickAt = now
 	fellow, used := s.fellow(), s.usedAt != 0 && now-s.usedAt < usedGap
@@ -129,7 +129,7 @@
 			v.asked = now
 			s.seen[n] = v
 		}
-		out = append(out, plane.Send{To: n, Msg: Answer{Ask: true, Stamp: now}})
+		out = append(out, fsm.Send{To: n, Msg: Answer{Ask: true, Stamp: now}})
 	}
 	if again {
 		s.repeatAt = now
@@ -144,7 +144,7 @@
 
 // blind says that a gateway was asked before and hasn't answered: one near by at the tick before, one that is far for
 // as long as its answer may take.
-func (s *sights) blind(now plane.Time, node string) bool {
+func (s *sights) blind(now fsm.Time, node string) bool {
 	v := s.seen[node]
 	if v.asked == 0 || v.asked == now {
 		return false
@@ -156,7 +156,7 @@
 }
 
 // missing is how many gateways are out of sight.
-func (s *sights) missing(now plane.Time) (n uint32) {
+func (s *sights) missing(now fsm.Time) (n uint32) {
 	if !s.watching(now) {
 		return 0
 	}
--- a/internal/quotas/sim_test.go
+++ b/internal/quotas/sim_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // box is one machine: a gateway, and a counter that may be a holder.
@@ -187,7 +187,7 @@
 
 func (f *field) at(addr string) *box { return f.byAddr[addr] }
 
-func (f *field) post(b *box, sends []plane.Send) {
+func (f *field) post(b *box, sends []fsm.Send) {
 	for _, s := range sends {
 		f.sends++
 		if b.old {
--- a/internal/quotas/sync.go
+++ b/internal/quotas/sync.go
@@ -1,16 +1,16 @@
 package quotas
 
 import (
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Due says that an add should go out before the next tick, and may.
-func (m *Meter) Due(now plane.Time) bool {
+func (m *Meter) Due(now fsm.Time) bool {
 	return (m.due || m.novel) && (m.sentAt == 0 || now-m.sentAt >= m.least(now))
 }
 
 // least is what lies between the last add and the next at least.
-func (m *Meter) least(now plane.Time) plane.Time {
+func (m *Meter) least(now fsm.Time) fsm.Time {
 	least := leastGap
 	if m.novel {
 		least = m.quick.gap(now, m.gateways)
@@ -25,7 +25,7 @@
 }
 
 // Tick returns the adds that are due. Nothing is sent for idle tenants.
-func (m *Meter) Tick(now plane.Time) []plane.Send {
+func (m *Meter) Tick(now fsm.Time) []fsm.Send {
 	m.tickAt = now
 	since := now - m.sentAt
 	if since < m.least(now) && m.sentAt != 0 {
@@ -43,7 +43,7 @@
 	}
 	m.choose(now)
 	walk := m.gather()
-	var out []plane.Send
+	var out []fsm.Send
 	for i := range m.slots {
 		s := &m.slots[i]
 		gap, read := spareGap, i == m.reader || !m.answers(now, i)
@@ -52,7 +52,7 @@
 			gap = easeGap
 		}
 		if now-m.nearAt < nearGap && m.nearAt != 0 { // others may read the other holder: it must know as much
-			gap = s.pace(max(leastGap, plane.Time(m.gateways)*spareEach))
+			gap = s.pace(max(leastGap, fsm.Time(m.gateways)*spareEach))
 		}
 		switch {
 		case s.addr == "":
@@ -86,7 +86,7 @@
 				add = add.shorten()
 			}
 		}
-		out = append(out, plane.Send{To: s.addr, Msg: add})
+		out = append(out, fsm.Send{To: s.addr, Msg: add})
 	}
 	for _, e := range walk {
 		for _, told := range e.told {
@@ -108,20 +108,20 @@
 // long as the holder has for one add of each, up to what lies between any two adds.
 type quick struct {
 	left float64
-	at   plane.Time
+	at   fsm.Time
 }
 
-func (q *quick) gap(now plane.Time, gateways int) plane.Time {
+func (q *quick) gap(now fsm.Time, gateways int) fsm.Time {
 	q.left = min(quickMost, q.left+(now-q.at).Seconds()*min(quickRate, quickAll/float64(max(1, gateways))))
 	if q.at = now; q.left < 1 {
-		return min(leastGap, max(crowdRead, plane.Time(gateways)*crowdEach))
+		return min(leastGap, max(crowdRead, fsm.Time(gateways)*crowdEach))
 	}
 	return firstGap
 }
 
 // choose takes the first holder that answers. One that was not read before is
 // told everything again: it may be new.
-func (m *Meter) choose(now plane.Time) {
+func (m *Meter) choose(now fsm.Time) {
 	reader := -1
 	for i := range m.slots {
 		if m.answers(now, i) {
@@ -139,7 +139,7 @@
 }
 
 // items is what a holder is told, and whether there was more than an add has room for.
-func (m *Meter) items(now plane.Time, walk []*entry, i int, read bool) (out []Item, places []int32, more bool) {
+func (m *Meter) items(now fsm.Time, walk []*entry, i int, read bool) (out []Item, places []int32, more bool) {
 	s := &m.slots[i]
 	var t talks
 	for _, e := range walk {
@@ -185,7 +185,7 @@
 
 // vouch is what a holder is told to be in use of a tenant's burst: by one that hasn't learned it from that holder.
 // What a holder has told is not told back to it, or what each gateway reckons with on top would add up.
-func (m *Meter) vouch(now plane.Time, e *entry, i int) uint64 {
+func (m *Meter) vouch(now fsm.Time, e *entry, i int) uint64 {
 	if i == m.reader && now-m.readAt >= vouchGap {
 		return 0
 	}
@@ -193,10 +193,10 @@
 }
 
 // Take hears an answer of a holder.
-func (m *Meter) Take(now plane.Time, from string, msg any) []plane.Send {
+func (m *Meter) Take(now fsm.Time, from string, msg any) []fsm.Send {
 	a, ok := msg.(Answer)
 	if ok && a.Ask {
-		return []plane.Send{{To: from, Msg: Add{Life: m.life, Period: m.period, Stamp: now, Signs: true, Asked: a.Stamp}}}
+		return []fsm.Send{{To: from, Msg: Add{Life: m.life, Period: m.period, Stamp: now, Signs: true, Asked: a.Stamp}}}
 	}
 	i := m.slot(from)
 	if !ok || i < 0 {
@@ -241,7 +241,7 @@
 }
 
 // unpack returns an answer's totals, and notes which roster the holder has.
-func (m *Meter) unpack(now plane.Time, i int, a Answer) []Total {
+func (m *Meter) unpack(now fsm.Time, i int, a Answer) []Total {
 	s := &m.slots[i]
 	used := s.list
 	switch {
@@ -275,7 +275,7 @@
 	return totals
 }
 
-func (m *Meter) total(now plane.Time, e *entry, t Total, stamp plane.Time, s *slot) {
+func (m *Meter) total(now fsm.Time, e *entry, t Total, stamp fsm.Time, s *slot) {
 	m.touch(now, e)
 	e.vague = !t.Sure && t.Period == e.cur.period
 	if t.Period == 0 || t.Period != e.cur.period {
@@ -315,7 +315,7 @@
 
 // first sets TAT of an unseen tenant by the level that the holder knows, and by
 // what was passed here and isn't in that level.
-func (m *Meter) first(now plane.Time, e *entry, t Total, stamp plane.Time) bool {
+func (m *Meter) first(now fsm.Time, e *entry, t Total, stamp fsm.Time) bool {
 	if e.seen || !t.Sure || stamp < e.since || e.mute {
 		return false
 	}
@@ -328,7 +328,7 @@
 }
 
 // reread takes the last of what the others added under the period before.
-func (m *Meter) reread(now plane.Time, e *entry, t Total) {
+func (m *Meter) reread(now fsm.Time, e *entry, t Total) {
 	o := &e.old
 	if t.Period == 0 || t.Period != o.period {
 		return
@@ -350,7 +350,7 @@
 // Mute reports whether a holder leaves adds unanswered, so that another way to it
 // should be tried. What is late by a few ways there and back may be lost; one that has said
 // that it is told more than it can count drops adds, and ways round bring it more of them.
-func (m *Meter) Mute(now plane.Time, holder string) bool {
+func (m *Meter) Mute(now fsm.Time, holder string) bool {
 	i := m.slot(holder)
 	if i < 0 || !m.slots[i].late(now) {
 		return false
--- a/internal/registry/home.go
+++ b/internal/registry/home.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/samber/lo"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/plane"
 )
 
 // spot is what has a home: a service in a zone.
@@ -85,7 +85,7 @@
 }
 
 // Nodes takes the membership as it is now, sorted by address.
-func (m *Machine) Nodes(now plane.Time, all []memberlist.Node) Out {
+func (m *Machine) Nodes(now fsm.Time, all []memberlist.Node) Out {
 	m.begins(now)
 	moved := map[string]bool{} // otherwise than before, as far as homes and news depend on it
 	var came []string          // up again, or new, or another life
@@ -184,7 +184,7 @@
 
 // greet is for those that came up: young news that they may have missed, and a look
 // whether the tables differ. All look, so each does so seldom.
-func (m *Machine) greet(came []string, away plane.Time) {
+func (m *Machine) greet(came []string, away fsm.Time) {
 	if len(came) == 0 {
 		return
 	}
--- a/internal/registry/keep.go
+++ b/internal/registry/keep.go
@@ -1,6 +1,6 @@
 package registry
 
-import "asterwell/internal/plane"
+import "asterwell/internal/fsm"
 
 // Keep is the table as it is worth keeping on disk: for a start at which nobody
 // remembers, since the servers' next beats fill it only over their whole pace.
@@ -16,7 +16,7 @@
 // Restore takes what was kept. It counts for nothing until a process has answered
 // that it has no table either; then it is better than none: a server that has gone
 // meanwhile fails, and one at its address says that it is another.
-func (m *Machine) Restore(now plane.Time, rows []Row) Out {
+func (m *Machine) Restore(now fsm.Time, rows []Row) Out {
 	m.begins(now)
 	for _, r := range rows {
 		if m.items[r.ID] == nil {
--- a/internal/registry/keep_test.go
+++ b/internal/registry/keep_test.go
@@ -4,18 +4,18 @@
 	"testing"
 	"time"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/plane"
 )
 
 // pair are two processes that carry each other's messages at once.
-func pair(t *testing.T, kept []Row) (a, b *Machine, step func(now plane.Time)) {
+func pair(t *testing.T, kept []Row) (a, b *Machine, step func(now fsm.Time)) {
 	t.Helper()
 	nodes := []memberlist.Node{{Addr: "a", Zone: "z", Member: true}, {Addr: "b", Zone: "z"}}
 	a, b = New("a", "z", 1500*time.Millisecond, 1, time.Second), New("b", "z", 1500*time.Millisecond, 2, time.Second)
 	by := map[string]*Machine{"a": a, "b": b}
-	var carry func(from string, now plane.Time, out Out)
-	carry = func(from string, now plane.Time, out Out) {
+	var carry func(from string, now fsm.Time, out Out)
+	carry = func(from string, now fsm.Time, out Out) {
 		for _, s := range out.Send {
 			carry(s.To, now, by[s.To].Take(now, from, s.Msg))
 		}
@@ -24,7 +24,7 @@
 	for name, m := range by {
 		carry(name, time.Second, m.Nodes(time.Second, nodes))
 	}
-	return a, b, func(now plane.Time) {
+	return a, b, func(now fsm.Time) {
 		carry("a", now, a.Tick(now))
 		carry("b", now, b.Tick(now))
 	}
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/plane"
 )
 
 const (
@@ -29,12 +29,12 @@
 // item is a server with what is known of it here alone.
 type item struct {
 	Server
-	last  uint64     // highest sequence number heard from it
-	beat  plane.Time // when; for a home also when its wait began
-	came  plane.Time // when the last one came here
-	ended plane.Time // since when it is ended or silent
-	due   plane.Time // when it is looked at next; 0: it is not at home here, or ended
-	mark  uint64     // of Server
+	last  uint64   // highest sequence number heard from it
+	beat  fsm.Time // when; for a home also when its wait began
+	came  fsm.Time // when the last one came here
+	ended fsm.Time // since when it is ended or silent
+	due   fsm.Time // when it is looked at next; 0: it is not at home here, or ended
+	mark  uint64   // of Server
 	place *place
 	next  *item  // at the same address, or one with the same hash
 	key   uint32 // of its ID, as in an Index
@@ -70,17 +70,17 @@
 	groups  [][]string      // of peers; nil: to be made
 	queue   map[string]bool // news that waits for the tick
 	ending  map[string]bool // ended, and nobody sends to them: it goes with the next news
-	lazy    plane.Time      // or then
+	lazy    fsm.Time        // or then
 	swift   int
 
-	now, ticked, began plane.Time
-	repair, look       plane.Time
-	learnt             plane.Time // when news last changed the table
-	compared, calm     plane.Time // when tables were last compared from here, and until when they aren't again
-	grave              plane.Time // when the ended are looked at next
+	now, ticked, began fsm.Time
+	repair, look       fsm.Time
+	learnt             fsm.Time // when news last changed the table
+	compared, calm     fsm.Time // when tables were last compared from here, and until when they aren't again
+	grave              fsm.Time // when the ended are looked at next
 	returns            returns
-	fetch              plane.Time // next one, while not filled
-	alone              plane.Time // since when there is nobody else
+	fetch              fsm.Time // next one, while not filled
+	alone              fsm.Time // since when there is nobody else
 	filled, partly     bool
 	restored           bool     // rows from disk, for when nobody has a table
 	core               []string // the seats of agreement, as of the newest epoch known; nil: not told of any
@@ -90,7 +90,7 @@
 
 // New knows nothing. The heartbeat is the pace of the servers' beats; the seed must
 // be another at each start.
-func New(self, zone string, heartbeat time.Duration, seed uint64, now plane.Time) *Machine {
+func New(self, zone string, heartbeat time.Duration, seed uint64, now fsm.Time) *Machine {
 	m := &Machine{
 		self: self, zone: zone, wait: heartbeat * 7 / 2, rand: rand.New(rand.NewPCG(seed, 0x1076)),
 		items: map[string]*item{}, nodes: map[string]*memberlist.Node{}, homes: map[spot]*place{},
@@ -104,7 +104,7 @@
 }
 
 // Beat takes a server's call.
-func (m *Machine) Beat(now plane.Time, call uint64, b Beat) Out {
+func (m *Machine) Beat(now fsm.Time, call uint64, b Beat) Out {
 	m.begins(now)
 	s := b.server(now)
 	it := m.items[b.ID]
@@ -167,7 +167,7 @@
 }
 
 // Delete takes a server's last call.
-func (m *Machine) Delete(now plane.Time, call uint64, id string) Out {
+func (m *Machine) Delete(now fsm.Time, call uint64, id string) Out {
 	m.begins(now)
 	it := m.items[id]
 	if it != nil && it.Phase == Quiescing && m.unused(id) {
@@ -261,7 +261,7 @@
 }
 
 // Tick watches servers, sends what waits, and repairs.
-func (m *Machine) Tick(now plane.Time) Out {
+func (m *Machine) Tick(now fsm.Time) Out {
 	m.begins(now)
 	m.ticked, m.swift = now, 0
 	if now >= m.look {
@@ -285,7 +285,7 @@
 }
 
 // begins begins an input, and notices our own freeze.
-func (m *Machine) begins(now plane.Time) {
+func (m *Machine) begins(now fsm.Time) {
 	m.now = now
 	gap := now - m.ticked
 	if gap <= ownGap {
@@ -348,7 +348,7 @@
 
 func (m *Machine) send(to string, msg any) {
 	if to != m.self && to != "" {
-		m.out.Send = append(m.out.Send, plane.Send{To: to, Msg: msg})
+		m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: msg})
 	}
 }
 
--- a/internal/registry/mend.go
+++ b/internal/registry/mend.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Filled says whether the table can be relied on: one that is filled has given us
@@ -72,7 +72,7 @@
 }
 
 // Take hears a message.
-func (m *Machine) Take(now plane.Time, from string, msg any) Out {
+func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
 	m.begins(now)
 	if m.stale() && exchange(msg) {
 		return m.take()
--- a/internal/registry/merge_test.go
+++ b/internal/registry/merge_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/plane"
 )
 
 // Tables that have heard the same words are the same, whatever came first, and a
@@ -58,7 +58,7 @@
 func TestRepeatedLeaving(t *testing.T) {
 	m := New("a:1", "z", time.Second, 1, 0)
 	m.Nodes(0, []memberlist.Node{{Addr: "a:1", Control: "a:2"}, {Addr: "b:1", Control: "b:2"}})
-	say := func(now plane.Time, call, seq uint64) Out {
+	say := func(now fsm.Time, call, seq uint64) Out {
 		return m.Beat(now, call, Beat{ID: "s", Addr: "s:1", Service: "x", Zone: "z", Quiescing: true, Seq: seq})
 	}
 	first := say(10, 1, 1)
@@ -104,7 +104,7 @@
 // with a server on either side that stays.
 func TestHomeMoves(t *testing.T) {
 	nodes := []memberlist.Node{{Addr: "a:1", Zone: "z", Control: "a:2"}, {Addr: "b:1", Zone: "z", Control: "b:2"}}
-	m, now := New("a:1", "z", time.Second, 1, 0), plane.Time(0)
+	m, now := New("a:1", "z", time.Second, 1, 0), fsm.Time(0)
 	m.Nodes(now, nodes[:1])
 	m.filled = true
 	for i := range 20 {
--- a/internal/registry/relay.go
+++ b/internal/registry/relay.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // News goes to all by way of a few: the first of each group passes it on to the rest, and its
@@ -28,7 +28,7 @@
 type relay struct {
 	left  map[string]bool
 	by    []string
-	since plane.Time
+	since fsm.Time
 }
 
 // grouped are the groups, neighbours by zone, each time with another relay.
--- a/internal/registry/returns.go
+++ b/internal/registry/returns.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/plane"
 )
 
 // Where a region is cut off, each side takes the servers of the other for silent: those who became their homes hear
@@ -23,26 +23,26 @@
 // absent is a process that is gone, and since when.
 type absent struct {
 	life uint64
-	at   plane.Time
+	at   fsm.Time
 }
 
 // returns are those that come back in the same life.
 type returns struct {
 	gone        map[string]absent
 	n           int // that have, since the last word
-	first, last plane.Time
-	due         plane.Time // of the word, once they are many; 0: they are not
+	first, last fsm.Time
+	due         fsm.Time // of the word, once they are many; 0: they are not
 }
 
 // leaves takes note of one that is gone, and comes of one that is there again.
-func (r *returns) leaves(now plane.Time, n *memberlist.Node) {
+func (r *returns) leaves(now fsm.Time, n *memberlist.Node) {
 	if r.gone == nil {
 		r.gone = map[string]absent{}
 	}
 	r.gone[n.Addr] = absent{n.Life, now}
 }
 
-func (r *returns) comes(now plane.Time, n *memberlist.Node, wait time.Duration) {
+func (r *returns) comes(now fsm.Time, n *memberlist.Node, wait time.Duration) {
 	was, known := r.gone[n.Addr]
 	if delete(r.gone, n.Addr); !known || was.life != n.Life || now-was.at < wait {
 		return
@@ -89,7 +89,7 @@
 }
 
 // forgets those that are gone for good.
-func (r *returns) forgets(now plane.Time) {
+func (r *returns) forgets(now fsm.Time) {
 	for addr, was := range r.gone {
 		if now-was.at > giveUp {
 			delete(r.gone, addr)
--- a/internal/registry/script_test.go
+++ b/internal/registry/script_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/memberlist/links"
-	"asterwell/internal/plane"
 )
 
 const (
@@ -32,7 +32,7 @@
 	silly int // nodes it has reported gone
 }
 
-func (g *gate) member(now plane.Time, o memberlist.Out) []plane.Send {
+func (g *gate) member(now fsm.Time, o memberlist.Out) []fsm.Send {
 	g.silly += len(o.Silent)
 	sends := o.Send
 	if o.Changed {
@@ -41,7 +41,7 @@
 	return sends
 }
 
-func (g *gate) table(o Out) []plane.Send {
+func (g *gate) table(o Out) []fsm.Send {
 	for _, a := range o.Answers {
 		g.w.answered(g, a)
 	}
@@ -51,11 +51,11 @@
 	return o.Send
 }
 
-func (g *gate) Tick(now plane.Time) []plane.Send {
+func (g *gate) Tick(now fsm.Time) []fsm.Send {
 	return append(g.member(now, g.bond.Tick(now)), g.table(g.lore.Tick(now))...)
 }
 
-func (g *gate) Take(now plane.Time, from string, msg any) []plane.Send {
+func (g *gate) Take(now fsm.Time, from string, msg any) []fsm.Send {
 	if strings.HasPrefix(fmt.Sprintf("%T", msg), "memberlist.") {
 		return g.member(now, g.bond.Take(now, from, msg))
 	}
@@ -66,7 +66,7 @@
 type server struct {
 	Beat
 	gate int
-	next plane.Time
+	next fsm.Time
 	over bool
 }
 
@@ -79,11 +79,11 @@
 	ice     map[int]bool // frozen
 	seeds   []string
 	shut    map[[2]int]bool
-	calm    map[int]plane.Time // since when there's no trouble
+	calm    map[int]fsm.Time // since when there's no trouble
 	servers map[string]*server
 	calls   map[uint64]string
-	ok      map[string]plane.Time // calls answered
-	said    map[string]int        // changes told to data planes, by ID and phase
+	ok      map[string]fsm.Time // calls answered
+	said    map[string]int      // changes told to data planes, by ID and phase
 	call    uint64
 }
 
@@ -558,8 +558,8 @@
 				t.Fatal(err)
 			}
 			w := &world{t: t, up: map[int]bool{}, ice: map[int]bool{}, rand: rand.New(rand.NewPCG(seed, 2)),
-				shut: map[[2]int]bool{}, calm: map[int]plane.Time{},
-				servers: map[string]*server{}, calls: map[uint64]string{}, ok: map[string]plane.Time{},
+				shut: map[[2]int]bool{}, calm: map[int]fsm.Time{},
+				servers: map[string]*server{}, calls: map[uint64]string{}, ok: map[string]fsm.Time{},
 				said: map[string]int{}}
 			w.net = links.New(seed, func(err error) { t.Error(err) })
 			w.net.Cut = func(from, to string) bool {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Phase of a server.
@@ -34,7 +34,7 @@
 	Capacity int
 	Phase    Phase
 	Seq      uint64
-	Warm     plane.Time // it is slow until then, by this process's clock
+	Warm     fsm.Time // it is slow until then, by this process's clock
 }
 
 // newer is the order in which words about a server override each other. A server that
@@ -83,12 +83,12 @@
 	WarmMs   int    `cbor:"9,keyasint,omitempty"`
 }
 
-func (s Server) row(now plane.Time) Row {
+func (s Server) row(now fsm.Time) Row {
 	return Row{s.ID, s.Addr, s.Service, s.Zone, s.Epoch, s.Capacity, s.Phase, s.Seq,
 		int(max(0, s.Warm-now) / time.Millisecond)}
 }
 
-func (r Row) server(now plane.Time) Server {
+func (r Row) server(now fsm.Time) Server {
 	s := Server{ID: r.ID, Addr: r.Addr, Service: r.Service, Zone: r.Zone, Epoch: r.Epoch,
 		Capacity: r.Capacity, Phase: r.Phase, Seq: r.Seq}
 	if r.WarmMs > 0 {
@@ -164,7 +164,7 @@
 
 // Out is what follows from an input.
 type Out struct {
-	Send    []plane.Send
+	Send    []fsm.Send
 	Answers []Answer
 	Changes []Server
 }
@@ -179,7 +179,7 @@
 	WarmMs    int
 }
 
-func (b Beat) server(now plane.Time) Server {
+func (b Beat) server(now fsm.Time) Server {
 	s := Server{ID: b.ID, Addr: b.Addr, Service: b.Service, Zone: b.Zone, Epoch: b.Epoch,
 		Capacity: b.Capacity, Seq: b.Seq, Phase: Serving}
 	if b.Quiescing {
--- a/internal/registry/sight.go
+++ b/internal/registry/sight.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Sight is a server as people are shown it.
@@ -15,7 +15,7 @@
 }
 
 // Sights is every server with what is known of it here, sorted by ID.
-func (m *Machine) Sights(now plane.Time) []Sight {
+func (m *Machine) Sights(now fsm.Time) []Sight {
 	all := make([]Sight, 0, len(m.all))
 	for _, it := range m.all {
 		s := Sight{Server: it.Server, WarmLeft: max(0, it.Warm-now), Beat: -1}
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"asterwell/internal/fsm"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/plane"
 )
 
 // plan is one gateway of the size to design for: so many servers in 180 services, ten zones.
 type plan struct {
 	m     *Machine
-	now   plane.Time
+	now   fsm.Time
 	nodes []memberlist.Node
 	rows  []Row
 	mine  []Row // at home there
--- a/internal/registry/spread.go
+++ b/internal/registry/spread.go
@@ -4,13 +4,13 @@
 	"maps"
 	"slices"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // spread is the news that a server leaves, on its way to all.
 type spread struct {
 	phase Phase
-	began plane.Time
+	began fsm.Time
 	left  map[string]bool // those that haven't confirmed
 	has   map[string]bool // those that have
 	calls []waiter
@@ -20,15 +20,15 @@
 // waiter is a call that waits for the news to be known.
 type waiter struct {
 	call uint64
-	at   plane.Time
+	at   fsm.Time
 }
 
 // post is news that waits for Acks.
 type post struct {
 	ids   []string
 	left  map[string]bool // those that haven't confirmed
-	sent  plane.Time
-	since plane.Time
+	sent  fsm.Time
+	since fsm.Time
 	round bool // it was sent through others too
 }
 
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -5,13 +5,13 @@
 	"slices"
 	"strings"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // due is a server at home here, and when to look whether it has been silent for too long. A
 // beat changes nothing here: the look finds that it came, and the next is put off by it.
 type due struct {
-	at plane.Time
+	at fsm.Time
 	it *item
 }
 
@@ -32,7 +32,7 @@
 }
 
 // ends is when a server's time is over, if it stays silent.
-func (m *Machine) ends(it *item) plane.Time {
+func (m *Machine) ends(it *item) fsm.Time {
 	switch it.Phase {
 	case Serving:
 		return it.beat + m.wait
--- a/internal/rollout/lead.go
+++ b/internal/rollout/lead.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/policy"
 )
 
@@ -19,13 +19,13 @@
 	reads   bool              // the conduct wants the writers' confirmation, which is not asked for yet
 	round   uint64            // of the one that it waits for
 	pending uint32
-	since   plane.Time // of pending, here
+	since   fsm.Time   // of pending, here
 	asks    []asks     // to withdraw, that wait for the document
 	ended   []Withdraw // the last of them that have been answered
 }
 
 // turn takes over what is kept.
-func (m *Machine) turn(now plane.Time) {
+func (m *Machine) turn(now fsm.Time) {
 	l := m.lead
 	m.settle()
 	if !m.rollout.Together || m.side.Version == 0 {
@@ -58,7 +58,7 @@
 	m.carry(now)
 }
 
-func (m *Machine) asked(now plane.Time, from string, a Ask) {
+func (m *Machine) asked(now fsm.Time, from string, a Ask) {
 	l := m.lead
 	if l == nil || l.c == nil {
 		return
@@ -82,7 +82,7 @@
 	return a.Held
 }
 
-func (m *Machine) tick(now plane.Time) {
+func (m *Machine) tick(now fsm.Time) {
 	l := m.lead
 	l.lapse(now)
 	if l.c == nil {
@@ -119,7 +119,7 @@
 }
 
 // Affirmed tells that the writers have confirmed that round.
-func (m *Machine) Affirmed(now plane.Time, round uint64) Out {
+func (m *Machine) Affirmed(now fsm.Time, round uint64) Out {
 	l := m.lead
 	if l != nil && l.c != nil && l.round != 0 && round >= l.round {
 		l.round = 0
@@ -138,7 +138,7 @@
 }
 
 // Dropped tells that an amendment could not be made, as another document is on its way.
-func (m *Machine) Dropped(now plane.Time, d consensus.Doc) Out {
+func (m *Machine) Dropped(now fsm.Time, d consensus.Doc) Out {
 	if l := m.lead; l != nil && l.c != nil && Read(d).Fate == Live {
 		l.c.Dropped(now)
 		m.carry(now)
@@ -147,7 +147,7 @@
 }
 
 // carry carries out what the conduct wants.
-func (m *Machine) carry(now plane.Time) {
+func (m *Machine) carry(now fsm.Time) {
 	l := m.lead
 	for again := true; again; {
 		o := l.c.Out()
@@ -183,7 +183,7 @@
 // lives of it have that may still go by anything: an earlier one's word is not this one's.
 // A word counts only with a lease, so only if the writers took this one for the primary
 // after it; and in a hold only if it was said again in that round, as who has a lease must.
-func (m *Machine) enough(now plane.Time) bool {
+func (m *Machine) enough(now fsm.Time) bool {
 	_, all := m.lead.c.Status(now)
 	held := map[string]bool{}
 	for _, s := range all {
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/policy"
 	"asterwell/internal/sysconfig"
 )
@@ -22,7 +22,7 @@
 
 // Out is what follows from an input.
 type Out struct {
-	Send   []plane.Send
+	Send   []fsm.Send
 	Adopt  *consensus.Doc // to be in force here
 	Read   *consensus.Doc // to be read, then tell Taken; a newer one takes its place
 	Check  *consensus.Doc // the same, then tell Checked
@@ -48,15 +48,15 @@
 
 	holder *policy.Holder
 	epoch  consensus.Ballot // whose round the holder holds
-	pulled plane.Time
-	lacks  plane.Time // since when the primary is known to have a newer document; 0: it has none
-	sought plane.Time // when another process was last asked who leads
+	pulled fsm.Time
+	lacks  fsm.Time // since when the primary is known to have a newer document; 0: it has none
+	sought fsm.Time // when another process was last asked who leads
 	turns  int
 
 	wishes []wish // to withdraw, made here
 
 	lead *lead
-	seen plane.Time // when lead was last told the time
+	seen fsm.Time // when lead was last told the time
 	bug  Bug
 	out  Out
 }
@@ -105,7 +105,7 @@
 
 // Doc takes the newest document that is kept. Synced says that no disk has to have it
 // first; else Synced is called once it has.
-func (m *Machine) Doc(now plane.Time, d consensus.Doc, synced bool) Out {
+func (m *Machine) Doc(now fsm.Time, d consensus.Doc, synced bool) Out {
 	m.doc, m.side, m.synced, m.lacks = d, Read(d), synced, 0
 	live := &consensus.Doc{Version: m.side.Version, Body: m.side.Body}
 	switch {
@@ -134,7 +134,7 @@
 
 // Taken tells that a text has been read that was to be, and which rollout it wants. One that has been overtaken meanwhile is
 // put in force as well, so that a row of changes holds up none of them, unless it was to be in force together.
-func (m *Machine) Taken(now plane.Time, read consensus.Doc, r sysconfig.Rollout) Out {
+func (m *Machine) Taken(now fsm.Time, read consensus.Doc, r sysconfig.Rollout) Out {
 	if read.Version > m.adopted && !m.rollout.Together && (read.Version == m.side.Version || !r.Together) {
 		m.adopt(&read, r)
 		m.prepare(now)
@@ -146,7 +146,7 @@
 }
 
 // Checked tells what came of a text that was to be checked; refusal "" is that it can be taken.
-func (m *Machine) Checked(now plane.Time, version uint32, r sysconfig.Rollout, refusal string) Out {
+func (m *Machine) Checked(now fsm.Time, version uint32, r sysconfig.Rollout, refusal string) Out {
 	if version == m.verdict.version {
 		m.verdict.known, m.verdict.rollout, m.verdict.refusal = true, r, refusal
 		m.prepare(now)
@@ -155,7 +155,7 @@
 }
 
 // Synced says that the document is on this process's disk.
-func (m *Machine) Synced(now plane.Time) Out {
+func (m *Machine) Synced(now fsm.Time) Out {
 	m.synced = true
 	m.prepare(now)
 	return m.end()
@@ -176,7 +176,7 @@
 }
 
 // Leads says whether this process is the primary, and of which epoch.
-func (m *Machine) Leads(now plane.Time, epoch consensus.Ballot, leads bool) Out {
+func (m *Machine) Leads(now fsm.Time, epoch consensus.Ballot, leads bool) Out {
 	switch {
 	case !leads:
 		m.lead = nil
@@ -188,7 +188,7 @@
 }
 
 // Take takes a message.
-func (m *Machine) Take(now plane.Time, from string, msg any) Out {
+func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
 	switch t := msg.(type) {
 	case Ask:
 		m.asked(now, from, t)
@@ -203,7 +203,7 @@
 }
 
 // Tick lets time pass.
-func (m *Machine) Tick(now plane.Time) Out {
+func (m *Machine) Tick(now fsm.Time) Out {
 	if m.rollout.Together {
 		m.ask(now)
 	}
@@ -216,7 +216,7 @@
 
 func (m *Machine) send(to string, msg any) {
 	if to != "" {
-		m.out.Send = append(m.out.Send, plane.Send{To: to, Msg: msg})
+		m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: msg})
 	}
 }
 
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/policy"
 )
 
@@ -18,7 +18,7 @@
 }
 
 // May is asked with a time that was taken after the request has come.
-func (g Gate) May(now plane.Time, version uint32) bool {
+func (g Gate) May(now fsm.Time, version uint32) bool {
 	return version == g.Version && (!g.Together || g.Lease.Version == int64(version) && now < g.Lease.Until)
 }
 
@@ -34,7 +34,7 @@
 
 // pull asks for what the primary has kept. What is prepared comes with the text of what is
 // live, so it takes twice as long as that.
-func (m *Machine) pull(now plane.Time, from string, kept consensus.Doc) {
+func (m *Machine) pull(now fsm.Time, from string, kept consensus.Doc) {
 	if !kept.Above(m.doc) {
 		m.lacks = 0
 		return
@@ -49,7 +49,7 @@
 }
 
 // prepare confirms or refuses what is prepared, once it is held and has been read.
-func (m *Machine) prepare(now plane.Time) {
+func (m *Machine) prepare(now fsm.Time) {
 	if m.side.Fate != Prepared || !m.synced || !m.rollout.Together {
 		return
 	}
@@ -62,13 +62,13 @@
 	}
 }
 
-func (m *Machine) confirm(now plane.Time, change uint64, refusal string) {
+func (m *Machine) confirm(now fsm.Time, change uint64, refusal string) {
 	m.holder.Checked(change, []byte{}, refusal)
 	m.ask(now)
 }
 
 // ask sends the call that is due.
-func (m *Machine) ask(now plane.Time) {
+func (m *Machine) ask(now fsm.Time) {
 	if m.primary == "" {
 		m.seek(now)
 		return
@@ -87,7 +87,7 @@
 const seekEvery = 200 * time.Millisecond
 
 // seek asks one after the other of those with a disk who leads.
-func (m *Machine) seek(now plane.Time) {
+func (m *Machine) seek(now fsm.Time) {
 	if now-m.sought < seekEvery {
 		return
 	}
@@ -102,7 +102,7 @@
 }
 
 // granted takes what the primary says.
-func (m *Machine) granted(now plane.Time, from string, g Grant) {
+func (m *Machine) granted(now fsm.Time, from string, g Grant) {
 	if g.ID != m.id || !m.rollout.Together {
 		return
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/sysconfig"
 )
 
@@ -15,7 +15,7 @@
 }
 
 // keeps is Doc where what is to be read is read at once.
-func keeps(m *Machine, now plane.Time, d consensus.Doc) {
+func keeps(m *Machine, now fsm.Time, d consensus.Doc) {
 	out := m.Doc(now, d, true)
 	if r := out.Read; r != nil {
 		out = m.Taken(now, *r, sysconfig.RolloutOf(r.Body))
@@ -56,7 +56,7 @@
 }
 
 // fleet is a primary with version 2 prepared, and three nodes that it knows of.
-func fleet(bug Bug) (*Machine, plane.Time) {
+func fleet(bug Bug) (*Machine, fsm.Time) {
 	m, now := New(Config{Self: "a", Name: "a", Zone: "x"}), time.Hour
 	m.SetBug(bug)
 	m.Nodes([]Node{{Name: "a", Zone: "x", Addr: "a"}, {Name: "b", Zone: "x", Addr: "b"}, {Name: "c", Zone: "y", Addr: "c"}})
@@ -68,13 +68,13 @@
 }
 
 // says has a node call, and the writers take this one for the primary still.
-func says(m *Machine, now plane.Time, a Ask) {
+func says(m *Machine, now fsm.Time, a Ask) {
 	a.Version = 1
 	m.Take(now, a.Name, a)
 	affirms(m, now)
 }
 
-func affirms(m *Machine, now plane.Time) {
+func affirms(m *Machine, now fsm.Time) {
 	m.Affirming(1)
 	m.Affirmed(now, 1)
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -1,6 +1,6 @@
 package rollout
 
-import "asterwell/internal/plane"
+import "asterwell/internal/fsm"
 
 // Status is how a rollout stands, for operators. Only the primary knows the nodes.
 type Status struct {
@@ -25,7 +25,7 @@
 type Refusal struct{ Name, Why string }
 
 // Status tells it.
-func (m *Machine) Status(now plane.Time) Status {
+func (m *Machine) Status(now fsm.Time) Status {
 	s := Status{Mode: "each", Live: m.side.Version, Newest: m.doc.Version, Fate: m.side.Fate.String(), Why: m.side.Why,
 		WithinMs: m.rollout.Within.Milliseconds()}
 	if !m.rollout.Together {
--- a/internal/rollout/withdraw.go
+++ b/internal/rollout/withdraw.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // Outcome is what has come of an operator's wish that a version never be live.
@@ -27,14 +27,14 @@
 // wish is a call made here, which goes to the primary until that answers.
 type wish struct {
 	Withdraw
-	at, sent plane.Time
+	at, sent fsm.Time
 }
 
 // asks is a call that the primary has taken.
 type asks struct {
 	from string
 	Withdraw
-	at    plane.Time
+	at    fsm.Time
 	round uint64 // of the writers' confirmation that was asked for since; 0: none yet
 	sure  bool   // they have confirmed it
 }
@@ -47,14 +47,14 @@
 
 // Withdraw asks that a version which is not live yet never be. The answer comes in some
 // Out.Told; without one nothing can be said.
-func (m *Machine) Withdraw(now plane.Time, call uint64, version uint32, by string) Out {
+func (m *Machine) Withdraw(now fsm.Time, call uint64, version uint32, by string) Out {
 	m.wishes = append(m.wishes, wish{Withdraw{version, by, m.id, call, m.doc.Version + 1}, now, now - wishAgain})
 	m.urge(now)
 	return m.end()
 }
 
 // urge sends what has no answer yet, and forgets what nobody waits for any more.
-func (m *Machine) urge(now plane.Time) {
+func (m *Machine) urge(now fsm.Time) {
 	m.wishes = slices.DeleteFunc(m.wishes, func(w wish) bool { return now-w.at > wishFor })
 	for i := range m.wishes {
 		w := &m.wishes[i]
@@ -82,7 +82,7 @@
 }
 
 // wished takes a call at the primary. Until the document tells the outcome it waits.
-func (m *Machine) wished(now plane.Time, from string, t Withdraw) {
+func (m *Machine) wished(now fsm.Time, from string, t Withdraw) {
 	l := m.lead
 	if l == nil {
 		return
@@ -123,7 +123,7 @@
 }
 
 // lapse forgets calls that nobody waits for any more.
-func (l *lead) lapse(now plane.Time) {
+func (l *lead) lapse(now fsm.Time) {
 	l.asks = slices.DeleteFunc(l.asks, func(a asks) bool { return now-a.at > 2*wishFor })
 }
 
--- a/internal/rollout/world/proc.go
+++ b/internal/rollout/world/proc.go
@@ -11,7 +11,7 @@
 
 	"asterwell/internal/consensus"
 	"asterwell/internal/controlplane"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/quotas"
 	"asterwell/internal/rollout"
 	"asterwell/internal/sysconfig"
@@ -41,7 +41,7 @@
 	heard            map[string]said   // of each node, in this life
 }
 
-func (p *Proc) clock() plane.Time { return p.base + time.Duration(float64(p.w.now)*p.rate) }
+func (p *Proc) clock() fsm.Time { return p.base + time.Duration(float64(p.w.now)*p.rate) }
 
 func (p *Proc) frozen() bool { return p.thaws > p.w.now }
 
@@ -249,7 +249,7 @@
 }
 
 // send brings a message to a process, late, twice, or not at all.
-func (w *World) send(p *Proc, s plane.Send) {
+func (w *World) send(p *Proc, s fsm.Send) {
 	to := w.byAddr[s.To]
 	if to == nil {
 		return
--- a/internal/rollout/world/world.go
+++ b/internal/rollout/world/world.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"time"
 
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/rollout"
 )
 
@@ -82,7 +82,7 @@
 	opt    Options
 	rng    *rand.Rand
 	now    time.Duration
-	queue  plane.Events
+	queue  fsm.Events
 	order  uint64
 	nodes  []*Proc
 	byAddr map[string]*Proc
@@ -132,14 +132,14 @@
 
 func (w *World) after(d time.Duration, do func()) {
 	w.order++
-	heap.Push(&w.queue, plane.Event{At: w.now + d, Order: w.order, Do: do})
+	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.order, Do: do})
 }
 
 // Run lets time pass; it ends early once a rule broke.
 func (w *World) Run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].At <= end && len(w.res.Broken) == 0 {
-		e := heap.Pop(&w.queue).(plane.Event)
+		e := heap.Pop(&w.queue).(fsm.Event)
 		w.now = e.At
 		e.Do()
 	}
--- a/internal/systemsim/net.go
+++ b/internal/systemsim/net.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"asterwell/internal/controlplane"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // stalls is how long a connection lives on when only one way of it is cut.
@@ -15,7 +15,7 @@
 
 // carry brings a message to a process, or loses it. Those from one to another come in
 // the order in which they went out, like on a connection.
-func (w *world) carry(p *proc, s plane.Send) {
+func (w *world) carry(p *proc, s fsm.Send) {
 	to := w.byAddr[s.To]
 	if to == nil {
 		return
--- a/internal/systemsim/proc.go
+++ b/internal/systemsim/proc.go
@@ -7,7 +7,7 @@
 
 	"asterwell/internal/consensus"
 	"asterwell/internal/controlplane"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
 	"asterwell/internal/sysconfig"
@@ -70,7 +70,7 @@
 }
 
 // clock is the process's own: steady, and above 0.
-func (p *proc) clock() plane.Time { return time.Hour + p.w.now - p.start }
+func (p *proc) clock() fsm.Time { return time.Hour + p.w.now - p.start }
 
 func (p *proc) boot() {
 	if p.up || p.gone {
--- a/internal/systemsim/world.go
+++ b/internal/systemsim/world.go
@@ -10,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 
 	"asterwell/internal/controlplane"
-	"asterwell/internal/plane"
+	"asterwell/internal/fsm"
 )
 
 // world is one day.
 type world struct {
 	rng   *rand.Rand
 	now   time.Duration
-	queue plane.Events
+	queue fsm.Events
 	order uint64
 	bug   Bug
 	wire  bool // messages are encoded and decoded on their way
@@ -77,7 +77,7 @@
 
 func (w *world) after(d time.Duration, do func()) {
 	w.order++
-	w.queue.Add(plane.Event{At: w.now + d, Order: w.order, Do: do})
+	w.queue.Add(fsm.Event{At: w.now + d, Order: w.order, Do: do})
 }
 
 func (w *world) every(d time.Duration, do func()) {
