--- a/internal/actor/box.go
+++ b/internal/actor/box.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // Box is an unbounded mailbox. A bounded one could lock two actors that write
@@ -15,13 +15,13 @@
 	mu    sync.Mutex
 	in    []T
 	spare []T
-	world seam.Seam
-	bell  seam.Bell
+	world hostenv.Seam
+	bell  hostenv.Bell
 }
 
 // NewBox returns an empty mailbox in a world (nil: the real one).
-func NewBox[T any](world seam.Seam) *Box[T] {
-	world = seam.Or(world)
+func NewBox[T any](world hostenv.Seam) *Box[T] {
+	world = hostenv.Or(world)
 	return &Box[T]{world: world, bell: world.NewBell()}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,12 +25,12 @@
 	"asterwell/internal/dataplane"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/fsm"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/logring"
 	"asterwell/internal/mesh"
 	"asterwell/internal/protocol"
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
-	"asterwell/internal/seam"
 	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
 	"asterwell/internal/vault"
@@ -143,7 +143,7 @@
 		self: meshAddr(set.IpAddr, set)}
 	p.ring = logring.NewRing(shared.Log, set.NodeName, 256, log.InfoLevel)
 	p.say = &log.Logger{Handler: p.ring, Level: log.DebugLevel}
-	now, seed := p.now(), seam.Real.Random()
+	now, seed := p.now(), hostenv.Real.Random()
 	member := set.QuorumMember && set.StateDir != ""
 	life := uint64(time.Now().UnixMilli())
 	var kept *consensus.Disk
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"asterwell/choice"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/protocol"
 	"asterwell/internal/routing"
-	"asterwell/internal/seam"
 	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
 )
@@ -30,7 +30,7 @@
 
 // Options are what a plane is told.
 type Options struct {
-	World   seam.Seam
+	World   hostenv.Seam
 	Zone    string
 	Now     func() time.Duration // the plane's clock, above 0
 	Sockets int                  // connections to servers
@@ -68,7 +68,7 @@
 
 // New returns a plane without a configuration: it refuses everything.
 func New(o Options) *Plane {
-	o.World = seam.Or(o.World)
+	o.World = hostenv.Or(o.World)
 	p := &Plane{opt: o, ids: protocol.NewIDs(), servers: map[string][]Server{}, places: map[string]string{}, gates: 1}
 	p.peers = transport.PeerOptions{World: o.World, Connect: connectWithin, Sockets: transport.NewSockets(o.Sockets),
 		Keep: transport.NewKeep(keepIdle), Strict: true, Bug: o.Bug}
--- a/internal/dataplane/fault_test.go
+++ b/internal/dataplane/fault_test.go
@@ -17,7 +17,7 @@
 
 	"asterwell/choice"
 	"asterwell/internal/faultrules"
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
 )
@@ -81,7 +81,7 @@
 // pause is the machine's world, but for requests that a rule holds: as long as it is locked, their time
 // doesn't end. So what is answered meanwhile has waited for none of them, however busy the machine is.
 type pause struct {
-	seam.Seam
+	hostenv.Seam
 	sync.RWMutex
 }
 
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	g := &stage{toy: &toy{ran: map[string]int{}, tenant: map[string]string{}}, f: &always{strike: s, told: make(chan string, 1000)},
-		pause: &pause{Seam: seam.Real}, quota: func(string) bool { return true }}
+		pause: &pause{Seam: hostenv.Real}, quota: func(string) bool { return true }}
 	back := httptest.NewServer(g.toy)
 	t.Cleanup(back.Close)
 	start := time.Now()
--- a/internal/dataplane/idle_test.go
+++ b/internal/dataplane/idle_test.go
@@ -8,21 +8,21 @@
 	"time"
 
 	"asterwell/choice"
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // counting is the real world, and counts who gets up.
 type counting struct {
-	seam.Seam
+	hostenv.Seam
 	wakes *atomic.Int64
 }
 
 type countedBell struct {
-	seam.Bell
+	hostenv.Bell
 	wakes *atomic.Int64
 }
 
-func (c counting) NewBell() seam.Bell { return countedBell{c.Seam.NewBell(), c.wakes} }
+func (c counting) NewBell() hostenv.Bell { return countedBell{c.Seam.NewBell(), c.wakes} }
 
 func (b countedBell) Wait(d time.Duration) bool {
 	defer b.wakes.Add(1)
@@ -35,7 +35,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var wakes atomic.Int64
 		start := time.Now()
-		p := New(Options{World: counting{seam.Real, &wakes}, Now: func() time.Duration { return time.Hour + time.Since(start) }, Sockets: 100, Seed: 1})
+		p := New(Options{World: counting{hostenv.Real, &wakes}, Now: func() time.Duration { return time.Hour + time.Since(start) }, Sockets: 100, Seed: 1})
 		p.Adopt(grown(t, 1))
 		var all []Server
 		for i := range 5200 {
--- a/internal/dns/exchange.go
+++ b/internal/dns/exchange.go
@@ -12,7 +12,7 @@
 
 	"github.com/miekg/dns"
 
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // Counters are totals since the start.
@@ -36,7 +36,7 @@
 
 // exchanger asks one server one question. It repeats nothing by itself.
 type exchanger struct {
-	world  seam.Seam
+	world  hostenv.Seam
 	limit  time.Duration // for each of UDP and TCP
 	counts *Counters
 }
--- a/internal/seam/seam.go
+++ b/internal/hostenv/hostenv.go
@@ -1,7 +1,7 @@
-// Package seam is all that the gateway's parts have of the world: time, goroutines,
+// Package hostenv is all that the gateway's parts have of the world: time, goroutines,
 // waiting, and connections. Real is a thin shell over the standard library; the
 // simulator puts a virtual world in its place, with the same code above it.
-package seam
+package hostenv
 
 import (
 	"math/rand/v2"
--- a/internal/seam/source_test.go
+++ b/internal/hostenv/source_test.go
@@ -1,4 +1,4 @@
-package seam
+package hostenv
 
 import (
 	"go/ast"
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"asterwell/internal/actor"
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // Codec is what frames are on the wire.
@@ -30,7 +30,7 @@
 
 // Options of a mesh.
 type Options[F any] struct {
-	World  seam.Seam // nil: the real one
+	World  hostenv.Seam // nil: the real one
 	Codec  Codec[F]
 	Handle func(p *Pipe[F], f F) // on the goroutine of the connection it came by
 	Most   int                   // connections that come in
@@ -87,7 +87,7 @@
 
 // New returns a mesh without connections.
 func New[F any](o Options[F]) *Mesh[F] {
-	o.World, o.Dial, o.Silent, o.Buffer = seam.Or(o.World), cmp.Or(o.Dial, 500*time.Millisecond), cmp.Or(o.Silent, 2*idleFor), cmp.Or(o.Buffer, 8<<10)
+	o.World, o.Dial, o.Silent, o.Buffer = hostenv.Or(o.World), cmp.Or(o.Dial, 500*time.Millisecond), cmp.Or(o.Silent, 2*idleFor), cmp.Or(o.Buffer, 8<<10)
 	return &Mesh[F]{Options: o, out: map[string]*Pipe[F]{}, in: map[*Pipe[F]]bool{}}
 }
 
--- a/internal/program/pair.go
+++ b/internal/program/pair.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"asterwell/choice"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/routing"
-	"asterwell/internal/seam"
 	"asterwell/internal/transport"
 	"asterwell/internal/twin"
 )
@@ -17,7 +17,7 @@
 // pair is this process beside another of the same gateway, on the platform's socket. The
 // gateway's goroutine alone calls it, but for gives and open. A nil pair is the only process.
 type pair struct {
-	world  seam.Seam
+	world  hostenv.Seam
 	core   *routing.Core
 	twin   *twin.Twin
 	ln     *transport.Listener // the clients'
--- a/internal/program/pair_test.go
+++ b/internal/program/pair_test.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"asterwell/choice"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/protocol"
 	"asterwell/internal/routing"
-	"asterwell/internal/seam"
 	"asterwell/internal/transport"
 	"asterwell/internal/twin"
 )
 
 // drawn is the real world, but for its chance.
-type drawn struct{ seam.Seam }
+type drawn struct{ hostenv.Seam }
 
 func (drawn) Random() uint64 { return 7 }
 
@@ -40,12 +40,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := transport.Listen(seam.Real, "127.0.0.1:0", 9)
+	ln, err := transport.Listen(hostenv.Real, "127.0.0.1:0", 9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	g := &Gateway{world: drawn{seam.Real}, cfg: &Config{Name: "n0"}, core: core}
+	g := &Gateway{world: drawn{hostenv.Real}, cfg: &Config{Name: "n0"}, core: core}
 	made := make(chan *pair, 1)
 	go func() {
 		p, err := newPair(g, ln, func() bool { return true })
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -21,11 +21,11 @@
 	"asterwell/internal/actor"
 	"asterwell/internal/backoff"
 	"asterwell/internal/cluster"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/ops"
 	"asterwell/internal/protocol"
 	"asterwell/internal/protocol/openapi"
 	"asterwell/internal/routing"
-	"asterwell/internal/seam"
 	"asterwell/internal/transport"
 )
 
@@ -51,7 +51,7 @@
 	cfg.Limits.Apply()
 	g, err := New(nil, files, func() (*Files, error) { return Reread(os.Getenv) })
 	if err == nil {
-		seam.Real.Go(func() {
+		hostenv.Real.Go(func() {
 			for {
 				select {
 				case <-hup:
@@ -79,7 +79,7 @@
 // clock returns the core's clock: the Unix time as it was at the start, and
 // steady from then on. Gateways and discovery agree on it, so that names of the
 // counter's periods and servers' start times mean the same everywhere.
-func clock(world seam.Seam) func() time.Duration {
+func clock(world hostenv.Seam) func() time.Duration {
 	start := world.Now()
 	unix := time.Duration(start.UnixNano())
 	return func() time.Duration { return unix + world.Now().Sub(start) }
@@ -101,7 +101,7 @@
 
 // Gateway is one, in a world.
 type Gateway struct {
-	world     seam.Seam
+	world     hostenv.Seam
 	cfg       *Config
 	box       *actor.Box[any]
 	reread    func() (*Files, error)
@@ -151,8 +151,8 @@
 
 // New puts a gateway together in a world (nil: the real one). reread reads its files
 // anew, at Hup.
-func New(world seam.Seam, files *Files, reread func() (*Files, error)) (*Gateway, error) {
-	world = seam.Or(world)
+func New(world hostenv.Seam, files *Files, reread func() (*Files, error)) (*Gateway, error) {
+	world = hostenv.Or(world)
 	cfg, op := files.Config, files.Operator
 	g := &Gateway{world: world, cfg: cfg, plans: cfg.Settings.Plans, box: actor.NewBox[any](world), reread: reread}
 	// Half of the descriptors are for clients, a third for servers; the rest
@@ -307,7 +307,7 @@
 	front *openapi.Front
 	op    *Operator
 	text  []byte
-	end   seam.Bell
+	end   hostenv.Bell
 }
 
 func (f *follower) Run()  { f.front.Follow(f.op.Description, f.text, f.op.poll(), f.end) }
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/transport"
 )
 
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, nil, 0, uncome(err)
 	}
-	world := seam.Real
+	world := hostenv.Real
 	if c != nil {
 		world = c.World()
 	}
@@ -70,9 +70,9 @@
 	chunked bool
 	left    int // of a length that is known
 	total   int
-	world   seam.Seam
-	bell    seam.Bell // where the writer waits
-	ring    func()    // for the client's goroutine
+	world   hostenv.Seam
+	bell    hostenv.Bell // where the writer waits
+	ring    func()       // for the client's goroutine
 	limit   time.Duration
 	copied  func(piece []byte, last bool) // nil: nobody copies it
 
--- a/internal/protocol/counter.go
+++ b/internal/protocol/counter.go
@@ -15,14 +15,14 @@
 
 	"asterwell/choice"
 	"asterwell/internal/actor"
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // Counter is the actor that speaks RESP2 to the counter: calls are written one
 // after another on one connection, and their answers come in the same order.
 // No call is ever written twice, since it may have been added.
 type Counter struct {
-	world seam.Seam
+	world hostenv.Seam
 	addr  string
 	limit time.Duration // a call without an answer ends as timed out
 	box   *actor.Box[any]
@@ -85,8 +85,8 @@
 
 // NewCounter returns an actor in a world (nil: the real one). It calls told once for
 // each Add.
-func NewCounter(world seam.Seam, addr string, limit time.Duration, told func(string, choice.Status, float64)) *Counter {
-	world = seam.Or(world)
+func NewCounter(world hostenv.Seam, addr string, limit time.Duration, told func(string, choice.Status, float64)) *Counter {
+	world = hostenv.Or(world)
 	return &Counter{world: world, addr: addr, limit: limit, box: actor.NewBox[any](world), told: told}
 }
 
--- a/internal/protocol/counter_test.go
+++ b/internal/protocol/counter_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"asterwell/choice"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/scenario"
-	"asterwell/internal/seam"
 )
 
 func call(name, amount string) string {
@@ -223,7 +223,7 @@
 func TestCounterBreaksWhileWriting(t *testing.T) {
 	here, there := net.Pipe()
 	got := map[string]choice.Status{}
-	c := &Counter{world: seam.Real, limit: time.Minute, told: func(name string, s choice.Status, _ float64) { got[name] = s }}
+	c := &Counter{world: hostenv.Real, limit: time.Minute, told: func(name string, s choice.Status, _ float64) { got[name] = s }}
 	c.line = &line{nc: here}
 	for _, name := range []string{"a", "b", "c"} {
 		c.add(&count{name: name, wire: []byte(call(name, "1")), until: time.Now().Add(time.Minute)})
@@ -244,7 +244,7 @@
 func TestSilentConnectionIsGivenUp(t *testing.T) {
 	here, _ := net.Pipe()
 	now := time.Now()
-	c := &Counter{world: seam.Real, limit: 50 * time.Millisecond, told: func(string, choice.Status, float64) {}}
+	c := &Counter{world: hostenv.Real, limit: 50 * time.Millisecond, told: func(string, choice.Status, float64) {}}
 	c.line = &line{nc: here, heard: now}
 	c.line.calls = []*count{{name: "a", until: now.Add(c.limit)}}
 	if c.expire(now.Add(150 * time.Millisecond)); c.line == nil || !c.line.calls[0].ended {
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -15,8 +15,8 @@
 	"asterwell/choice"
 	"asterwell/internal/actor"
 	"asterwell/internal/backoff"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/routing"
-	"asterwell/internal/seam"
 	"asterwell/internal/transport"
 )
 
@@ -64,7 +64,7 @@
 	Grace   time.Duration // how long its answer may take beyond that
 	Connect time.Duration
 	Pace    backoff.Terms // of the calls
-	World   seam.Seam     // nil: the real one
+	World   hostenv.Seam  // nil: the real one
 	Heard   func()        // after each call that went well; nil: nobody asks
 }
 
@@ -107,7 +107,7 @@
 // NewDiscovery returns an actor that tells its news through news. The watch
 // goes on from what is known. It begins at once, or once asked for.
 func NewDiscovery(opt DiscoveryOptions, known List, onDemand bool, news func(routing.News)) *Discovery {
-	opt.World = seam.Or(opt.World)
+	opt.World = hostenv.Or(opt.World)
 	d := &Discovery{opt: opt, news: news, box: actor.NewBox[any](opt.World), on: !onDemand,
 		whole: len(known.Servers) == 0, ids: map[string]uint32{}, pace: backoff.New(opt.Pace)}
 	d.after = opt.World.Now().Add(d.pace.First(d.odds()))
--- a/internal/protocol/front.go
+++ b/internal/protocol/front.go
@@ -16,9 +16,9 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/choice"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/ops"
 	"asterwell/internal/routing"
-	"asterwell/internal/seam"
 	"asterwell/internal/transport"
 )
 
@@ -421,8 +421,8 @@
 	mu    sync.Mutex
 	final Final
 	have  bool
-	left  bool      // nobody is there to take it
-	bell  seam.Bell // of whoever waits
+	left  bool         // nobody is there to take it
+	bell  hostenv.Bell // of whoever waits
 }
 
 func (a *Answers) end(f Final) {
@@ -497,7 +497,7 @@
 	a := r.Reply.(*Answers)
 	c, ok := ctx.Conn().(*transport.ClientConn)
 	if !ok { // no connection that could end
-		a.bell = seam.Real.NewBell()
+		a.bell = hostenv.Real.NewBell()
 		core.Submit(r)
 		for !a.done() {
 			a.bell.Wait(-1)
--- a/internal/protocol/openapi/front.go
+++ b/internal/protocol/openapi/front.go
@@ -17,9 +17,9 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/choice"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/protocol"
 	"asterwell/internal/routing"
-	"asterwell/internal/seam"
 )
 
 // Names are the headers that tell a request's customer and plan.
@@ -45,7 +45,7 @@
 
 // NewFront returns a front without a description.
 func NewFront(set choice.Settings, routes []Route, names Names) *Front {
-	f := &Front{IDs: protocol.NewIDs(), Random: seam.Real.Random, names: names, plans: map[string]float64{}, doors: set.Doors,
+	f := &Front{IDs: protocol.NewIDs(), Random: hostenv.Real.Random, names: names, plans: map[string]float64{}, doors: set.Doors,
 		rules: Rules{Classes: set.Classes, MaxUnits: set.MaxUnits, Routes: routes}}
 	for _, p := range set.Plans {
 		f.plans[p.Name] = protocol.MostUnits(&set, &p)
--- a/internal/protocol/openapi/front_test.go
+++ b/internal/protocol/openapi/front_test.go
@@ -21,10 +21,10 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/choice"
+	"asterwell/internal/hostenv"
 	"asterwell/internal/protocol"
 	"asterwell/internal/routing"
 	"asterwell/internal/scenario"
-	"asterwell/internal/seam"
 	"asterwell/internal/transport"
 )
 
@@ -355,7 +355,7 @@
 	first := describe("  /a: {get: {x-asterwell-class: status-read, " + operation + "}}\n")
 	g := newGateway(t, server, nil, first)
 	file := filepath.Join(t.TempDir(), "api.yaml")
-	stop := seam.Real.NewBell()
+	stop := hostenv.Real.NewBell()
 	defer stop.Ring()
 	go g.Follow(file, first, 10*time.Millisecond, stop) // the file is missing at first
 	write := func(text []byte) {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -14,7 +14,7 @@
 
 	"asterwell/choice"
 	"asterwell/internal/actor"
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // Request is a client's try. A front fills it in and submits it once.
@@ -111,7 +111,7 @@
 
 // Hands are what the core acts through.
 type Hands struct {
-	World   seam.Seam // nil: the real one
+	World   hostenv.Seam // nil: the real one
 	Fleet   Fleet
 	Counter Counter
 	Watcher Watcher
@@ -365,7 +365,7 @@
 
 // Stats asks for the totals; it waits for the core's turn.
 func (c *Core) Stats() Stats {
-	ask := &asked{bell: seam.Or(c.hands.World).NewBell()}
+	ask := &asked{bell: hostenv.Or(c.hands.World).NewBell()}
 	c.box.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.stats
@@ -380,14 +380,14 @@
 
 // Hand asks for what the module knows; it waits for the core's turn.
 func (c *Core) Hand() choice.Learnt {
-	ask := &hand{bell: seam.Or(c.hands.World).NewBell()}
+	ask := &hand{bell: hostenv.Or(c.hands.World).NewBell()}
 	c.box.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.state
 }
 
 type hand struct {
-	bell  seam.Bell
+	bell  hostenv.Bell
 	state choice.Learnt
 }
 
@@ -399,14 +399,14 @@
 // Take gives the module what another process of this gateway knew. It waits for the core's
 // turn, and reports what is strange about it: then nothing is taken.
 func (c *Core) Take(s choice.Learnt) error {
-	ask := &take{bell: seam.Or(c.hands.World).NewBell(), state: s}
+	ask := &take{bell: hostenv.Or(c.hands.World).NewBell(), state: s}
 	c.box.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.err
 }
 
 type take struct {
-	bell  seam.Bell
+	bell  hostenv.Bell
 	state choice.Learnt
 	err   error
 }
@@ -543,7 +543,7 @@
 }
 
 type asked struct {
-	bell  seam.Bell
+	bell  hostenv.Bell
 	stats Stats
 }
 
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"asterwell/choice"
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // world is a core with a clock of its own, and what it did and answered.
@@ -194,7 +194,7 @@
 	w.box.Take(0)
 	w.News(News{Whole: true, Saved: true, Members: []Member{{Member: choice.Member{ID: 7}}}})
 	for _, want := range []int{0, 1} {
-		ask := &asked{bell: seam.Real.NewBell()}
+		ask := &asked{bell: hostenv.Real.NewBell()}
 		w.box.Put(ask)
 		w.step(0)
 		if got := ask.stats.Ready; got != want {
@@ -225,7 +225,7 @@
 			w.box.Take(0) // the list that newWorld gave
 		}
 		w.News(c.news)
-		ask := &asked{bell: seam.Real.NewBell()}
+		ask := &asked{bell: hostenv.Real.NewBell()}
 		w.box.Put(ask)
 		w.step(0)
 		if got := ask.stats.Ready; got != c.want {
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // Net is the virtual network. Every machine has an address; between two of them a
@@ -37,7 +37,7 @@
 		ports: 20000, least: least, most: most, pieces: pieces}
 }
 
-// Host is a process on a machine: its seam.Seam.
+// Host is a process on a machine: its hostenv.Seam.
 type Host struct {
 	*Proc
 	net  *Net
@@ -46,7 +46,7 @@
 	most int // descriptors for connections; 0: no limit
 }
 
-var _ seam.Seam = (*Host)(nil)
+var _ hostenv.Seam = (*Host)(nil)
 
 // Host puts a process on a machine.
 func (n *Net) Host(p *Proc, ip string, seed uint64) *Host {
@@ -60,7 +60,7 @@
 func (h *Host) Sleep(d time.Duration) { h.s.sleep(d) }
 
 // NewBell returns a bell.
-func (h *Host) NewBell() seam.Bell { return &bell{s: h.s} }
+func (h *Host) NewBell() hostenv.Bell { return &bell{s: h.s} }
 
 // Random draws from the host's own seed.
 func (h *Host) Random() uint64 { return h.rng.Uint64() }
--- a/internal/sim/sched.go
+++ b/internal/sim/sched.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"time"
 
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // epoch is where virtual clocks begin. A core's clock is the Unix time.
@@ -246,14 +246,14 @@
 	return t
 }
 
-// bell is a seam.Bell.
+// bell is a hostenv.Bell.
 type bell struct {
 	s      *Sched
 	rung   bool
 	waiter *task
 }
 
-var _ seam.Bell = (*bell)(nil)
+var _ hostenv.Bell = (*bell)(nil)
 
 func (b *bell) Ring() {
 	b.rung = true
--- a/internal/sim/udp.go
+++ b/internal/sim/udp.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // packetConn is a UDP socket: packets get lost, and overtake each other.
@@ -27,7 +27,7 @@
 }
 
 // ListenUDP opens a socket at a free port.
-func (h *Host) ListenUDP() (seam.PacketConn, error) {
+func (h *Host) ListenUDP() (hostenv.PacketConn, error) {
 	h.net.ports++
 	return h.listenUDP(uint16(20000 + h.net.ports%40000))
 }
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // Listener accepts clients' connections, at most so many at once. At the cap it
@@ -21,22 +21,22 @@
 // request that has no answer.
 type Listener struct {
 	net.Listener
-	world seam.Seam
+	world hostenv.Seam
 	most  int
-	room  seam.Bell // rung when there may be some
+	room  hostenv.Bell // rung when there may be some
 	mu    sync.Mutex
 	open  map[*ClientConn]struct{}
 	count uint64
 	last  bool // idle connections are closed
 
 	paused atomic.Bool
-	again  seam.Bell // rung when it is no more
+	again  hostenv.Bell // rung when it is no more
 }
 
 // Listen listens at addr for at most so many connections, in a world (nil: the
 // real one).
-func Listen(world seam.Seam, addr string, most int) (*Listener, error) {
-	world = seam.Or(world)
+func Listen(world hostenv.Seam, addr string, most int) (*Listener, error) {
+	world = hostenv.Or(world)
 	ln, err := world.Listen(addr)
 	if err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 	return newListener(world, ln, most), nil
 }
 
-func newListener(world seam.Seam, ln net.Listener, most int) *Listener {
+func newListener(world hostenv.Seam, ln net.Listener, most int) *Listener {
 	return &Listener{Listener: ln, world: world, most: most, room: world.NewBell(), again: world.NewBell(),
 		open: map[*ClientConn]struct{}{}}
 }
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return newListener(seam.Real, ln, most), file.Close() // the listener has a copy
+	return newListener(hostenv.Real, ln, most), file.Close() // the listener has a copy
 }
 
 // Serve serves each connection on a goroutine of its own, until the listener is closed.
@@ -243,9 +243,9 @@
 type ClientConn struct {
 	net.Conn
 	list     *Listener
-	number   uint64    // in order of coming
-	bell     seam.Bell // where the goroutine that serves it waits
-	free     seam.Bell // where the pump waits for its buffer
+	number   uint64       // in order of coming
+	bell     hostenv.Bell // where the goroutine that serves it waits
+	free     hostenv.Bell // where the pump waits for its buffer
 	rest     []byte
 	deadline time.Time
 	paced    bool        // a body is being read: time counts from the last byte
@@ -342,10 +342,10 @@
 }
 
 // World is the one that the connection is in.
-func (c *ClientConn) World() seam.Seam { return c.list.world }
+func (c *ClientConn) World() hostenv.Seam { return c.list.world }
 
 // Bell is where the goroutine that serves the connection waits.
-func (c *ClientConn) Bell() seam.Bell { return c.bell }
+func (c *ClientConn) Bell() hostenv.Bell { return c.bell }
 
 // Await waits until done, which is asked whenever the bell rings, and reports false
 // if the connection ends before.
--- a/internal/transport/name_test.go
+++ b/internal/transport/name_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // named is a note whose answers say whose they are in one header.
@@ -23,7 +23,7 @@
 
 func names(bug Bug) (*Peer[int], *[]Result[int]) {
 	got := new([]Result[int])
-	return &Peer[int]{opt: PeerOptions{World: seam.Real, Sockets: NewSockets(9), Keep: NewKeep(time.Hour), Bug: bug}, busy: map[int]*link[int]{},
+	return &Peer[int]{opt: PeerOptions{World: hostenv.Real, Sockets: NewSockets(9), Keep: NewKeep(time.Hour), Bug: bug}, busy: map[int]*link[int]{},
 		done: func(r Result[int]) { *got = append(*got, r) }}, got
 }
 
@@ -62,7 +62,7 @@
 	p, got := names(0)
 	l := openLink(1)
 	p.write(l, &order[int]{key: 3, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: &named{name: "mine"}})
-	resp, b := fasthttp.AcquireResponse(), &body{conn: l.conn, left: 1 << 20, bell: seam.Real.NewBell()}
+	resp, b := fasthttp.AcquireResponse(), &body{conn: l.conn, left: 1 << 20, bell: hostenv.Real.NewBell()}
 	resp.SetBodyStream(b, 1<<20)
 	p.heard(heard[int]{link: l, resp: resp, stream: true})
 	if len(*got) != 1 || (*got)[0].End != Spoilt || l.open || p.streams != 1 || !b.bell.Wait(0) || b.err == nil {
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // A write that breaks off has not sent the request's last byte: it never ran,
@@ -21,7 +21,7 @@
 			there.Close()
 		}()
 		var got []Result[int]
-		p := &Peer[int]{opt: PeerOptions{World: seam.Real, Sockets: NewSockets(1)}, busy: map[int]*link[int]{},
+		p := &Peer[int]{opt: PeerOptions{World: hostenv.Real, Sockets: NewSockets(1)}, busy: map[int]*link[int]{},
 			done: func(r Result[int]) { got = append(got, r) }}
 		p.opt.Sockets.take()
 		l := &link[int]{conn: newConn(nil, here), open: true}
@@ -35,7 +35,7 @@
 // A connection that has just answered may still bring more: the next request
 // takes another one, the newest that has been quiet for a while.
 func TestConnectionsSettle(t *testing.T) {
-	p := &Peer[int]{opt: PeerOptions{World: seam.Real, Sockets: NewSockets(9), Keep: NewKeep(time.Hour / 2)}, busy: map[int]*link[int]{}}
+	p := &Peer[int]{opt: PeerOptions{World: hostenv.Real, Sockets: NewSockets(9), Keep: NewKeep(time.Hour / 2)}, busy: map[int]*link[int]{}}
 	idle := func(since time.Duration) *link[int] {
 		here, there := net.Pipe()
 		go io.Copy(io.Discard, there)
@@ -120,7 +120,7 @@
 		go io.Copy(io.Discard, there)
 		return &link[int]{conn: newConn(nil, here), open: true, since: time.Now().Add(-idle)}
 	}
-	p := &Peer[int]{opt: PeerOptions{World: seam.Real, Sockets: NewSockets(9), Keep: NewKeep(time.Minute)}, busy: map[int]*link[int]{},
+	p := &Peer[int]{opt: PeerOptions{World: hostenv.Real, Sockets: NewSockets(9), Keep: NewKeep(time.Minute)}, busy: map[int]*link[int]{},
 		done: func(Result[int]) {}}
 	for range 5 {
 		l := dial(time.Second)
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -11,7 +11,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/seam"
+	"asterwell/internal/hostenv"
 )
 
 // Bounds of what streams.
@@ -31,7 +31,7 @@
 	total int64
 	first []byte // read already, while it might have been short
 	err   error  // it has ended
-	bell  seam.Bell
+	bell  hostenv.Bell
 }
 
 var errTooLong = errors.New("longer than any answer may be")
