--- a/cmd/reed/show.go
+++ b/cmd/reed/show.go
@@ -11,7 +11,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"asterwell/internal/glass"
+	"asterwell/internal/adminapi"
 	"asterwell/internal/tell"
 )
 
@@ -58,7 +58,7 @@
 		return err
 	}
 	only := c.StringArg("service")
-	s.Servers = slices.DeleteFunc(s.Servers, func(v glass.Server) bool {
+	s.Servers = slices.DeleteFunc(s.Servers, func(v adminapi.Server) bool {
 		return only != "" && v.Service != only || v.Phase == "ended" && !c.Bool("ended")
 	})
 	if only != "" && len(s.Servers) == 0 {
--- a/internal/glass/glass.go
+++ b/internal/adminapi/adminapi.go
@@ -1,6 +1,6 @@
-// Package glass is what operators are shown of a process: one form for the process that
+// Package adminapi is what operators are shown of a process: one form for the process that
 // fills it in and the client that reads it. Times that say how long are in seconds.
-package glass
+package adminapi
 
 import "time"
 
--- a/internal/glass/frames.go
+++ b/internal/adminapi/frames.go
@@ -1,4 +1,4 @@
-package glass
+package adminapi
 
 // Frames is what has gone between a process and others since its start. It is small
 // however many there are.
--- a/internal/glass/quotas.go
+++ b/internal/adminapi/quotas.go
@@ -1,4 +1,4 @@
-package glass
+package adminapi
 
 // Quotas is what one gateway's decisions about tenants' quotas went by since its start.
 type Quotas struct {
--- a/internal/daemon/frames.go
+++ b/internal/daemon/frames.go
@@ -10,9 +10,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"asterwell/internal/adminapi"
 	"asterwell/internal/consensus"
 	"asterwell/internal/controlplane"
-	"asterwell/internal/glass"
 	"asterwell/internal/mesh"
 	"asterwell/internal/quotas"
 )
@@ -48,12 +48,12 @@
 }
 
 // kinds are the counts by message.
-func (t *tally) kinds() map[string]glass.Kind {
-	all := map[string]glass.Kind{}
+func (t *tally) kinds() map[string]adminapi.Kind {
+	all := map[string]adminapi.Kind{}
 	for _, n := range numbers {
 		c := &t[n]
-		k := glass.Kind{Sent: c.sent.Load(), BytesOut: c.bytesOut.Load(), Got: c.got.Load(), BytesIn: c.bytesIn.Load()}
-		if k != (glass.Kind{}) {
+		k := adminapi.Kind{Sent: c.sent.Load(), BytesOut: c.bytesOut.Load(), Got: c.got.Load(), BytesIn: c.bytesIn.Load()}
+		if k != (adminapi.Kind{}) {
 			all[controlplane.MessageName(int(n/32), int(n%32))] = k
 		}
 	}
@@ -72,9 +72,9 @@
 }
 
 // Frames is what has gone between this process and others. It does not wait for the loop.
-func (p *Process) Frames() glass.Frames {
+func (p *Process) Frames() adminapi.Frames {
 	role, _ := p.role.Load().(string)
-	return glass.Frames{Name: p.set.NodeName, Role: role, Ready: p.ready.Load(), Version: p.version.Load(),
+	return adminapi.Frames{Name: p.set.NodeName, Role: role, Ready: p.ready.Load(), Version: p.version.Load(),
 		Up: int(p.up.Load()), Serving: int(p.known.Load()), Kinds: p.frames.kinds()}
 }
 
--- a/internal/daemon/frames_test.go
+++ b/internal/daemon/frames_test.go
@@ -5,8 +5,8 @@
 	"bytes"
 	"testing"
 
+	"asterwell/internal/adminapi"
 	"asterwell/internal/consensus"
-	"asterwell/internal/glass"
 )
 
 // Frames are counted by their message, on the way out and in, with their bytes on the wire.
@@ -30,7 +30,7 @@
 	if len(sent) != 2 || sent["pact.Ask"].Sent != 2 || sent["pact.Pull"].Sent != 1 || sent["pact.Ask"].BytesOut+sent["pact.Pull"].BytesOut != all {
 		t.Errorf("sent %v, %d bytes", sent, all)
 	}
-	if k := got["pact.Ask"]; k != (glass.Kind{Got: 2, BytesIn: sent["pact.Ask"].BytesOut}) || len(got) != 2 {
+	if k := got["pact.Ask"]; k != (adminapi.Kind{Got: 2, BytesIn: sent["pact.Ask"].BytesOut}) || len(got) != 2 {
 		t.Errorf("got %v", got)
 	}
 }
--- a/internal/daemon/quotas.go
+++ b/internal/daemon/quotas.go
@@ -6,8 +6,8 @@
 	"github.com/samber/lo"
 	"github.com/valyala/fasthttp"
 
+	"asterwell/internal/adminapi"
 	"asterwell/internal/fsm"
-	"asterwell/internal/glass"
 	"asterwell/internal/quotas"
 )
 
@@ -22,11 +22,11 @@
 func (p *Process) quotas(ctx *fasthttp.RequestCtx, _ string) {
 	p.show(ctx, func(p *Process) any {
 		a, name := p.meter.account(p.now()), named(p.knot.Gateways(p.now()))
-		return glass.Quotas{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Holder: cmp.Or(name(a.Holder), a.Holder),
+		return adminapi.Quotas{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Holder: cmp.Or(name(a.Holder), a.Holder),
 			HolderChanges: a.Changes, SharesFor: a.Gateways, InTouch: a.InTouch, UnansweredMs: a.UnheardMS,
 			BehindUnits: a.Behind, BehindAnswers: a.Answers,
-			Decided: lo.Map(quotas.Bases(), func(b quotas.Basis, _ int) glass.Decision {
-				return glass.Decision{Basis: b.String(), Passed: a.Decided[b].Passed, Refused: a.Decided[b].Refused}
+			Decided: lo.Map(quotas.Bases(), func(b quotas.Basis, _ int) adminapi.Decision {
+				return adminapi.Decision{Basis: b.String(), Passed: a.Decided[b].Passed, Refused: a.Decided[b].Refused}
 			})}
 	})
 }
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -10,8 +10,8 @@
 	"github.com/samber/lo"
 	"github.com/valyala/fasthttp"
 
+	"asterwell/internal/adminapi"
 	"asterwell/internal/consensus"
-	"asterwell/internal/glass"
 	"asterwell/internal/memberlist"
 	"asterwell/internal/registry"
 )
@@ -48,9 +48,9 @@
 	p.show(ctx, func(p *Process) any {
 		all := p.knot.Gateways(p.now())
 		name := named(all)
-		return glass.Members{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Draining: p.draining.Load(),
-			Gateways: lo.Map(all, func(s memberlist.Sight, _ int) glass.Gateway {
-				return glass.Gateway{Name: s.Name, Zone: s.Zone, Addr: s.Addr, Control: s.Control, Core: s.Member, State: s.State.String(),
+		return adminapi.Members{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Draining: p.draining.Load(),
+			Gateways: lo.Map(all, func(s memberlist.Sight, _ int) adminapi.Gateway {
+				return adminapi.Gateway{Name: s.Name, Zone: s.Zone, Addr: s.Addr, Control: s.Control, Core: s.Member, State: s.State.String(),
 					ForS: s.For.Seconds(), Ready: s.Ready, Started: time.UnixMilli(int64(s.Life)).UTC(), NewsS: s.News.Seconds(),
 					Watched: s.Here, Watchers: lo.Map(s.Watchers, func(a string, _ int) string { return name(a) }),
 					Holds: fmt.Sprintf("%08x", s.Held)}
@@ -68,9 +68,9 @@
 	p.show(ctx, func(p *Process) any {
 		all := p.knot.Gateways(p.now())
 		name, at := named(all), lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Control })
-		return glass.Services{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(),
-			Servers: lo.Map(p.knot.Services(p.now()), func(s registry.Sight, _ int) glass.Server {
-				v := glass.Server{ID: s.ID, Service: s.Service, Endpoint: s.Addr, Zone: s.Zone, Epoch: s.Epoch, Capacity: s.Capacity,
+		return adminapi.Services{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(),
+			Servers: lo.Map(p.knot.Services(p.now()), func(s registry.Sight, _ int) adminapi.Server {
+				v := adminapi.Server{ID: s.ID, Service: s.Service, Endpoint: s.Addr, Zone: s.Zone, Epoch: s.Epoch, Capacity: s.Capacity,
 					Phase: s.Phase.String(), WarmLeftS: s.WarmLeft.Seconds(), Home: name(s.Home), HomeAt: at[s.Home]}
 				if s.Beat >= 0 {
 					v.BeatS = lo.ToPtr(s.Beat.Seconds())
@@ -83,10 +83,10 @@
 func (p *Process) epochs(ctx *fasthttp.RequestCtx, _ string) {
 	p.show(ctx, func(p *Process) any {
 		now, today := p.now(), time.Now()
-		return glass.Epochs{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Role: p.knot.Pact().Role,
-			Epochs: lo.Map(p.knot.Epochs(), func(c consensus.Change, _ int) glass.Epoch {
-				return glass.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Seats, func(d consensus.Duty, _ int) glass.Seat {
-					return glass.Seat{Name: cmp.Or(d.Name, d.Addr), Zone: d.Zone, Addr: d.Addr, Does: d.Does}
+		return adminapi.Epochs{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Role: p.knot.Pact().Role,
+			Epochs: lo.Map(p.knot.Epochs(), func(c consensus.Change, _ int) adminapi.Epoch {
+				return adminapi.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Seats, func(d consensus.Duty, _ int) adminapi.Seat {
+					return adminapi.Seat{Name: cmp.Or(d.Name, d.Addr), Zone: d.Zone, Addr: d.Addr, Does: d.Does}
 				})}
 			})}
 	})
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"asterwell/internal/actor"
+	"asterwell/internal/adminapi"
 	"asterwell/internal/controlplane"
 	"asterwell/internal/daemon"
-	"asterwell/internal/glass"
 	"asterwell/internal/sysconfig"
 )
 
@@ -34,11 +34,11 @@
 
 // hollowWord is a line that it writes.
 type hollowWord struct {
-	Held  *hollowHeld    `json:",omitempty"`
-	Count []glass.Frames `json:",omitempty"`
-	Heap  uint64         `json:",omitempty"`
-	Spent int64          `json:",omitempty"` // units of quotas that passed
-	Short int64          `json:",omitempty"` // and that were refused
+	Held  *hollowHeld       `json:",omitempty"`
+	Count []adminapi.Frames `json:",omitempty"`
+	Heap  uint64            `json:",omitempty"`
+	Spent int64             `json:",omitempty"` // units of quotas that passed
+	Short int64             `json:",omitempty"` // and that were refused
 }
 
 // hollowHeld says since when a gateway holds a version.
@@ -145,7 +145,7 @@
 func (h *hollow) count() {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	w := hollowWord{Heap: mem.HeapInuse, Spent: h.spent.Load(), Short: h.short.Load(), Count: []glass.Frames{}}
+	w := hollowWord{Heap: mem.HeapInuse, Spent: h.spent.Load(), Short: h.short.Load(), Count: []adminapi.Frames{}}
 	for _, p := range h.all {
 		w.Count = append(w.Count, p.Frames())
 	}
--- a/internal/lab/scalefleet.go
+++ b/internal/lab/scalefleet.go
@@ -26,7 +26,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sys/unix"
 
-	"asterwell/internal/glass"
+	"asterwell/internal/adminapi"
 	"asterwell/internal/sysconfig"
 )
 
@@ -325,7 +325,7 @@
 
 // reading is what a gateway and its process have come to.
 type reading struct {
-	glass.Frames
+	adminapi.Frames
 	cpu  float64 // s, its share of the process
 	rss  float64 // MB, the same
 	heap float64
@@ -344,7 +344,7 @@
 			continue
 		}
 		wg.Go(func() {
-			var got []glass.Frames
+			var got []adminapi.Frames
 			heap, share := 0.0, float64(len(p.nodes))
 			var spent, short int64
 			if p.real() {
@@ -352,13 +352,13 @@
 				if err != nil {
 					return
 				}
-				var one glass.Frames
+				var one adminapi.Frames
 				err = json.NewDecoder(a.Body).Decode(&one)
 				a.Body.Close()
 				if err != nil {
 					return
 				}
-				got = []glass.Frames{one}
+				got = []adminapi.Frames{one}
 			} else {
 				for len(p.count) > 0 {
 					<-p.count
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -57,7 +57,7 @@
 		"../controlplane": {"net*", "os*", "log*", "github.com/valyala/*", "asterwell/internal/daemon", "asterwell/internal/dataplane", "asterwell/internal/vault", "asterwell/internal/mesh", "asterwell/internal/hostenv"},
 		"../sysconfig":    {"net", "net/http", "log*", "cuelang.org/*", "own"},
 		"../vault":        {"net", "net/http", "own"},
-		"../glass":        {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
+		"../adminapi":     {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../tell":         {"github.com/valyala/*", "github.com/mattn/*", "cuelang.org/*", "asterwell/internal/daemon", "asterwell/internal/vault", "asterwell/internal/controlplane"},
 		"../logring":      {"net*", "own"},
 		"../dataplane":    {"asterwell/internal/daemon", "asterwell/internal/controlplane", "asterwell/internal/consensus", "asterwell/internal/registry", "asterwell/internal/memberlist", "asterwell/internal/quotas", "asterwell/internal/vault"},
--- a/internal/tell/show.go
+++ b/internal/tell/show.go
@@ -15,7 +15,7 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/glass"
+	"asterwell/internal/adminapi"
 )
 
 // show reads what one gateway shows.
@@ -32,23 +32,23 @@
 }
 
 // Members asks one gateway for all gateways.
-func (c *Client) Members(ctx context.Context) (*glass.Members, *Answer, error) {
-	return show[glass.Members](ctx, c, "members")
+func (c *Client) Members(ctx context.Context) (*adminapi.Members, *Answer, error) {
+	return show[adminapi.Members](ctx, c, "members")
 }
 
 // Epochs asks one gateway for what it has seen of agreement.
-func (c *Client) Epochs(ctx context.Context) (*glass.Epochs, *Answer, error) {
-	return show[glass.Epochs](ctx, c, "epochs")
+func (c *Client) Epochs(ctx context.Context) (*adminapi.Epochs, *Answer, error) {
+	return show[adminapi.Epochs](ctx, c, "epochs")
 }
 
 // Quotas asks one gateway what its decisions about quotas went by.
-func (c *Client) Quotas(ctx context.Context) (*glass.Quotas, *Answer, error) {
-	return show[glass.Quotas](ctx, c, "quotas")
+func (c *Client) Quotas(ctx context.Context) (*adminapi.Quotas, *Answer, error) {
+	return show[adminapi.Quotas](ctx, c, "quotas")
 }
 
 // Services asks one gateway for all servers.
-func (c *Client) Services(ctx context.Context) (*glass.Services, *Answer, error) {
-	return show[glass.Services](ctx, c, "services")
+func (c *Client) Services(ctx context.Context) (*adminapi.Services, *Answer, error) {
+	return show[adminapi.Services](ctx, c, "services")
 }
 
 const (
@@ -58,7 +58,7 @@
 
 // Beats asks the homes of servers for the age of beats that did not come to the gateway
 // that told of them, once each. It returns the homes that did not answer.
-func Beats(ctx context.Context, s *glass.Services, dial func(at []string, within time.Duration) *Client) (silent []string) {
+func Beats(ctx context.Context, s *adminapi.Services, dial func(at []string, within time.Duration) *Client) (silent []string) {
 	var homes []string
 	for _, v := range s.Servers {
 		if v.BeatS == nil && v.HomeAt != "" && !slices.Contains(homes, v.HomeAt) && len(homes) < mostHomes {
@@ -102,11 +102,13 @@
 }
 
 // WriteMembers prints the gateways by zone and name.
-func WriteMembers(to io.Writer, m *glass.Members) error {
+func WriteMembers(to io.Writer, m *adminapi.Members) error {
 	fmt.Fprintf(to, "as %s sees it%s%s\n\n", m.Asked, lo.Ternary(m.Draining, "; it drains", ""), apart(m.ContactS))
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tZONE\tCONTROL\tCORE\tSTATE\tFOR\tREADY\tHOLDS\tNEWS\tSTARTED\tWATCHED BY")
-	slices.SortFunc(m.Gateways, func(a, b glass.Gateway) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(m.Gateways, func(a, b adminapi.Gateway) int {
+		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
+	})
 	far := false
 	for _, g := range m.Gateways {
 		news := age(g.NewsS)
@@ -138,11 +140,11 @@
 }
 
 // WriteServices prints servers by service.
-func WriteServices(to io.Writer, s *glass.Services) error {
+func WriteServices(to io.Writer, s *adminapi.Services) error {
 	fmt.Fprintf(to, "as %s sees it%s\n\n", s.Asked, apart(s.ContactS))
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVICE\tSERVER\tENDPOINT\tZONE\tPHASE\tWARM-UP LEFT\tLAST BEAT\tHOME")
-	slices.SortStableFunc(s.Servers, func(a, b glass.Server) int {
+	slices.SortStableFunc(s.Servers, func(a, b adminapi.Server) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.ID, b.ID))
 	})
 	for _, v := range s.Servers {
@@ -159,7 +161,7 @@
 }
 
 // WriteEpochs prints who does what, and the changes of it, the newest first.
-func WriteEpochs(to io.Writer, e *glass.Epochs) error {
+func WriteEpochs(to io.Writer, e *adminapi.Epochs) error {
 	if len(e.Epochs) == 0 {
 		_, err := fmt.Fprintf(to, "as %s sees it: no epoch; the core has not agreed, or can't be reached from there\n", e.Asked)
 		return err
@@ -178,15 +180,15 @@
 	return w.Flush()
 }
 
-func does(e glass.Epoch, what string) string {
-	names := lo.FilterMap(e.Seats, func(s glass.Seat, _ int) (string, bool) { return s.Name, s.Does == what })
+func does(e adminapi.Epoch, what string) string {
+	names := lo.FilterMap(e.Seats, func(s adminapi.Seat, _ int) (string, bool) { return s.Name, s.Does == what })
 	return cmp.Or(strings.Join(names, " "), "-")
 }
 
 // changed tells in words what one epoch has otherwise than the one before.
-func changed(was, is glass.Epoch) string {
-	duty := func(e glass.Epoch) map[string]glass.Seat {
-		return lo.KeyBy(e.Seats, func(s glass.Seat) string { return s.Addr })
+func changed(was, is adminapi.Epoch) string {
+	duty := func(e adminapi.Epoch) map[string]adminapi.Seat {
+		return lo.KeyBy(e.Seats, func(s adminapi.Seat) string { return s.Addr })
 	}
 	old, now := duty(was), duty(is)
 	var words []string
@@ -225,7 +227,7 @@
 }
 
 // WriteQuotas prints what one gateway's decisions about quotas went by.
-func WriteQuotas(to io.Writer, q *glass.Quotas) error {
+func WriteQuotas(to io.Writer, q *adminapi.Quotas) error {
 	fmt.Fprintf(to, "as %s sees it%s\n\n", q.Asked, apart(q.ContactS))
 	fmt.Fprintf(to, "reads %s, another one %d times, unanswered for %d ms\n", cmp.Or(q.Holder, "nobody"), q.HolderChanges, q.UnansweredMs)
 	fmt.Fprintf(to, "shares for %d gateways, %d in touch\n", q.SharesFor, q.InTouch)
--- a/internal/tell/status.go
+++ b/internal/tell/status.go
@@ -19,7 +19,7 @@
 // Status is what one gateway knows: of itself, of agreement, of the others.
 type Status struct {
 	Name, Mesh     string
-	ContactS       *float64 // as in glass.Members
+	ContactS       *float64 // as in adminapi.Members
 	Ready, Leaving bool
 	Version        string // of the configuration in force there
 	Pact           Pact
