--- a/cmd/reed/faults.go
+++ b/cmd/reed/faults.go
@@ -13,8 +13,8 @@
 	"github.com/samber/lo"
 	"github.com/urfave/cli/v3"
 
+	"asterwell/internal/adminclient"
 	"asterwell/internal/faultrules"
-	"asterwell/internal/tell"
 )
 
 // faultCommands are the operators' calls for fault rules (docs/faults.md).
@@ -78,8 +78,8 @@
 	if err != nil {
 		return err
 	}
-	var f *tell.Faults
-	var a *tell.Answer
+	var f *adminclient.Faults
+	var a *adminclient.Answer
 	if s := c.StringArg("version"); s != "" {
 		v, bad := strconv.ParseUint(s, 10, 32)
 		if bad != nil || v == 0 {
@@ -117,13 +117,13 @@
 	if err != nil {
 		return err
 	}
-	all, err := client.AllStrikes(ctx, func(at string) *tell.Client { return r.dial([]string{at}, c.Duration("within")) })
-	unheard := (*tell.Unheard)(nil)
+	all, err := client.AllStrikes(ctx, func(at string) *adminclient.Client { return r.dial([]string{at}, c.Duration("within")) })
+	unheard := (*adminclient.Unheard)(nil)
 	if err != nil && !errors.As(err, &unheard) {
 		return err
 	}
 	if since := c.Duration("since"); since > 0 {
-		all = lo.Filter(all, func(s tell.Strike, _ int) bool { return s.AgoMs <= since.Milliseconds() })
+		all = lo.Filter(all, func(s adminclient.Strike, _ int) bool { return s.AgoMs <= since.Milliseconds() })
 	}
 	if err := writeStrikes(r.out, all, c.Bool("json")); err != nil {
 		return err
@@ -134,11 +134,11 @@
 	return nil
 }
 
-func writeStrikes(to io.Writer, all []tell.Strike, asJSON bool) error {
+func writeStrikes(to io.Writer, all []adminclient.Strike, asJSON bool) error {
 	if !asJSON {
-		return tell.WriteStrikes(to, all)
+		return adminclient.WriteStrikes(to, all)
 	}
-	body, err := json.Marshal(append([]tell.Strike{}, all...))
+	body, err := json.Marshal(append([]adminclient.Strike{}, all...))
 	if err != nil {
 		return err
 	}
--- a/cmd/reed/main.go
+++ b/cmd/reed/main.go
@@ -15,8 +15,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"asterwell/internal/adminclient"
 	"asterwell/internal/sysconfig"
-	"asterwell/internal/tell"
 )
 
 // Exit codes, for scripts.
@@ -34,7 +34,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	os.Exit(run(ctx, os.Args, os.Stdin, os.Stdout, os.Stderr, tell.New))
+	os.Exit(run(ctx, os.Args, os.Stdin, os.Stdout, os.Stderr, adminclient.New))
 }
 
 // reed is one run of the program.
@@ -46,7 +46,7 @@
 }
 
 // dial makes a client; tests give one that doesn't wait.
-type dial func(at []string, within time.Duration) *tell.Client
+type dial func(at []string, within time.Duration) *adminclient.Client
 
 func run(ctx context.Context, args []string, in io.Reader, out, complaints io.Writer, d dial) int {
 	r := &reed{in, out, complaints, d}
@@ -59,14 +59,14 @@
 }
 
 func code(err error) int {
-	var no *tell.Refused
-	var none *tell.Nobody
-	var over *tell.Overtaken
-	var superseded *tell.Superseded
-	var unread *tell.Unread
-	var unheard *tell.Unheard
-	var other *tell.Otherwise
-	var unsettled *tell.Unsettled
+	var no *adminclient.Refused
+	var none *adminclient.Nobody
+	var over *adminclient.Overtaken
+	var superseded *adminclient.Superseded
+	var unread *adminclient.Unread
+	var unheard *adminclient.Unheard
+	var other *adminclient.Otherwise
+	var unsettled *adminclient.Unsettled
 	switch {
 	case err == nil:
 		return done
@@ -152,7 +152,7 @@
 }
 
 // client calls the gateways that the command line names, or a settings file does.
-func (r *reed) client(c *cli.Command) (*tell.Client, error) {
+func (r *reed) client(c *cli.Command) (*adminclient.Client, error) {
 	at := c.StringSlice("at")
 	if path := c.String("from"); len(at) == 0 && path != "" {
 		set, err := sysconfig.ReadSettings(path)
--- a/cmd/reed/main_test.go
+++ b/cmd/reed/main_test.go
@@ -17,8 +17,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 	"golang.org/x/sys/unix"
 
+	"asterwell/internal/adminclient"
 	"asterwell/internal/daemon"
-	"asterwell/internal/tell"
 )
 
 func TestMain(m *testing.M) {
@@ -41,9 +41,9 @@
 }
 
 // unhurried is a client whose clock stands still but for its pauses, which it tells.
-func unhurried(at []string, within time.Duration) *tell.Client {
+func unhurried(at []string, within time.Duration) *adminclient.Client {
 	var now time.Time
-	return &tell.Client{At: at, Within: within, Now: func() time.Time { return now },
+	return &adminclient.Client{At: at, Within: within, Now: func() time.Time { return now },
 		Pause: func(_ context.Context, d time.Duration) error {
 			now = now.Add(d)
 			fmt.Fprintln(os.Stderr, "pause", d)
--- a/cmd/reed/rollout.go
+++ b/cmd/reed/rollout.go
@@ -10,7 +10,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // rolloutCommand shows how a configuration is taken up, and takes one back.
@@ -38,11 +38,11 @@
 	if err != nil {
 		return err
 	}
-	return (&tell.Rollout{Status: s.Rollout}).Write(r.out)
+	return (&adminclient.Rollout{Status: s.Rollout}).Write(r.out)
 }
 
 // leader asks the primary how things stand, where one is known.
-func (r *reed) leader(ctx context.Context, c *cli.Command, client *tell.Client) (*tell.Status, error) {
+func (r *reed) leader(ctx context.Context, c *cli.Command, client *adminclient.Client) (*adminclient.Status, error) {
 	s, _, err := client.Status(ctx)
 	if err != nil {
 		return nil, err
@@ -86,7 +86,7 @@
 			return p.Err
 		}
 		if at >= c.Duration("for") || client.Pause(ctx, watchEvery) != nil {
-			return &tell.Unsettled{Version: fmt.Sprintf("%08x", v)}
+			return &adminclient.Unsettled{Version: fmt.Sprintf("%08x", v)}
 		}
 	}
 }
--- a/cmd/reed/show.go
+++ b/cmd/reed/show.go
@@ -12,11 +12,11 @@
 	"github.com/urfave/cli/v3"
 
 	"asterwell/internal/adminapi"
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // shows asks one gateway for something, and prints it as it came or as text.
-func shows[T any](ctx context.Context, r *reed, c *cli.Command, ask func(*tell.Client, context.Context) (*T, *tell.Answer, error),
+func shows[T any](ctx context.Context, r *reed, c *cli.Command, ask func(*adminclient.Client, context.Context) (*T, *adminclient.Answer, error),
 	write func(io.Writer, *T) error) error {
 	client, err := r.client(c)
 	if err != nil {
@@ -34,15 +34,15 @@
 }
 
 func (r *reed) members(ctx context.Context, c *cli.Command) error {
-	return shows(ctx, r, c, (*tell.Client).Members, tell.WriteMembers)
+	return shows(ctx, r, c, (*adminclient.Client).Members, adminclient.WriteMembers)
 }
 
 func (r *reed) epochs(ctx context.Context, c *cli.Command) error {
-	return shows(ctx, r, c, (*tell.Client).Epochs, tell.WriteEpochs)
+	return shows(ctx, r, c, (*adminclient.Client).Epochs, adminclient.WriteEpochs)
 }
 
 func (r *reed) quotas(ctx context.Context, c *cli.Command) error {
-	return shows(ctx, r, c, (*tell.Client).Quotas, tell.WriteQuotas)
+	return shows(ctx, r, c, (*adminclient.Client).Quotas, adminclient.WriteQuotas)
 }
 
 func (r *reed) services(ctx context.Context, c *cli.Command) error {
@@ -62,16 +62,16 @@
 		return only != "" && v.Service != only || v.Phase == "ended" && !c.Bool("ended")
 	})
 	if only != "" && len(s.Servers) == 0 {
-		return &tell.Refused{At: a.At, Status: 404, Why: "no server of service " + only}
+		return &adminclient.Refused{At: a.At, Status: 404, Why: "no server of service " + only}
 	}
 	var silent []string
 	if !c.Bool("here") {
-		silent = tell.Beats(ctx, s, r.dial)
+		silent = adminclient.Beats(ctx, s, r.dial)
 	}
 	if c.Bool("json") {
 		return r.json(s)
 	}
-	if err := tell.WriteServices(r.out, s); err != nil || len(silent) == 0 {
+	if err := adminclient.WriteServices(r.out, s); err != nil || len(silent) == 0 {
 		return err
 	}
 	_, err = fmt.Fprintf(r.out, "\nhomes that did not answer: %s\n", strings.Join(silent, ", "))
@@ -125,7 +125,7 @@
 }
 
 // named finds a gateway's control address by its name.
-func (r *reed) named(ctx context.Context, client *tell.Client, name string) (string, error) {
+func (r *reed) named(ctx context.Context, client *adminclient.Client, name string) (string, error) {
 	m, a, err := client.Members(ctx)
 	if err != nil {
 		return "", err
@@ -140,7 +140,7 @@
 	case 1:
 		return found[0], nil
 	case 0:
-		return "", &tell.Refused{At: a.At, Status: 404, Why: "no gateway " + name + " that can be called"}
+		return "", &adminclient.Refused{At: a.At, Status: 404, Why: "no gateway " + name + " that can be called"}
 	}
 	return "", fmt.Errorf("drain: %s is the name of several: use --at with one of %s", name, strings.Join(found, ", "))
 }
--- a/cmd/reed/texts_test.go
+++ b/cmd/reed/texts_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // twoTexts has all processes of a script asked for two texts under one Epoch at the same moment, over and over:
@@ -142,7 +142,7 @@
 			if p.cmd == nil {
 				continue
 			}
-			if s, _, err := tell.New([]string{p.at}, time.Millisecond).Status(context.Background()); err == nil && s.Pact.Role == "primary" {
+			if s, _, err := adminclient.New([]string{p.at}, time.Millisecond).Status(context.Background()); err == nil && s.Pact.Role == "primary" {
 				return p, nil
 			}
 		}
@@ -187,7 +187,7 @@
 		}
 		for _, at := range args {
 			await(ts, "all are ready", func() bool {
-				s, _, err := tell.New([]string{at}, time.Second).Status(context.Background())
+				s, _, err := adminclient.New([]string{at}, time.Second).Status(context.Background())
 				if err != nil {
 					return false
 				}
@@ -223,8 +223,8 @@
 			rest = append(rest, p)
 		}
 	}
-	within := func(p *running, on bool) (*tell.Answer, error) {
-		return tell.New([]string{p.at}, 10*time.Second).Drain(context.Background(), on, false)
+	within := func(p *running, on bool) (*adminclient.Answer, error) {
+		return adminclient.New([]string{p.at}, 10*time.Second).Drain(context.Background(), on, false)
 	}
 	_, err = within(rest[0], true)
 	ts.Check(err)
--- a/example/system/cutoff_test.go
+++ b/example/system/cutoff_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // TestCutOff: the last of three, out of touch with most of the core, promises nothing and refuses
@@ -58,7 +58,7 @@
 	}
 	check(t, f.ask(last, "/hello/example"))
 	began := time.Now()
-	s, _, err := tell.New([]string{last.control()}, comesUp).Status(ctx)
+	s, _, err := adminclient.New([]string{last.control()}, comesUp).Status(ctx)
 	check(t, err)
 	if s.ContactS == nil || *s.ContactS < 0.3 || *s.ContactS > time.Since(began).Seconds()+60 {
 		t.Errorf("status tells no age: %+v", s.ContactS)
--- a/example/system/main.go
+++ b/example/system/main.go
@@ -18,7 +18,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 //go:embed configuration.json
@@ -109,7 +109,7 @@
 		}
 		go t.beat(ctx)
 	}
-	if _, err := tell.New(f.controls(), comesUp).Put(ctx, configuration); err != nil {
+	if _, err := adminclient.New(f.controls(), comesUp).Put(ctx, configuration); err != nil {
 		return err
 	}
 	for _, m := range f.machines {
--- a/example/system/main_test.go
+++ b/example/system/main_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
+	"asterwell/internal/adminclient"
 	"asterwell/internal/daemon"
-	"asterwell/internal/tell"
 )
 
 // TestMain is a process of the system where the test starts it as one.
@@ -61,7 +61,7 @@
 func TestLosesPrimary(t *testing.T) {
 	ctx, f, log := three(t)
 
-	operator := tell.New(f.controls(), comesUp)
+	operator := adminclient.New(f.controls(), comesUp)
 	s, _, err := operator.Status(ctx)
 	check(t, err)
 	i := slices.IndexFunc(f.machines, func(m *machine) bool { return strings.HasPrefix(s.Pact.Primary, m.IP+":") })
@@ -87,7 +87,7 @@
 	lost.Genesis = false
 	check(t, f.write(lost))
 	check(t, f.start(lost, log))
-	back := tell.New([]string{lost.control()}, comesUp)
+	back := adminclient.New([]string{lost.control()}, comesUp)
 	check(t, await(ctx, func() error { return seated(ctx, back) }))
 	check(t, await(ctx, func() error { return f.ask(lost, "/again/example") }))
 	if a, err := back.Get(ctx); err != nil || !bytes.Equal(a.Body, second) {
@@ -96,7 +96,7 @@
 }
 
 // seated: the gateway itself says that it has a part in agreement.
-func seated(ctx context.Context, c *tell.Client) error {
+func seated(ctx context.Context, c *adminclient.Client) error {
 	s, _, err := c.Status(ctx)
 	if err != nil {
 		return err
--- a/internal/tell/client.go
+++ b/internal/adminclient/client.go
@@ -1,6 +1,6 @@
-// Package tell is the operators' client: it calls gateways at their control addresses
+// Package adminclient is the operators' client: it calls gateways at their control addresses
 // as the protocol says that operators do.
-package tell
+package adminclient
 
 import (
 	"bytes"
--- a/internal/tell/errors.go
+++ b/internal/adminclient/errors.go
@@ -1,4 +1,4 @@
-package tell
+package adminclient
 
 import (
 	"fmt"
--- a/internal/lab/faultfleet.go
+++ b/internal/lab/faultfleet.go
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // faultFleet is a system on loopback: processes of loom, and servers that count what runs.
@@ -317,13 +317,13 @@
 	os.RemoveAll(f.dir)
 }
 
-func (f *faultFleet) client() *tell.Client {
+func (f *faultFleet) client() *adminclient.Client {
 	var at []string
 	for _, n := range f.nodes[:3] {
 		at = append(at, n.control())
 	}
 	f.run++
-	return tell.New(append(at[f.run%3:], at[:f.run%3]...), 10*time.Second)
+	return adminclient.New(append(at[f.run%3:], at[:f.run%3]...), 10*time.Second)
 }
 
 func (f *faultFleet) byMesh(addr string) *faultNode {
--- a/internal/lab/faultlosses.go
+++ b/internal/lab/faultlosses.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
+	"asterwell/internal/adminclient"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/memberlist"
-	"asterwell/internal/tell"
 )
 
 // loses: the primary is killed while a budget is being used, and comes back. What it had been
@@ -172,7 +172,7 @@
 			outcomes[s.Outcome]++
 		}
 	}
-	if un := (*tell.Unheard)(nil); errors.As(err, &un) {
+	if un := (*adminclient.Unheard)(nil); errors.As(err, &un) {
 		err = nil // what only it had is missing, and that is told
 	}
 	return ids, outcomes, err
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -10,9 +10,9 @@
 
 	"github.com/samber/lo"
 
+	"asterwell/internal/adminclient"
 	"asterwell/internal/faultrules"
 	"asterwell/internal/faultrules/world"
-	"asterwell/internal/tell"
 )
 
 // FaultOptions are what the measurement of fault rules is told.
@@ -156,7 +156,7 @@
 	var err error
 	f.settle(func() bool {
 		outcomes, err = f.outcomes(ctx, rule.Name)
-		return err == nil && lo.Sum(lo.Values(outcomes)) >= faultBudget && outcomes[tell.UnderWay] == 0
+		return err == nil && lo.Sum(lo.Values(outcomes)) >= faultBudget && outcomes[adminclient.UnderWay] == 0
 	})
 	if err != nil {
 		return err
@@ -333,9 +333,9 @@
 }
 
 // strikes are what is on record of a rule.
-func (f *faultFleet) strikes(ctx context.Context, rule string) ([]tell.Strike, error) {
-	all, err := f.client().AllStrikes(ctx, func(at string) *tell.Client { return tell.New([]string{at}, 5*time.Second) })
-	return lo.Filter(all, func(s tell.Strike, _ int) bool { return s.Rule == rule }), err
+func (f *faultFleet) strikes(ctx context.Context, rule string) ([]adminclient.Strike, error) {
+	all, err := f.client().AllStrikes(ctx, func(at string) *adminclient.Client { return adminclient.New([]string{at}, 5*time.Second) })
+	return lo.Filter(all, func(s adminclient.Strike, _ int) bool { return s.Rule == rule }), err
 }
 
 // outcomes counts what became of those that a rule struck. What was not made is no strike.
--- a/internal/lab/frozen.go
+++ b/internal/lab/frozen.go
@@ -14,7 +14,7 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // FrozenOptions of the measurement of a real primary that stands still, is followed, and is
@@ -243,6 +243,6 @@
 }
 
 // at calls some processes only.
-func (x *frozenRun) at(of []*faultNode) *tell.Client {
-	return tell.New(lo.Map(of, func(n *faultNode, _ int) string { return n.control() }), 10*time.Second)
+func (x *frozenRun) at(of []*faultNode) *adminclient.Client {
+	return adminclient.New(lo.Map(of, func(n *faultNode, _ int) string { return n.control() }), 10*time.Second)
 }
--- a/internal/lab/recoveryreal.go
+++ b/internal/lab/recoveryreal.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"asterwell/internal/adminclient"
 	"asterwell/internal/systemsim"
-	"asterwell/internal/tell"
 )
 
 // The course of a real loss. The machine may be busy, so that phases are looked at often,
@@ -146,7 +146,7 @@
 
 // watch looks at the processes until all phases but the traffic's have held for a while.
 func (x *realRun) watch(ctx context.Context) []time.Duration {
-	holds := []func([]*tell.Status) bool{x.read, x.agreed, x.known, x.isReady}
+	holds := []func([]*adminclient.Status) bool{x.read, x.agreed, x.known, x.isReady}
 	ends := make([]time.Duration, len(holds))
 	for i := range ends {
 		ends[i] = -1
@@ -165,35 +165,35 @@
 }
 
 // ask has each process's status; nil where there is none.
-func (x *realRun) ask(ctx context.Context) []*tell.Status {
-	all := make([]*tell.Status, len(x.about))
+func (x *realRun) ask(ctx context.Context) []*adminclient.Status {
+	all := make([]*adminclient.Status, len(x.about))
 	var wg sync.WaitGroup
 	for i, n := range x.about {
-		wg.Go(func() { all[i], _, _ = tell.New([]string{n.control()}, 0).Status(ctx) })
+		wg.Go(func() { all[i], _, _ = adminclient.New([]string{n.control()}, 0).Status(ctx) })
 	}
 	wg.Wait()
 	return all
 }
 
-func every(all []*tell.Status, ok func(s *tell.Status) bool) bool {
-	return !slices.ContainsFunc(all, func(s *tell.Status) bool { return s == nil || !ok(s) })
+func every(all []*adminclient.Status, ok func(s *adminclient.Status) bool) bool {
+	return !slices.ContainsFunc(all, func(s *adminclient.Status) bool { return s == nil || !ok(s) })
 }
 
 // read: a process answers once it has read its state.
-func (x *realRun) read(all []*tell.Status) bool {
-	return every(all, func(*tell.Status) bool { return true })
+func (x *realRun) read(all []*adminclient.Status) bool {
+	return every(all, func(*adminclient.Status) bool { return true })
 }
 
 // agreed: all have the primary of one later epoch, and a wiped machine its seat.
-func (x *realRun) agreed(all []*tell.Status) bool {
-	return every(all, func(s *tell.Status) bool {
+func (x *realRun) agreed(all []*adminclient.Status) bool {
+	return every(all, func(s *adminclient.Status) bool {
 		return s.Pact.Epoch > x.epoch && s.Pact.Epoch == all[0].Pact.Epoch && s.Pact.Primary != "" &&
 			(len(all) > 1 || s.Pact.Role != "follower")
 	})
 }
 
-func (x *realRun) known(all []*tell.Status) bool {
-	return every(all, func(s *tell.Status) bool {
+func (x *realRun) known(all []*adminclient.Status) bool {
+	return every(all, func(s *adminclient.Status) bool {
 		n := 0
 		for _, v := range s.Servers {
 			if v.Phase == "serving" {
@@ -204,8 +204,8 @@
 	})
 }
 
-func (x *realRun) isReady(all []*tell.Status) bool {
-	return every(all, func(s *tell.Status) bool { return s.Ready })
+func (x *realRun) isReady(all []*adminclient.Status) bool {
+	return every(all, func(s *adminclient.Status) bool { return s.Ready })
 }
 
 // served is since when a quarter of what ends in each span is served. A span in which
--- a/internal/lab/rolloutledger.go
+++ b/internal/lab/rolloutledger.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // ledger has what clients sent, what ran at the servers, and what processes said of
@@ -27,8 +27,8 @@
 	lives  []sighting               // as processes say
 	fates  map[uint32]string        // withdrawn or live, as processes say
 	split  int
-	kept   uint32                // the highest that a process said it has
-	turns  map[string]tell.Turns // of each life of a process
+	kept   uint32                       // the highest that a process said it has
+	turns  map[string]adminclient.Turns // of each life of a process
 	down   map[string][]stretch
 }
 
@@ -66,7 +66,7 @@
 
 func newLedger() *ledger {
 	return &ledger{began: time.Now(), runs: map[string][]run{}, rules: map[uint32]rules{}, puts: map[uint32]time.Duration{},
-		first: map[uint32]time.Duration{}, fates: map[uint32]string{}, turns: map[string]tell.Turns{},
+		first: map[uint32]time.Duration{}, fates: map[uint32]string{}, turns: map[string]adminclient.Turns{},
 		down: map[string][]stretch{}}
 }
 
--- a/internal/lab/rolloutplay.go
+++ b/internal/lab/rolloutplay.go
@@ -10,7 +10,7 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // play is what befalls the processes, in order; it ends early where the time is over.
@@ -58,8 +58,8 @@
 	}
 	t.rng.Shuffle(len(at), func(i, j int) { at[i], at[j] = at[j], at[i] })
 	t.wg.Go(func() {
-		_, err := tell.New(at, 10*time.Second).Put(t.ctx, []byte(r.text(v)))
-		var over *tell.Overtaken
+		_, err := adminclient.New(at, 10*time.Second).Put(t.ctx, []byte(r.text(v)))
+		var over *adminclient.Overtaken
 		if err == nil || errors.As(err, &over) {
 			for was := t.acks.Load(); was < v && !t.acks.CompareAndSwap(was, v); was = t.acks.Load() {
 			}
@@ -147,7 +147,7 @@
 }
 
 func (t *trial) withdraw(v uint32) {
-	c := tell.New([]string{t.f.nodes[t.rng.IntN(3)].control()}, 3*time.Second)
+	c := adminclient.New([]string{t.f.nodes[t.rng.IntN(3)].control()}, 3*time.Second)
 	_, _, err := c.Withdraw(t.ctx, fmt.Sprintf("%08x", v))
 	t.r.Rule(err == nil, "withdraw: %v", err)
 }
@@ -274,7 +274,7 @@
 func (t *trial) primary() *faultNode {
 	for _, n := range t.f.nodes[:3] {
 		ctx, stop := context.WithTimeout(t.ctx, time.Second)
-		s, _, err := tell.New([]string{n.control()}, time.Millisecond).Status(ctx)
+		s, _, err := adminclient.New([]string{n.control()}, time.Millisecond).Status(ctx)
 		stop()
 		if err != nil {
 			continue
--- a/internal/lab/rolloutreal.go
+++ b/internal/lab/rolloutreal.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // RealOptions of the same with real processes.
@@ -252,7 +252,7 @@
 	var all sync.WaitGroup
 	for _, n := range t.f.nodes {
 		all.Go(func() {
-			c := tell.New([]string{n.control()}, time.Millisecond) // one try
+			c := adminclient.New([]string{n.control()}, time.Millisecond) // one try
 			for ctx.Err() == nil {
 				if s, _, err := c.Status(ctx); err == nil {
 					t.l.heard(t.l.now(), n.name, s.Rollout.Live, s.Rollout.Newest, s.Rollout.Fate)
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -16,7 +16,7 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // ScaleOptions of the run with real and hollow gateways.
@@ -280,7 +280,7 @@
 // judge looks at what must hold in the end.
 func (x *scaleRun) judge() {
 	x.r.Rule(x.settled(time.Now().Add(scaleTurn), true), "in the end not all hold the newest and know all: %s", x.lacks(true))
-	a, err := tell.New([]string{x.nodes[0].control(x.port), x.nodes[1].control(x.port)}, 10*time.Second).Get(context.Background())
+	a, err := adminclient.New([]string{x.nodes[0].control(x.port), x.nodes[1].control(x.port)}, 10*time.Second).Get(context.Background())
 	x.r.Rule(err == nil && bytes.Equal(a.Body, x.text), "the newest acknowledged configuration is not read back: %v", err)
 	hollow := x.o.Gateways - x.o.Real
 	x.r.Figure["gateways"], x.r.Figure["hollow"], x.r.Figure["real"], x.r.Figure["core"] = x.o.Gateways, hollow, x.o.Real, x.o.Core
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"asterwell/internal/tell"
+	"asterwell/internal/adminclient"
 )
 
 // SoakOptions say what a soak of real processes plays.
@@ -274,12 +274,12 @@
 }
 
 // control is a client that begins with another process each time.
-func (s *soak) control(turn int) *tell.Client {
+func (s *soak) control(turn int) *adminclient.Client {
 	var at []string
 	for i := range 3 {
 		at = append(at, s.nodes[(turn+i)%3].control())
 	}
-	return tell.New(at, 5*time.Second)
+	return adminclient.New(at, 5*time.Second)
 }
 
 // back waits until all serve again, and reads what was acknowledged.
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -58,7 +58,7 @@
 		"../sysconfig":    {"net", "net/http", "log*", "cuelang.org/*", "own"},
 		"../vault":        {"net", "net/http", "own"},
 		"../adminapi":     {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
-		"../tell":         {"github.com/valyala/*", "github.com/mattn/*", "cuelang.org/*", "asterwell/internal/daemon", "asterwell/internal/vault", "asterwell/internal/controlplane"},
+		"../adminclient":  {"github.com/valyala/*", "github.com/mattn/*", "cuelang.org/*", "asterwell/internal/daemon", "asterwell/internal/vault", "asterwell/internal/controlplane"},
 		"../logring":      {"net*", "own"},
 		"../dataplane":    {"asterwell/internal/daemon", "asterwell/internal/controlplane", "asterwell/internal/consensus", "asterwell/internal/registry", "asterwell/internal/memberlist", "asterwell/internal/quotas", "asterwell/internal/vault"},
 		"../daemon":       {"asterwell/internal/standin*", "asterwell/internal/lab", "asterwell/internal/systemsim", "cuelang.org/*", "testing"},
