--- a/choice/adopt.go
+++ b/choice/adopt.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"asterwell/internal/ceiling"
 	"asterwell/internal/health"
 	"asterwell/internal/policy"
+	"asterwell/internal/ratecap"
 )
 
 // Adopt puts another policy in force: classes, plans, prices and the attempts that a
@@ -90,10 +90,10 @@
 		room = policy.Carry(room, policy.Quota{Rate: to.Rate, Burst: to.Burst}, float64(c.width))
 		c.tat = now + to.span(to.Burst-room)
 	}
-	switch terms := (ceiling.Terms{Rate: from.CeilingRate, Burst: from.CeilingBurst, QuotaRate: from.Rate, QuotaBurst: from.Burst, Width: float64(c.width)}); {
+	switch terms := (ratecap.Terms{Rate: from.CeilingRate, Burst: from.CeilingBurst, QuotaRate: from.Rate, QuotaBurst: from.Burst, Width: float64(c.width)}); {
 	case to.CeilingRate == 0:
 	case from.CeilingRate == 0: // nobody knows what has gone by
-		c.share = ceiling.New(now)
+		c.share = ratecap.New(now)
 	default: // filled by the old terms until now, and cut to what the new ones hold when it is next used
 		c.share.Has(now, terms, 0)
 	}
--- a/choice/meter.go
+++ b/choice/meter.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"asterwell/internal/ceiling"
+	"asterwell/internal/ratecap"
 )
 
 // customer is the meter of one customer at this gateway.
@@ -32,7 +32,7 @@
 	slots
 	heat   float64 // arrivals a second
 	heatAt time.Duration
-	share  ceiling.Share
+	share  ratecap.Share
 }
 
 // slots keep attempts out under a cap held by all gateways. A request waits only where others may matter.
@@ -135,21 +135,21 @@
 // word does not do. It doesn't for the time in which a store fills after a period's start, nor for a while
 // after a sign that counts were lost.
 func (b *Balancer) underCeiling(now time.Duration, r *request, inside bool) bool {
-	p, t, word := r.plan, r.terms(), ceiling.None
+	p, t, word := r.plan, r.terms(), ratecap.None
 	switch {
 	case !b.set.Counter || p.Rate == 0 || t.Rate <= p.Rate || t.Burst <= p.Burst || b.silent(now):
 	case !inside || !r.known:
-		word = ceiling.Guess
+		word = ratecap.Guess
 	case now%namePeriod < p.span(p.Burst) || now-b.doubtAt < t.Trusted():
-		word = ceiling.Late
+		word = ratecap.Late
 	default:
-		word = ceiling.Sure
+		word = ratecap.Sure
 	}
 	return r.cust.share.Take(now, t, r.Units, word)
 }
 
-func (r *request) terms() ceiling.Terms {
-	return ceiling.Terms{Rate: r.plan.CeilingRate, Burst: r.plan.CeilingBurst, QuotaRate: r.plan.Rate,
+func (r *request) terms() ratecap.Terms {
+	return ratecap.Terms{Rate: r.plan.CeilingRate, Burst: r.plan.CeilingBurst, QuotaRate: r.plan.Rate,
 		QuotaBurst: r.plan.Burst, Width: float64(r.Width)}
 }
 
@@ -162,7 +162,7 @@
 	c := b.customers[r.Customer]
 	if c == nil {
 		c = &customer{key: r.Customer, plan: r.plan, width: r.Width, assumeAt: now}
-		c.share = ceiling.New(b.started)
+		c.share = ratecap.New(b.started)
 		if c.tat = now; r.plan.Rate > 0 {
 			free := min(max(r.plan.Burst/float64(r.Width), b.set.MaxUnits, 1), r.plan.Burst)
 			c.tat = now + r.plan.span(r.plan.Burst-free)
--- a/choice/meter_test.go
+++ b/choice/meter_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"asterwell/internal/ceiling"
+	"asterwell/internal/ratecap"
 )
 
 // flood sends n requests of u units at once and returns how many were sent on.
@@ -278,7 +278,7 @@
 		q := ask(1, "read", plan, now)
 		q.Width = 2
 		c := b.customer(now, &request{Request: q, plan: b.plans[plan]})
-		c.readAt, c.share = now-msec, ceiling.New(now) // just read, and full
+		c.readAt, c.share = now-msec, ratecap.New(now) // just read, and full
 		b.Request(now, q)
 		if asked := len(rec.sends) == 0 && len(rec.counts) == 1; asked != want {
 			t.Errorf("%s: sends %v, calls %v, want the call first: %v", plan, rec.sends, rec.counts, want)
--- a/internal/ceiling/ceiling.go
+++ b/internal/ratecap/ratecap.go
@@ -1,4 +1,4 @@
-// Package ceiling keeps a customer's requests under a ceiling that holds over
+// Package ratecap keeps a customer's requests under a ceiling that holds over
 // all gateways together, without a word among them. Each gateway has an even
 // share of it, empty at its start, since an earlier life may have spent it.
 //
@@ -11,7 +11,7 @@
 // counts can't be trusted all goes by full shares, which sum up to the ceiling
 // in any interleaving: each use is taken from the share, below nothing if need
 // be, and what a full one loses is lost. No I/O, no clock.
-package ceiling
+package ratecap
 
 import "time"
 
--- a/internal/ceiling/ceiling_test.go
+++ b/internal/ratecap/ratecap_test.go
@@ -1,4 +1,4 @@
-package ceiling
+package ratecap
 
 import (
 	"testing"
