--- a/cmd/loom/main_test.go
+++ b/cmd/loom/main_test.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"asterwell/internal/consensus"
-	"asterwell/internal/vault"
+	"asterwell/internal/storage"
 )
 
 func TestMain(m *testing.M) {
@@ -75,7 +75,7 @@
 func keep(ts *testscript.TestScript, _ bool, args []string) {
 	syscall.ForkLock.RLock() // else what another script starts holds the state's lock until it is another program
 	defer syscall.ForkLock.RUnlock()
-	v, err := vault.Open(ts.MkAbs(args[0]))
+	v, err := storage.Open(ts.MkAbs(args[0]))
 	ts.Check(err)
 	defer v.Close()
 	seat := consensus.Seat{Addr: "here", Life: 1}
@@ -97,7 +97,7 @@
 func seatless(ts *testscript.TestScript, neg bool, args []string) {
 	syscall.ForkLock.RLock() // see keep
 	defer syscall.ForkLock.RUnlock()
-	v, err := vault.Open(ts.MkAbs(args[0]))
+	v, err := storage.Open(ts.MkAbs(args[0]))
 	ts.Check(err)
 	defer v.Close()
 	data, err := v.Load(record)
@@ -112,7 +112,7 @@
 
 // hold has a state open until the script ends, as a process would.
 func hold(ts *testscript.TestScript, _ bool, args []string) {
-	v, err := vault.Open(ts.MkAbs(args[0]))
+	v, err := storage.Open(ts.MkAbs(args[0]))
 	ts.Check(err)
 	ts.Defer(func() { v.Close() })
 }
--- a/cmd/loom/state.go
+++ b/cmd/loom/state.go
@@ -14,7 +14,7 @@
 
 	"asterwell/internal/consensus"
 	"asterwell/internal/registry"
-	"asterwell/internal/vault"
+	"asterwell/internal/storage"
 )
 
 const (
@@ -38,14 +38,14 @@
 	if _, err := os.Stat(filepath.Join(dir, file)); err != nil {
 		return &Unfit{dir, "no state: " + file + " is missing"}
 	}
-	found, err := vault.Look(dir) // opening a damaged one would begin to mend it
+	found, err := storage.Look(dir) // opening a damaged one would begin to mend it
 	if err != nil {
 		return err
 	}
 	if err := doubts(found); err != nil {
 		return err
 	}
-	v, err := vault.Open(dir)
+	v, err := storage.Open(dir)
 	if v != nil {
 		defer v.Close()
 	}
@@ -64,10 +64,10 @@
 }
 
 // doubts are all that is not whole in a state.
-func doubts(f *vault.Found) error {
+func doubts(f *storage.Found) error {
 	var all []error
 	if f.What != "" {
-		all = append(all, &vault.Damaged{Path: f.Path, What: f.What})
+		all = append(all, &storage.Damaged{Path: f.Path, What: f.What})
 	}
 	for _, r := range f.Records {
 		if r.Err != nil {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := vault.Look(dir)
+	f, err := storage.Look(dir)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 		is, holds := "whole", "-"
 		switch r.Err.(type) {
 		case nil:
-		case *vault.SteppedBack:
+		case *storage.SteppedBack:
 			is = "stepped back"
 		default:
 			is = "lost"
@@ -162,7 +162,7 @@
 	if _, err := os.Stat(from); err != nil {
 		return err
 	}
-	v, err := vault.Open(dir)
+	v, err := storage.Open(dir)
 	if v == nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 	if err = errors.Join(err, v.Close()); err != nil {
 		return err
 	}
-	if v, err = vault.Open(dir); v != nil {
+	if v, err = storage.Open(dir); v != nil {
 		defer v.Close()
 	}
 	if err != nil {
@@ -212,7 +212,7 @@
 }
 
 // read reads every record, and sums up what is in them.
-func read(v *vault.Vault) (string, error) {
+func read(v *storage.Vault) (string, error) {
 	sum, names := "no state of agreement", v.Names()
 	for _, name := range names {
 		data, err := v.Load(name)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -31,9 +31,9 @@
 	"asterwell/internal/protocol"
 	"asterwell/internal/quotas"
 	"asterwell/internal/registry"
+	"asterwell/internal/storage"
 	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
-	"asterwell/internal/vault"
 )
 
 // Process is one of the system.
@@ -57,8 +57,8 @@
 	serving   map[string]bool // servers, which the loop owns
 	bare      bool            // the data plane is told nothing
 	version   atomic.Uint32
-	up, known atomic.Int64 // processes and servers, for who counts them often
-	vault     *vault.Vault // nil: no disk
+	up, known atomic.Int64   // processes and servers, for who counts them often
+	vault     *storage.Vault // nil: no disk
 	disk      *actor.Box[*consensus.Write]
 	texts     *actor.Box[*controlplane.Text] // to be read: one at a time
 	readings  *controlplane.Readings         // nil: nobody shares them
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -13,7 +13,7 @@
 	"asterwell/internal/memberlist"
 	"asterwell/internal/registry"
 	"asterwell/internal/rollout"
-	"asterwell/internal/vault"
+	"asterwell/internal/storage"
 )
 
 // record is the name under which agreement's state is kept.
@@ -22,9 +22,9 @@
 // open reads what is on disk, and begins to write what comes. sound is false where
 // something was lost: what a member has forgotten, it may have promised, so that it
 // joins anew like one with an empty disk.
-func (p *Process) open(dir string) (v *vault.Vault, d *consensus.Disk, sound bool, err error) {
-	var lost *vault.Damaged
-	if v, err = vault.Open(dir); v == nil {
+func (p *Process) open(dir string) (v *storage.Vault, d *consensus.Disk, sound bool, err error) {
+	var lost *storage.Damaged
+	if v, err = storage.Open(dir); v == nil {
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
 	}
 	go p.write(v)
@@ -35,7 +35,7 @@
 		return v, nil, false, nil
 	}
 	data, err := v.Load(record)
-	var back *vault.SteppedBack
+	var back *storage.SteppedBack
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		aside, _ := v.Aside()
@@ -56,7 +56,7 @@
 
 // write syncs what agreement wants kept, the newest of what has come: each is whole.
 // A disk that refuses is asked again; until then nothing is acknowledged.
-func (p *Process) write(v *vault.Vault) {
+func (p *Process) write(v *storage.Vault) {
 	for {
 		all := p.disk.Take(-1)
 		if len(all) == 0 {
@@ -80,7 +80,7 @@
 const list = "lore"
 
 // writeList keeps the servers, the newest word of what has come. Nothing waits for it.
-func (p *Process) writeList(v *vault.Vault) {
+func (p *Process) writeList(v *storage.Vault) {
 	for {
 		all := p.rows.Take(-1)
 		if len(all) == 0 {
--- a/internal/daemon/tape.go
+++ b/internal/daemon/tape.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"asterwell/internal/faultrules"
-	"asterwell/internal/vault"
+	"asterwell/internal/storage"
 )
 
 // rulesKept is the name under which the core keeps fault rules.
@@ -25,7 +25,7 @@
 
 // tape is what a disk has of fault rules: the state, and the record of strikes.
 type tape struct {
-	vault *vault.Vault
+	vault *storage.Vault
 	mu    sync.Mutex
 	disk  taped
 }
@@ -62,7 +62,7 @@
 }
 
 // writeRules syncs fault rules, the newest of what has come, with all notes for the record.
-func (p *Process) writeRules(v *vault.Vault) {
+func (p *Process) writeRules(v *storage.Vault) {
 	for {
 		all := p.rules.Take(-1)
 		if len(all) == 0 {
--- a/internal/daemon/tape_test.go
+++ b/internal/daemon/tape_test.go
@@ -8,12 +8,12 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"asterwell/internal/faultrules"
-	"asterwell/internal/vault"
+	"asterwell/internal/storage"
 )
 
-func reopened(t *testing.T, dir string) (*Process, *vault.Vault) {
+func reopened(t *testing.T, dir string) (*Process, *storage.Vault) {
 	t.Helper()
-	v, err := vault.Open(dir)
+	v, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/state.go
+++ b/internal/lab/state.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"asterwell/internal/consensus"
+	"asterwell/internal/storage"
 	"asterwell/internal/systemsim"
-	"asterwell/internal/vault"
 )
 
 // StateOptions of the measurement of what many changes leave.
@@ -83,7 +83,7 @@
 		return g, err
 	}
 	defer os.RemoveAll(dir)
-	v, err := vault.Open(dir)
+	v, err := storage.Open(dir)
 	if err != nil {
 		return g, err
 	}
@@ -119,7 +119,7 @@
 		return g, err
 	}
 	began = time.Now()
-	if v, err = vault.Open(dir); err != nil {
+	if v, err = storage.Open(dir); err != nil {
 		return g, err
 	}
 	defer v.Close()
--- a/internal/vault/brittle_test.go
+++ b/internal/storage/brittle_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"sync"
 	"testing"
 
-	"asterwell/internal/vault/brittle"
+	"asterwell/internal/storage/brittle"
 )
 
 // recorded does something to the records in a folder, and tells each step of it.
--- a/internal/vault/record.go
+++ b/internal/storage/record.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"database/sql"
--- a/internal/vault/vault.go
+++ b/internal/storage/storage.go
@@ -1,7 +1,7 @@
-// Package vault keeps named records on a small disk that may lose power, tear what is
+// Package storage keeps named records on a small disk that may lose power, tear what is
 // written, refuse it or damage it. What Save has returned for is on the disk; what
 // can't be read back is told, never made up, and stepped back from where it can be.
-package vault
+package storage
 
 import (
 	"cmp"
