--- a/internal/storage/brittle_test.go
+++ b/internal/storage/brittle_test.go
@@ -13,33 +13,33 @@
 	"sync"
 	"testing"
 
-	"asterwell/internal/storage/brittle"
+	"asterwell/internal/storage/crashfs"
 )
 
 // recorded does something to the records in a folder, and tells each step of it.
-func recorded(t *testing.T, dir string, do func(v *Vault)) []brittle.Step {
+func recorded(t *testing.T, dir string, do func(v *Vault)) []crashfs.Step {
 	t.Helper()
-	must(t, brittle.Register())
+	must(t, crashfs.Register())
 	was := vfs
-	vfs = brittle.Name
+	vfs = crashfs.Name
 	defer func() { vfs = was }()
-	brittle.Record()
+	crashfs.Record()
 	v, err := Open(dir)
 	must(t, err)
 	if do == nil {
 		must(t, v.Close())
-		return brittle.Record()
+		return crashfs.Record()
 	}
-	brittle.Record()
+	crashfs.Record()
 	do(v)
-	steps := brittle.Record()
+	steps := crashfs.Record()
 	must(t, v.Close())
 	return steps
 }
 
-func folder(t *testing.T, dir string) brittle.Folder {
+func folder(t *testing.T, dir string) crashfs.Folder {
 	t.Helper()
-	f := brittle.Folder{}
+	f := crashfs.Folder{}
 	for _, name := range []string{file, file + journal} {
 		data, err := os.ReadFile(filepath.Join(dir, name))
 		if err == nil {
@@ -53,58 +53,58 @@
 
 // crashes lays out what a loss of power can leave after each step: every subset of what was not synced where that is
 // few, else each change alone lost and alone kept, and drawn subsets; torn writes, by sectors in order and drawn.
-func crashes(start brittle.Folder, steps []brittle.Step, rng *rand.Rand, drawn int, judge func(f brittle.Folder, after int) error) (count int, first error) {
-	d := brittle.NewDisk(start)
+func crashes(start crashfs.Folder, steps []crashfs.Step, rng *rand.Rand, drawn int, judge func(f crashfs.Folder, after int) error) (count int, first error) {
+	d := crashfs.NewDisk(start)
 	for at := 0; first == nil; at++ {
 		n := len(d.Pending())
-		try := func(how string, takes func(i int, s brittle.Step) []brittle.Step) {
+		try := func(how string, takes func(i int, s crashfs.Step) []crashfs.Step) {
 			if first != nil {
 				return
 			}
 			i := -1
 			count++
-			f := d.Crash(func(s brittle.Step) []brittle.Step { i++; return takes(i, s) })
+			f := d.Crash(func(s crashfs.Step) []crashfs.Step { i++; return takes(i, s) })
 			if err := judge(f, at); err != nil {
 				first = fmt.Errorf("after step %d of %d, %s: %w", at, len(steps), how, err)
 			}
 		}
-		whole := func(yes bool, s brittle.Step) []brittle.Step {
+		whole := func(yes bool, s crashfs.Step) []crashfs.Step {
 			if yes {
-				return []brittle.Step{s}
+				return []crashfs.Step{s}
 			}
 			return nil
 		}
 		if n <= 8 {
 			for set := range 1 << n {
-				try(fmt.Sprintf("set %b of %d", set, n), func(i int, s brittle.Step) []brittle.Step { return whole(set>>i&1 == 1, s) })
+				try(fmt.Sprintf("set %b of %d", set, n), func(i int, s crashfs.Step) []crashfs.Step { return whole(set>>i&1 == 1, s) })
 			}
 		} else {
 			for one := range n {
 				for _, lost := range []bool{true, false} {
-					try(fmt.Sprintf("%d of %d, lost %v", one, n, lost), func(i int, s brittle.Step) []brittle.Step { return whole((i == one) != lost, s) })
+					try(fmt.Sprintf("%d of %d, lost %v", one, n, lost), func(i int, s crashfs.Step) []crashfs.Step { return whole((i == one) != lost, s) })
 				}
 			}
 		}
 		for range drawn {
 			seed, full := rng.Uint64(), rng.IntN(3)
-			try(fmt.Sprintf("drawn %d", seed), func(i int, s brittle.Step) []brittle.Step {
+			try(fmt.Sprintf("drawn %d", seed), func(i int, s crashfs.Step) []crashfs.Step {
 				r := rand.New(rand.NewPCG(seed, uint64(i)))
 				switch k := r.IntN(4); {
 				case k < full:
-					return []brittle.Step{s}
-				case k == 3 && s.Kind == brittle.Wrote:
-					return brittle.Torn(s, func(int) bool { return r.IntN(2) == 0 })
+					return []crashfs.Step{s}
+				case k == 3 && s.Kind == crashfs.Wrote:
+					return crashfs.Torn(s, func(int) bool { return r.IntN(2) == 0 })
 				}
 				return nil
 			})
 		}
 		if n > 0 { // the last write is torn after each of its sectors, with all before it there
 			for cut := range 8 {
-				try(fmt.Sprintf("torn after %d", cut), func(i int, s brittle.Step) []brittle.Step {
-					if i < n-1 || s.Kind != brittle.Wrote {
-						return []brittle.Step{s}
+				try(fmt.Sprintf("torn after %d", cut), func(i int, s crashfs.Step) []crashfs.Step {
+					if i < n-1 || s.Kind != crashfs.Wrote {
+						return []crashfs.Step{s}
 					}
-					return brittle.Torn(s, func(i int) bool { return i < cut })
+					return crashfs.Torn(s, func(i int) bool { return i < cut })
 				})
 			}
 		}
@@ -117,7 +117,7 @@
 }
 
 // lay writes a folder, in memory's time: what is judged is what a start makes of it.
-func lay(t *testing.T, dir string, f brittle.Folder) {
+func lay(t *testing.T, dir string, f crashfs.Folder) {
 	t.Helper()
 	old, err := os.ReadDir(dir)
 	must(t, err)
@@ -141,9 +141,9 @@
 
 // saved says that what a folder holds is generation gen or the next one, of both records alike, and surely that one
 // after the last step. Generation 0 is none.
-func saved(t *testing.T, gen, last int) func(f brittle.Folder, after int) error {
+func saved(t *testing.T, gen, last int) func(f crashfs.Folder, after int) error {
 	at := quick(t)
-	return func(f brittle.Folder, after int) error {
+	return func(f crashfs.Folder, after int) error {
 		lay(t, at, f)
 		v, err := Open(at)
 		if err != nil {
@@ -195,7 +195,7 @@
 	syncs := 0
 	t.Run("without", func(t *testing.T) {
 		for i, s := range steps {
-			if s.Kind != brittle.Sync && s.Kind != brittle.Named {
+			if s.Kind != crashfs.Sync && s.Kind != crashfs.Named {
 				continue
 			}
 			syncs++
@@ -222,7 +222,7 @@
 	steps := recorded(t, dir, nil)
 	must(t, os.RemoveAll(dir))
 	dir = t.TempDir()
-	n, err := crashes(brittle.Folder{}, steps, rand.New(rand.NewPCG(1, 2)), 60, saved(t, 0, -1))
+	n, err := crashes(crashfs.Folder{}, steps, rand.New(rand.NewPCG(1, 2)), 60, saved(t, 0, -1))
 	t.Logf("%d steps, %d folders", len(steps), n)
 	if err != nil {
 		t.Error("opened: ", err)
@@ -245,14 +245,14 @@
 }
 
 // lose leaves of each change that was not synced it, nothing or some sectors.
-func lose(rng *rand.Rand) brittle.Fate {
+func lose(rng *rand.Rand) crashfs.Fate {
 	full := rng.IntN(3)
-	return func(s brittle.Step) []brittle.Step {
+	return func(s crashfs.Step) []crashfs.Step {
 		switch k := rng.IntN(4); {
 		case k <= full:
-			return []brittle.Step{s}
+			return []crashfs.Step{s}
 		case k == 3:
-			return brittle.Torn(s, func(int) bool { return rng.IntN(2) == 0 })
+			return crashfs.Torn(s, func(int) bool { return rng.IntN(2) == 0 })
 		}
 		return nil
 	}
@@ -267,7 +267,7 @@
 	var ends []int // steps when each save returned
 	must(t, opened(t, dir).Close())
 	start := folder(t, dir)
-	var tape []brittle.Step
+	var tape []crashfs.Step
 	recorded(t, dir, func(v *Vault) {
 		for g := 1; g <= saves; g++ {
 			all := map[string][]byte{"config": drawn("config", g)}
@@ -275,11 +275,11 @@
 				all["vote"] = drawn("vote", g)
 			}
 			must(t, v.SaveAll(all))
-			tape = append(tape, brittle.Record()...)
+			tape = append(tape, crashfs.Record()...)
 			ends = append(ends, len(tape))
 		}
 	})
-	check := func(t *testing.T, at string, f brittle.Folder, done int) {
+	check := func(t *testing.T, at string, f crashfs.Folder, done int) {
 		lay(t, at, f)
 		v, err := Open(at)
 		must(t, err)
@@ -312,7 +312,7 @@
 		}
 	}
 	type end struct {
-		folder brittle.Folder
+		folder crashfs.Folder
 		done   int
 	}
 	var left []end
@@ -320,7 +320,7 @@
 	for range 400 {
 		stop := rng.IntN(len(tape) + 1)
 		done, _ := slices.BinarySearch(ends, stop+1)
-		d := brittle.NewDisk(start)
+		d := crashfs.NewDisk(start)
 		for _, s := range tape[:stop] {
 			d.Do(s)
 		}
@@ -332,7 +332,7 @@
 			continue
 		}
 		twice++
-		d = brittle.NewDisk(f)
+		d = crashfs.NewDisk(f)
 		for _, s := range again[:rng.IntN(len(again)+1)] {
 			d.Do(s)
 		}
--- a/internal/storage/brittle/brittle.go
+++ b/internal/storage/crashfs/crashfs.go
@@ -1,7 +1,7 @@
-// Package brittle is a file system for SQLite that tells of each change, and a disk that makes
+// Package crashfs is a file system for SQLite that tells of each change, and a disk that makes
 // of such changes the folders that a loss of power may leave: writes and names that were not
 // synced may be there or not, each by itself, and a write may be torn. It is for tests.
-package brittle
+package crashfs
 
 /*
 #cgo LDFLAGS: -Wl,--unresolved-symbols=ignore-all
--- a/internal/storage/brittle/disk.go
+++ b/internal/storage/crashfs/disk.go
@@ -1,4 +1,4 @@
-package brittle
+package crashfs
 
 import (
 	"bytes"
