--- a/internal/twin/twin.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,6 +1,6 @@
-// Package twin lets the processes of one gateway know of each other, by files in a
+// Package hotrestart lets the processes of one gateway know of each other, by files in a
 // folder that they share: who lives, who serves, and what one hands to the next.
-package twin
+package hotrestart
 
 import (
 	"cmp"
--- a/internal/twin/twin_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -1,4 +1,4 @@
-package twin
+package hotrestart
 
 import (
 	"errors"
--- a/internal/program/pair.go
+++ b/internal/program/pair.go
@@ -9,9 +9,9 @@
 
 	"asterwell/choice"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/hotrestart"
 	"asterwell/internal/routing"
 	"asterwell/internal/transport"
-	"asterwell/internal/twin"
 )
 
 // pair is this process beside another of the same gateway, on the platform's socket. The
@@ -19,7 +19,7 @@
 type pair struct {
 	world  hostenv.Seam
 	core   *routing.Core
-	twin   *twin.Twin
+	twin   *hotrestart.Twin
 	ln     *transport.Listener // the clients'
 	able   func() bool         // requests would be served
 	at     time.Time           // of the next look
@@ -44,7 +44,7 @@
 // newPair makes the process known, and leaves the socket's queue to an older one for now.
 func newPair(g *Gateway, ln *transport.Listener, able func() bool) (*pair, error) {
 	now := g.world.Now()
-	t, err := twin.Join(os.TempDir(), g.cfg.Name, fmt.Sprintf("%016x", g.world.Random()), now.UnixNano())
+	t, err := hotrestart.Join(os.TempDir(), g.cfg.Name, fmt.Sprintf("%016x", g.world.Random()), now.UnixNano())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/program/pair_test.go
+++ b/internal/program/pair_test.go
@@ -7,10 +7,10 @@
 
 	"asterwell/choice"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/hotrestart"
 	"asterwell/internal/protocol"
 	"asterwell/internal/routing"
 	"asterwell/internal/transport"
-	"asterwell/internal/twin"
 )
 
 // drawn is the real world, but for its chance.
@@ -23,12 +23,12 @@
 func TestHandedAlready(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
-	older, err := twin.Join(os.TempDir(), "n0", "aa", 1)
+	older, err := hotrestart.Join(os.TempDir(), "n0", "aa", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer older.Leave()
-	if err := older.Hand(twin.Card{ID: "0000000000000007"}, choice.Learnt{}); err != nil {
+	if err := older.Hand(hotrestart.Card{ID: "0000000000000007"}, choice.Learnt{}); err != nil {
 		t.Fatal(err)
 	}
 	set := choice.Settings{Doors: 1, MaxTries: 2, MaxUnits: 1, Tick: time.Millisecond,
