--- a/internal/consensus/orders.go
+++ b/internal/consensus/orders.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"cmp"
 
-	"asterwell/internal/ledger"
+	"asterwell/internal/dedup"
 )
 
 // An order is known by its number and a digest of its text, as the operator sent it. Beside
@@ -15,7 +15,7 @@
 // summed is the document with its digest; the version before sends none.
 func (d Doc) summed() Doc {
 	if len(d.Sum) == 0 {
-		d.Sum = ledger.Digest(d.Body)
+		d.Sum = dedup.Digest(d.Body)
 	}
 	return d
 }
@@ -31,7 +31,7 @@
 func (d Doc) full() Doc {
 	if len(d.Orders) == 0 && d.Version > 0 {
 		d = d.summed()
-		d.Orders = ledger.Since(d.Version, d.Body)
+		d.Orders = dedup.Since(d.Version, d.Body)
 	}
 	return d
 }
@@ -40,7 +40,7 @@
 // fault injection makes of one.
 func (d Doc) Forgetful() Doc {
 	if d.Orders = nil; d.Version > 0 {
-		d.Orders = ledger.New().With(d.Version, d.summed().Sum)
+		d.Orders = dedup.New().With(d.Version, d.summed().Sum)
 	}
 	return d
 }
@@ -76,11 +76,11 @@
 		return Kept
 	}
 	switch m.d.Kept.Orders.Of(d.Version, d.Sum) {
-	case ledger.Unused: // overtaken before it was accepted: its text is noted first
+	case dedup.Unused: // overtaken before it was accepted: its text is noted first
 		return 0
-	case ledger.Other:
+	case dedup.Other:
 		return Differs
-	case ledger.Unknown: // it may have been accepted long ago, with this text or another: neither is said
+	case dedup.Unknown: // it may have been accepted long ago, with this text or another: neither is said
 		return Busy
 	}
 	return Kept
@@ -101,7 +101,7 @@
 			d = m.c.Enter(kept, d)
 		}
 		if d.Orders, d.Notes = kept.Orders, 0; kept.Version == 0 {
-			d.Orders = ledger.New()
+			d.Orders = dedup.New()
 		}
 		d.Orders = d.Orders.With(d.Version, d.Sum)
 	}
--- a/internal/consensus/orders_test.go
+++ b/internal/consensus/orders_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"asterwell/internal/ledger"
+	"asterwell/internal/dedup"
 )
 
 // TestTexts visits cores that are given several texts of one number, and finds guards that are taken out.
@@ -125,7 +125,7 @@
 		if writes := n.cfg.Self == writers[0] || n.cfg.Self == writers[1]; writes != (len(d.Orders) > 0) {
 			t.Errorf("%s writes: %v, and has %d orders", n.cfg.Self, writes, d.Orders.Len())
 		}
-		if !bytes.Equal(d.Sum, ledger.Digest(d.Body)) || n.m.d.Next.Version > 0 {
+		if !bytes.Equal(d.Sum, dedup.Digest(d.Body)) || n.m.d.Next.Version > 0 {
 			t.Errorf("%s: %+v, next %+v", n.cfg.Self, d, n.m.d.Next)
 		}
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/dedup/dedup.go
@@ -1,7 +1,7 @@
-// Package ledger tells orders apart: each is known by its number and a digest of its text, as
+// Package dedup tells orders apart: each is known by its number and a digest of its text, as
 // it was sent. A ledger goes with the state that the orders change, so that a second copy of one
 // is known by whoever has the state.
-package ledger
+package dedup
 
 import (
 	"bytes"
--- a/internal/ledger/ledger_test.go
+++ b/internal/dedup/dedup_test.go
@@ -1,4 +1,4 @@
-package ledger
+package dedup
 
 import (
 	"fmt"
--- a/internal/faultrules/lead.go
+++ b/internal/faultrules/lead.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/samber/lo"
 
+	"asterwell/internal/dedup"
 	"asterwell/internal/fsm"
-	"asterwell/internal/ledger"
 )
 
 // lead is the primary's, while there is something to do.
@@ -294,7 +294,7 @@
 				m.answer(o, Busy)
 				continue
 			}
-			r.Sets = r.sets().With(o.f.Doc.Version, ledger.Digest(o.f.Doc.Body))
+			r.Sets = r.sets().With(o.f.Doc.Version, dedup.Digest(o.f.Doc.Body))
 			r.Turn, r.Doc, r.Stopped, r.Parts = r.Turn+1, o.f.Doc, false, nil
 			l.left, l.leftAt = nil, m.now
 			for i := range set.Rules {
@@ -317,20 +317,20 @@
 			return Done, true
 		}
 	case OpPut:
-		digest := ledger.Digest(f.Doc.Body)
+		digest := dedup.Digest(f.Doc.Body)
 		known := r.sets().Of(f.Doc.Version, digest)
 		switch {
 		case m.bug == Refuses && f.Doc.Version <= r.Doc.Version:
-			known = ledger.Other
+			known = dedup.Other
 		case m.bug == Confuses && f.Doc.Version == r.Doc.Version:
-			known = ledger.Same
+			known = dedup.Same
 		}
 		switch {
-		case known == ledger.Same: // another copy: as the rules stand by now, also stopped or replaced
+		case known == dedup.Same: // another copy: as the rules stand by now, also stopped or replaced
 			return Done, true
-		case known == ledger.Unknown: // it may have been accepted long ago
+		case known == dedup.Unknown: // it may have been accepted long ago
 			return Busy, true
-		case known == ledger.Other || f.Doc.Version <= r.Doc.Version:
+		case known == dedup.Other || f.Doc.Version <= r.Doc.Version:
 			return Below, true
 		}
 	default:
--- a/internal/faultrules/record.go
+++ b/internal/faultrules/record.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"asterwell/internal/dedup"
 	"asterwell/internal/fsm"
-	"asterwell/internal/ledger"
 )
 
 // Term is a primary's: its epoch in agreement, and a salt that no other start has.
@@ -48,18 +48,18 @@
 	Stopped bool            `cbor:"5,keyasint,omitempty"`
 	Left    []time.Duration `cbor:"6,keyasint,omitempty"` // of each rule, when this was written
 	Parts   []Part          `cbor:"7,keyasint,omitempty"`
-	Sets    ledger.Ledger   `cbor:"8,keyasint,omitempty"` // accepted ones
+	Sets    dedup.Ledger    `cbor:"8,keyasint,omitempty"` // accepted ones
 }
 
 // sets are the accepted ones, gathered where the version before has kept none.
-func (r Record) sets() ledger.Ledger {
+func (r Record) sets() dedup.Ledger {
 	switch {
 	case len(r.Sets) > 0:
 		return r.Sets
 	case r.Doc.Version > 0:
-		return ledger.Since(r.Doc.Version, r.Doc.Body)
+		return dedup.Since(r.Doc.Version, r.Doc.Body)
 	}
-	return ledger.New()
+	return dedup.New()
 }
 
 func (r Record) newer(o Record) bool {
--- a/internal/lab/texts_test.go
+++ b/internal/lab/texts_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"asterwell/internal/consensus"
+	digest "asterwell/internal/dedup"
 	"asterwell/internal/delta"
-	digest "asterwell/internal/ledger"
 	"asterwell/internal/sysconfig"
 )
 
