--- a/internal/field/field.go
+++ b/internal/field/field.go
@@ -22,7 +22,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/judge"
+	"asterwell/internal/invariants"
 	"asterwell/internal/standin/counter"
 	"asterwell/internal/standin/list"
 )
@@ -54,7 +54,7 @@
 	marking  *marking // nil: no cluster
 
 	mu      sync.Mutex
-	judge   *judge.Judge
+	judge   *invariants.Judge
 	broken  []Broken
 	ceiling map[string]ceilingOf // pro customers, by try
 	void    []string
@@ -137,7 +137,7 @@
 	}
 	f = &Field{plan: plan, opt: opt, rng: rand.New(rand.NewPCG(plan.Seed, 0xf1)), ceiling: map[string]ceilingOf{},
 		answers: map[int]int{}, told: map[string]bool{}}
-	f.judge = judge.New(judge.Terms{DrainGrace: 550*time.Millisecond + slack, AnswerLate: 50*time.Millisecond + slack, MostTries: 5,
+	f.judge = invariants.New(invariants.Terms{DrainGrace: 550*time.Millisecond + slack, AnswerLate: 50*time.Millisecond + slack, MostTries: 5,
 		FallTimes: 2.5, TipAfter: time.Second}, func(rule, detail string) {
 		f.broken = append(f.broken, Broken{rule, detail, f.net.Now()})
 		f.history.add(Record{Kind: "broken", Who: rule, Detail: detail})
--- a/internal/judge/judge.go
+++ b/internal/invariants/invariants.go
@@ -1,8 +1,8 @@
-// Package judge checks the rules that gateways must keep by what crosses the
+// Package invariants checks the rules that gateways must keep by what crosses the
 // wires between them and all others, not by what they believe. The virtual world
 // and the field of real processes have one judge. No I/O, no clock: times are the
 // caller's, on one clock. A Judge is not safe for concurrent use.
-package judge
+package invariants
 
 import (
 	"fmt"
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -40,7 +40,7 @@
 		"../../choice":    {"net*", "os*", "log*", "encoding/*", "github.com/*", "own", "!asterwell/internal/aperture", "!asterwell/internal/ratecap", "!asterwell/internal/health", "!asterwell/internal/limit", "!asterwell/internal/turn", "!asterwell/internal/policy"},
 		"../aperture":     {"net*", "os*", "log*", "io*", "time", "encoding/*", "github.com/*", "own"},
 		"../backoff":      {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
-		"../judge":        {"net*", "os*", "log*", "io*", "encoding/*", "own"},
+		"../invariants":   {"net*", "os*", "log*", "io*", "encoding/*", "own"},
 		"../ratecap":      {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../limit":        {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../policy":       {"net*", "os*", "log*", "io*", "github.com/*", "go.etcd.io/*", "own"},
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"asterwell/internal/judge"
+	"asterwell/internal/invariants"
 )
 
 // rules are the judge of this world. The first that breaks ends the run.
 type rules struct {
-	*judge.Judge
+	*invariants.Judge
 	w      *World
 	broken string
 	at     time.Duration
@@ -24,7 +24,7 @@
 
 func newRules(w *World) *rules {
 	r := &rules{w: w}
-	r.Judge = judge.New(judge.Terms{DrainGrace: drainGrace, AnswerLate: answerLate, MostTries: 5, FallTimes: 2.5, TipAfter: time.Second},
+	r.Judge = invariants.New(invariants.Terms{DrainGrace: drainGrace, AnswerLate: answerLate, MostTries: 5, FallTimes: 2.5, TipAfter: time.Second},
 		func(rule, detail string) {
 			if r.broken == "" {
 				r.broken, r.at = rule, w.s.now
@@ -39,7 +39,7 @@
 
 // arrives: the last byte of an attempt has come to a node. begun is when its
 // first one was sent.
-func (r *rules) arrives(n *node, gateway int, id string, begun time.Duration) *judge.Try {
+func (r *rules) arrives(n *node, gateway int, id string, begun time.Duration) *invariants.Try {
 	if r.Held(gateway, n.id) {
 		r.w.seen("work within the hold of a drain")
 	}
@@ -56,7 +56,7 @@
 }
 
 // mayRun: an attempt was not turned away with proof.
-func (r *rules) mayRun(id string, t *judge.Try) {
+func (r *rules) mayRun(id string, t *invariants.Try) {
 	if t.Arrivals > 1 {
 		r.w.seen("attempt after another")
 	}
