--- a/cmd/asterlab/field.go
+++ b/cmd/asterlab/field.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/field"
 	"asterwell/internal/lab"
+	"asterwell/internal/testbed"
 )
 
 // fieldCommand runs many processes of the gateway, with faults between them.
@@ -22,17 +22,17 @@
 	var logs, gateway, policy string
 	run := &cobra.Command{Use: "run FILE", Short: "Run a schedule; the last line is the figures as JSON", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := field.ReadSchedule(args[0])
+			s, err := testbed.ReadSchedule(args[0])
 			if err != nil {
 				return err
 			}
-			if policy != "" && !slices.Contains(field.Policies, field.Policy(policy)) {
-				return fmt.Errorf("--policy: unknown %q; there are %v", policy, field.Policies)
+			if policy != "" && !slices.Contains(testbed.Policies, testbed.Policy(policy)) {
+				return fmt.Errorf("--policy: unknown %q; there are %v", policy, testbed.Policies)
 			}
 			if cmd.Flags().Changed("seed") {
 				s.Seed = seed
 			}
-			r, err := play(s, field.Options{Binary: gateway, Logs: logs, Policy: field.Policy(policy)})
+			r, err := play(s, testbed.Options{Binary: gateway, Logs: logs, Policy: testbed.Policy(policy)})
 			if err != nil {
 				return err
 			}
@@ -44,7 +44,7 @@
 	run.Flags().StringVar(&gateway, "gateway", beside("asterwell"), "the gateway's binary")
 	draw := &cobra.Command{Use: "draw", Short: "Write the schedule that a seed means", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			text, err := json.MarshalIndent(field.Draw(seed), "", " ")
+			text, err := json.MarshalIndent(testbed.Draw(seed), "", " ")
 			if err == nil {
 				fmt.Println(string(text))
 			}
@@ -53,7 +53,7 @@
 	draw.Flags().Uint64Var(&seed, "seed", 1, "the seed")
 	check := &cobra.Command{Use: "check FILE", Short: "Check a schedule, and start nothing", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			s, err := field.ReadSchedule(args[0])
+			s, err := testbed.ReadSchedule(args[0])
 			if err == nil {
 				fmt.Printf("%s: %d gateways, %d servers, %d faults\n", args[0], s.Gateways, s.Servers, len(s.Faults))
 			}
@@ -62,7 +62,7 @@
 	var kind, who string
 	history := &cobra.Command{Use: "history FILE", Short: "Show what happened in a run, from its history.jsonl", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return field.ReadHistory(args[0], func(r field.Record) {
+			return testbed.ReadHistory(args[0], func(r testbed.Record) {
 				if (kind == "" || r.Kind == kind) && (who == "" || r.Who == who || r.From == who || r.To == who) {
 					fmt.Printf("%12.6f %-8s %s %s %s %s %s %s\n", r.At.Seconds(), r.Kind, r.Who, r.From, r.To, r.What, status(r.Status), r.Detail)
 				}
@@ -82,12 +82,12 @@
 }
 
 // play runs a schedule, with its progress on a terminal.
-func play(s *field.Schedule, opt field.Options) (r *field.Report, err error) {
+func play(s *testbed.Schedule, opt testbed.Options) (r *testbed.Report, err error) {
 	if terminal(os.Stderr) {
 		opt.Progress = func(text string) { fmt.Fprintf(os.Stderr, "\r%-70s", text) }
 		defer fmt.Fprintln(os.Stderr)
 	}
-	f, err := field.New(s, opt)
+	f, err := testbed.New(s, opt)
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 }
 
 // tellField prints a run's figures.
-func tellField(r *field.Report) error {
+func tellField(r *testbed.Report) error {
 	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tw, "tries\t%d\tserved\t%d\trefused\t%d\tfailed\t%d\tunanswered\t%d\n", r.Tries, r.Served, r.Refused, r.Failed, r.Unanswered)
 	fmt.Fprintf(tw, "attempts\t%d\tprobes\t%d\tconnections\t%d\tp50\t%v\tp99\t%v\n", r.Attempts, r.Probes, r.Accepted, r.P50, r.P99)
--- a/internal/lab/even.go
+++ b/internal/lab/even.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"asterwell/internal/field"
+	"asterwell/internal/testbed"
 )
 
 // EvenOptions of the measurement of even load.
@@ -32,11 +32,11 @@
 const evenBefore = "0aedf12"
 
 // evenSchedule is the load and the faults that all play.
-func evenSchedule(o EvenOptions) *field.Schedule {
+func evenSchedule(o EvenOptions) *testbed.Schedule {
 	t := o.Seconds / 40
 	list := func(words ...string) []string { return words }
-	return &field.Schedule{Seed: o.Seed, Gateways: o.Gateways, Servers: o.Servers, Weights: 4, Rate: 10 * float64(o.Servers), WorkMs: 100, Cores: 1,
-		Seconds: o.Seconds, Hot: &field.Hot{Share: 0.1, Times: 6, EveryS: 8 * t}, Faults: []field.Fault{
+	return &testbed.Schedule{Seed: o.Seed, Gateways: o.Gateways, Servers: o.Servers, Weights: 4, Rate: 10 * float64(o.Servers), WorkMs: 100, Cores: 1,
+		Seconds: o.Seconds, Hot: &testbed.Hot{Share: 0.1, Times: 6, EveryS: 8 * t}, Faults: []testbed.Fault{
 			{AtS: 0.1, Kind: "list-at-once"},
 			{AtS: 7 * t, Kind: "slow", Who: list("servers:0.125"), Much: 3, ForS: 4 * t},
 			{AtS: 7 * t, Kind: "fail", Who: list("s-3"), ForS: 4 * t},
@@ -61,17 +61,17 @@
 	defer done()
 	type player struct {
 		name   string
-		opt    field.Options
-		report *field.Report
+		opt    testbed.Options
+		report *testbed.Report
 	}
-	players := []*player{{name: "program", opt: field.Options{Binary: o.Binary}}, {name: "before", opt: field.Options{Binary: before}}}
-	for _, p := range field.Policies {
-		players = append(players, &player{name: string(p), opt: field.Options{Policy: p}})
+	players := []*player{{name: "program", opt: testbed.Options{Binary: o.Binary}}, {name: "before", opt: testbed.Options{Binary: before}}}
+	for _, p := range testbed.Policies {
+		players = append(players, &player{name: string(p), opt: testbed.Options{Policy: p}})
 	}
 	if before == "" {
 		players = append(players[:1], players[2:]...)
 	}
-	by := map[string]*field.Report{}
+	by := map[string]*testbed.Report{}
 	r.Row("policy", "spread 1 s", "by capacity", "peak 100 ms", "herd 200 ms", "by capacity", "idle", "cold over bound", "served", "p50 ms", "p99 ms", "connections", "lateness ms")
 	for _, p := range players {
 		p.opt.Progress = func(text string) {
@@ -83,7 +83,7 @@
 		if err := s.Check(); err != nil {
 			return nil, err
 		}
-		f, err := field.New(s, p.opt)
+		f, err := testbed.New(s, p.opt)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", p.name, err)
 		}
@@ -103,8 +103,8 @@
 			}
 		}
 	}
-	figures := func(p *field.Report) map[string]any {
-		random, seeing := by[string(field.Random)], by[string(field.Seeing)]
+	figures := func(p *testbed.Report) map[string]any {
+		random, seeing := by[string(testbed.Random)], by[string(testbed.Seeing)]
 		return map[string]any{"rules_broken": len(p.Broken), "void": len(p.Void) > 0, "idle_servers_max": p.Even.IdleMax,
 			"cv_over_random": p.Even.CV / random.Even.CV, "peak_100ms_over_random": p.Even.Peak100 / random.Even.Peak100,
 			"herd_max": p.Even.HerdMax, "cv_by_capacity_over_random": p.Even.CVCapacity / random.Even.CVCapacity,
@@ -173,7 +173,7 @@
 }
 
 // heat draws requests by server over time.
-func heat(p *field.Report, o EvenOptions, name string) error {
+func heat(p *testbed.Report, o EvenOptions, name string) error {
 	if err := os.MkdirAll(o.Charts, 0o755); err != nil {
 		return err
 	}
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"asterwell/internal/cluster/world"
-	"asterwell/internal/field"
 	"asterwell/internal/policy"
+	"asterwell/internal/testbed"
 )
 
 // ClusterSum is what seeds of the cluster's virtual world came to.
@@ -90,18 +90,18 @@
 }
 
 // policyRuns are what real processes play.
-func policyRuns(o PolicyOptions) (names []string, runs map[string]*field.Schedule) {
+func policyRuns(o PolicyOptions) (names []string, runs map[string]*testbed.Schedule) {
 	list := func(words ...string) []string { return words }
-	big := func(faults ...field.Fault) *field.Schedule {
-		return &field.Schedule{Seed: o.Seed, Gateways: o.Gateways, Servers: 40, Rate: 1.3 * float64(o.Gateways), Seconds: 24,
-			Cluster: &field.ClusterPlan{Voters: 5, EveryS: 0.6, Marks: 200}, Faults: faults}
+	big := func(faults ...testbed.Fault) *testbed.Schedule {
+		return &testbed.Schedule{Seed: o.Seed, Gateways: o.Gateways, Servers: 40, Rate: 1.3 * float64(o.Gateways), Seconds: 24,
+			Cluster: &testbed.ClusterPlan{Voters: 5, EveryS: 0.6, Marks: 200}, Faults: faults}
 	}
-	runs = map[string]*field.Schedule{
+	runs = map[string]*testbed.Schedule{
 		"all there": big(),
-		"30% down":  big(field.Fault{AtS: 2, Kind: "kill", Who: list("followers:0.3"), Back: "never"}, field.Fault{AtS: 2, Kind: "kill", Who: list("g-4"), Back: "never"}),
-		"30% come and go": big(field.Fault{AtS: 2, Kind: "kill", Who: list("followers:0.3"), ForS: 2, OverS: 2}, field.Fault{AtS: 9, Kind: "stop", Who: list("followers:0.3"), ForS: 3},
-			field.Fault{AtS: 15, Kind: "kill", Who: list("gateways:0.3"), Back: "empty", ForS: 1}),
-		"faults at nine": {Seed: o.Seed, Gateways: 9, Servers: 6, Rate: 80, Seconds: 46, Cluster: &field.ClusterPlan{Voters: 5, Spare: 2, EveryS: 0.6, BadEvery: 7, Marks: 200}, Faults: []field.Fault{
+		"30% down":  big(testbed.Fault{AtS: 2, Kind: "kill", Who: list("followers:0.3"), Back: "never"}, testbed.Fault{AtS: 2, Kind: "kill", Who: list("g-4"), Back: "never"}),
+		"30% come and go": big(testbed.Fault{AtS: 2, Kind: "kill", Who: list("followers:0.3"), ForS: 2, OverS: 2}, testbed.Fault{AtS: 9, Kind: "stop", Who: list("followers:0.3"), ForS: 3},
+			testbed.Fault{AtS: 15, Kind: "kill", Who: list("gateways:0.3"), Back: "empty", ForS: 1}),
+		"faults at nine": {Seed: o.Seed, Gateways: 9, Servers: 6, Rate: 80, Seconds: 46, Cluster: &testbed.ClusterPlan{Voters: 5, Spare: 2, EveryS: 0.6, BadEvery: 7, Marks: 200}, Faults: []testbed.Fault{
 			{AtS: 2, Kind: "kill", Who: list("leader"), ForS: 0.5},
 			{AtS: 4, Kind: "stop", Who: list("leader"), ForS: 2.5},
 			{AtS: 8, Kind: "cut", From: list("leader"), To: list("voters"), Way: "from", ForS: 2},
@@ -116,7 +116,7 @@
 			{AtS: 34, Kind: "kill", Who: list("gateways"), ForS: 0.5},
 			{AtS: 39, Kind: "cut", From: list("gateways"), To: list("voters"), ForS: 3},
 		}},
-		"voters replaced": {Seed: o.Seed, Gateways: 9, Servers: 6, Rate: 80, Seconds: 24, Cluster: &field.ClusterPlan{Voters: 3, Spare: 3, EveryS: 0.6, Marks: 200}, Faults: []field.Fault{
+		"voters replaced": {Seed: o.Seed, Gateways: 9, Servers: 6, Rate: 80, Seconds: 24, Cluster: &testbed.ClusterPlan{Voters: 3, Spare: 3, EveryS: 0.6, Marks: 200}, Faults: []testbed.Fault{
 			{AtS: 2, Kind: "replace-voter", Who: list("g-0"), To: list("g-3")},
 			{AtS: 5, Kind: "replace-voter", Who: list("g-1"), To: list("g-4")},
 			{AtS: 8, Kind: "replace-voter", Who: list("g-2"), To: list("g-5")},
@@ -125,13 +125,13 @@
 			{AtS: 17, Kind: "replace-voter", Who: list("g-4"), To: list("g-4")},
 			{AtS: 19, Kind: "kill", Who: list("leader"), ForS: 0.5},
 		}},
-		"no majority": {Seed: o.Seed, Gateways: 5, Servers: 4, Rate: 40, Seconds: 18, Cluster: &field.ClusterPlan{Voters: 3, EveryS: 0.5, Marks: 100}, Faults: []field.Fault{
+		"no majority": {Seed: o.Seed, Gateways: 5, Servers: 4, Rate: 40, Seconds: 18, Cluster: &testbed.ClusterPlan{Voters: 3, EveryS: 0.5, Marks: 100}, Faults: []testbed.Fault{
 			{AtS: 3, Kind: "kill", Who: list("g-0", "g-1"), ForS: 4},
 			{AtS: 11, Kind: "stop", Who: list("g-1", "g-2"), ForS: 3},
 		}},
 	}
 	runs["all there"].Cluster.RestS = 6
-	runs["old copy and a full disk"] = &field.Schedule{Seed: o.Seed, Gateways: 7, Servers: 4, Rate: 40, Seconds: 18, Cluster: &field.ClusterPlan{Voters: 5, EveryS: 0.3, Marks: 100}, Faults: []field.Fault{
+	runs["old copy and a full disk"] = &testbed.Schedule{Seed: o.Seed, Gateways: 7, Servers: 4, Rate: 40, Seconds: 18, Cluster: &testbed.ClusterPlan{Voters: 5, EveryS: 0.3, Marks: 100}, Faults: []testbed.Fault{
 		{AtS: 2, Kind: "kill", Who: list("g-1"), Back: "older", ForS: 1},
 		{AtS: 5, Kind: "disk-full", Who: list("g-2")},
 		{AtS: 13, Kind: "kill", Who: list("leader"), ForS: 0.5},
@@ -150,7 +150,7 @@
 	}
 	r.Row("run", "changes", "committed", "withdrawn", "refused", "marks", "register", "held ms", "p50 s", "p99 s", "back s", "tries", "broken", "late ms")
 	names, runs := policyRuns(o)
-	sum := field.Cluster{Linearizable: "Ok"}
+	sum := testbed.Cluster{Linearizable: "Ok"}
 	void := 0
 	var unanswered, twice int
 	for _, name := range names {
@@ -159,7 +159,7 @@
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 		say("%s", name)
-		f, err := field.New(s, field.Options{Binary: o.Binary})
+		f, err := testbed.New(s, testbed.Options{Binary: o.Binary})
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
@@ -207,7 +207,7 @@
 		}
 	}
 	say("the same gateways in no cluster")
-	alone := &field.Schedule{Seed: o.Seed, Gateways: max(10, o.Gateways/10), Servers: 10, Rate: 1.3 * float64(max(10, o.Gateways/10)), Seconds: 6}
+	alone := &testbed.Schedule{Seed: o.Seed, Gateways: max(10, o.Gateways/10), Servers: 10, Rate: 1.3 * float64(max(10, o.Gateways/10)), Seconds: 6}
 	mb, err := restingMB(alone, o.Binary)
 	if err != nil {
 		return nil, err
@@ -244,11 +244,11 @@
 }
 
 // restingMB is the mean resident memory of gateways after a run.
-func restingMB(s *field.Schedule, binary string) (float64, error) {
+func restingMB(s *testbed.Schedule, binary string) (float64, error) {
 	if err := s.Check(); err != nil {
 		return 0, err
 	}
-	f, err := field.New(s, field.Options{Binary: binary})
+	f, err := testbed.New(s, testbed.Options{Binary: binary})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/field/schedule.go
+++ b/internal/testbed/schedule.go
@@ -1,4 +1,4 @@
-package field
+package testbed
 
 import (
 	_ "embed"
--- a/internal/field/field.go
+++ b/internal/testbed/testbed.go
@@ -1,8 +1,8 @@
-// Package field runs many processes of the gateway, as operators start them, and
+// Package testbed runs many processes of the gateway, as operators start them, and
 // owns every link between them and the stand-ins for all others: it starts and
 // ends them, cuts and slows links, and checks the rules by what crosses the links.
 // The laboratory has it; the gateway has none of it.
-package field
+package testbed
 
 import (
 	"cmp"
