--- a/cmd/asterlab/capacity.go
+++ b/cmd/asterlab/capacity.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/lab"
+	"asterwell/internal/bench"
 )
 
 // capacity keeps runs of measure scale, and makes the page from what is kept.
@@ -18,7 +18,7 @@
 	c := &cobra.Command{Use: "capacity", Args: cobra.NoArgs, Short: "Make docs/CAPACITY.md, its slopes and their charts from kept runs of measure scale",
 		RunE: func(*cobra.Command, []string) error {
 			results := filepath.Join(docs, "results", "scale.json")
-			k, err := lab.ReadKept(results)
+			k, err := bench.ReadKept(results)
 			if err != nil {
 				return err
 			}
--- a/cmd/asterlab/control.go
+++ b/cmd/asterlab/control.go
@@ -7,11 +7,11 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/lab"
+	"asterwell/internal/bench"
 )
 
-func measureControl(seed *uint64, print func(*lab.Report, error) error) *cobra.Command {
-	o := lab.ControlOptions{}
+func measureControl(seed *uint64, print func(*bench.Report, error) error) *cobra.Command {
+	o := bench.ControlOptions{}
 	c := &cobra.Command{Use: "control", Short: "The control side under its worst days: scenarios, drawn days and mutants, point by point",
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			if o.Days < 1 {
@@ -20,7 +20,7 @@
 			o.Seed = *seed
 			o.Progress = func(text string) { fmt.Fprintln(os.Stderr, text) }
 			debug.SetGCPercent(400)
-			return print(lab.MeasureControl(o))
+			return print(bench.MeasureControl(o))
 		}}
 	c.Flags().IntVar(&o.Days, "days", 100, "drawn for each point")
 	c.Flags().StringSliceVar(&o.Only, "only", nil, "only these points")
--- a/cmd/asterlab/field.go
+++ b/cmd/asterlab/field.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/lab"
+	"asterwell/internal/bench"
 	"asterwell/internal/testbed"
 )
 
@@ -132,8 +132,8 @@
 }
 
 // measureEven plays the same load and faults with the program and with what it is measured against.
-func measureEven(seed *uint64, gateway *string, print func(*lab.Report, error) error) *cobra.Command {
-	var o lab.EvenOptions
+func measureEven(seed *uint64, gateway *string, print func(*bench.Report, error) error) *cobra.Command {
+	var o bench.EvenOptions
 	c := &cobra.Command{Use: "even", Short: "How evenly many gateways load servers, under faults, against chance and against one that sees all", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if o.Gateways < 1 || o.Servers < 5 || o.Seconds < 10 {
@@ -143,7 +143,7 @@
 			if terminal(os.Stderr) {
 				o.Progress = func(text string) { fmt.Fprintf(os.Stderr, "\r%-70s", text) }
 			}
-			return print(lab.MeasureEven(o))
+			return print(bench.MeasureEven(o))
 		}}
 	c.Flags().IntVar(&o.Gateways, "gateways", 300, "how many gateways")
 	c.Flags().IntVar(&o.Servers, "servers", 200, "how many servers")
--- a/cmd/asterlab/main.go
+++ b/cmd/asterlab/main.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/lab"
+	"asterwell/internal/bench"
 	"asterwell/internal/standin/counter"
 	"asterwell/internal/standin/dns"
 	"asterwell/internal/standin/list"
@@ -132,7 +132,7 @@
 	c.PersistentFlags().Uint64Var(&seed, "seed", 1, "seed of all that is drawn")
 	c.PersistentFlags().StringVar(&file, "json", "", "also write the figures to this file")
 	c.PersistentFlags().StringVar(&gateway, "gateway", beside("asterwell"), "the gateway's binary")
-	print := func(r *lab.Report, err error) error {
+	print := func(r *bench.Report, err error) error {
 		if err != nil {
 			return err
 		}
@@ -148,7 +148,7 @@
 	var rate float64
 	srv := &cobra.Command{Use: "srv", Short: "Servers from DNS SRV records: truncation, forgery, drains, dead name servers", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return print(lab.MeasureSRV(lab.SRVOptions{Binary: gateway, Seed: seed, Gateways: gateways, Rate: rate}))
+			return print(bench.MeasureSRV(bench.SRVOptions{Binary: gateway, Seed: seed, Gateways: gateways, Rate: rate}))
 		}}
 	srv.Flags().IntVar(&gateways, "gateways", 2, "how many gateways")
 	srv.Flags().Float64Var(&rate, "rate", 300, "tries a second at each gateway")
@@ -158,7 +158,7 @@
 		measureFrozen(print), measureControl(&seed, print), measureSoak(&seed, print))
 	var repo string
 	var most int
-	hunt := func(use, short string, do func(string, []string, uint64, int) (*lab.Report, error)) {
+	hunt := func(use, short string, do func(string, []string, uint64, int) (*bench.Report, error)) {
 		var names []string
 		m := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
 			RunE: func(*cobra.Command, []string) error { return print(do(repo, names, seed, most)) }}
@@ -167,9 +167,9 @@
 		m.Flags().IntVar(&most, "count", 2000, "seeds for each, at the most")
 		c.AddCommand(m)
 	}
-	hunt("seeds", "The simulator's rule checkers: faults put into the gateway's source, and the seeds until they are found", lab.MeasureSeeds)
-	hunt("cluster-mutants", "The same for the cluster's virtual world", lab.MeasureClusterMutants)
-	hunt("system-mutants", "The same for the whole system's drawn days", lab.MeasureSystemMutants)
+	hunt("seeds", "The simulator's rule checkers: faults put into the gateway's source, and the seeds until they are found", bench.MeasureSeeds)
+	hunt("cluster-mutants", "The same for the cluster's virtual world", bench.MeasureClusterMutants)
+	hunt("system-mutants", "The same for the whole system's drawn days", bench.MeasureSystemMutants)
 	return c
 }
 
--- a/cmd/asterlab/policy.go
+++ b/cmd/asterlab/policy.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
+	"asterwell/internal/bench"
 	"asterwell/internal/cluster/world"
-	"asterwell/internal/lab"
 )
 
 // clusterSeeds plays voters and followers of a cluster under drawn faults.
@@ -28,7 +28,7 @@
 				}
 				return nil
 			}
-			sum := lab.PlayCluster(from, count, first, runtime.GOMAXPROCS(0))
+			sum := bench.PlayCluster(from, count, first, runtime.GOMAXPROCS(0))
 			for _, b := range sum.Broken {
 				fmt.Printf("seed %d broke %q: %s\n", b.Seed, b.Rule, b.What)
 			}
@@ -47,13 +47,13 @@
 	return c
 }
 
-func measurePolicy(seed *uint64, gateway *string, print func(*lab.Report, error) error) *cobra.Command {
-	o := lab.PolicyOptions{}
+func measurePolicy(seed *uint64, gateway *string, print func(*bench.Report, error) error) *cobra.Command {
+	o := bench.PolicyOptions{}
 	c := &cobra.Command{Use: "policy", Short: "Changes of policy at hundreds of gateways, with faults between them", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			o.Seed, o.Binary = *seed, *gateway
 			o.Progress = func(text string) { fmt.Fprintln(os.Stderr, text) }
-			return print(lab.MeasurePolicy(o))
+			return print(bench.MeasurePolicy(o))
 		}}
 	c.Flags().IntVar(&o.Gateways, "gateways", 300, "how many gateways")
 	c.Flags().IntVar(&o.Seeds, "seeds", 1000, "of the virtual world")
--- a/cmd/asterlab/rollout.go
+++ b/cmd/asterlab/rollout.go
@@ -9,21 +9,21 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/lab"
+	"asterwell/internal/bench"
 )
 
-func measureRollout(seed *uint64, print func(*lab.Report, error) error) *cobra.Command {
-	o, real, on := lab.RolloutOptions{}, lab.RealOptions{}, false
+func measureRollout(seed *uint64, print func(*bench.Report, error) error) *cobra.Command {
+	o, real, on := bench.RolloutOptions{}, bench.RealOptions{}, false
 	c := &cobra.Command{Use: "rollout", Short: "Configurations that all nodes take up together: simulated processes, faults, the small model",
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			o.Seed, o.Side = *seed, runtime.GOMAXPROCS(0)
 			o.Progress = func(text string) { fmt.Fprintln(os.Stderr, text) }
 			if on {
 				real.Seed, real.Progress = o.Seed, o.Progress
-				return print(lab.MeasureRealRollout(real))
+				return print(bench.MeasureRealRollout(real))
 			}
 			debug.SetGCPercent(400)
-			return print(lab.MeasureRollout(o))
+			return print(bench.MeasureRollout(o))
 		}}
 	c.Flags().IntSliceVar(&o.Nodes, "nodes", []int{11, 91}, "sizes of the fleet")
 	c.Flags().IntVar(&o.Versions, "versions", 40, "taken up at each size")
--- a/cmd/asterlab/scale.go
+++ b/cmd/asterlab/scale.go
@@ -8,11 +8,11 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/lab"
+	"asterwell/internal/bench"
 )
 
-func measureScale(seed *uint64, print func(*lab.Report, error) error) *cobra.Command {
-	o := lab.ScaleOptions{}
+func measureScale(seed *uint64, print func(*bench.Report, error) error) *cobra.Command {
+	o := bench.ScaleOptions{}
 	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs,
 		Short: "What each role costs in a system of real and hollow gateways: at rest, in traffic, a release, a storm, with losses",
 		RunE: func(*cobra.Command, []string) error {
@@ -23,7 +23,7 @@
 			}
 			o.Seed, o.Self = *seed, self
 			o.Progress = func(text string) { fmt.Fprintln(os.Stderr, text) }
-			return print(lab.MeasureScale(o))
+			return print(bench.MeasureScale(o))
 		}}
 	f := c.Flags()
 	f.IntVar(&o.Gateways, "gateways", 11, "in all")
@@ -50,5 +50,5 @@
 
 func hollow() *cobra.Command {
 	return &cobra.Command{Use: "hollow", Hidden: true, Args: cobra.NoArgs, Short: "Serve gateways without clients for measure scale, until the input ends",
-		RunE: func(*cobra.Command, []string) error { return lab.Hollow(os.Stdin, os.Stdout) }}
+		RunE: func(*cobra.Command, []string) error { return bench.Hollow(os.Stdin, os.Stdout) }}
 }
--- a/cmd/asterlab/soak.go
+++ b/cmd/asterlab/soak.go
@@ -7,17 +7,17 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/lab"
+	"asterwell/internal/bench"
 )
 
 // measureSoak plays seeds of signals, restarts and changes at real processes.
-func measureSoak(seed *uint64, print func(*lab.Report, error) error) *cobra.Command {
-	o := lab.SoakOptions{}
+func measureSoak(seed *uint64, print func(*bench.Report, error) error) *cobra.Command {
+	o := bench.SoakOptions{}
 	c := &cobra.Command{Use: "soak", Short: "Signals, restarts and changes in series at real processes, while clients keep their connections", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			o.Seed = *seed
 			o.Progress = func(text string) { fmt.Fprintln(os.Stderr, text) }
-			return print(lab.MeasureSoak(o))
+			return print(bench.MeasureSoak(o))
 		}}
 	c.Flags().StringVar(&o.Binary, "loom", beside("loom"), "the system's binary")
 	c.Flags().IntVar(&o.Nodes, "nodes", 5, "processes, of which three are the core")
--- a/cmd/asterlab/stages.go
+++ b/cmd/asterlab/stages.go
@@ -7,11 +7,11 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/lab"
+	"asterwell/internal/bench"
 )
 
-func measureStages(seed *uint64, print func(*lab.Report, error) error) *cobra.Command {
-	o := lab.StagesOptions{}
+func measureStages(seed *uint64, print func(*bench.Report, error) error) *cobra.Command {
+	o := bench.StagesOptions{}
 	c := &cobra.Command{Use: "stages", Args: cobra.NoArgs,
 		Short: "Where a request's time goes in one real gateway, stage by stage, and what the gateway adds",
 		RunE: func(*cobra.Command, []string) error {
@@ -21,7 +21,7 @@
 			}
 			o.Scale.Seed, o.Scale.Self = *seed, self
 			o.Scale.Progress = func(text string) { fmt.Fprintln(os.Stderr, text) }
-			return print(lab.MeasureStages(o))
+			return print(bench.MeasureStages(o))
 		}}
 	f := c.Flags()
 	f.IntVar(&o.Scale.Servers, "servers", 360, "that beat")
@@ -37,5 +37,5 @@
 
 func staged() *cobra.Command {
 	return &cobra.Command{Use: "staged SETTINGS FILE", Hidden: true, Args: cobra.ExactArgs(2), Short: "Serve a gateway for measure stages, until the input ends",
-		RunE: func(_ *cobra.Command, args []string) error { return lab.Staged(args[0], args[1], os.Stdin) }}
+		RunE: func(_ *cobra.Command, args []string) error { return bench.Staged(args[0], args[1], os.Stdin) }}
 }
--- a/cmd/asterlab/state.go
+++ b/cmd/asterlab/state.go
@@ -6,17 +6,17 @@
 
 	"github.com/spf13/cobra"
 
-	"asterwell/internal/lab"
+	"asterwell/internal/bench"
 )
 
-func measureState(seed *uint64, print func(*lab.Report, error) error) *cobra.Command {
-	o := lab.StateOptions{}
+func measureState(seed *uint64, print func(*bench.Report, error) error) *cobra.Command {
+	o := bench.StateOptions{}
 	c := &cobra.Command{Use: "state", Args: cobra.NoArgs,
 		Short: "What many changes leave on a member's disk, and how a machine that missed them comes back while changes go on",
 		RunE: func(*cobra.Command, []string) error {
 			o.Seed = *seed
 			o.Progress = func(text string) { fmt.Fprintln(os.Stderr, text) }
-			return print(lab.MeasureState(o))
+			return print(bench.MeasureState(o))
 		}}
 	c.Flags().IntSliceVar(&o.Changes, "changes", []int{1, 300, 10000}, "saved, of a configuration of 30 routes")
 	c.Flags().IntSliceVar(&o.LargeChanges, "large-changes", []int{1, 300}, "saved, of a configuration of 4,800 routes and 12,000 tenants")
--- a/internal/lab/lab.go
+++ b/internal/bench/bench.go
@@ -1,6 +1,6 @@
-// Package lab runs the laboratory's measurements: real gateways, built and started
+// Package bench runs the laboratory's measurements: real gateways, built and started
 // as operators do, between stand-ins on loopback, under load.
-package lab
+package bench
 
 import (
 	"encoding/json"
--- a/internal/lab/controlpoint.go
+++ b/internal/bench/controlpoint.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 // ControlPoint is what the scenarios, drawn days and mutants of one point of the control side came to.
 type ControlPoint struct {
--- a/internal/lab/faults_test.go
+++ b/internal/bench/faults_test.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"math/rand/v2"
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -46,7 +46,7 @@
 		"../policy":       {"net*", "os*", "log*", "io*", "github.com/*", "go.etcd.io/*", "own"},
 		"../mesh":         {"net/http", "encoding/*", "github.com/*", "own", "!asterwell/internal/actor", "!asterwell/internal/hostenv"},
 		"../cluster":      {"net/http", "github.com/valyala/*", "own", "!asterwell/internal/actor", "!asterwell/internal/mesh", "!asterwell/internal/hostenv", "!asterwell/internal/policy", "!asterwell/internal/settings"},
-		"../operate":      {"net*", "github.com/valyala/*", "asterwell/internal/standin*", "asterwell/internal/lab", "testing"},
+		"../operate":      {"net*", "github.com/valyala/*", "asterwell/internal/standin*", "asterwell/internal/bench", "testing"},
 		"../fsm":          {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../memberlist":   {"net*", "os*", "log*", "io*", "encoding/json", "github.com/valyala/*", "own", "!asterwell/internal/fsm"},
 		"../registry":     {"net*", "os*", "log*", "io*", "encoding/json", "github.com/valyala/*", "own", "!asterwell/internal/fsm", "!asterwell/internal/memberlist"},
@@ -61,15 +61,15 @@
 		"../adminclient":  {"github.com/valyala/*", "github.com/mattn/*", "cuelang.org/*", "asterwell/internal/daemon", "asterwell/internal/storage", "asterwell/internal/controlplane"},
 		"../logring":      {"net*", "own"},
 		"../dataplane":    {"asterwell/internal/daemon", "asterwell/internal/controlplane", "asterwell/internal/consensus", "asterwell/internal/registry", "asterwell/internal/memberlist", "asterwell/internal/quotas", "asterwell/internal/storage"},
-		"../daemon":       {"asterwell/internal/standin*", "asterwell/internal/lab", "asterwell/internal/systemsim", "cuelang.org/*", "testing"},
+		"../daemon":       {"asterwell/internal/standin*", "asterwell/internal/bench", "asterwell/internal/systemsim", "cuelang.org/*", "testing"},
 		"../turn":         {"net*", "os*", "log*", "io*", "time", "encoding/*", "github.com/*", "own"},
 		"../health":       {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../serverset":    {"net*", "os*", "log*", "io*", "encoding/*", "own", "!asterwell/choice"},
 		"../dns":          {"encoding/json", "net/http", "own", "!asterwell/internal/actor", "!asterwell/internal/hostenv"},
 		"../transport":    {"own", "!asterwell/internal/actor", "!asterwell/internal/hostenv"},
-		"../protocol":     {"asterwell/internal/program", "asterwell/internal/standin*", "asterwell/internal/lab", "asterwell/internal/dns"},
-		"../program":      {"asterwell/internal/standin*", "asterwell/internal/lab", "github.com/spf13/*", "testing"},
-		"../lab":          {"asterwell/internal/program", "testing"},
+		"../protocol":     {"asterwell/internal/program", "asterwell/internal/standin*", "asterwell/internal/bench", "asterwell/internal/dns"},
+		"../program":      {"asterwell/internal/standin*", "asterwell/internal/bench", "github.com/spf13/*", "testing"},
+		"../bench":        {"asterwell/internal/program", "testing"},
 	} {
 		for _, path := range imports(t, dir) {
 			broken := false
