--- a/internal/bench/callerframes.go
+++ b/internal/bench/callerframes.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"asterwell/internal/actor"
 	"asterwell/internal/consensus"
 	"asterwell/internal/daemon"
 	"asterwell/internal/fsm"
+	"asterwell/internal/mailbox"
 	"asterwell/internal/mesh"
 	"asterwell/internal/standin/snag"
 )
@@ -93,7 +93,7 @@
 	})
 	ready.Done()
 	defer answerer.Close()
-	in := actor.NewBox[any](nil)
+	in := mailbox.NewBox[any](nil)
 	asker := listen(here, func(f *daemon.Frame) { in.Put(f) })
 	defer asker.Close()
 	if p.err != nil {
@@ -104,7 +104,7 @@
 }
 
 // ask is the asker's loop.
-func (p *framePlayed) ask(c frameCase, m *mesh.Mesh[*daemon.Frame], in *actor.Box[any], here, there *snag.FrameProxy, bug consensus.Bug) {
+func (p *framePlayed) ask(c frameCase, m *mesh.Mesh[*daemon.Frame], in *mailbox.Box[any], here, there *snag.FrameProxy, bug consensus.Bug) {
 	start := time.Now()
 	now := func() fsm.Time { return time.Hour + frameSpeed*time.Since(start) }
 	a := consensus.New(consensus.Config{Self: here.Addr, Name: "asker", Seeds: []string{there.Addr}, Seed: 5}, nil, now())
--- a/internal/bench/hollow.go
+++ b/internal/bench/hollow.go
@@ -15,10 +15,10 @@
 	"sync/atomic"
 	"time"
 
-	"asterwell/internal/actor"
 	"asterwell/internal/adminapi"
 	"asterwell/internal/controlplane"
 	"asterwell/internal/daemon"
+	"asterwell/internal/mailbox"
 	"asterwell/internal/sysconfig"
 )
 
@@ -182,7 +182,7 @@
 		at      time.Time
 		deliver func()
 	}
-	box := actor.NewBox[held](nil)
+	box := mailbox.NewBox[held](nil)
 	go func() { // the delay is one for all, so that frames stay in their order
 		for {
 			for _, f := range box.Take(-1) {
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -12,8 +12,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"asterwell/internal/actor"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/mailbox"
 	"asterwell/internal/mesh"
 	"asterwell/internal/policy"
 )
@@ -35,10 +35,10 @@
 	id      uint64 // of this process
 	mesh    *mesh.Mesh[*Frame]
 	holder  *policy.Holder
-	hbox    *actor.Box[any]
+	hbox    *mailbox.Box[any]
 	store   *Store
 	voter   *Voter
-	vbox    *actor.Box[any]
+	vbox    *mailbox.Box[any]
 	voterID uint64
 	bad     string // why there is no voter, though there is a folder
 
@@ -80,8 +80,8 @@
 	if cfg.Name == "" {
 		cfg.Name = name
 	}
-	n := &Node{cfg: cfg, world: world, now: now, log: log, gateway: g, id: world.Random() | 1, hbox: actor.NewBox[any](world),
-		vbox: actor.NewBox[any](world), members: map[uint64]*reached{}, met: map[uint64]*pipe{}}
+	n := &Node{cfg: cfg, world: world, now: now, log: log, gateway: g, id: world.Random() | 1, hbox: mailbox.NewBox[any](world),
+		vbox: mailbox.NewBox[any](world), members: map[uint64]*reached{}, met: map[uint64]*pipe{}}
 	n.holder = policy.NewHolder(cfg.Terms(), cfg.Name, cfg.Zone, digest)
 	n.mesh = mesh.New(mesh.Options[*Frame]{World: world, Codec: codec(clusterNumber(cfg.Cluster)), Handle: n.handle, Most: cfg.Connections})
 	for _, v := range cfg.seeds() {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -19,7 +19,6 @@
 	"github.com/samber/lo"
 	"golang.org/x/sys/unix"
 
-	"asterwell/internal/actor"
 	"asterwell/internal/consensus"
 	"asterwell/internal/controlplane"
 	"asterwell/internal/dataplane"
@@ -27,6 +26,7 @@
 	"asterwell/internal/fsm"
 	"asterwell/internal/hostenv"
 	"asterwell/internal/logring"
+	"asterwell/internal/mailbox"
 	"asterwell/internal/mesh"
 	"asterwell/internal/protocol"
 	"asterwell/internal/quotas"
@@ -44,7 +44,7 @@
 	ring  *logring.Ring
 	start time.Time
 	self  string // the mesh address
-	box   *actor.Box[any]
+	box   *mailbox.Box[any]
 	adds  adds // of gateways, to the counters here
 
 	knot  *controlplane.Knot // the machines, which the loop's goroutine owns
@@ -59,11 +59,11 @@
 	version   atomic.Uint32
 	up, known atomic.Int64   // processes and servers, for who counts them often
 	vault     *storage.Vault // nil: no disk
-	disk      *actor.Box[*consensus.Write]
-	texts     *actor.Box[*controlplane.Text] // to be read: one at a time
-	readings  *controlplane.Readings         // nil: nobody shares them
-	rows      *actor.Box[[]registry.Row]     // the servers, to be kept
-	rules     *actor.Box[*faultrules.Write]
+	disk      *mailbox.Box[*consensus.Write]
+	texts     *mailbox.Box[*controlplane.Text] // to be read: one at a time
+	readings  *controlplane.Readings           // nil: nobody shares them
+	rows      *mailbox.Box[[]registry.Row]     // the servers, to be kept
+	rules     *mailbox.Box[*faultrules.Write]
 	judge     *faultrules.Judge
 	ban       *ban // nil: no fault rules
 	tape      *tape
@@ -138,8 +138,8 @@
 }
 
 func assemble(path string, set *sysconfig.Settings, shared Shared) (*Process, error) {
-	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: actor.NewBox[any](nil), disk: actor.NewBox[*consensus.Write](nil), texts: actor.NewBox[*controlplane.Text](nil), rows: actor.NewBox[[]registry.Row](nil),
-		rules: actor.NewBox[*faultrules.Write](nil), judge: faultrules.NewJudge(), tape: &tape{},
+	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: mailbox.NewBox[any](nil), disk: mailbox.NewBox[*consensus.Write](nil), texts: mailbox.NewBox[*controlplane.Text](nil), rows: mailbox.NewBox[[]registry.Row](nil),
+		rules: mailbox.NewBox[*faultrules.Write](nil), judge: faultrules.NewJudge(), tape: &tape{},
 		self: meshAddr(set.IpAddr, set)}
 	p.ring = logring.NewRing(shared.Log, set.NodeName, 256, log.InfoLevel)
 	p.say = &log.Logger{Handler: p.ring, Level: log.DebugLevel}
--- a/internal/dns/resolver.go
+++ b/internal/dns/resolver.go
@@ -23,8 +23,8 @@
 	"github.com/miekg/dns"
 	"golang.org/x/time/rate"
 
-	"asterwell/internal/actor"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/mailbox"
 )
 
 // Options are what a resolver is told. Those it runs with can be changed.
@@ -70,7 +70,7 @@
 	opt     Options
 	tell    func(Event)
 	world   hostenv.Seam
-	box     *actor.Box[any]
+	box     *mailbox.Box[any]
 	rng     *rand.Rand
 	counts  Counters
 	servers Servers
@@ -150,7 +150,7 @@
 // goroutine.
 func NewResolver(opt Options, tell func(Event)) *Resolver {
 	opt.World = hostenv.Or(opt.World)
-	r := &Resolver{tell: tell, world: opt.World, box: actor.NewBox[any](opt.World), rng: rand.New(rand.NewPCG(opt.Seed, 0x5372)),
+	r := &Resolver{tell: tell, world: opt.World, box: mailbox.NewBox[any](opt.World), rng: rand.New(rand.NewPCG(opt.Seed, 0x5372)),
 		names: map[string]*service{}, hosts: map[string]*host{}, queries: map[question]*query{}}
 	r.configure(r.world.Now(), opt)
 	return r
--- a/internal/actor/box.go
+++ b/internal/mailbox/box.go
@@ -1,6 +1,6 @@
-// Package actor has the mailbox that every actor of the gateway reads: one
+// Package mailbox has the mailbox that every actor of the gateway reads: one
 // goroutine takes messages in the order they came, and nobody who sends waits.
-package actor
+package mailbox
 
 import (
 	"sync"
--- a/internal/actor/box_test.go
+++ b/internal/mailbox/box_test.go
@@ -1,4 +1,4 @@
-package actor
+package mailbox
 
 import (
 	"sync"
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"asterwell/internal/actor"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/mailbox"
 )
 
 // Codec is what frames are on the wire.
@@ -71,7 +71,7 @@
 type Pipe[F any] struct {
 	m      *Mesh[F]
 	addr   string // that it leads to; "": it came in
-	box    *actor.Box[[]byte]
+	box    *mailbox.Box[[]byte]
 	queued atomic.Int64
 	mu     sync.Mutex
 	conn   net.Conn
@@ -114,7 +114,7 @@
 			if m.Tune != nil {
 				m.Tune(c)
 			}
-			p := &Pipe[F]{m: m, box: actor.NewBox[[]byte](m.World), conn: c}
+			p := &Pipe[F]{m: m, box: mailbox.NewBox[[]byte](m.World), conn: c}
 			m.mu.Lock()
 			full := m.closed || len(m.in) >= m.Most
 			if !full {
@@ -141,7 +141,7 @@
 	defer m.mu.Unlock()
 	p := m.out[addr]
 	if p == nil {
-		p = &Pipe[F]{m: m, addr: addr, box: actor.NewBox[[]byte](m.World)}
+		p = &Pipe[F]{m: m, addr: addr, box: mailbox.NewBox[[]byte](m.World)}
 		if m.out[addr] = p; m.closed {
 			p.ended = true
 			return p
--- a/internal/program/members.go
+++ b/internal/program/members.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"asterwell/choice"
-	"asterwell/internal/actor"
 	"asterwell/internal/dns"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/mailbox"
 	"asterwell/internal/routing"
 	"asterwell/internal/serverset"
 )
@@ -22,7 +22,7 @@
 	conf     *SRV
 	seed     uint64
 	now      func() time.Duration
-	box      *actor.Box[any]
+	box      *mailbox.Box[any]
 	resolver *dns.Resolver
 	is       *serverset.Membership
 	tell     func(routing.News)
@@ -47,7 +47,7 @@
 	if !conf.Enabled {
 		return nil
 	}
-	m := &members{world: world, conf: conf, seed: seed, now: now, box: actor.NewBox[any](world), is: serverset.New(conf.membership()),
+	m := &members{world: world, conf: conf, seed: seed, now: now, box: mailbox.NewBox[any](world), is: serverset.New(conf.membership()),
 		failing: map[uint32]bool{}}
 	m.stats.Store(&serverset.Stats{})
 	return m
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -18,10 +18,10 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/choice"
-	"asterwell/internal/actor"
 	"asterwell/internal/backoff"
 	"asterwell/internal/cluster"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/mailbox"
 	"asterwell/internal/ops"
 	"asterwell/internal/protocol"
 	"asterwell/internal/protocol/openapi"
@@ -103,7 +103,7 @@
 type Gateway struct {
 	world     hostenv.Seam
 	cfg       *Config
-	box       *actor.Box[any]
+	box       *mailbox.Box[any]
 	reread    func() (*Files, error)
 	core      *routing.Core
 	counter   *protocol.Counter
@@ -154,7 +154,7 @@
 func New(world hostenv.Seam, files *Files, reread func() (*Files, error)) (*Gateway, error) {
 	world = hostenv.Or(world)
 	cfg, op := files.Config, files.Operator
-	g := &Gateway{world: world, cfg: cfg, plans: cfg.Settings.Plans, box: actor.NewBox[any](world), reread: reread}
+	g := &Gateway{world: world, cfg: cfg, plans: cfg.Settings.Plans, box: mailbox.NewBox[any](world), reread: reread}
 	// Half of the descriptors are for clients, a third for servers; the rest
 	// are the counter's, discovery's, the listeners' and the run time's.
 	clients, servers := cfg.Limits.Sockets/2, cfg.Limits.Sockets/3
--- a/internal/protocol/counter.go
+++ b/internal/protocol/counter.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"asterwell/choice"
-	"asterwell/internal/actor"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/mailbox"
 )
 
 // Counter is the actor that speaks RESP2 to the counter: calls are written one
@@ -25,7 +25,7 @@
 	world hostenv.Seam
 	addr  string
 	limit time.Duration // a call without an answer ends as timed out
-	box   *actor.Box[any]
+	box   *mailbox.Box[any]
 	told  func(name string, status choice.Status, total float64)
 
 	line    *line   // takes calls
@@ -87,7 +87,7 @@
 // each Add.
 func NewCounter(world hostenv.Seam, addr string, limit time.Duration, told func(string, choice.Status, float64)) *Counter {
 	world = hostenv.Or(world)
-	return &Counter{world: world, addr: addr, limit: limit, box: actor.NewBox[any](world), told: told}
+	return &Counter{world: world, addr: addr, limit: limit, box: mailbox.NewBox[any](world), told: told}
 }
 
 // Stop ends Run. What waits is not answered.
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -13,9 +13,9 @@
 	"github.com/valyala/fasthttp"
 
 	"asterwell/choice"
-	"asterwell/internal/actor"
 	"asterwell/internal/backoff"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/mailbox"
 	"asterwell/internal/routing"
 	"asterwell/internal/transport"
 )
@@ -73,7 +73,7 @@
 type Discovery struct {
 	opt     DiscoveryOptions
 	news    func(routing.News)
-	box     *actor.Box[any]
+	box     *mailbox.Box[any]
 	on      bool
 	whole   bool // the next call asks for the whole list
 	heard   bool // a call has gone well since the start
@@ -108,7 +108,7 @@
 // goes on from what is known. It begins at once, or once asked for.
 func NewDiscovery(opt DiscoveryOptions, known List, onDemand bool, news func(routing.News)) *Discovery {
 	opt.World = hostenv.Or(opt.World)
-	d := &Discovery{opt: opt, news: news, box: actor.NewBox[any](opt.World), on: !onDemand,
+	d := &Discovery{opt: opt, news: news, box: mailbox.NewBox[any](opt.World), on: !onDemand,
 		whole: len(known.Servers) == 0, ids: map[string]uint32{}, pace: backoff.New(opt.Pace)}
 	d.after = opt.World.Now().Add(d.pace.First(d.odds()))
 	n := d.take(known, true)
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -36,7 +36,7 @@
 // all that begin so; "own" for the program's packages that are not named.
 func TestLayers(t *testing.T) {
 	for dir, bad := range map[string][]string{
-		"../routing":      {"net*", "encoding/*", "github.com/*", "own", "!asterwell/internal/actor", "!asterwell/internal/hostenv", "!asterwell/choice"},
+		"../routing":      {"net*", "encoding/*", "github.com/*", "own", "!asterwell/internal/mailbox", "!asterwell/internal/hostenv", "!asterwell/choice"},
 		"../../choice":    {"net*", "os*", "log*", "encoding/*", "github.com/*", "own", "!asterwell/internal/aperture", "!asterwell/internal/ratecap", "!asterwell/internal/health", "!asterwell/internal/limit", "!asterwell/internal/turn", "!asterwell/internal/policy"},
 		"../aperture":     {"net*", "os*", "log*", "io*", "time", "encoding/*", "github.com/*", "own"},
 		"../backoff":      {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
@@ -44,8 +44,8 @@
 		"../ratecap":      {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../limit":        {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../policy":       {"net*", "os*", "log*", "io*", "github.com/*", "go.etcd.io/*", "own"},
-		"../mesh":         {"net/http", "encoding/*", "github.com/*", "own", "!asterwell/internal/actor", "!asterwell/internal/hostenv"},
-		"../cluster":      {"net/http", "github.com/valyala/*", "own", "!asterwell/internal/actor", "!asterwell/internal/mesh", "!asterwell/internal/hostenv", "!asterwell/internal/policy", "!asterwell/internal/settings"},
+		"../mesh":         {"net/http", "encoding/*", "github.com/*", "own", "!asterwell/internal/mailbox", "!asterwell/internal/hostenv"},
+		"../cluster":      {"net/http", "github.com/valyala/*", "own", "!asterwell/internal/mailbox", "!asterwell/internal/mesh", "!asterwell/internal/hostenv", "!asterwell/internal/policy", "!asterwell/internal/settings"},
 		"../operate":      {"net*", "github.com/valyala/*", "asterwell/internal/standin*", "asterwell/internal/bench", "testing"},
 		"../fsm":          {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../memberlist":   {"net*", "os*", "log*", "io*", "encoding/json", "github.com/valyala/*", "own", "!asterwell/internal/fsm"},
@@ -65,8 +65,8 @@
 		"../turn":         {"net*", "os*", "log*", "io*", "time", "encoding/*", "github.com/*", "own"},
 		"../health":       {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../serverset":    {"net*", "os*", "log*", "io*", "encoding/*", "own", "!asterwell/choice"},
-		"../dns":          {"encoding/json", "net/http", "own", "!asterwell/internal/actor", "!asterwell/internal/hostenv"},
-		"../transport":    {"own", "!asterwell/internal/actor", "!asterwell/internal/hostenv"},
+		"../dns":          {"encoding/json", "net/http", "own", "!asterwell/internal/mailbox", "!asterwell/internal/hostenv"},
+		"../transport":    {"own", "!asterwell/internal/mailbox", "!asterwell/internal/hostenv"},
 		"../protocol":     {"asterwell/internal/program", "asterwell/internal/standin*", "asterwell/internal/bench", "asterwell/internal/dns"},
 		"../program":      {"asterwell/internal/standin*", "asterwell/internal/bench", "github.com/spf13/*", "testing"},
 		"../bench":        {"asterwell/internal/program", "testing"},
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"asterwell/choice"
-	"asterwell/internal/actor"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/mailbox"
 )
 
 // Request is a client's try. A front fills it in and submits it once.
@@ -136,7 +136,7 @@
 
 // Core is the actor round the module.
 type Core struct {
-	box        *actor.Box[message]
+	box        *mailbox.Box[message]
 	now        func() time.Duration
 	hands      Hands
 	bal        *choice.Balancer
@@ -228,7 +228,7 @@
 
 // New returns a core that acts through hands once it runs. now is its clock.
 func New(set choice.Settings, seed uint64, now func() time.Duration, hands Hands) (*Core, error) {
-	c := &Core{box: actor.NewBox[message](hands.World), now: now, hands: hands, open: map[uint32]*open{},
+	c := &Core{box: mailbox.NewBox[message](hands.World), now: now, hands: hands, open: map[uint32]*open{},
 		probes: map[uint32]probe{}, counts: map[string]time.Duration{}, up: map[uint32]bool{},
 		listed: map[uint32]bool{}, rest: newRest(set, seed)}
 	if c.probeLimit = set.ConnectTimeout; c.probeLimit <= 0 {
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -11,8 +11,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"asterwell/internal/actor"
 	"asterwell/internal/hostenv"
+	"asterwell/internal/mailbox"
 )
 
 // End tells how an exchange ended.
@@ -63,7 +63,7 @@
 type Peer[K comparable] struct {
 	addr string
 	opt  PeerOptions
-	box  *actor.Box[any]
+	box  *mailbox.Box[any]
 	done func(Result[K])
 
 	idle    []*link[K] // the newest last
@@ -123,7 +123,7 @@
 // exchange that ends by itself; nothing is heard of a cancelled one.
 func NewPeer[K comparable](addr string, opt PeerOptions, done func(Result[K])) *Peer[K] {
 	opt.World = hostenv.Or(opt.World)
-	p := &Peer[K]{addr: addr, opt: opt, box: actor.NewBox[any](opt.World), busy: map[K]*link[K]{},
+	p := &Peer[K]{addr: addr, opt: opt, box: mailbox.NewBox[any](opt.World), busy: map[K]*link[K]{},
 		done: func(r Result[K]) { opt.Sockets.under.Add(-1); done(r) }}
 	opt.World.Go(p.run)
 	return p
