--- a/choice/choice.go
+++ b/choice/choice.go
@@ -19,7 +19,7 @@
 	"asterwell/internal/aperture"
 	"asterwell/internal/health"
 	"asterwell/internal/limit"
-	"asterwell/internal/turn"
+	"asterwell/internal/stride"
 )
 
 // Balancer decides for one gateway.
@@ -34,10 +34,10 @@
 	fleet     []*backend // in order of id
 	ring      []*backend // in an order that all gateways have, zones taking turns
 	cover     aperture.Part
-	reach     int        // how many of them it uses
-	twins     int        // processes that are this gateway
-	turns     turn.Clock // that they take
-	weight    float64    // mean
+	reach     int          // how many of them it uses
+	twins     int          // processes that are this gateway
+	turns     stride.Clock // that they take
+	weight    float64      // mean
 	customers map[string]*customer
 	idlers    []*customer // in order of arrival
 	logged    map[string]bool
--- a/choice/servers.go
+++ b/choice/servers.go
@@ -10,14 +10,14 @@
 
 	"asterwell/internal/aperture"
 	"asterwell/internal/health"
-	"asterwell/internal/turn"
+	"asterwell/internal/stride"
 )
 
 type backend struct {
 	Member
 	listed, probing bool
 	part            float64 // of it that this gateway uses; 0: none
-	seat            turn.Seat
+	seat            stride.Seat
 	health.Server
 	outs            []*attempt
 	heard           time.Duration // last answer of any kind
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -37,7 +37,7 @@
 func TestLayers(t *testing.T) {
 	for dir, bad := range map[string][]string{
 		"../routing":      {"net*", "encoding/*", "github.com/*", "own", "!asterwell/internal/mailbox", "!asterwell/internal/hostenv", "!asterwell/choice"},
-		"../../choice":    {"net*", "os*", "log*", "encoding/*", "github.com/*", "own", "!asterwell/internal/aperture", "!asterwell/internal/ratecap", "!asterwell/internal/health", "!asterwell/internal/limit", "!asterwell/internal/turn", "!asterwell/internal/policy"},
+		"../../choice":    {"net*", "os*", "log*", "encoding/*", "github.com/*", "own", "!asterwell/internal/aperture", "!asterwell/internal/ratecap", "!asterwell/internal/health", "!asterwell/internal/limit", "!asterwell/internal/stride", "!asterwell/internal/policy"},
 		"../aperture":     {"net*", "os*", "log*", "io*", "time", "encoding/*", "github.com/*", "own"},
 		"../backoff":      {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../invariants":   {"net*", "os*", "log*", "io*", "encoding/*", "own"},
@@ -62,7 +62,7 @@
 		"../logring":      {"net*", "own"},
 		"../dataplane":    {"asterwell/internal/daemon", "asterwell/internal/controlplane", "asterwell/internal/consensus", "asterwell/internal/registry", "asterwell/internal/memberlist", "asterwell/internal/quotas", "asterwell/internal/storage"},
 		"../daemon":       {"asterwell/internal/standin*", "asterwell/internal/bench", "asterwell/internal/systemsim", "cuelang.org/*", "testing"},
-		"../turn":         {"net*", "os*", "log*", "io*", "time", "encoding/*", "github.com/*", "own"},
+		"../stride":       {"net*", "os*", "log*", "io*", "time", "encoding/*", "github.com/*", "own"},
 		"../health":       {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../serverset":    {"net*", "os*", "log*", "io*", "encoding/*", "own", "!asterwell/choice"},
 		"../dns":          {"encoding/json", "net/http", "own", "!asterwell/internal/mailbox", "!asterwell/internal/hostenv"},
--- a/internal/turn/turn.go
+++ b/internal/stride/stride.go
@@ -1,10 +1,10 @@
-// Package turn lets a gateway's servers take turns by weight, by stride
+// Package stride lets a gateway's servers take turns by weight, by stride
 // scheduling (Waldspurger and Weihl, 1995). Hundreds of gateways that each draw
 // servers by chance send a server as unevenly as chance is, however even the odds
 // are: the spread of a sum of draws. Where each gateway takes its servers in turn,
 // from a place that chance gives it, a gateway adds no more to a server's sum than
 // the rest of one turn. No I/O, no clock: time is counted in requests.
-package turn
+package stride
 
 // Clock is a gateway's: it goes on by one for each round over all its servers.
 type Clock struct{ now float64 }
--- a/internal/turn/turn_test.go
+++ b/internal/stride/stride_test.go
@@ -1,4 +1,4 @@
-package turn
+package stride
 
 import (
 	"math"
