--- a/internal/bench/callerdays.go
+++ b/internal/bench/callerdays.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"asterwell/internal/standin/snag"
+	"asterwell/internal/standin/faultproxy"
 	"asterwell/internal/transport"
 )
 
@@ -80,19 +80,19 @@
 	return a
 }
 
-func drawnFault(rng *rand.Rand) snag.Fault {
-	f := snag.Fault{Kind: snag.Kind(1 + rng.IntN(int(snag.AfterIt))), At: rng.IntN(300), Edit: callerEdits[rng.IntN(len(callerEdits))]}
+func drawnFault(rng *rand.Rand) faultproxy.Fault {
+	f := faultproxy.Fault{Kind: faultproxy.Kind(1 + rng.IntN(int(faultproxy.AfterIt))), At: rng.IntN(300), Edit: callerEdits[rng.IntN(len(callerEdits))]}
 	if rng.IntN(5) == 0 {
 		f.At = rng.IntN(100_000)
 	}
 	status := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusBadRequest}[rng.IntN(4)]
-	switch f.Stale = snag.Refusal(status, "t-other"); rng.IntN(3) {
+	switch f.Stale = faultproxy.Refusal(status, "t-other"); rng.IntN(3) {
 	case 0:
-		f.Stale = snag.Refusal(status, "")
+		f.Stale = faultproxy.Refusal(status, "")
 	case 1:
-		f.Stale = snag.Answer("t-other", "/often/x", "")
+		f.Stale = faultproxy.Answer("t-other", "/often/x", "")
 	}
-	if at := f.At; f.Kind == snag.Ended {
+	if at := f.At; f.Kind == faultproxy.Ended {
 		f.Edit = func(a []byte) []byte { return endless(a, at%60) }
 	}
 	return f
--- a/internal/bench/callerframes.go
+++ b/internal/bench/callerframes.go
@@ -11,7 +11,7 @@
 	"asterwell/internal/fsm"
 	"asterwell/internal/mailbox"
 	"asterwell/internal/mesh"
-	"asterwell/internal/standin/snag"
+	"asterwell/internal/standin/faultproxy"
 )
 
 // frameSpeed is how much faster the asker's clock goes: its repeats and its patience, a second,
@@ -22,7 +22,7 @@
 // it goes.
 type frameCase struct {
 	back  bool // the answer's, else the question's
-	fault snag.FrameFault
+	fault faultproxy.FrameFault
 	words string
 }
 
@@ -60,19 +60,19 @@
 func (c frameCase) play(bug consensus.Bug) (p framePlayed) {
 	p.c, p.answers = c, map[uint64][]string{}
 	host := callerHost()
-	here, err := snag.PassFrames(host)
+	here, err := faultproxy.PassFrames(host)
 	if err != nil {
 		p.err = err
 		return p
 	}
 	defer here.Close()
-	there, err := snag.PassFrames(host)
+	there, err := faultproxy.PassFrames(host)
 	if err != nil {
 		p.err = err
 		return p
 	}
 	defer there.Close()
-	listen := func(proxy *snag.FrameProxy, handle func(*daemon.Frame)) *mesh.Mesh[*daemon.Frame] {
+	listen := func(proxy *faultproxy.FrameProxy, handle func(*daemon.Frame)) *mesh.Mesh[*daemon.Frame] {
 		m := mesh.New(mesh.Options[*daemon.Frame]{Codec: daemon.Frames, Most: 100, Handle: func(_ *mesh.Pipe[*daemon.Frame], f *daemon.Frame) { handle(f) }})
 		if err := m.Listen(host + ":0"); err != nil {
 			p.err = err
@@ -104,7 +104,7 @@
 }
 
 // ask is the asker's loop.
-func (p *framePlayed) ask(c frameCase, m *mesh.Mesh[*daemon.Frame], in *mailbox.Box[any], here, there *snag.FrameProxy, bug consensus.Bug) {
+func (p *framePlayed) ask(c frameCase, m *mesh.Mesh[*daemon.Frame], in *mailbox.Box[any], here, there *faultproxy.FrameProxy, bug consensus.Bug) {
 	start := time.Now()
 	now := func() fsm.Time { return time.Hour + frameSpeed*time.Since(start) }
 	a := consensus.New(consensus.Config{Self: here.Addr, Name: "asker", Seeds: []string{there.Addr}, Seed: 5}, nil, now())
@@ -142,7 +142,7 @@
 		proxy, kind = here, frameKind(consensus.Answered{})
 	}
 	f := c.fault
-	if f.Kind == snag.Before {
+	if f.Kind == faultproxy.Before {
 		for id := range uint64(3) {
 			f.Stale = append(f.Stale, formerAnswer(there.Addr, id+1)...)
 		}
@@ -151,7 +151,7 @@
 	call(2)
 	call(3)
 	until(func() bool { return len(p.answers[2]) > 0 && len(p.answers[3]) > 0 })
-	if p.met, p.long = proxy.Met(); p.met && f.Kind == snag.Twice { // a second answer comes in its own time
+	if p.met, p.long = proxy.Met(); p.met && f.Kind == faultproxy.Twice { // a second answer comes in its own time
 		end := time.Now().Add(callerRest)
 		until(func() bool { return time.Now().After(end) })
 	}
@@ -175,16 +175,16 @@
 // a former life.
 func frameCases(step int) (all []frameCase) {
 	for _, back := range []bool{false, true} {
-		plain := frameCase{back: back, fault: snag.FrameFault{Kind: snag.Twice}, words: "(the frame twice)"}
+		plain := frameCase{back: back, fault: faultproxy.FrameFault{Kind: faultproxy.Twice}, words: "(the frame twice)"}
 		all = append(all, plain)
 		if back {
-			all = append(all, frameCase{back: back, fault: snag.FrameFault{Kind: snag.Before}, words: "(answers to the former life's calls of the same numbers)"})
+			all = append(all, frameCase{back: back, fault: faultproxy.FrameFault{Kind: faultproxy.Before}, words: "(answers to the former life's calls of the same numbers)"})
 		}
 		long := plain.play(0).long
-		for _, k := range []snag.Kind{snag.AskClose, snag.AskReset, snag.AskSilent} {
+		for _, k := range []faultproxy.Kind{faultproxy.AskClose, faultproxy.AskReset, faultproxy.AskSilent} {
 			for at := 0; at <= long; at++ {
 				if at%step == 0 || at == long {
-					all = append(all, frameCase{back: back, fault: snag.FrameFault{Kind: k, At: at}})
+					all = append(all, frameCase{back: back, fault: faultproxy.FrameFault{Kind: k, At: at}})
 				}
 			}
 		}
@@ -214,7 +214,7 @@
 func formerCounts(cases []frameCase) (found string) {
 	for range formerTries {
 		for _, c := range cases {
-			if c.fault.Kind != snag.Before {
+			if c.fault.Kind != faultproxy.Before {
 				continue
 			}
 			if p := c.play(consensus.BugAnyLife); p.err == nil {
--- a/internal/bench/callers.go
+++ b/internal/bench/callers.go
@@ -18,7 +18,7 @@
 
 	"asterwell/choice"
 	"asterwell/internal/dataplane"
-	"asterwell/internal/standin/snag"
+	"asterwell/internal/standin/faultproxy"
 	"asterwell/internal/sysconfig"
 	"asterwell/internal/transport"
 )
@@ -55,7 +55,7 @@
 	servers      int
 	refused      int  // arrivals that the servers turn away
 	deaf         bool // no server takes connections
-	fault        snag.Fault
+	fault        faultproxy.Fault
 	wait         time.Duration
 }
 
@@ -99,10 +99,10 @@
 type callerStage struct {
 	plane   *dataplane.Plane
 	clients *transport.Listener
-	servers []*snag.Server
-	proxies []*snag.Proxy
-	plan    *snag.Plan
-	ledger  *snag.Ledger
+	servers []*faultproxy.Server
+	proxies []*faultproxy.Proxy
+	plan    *faultproxy.Plan
+	ledger  *faultproxy.Ledger
 }
 
 func newCallerStage(servers int, bug transport.Bug) (*callerStage, error) {
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &callerStage{plan: &snag.Plan{}, ledger: snag.NewLedger()}
+	g := &callerStage{plan: &faultproxy.Plan{}, ledger: faultproxy.NewLedger()}
 	g.ledger.Slow = callerRest
 	g.ledger.Want = func(name, method, path, body string) bool {
 		return method == "GET" && body == "" || method == "POST" && body == sentBody(name, path)
@@ -122,11 +122,11 @@
 	g.plane.Adopt(table)
 	host, list := callerHost(), []dataplane.Server(nil)
 	for range servers {
-		s, err := snag.Listen(host, callerName(), g.ledger)
+		s, err := faultproxy.Listen(host, callerName(), g.ledger)
 		if err != nil {
 			return nil, err
 		}
-		p, err := snag.Pass(host, s.Addr, g.plan)
+		p, err := faultproxy.Pass(host, s.Addr, g.plan)
 		if err != nil {
 			return nil, err
 		}
@@ -167,7 +167,7 @@
 }
 
 func (a *asked) wire() []byte {
-	w := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: toy.example\r\n%s: %s\r\nX-Deadline-Ms: %d\r\n", a.method, a.path, snag.HeaderName, a.name, a.wait.Milliseconds())
+	w := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: toy.example\r\n%s: %s\r\nX-Deadline-Ms: %d\r\n", a.method, a.path, faultproxy.HeaderName, a.name, a.wait.Milliseconds())
 	if a.method == "GET" {
 		return append(w, "\r\n"...)
 	}
@@ -193,12 +193,12 @@
 	if a.method != "GET" {
 		sent = sentBody(a.name, a.path)
 	}
-	name, whole := resp.Header.Get(snag.HeaderName), snag.Body(a.name, a.path, sent)
+	name, whole := resp.Header.Get(faultproxy.HeaderName), faultproxy.Body(a.name, a.path, sent)
 	switch {
 	case name != "" && name != a.name:
 		a.wrong = "the answer to " + name
 	case resp.StatusCode/100 != 2:
-	case name != a.name || resp.Header.Get(snag.HeaderSeal) != snag.Seal(a.name):
+	case name != a.name || resp.Header.Get(faultproxy.HeaderSeal) != faultproxy.Seal(a.name):
 		a.wrong = "a success without its name or seal"
 	case a.cut && !strings.HasPrefix(whole, string(body)), !a.cut && whole != string(body):
 		a.wrong = fmt.Sprintf("another body: %.40q for %.40q", body, whole)
@@ -237,7 +237,7 @@
 // played is a case's end.
 type played struct {
 	c      callerCase
-	ledger *snag.Ledger
+	ledger *faultproxy.Ledger
 	all    []*asked
 	struck bool
 	used   bool
@@ -275,12 +275,12 @@
 			x.Close()
 		}
 	}
-	if c.fault.Kind != snag.None {
+	if c.fault.Kind != faultproxy.None {
 		g.plan.Arm(c.fault)
 	}
 	p.err = g.ask(p.all...)
 	p.struck, p.used = g.plan.Struck()
-	p.sizes = [2]int{g.plan.Asked(), len(snag.Answer(it.name, c.path, lo.Ternary(c.method == "GET", "", sentBody(it.name, c.path))))}
+	p.sizes = [2]int{g.plan.Asked(), len(faultproxy.Answer(it.name, c.path, lo.Ternary(c.method == "GET", "", sentBody(it.name, c.path))))}
 	return p
 }
 
@@ -304,7 +304,7 @@
 }
 
 // judged holds one request against what ran of it.
-func judged(a *asked, l *snag.Ledger, broken func(key, form string, args ...any)) {
+func judged(a *asked, l *faultproxy.Ledger, broken func(key, form string, args ...any)) {
 	ran, once := l.Ran(a.name), strings.HasPrefix(a.path, "/once/")
 	promise := a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests ||
 		a.status == http.StatusRequestTimeout || a.status == http.StatusMisdirectedRequest
@@ -364,15 +364,15 @@
 
 // callerFaults are all faults of a shape whose request and answer are so long, at each step-th byte.
 func callerFaults(s callerCase, asks, says, step int) (all []callerCase) {
-	add := func(f snag.Fault, wait time.Duration) {
+	add := func(f faultproxy.Fault, wait time.Duration) {
 		c := s
 		c.fault, c.wait = f, wait
 		all = append(all, c)
 	}
-	at := func(from, to int, kinds ...snag.Kind) {
+	at := func(from, to int, kinds ...faultproxy.Kind) {
 		for _, k := range kinds {
 			wait := callerWait
-			if k == snag.AskSilent || k == snag.SaySilent {
+			if k == faultproxy.AskSilent || k == faultproxy.SaySilent {
 				wait = callerSilence
 			}
 			step := step
@@ -381,32 +381,32 @@
 			}
 			for i := from; i <= to; i++ {
 				if (i+len(all))%step == 0 || i == from || i == to {
-					add(snag.Fault{Kind: k, At: i}, wait)
+					add(faultproxy.Fault{Kind: k, At: i}, wait)
 				}
 			}
 		}
 	}
-	at(1, asks, snag.AskClose, snag.AskReset, snag.AskSilent)
-	at(0, says, snag.SayClose, snag.SayReset)
-	at(0, says-1, snag.SaySilent)
-	at(1, says, snag.Twice)
-	for _, stale := range [][]byte{snag.Answer("t-other", "/often/x", ""), snag.Refusal(http.StatusServiceUnavailable, "t-other"),
-		snag.Refusal(http.StatusMisdirectedRequest, "t-other"), snag.Refusal(http.StatusTooManyRequests, "")} {
+	at(1, asks, faultproxy.AskClose, faultproxy.AskReset, faultproxy.AskSilent)
+	at(0, says, faultproxy.SayClose, faultproxy.SayReset)
+	at(0, says-1, faultproxy.SaySilent)
+	at(1, says, faultproxy.Twice)
+	for _, stale := range [][]byte{faultproxy.Answer("t-other", "/often/x", ""), faultproxy.Refusal(http.StatusServiceUnavailable, "t-other"),
+		faultproxy.Refusal(http.StatusMisdirectedRequest, "t-other"), faultproxy.Refusal(http.StatusTooManyRequests, "")} {
 		for i := 1; i <= len(stale); i++ {
 			if i%step == 0 || i == len(stale) {
-				add(snag.Fault{Kind: snag.Before, At: i, Stale: stale}, callerWait)
+				add(faultproxy.Fault{Kind: faultproxy.Before, At: i, Stale: stale}, callerWait)
 			}
 		}
-		add(snag.Fault{Kind: snag.Instead, At: len(stale), Stale: stale}, callerSilence)
+		add(faultproxy.Fault{Kind: faultproxy.Instead, At: len(stale), Stale: stale}, callerSilence)
 	}
 	for _, edit := range callerEdits {
-		add(snag.Fault{Kind: snag.Edited, Edit: edit}, callerWait)
+		add(faultproxy.Fault{Kind: faultproxy.Edited, Edit: edit}, callerWait)
 	}
 	for i := 0; i < 40; i += step {
-		add(snag.Fault{Kind: snag.Ended, At: i, Edit: func(a []byte) []byte { return endless(a, i) }}, callerWait)
+		add(faultproxy.Fault{Kind: faultproxy.Ended, At: i, Edit: func(a []byte) []byte { return endless(a, i) }}, callerWait)
 	}
 	own := s
-	own.refused, own.fault = 2, snag.Fault{Kind: snag.AfterIt} // the third attempt may come back to the first one's connection
+	own.refused, own.fault = 2, faultproxy.Fault{Kind: faultproxy.AfterIt} // the third attempt may come back to the first one's connection
 	deaf := s
 	deaf.deaf = true
 	return append(all, own, deaf)
@@ -414,21 +414,21 @@
 
 // callerEdits make an answer another's, or nobody's.
 var callerEdits = []func([]byte) []byte{
-	func(a []byte) []byte { return renamed(a, snag.HeaderName+": t-other\r\n") },
+	func(a []byte) []byte { return renamed(a, faultproxy.HeaderName+": t-other\r\n") },
 	func(a []byte) []byte { return renamed(a, "") },
-	func(a []byte) []byte { return renamed(a, snag.HeaderName+":\r\n") },
+	func(a []byte) []byte { return renamed(a, faultproxy.HeaderName+":\r\n") },
 	func(a []byte) []byte { return renamed(a, "X-Attempt-Id: t-other\r\n"+nameLine(a)) },
 	func(a []byte) []byte { return renamed(a, nameLine(a)+"x-attempt-id: t-other\r\n") },
 	func(a []byte) []byte {
 		return renamed(a, strings.TrimSpace(nameLine(a))+"0\r\n")
 	},
-	func([]byte) []byte { return snag.Refusal(http.StatusServiceUnavailable, "") },
-	func([]byte) []byte { return snag.Refusal(http.StatusMisdirectedRequest, "t-other") },
+	func([]byte) []byte { return faultproxy.Refusal(http.StatusServiceUnavailable, "") },
+	func([]byte) []byte { return faultproxy.Refusal(http.StatusMisdirectedRequest, "t-other") },
 }
 
 // nameLine is the line of an answer that says whose it is.
 func nameLine(answer []byte) string {
-	i := bytes.Index(answer, []byte(snag.HeaderName))
+	i := bytes.Index(answer, []byte(faultproxy.HeaderName))
 	if i < 0 {
 		return ""
 	}
@@ -451,5 +451,5 @@
 	}
 	body, _ := io.ReadAll(resp.Body)
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s%s: %s\r\nConnection: close\r\n\r\n%s", nameLine(answer),
-		snag.HeaderSeal, resp.Header.Get(snag.HeaderSeal), body[:min(at, len(body))])
+		faultproxy.HeaderSeal, resp.Header.Get(faultproxy.HeaderSeal), body[:min(at, len(body))])
 }
--- a/internal/bench/controlcallers.go
+++ b/internal/bench/controlcallers.go
@@ -12,7 +12,7 @@
 
 	"github.com/samber/lo"
 
-	"asterwell/internal/standin/snag"
+	"asterwell/internal/standin/faultproxy"
 	"asterwell/internal/transport"
 )
 
@@ -87,16 +87,16 @@
 	name  string
 	bug   transport.Bug
 	key   string
-	kinds []snag.Kind
+	kinds []faultproxy.Kind
 }
 
 var callerMutants = []callerMutant{
-	{"answers are taken whatever their name", transport.BugAnyName, "sent_twice", []snag.Kind{snag.Before, snag.Instead}},
-	{"an answer to another is passed on", transport.BugAnyName, "wrong_caller", []snag.Kind{snag.Before, snag.Edited}},
-	{"a name goes by a connection twice", transport.BugSameWay, "sent_twice", []snag.Kind{snag.AfterIt}},
-	{"a break of a used connection is told as not sent", transport.BugUnsent, "sent_twice", []snag.Kind{snag.SayReset, snag.SayClose}},
-	{"an answer that begins in another is taken", transport.BugNoDoubt, "sent_twice", []snag.Kind{snag.Before}},
-	{"a body without a length is taken", transport.BugNoDoubt, "wrong_caller", []snag.Kind{snag.Ended}},
+	{"answers are taken whatever their name", transport.BugAnyName, "sent_twice", []faultproxy.Kind{faultproxy.Before, faultproxy.Instead}},
+	{"an answer to another is passed on", transport.BugAnyName, "wrong_caller", []faultproxy.Kind{faultproxy.Before, faultproxy.Edited}},
+	{"a name goes by a connection twice", transport.BugSameWay, "sent_twice", []faultproxy.Kind{faultproxy.AfterIt}},
+	{"a break of a used connection is told as not sent", transport.BugUnsent, "sent_twice", []faultproxy.Kind{faultproxy.SayReset, faultproxy.SayClose}},
+	{"an answer that begins in another is taken", transport.BugNoDoubt, "sent_twice", []faultproxy.Kind{faultproxy.Before}},
+	{"a body without a length is taken", transport.BugNoDoubt, "wrong_caller", []faultproxy.Kind{faultproxy.Ended}},
 }
 
 // meet plays the cases of the mutant's faults in a drawn order until its rule breaks.
--- a/internal/standin/snag/proxy.go
+++ b/internal/standin/faultproxy/proxy.go
@@ -1,4 +1,4 @@
-package snag
+package faultproxy
 
 import (
 	"bufio"
--- a/internal/standin/snag/server.go
+++ b/internal/standin/faultproxy/server.go
@@ -1,7 +1,7 @@
-// Package snag has stand-ins for a server and for a proxy before it that spoils one
+// Package faultproxy has stand-ins for a server and for a proxy before it that spoils one
 // exchange at a chosen byte: it breaks off, falls silent, or brings what belongs to another
 // exchange. Who asks through it must give no caller another's answer.
-package snag
+package faultproxy
 
 import (
 	"bufio"
