--- a/cmd/asterwell/main.go
+++ b/cmd/asterwell/main.go
@@ -6,13 +6,13 @@
 import (
 	"os"
 
-	"asterwell/internal/operate"
+	"asterwell/internal/clustercli"
 	"asterwell/internal/program"
 )
 
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(operate.Run(os.Args[1:], os.Stdout, os.Stderr))
+		os.Exit(clustercli.Run(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(program.Main())
 }
--- a/internal/operate/operate.go
+++ b/internal/clustercli/clustercli.go
@@ -1,6 +1,6 @@
-// Package operate is the operators' side of the gateway's program: what is done at
+// Package clustercli is the operators' side of the gateway's program: what is done at
 // the command line to a cluster that runs.
-package operate
+package clustercli
 
 import (
 	"crypto/rand"
--- a/internal/operate/operate_test.go
+++ b/internal/clustercli/clustercli_test.go
@@ -1,4 +1,4 @@
-package operate
+package clustercli
 
 import (
 	"os"
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -46,7 +46,7 @@
 		"../policy":       {"net*", "os*", "log*", "io*", "github.com/*", "go.etcd.io/*", "own"},
 		"../mesh":         {"net/http", "encoding/*", "github.com/*", "own", "!asterwell/internal/mailbox", "!asterwell/internal/hostenv"},
 		"../cluster":      {"net/http", "github.com/valyala/*", "own", "!asterwell/internal/mailbox", "!asterwell/internal/mesh", "!asterwell/internal/hostenv", "!asterwell/internal/policy", "!asterwell/internal/settings"},
-		"../operate":      {"net*", "github.com/valyala/*", "asterwell/internal/standin*", "asterwell/internal/bench", "testing"},
+		"../clustercli":   {"net*", "github.com/valyala/*", "asterwell/internal/standin*", "asterwell/internal/bench", "testing"},
 		"../fsm":          {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../memberlist":   {"net*", "os*", "log*", "io*", "encoding/json", "github.com/valyala/*", "own", "!asterwell/internal/fsm"},
 		"../registry":     {"net*", "os*", "log*", "io*", "encoding/json", "github.com/valyala/*", "own", "!asterwell/internal/fsm", "!asterwell/internal/memberlist"},
