--- a/choice/choice.go
+++ b/choice/choice.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"asterwell/internal/aperture"
+	"asterwell/internal/concurrency"
 	"asterwell/internal/health"
-	"asterwell/internal/limit"
 	"asterwell/internal/stride"
 )
 
@@ -56,8 +56,8 @@
 	density         float64            // mean worth per second of work among requests seen
 	open, stuck     int                // attempts out; of these, where backends look dead
 	zones           map[string]*health.Zone
-	faults          float64     // share of faults among answers
-	limit           limit.Limit // on attempts out, before requests are shed
+	faults          float64           // share of faults among answers
+	limit           concurrency.Limit // on attempts out, before requests are shed
 
 	calls               map[string]func(now time.Duration, e Counted)
 	stake, floor        float64       // mean loss by a request beyond quota; that worth a call
@@ -140,7 +140,7 @@
 		b.slotPeriod = max(b.slotPeriod, c.Aim, c.Deadline)
 	}
 	b.beat = max(b.beat/8, set.Tick)
-	b.limit, b.retries, b.beyond = limit.New(b.beat), b.set.RetryMost, 0.3
+	b.limit, b.retries, b.beyond = concurrency.New(b.beat), b.set.RetryMost, 0.3
 	b.spread = cmp.Or(set.Turns, 1) * math.Sqrt(float64(set.Doors)) / 20
 	b.looks = int(min(worthLooks/max(set.ProbePrice, 1e-9), mostLooks))
 	for _, p := range set.Plans {
--- a/internal/limit/limit.go
+++ b/internal/concurrency/concurrency.go
@@ -1,8 +1,8 @@
-// Package limit steers how many attempts a gateway may have out, by whether
+// Package concurrency steers how many attempts a gateway may have out, by whether
 // answers come late. Servers that once hold too much stay jammed for long, so it
 // starts low: gateways that see a sliver of the traffic each cannot even it out,
 // and at a start all their customers' stores are full. No I/O, no clock.
-package limit
+package concurrency
 
 import (
 	"math"
--- a/internal/limit/limit_test.go
+++ b/internal/concurrency/concurrency_test.go
@@ -1,4 +1,4 @@
-package limit
+package concurrency
 
 import (
 	"testing"
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -37,12 +37,12 @@
 func TestLayers(t *testing.T) {
 	for dir, bad := range map[string][]string{
 		"../routing":      {"net*", "encoding/*", "github.com/*", "own", "!asterwell/internal/mailbox", "!asterwell/internal/hostenv", "!asterwell/choice"},
-		"../../choice":    {"net*", "os*", "log*", "encoding/*", "github.com/*", "own", "!asterwell/internal/aperture", "!asterwell/internal/ratecap", "!asterwell/internal/health", "!asterwell/internal/limit", "!asterwell/internal/stride", "!asterwell/internal/policy"},
+		"../../choice":    {"net*", "os*", "log*", "encoding/*", "github.com/*", "own", "!asterwell/internal/aperture", "!asterwell/internal/ratecap", "!asterwell/internal/health", "!asterwell/internal/concurrency", "!asterwell/internal/stride", "!asterwell/internal/policy"},
 		"../aperture":     {"net*", "os*", "log*", "io*", "time", "encoding/*", "github.com/*", "own"},
 		"../backoff":      {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../invariants":   {"net*", "os*", "log*", "io*", "encoding/*", "own"},
 		"../ratecap":      {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
-		"../limit":        {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
+		"../concurrency":  {"net*", "os*", "log*", "io*", "encoding/*", "github.com/*", "own"},
 		"../policy":       {"net*", "os*", "log*", "io*", "github.com/*", "go.etcd.io/*", "own"},
 		"../mesh":         {"net/http", "encoding/*", "github.com/*", "own", "!asterwell/internal/mailbox", "!asterwell/internal/hostenv"},
 		"../cluster":      {"net/http", "github.com/valyala/*", "own", "!asterwell/internal/mailbox", "!asterwell/internal/mesh", "!asterwell/internal/hostenv", "!asterwell/internal/policy", "!asterwell/internal/settings"},
