--- a/internal/bench/controlseats.go
+++ b/internal/bench/controlseats.go
@@ -23,7 +23,7 @@
 	{Leaves: 1, Deaths: 1, Resumes: 10}, {Leaves: 1, Wipes: 1, Resumes: 10}, {Leaves: 1, Ends: true, Wipes: 1, Resumes: 10}, {Wipes: 1, Shorts: 1, Resumes: 10},
 }
 
-// seatGuards are taken out one by one. One more is in TestGuards of pact, which needs a world of its own.
+// seatGuards are taken out one by one. One more is in TestGuards of consensus, which needs a world of its own.
 var seatGuards = []struct {
 	what string
 	find func(seed uint64) (broken string)
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -65,7 +65,7 @@
 // A member that hears a primary promises nobody else, and candidates probe before they ask for
 // promises; so who is cut off one way disturbs nobody. A primary that is not answered resigns.
 //
-// Files: record.go epochs and majorities; pact.go the machine's shell; member.go what a member
+// Files: record.go epochs and majorities; consensus.go the machine's shell; member.go what a member
 // accepts; candidate.go the way to an epoch; primary.go serving and changing the set; found.go
 // the first epoch and newcomers; client.go operators' calls; spread.go the way to all processes;
 // leave.go seats handed over and given up, and proofs of loss; lag.go what is borne of a disk;
--- a/internal/faultrules/doc.go
+++ b/internal/faultrules/doc.go
@@ -4,7 +4,7 @@
 // Rules are control state like the configuration, but weigh nothing while there are none:
 // a process that holds no rules sends nothing, and neither does the primary. It isn't a
 // second consensus.Machine for that reason (docs/design/faults.md weighs the ways); it borrows
-// the primary that pact has named, and its epochs, and keeps one record on the core's disks:
+// the primary that consensus has named, and its epochs, and keeps one record on the core's disks:
 //
 //  1. The first time that a primary is needed for rules, it claims its term at the members.
 //     A majority that remembers (or all members, where nobody does) answers with what it
--- a/internal/quotas/pace_test.go
+++ b/internal/quotas/pace_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestPace: a holder that can count a third of what it is told. Adds wait, and those that are too old are dropped,
-// as weave does it. By pace the gateways tell it as much as it can count, nearly nothing is dropped, and the quota
+// as daemon does it. By pace the gateways tell it as much as it can count, nearly nothing is dropped, and the quota
 // holds; without, most is. Once it can count all again, nothing differs from before.
 func TestPace(t *testing.T) {
 	const gateways, few = 60, 20
--- a/internal/quotas/wire_test.go
+++ b/internal/quotas/wire_test.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// wired is what a fleet's counters cost on the wire in a second, in frames as weave makes
+// wired is what a fleet's counters cost on the wire in a second, in frames as daemon makes
 // them: 7 bytes, the sender's address, and the message in cbor.
 type wired struct {
 	gateway       float64 // sent and received by one that holds nothing, the middle of all
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -20,7 +20,7 @@
 	Zone    string           `cbor:"9,keyasint,omitempty"`
 }
 
-// Grant is the primary's answer, or with Seq 0 its call. Texts come by pact.
+// Grant is the primary's answer, or with Seq 0 its call. Texts come by consensus.
 type Grant struct {
 	ID      uint64           `cbor:"1,keyasint"`
 	Seq     uint64           `cbor:"2,keyasint,omitempty"`
--- a/internal/systemsim/doc.go
+++ b/internal/systemsim/doc.go
@@ -18,7 +18,7 @@
 	drainTime = 2 * time.Second
 	grace     = 6 * time.Second
 	lastWord  = 150 * ms
-	departs   = time.Second // before its grace ends a process says so, as weave's do
+	departs   = time.Second // before its grace ends a process says so, as daemon's do
 	quotaSpan = 5 * time.Second
 	recovery  = 15 * time.Second
 	heartbeat = 1500 * time.Millisecond
