--- a/choice/adopt_test.go
+++ b/choice/adopt_test.go
@@ -20,7 +20,7 @@
 func (q *tally) Watch(bool)                         {}
 func (q *tally) SetTimer(time.Duration, string)     {}
 func (q *tally) Log(string)                         {}
-func (q *tally) Count(n string, a float64, _ time.Duration) {
+func (q *tally) AddToCounter(n string, a float64, _ time.Duration) {
 	q.counts = append(q.counts, n)
 	if q.amounts == nil {
 		q.amounts = map[string]float64{}
@@ -29,7 +29,7 @@
 }
 
 func adopting(plans ...Plan) Settings {
-	return Settings{Doors: 1, Tick: time.Millisecond, MaxTries: 3, Classes: []Class{{Name: "read", Aim: time.Second, Deadline: 2 * time.Second, Value: 1}}, Plans: plans}
+	return Settings{Gateways: 1, Tick: time.Millisecond, MaxAttempts: 3, Classes: []Class{{Name: "read", Target: time.Second, Deadline: 2 * time.Second, Value: 1}}, Plans: plans}
 }
 
 func plan(name string, rate, burst float64) Plan {
@@ -56,7 +56,7 @@
 	for id := range uint32(6) {
 		all = append(all, Member{ID: id + 1, Weight: 1})
 	}
-	b.Roster(m.now, Roster{Whole: true, Members: all})
+	b.HandleRoster(m.now, RosterUpdate{Whole: true, Members: all})
 	return m
 }
 
@@ -66,9 +66,9 @@
 	for range n {
 		m.last++
 		sent := m.q.sent
-		m.Request(m.now, Request{ID: m.last, Class: "read", Plan: plan, Customer: "c", NotAfter: m.now + 2*time.Second, Units: 1, Width: 1})
+		m.HandleRequest(m.now, Request{ID: m.last, Class: "read", Plan: plan, Customer: "c", Deadline: m.now + 2*time.Second, Units: 1, Gateways: 1})
 		if m.q.sent > sent {
-			m.Outcome(m.now, Outcome{ID: m.last, Backend: 1, Status: OK, Elapsed: time.Millisecond})
+			m.HandleOutcome(m.now, Outcome{ID: m.last, Backend: 1, Status: OK, Elapsed: time.Millisecond})
 		}
 	}
 	return m.q.sent - before
@@ -92,7 +92,7 @@
 		if got := m.passed("basic", c.used); got != c.used {
 			t.Fatalf("%s: %d of %d pass before", name, got, c.used)
 		}
-		m.Adopt(m.now, 1, adopting(c.to))
+		m.ApplyPolicy(m.now, 1, adopting(c.to))
 		if got := m.passed("basic", 60); got != c.atOnce {
 			t.Errorf("%s: %d pass at once, want %d", name, got, c.atOnce)
 		}
@@ -109,14 +109,14 @@
 	m := newMeter(t, adopting(plan("basic", 2, 10), plan("pro", 2, 10)))
 	sum := m.passed("basic", 60)
 	for v := range int64(20) {
-		m.Adopt(m.now, v+1, adopting(plan("basic", float64(1+v%7), 10+float64(v%3)*20), plan("pro", 2, 10)))
+		m.ApplyPolicy(m.now, v+1, adopting(plan("basic", float64(1+v%7), 10+float64(v%3)*20), plan("pro", 2, 10)))
 		sum += m.passed("basic", 60)
 	}
 	if sum != 10 {
 		t.Errorf("%d pass in a moment, the burst is 10", sum)
 	}
-	m.Adopt(m.now, 29, adopting(plan("basic", 20, 10), plan("pro", 2, 10))) // the same units stand for less time
-	m.Adopt(m.now, 30, adopting(plan("pro", 2, 10)))
+	m.ApplyPolicy(m.now, 29, adopting(plan("basic", 20, 10), plan("pro", 2, 10))) // the same units stand for less time
+	m.ApplyPolicy(m.now, 30, adopting(plan("pro", 2, 10)))
 	if got := m.passed("basic", 5); got != 0 {
 		t.Errorf("%d pass by a plan that has ended", got)
 	}
@@ -132,15 +132,15 @@
 // What is open keeps its class and plan; a class that goes is unknown from then on.
 func TestAdoptLeavesWhatIsOpen(t *testing.T) {
 	m := newMeter(t, adopting(plan("basic", 2, 10)))
-	m.Request(m.now, Request{ID: 500, Class: "read", Plan: "basic", Customer: "c", NotAfter: m.now + 2*time.Second, Units: 1, Width: 1})
+	m.HandleRequest(m.now, Request{ID: 500, Class: "read", Plan: "basic", Customer: "c", Deadline: m.now + 2*time.Second, Units: 1, Gateways: 1})
 	set := adopting(plan("basic", 2, 10))
 	set.Classes[0].Name = "other"
-	m.Adopt(m.now, 1, set)
-	m.Outcome(m.now, Outcome{ID: 500, Backend: 1, Status: ConnectFailed})
+	m.ApplyPolicy(m.now, 1, set)
+	m.HandleOutcome(m.now, Outcome{ID: 500, Backend: 1, Status: ConnectFailed})
 	if m.q.sent != 2 {
 		t.Errorf("sent %d times, want once more after the connection failed", m.q.sent)
 	}
-	m.Outcome(m.now, Outcome{ID: 500, Try: 1, Backend: 1, Status: OK, Elapsed: time.Millisecond})
+	m.HandleOutcome(m.now, Outcome{ID: 500, Attempt: 1, Backend: 1, Status: OK, Elapsed: time.Millisecond})
 	if got := m.passed("basic", 3); got != 0 || len(m.reqs) != 0 {
 		t.Errorf("%d pass of a class that is gone, %d open", got, len(m.reqs))
 	}
@@ -150,26 +150,26 @@
 // an answer for an old name changes nothing.
 func TestAdoptCounts(t *testing.T) {
 	set := adopting(plan("basic", 2, 10))
-	set.Counter, set.CounterTimeout, set.Doors = true, 50*time.Millisecond, 2
+	set.Counter, set.CounterTimeout, set.Gateways = true, 50*time.Millisecond, 2
 	m := newMeter(t, set)
 	ask := func(id uint32) {
-		m.Request(m.now, Request{ID: id, Class: "read", Plan: "basic", Customer: "c", NotAfter: m.now + 2*time.Second, Units: 1, Width: 2})
+		m.HandleRequest(m.now, Request{ID: id, Class: "read", Plan: "basic", Customer: "c", Deadline: m.now + 2*time.Second, Units: 1, Gateways: 2})
 	}
 	ask(1)
 	if len(m.q.counts) != 1 {
 		t.Fatalf("counts: %v", m.q.counts)
 	}
 	old := m.q.counts[0]
-	m.Adopt(m.now, 7, set)
+	m.ApplyPolicy(m.now, 7, set)
 	if m.q.sent != 1 {
-		t.Errorf("what waited for the counter was sent %d times, refused %v", m.q.sent, m.Books().Refused)
+		t.Errorf("what waited for the counter was sent %d times, refused %v", m.q.sent, m.Totals().Refused)
 	}
-	m.Counted(m.now, Counted{Name: old, Status: OK, Total: 1000, Elapsed: time.Millisecond})
+	m.HandleCounter(m.now, CounterResult{Name: old, Status: OK, Total: 1000, Elapsed: time.Millisecond})
 	ask(2)
 	if n := len(m.q.counts); m.q.counts[n-1] == old || m.q.counts[n-1] != "c.p7"+old[1:] {
 		t.Errorf("counts: %v", m.q.counts)
 	}
-	m.Counted(m.now, Counted{Name: m.q.counts[len(m.q.counts)-1], Status: OK, Total: 1, Elapsed: time.Millisecond})
+	m.HandleCounter(m.now, CounterResult{Name: m.q.counts[len(m.q.counts)-1], Status: OK, Total: 1, Elapsed: time.Millisecond})
 	if m.q.sent != 2 {
 		t.Errorf("sent %d, refused %d: the old count has been counted", m.q.sent, m.q.refused)
 	}
@@ -182,20 +182,20 @@
 		pro := plan("pro", 2, 10)
 		pro.CeilingRate, pro.CeilingBurst = 4, 20
 		set := adopting(pro)
-		set.Counter, set.CounterTimeout, set.Doors = true, 50*time.Millisecond, 5
+		set.Counter, set.CounterTimeout, set.Gateways = true, 50*time.Millisecond, 5
 		m := newMeter(t, set)
 		passed := func(n int) int {
 			before := m.q.sent
 			for range n {
 				m.last++
 				sent, counts := m.q.sent, len(m.q.counts)
-				m.Request(m.now, Request{ID: m.last, Class: "read", Plan: "pro", Customer: "c", NotAfter: m.now + 2*time.Second, Units: 1, Width: 5})
+				m.HandleRequest(m.now, Request{ID: m.last, Class: "read", Plan: "pro", Customer: "c", Deadline: m.now + 2*time.Second, Units: 1, Gateways: 5})
 				for ; counts < len(m.q.counts); counts++ {
 					name := m.q.counts[counts]
-					m.Counted(m.now, Counted{Name: name, Status: OK, Total: m.q.amounts[name], Elapsed: time.Millisecond})
+					m.HandleCounter(m.now, CounterResult{Name: name, Status: OK, Total: m.q.amounts[name], Elapsed: time.Millisecond})
 				}
 				if m.q.sent > sent {
-					m.Outcome(m.now, Outcome{ID: m.last, Backend: 1, Status: OK, Elapsed: time.Millisecond})
+					m.HandleOutcome(m.now, Outcome{ID: m.last, Backend: 1, Status: OK, Elapsed: time.Millisecond})
 				}
 			}
 			return m.q.sent - before
@@ -205,7 +205,7 @@
 			m.now += time.Second
 		}
 		if changed {
-			m.Adopt(m.now, 1, set)
+			m.ApplyPolicy(m.now, 1, set)
 		}
 		// The quota has room for 10; this gateway's share of the ceiling's burst is 4.
 		if got := passed(30); changed && got > 4 || !changed && got < 8 {
--- a/choice/api.go
+++ b/choice/api.go
@@ -15,16 +15,16 @@
 )
 
 // NameLife is the longest that the shared counter keeps a name.
-const NameLife = time.Minute
+const CounterNameTTL = time.Minute
 
 // Effect tells whether a request may run more than once.
 type Effect int
 
 // The effects of a class.
 const (
-	Retryable Effect = iota // harmless to repeat
-	Keyed                   // repeats are dropped inside the class's Group, for KeyTTL
-	Fragile                 // must never run twice
+	Retryable    Effect = iota // harmless to repeat
+	Keyed                      // repeats are dropped inside the class's Group, for KeyTTL
+	NonRetryable               // must never run twice
 )
 
 // Group is the set of backends that drops repeats of a keyed request.
@@ -32,22 +32,22 @@
 
 // The groups of a keyed class.
 const (
-	All Group = iota
+	AllBackends Group = iota
 	SameZone
 	SameCell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Name          string
-	Aim, Deadline time.Duration
-	LateWorth     float64 // share of the worth for an answer after the aim
-	Value         float64
-	Effect        Effect
-	Group         Group
-	KeyTTL        time.Duration
-	Stream        bool
-	Tries         int // servers that one request may be sent to; 0: the settings' MaxTries
+	Name             string
+	Target, Deadline time.Duration
+	LateValue        float64 // share of the worth for an answer after the aim
+	Value            float64
+	Effect           Effect
+	Group            Group
+	KeyTTL           time.Duration
+	Stream           bool
+	MaxAttempts      int // servers that one request may be sent to; 0: the settings' MaxTries
 }
 
 // Plan is what a customer has bought. Quotas hold over all gateways together.
@@ -62,29 +62,29 @@
 
 // Settings are all that a Balancer is told at its start.
 type Settings struct {
-	Doors   int // gateways in all
-	Index   int // which of them this one is, from 0
-	Zone    string
-	Classes []Class
-	Plans   []Plan
+	Gateways int // gateways in all
+	Index    int // which of them this one is, from 0
+	Zone     string
+	Classes  []Class
+	Plans    []Plan
 
-	Tick           time.Duration // shortest time between two batches of events
-	MaxTries       int
-	Turns          float64 // how much the turns of servers count against expected delay; 0: as much as for many gateways
-	Slots          float64 // requests that a server works on at once; 0: not known
-	Spare          float64 // standard deviations of chance that the limit on attempts allows for
-	RetryShare     float64 // of a repeat that each request adds to the budget; 0: a tenth
-	RetryMost      float64 // repeats in the budget; 0: ten
-	Shuts          bool    // servers refuse connections while they are busy: such an attempt reached nobody
-	SecondCopies   bool    // two attempts of one request may be out at once
-	Cancels        bool
-	Probes         bool
-	RetryAfter     bool          // clients are told when to come back
-	MaxRetryAfter  time.Duration // the longest that they heed; 0: not known
-	ConnectTimeout time.Duration
-	Subscribe      bool // roster changes come only after Watch
-	AskWithin      time.Duration
-	Weighted       bool // roster weights mean something
+	Tick              time.Duration // shortest time between two batches of events
+	MaxAttempts       int
+	TurnWeight        float64 // how much the turns of servers count against expected delay; 0: as much as for many gateways
+	ServerConcurrency float64 // requests that a server works on at once; 0: not known
+	HeadroomSigmas    float64 // standard deviations of chance that the limit on attempts allows for
+	RetryRatio        float64 // of a repeat that each request adds to the budget; 0: a tenth
+	RetryBudget       float64 // repeats in the budget; 0: ten
+	RefusesWhenBusy   bool    // servers refuse connections while they are busy: such an attempt reached nobody
+	Hedging           bool    // two attempts of one request may be out at once
+	Cancels           bool
+	Probes            bool
+	RetryAfter        bool          // clients are told when to come back
+	MaxRetryAfter     time.Duration // the longest that they heed; 0: not known
+	ConnectTimeout    time.Duration
+	Subscribe         bool // roster changes come only after Watch
+	MaxNewsAge        time.Duration
+	Weighted          bool // roster weights mean something
 
 	Counter        bool
 	CounterTimeout time.Duration
@@ -93,10 +93,10 @@
 
 	AnswerSlack   time.Duration
 	DrainGrace    time.Duration
-	ColdFrom      float64
-	ColdFor       time.Duration
-	FallMultiple  float64
-	FallAfter     time.Duration
+	ColdCapacity  float64
+	WarmupTime    time.Duration
+	OverloadRatio float64
+	OverloadTime  time.Duration
 	CrossZone     float64 // price of an attempt that crosses zones
 	CounterPrice  float64 // price of one counter call a request
 	ProbePrice    float64 // price of one probe a request
@@ -106,15 +106,15 @@
 
 // Request is a client's try, which is owed one final answer.
 type Request struct {
-	ID       uint32
-	Class    string
-	Plan     string
-	Customer string
-	NotAfter time.Duration // clock time at which the client stops waiting
-	Units    float64
-	Width    int // gateways that may get this customer's requests
-	First    int
-	Again    bool // a client's repeat, where clients mark it
+	ID           uint32
+	Class        string
+	Plan         string
+	Customer     string
+	Deadline     time.Duration // clock time at which the client stops waiting
+	Units        float64
+	Gateways     int // gateways that may get this customer's requests
+	FirstGateway int
+	IsRetry      bool // a client's repeat, where clients mark it
 }
 
 // State is what the roster says of a backend.
@@ -140,7 +140,7 @@
 }
 
 // Roster is news of the fleet.
-type Roster struct {
+type RosterUpdate struct {
 	Members []Member
 	Whole   bool // the list replaces the old one
 	Saved   bool // the list this gateway had before it stopped, maybe old
@@ -154,12 +154,12 @@
 const (
 	OK Status = iota
 	Error
-	Full
+	Overloaded
 	Timeout
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NotExecuted
 )
 
 // Load is a backend's report. Fields it does not give are absent.
@@ -170,18 +170,18 @@
 
 // Outcome ends an attempt.
 type Outcome struct {
-	ID      uint32
-	Try     int
-	Backend uint32
-	Status  Status
-	Elapsed time.Duration
-	Final   bool    // the request is over
-	Actual  float64 // true units; 0: as guessed
-	Load    *Load
+	ID          uint32
+	Attempt     int
+	Backend     uint32
+	Status      Status
+	Elapsed     time.Duration
+	Final       bool    // the request is over
+	ActualUnits float64 // true units; 0: as guessed
+	Load        *Load
 }
 
 // Probed ends a probe.
-type Probed struct {
+type ProbeResult struct {
 	Backend uint32
 	Status  Status
 	Elapsed time.Duration
@@ -189,7 +189,7 @@
 }
 
 // Counted ends a counter call.
-type Counted struct {
+type CounterResult struct {
 	Name    string
 	Status  Status
 	Total   float64
@@ -201,22 +201,22 @@
 
 // The reasons of refusals.
 const (
-	TooLate  Reason = iota // its client's time was up when it came
-	NoServer               // none may be sent anything now
-	Beyond                 // its customer's quota
-	Pressed                // servers: it would have come late, or made others late
-	PastAim                // its aim has gone by, and the servers have others to serve
-	Ceiling                // this gateway's share of its customer's ceiling
-	Spent                  // attempts failed without having run, and no further one was allowed
-	reasons
+	DeadlinePassed Reason = iota // its client's time was up when it came
+	NoServer                     // none may be sent anything now
+	OverQuota                    // its customer's quota
+	Shed                         // servers: it would have come late, or made others late
+	TargetPassed                 // its aim has gone by, and the servers have others to serve
+	OverCeiling                  // this gateway's share of its customer's ceiling
+	AttemptsUsed                 // attempts failed without having run, and no further one was allowed
+	reasonCount
 )
 
 // Books are totals of a Balancer since its start, and figures that it goes by.
-type Books struct {
-	Refused [reasons]int // by Reason
-	Out     float64      // mean attempts out, of late
-	Limit   float64      // how many may be out before requests are refused
-	Rate    float64      // attempts a second, of late
+type Totals struct {
+	Refused  [reasonCount]int // by Reason
+	InFlight float64          // mean attempts out, of late
+	Limit    float64          // how many may be out before requests are refused
+	SendRate float64          // attempts a second, of late
 }
 
 // Actions is what a host carries out for a Balancer.
@@ -226,7 +226,7 @@
 	Fail(id uint32)
 	Cancel(id uint32, try int)
 	Probe(backend uint32)
-	Count(name string, add float64, life time.Duration)
+	AddToCounter(name string, add float64, life time.Duration)
 	SetTimer(after time.Duration, token string)
 	Watch(on bool)
 	Log(text string)
@@ -234,8 +234,8 @@
 
 // Validate reports the first setting that makes no sense.
 func (s *Settings) Validate() error {
-	if s.Doors < 1 {
-		return fmt.Errorf("Doors must be at least 1, got %d", s.Doors)
+	if s.Gateways < 1 {
+		return fmt.Errorf("Gateways must be at least 1, got %d", s.Gateways)
 	}
 	if s.Tick < 0 {
 		return fmt.Errorf("Tick must not be negative, got %v", s.Tick)
@@ -253,11 +253,11 @@
 		switch {
 		case c.Name == "":
 			return fmt.Errorf("Classes[%d].Name must not be empty", i)
-		case c.Aim <= 0:
-			return fmt.Errorf("Classes[%d].Aim must be above 0, got %v", i, c.Aim)
-		case c.Effect < Retryable || c.Effect > Fragile:
+		case c.Target <= 0:
+			return fmt.Errorf("Classes[%d].Target must be above 0, got %v", i, c.Target)
+		case c.Effect < Retryable || c.Effect > NonRetryable:
 			return fmt.Errorf("Classes[%d].Effect is unknown: %d", i, c.Effect)
-		case c.Group < All || c.Group > SameCell:
+		case c.Group < AllBackends || c.Group > SameCell:
 			return fmt.Errorf("Classes[%d].Group is unknown: %d", i, c.Group)
 		}
 	}
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -9,15 +9,15 @@
 // quiet is an Actions that does nothing.
 type quiet struct{ to uint32 }
 
-func (q *quiet) Send(_, to uint32, _ time.Duration)   { q.to = to }
-func (q *quiet) Refuse(uint32, time.Duration)         {}
-func (q *quiet) Fail(uint32)                          {}
-func (q *quiet) Cancel(uint32, int)                   {}
-func (q *quiet) Probe(uint32)                         {}
-func (q *quiet) Count(string, float64, time.Duration) {}
-func (q *quiet) SetTimer(time.Duration, string)       {}
-func (q *quiet) Watch(bool)                           {}
-func (q *quiet) Log(string)                           {}
+func (q *quiet) Send(_, to uint32, _ time.Duration)          { q.to = to }
+func (q *quiet) Refuse(uint32, time.Duration)                {}
+func (q *quiet) Fail(uint32)                                 {}
+func (q *quiet) Cancel(uint32, int)                          {}
+func (q *quiet) Probe(uint32)                                {}
+func (q *quiet) AddToCounter(string, float64, time.Duration) {}
+func (q *quiet) SetTimer(time.Duration, string)              {}
+func (q *quiet) Watch(bool)                                  {}
+func (q *quiet) Log(string)                                  {}
 
 // alike are so many backends.
 func alike(n int) []Member {
@@ -37,13 +37,13 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			bal.Roster(0, Roster{Whole: true, Members: alike(n)})
+			bal.HandleRoster(0, RosterUpdate{Whole: true, Members: alike(n)})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := time.Duration(i+1) * 5 * msec
 				id := uint32(i + 1)
-				bal.Request(now, ask(id, "read", "free", now))
-				bal.Outcome(now, Outcome{ID: id, Backend: act.to, Elapsed: 50 * msec, Final: true})
+				bal.HandleRequest(now, ask(id, "read", "free", now))
+				bal.HandleOutcome(now, Outcome{ID: id, Backend: act.to, Elapsed: 50 * msec, Final: true})
 			}
 		})
 	}
@@ -59,12 +59,12 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			bal.Roster(0, Roster{Whole: true, Members: alike(n)})
+			bal.HandleRoster(0, RosterUpdate{Whole: true, Members: alike(n)})
 			b.ReportAllocs()
 			now := time.Duration(0)
 			for b.Loop() {
 				for end := now + time.Second; now < end; now += bal.beat {
-					bal.Timer(now, Beat)
+					bal.HandleTimer(now, HousekeepingTimer)
 				}
 			}
 			b.ReportMetric(time.Second.Seconds()/bal.beat.Seconds(), "beats")
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -33,11 +33,11 @@
 	byID      map[uint32]*backend
 	fleet     []*backend // in order of id
 	ring      []*backend // in an order that all gateways have, zones taking turns
-	cover     aperture.Part
-	reach     int          // how many of them it uses
-	twins     int          // processes that are this gateway
-	turns     stride.Clock // that they take
-	weight    float64      // mean
+	cover     aperture.CachedCover
+	reach     int              // how many of them it uses
+	twins     int              // processes that are this gateway
+	turns     stride.Scheduler // that they take
+	weight    float64          // mean
 	customers map[string]*customer
 	idlers    []*customer // in order of arrival
 	logged    map[string]bool
@@ -59,14 +59,14 @@
 	faults          float64           // share of faults among answers
 	limit           concurrency.Limit // on attempts out, before requests are shed
 
-	calls               map[string]func(now time.Duration, e Counted)
+	calls               map[string]func(now time.Duration, e CounterResult)
 	stake, floor        float64       // mean loss by a request beyond quota; that worth a call
 	beyond              float64       // share of those put on the counter that were beyond quota
 	fails               int           // counter calls in a row without an answer
 	callAfter, silentAt time.Duration // no counter call before; start of its silence
 	backAt              time.Duration // end of its last silence
 	countedAt, doubtAt  time.Duration // its last answer; last sign that it may have lost its counts
-	books               Books
+	books               Totals
 }
 
 // class is a Class with what has been learnt of its answers.
@@ -105,7 +105,7 @@
 // bound is the first attempt that is out or ended without proof that it never ran: it limits what may follow.
 func (r *request) bound() *attempt {
 	for _, a := range r.tries {
-		if a.out || a.status != Full && a.status != ConnectFailed && a.status != Moot {
+		if a.out || a.status != Overloaded && a.status != ConnectFailed && a.status != NotExecuted {
 			return a
 		}
 	}
@@ -113,7 +113,7 @@
 }
 
 const (
-	namePeriod   = NameLife / 3
+	namePeriod   = CounterNameTTL / 3
 	mostRetries  = 10                      // in the budget, where the settings name no other
 	quietCounter = 2 * time.Second         // without an answer: it may have been emptied meanwhile
 	mostLooks    = 2                       // probes for a request
@@ -130,18 +130,18 @@
 	b := &Balancer{set: set, act: act, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*class{},
 		plans: map[string]*Plan{}, reqs: map[uint32]*request{}, byID: map[uint32]*backend{},
 		customers: map[string]*customer{}, quickest: map[string]float64{}, logged: map[string]bool{},
-		zones: map[string]*health.Zone{}, calls: map[string]func(time.Duration, Counted){}, twins: 1}
-	b.set.MaxTries, b.set.MaxRetryAfter = max(set.MaxTries, 1), cmp.Or(set.MaxRetryAfter, math.MaxInt64)
-	b.set.RetryShare, b.set.RetryMost = cmp.Or(set.RetryShare, 0.1), cmp.Or(set.RetryMost, mostRetries)
-	b.beat = set.Classes[0].Aim
+		zones: map[string]*health.Zone{}, calls: map[string]func(time.Duration, CounterResult){}, twins: 1}
+	b.set.MaxAttempts, b.set.MaxRetryAfter = max(set.MaxAttempts, 1), cmp.Or(set.MaxRetryAfter, math.MaxInt64)
+	b.set.RetryRatio, b.set.RetryBudget = cmp.Or(set.RetryRatio, 0.1), cmp.Or(set.RetryBudget, mostRetries)
+	b.beat = set.Classes[0].Target
 	for _, c := range set.Classes {
-		b.classes[c.Name] = &class{Class: c, Latency: health.NewLatency(c.Aim)}
-		b.beat = min(b.beat, c.Aim)
-		b.slotPeriod = max(b.slotPeriod, c.Aim, c.Deadline)
+		b.classes[c.Name] = &class{Class: c, Latency: health.NewLatency(c.Target)}
+		b.beat = min(b.beat, c.Target)
+		b.slotPeriod = max(b.slotPeriod, c.Target, c.Deadline)
 	}
 	b.beat = max(b.beat/8, set.Tick)
-	b.limit, b.retries, b.beyond = concurrency.New(b.beat), b.set.RetryMost, 0.3
-	b.spread = cmp.Or(set.Turns, 1) * math.Sqrt(float64(set.Doors)) / 20
+	b.limit, b.retries, b.beyond = concurrency.New(b.beat), b.set.RetryBudget, 0.3
+	b.spread = cmp.Or(set.TurnWeight, 1) * math.Sqrt(float64(set.Gateways)) / 20
 	b.looks = int(min(worthLooks/max(set.ProbePrice, 1e-9), mostLooks))
 	for _, p := range set.Plans {
 		b.plans[p.Name] = &p
@@ -149,14 +149,14 @@
 	if set.Subscribe {
 		act.Watch(true)
 	}
-	act.SetTimer(b.beat, Beat)
+	act.SetTimer(b.beat, HousekeepingTimer)
 	return b, nil
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Request takes a client's try.
-func (b *Balancer) Request(now time.Duration, q Request) {
+func (b *Balancer) HandleRequest(now time.Duration, q Request) {
 	b.started = cmp.Or(b.started, now) // the time before the first request earns no room under a ceiling
 	b.doubtAt = cmp.Or(b.doubtAt, now) // counts may have been lost just before, and nobody tells
 	cl, pl := b.classes[q.Class], b.plans[q.Plan]
@@ -165,23 +165,24 @@
 		b.act.Refuse(q.ID, 0)
 		return
 	}
-	r := &request{Request: q, class: cl, plan: pl, aimAt: now + cl.Aim}
-	r.Width, r.most = max(1, min(q.Width, b.set.Doors))*b.twins, cmp.Or(cl.Tries, b.set.MaxTries)
+	r := &request{Request: q, class: cl, plan: pl, aimAt: now + cl.Target}
+	r.Gateways, r.most = max(1, min(q.Gateways, b.set.Gateways))*b.twins,
+		cmp.Or(cl.MaxAttempts, b.set.MaxAttempts)
 	b.reqs[q.ID] = r
-	left := q.NotAfter - now - 2*b.set.Tick
+	left := q.Deadline - now - 2*b.set.Tick
 	if off := (left - cl.span).Abs() > 2*b.set.Tick; !off {
 		cl.votes = min(cl.votes+1, 50)
 	} else if cl.votes--; cl.votes < 0 {
 		cl.span, cl.votes = left, 0
 	} else if cl.votes > 5 { // bounded by the deadline of all its tries, which tells its age
-		r.aimAt = min(r.aimAt, q.NotAfter-cl.Deadline+cl.Aim)
+		r.aimAt = min(r.aimAt, q.Deadline-cl.Deadline+cl.Target)
 	}
 	if left <= 0 {
-		b.refuse(now, r, TooLate, 0)
+		b.refuse(now, r, DeadlinePassed, 0)
 		return
 	}
 	b.act.SetTimer(left, "end "+strconv.FormatUint(uint64(q.ID), 10))
-	b.retries = min(b.retries+b.set.RetryShare, b.set.RetryMost)
+	b.retries = min(b.retries+b.set.RetryRatio, b.set.RetryBudget)
 	b.admit(now, r)
 }
 
@@ -210,7 +211,7 @@
 	room, age := p.Burst-(c.tat-now).Seconds()*p.Rate, now-c.readAt
 	metered := b.set.Counter && c.width > 1 && p.Rate > 0 && share > 0.5 && !b.silent(now)
 	fresh := age <= b.set.CounterTimeout/4 || room-r.Units >= max(p.Burst/2, 2*p.Rate*age.Seconds())
-	fresh = fresh && (p.CeilingRate == 0 || c.share.Has(now, r.terms(), r.Units))
+	fresh = fresh && (p.CeilingRate == 0 || c.share.Allows(now, r.terms(), r.Units))
 	if r.asks = metered && (c.readAt == 0 || pass && !fresh); r.asks {
 		// While calls are scarce, few for a customer whose store was empty at the last reads.
 		if r.pays = r.pays && (b.floor == 0 || b.rng.Float64() < 1/(1+c.over)); r.pays && b.callable(now) {
@@ -233,15 +234,15 @@
 		if inside {
 			b.sent++
 		}
-		b.refuse(now, r, NoServer, r.class.Aim/2)
+		b.refuse(now, r, NoServer, r.class.Target/2)
 		return
 	}
 	if r.beyond {
 		inside, wait = false, max(wait, r.plan.span(r.Units))
 	}
 	p := r.plan
-	if !inside && (p.ExcessWorth <= p.OverrunCost || delay > r.class.Aim/3) {
-		b.refuse(now, r, Beyond, wait)
+	if !inside && (p.ExcessWorth <= p.OverrunCost || delay > r.class.Target/3) {
+		b.refuse(now, r, OverQuota, wait)
 		return
 	}
 	if r.asks && !r.known { // it may be beyond its quota, and is less worth sending the likelier that is
@@ -264,9 +265,9 @@
 // the smaller the part of the limit that is open to it.
 func (b *Balancer) shed(now time.Duration, r *request, inside bool) bool {
 	keen := 1.2 * max(0.1, r.worth) / (r.worth + b.density/2)
-	why := Pressed
+	why := Shed
 	if r.aimAt <= now { // a repeat too late for its aim: in a retry storm, most of the load
-		keen, why = r.class.LateWorth, PastAim
+		keen, why = r.class.LateValue, TargetPassed
 	}
 	if !inside {
 		keen = min(keen, 0.5)
@@ -274,25 +275,25 @@
 	if b.busy(now) < b.limit.Max*keen {
 		return false
 	}
-	b.refuse(now, r, why, seconds(r.class.Aim.Seconds()*(0.25+b.rng.Float64()/2))) // not all together
+	b.refuse(now, r, why, seconds(r.class.Target.Seconds()*(0.25+b.rng.Float64()/2))) // not all together
 	return true
 }
 
 // maySend is rule 2, with the limits on attempts.
 func (b *Balancer) maySend(now time.Duration, r *request, be *backend) bool {
-	if r.done || r.stream || b.reached(r) >= r.most || r.out > 0 && !b.set.SecondCopies {
+	if r.done || r.stream || b.reached(r) >= r.most || r.out > 0 && !b.set.Hedging {
 		return false
 	}
 	first := r.bound()
 	if first == nil || r.class.Effect == Retryable {
 		return true
 	}
-	if r.class.Effect == Fragile || now-first.sent+2*b.set.Tick >= r.class.KeyTTL {
+	if r.class.Effect == NonRetryable || now-first.sent+2*b.set.Tick >= r.class.KeyTTL {
 		return false
 	}
 	group := r.class.Group
 	near := be.Member.Zone == first.to.Member.Zone
-	return group == All || near && (group == SameZone || be.Cell == first.to.Cell)
+	return group == AllBackends || near && (group == SameZone || be.Cell == first.to.Cell)
 }
 
 func (b *Balancer) send(now time.Duration, r *request, be *backend) {
@@ -301,13 +302,13 @@
 	be.outs = append(be.outs, a)
 	be.allowed--
 	be.looked = 0
-	b.turns.Took(&be.seat, b.size(be)*max(be.part, 0.05), b.mass)
+	b.turns.Advance(&be.seat, b.size(be)*max(be.part, 0.05), b.mass)
 	b.sent++
 	r.out++
 	b.open++
 	r.cust.out++
-	if r.class.Effect != Fragile {
-		b.act.SetTimer(r.class.Tardy(), "tardy "+strconv.FormatUint(uint64(r.ID), 10))
+	if r.class.Effect != NonRetryable {
+		b.act.SetTimer(r.class.Slow(), "tardy "+strconv.FormatUint(uint64(r.ID), 10))
 	}
 	b.act.Send(r.ID, be.ID, 0)
 }
@@ -325,7 +326,7 @@
 // giveUp gives the final answer to a request that was not served.
 func (b *Balancer) giveUp(now time.Duration, r *request) {
 	if r.bound() == nil || r.class.Effect == Retryable {
-		b.refuse(now, r, Spent, seconds(r.class.Mean)) // what failed it may last; at once would be a storm
+		b.refuse(now, r, AttemptsUsed, seconds(r.class.Mean)) // an immediate retry would add to a storm
 	} else {
 		b.end(now, r)
 		b.act.Fail(r.ID)
@@ -346,18 +347,18 @@
 }
 
 // Outcome takes the end of an attempt.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+func (b *Balancer) HandleOutcome(now time.Duration, o Outcome) {
 	r := b.reqs[o.ID]
-	if r == nil || o.Try < 0 || o.Try >= len(r.tries) || !r.tries[o.Try].out {
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.tries) || !r.tries[o.Attempt].out {
 		return
 	}
-	a := r.tries[o.Try]
+	a := r.tries[o.Attempt]
 	a.out, a.status = false, o.Status
 	r.out, b.open, r.cust.out = r.out-1, b.open-1, r.cust.out-1
 	a.to.outs = slices.DeleteFunc(a.to.outs, func(x *attempt) bool { return x == a })
 	b.learn(now, a, o)
-	if o.Status == OK && o.Actual > 0 && r.inside && r.plan.Rate > 0 {
-		c, diff := r.cust, o.Actual-r.Units
+	if o.Status == OK && o.ActualUnits > 0 && r.inside && r.plan.Rate > 0 {
+		c, diff := r.cust, o.ActualUnits-r.Units
 		c.tat += r.plan.span(diff)
 		c.unsent += diff
 	}
@@ -372,7 +373,7 @@
 // again sends a request that has no attempt out once more, where rules, time and budget allow.
 func (b *Balancer) again(now time.Duration, r *request) bool {
 	to, delay := b.pick(now, r)
-	if to == nil || now+delay > r.NotAfter || b.retries < b.price(r) || now >= min(r.aimAt, r.NotAfter) {
+	if to == nil || now+delay > r.Deadline || b.retries < b.price(r) || now >= min(r.aimAt, r.Deadline) {
 		return false
 	}
 	b.retries -= b.price(r)
@@ -384,10 +385,10 @@
 func (b *Balancer) tardy(now time.Duration, r *request) {
 	i := slices.IndexFunc(r.tries, func(a *attempt) bool { return a.out })
 	if r.out != 1 || now >= r.aimAt || r.tries[i].to.heard >= r.tries[i].sent ||
-		now-r.tries[i].sent < r.class.Tardy()/2 {
+		now-r.tries[i].sent < r.class.Slow()/2 {
 		return
 	}
-	if b.set.SecondCopies {
+	if b.set.Hedging {
 		b.again(now, r)
 	} else if b.set.Cancels && b.retries >= 1 && len(r.tries) < r.most {
 		b.act.Cancel(r.ID, i)
@@ -395,27 +396,27 @@
 }
 
 // Accepted tells that the answer to an attempt has started to stream.
-func (b *Balancer) Accepted(now time.Duration, id uint32, try int) {
+func (b *Balancer) HandleStreamStart(now time.Duration, id uint32, try int) {
 	if r := b.reqs[id]; r != nil && try >= 0 && try < len(r.tries) {
 		r.tries[try].to.heard, r.stream = now, true
 	}
 }
 
 // Gone tells that nobody waits for a request any more.
-func (b *Balancer) Gone(now time.Duration, id uint32) {
+func (b *Balancer) HandleClientGone(now time.Duration, id uint32) {
 	if r := b.reqs[id]; r != nil {
 		b.end(now, r)
 	}
 }
 
 // Timer takes a timer that has fired.
-func (b *Balancer) Timer(now time.Duration, token string) {
+func (b *Balancer) HandleTimer(now time.Duration, token string) {
 	kind, digits, _ := strings.Cut(token, " ")
 	id, _ := strconv.ParseUint("0"+digits, 10, 32) // a beat has none: no error is made of it
 	r := b.reqs[uint32(id)]
 	switch {
-	case kind == Beat:
-		b.act.SetTimer(b.beat, Beat)
+	case kind == HousekeepingTimer:
+		b.act.SetTimer(b.beat, HousekeepingTimer)
 		b.housekeep(now)
 	case kind == "watch":
 		b.act.Watch(true)
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -13,25 +13,25 @@
 	for id := uint32(1); id <= 300; id++ {
 		now := time.Duration(id) * 100 * msec
 		before := len(rec.sends)
-		b.Request(now, ask(id, "read", "free", now))
+		b.HandleRequest(now, ask(id, "read", "free", now))
 		if len(rec.sends) == before {
 			t.Fatalf("request %d was refused with nothing out", id)
 		}
-		b.Outcome(now+2*time.Second, Outcome{ID: id, Backend: rec.sends[before].to, Elapsed: 2 * time.Second, Final: true})
+		b.HandleOutcome(now+2*time.Second, Outcome{ID: id, Backend: rec.sends[before].to, Elapsed: 2 * time.Second, Final: true})
 	}
 }
 
 func TestOverloadIsShed(t *testing.T) {
 	b, rec := start(t, nil)
 	for id := uint32(1); id <= 500; id++ {
-		b.Request(0, ask(id, "once", "free", 0))
+		b.HandleRequest(0, ask(id, "once", "free", 0))
 	}
 	all := len(rec.sends)
 	for i := range all {
-		b.Outcome(2*time.Second, Outcome{ID: rec.sends[i].id, Backend: rec.sends[i].to, Elapsed: 2 * time.Second, Final: true})
+		b.HandleOutcome(2*time.Second, Outcome{ID: rec.sends[i].id, Backend: rec.sends[i].to, Elapsed: 2 * time.Second, Final: true})
 	}
 	for id := uint32(501); id <= 1000; id++ {
-		b.Request(2*time.Second, ask(id, "once", "free", 2*time.Second))
+		b.HandleRequest(2*time.Second, ask(id, "once", "free", 2*time.Second))
 	}
 	if now := len(rec.sends) - all; now >= all/2 {
 		t.Errorf("%d out at once before everything was late, %d after", all, now)
@@ -44,25 +44,25 @@
 	for _, be := range b.fleet {
 		if be.Member.Zone == "a" {
 			for range 3 {
-				be.Until = 0
+				be.EjectedUntil = 0
 				b.eject(0, be)
 			}
 		}
 	}
 	for now := time.Duration(0); now < 10*time.Second; now += b.beat {
-		b.Timer(now, "beat")
+		b.HandleTimer(now, "beat")
 		for _, id := range rec.probes {
-			b.Probed(now, Probed{Backend: id})
+			b.HandleProbe(now, ProbeResult{Backend: id})
 		}
 		rec.probes = nil
 	}
 	used := map[uint32]bool{}
 	for id := uint32(1); id <= 40; id++ {
-		b.Request(10*time.Second, ask(id, "read", "free", 10*time.Second))
+		b.HandleRequest(10*time.Second, ask(id, "read", "free", 10*time.Second))
 		used[rec.sends[len(rec.sends)-1].to] = true
 		if id%8 == 0 {
 			for i := id - 7; i <= id; i++ {
-				b.Outcome(10*time.Second, Outcome{ID: i, Backend: rec.sends[i-1].to, Elapsed: 50 * msec, Final: true})
+				b.HandleOutcome(10*time.Second, Outcome{ID: i, Backend: rec.sends[i-1].to, Elapsed: 50 * msec, Final: true})
 			}
 		}
 	}
@@ -76,14 +76,14 @@
 	b, rec := start(t, nil)
 	for id := uint32(1); id <= 20; id++ {
 		q := ask(id, "read", "free", 0)
-		q.NotAfter = 2 * time.Second
-		b.Request(0, q)
+		q.Deadline = 2 * time.Second
+		b.HandleRequest(0, q)
 		rec.end(b, 0, 0, OK)
 	}
 	for id, left := range map[uint32]time.Duration{30: 2 * time.Second, 31: 2900 * msec, 32: 1500 * msec} {
 		q := ask(id, "read", "free", 0)
-		q.NotAfter = left
-		b.Request(0, q)
+		q.Deadline = left
+		b.HandleRequest(0, q)
 		if _, no := rec.refused[id]; no != (id == 32) {
 			t.Errorf("left %v: refused %v", left, no)
 		}
@@ -95,15 +95,15 @@
 	b, rec := start(t, nil)
 	for id := uint32(1); id <= 40; id++ {
 		now := time.Duration(id) * 10 * msec
-		b.Request(now, ask(id, "once", "free", now))
+		b.HandleRequest(now, ask(id, "once", "free", now))
 		for len(rec.sends) > 0 {
-			rec.end(b, now, len(b.reqs[id].tries)-1, Full)
+			rec.end(b, now, len(b.reqs[id].tries)-1, Overloaded)
 			if b.reqs[id] == nil {
 				break
 			}
 		}
 	}
-	if least := b.limit.Floor(); b.limit.Max > 1.1*least {
+	if least := b.limit.Min(); b.limit.Max > 1.1*least {
 		t.Errorf("limit %v after nothing but full backends, want its floor of %v", b.limit.Max, least)
 	}
 }
@@ -111,10 +111,10 @@
 // Of many gateways each meets a backend too seldom to know that it is jammed: a probe tells before a request does.
 func TestScoutsFindTheWell(t *testing.T) {
 	for _, doors := range []int{1, 20, 364} {
-		b, rec := start(t, func(s *Settings) { s.Doors, s.Probes = doors, true })
+		b, rec := start(t, func(s *Settings) { s.Gateways, s.Probes = doors, true })
 		for id := uint32(1); id <= 200; id++ {
 			now := time.Duration(id) * time.Second
-			b.Request(now, ask(id, "once", "free", now))
+			b.HandleRequest(now, ask(id, "once", "free", now))
 			if n := len(rec.sends); n > 0 && rec.sends[n-1].id == id {
 				if to := rec.sends[n-1].to; id > 4 && to%2 == 1 { // each has been probed by then
 					t.Fatalf("%d gateways: request %d went to %d, whose probes are not answered", doors, id, to)
@@ -122,14 +122,14 @@
 				rec.end(b, now+50*msec, 0, OK)
 			}
 			for _, to := range rec.probes {
-				e := Probed{Backend: to, Elapsed: 2 * msec}
+				e := ProbeResult{Backend: to, Elapsed: 2 * msec}
 				if to%2 == 1 {
 					e.Status, e.Elapsed = Timeout, 250*msec
 				}
-				b.Probed(now+900*msec, e)
+				b.HandleProbe(now+900*msec, e)
 			}
 			rec.probes = nil
-			b.Timer(now+950*msec, "beat")
+			b.HandleTimer(now+950*msec, "beat")
 		}
 		if len(rec.sends) < 100 {
 			t.Errorf("%d gateways: %d of 200 sent", doors, len(rec.sends))
@@ -141,15 +141,15 @@
 // the limit allows, little is refused by chance.
 func TestSliverOfALimitIsNotRefusedByChance(t *testing.T) {
 	for _, doors := range []int{2, 20} {
-		b, rec := start(t, func(s *Settings) { s.Doors = doors })
+		b, rec := start(t, func(s *Settings) { s.Gateways = doors })
 		for id := uint32(1); id <= 300; id += 5 { // in fives, each a while after the other
 			now := time.Minute + time.Duration(id)*2*time.Second
 			for i := range uint32(5) {
 				at := now + time.Duration(i)*150*msec
-				b.Request(at, ask(id+i, "once", "free", at))
+				b.HandleRequest(at, ask(id+i, "once", "free", at))
 			}
 			for _, s := range rec.sends {
-				b.Outcome(now+650*msec, Outcome{ID: s.id, Status: OK, Elapsed: 300 * msec, Final: true})
+				b.HandleOutcome(now+650*msec, Outcome{ID: s.id, Status: OK, Elapsed: 300 * msec, Final: true})
 			}
 			rec.sends = nil
 		}
@@ -163,7 +163,7 @@
 func TestWaitsAreSpreadAndHeeded(t *testing.T) {
 	b, rec := start(t, func(s *Settings) { s.MaxRetryAfter = 300 * msec })
 	for id := uint32(1); id <= 500; id++ {
-		b.Request(time.Duration(id)*msec, ask(id, "once", "free", time.Duration(id)*msec))
+		b.HandleRequest(time.Duration(id)*msec, ask(id, "once", "free", time.Duration(id)*msec))
 	}
 	waits := map[time.Duration]int{}
 	for id, wait := range rec.refused {
@@ -181,9 +181,9 @@
 	b, _ := start(t, func(s *Settings) { s.Probes = true })
 	be := b.byID[1]
 	be.probing = true
-	b.Probed(time.Second, Probed{Backend: 1, Status: Moot})
-	if be.probing || be.Until != 0 || be.looked != 0 || be.Strikes != 0 {
-		t.Errorf("probing %v, left out until %v, looked %v, strikes %d", be.probing, be.Until, be.looked, be.Strikes)
+	b.HandleProbe(time.Second, ProbeResult{Backend: 1, Status: NotExecuted})
+	if be.probing || be.EjectedUntil != 0 || be.looked != 0 || be.Ejections != 0 {
+		t.Errorf("probing %v, left out until %v, looked %v, strikes %d", be.probing, be.EjectedUntil, be.looked, be.Ejections)
 	}
 }
 
@@ -193,7 +193,7 @@
 	b, rec := start(t, func(s *Settings) { s.Probes = true })
 	b.limit.Max = 100
 	for id := uint32(1); id <= 40; id++ {
-		b.Request(0, ask(id, "read", "free", 0))
+		b.HandleRequest(0, ask(id, "read", "free", 0))
 	}
 	stranded := map[uint32]bool{}
 	for _, be := range b.fleet {
@@ -242,14 +242,14 @@
 	for _, be := range b.fleet {
 		be.Member.Started = 0
 	}
-	b.Roster(time.Second, Roster{Members: fleet})
+	b.HandleRoster(time.Second, RosterUpdate{Members: fleet})
 	for i := range 400 { // 100 a second: a fifth of that is what they surely bear
 		now := time.Second + time.Duration(i)*10*msec
 		if i%10 == 0 {
 			b.housekeep(now)
 		}
 		n := len(rec.sends)
-		b.Request(now, ask(uint32(i+1), "read", "free", now))
+		b.HandleRequest(now, ask(uint32(i+1), "read", "free", now))
 		if len(rec.sends) > n {
 			rec.end(b, now, 0, OK)
 		}
@@ -266,7 +266,7 @@
 	bad := 0
 	for i := range 200 {
 		now := time.Duration(i) * 20 * msec
-		b.Request(now, ask(uint32(i+1), "once", "free", now))
+		b.HandleRequest(now, ask(uint32(i+1), "once", "free", now))
 		if s := rec.sends[len(rec.sends)-1]; s.to == 3 {
 			bad++
 			rec.end(b, now, 0, Error)
@@ -284,7 +284,7 @@
 	for worth, want := range map[float64]bool{5: true, 1: false} {
 		b, rec := start(t, func(s *Settings) { s.Classes[2].Value = worth })
 		b.limit.Max, b.open, b.limit.Load, b.density = 10, 8, 8, 30 // the mean of those asked is 3 in 0.1 s
-		b.Request(0, ask(1, "once", "free", 0))
+		b.HandleRequest(0, ask(1, "once", "free", 0))
 		if sent := len(rec.sends) == 1; sent != want {
 			t.Errorf("worth %v: sent %v, want %v", worth, sent, want)
 		}
@@ -294,18 +294,18 @@
 // gateways makes many, each with a seed of its own, that know the same fleet and have sent so much for a while.
 func gateways(t *testing.T, doors, size int, sends float64) (all []*Balancer, recs []*recorder) {
 	t.Helper()
-	fleet := Roster{Whole: true}
+	fleet := RosterUpdate{Whole: true}
 	for id := range uint32(size) {
 		fleet.Members = append(fleet.Members, Member{ID: 100 + id, Zone: string(rune('a' + id%3)), Weight: 1})
 	}
 	for i := range doors {
 		set, rec := settings(), &recorder{refused: map[uint32]time.Duration{}, failed: map[uint32]bool{}}
-		set.Doors, set.Index = doors, i
+		set.Gateways, set.Index = doors, i
 		b, err := New(set, uint64(i), rec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Roster(0, fleet)
+		b.HandleRoster(0, fleet)
 		b.limit.Max = 100
 		b.sends, b.sent, b.beats = sends, sends*b.beat.Seconds(), 100
 		b.housekeep(0)
@@ -353,7 +353,7 @@
 		for now := time.Duration(rng.ExpFloat64() / sends * 1e9); now < seconds*time.Second; now += time.Duration(rng.ExpFloat64() / sends * 1e9) {
 			id++
 			before := len(rec.sends)
-			if b.Request(now, ask(id, "read", "free", now)); len(rec.sends) == before {
+			if b.HandleRequest(now, ask(id, "read", "free", now)); len(rec.sends) == before {
 				t.Fatalf("gateway %d refused a request", i)
 			}
 			count[now/time.Second][rec.sends[before].to-100]++
--- a/choice/meter.go
+++ b/choice/meter.go
@@ -73,10 +73,10 @@
 	}
 	c.moving, c.change = c.change+float64(c.claimed), 0
 	name := c.key + ".o" + strconv.FormatInt(c.since, 36)
-	b.act.Count(name, c.moving, NameLife)
-	b.calls[name] = func(now time.Duration, e Counted) {
+	b.act.AddToCounter(name, c.moving, CounterNameTTL)
+	b.calls[name] = func(now time.Duration, e CounterResult) {
 		c.asking = false
-		if e.Status == Full || e.Status == ConnectFailed {
+		if e.Status == Overloaded || e.Status == ConnectFailed {
 			c.change += c.moving - float64(c.claimed)
 			for _, r := range c.waiting[:c.claimed] {
 				r.slot = 0
@@ -100,7 +100,7 @@
 		case r.done:
 			b.release(now, r)
 		case to == nil || !inside || c.out+others >= r.plan.MaxOut:
-			b.refuse(now, r, Beyond, max(wait, seconds(r.class.Mean)))
+			b.refuse(now, r, OverQuota, max(wait, seconds(r.class.Mean)))
 		default:
 			b.place(now, r, to, true, wait)
 		}
@@ -120,7 +120,7 @@
 func (b *Balancer) place(now time.Duration, r *request, to *backend, inside bool, wait time.Duration) {
 	c := r.cust
 	if r.plan.CeilingRate > 0 && !b.underCeiling(now, r, inside) {
-		b.refuse(now, r, Ceiling, wait)
+		b.refuse(now, r, OverCeiling, wait)
 		return
 	}
 	if r.inside = inside; inside && r.plan.Rate > 0 {
@@ -135,22 +135,22 @@
 // word does not do. It doesn't for the time in which a store fills after a period's start, nor for a while
 // after a sign that counts were lost.
 func (b *Balancer) underCeiling(now time.Duration, r *request, inside bool) bool {
-	p, t, word := r.plan, r.terms(), ratecap.None
+	p, t, word := r.plan, r.terms(), ratecap.CounterUnavailable
 	switch {
 	case !b.set.Counter || p.Rate == 0 || t.Rate <= p.Rate || t.Burst <= p.Burst || b.silent(now):
 	case !inside || !r.known:
-		word = ratecap.Guess
-	case now%namePeriod < p.span(p.Burst) || now-b.doubtAt < t.Trusted():
-		word = ratecap.Late
+		word = ratecap.NotAsked
+	case now%namePeriod < p.span(p.Burst) || now-b.doubtAt < t.DistrustPeriod():
+		word = ratecap.Doubtful
 	default:
-		word = ratecap.Sure
+		word = ratecap.Confirmed
 	}
 	return r.cust.share.Take(now, t, r.Units, word)
 }
 
-func (r *request) terms() ratecap.Terms {
-	return ratecap.Terms{Rate: r.plan.CeilingRate, Burst: r.plan.CeilingBurst, QuotaRate: r.plan.Rate,
-		QuotaBurst: r.plan.Burst, Width: float64(r.Width)}
+func (r *request) terms() ratecap.Limits {
+	return ratecap.Limits{Rate: r.plan.CeilingRate, Burst: r.plan.CeilingBurst, QuotaRate: r.plan.Rate,
+		QuotaBurst: r.plan.Burst, Gateways: float64(r.Gateways)}
 }
 
 // span is the time that units stand for: each the emission interval T.
@@ -161,10 +161,10 @@
 func (b *Balancer) customer(now time.Duration, r *request) *customer {
 	c := b.customers[r.Customer]
 	if c == nil {
-		c = &customer{key: r.Customer, plan: r.plan, width: r.Width, assumeAt: now}
+		c = &customer{key: r.Customer, plan: r.plan, width: r.Gateways, assumeAt: now}
 		c.share = ratecap.New(b.started)
 		if c.tat = now; r.plan.Rate > 0 {
-			free := min(max(r.plan.Burst/float64(r.Width), b.set.MaxUnits, 1), r.plan.Burst)
+			free := min(max(r.plan.Burst/float64(r.Gateways), b.set.MaxUnits, 1), r.plan.Burst)
 			c.tat = now + r.plan.span(r.plan.Burst-free)
 		}
 		b.customers[r.Customer] = c
@@ -172,7 +172,7 @@
 	} else if b.ended[c.plan] {
 		b.carry(now, c, r.plan)
 	}
-	c.seen, c.width = now, r.Width
+	c.seen, c.width = now, r.Gateways
 	return c
 }
 
@@ -223,12 +223,12 @@
 	}
 	c.call = c.key + b.names + "." + strconv.FormatInt(c.period, 36)
 	c.flying, c.unsent, c.owes = c.unsent+reserved, -reserved, false
-	b.calls[c.call] = func(now time.Duration, e Counted) { b.synced(now, c, e) }
-	b.act.Count(c.call, c.flying, NameLife)
+	b.calls[c.call] = func(now time.Duration, e CounterResult) { b.synced(now, c, e) }
+	b.act.AddToCounter(c.call, c.flying, CounterNameTTL)
 }
 
 // Counted takes the end of a counter call.
-func (b *Balancer) Counted(now time.Duration, e Counted) {
+func (b *Balancer) HandleCounter(now time.Duration, e CounterResult) {
 	then := b.calls[e.Name]
 	if then == nil {
 		return
@@ -245,7 +245,7 @@
 			b.doubtAt = now
 		}
 		b.countedAt = now
-	} else if failed && e.Status != Full {
+	} else if failed && e.Status != Overloaded {
 		b.doubtAt = now
 	}
 	if b.fails == 0 {
@@ -264,7 +264,7 @@
 }
 
 // synced takes the answer to an add, and decides what waited for it.
-func (b *Balancer) synced(now time.Duration, c *customer, e Counted) {
+func (b *Balancer) synced(now time.Duration, c *customer, e CounterResult) {
 	c.call = ""
 	b.absorb(now, c, e)
 	queue, owes := c.queue[:c.asked], c.owes
@@ -290,8 +290,8 @@
 // absorb sets TAT to what the count tells: the start of its period and all units since. Whoever finds it well
 // behind the clock, or behind what this gateway knows (a new period, an emptied counter), writes the
 // difference down as units.
-func (b *Balancer) absorb(now time.Duration, c *customer, e Counted) {
-	if e.Status == Full || e.Status == ConnectFailed {
+func (b *Balancer) absorb(now time.Duration, c *customer, e CounterResult) {
+	if e.Status == Overloaded || e.Status == ConnectFailed {
 		c.unsent += c.flying
 	}
 	if e.Status != OK { // with no answer, taken as landed: a second add could count it twice
--- a/choice/meter_test.go
+++ b/choice/meter_test.go
@@ -13,8 +13,8 @@
 	before := len(rec.sends)
 	for i := range n {
 		q := ask(from+uint32(i), "read", plan, now)
-		q.Units, q.Width = u, width
-		b.Request(now, q)
+		q.Units, q.Gateways = u, width
+		b.HandleRequest(now, q)
 		if len(rec.sends) > before && rec.sends[len(rec.sends)-1].id == q.ID { // answered at once: no load builds up
 			rec.end(b, now, 0, OK)
 		}
@@ -70,8 +70,8 @@
 		b, rec := start(t, nil)
 		q := ask(1, "read", "rated", 0)
 		q.Units = 2
-		b.Request(0, q)
-		b.Outcome(msec, Outcome{ID: 1, Backend: rec.sends[0].to, Elapsed: msec, Final: true, Actual: actual})
+		b.HandleRequest(0, q)
+		b.HandleOutcome(msec, Outcome{ID: 1, Backend: rec.sends[0].to, Elapsed: msec, Final: true, ActualUnits: actual})
 		if got, want := b.customers["c"].tat, time.Duration(actual*100)*msec; got != want {
 			t.Errorf("actual %v: TAT %v, want %v", actual, got, want)
 		}
@@ -96,7 +96,7 @@
 // answer ends the last counter call with a total, and returns the call.
 func (r *recorder) answer(b *Balancer, now time.Duration, s Status, total float64) count {
 	call := r.counts[len(r.counts)-1]
-	b.Counted(now, Counted{Name: call.name, Status: s, Total: total})
+	b.HandleCounter(now, CounterResult{Name: call.name, Status: s, Total: total})
 	return call
 }
 
@@ -114,13 +114,13 @@
 		"store empty: taken back":    {OK, 111, false, []float64{-1}},
 		"idle time is written down":  {OK, 1, true, []float64{100}},
 		"no answer: a share is free": {Timeout, 0, true, nil},
-		"turned away: added later":   {Full, 0, true, nil},
+		"turned away: added later":   {Overloaded, 0, true, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, rec := start(t, nil)
 			q := ask(1, "read", "rated", now)
-			q.Width = 2
-			b.Request(now, q)
+			q.Gateways = 2
+			b.HandleRequest(now, q)
 			if len(rec.counts) != 1 || rec.counts[0].add != 1 || len(rec.sends) != 0 {
 				t.Fatalf("counts %v, sends %v, want the unit on the counter and nothing sent", rec.counts, rec.sends)
 			}
@@ -146,8 +146,8 @@
 	for _, lost := range []bool{false, true} {
 		b, rec := start(t, nil)
 		q := ask(1, "read", "rated", now)
-		q.Width = 2
-		b.Request(now, q)
+		q.Gateways = 2
+		b.HandleRequest(now, q)
 		rec.answer(b, now, OK, 1)
 		later := now
 		if lost {
@@ -172,10 +172,10 @@
 	for i := range uint32(500) {
 		now := 10*time.Second + time.Duration(i)*50*msec
 		q := ask(1+i, "read", "rated", now)
-		q.Width = 300
+		q.Gateways = 300
 		before := len(rec.counts)
 		b.floor = 1e-9 // calls are scarce
-		b.Request(now, q)
+		b.HandleRequest(now, q)
 		for len(b.calls) > 0 {
 			if rec.counts[len(rec.counts)-1].add > 0 {
 				asked++
@@ -196,7 +196,7 @@
 	now, id := time.Duration(0), uint32(1)
 	for range 3 {
 		call := spend(t, b, rec, "rated", id, now)
-		b.Counted(now, Counted{Name: call.name, Status: Timeout})
+		b.HandleCounter(now, CounterResult{Name: call.name, Status: Timeout})
 		now, id = now+time.Second, id+100
 	}
 	flood(b, rec, 1000, 20, "rated", 1, 2, now) // empty the store
@@ -212,7 +212,7 @@
 func TestOpenCap(t *testing.T) {
 	b, rec := start(t, nil)
 	for id := uint32(1); id <= 3; id++ {
-		b.Request(0, ask(id, "read", "open", 0))
+		b.HandleRequest(0, ask(id, "read", "open", 0))
 	}
 	if _, ok := rec.refused[3]; !ok || len(rec.sends) != 2 {
 		t.Errorf("sends %v, refused %v, want two sent and the third refused", rec.sends, rec.refused)
@@ -226,7 +226,7 @@
 			c := rec.counts[0]
 			rec.counts = rec.counts[1:]
 			totals[c.name] += c.add
-			bs[i].Counted(now, Counted{Name: c.name, Status: OK, Total: totals[c.name], Elapsed: msec})
+			bs[i].HandleCounter(now, CounterResult{Name: c.name, Status: OK, Total: totals[c.name], Elapsed: msec})
 		}
 	}
 }
@@ -238,7 +238,7 @@
 	bs, recs := make([]*Balancer, doors), make([]*recorder, doors)
 	for i := range bs {
 		bs[i], recs[i] = start(t, func(s *Settings) {
-			s.Doors = doors
+			s.Gateways = doors
 			for i := range s.Plans {
 				s.Plans[i].OverrunCost = 1 // worth a call
 			}
@@ -252,9 +252,9 @@
 		i := tick % doors
 		id++
 		q := ask(id, "read", "capped", now)
-		q.Width = doors
+		q.Gateways = doors
 		n := len(recs[i].sends)
-		bs[i].Request(now, q)
+		bs[i].HandleRequest(now, q)
 		counterStand(bs, recs, totals, now)
 		if store = min(20, store+0.2); len(recs[i].sends) > n {
 			recs[i].end(bs[i], now, 0, OK)
@@ -276,10 +276,10 @@
 		b.limit.Max = 100
 		now := 30 * time.Second
 		q := ask(1, "read", plan, now)
-		q.Width = 2
+		q.Gateways = 2
 		c := b.customer(now, &request{Request: q, plan: b.plans[plan]})
 		c.readAt, c.share = now-msec, ratecap.New(now) // just read, and full
-		b.Request(now, q)
+		b.HandleRequest(now, q)
 		if asked := len(rec.sends) == 0 && len(rec.counts) == 1; asked != want {
 			t.Errorf("%s: sends %v, calls %v, want the call first: %v", plan, rec.sends, rec.counts, want)
 		}
@@ -293,8 +293,8 @@
 		b.limit.Max, b.open, b.limit.Load, b.density, b.beyond = 10, 6, 6, 10, odds
 		b.fails, b.callAfter = 1, time.Hour
 		q := ask(1, "read", "rated", 0)
-		q.Width = 2
-		b.Request(0, q)
+		q.Gateways = 2
+		b.HandleRequest(0, q)
 		if sent := len(rec.sends) == 1; sent != want {
 			t.Errorf("odds %v of being beyond: sent %v, want %v", odds, sent, want)
 		}
@@ -305,12 +305,12 @@
 func TestReasonsOfRefusals(t *testing.T) {
 	b, _ := start(t, nil)
 	b.limit.Max, b.open, b.limit.Load = 10, 12, 12
-	b.Request(0, ask(1, "read", "free", 0))
+	b.HandleRequest(0, ask(1, "read", "free", 0))
 	q := ask(2, "read", "free", 0)
-	b.classes["read"].votes, b.classes["read"].span = 50, q.NotAfter-2*b.set.Tick
-	q.NotAfter = time.Second // of a deadline of 3 s: it has been asked for 2 s
-	b.Request(0, q)
-	if r := b.Books().Refused; r[Pressed] != 1 || r[PastAim] != 1 {
+	b.classes["read"].votes, b.classes["read"].span = 50, q.Deadline-2*b.set.Tick
+	q.Deadline = time.Second // of a deadline of 3 s: it has been asked for 2 s
+	b.HandleRequest(0, q)
+	if r := b.Totals().Refused; r[Shed] != 1 || r[TargetPassed] != 1 {
 		t.Errorf("refused %v, want one for load and one past its aim", r)
 	}
 }
@@ -320,8 +320,8 @@
 	b, _ := start(t, nil)
 	b.stake, b.floor = 1, 8
 	for i := range 4 {
-		b.calls["n"] = func(time.Duration, Counted) {}
-		b.Counted(time.Duration(i+1)*time.Second, Counted{Name: "n", Status: OK, Elapsed: msec})
+		b.calls["n"] = func(time.Duration, CounterResult) {}
+		b.HandleCounter(time.Duration(i+1)*time.Second, CounterResult{Name: "n", Status: OK, Elapsed: msec})
 	}
 	if b.floor > 0.25 {
 		t.Errorf("worth of a call still %v after 4 s of good answers", b.floor)
@@ -344,15 +344,15 @@
 	for i := range 1000 {
 		q := ask(uint32(i+1), "read", "rated", 0)
 		q.Customer = string(rune('a'+i%26)) + string(rune(i))
-		b.Request(0, q)
+		b.HandleRequest(0, q)
 		if _, no := rec.refused[q.ID]; !no {
 			rec.end(b, 0, 0, OK)
 		}
 	}
 	for _, c := range rec.counts {
-		b.Counted(msec, Counted{Name: c.name, Total: c.add})
+		b.HandleCounter(msec, CounterResult{Name: c.name, Total: c.add})
 	}
-	b.Timer(2*NameLife, "beat")
+	b.HandleTimer(2*CounterNameTTL, "beat")
 	if len(b.customers) != 0 || len(b.idlers) != 0 {
 		t.Errorf("%d customers, %d in the ring, want none", len(b.customers), len(b.idlers))
 	}
@@ -383,7 +383,7 @@
 	for range 8 {
 		call := spend(t, b, rec, "rated", id, now)
 		before := len(rec.counts)
-		b.Counted(now, Counted{Name: call.name, Status: Error})
+		b.HandleCounter(now, CounterResult{Name: call.name, Status: Error})
 		if len(rec.counts) > before && rec.counts[before].add > 0 {
 			t.Errorf("%v added again", rec.counts[before])
 		}
@@ -400,15 +400,15 @@
 	now := 10 * time.Second
 	for i := range uint32(20) {
 		q := ask(1+i, "read", "rated", now)
-		q.Width, q.Customer = 2, string(rune('a'+i))
-		b.Request(now, q)
+		q.Gateways, q.Customer = 2, string(rune('a'+i))
+		b.HandleRequest(now, q)
 	}
 	if len(rec.counts) != 20 {
 		t.Fatalf("%d calls", len(rec.counts))
 	}
 	now += b.set.CounterTimeout
 	for _, c := range slices.Clone(rec.counts) {
-		b.Counted(now, Counted{Name: c.name, Status: Timeout, Elapsed: b.set.CounterTimeout})
+		b.HandleCounter(now, CounterResult{Name: c.name, Status: Timeout, Elapsed: b.set.CounterTimeout})
 	}
 	if now += b.set.CounterTimeout; !b.callable(now) {
 		t.Errorf("the counter may not be called before %v, it is %v", b.callAfter, now)
--- a/choice/rec_test.go
+++ b/choice/rec_test.go
@@ -58,7 +58,7 @@
 
 func (r *recorder) Probe(to uint32) { r.note("probe %d", to); r.probes = append(r.probes, to) }
 
-func (r *recorder) Count(name string, add float64, life time.Duration) {
+func (r *recorder) AddToCounter(name string, add float64, life time.Duration) {
 	r.note("count %s %v %v", name, add, life)
 	r.counts = append(r.counts, count{name, add})
 }
@@ -72,15 +72,15 @@
 func (r *recorder) Log(text string) { r.note("log %s", text) }
 
 func settings() Settings {
-	return Settings{Doors: 2, Zone: "a", Tick: 2 * msec, MaxTries: 3, SecondCopies: true, Cancels: true,
+	return Settings{Gateways: 2, Zone: "a", Tick: 2 * msec, MaxAttempts: 3, Hedging: true, Cancels: true,
 		RetryAfter: true, MaxRetryAfter: time.Second, Counter: true, CounterTimeout: 40 * msec, MaxUnits: 4,
-		PostPaid: true, AnswerSlack: 10 * msec, DrainGrace: time.Second, ColdFrom: 0.2, ColdFor: 10 * time.Second,
-		FallMultiple: 2, FallAfter: time.Second,
+		PostPaid: true, AnswerSlack: 10 * msec, DrainGrace: time.Second, ColdCapacity: 0.2, WarmupTime: 10 * time.Second,
+		OverloadRatio: 2, OverloadTime: time.Second,
 		Classes: []Class{
-			{Name: "read", Aim: 800 * msec, Deadline: 3 * time.Second, Value: 1, Effect: Retryable},
-			{Name: "key", Aim: 800 * msec, Deadline: 3 * time.Second, Value: 1, Effect: Keyed, Group: SameZone,
+			{Name: "read", Target: 800 * msec, Deadline: 3 * time.Second, Value: 1, Effect: Retryable},
+			{Name: "key", Target: 800 * msec, Deadline: 3 * time.Second, Value: 1, Effect: Keyed, Group: SameZone,
 				KeyTTL: 500 * msec},
-			{Name: "once", Aim: 800 * msec, Deadline: 3 * time.Second, Value: 1, Effect: Fragile}},
+			{Name: "once", Target: 800 * msec, Deadline: 3 * time.Second, Value: 1, Effect: NonRetryable}},
 		Plans: []Plan{
 			{Name: "rated", Rate: 10, Burst: 10, ValueFactor: 1, OverrunCost: 1},
 			{Name: "extra", Rate: 10, Burst: 10, ValueFactor: 1, ExcessWorth: 0.3},
@@ -101,17 +101,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Roster(0, Roster{Whole: true, Members: []Member{{ID: 1, Zone: "a", Weight: 1}, {ID: 2, Zone: "a", Cell: 1, Weight: 1},
+	b.HandleRoster(0, RosterUpdate{Whole: true, Members: []Member{{ID: 1, Zone: "a", Weight: 1}, {ID: 2, Zone: "a", Cell: 1, Weight: 1},
 		{ID: 3, Zone: "b", Cell: 2, Weight: 1}, {ID: 4, Zone: "b", Cell: 3, Weight: 1}}})
 	return b, rec
 }
 
 func ask(id uint32, class, plan string, now time.Duration) Request {
-	return Request{ID: id, Class: class, Plan: plan, Customer: "c", NotAfter: now + 3*time.Second, Units: 1, Width: 1}
+	return Request{ID: id, Class: class, Plan: plan, Customer: "c", Deadline: now + 3*time.Second, Units: 1, Gateways: 1}
 }
 
 // end finishes the last attempt sent, with a status.
 func (r *recorder) end(b *Balancer, now time.Duration, try int, s Status) {
 	last := r.sends[len(r.sends)-1]
-	b.Outcome(now, Outcome{ID: last.id, Try: try, Backend: last.to, Status: s, Elapsed: 50 * msec, Final: s == OK})
+	b.HandleOutcome(now, Outcome{ID: last.id, Attempt: try, Backend: last.to, Status: s, Elapsed: 50 * msec, Final: s == OK})
 }
--- a/choice/repeat.go
+++ b/choice/repeat.go
@@ -11,7 +11,7 @@
 func (b *Balancer) reached(r *request) int {
 	n, shut := len(r.tries), 0
 	for _, a := range r.tries {
-		if b.set.Shuts && !a.out && a.status == ConnectFailed && shut < mostShut {
+		if b.set.RefusesWhenBusy && !a.out && a.status == ConnectFailed && shut < mostShut {
 			shut++
 		}
 	}
@@ -20,7 +20,7 @@
 
 // price is what one more attempt takes from the budget of repeats.
 func (b *Balancer) price(r *request) float64 {
-	if last := r.tries[len(r.tries)-1]; b.set.Shuts && !last.out && last.status == ConnectFailed {
+	if last := r.tries[len(r.tries)-1]; b.set.RefusesWhenBusy && !last.out && last.status == ConnectFailed {
 		return 0
 	}
 	return 1
@@ -28,8 +28,8 @@
 
 // broke takes an attempt that ended with its connection.
 func (b *Balancer) broke(now time.Duration, be *backend, o Outcome) {
-	if b.set.Shuts && o.Status == ConnectFailed && o.Elapsed < b.set.ConnectTimeout/2 {
-		be.Strike(now, 2*b.beat)
+	if b.set.RefusesWhenBusy && o.Status == ConnectFailed && o.Elapsed < b.set.ConnectTimeout/2 {
+		be.Eject(now, 2*b.beat)
 		b.survey(now)
 		return
 	}
--- a/choice/room.go
+++ b/choice/room.go
@@ -6,6 +6,6 @@
 // there is little of it, chance alone passes it again and again while servers stand idle:
 // Settings.Spare allows for that.
 func (b *Balancer) share(servers float64) float64 {
-	even := servers / float64(b.set.Doors*b.twins) * max(1, b.set.Slots/2)
-	return even + b.set.Spare*math.Sqrt(even/2)
+	even := servers / float64(b.set.Gateways*b.twins) * max(1, b.set.ServerConcurrency/2)
+	return even + b.set.HeadroomSigmas*math.Sqrt(even/2)
 }
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestFragileIsSentAgainOnlyIfItNeverRan(t *testing.T) {
-	for s, want := range map[Status]int{Full: 2, ConnectFailed: 2, Error: 1, Reset: 1, Timeout: 1, Cancelled: 1} {
+	for s, want := range map[Status]int{Overloaded: 2, ConnectFailed: 2, Error: 1, Reset: 1, Timeout: 1, Cancelled: 1} {
 		b, rec := start(t, nil)
-		b.Request(0, ask(1, "once", "free", 0))
+		b.HandleRequest(0, ask(1, "once", "free", 0))
 		rec.end(b, 50*msec, 0, s)
 		if len(rec.sends) != want || want == 1 && !rec.failed[1] {
 			t.Errorf("status %d: sends %v, failed %v, want %d sends", s, rec.sends, rec.failed, want)
@@ -22,14 +22,14 @@
 
 func TestKeyedStaysInItsGroupAndTime(t *testing.T) {
 	b, rec := start(t, nil)
-	b.Request(0, ask(1, "key", "free", 0))
+	b.HandleRequest(0, ask(1, "key", "free", 0))
 	rec.end(b, 50*msec, 0, Reset)
 	zone := func(s sent) string { return b.byID[s.to].Member.Zone }
 	if len(rec.sends) != 2 || zone(rec.sends[0]) != zone(rec.sends[1]) {
 		t.Errorf("sends %v, want a second in the same zone", rec.sends)
 	}
 	b, rec = start(t, nil)
-	b.Request(0, ask(1, "key", "free", 0))
+	b.HandleRequest(0, ask(1, "key", "free", 0))
 	rec.end(b, 499*msec, 0, Reset)
 	if len(rec.sends) != 1 || !rec.failed[1] {
 		t.Errorf("sends %v, failed %v, want no second send at the end of the key's time", rec.sends, rec.failed)
@@ -38,9 +38,9 @@
 
 func TestNothingGoesToADrainingBackend(t *testing.T) {
 	b, rec := start(t, nil)
-	b.Roster(0, Roster{Members: []Member{{ID: 1, Zone: "a", State: Draining}, {ID: 2, Zone: "a", State: Down}}})
+	b.HandleRoster(0, RosterUpdate{Members: []Member{{ID: 1, Zone: "a", State: Draining}, {ID: 2, Zone: "a", State: Down}}})
 	for id := uint32(1); id <= 30; id++ {
-		b.Request(0, ask(id, "read", "free", 0))
+		b.HandleRequest(0, ask(id, "read", "free", 0))
 	}
 	for _, s := range rec.sends {
 		if s.to <= 2 {
@@ -56,7 +56,7 @@
 	for _, doors := range []int{1, 3, 300} {
 		bs, recs := make([]*Balancer, doors), make([]*recorder, doors)
 		for i := range bs {
-			bs[i], recs[i] = start(t, func(s *Settings) { s.Doors = doors })
+			bs[i], recs[i] = start(t, func(s *Settings) { s.Gateways = doors })
 			bs[i].rng = rand.New(rand.NewPCG(uint64(i), 1))
 		}
 		id, cold := uint32(0), 0
@@ -74,17 +74,17 @@
 					for _, be := range b.fleet {
 						be.Member.Started = 0
 					}
-					b.Roster(now, Roster{Members: fleet})
+					b.HandleRoster(now, RosterUpdate{Members: fleet})
 				}
 			}
 			if tick%(rate/10) == 0 {
 				for _, b := range bs {
-					b.Timer(now, "beat")
+					b.HandleTimer(now, "beat")
 				}
 			}
 			before := len(rec.sends)
 			id++
-			b.Request(now, ask(id, "read", "free", now))
+			b.HandleRequest(now, ask(id, "read", "free", now))
 			if len(rec.sends) > before {
 				rec.end(b, now, 0, OK)
 				if tick >= 20*rate && tick < 21*rate {
@@ -101,27 +101,27 @@
 
 func TestSilentBackendIsHedgedAndLeft(t *testing.T) {
 	b, rec := start(t, nil)
-	b.Request(msec, ask(1, "read", "free", 0))
+	b.HandleRequest(msec, ask(1, "read", "free", 0))
 	lost := rec.sends[0].to
-	late := msec + b.classes["read"].Tardy()
-	b.Timer(late, "tardy 1")
+	late := msec + b.classes["read"].Slow()
+	b.HandleTimer(late, "tardy 1")
 	if len(rec.sends) != 2 || rec.sends[1].to == lost {
 		t.Fatalf("sends %v, want a second copy elsewhere", rec.sends)
 	}
-	b.Timer(2*late, "beat")
-	if be := b.byID[lost]; be.Until <= 2*late {
+	b.HandleTimer(2*late, "beat")
+	if be := b.byID[lost]; be.EjectedUntil <= 2*late {
 		t.Errorf("backend %d said nothing and was not ejected", lost)
 	}
 }
 
 func TestWithoutSecondCopiesTheFirstIsCalledOff(t *testing.T) {
-	b, rec := start(t, func(s *Settings) { s.SecondCopies = false })
-	b.Request(msec, ask(1, "read", "free", 0))
-	b.Timer(msec+b.classes["read"].Tardy(), "tardy 1")
+	b, rec := start(t, func(s *Settings) { s.Hedging = false })
+	b.HandleRequest(msec, ask(1, "read", "free", 0))
+	b.HandleTimer(msec+b.classes["read"].Slow(), "tardy 1")
 	if len(rec.sends) != 1 || len(rec.cancels) != 1 {
 		t.Fatalf("sends %v, cancels %v", rec.sends, rec.cancels)
 	}
-	b.Outcome(500*msec, Outcome{ID: 1, Backend: rec.sends[0].to, Status: Cancelled, Elapsed: 500 * msec})
+	b.HandleOutcome(500*msec, Outcome{ID: 1, Backend: rec.sends[0].to, Status: Cancelled, Elapsed: 500 * msec})
 	if len(rec.sends) != 2 {
 		t.Errorf("sends %v, want another once the first is off", rec.sends)
 	}
@@ -129,15 +129,15 @@
 
 func TestUnknownThingsAreSafe(t *testing.T) {
 	b, rec := start(t, nil)
-	b.Request(0, ask(1, "nonesuch", "free", 0))
-	b.Request(0, ask(2, "read", "nonesuch", 0))
-	b.Outcome(0, Outcome{ID: 9})
-	b.Probed(0, Probed{Backend: 99})
-	b.Counted(0, Counted{Name: "x"})
-	b.Accepted(0, 9, 3)
-	b.Gone(0, 9)
-	b.Timer(0, "end 9")
-	b.Timer(0, "")
+	b.HandleRequest(0, ask(1, "nonesuch", "free", 0))
+	b.HandleRequest(0, ask(2, "read", "nonesuch", 0))
+	b.HandleOutcome(0, Outcome{ID: 9})
+	b.HandleProbe(0, ProbeResult{Backend: 99})
+	b.HandleCounter(0, CounterResult{Name: "x"})
+	b.HandleStreamStart(0, 9, 3)
+	b.HandleClientGone(0, 9)
+	b.HandleTimer(0, "end 9")
+	b.HandleTimer(0, "")
 	if len(rec.refused) != 2 || len(rec.sends) != 0 {
 		t.Errorf("refused %v, sends %v", rec.refused, rec.sends)
 	}
@@ -145,7 +145,7 @@
 
 func TestSettingsThatMakeNoSense(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
-		"Doors":                 func(s *Settings) { s.Doors = 0 },
+		"Gateways":              func(s *Settings) { s.Gateways = 0 },
 		"Classes":               func(s *Settings) { s.Classes = nil },
 		"Classes[0].Effect":     func(s *Settings) { s.Classes[0].Effect = 7 },
 		"Plans[0].Burst":        func(s *Settings) { s.Plans[0].Burst = 0 },
@@ -211,7 +211,7 @@
 			w.seen.refused++
 			j := w.end(id, line)
 			for _, a := range j.tries {
-				if a.ran() && j.cl.Effect != Retryable && (j.cl.Effect == Fragile || j.cl.Group != All) {
+				if a.ran() && j.cl.Effect != Retryable && (j.cl.Effect == NonRetryable || j.cl.Group != AllBackends) {
 					w.t.Fatalf("%v: %s: an attempt may have run", w.now, line)
 				}
 			}
@@ -232,14 +232,14 @@
 	w.seen.counts += len(w.rec.counts)
 	w.rec.timers, w.rec.counts = nil, nil
 	for id, j := range w.open {
-		if !j.over && w.now > j.q.NotAfter {
+		if !j.over && w.now > j.q.Deadline {
 			w.t.Fatalf("%v: request %d has no answer", w.now, id)
 		}
 	}
 }
 
 func (a *try) ran() bool {
-	return a.out || a.status != Full && a.status != ConnectFailed && a.status != Moot
+	return a.out || a.status != Overloaded && a.status != ConnectFailed && a.status != NotExecuted
 }
 
 func scanf(line, format string, args ...any) bool {
@@ -266,7 +266,7 @@
 		w.t.Fatalf("%v: sent to %d, told of its end at %v", w.now, to, w.told[to])
 	}
 	for _, a := range j.tries {
-		if a.out && !w.set.SecondCopies {
+		if a.out && !w.set.Hedging {
 			w.t.Fatalf("%v: two attempts of %d out at once", w.now, id)
 		}
 		if !a.ran() {
@@ -274,8 +274,8 @@
 		}
 		z1, c1 := w.cell(a.to)
 		z2, c2 := w.cell(to)
-		same := j.cl.Group == All || z1 == z2 && (j.cl.Group == SameZone || c1 == c2)
-		if j.cl.Effect == Fragile || j.cl.Effect == Keyed && (!same || w.now-a.sent > j.cl.KeyTTL) {
+		same := j.cl.Group == AllBackends || z1 == z2 && (j.cl.Group == SameZone || c1 == c2)
+		if j.cl.Effect == NonRetryable || j.cl.Effect == Keyed && (!same || w.now-a.sent > j.cl.KeyTTL) {
 			w.t.Fatalf("%v: request %d may have run on %d and goes to %d", w.now, id, a.to, to)
 		}
 	}
@@ -307,7 +307,7 @@
 		w.timers = slices.Delete(w.timers, i, i+1)
 		at := w.now
 		w.now = max(tm.after, w.now-20*msec)
-		w.b.Timer(w.now, tm.token)
+		w.b.HandleTimer(w.now, tm.token)
 		w.check()
 		w.now = at
 	}
@@ -315,13 +315,13 @@
 	case 0, 1, 2:
 		cl := w.set.Classes[w.rng.IntN(len(w.set.Classes))]
 		q := Request{ID: next, Class: cl.Name, Plan: w.set.Plans[w.rng.IntN(len(w.set.Plans))].Name,
-			NotAfter: w.now + time.Duration(100+w.rng.IntN(3000))*msec, Units: float64(1 + w.rng.IntN(3)), Width: 2}
+			Deadline: w.now + time.Duration(100+w.rng.IntN(3000))*msec, Units: float64(1 + w.rng.IntN(3)), Gateways: 2}
 		q.Customer = q.Plan
 		if w.rng.IntN(2) == 0 && q.Plan != "capped" {
 			q.Customer += fmt.Sprint(w.rng.IntN(4))
 		}
 		w.open[next] = &job{q: q, cl: cl}
-		w.b.Request(w.now, q)
+		w.b.HandleRequest(w.now, q)
 	case 3, 4, 5:
 		if len(w.outs) == 0 {
 			return
@@ -331,14 +331,14 @@
 		w.outs = slices.Delete(w.outs, i, i+1)
 		a.out, a.status = false, OK
 		if w.rng.IntN(2) == 0 {
-			a.status = Status(w.rng.IntN(int(Moot) + 1))
+			a.status = Status(w.rng.IntN(int(NotExecuted) + 1))
 		}
 		j := w.open[a.id]
 		if a.status == OK {
 			j.over = true
 		}
-		w.b.Outcome(w.now, Outcome{ID: a.id, Try: a.n, Backend: a.to, Status: a.status, Elapsed: w.now - a.sent,
-			Final: j.over, Actual: float64(w.rng.IntN(5))})
+		w.b.HandleOutcome(w.now, Outcome{ID: a.id, Attempt: a.n, Backend: a.to, Status: a.status, Elapsed: w.now - a.sent,
+			Final: j.over, ActualUnits: float64(w.rng.IntN(5))})
 	case 6:
 		id := uint32(1 + w.rng.IntN(4))
 		z, c := w.cell(id)
@@ -348,16 +348,16 @@
 			m.Started = w.now
 		}
 		w.state[id], w.told[id] = m.State, w.now
-		w.b.Roster(w.now, Roster{Members: []Member{m}})
+		w.b.HandleRoster(w.now, RosterUpdate{Members: []Member{m}})
 	case 7:
 		if len(w.calls) == 0 {
 			return
 		}
 		c := w.calls[0]
 		w.calls = w.calls[1:]
-		e := Counted{Name: c.name, Elapsed: 5 * msec}
+		e := CounterResult{Name: c.name, Elapsed: 5 * msec}
 		if w.rng.IntN(4) == 0 {
-			e.Status = []Status{Full, Timeout, ConnectFailed}[w.rng.IntN(3)]
+			e.Status = []Status{Overloaded, Timeout, ConnectFailed}[w.rng.IntN(3)]
 		}
 		if e.Status == OK || e.Status == Timeout && w.rng.IntN(2) == 0 {
 			w.totals[c.name] += c.add + float64(w.rng.IntN(2))
@@ -366,7 +366,7 @@
 			w.totals[c.name] = 0
 		}
 		e.Total = w.totals[c.name]
-		w.b.Counted(w.now, e)
+		w.b.HandleCounter(w.now, e)
 	}
 	w.check()
 }
@@ -375,7 +375,7 @@
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), open: map[uint32]*job{}, state: map[uint32]State{},
 		told: map[uint32]time.Duration{}, totals: map[string]float64{}}
 	w.b, w.rec = start(t, func(s *Settings) {
-		s.SecondCopies = seed%2 == 0
+		s.Hedging = seed%2 == 0
 		s.Classes[1].Group = Group(seed % 3)
 		w.set = *s
 	})
@@ -410,7 +410,7 @@
 		want  int
 	}{{0, 2}, {0.01, 2}, {0.02, 1}, {0.08, 0}} {
 		b, rec := start(t, func(s *Settings) { s.Probes, s.ProbePrice = true, tc.price })
-		b.Request(0, ask(1, "read", "free", 0))
+		b.HandleRequest(0, ask(1, "read", "free", 0))
 		if got := len(rec.probes); got != tc.want {
 			t.Errorf("price %v: %d probes for a request, want %d", tc.price, got, tc.want)
 		}
@@ -428,12 +428,12 @@
 	const doors, size = 80, 60
 	used := map[uint32]float64{}
 	for i := range doors {
-		b, _ := start(t, func(s *Settings) { s.Doors, s.Index = doors, i })
-		fleet := Roster{Whole: true}
+		b, _ := start(t, func(s *Settings) { s.Gateways, s.Index = doors, i })
+		fleet := RosterUpdate{Whole: true}
 		for id := range uint32(size) {
 			fleet.Members = append(fleet.Members, Member{ID: 100 + id, Zone: string(rune('a' + id%3)), Weight: 1})
 		}
-		b.Roster(0, fleet)
+		b.HandleRoster(0, fleet)
 		b.sends, b.sent, b.beats = 4, 4*b.beat.Seconds(), 100
 		b.housekeep(0)
 		for _, be := range b.fleet {
--- a/choice/sums_test.go
+++ b/choice/sums_test.go
@@ -20,7 +20,7 @@
 func newSet(t *testing.T, doors int, change func(*Settings)) *set {
 	s := &set{t: t, counts: map[string]float64{}, bs: make([]*Balancer, doors), recs: make([]*recorder, doors)}
 	s.change = func(set *Settings) {
-		set.Doors = doors
+		set.Gateways = doors
 		if change != nil {
 			change(set)
 		}
@@ -40,9 +40,9 @@
 	b, rec := s.bs[i], s.recs[i]
 	s.id++
 	q := ask(s.id, "read", plan, now)
-	q.Width, q.Customer = len(s.bs), customer
+	q.Gateways, q.Customer = len(s.bs), customer
 	sends := len(rec.sends)
-	b.Request(now, q)
+	b.HandleRequest(now, q)
 	for len(b.calls) > 0 {
 		for _, c := range rec.counts {
 			status := Timeout
@@ -53,7 +53,7 @@
 			total := s.counts[c.name]
 			if b.calls[c.name] != nil {
 				rec.counts = rec.counts[1:]
-				b.Counted(now, Counted{Name: c.name, Status: status, Total: total})
+				b.HandleCounter(now, CounterResult{Name: c.name, Status: status, Total: total})
 				break
 			}
 		}
@@ -153,7 +153,7 @@
 		sent := 0
 		for door := range size.doors {
 			set, rec := settings(), &recorder{refused: map[uint32]time.Duration{}, failed: map[uint32]bool{}}
-			set.Doors = size.doors
+			set.Gateways = size.doors
 			b, err := New(set, uint64(door), rec)
 			if err != nil {
 				t.Fatal(err)
@@ -162,10 +162,10 @@
 			for id := range uint32(size.backends) {
 				all = append(all, Member{ID: id + 1, Zone: "a", Weight: 1})
 			}
-			b.Roster(0, Roster{Whole: true, Members: all})
+			b.HandleRoster(0, RosterUpdate{Whole: true, Members: all})
 			for i := range 20 * max(1, size.backends/size.doors) {
 				now := time.Duration(i) * 100 * msec
-				b.Request(now, ask(uint32(i), "once", "free", now))
+				b.HandleRequest(now, ask(uint32(i), "once", "free", now))
 			}
 			sent += len(rec.sends)
 		}
@@ -213,7 +213,7 @@
 		doors := 2 + rng.IntN(7)
 		gateway := func(i int, now time.Duration) (*Balancer, *recorder) {
 			b, rec := start(t, func(s *Settings) {
-				s.Doors, s.Index = doors, i
+				s.Gateways, s.Index = doors, i
 				p := &s.Plans[3]
 				p.OverrunCost, p.CeilingRate, p.CeilingBurst = 1, 11, 12 // hardly more than the quota
 			})
@@ -247,9 +247,9 @@
 			}
 			i := rng.IntN(doors)
 			q := ask(uint32(tick+1), "read", "capped", now)
-			q.Width = doors
+			q.Gateways = doors
 			n := len(recs[i].sends)
-			bs[i].Request(now, q)
+			bs[i].HandleRequest(now, q)
 			for i, rec := range recs {
 				for len(rec.counts) > 0 {
 					c := rec.counts[0]
@@ -259,13 +259,13 @@
 						continue
 					}
 					totals[c.name] += c.add
-					bs[i].Counted(now, Counted{Name: c.name, Status: OK, Total: totals[c.name], Elapsed: msec})
+					bs[i].HandleCounter(now, CounterResult{Name: c.name, Status: OK, Total: totals[c.name], Elapsed: msec})
 				}
 			}
 			for len(unanswered) > 0 && unanswered[0].at <= now {
 				u := unanswered[0]
 				unanswered = unanswered[1:]
-				bs[u.door].Counted(now, Counted{Name: u.name, Status: Timeout, Elapsed: 40 * msec})
+				bs[u.door].HandleCounter(now, CounterResult{Name: u.name, Status: Timeout, Elapsed: 40 * msec})
 			}
 			store = min(12, store+0.11)
 			if got := len(recs[i].sends); got > n {
--- a/choice/twin.go
+++ b/choice/twin.go
@@ -7,7 +7,7 @@
 )
 
 // Learnt is what one process of a gateway tells the next of what it has learnt.
-type Learnt struct {
+type SavedState struct {
 	Limit, Density, Stake, Floor, Beyond, Faults, Sends float64
 	Started, Counted, Doubt                             time.Duration
 	Classes                                             []ClassState
@@ -38,36 +38,36 @@
 
 // Twins tells how many processes are this gateway. For quotas, ceilings and limits
 // each counts as a gateway of its own.
-func (b *Balancer) Twins(n int) {
-	b.limit.Share *= float64(b.twins) / float64(n)
+func (b *Balancer) SetProcesses(n int) {
+	b.limit.ServersPerGateway *= float64(b.twins) / float64(n)
 	b.twins = n
 }
 
 // Hand tells another process of this gateway what this one knows, and gives it half of
 // its shares of ceilings, which count twice in none.
-func (b *Balancer) Hand(now time.Duration) Learnt {
-	s := Learnt{Limit: b.limit.Max, Density: b.density, Stake: b.stake, Floor: b.floor, Beyond: b.beyond, Faults: b.faults,
+func (b *Balancer) ExportState(now time.Duration) SavedState {
+	s := SavedState{Limit: b.limit.Max, Density: b.density, Stake: b.stake, Floor: b.floor, Beyond: b.beyond, Faults: b.faults,
 		Sends: b.sends, Started: b.started, Counted: b.countedAt, Doubt: b.doubtAt}
 	if math.IsInf(s.Limit, 1) { // it has not begun
 		s.Limit = 0
 	}
 	for _, c := range b.classes {
-		s.Classes = append(s.Classes, ClassState{c.Name, c.Mean, c.Dev, c.Base})
+		s.Classes = append(s.Classes, ClassState{c.Name, c.Mean, c.Deviation, c.Baseline})
 	}
 	for _, c := range b.idlers {
 		b.assume(now, c)
-		room, spare := c.share.Halve()
+		room, spare := c.share.SplitHalf()
 		s.Customers = append(s.Customers, CustomerState{c.key, c.plan.Name, c.tat, c.seen, c.readAt,
 			max(1, c.width/b.twins), c.over, room, spare})
 	}
 	for _, be := range b.fleet {
-		s.Servers = append(s.Servers, ServerState{be.Key, be.Slow, be.Fault, be.Until})
+		s.Servers = append(s.Servers, ServerState{be.Key, be.Slowness, be.FaultRate, be.EjectedUntil})
 	}
 	return s
 }
 
 // strange reports the first figure that no process can have meant.
-func (s *Learnt) strange(now time.Duration) error {
+func (s *SavedState) strange(now time.Duration) error {
 	figures := []float64{s.Density, s.Stake, s.Floor, s.Beyond, s.Faults, s.Sends}
 	times := []time.Duration{s.Started, s.Counted, s.Doubt}
 	for _, c := range s.Classes {
@@ -77,12 +77,12 @@
 	}
 	for _, c := range s.Customers {
 		figures, times = append(figures, c.Over), append(times, c.Seen, c.ReadAt)
-		if math.IsNaN(c.Room) || math.IsNaN(c.Spare) || c.Width < 1 || c.TAT > now+NameLife*60 {
+		if math.IsNaN(c.Room) || math.IsNaN(c.Spare) || c.Width < 1 || c.TAT > now+CounterNameTTL*60 {
 			return fmt.Errorf("customer %s: %+v", c.Key, c)
 		}
 	}
 	for _, be := range s.Servers {
-		if figures = append(figures, be.Slow, be.Fault); be.Until > now+NameLife*60 {
+		if figures = append(figures, be.Slow, be.Fault); be.Until > now+CounterNameTTL*60 {
 			return fmt.Errorf("server %x is left out for %v", be.Key, be.Until-now)
 		}
 	}
@@ -101,7 +101,7 @@
 
 // Take begins with what another process of this gateway knew. Of a state with anything
 // strange in it nothing is taken. Plans, classes and servers that are not here are left out.
-func (b *Balancer) Take(now time.Duration, s Learnt) error {
+func (b *Balancer) ImportState(now time.Duration, s SavedState) error {
 	if err := s.strange(now); err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	b.sends, b.beats, b.started, b.countedAt, b.doubtAt = s.Sends, max(b.beats, 1/0.2), s.Started, s.Counted, s.Doubt
 	for _, c := range s.Classes {
 		if cl := b.classes[c.Name]; cl != nil {
-			cl.Mean, cl.Dev, cl.Base = c.Mean, c.Dev, c.Base
+			cl.Mean, cl.Deviation, cl.Baseline = c.Mean, c.Dev, c.Base
 		}
 	}
 	for _, c := range s.Customers {
@@ -121,13 +121,13 @@
 			continue
 		}
 		x := &customer{key: c.Key, plan: p, tat: c.TAT, seen: c.Seen, width: c.Width * b.twins, readAt: c.ReadAt, assumeAt: now, over: c.Over}
-		x.share.Give(now, c.Room, c.Spare)
+		x.share.Restore(now, c.Room, c.Spare)
 		b.customers[c.Key], b.idlers = x, append(b.idlers, x)
 	}
 	for _, k := range s.Servers {
 		for _, be := range b.fleet {
 			if be.Key == k.Key {
-				be.Slow, be.Fault, be.Until = k.Slow, k.Fault, k.Until
+				be.Slowness, be.FaultRate, be.EjectedUntil = k.Slow, k.Fault, k.Until
 			}
 		}
 	}
--- a/choice/twin_test.go
+++ b/choice/twin_test.go
@@ -14,8 +14,8 @@
 	old, was := play()
 	request := func(b *Balancer, id uint32, now time.Duration) {
 		q := ask(id, "read", "rated", now)
-		q.Width = 2
-		b.Request(now, q)
+		q.Gateways = 2
+		b.HandleRequest(now, q)
 	}
 	now := time.Duration(1_000_000) * time.Second
 	for i := range uint32(6) {
@@ -24,16 +24,16 @@
 	if len(was.sends) != 5 || len(was.refused) != 1 {
 		t.Fatal("the plan's burst of 10 is 5 for each of two gateways: ", was.log)
 	}
-	text, err := json.Marshal(old.Hand(now))
+	text, err := json.Marshal(old.ExportState(now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var s Learnt
+	var s SavedState
 	if err := json.Unmarshal(text, &s); err != nil {
 		t.Fatal(err)
 	}
 	next, is := play()
-	if err := next.Take(now, s); err != nil {
+	if err := next.ImportState(now, s); err != nil {
 		t.Fatal(err)
 	}
 	request(next, 1, now)
@@ -43,31 +43,31 @@
 	if next.limit.Max != old.limit.Max || next.classes["read"].Mean != old.classes["read"].Mean {
 		t.Error("learnt anew")
 	}
-	for name, spoil := range map[string]func(s *Learnt){
-		"a time to come":   func(s *Learnt) { s.Counted = now + time.Hour },
-		"no number":        func(s *Learnt) { s.Floor = math.NaN() },
-		"no latency":       func(s *Learnt) { s.Classes[0].Mean = 0 },
-		"a store for ever": func(s *Learnt) { s.Customers[0].TAT = math.MaxInt64 },
-		"no gateways":      func(s *Learnt) { s.Customers[0].Width = 0 },
+	for name, spoil := range map[string]func(s *SavedState){
+		"a time to come":   func(s *SavedState) { s.Counted = now + time.Hour },
+		"no number":        func(s *SavedState) { s.Floor = math.NaN() },
+		"no latency":       func(s *SavedState) { s.Classes[0].Mean = 0 },
+		"a store for ever": func(s *SavedState) { s.Customers[0].TAT = math.MaxInt64 },
+		"no gateways":      func(s *SavedState) { s.Customers[0].Width = 0 },
 	} {
-		var s Learnt
+		var s SavedState
 		if err := json.Unmarshal(text, &s); err != nil {
 			t.Fatal(err)
 		}
 		spoil(&s)
 		b, _ := play()
-		if err := b.Take(now, s); err == nil || len(b.customers) != 0 {
+		if err := b.ImportState(now, s); err == nil || len(b.customers) != 0 {
 			t.Errorf("%s: taken (%v)", name, err)
 		}
 	}
 	// While both live each has half of what one has.
 	alone, _ := play()
-	alone.Twins(2)
-	if got, want := alone.limit.Share, old.limit.Share/2; got != want {
+	alone.SetProcesses(2)
+	if got, want := alone.limit.ServersPerGateway, old.limit.ServersPerGateway/2; got != want {
 		t.Error(got, want)
 	}
-	alone.Twins(1)
-	if got, want := alone.limit.Share, old.limit.Share; got != want {
+	alone.SetProcesses(1)
+	if got, want := alone.limit.ServersPerGateway, old.limit.ServersPerGateway; got != want {
 		t.Error(got, want)
 	}
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -217,10 +217,10 @@
 	case "SHUTDOWN":
 		delete(d.host.doors, e.I)
 	case "DISCOVERY":
-		r := choice.Roster{Broken: e.How == "broken"}
+		r := choice.RosterUpdate{Broken: e.How == "broken"}
 		switch e.How {
 		case "broken":
-			d.b.Roster(now, r)
+			d.b.HandleRoster(now, r)
 			return nil
 		case "whole":
 			r.Whole = true
@@ -235,27 +235,27 @@
 			return fmt.Errorf("DISCOVERY: no DIRECTORY numbered %d", e.RosterID)
 		}
 		r.Members = ms
-		d.b.Roster(now, r)
+		d.b.HandleRoster(now, r)
 	case "WORK_ITEM":
-		d.b.Request(now, choice.Request{ID: e.RID, Class: e.Service, Plan: e.Tier, Customer: e.APIKey,
-			NotAfter: settings.Span(e.NotAfterMs), Units: e.QuotaUnits, Width: e.Width, First: e.FirstDoor, Again: e.Again})
+		d.b.HandleRequest(now, choice.Request{ID: e.RID, Class: e.Service, Plan: e.Tier, Customer: e.APIKey,
+			Deadline: settings.Span(e.NotAfterMs), Units: e.QuotaUnits, Gateways: e.Width, FirstGateway: e.FirstDoor, IsRetry: e.Again})
 	case "ACCEPTED":
-		d.b.Accepted(now, e.RID, e.Try)
+		d.b.HandleStreamStart(now, e.RID, e.Try)
 	case "RESULT":
-		if e.Status < 0 || e.Status > int(choice.Moot) {
+		if e.Status < 0 || e.Status > int(choice.NotExecuted) {
 			return fmt.Errorf("RESULT: unknown status %d", e.Status)
 		}
-		d.b.Outcome(now, choice.Outcome{ID: e.RID, Try: e.Try, Backend: e.Backend, Status: choice.Status(e.Status),
-			Elapsed: settings.Span(e.SpentMs), Final: e.Final, Actual: e.Actual, Load: settings.Load(e.Telemetry)})
+		d.b.HandleOutcome(now, choice.Outcome{ID: e.RID, Attempt: e.Try, Backend: e.Backend, Status: choice.Status(e.Status),
+			Elapsed: settings.Span(e.SpentMs), Final: e.Final, ActualUnits: e.Actual, Load: settings.Load(e.Telemetry)})
 	case "LEFT":
-		d.b.Gone(now, e.RID)
+		d.b.HandleClientGone(now, e.RID)
 	case "REMINDER":
-		d.b.Timer(now, e.Tag)
+		d.b.HandleTimer(now, e.Tag)
 	case "PONG":
-		d.b.Probed(now, choice.Probed{Backend: e.Backend, Status: choice.Status(e.Status),
+		d.b.HandleProbe(now, choice.ProbeResult{Backend: e.Backend, Status: choice.Status(e.Status),
 			Elapsed: settings.Span(e.SpentMs), Load: settings.Load(e.Telemetry)})
 	case "LEDGER_REPLY":
-		d.b.Counted(now, choice.Counted{Name: e.Counter, Status: choice.Status(e.Status), Total: e.Sum,
+		d.b.HandleCounter(now, choice.CounterResult{Name: e.Counter, Status: choice.Status(e.Status), Total: e.Sum,
 			Elapsed: settings.Span(e.SpentMs)})
 	case "NOTE_FROM": // the module has no use for peers
 	default:
@@ -285,7 +285,7 @@
 
 func (d *door) Probe(backend uint32) { d.put(action{Type: "CHECK", Backend: &backend}) }
 
-func (d *door) Count(name string, add float64, life time.Duration) {
+func (d *door) AddToCounter(name string, add float64, life time.Duration) {
 	d.put(action{Type: "ENTER", Counter: name, Step: &add, ExpireMs: ms(life)})
 }
 
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -77,7 +77,7 @@
 	d.Fail(2)
 	d.Cancel(3, 0)
 	d.Probe(7)
-	d.Count("n", 0, time.Minute)
+	d.AddToCounter("n", 0, time.Minute)
 	d.SetTimer(0, "x")
 	d.Watch(false)
 	d.Log("text")
--- a/internal/aperture/aperture.go
+++ b/internal/aperture/aperture.go
@@ -49,7 +49,7 @@
 // Start is where on a ring of length 1 a gateway's own part begins. Numbers that
 // follow each other lie a golden section apart: any row of gateways, such as
 // those that one customer's requests come in through, covers the ring evenly.
-func Start(gateway int) float64 {
+func StartOffset(gateway int) float64 {
 	_, part := math.Modf(float64(gateway) * math.Phi)
 	return part
 }
@@ -68,7 +68,7 @@
 	if total <= 0 || want <= 0 {
 		return share
 	}
-	at, first := Start(gateway)*total, 0
+	at, first := StartOffset(gateway)*total, 0
 	for first < len(weights)-1 && at >= weights[first] {
 		at -= weights[first]
 		first++
@@ -91,7 +91,7 @@
 
 // Part is a gateway's part of a ring as it was last worked out. Without news of its nodes it is worked
 // out from the same weights again and again, at each beat of each service: what is the same is not redone.
-type Part struct {
+type CachedCover struct {
 	gateway       int
 	want          float64
 	weights, next []float64
@@ -100,7 +100,7 @@
 }
 
 // Weights are n of no weight, for the caller to fill in and give to Cover.
-func (p *Part) Weights(n int) []float64 {
+func (p *CachedCover) Weights(n int) []float64 {
 	p.next = slices.Grow(p.next[:0], n)[:n]
 	clear(p.next)
 	return p.next
@@ -108,7 +108,7 @@
 
 // Cover is what the function of that name says of the weights that the caller has filled in. It is not to
 // be changed, and good until the next call.
-func (p *Part) Cover(gateway int, usable func(i int) bool, want float64) []float64 {
+func (p *CachedCover) Cover(gateway int, usable func(i int) bool, want float64) []float64 {
 	same := p.share != nil && gateway == p.gateway && want == p.want && slices.Equal(p.weights, p.next)
 	for i := 0; same && i < len(p.next); i++ {
 		same = usable(i) == p.usable[i]
--- a/internal/aperture/aperture_test.go
+++ b/internal/aperture/aperture_test.go
@@ -53,7 +53,7 @@
 		const n = 1 << 16
 		starts := []int{}
 		for i := range row {
-			starts = append(starts, int(n*Start(first+i)))
+			starts = append(starts, int(n*StartOffset(first+i)))
 		}
 		slices.Sort(starts)
 		for i, s := range starts {
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -12,10 +12,10 @@
 import "time"
 
 // Terms tell what discovery is like.
-type Terms struct {
-	Shared   bool          // calls of all gateways go to one service; else an agent on this machine answers
-	Within   time.Duration // of a shared one: what is listed counts as told to a gateway that has not asked for so long; 0: not known
-	Gateways int           // that share it
+type Options struct {
+	Shared     bool          // calls of all gateways go to one service; else an agent on this machine answers
+	MaxNewsAge time.Duration // of a shared one: what is listed counts as told to a gateway that has not asked for so long; 0: not known
+	Gateways   int           // that share it
 }
 
 const (
@@ -36,26 +36,26 @@
 )
 
 // Pace is where a gateway stands.
-type Pace struct {
-	terms Terms
+type Backoff struct {
+	terms Options
 	pause time.Duration // after the next failure, on the mean
 }
 
 // New returns the pace of a gateway that has just started.
-func New(t Terms) *Pace {
-	if t.Within <= 0 {
-		t.Within = unknown
+func New(t Options) *Backoff {
+	if t.MaxNewsAge <= 0 {
+		t.MaxNewsAge = unknown
 	}
-	return &Pace{terms: t, pause: first}
+	return &Backoff{terms: t, pause: first}
 }
 
 // share is a time for each gateway, up to a share of the news' age.
-func (p *Pace) share(each time.Duration, part float64) time.Duration {
-	return min(time.Duration(p.terms.Gateways)*each, time.Duration(part*float64(p.terms.Within)))
+func (p *Backoff) share(each time.Duration, part float64) time.Duration {
+	return min(time.Duration(p.terms.Gateways)*each, time.Duration(part*float64(p.terms.MaxNewsAge)))
 }
 
 // First is the wait before the first call after a start. odds is drawn from 0 to 1.
-func (p *Pace) First(odds float64) time.Duration {
+func (p *Backoff) InitialDelay(odds float64) time.Duration {
 	if !p.terms.Shared {
 		return 0
 	}
@@ -65,7 +65,7 @@
 // Failed is the wait after a call that failed: from half the pause to half as
 // much again by odds, so that gateways which failed together do not come back
 // together. busy: discovery said that it has too much to do.
-func (p *Pace) Failed(busy bool, odds float64) time.Duration {
+func (p *Backoff) NextDelay(busy bool, odds float64) time.Duration {
 	most := mostLocal
 	switch {
 	case p.terms.Shared && busy:
@@ -81,4 +81,4 @@
 }
 
 // Heard tells of a call that went well, or of a move to another discovery.
-func (p *Pace) Heard() { p.pause = first }
+func (p *Backoff) Reset() { p.pause = first }
--- a/internal/bench/srv.go
+++ b/internal/bench/srv.go
@@ -416,20 +416,20 @@
 // still is a choice.Actions that does nothing but note where a request goes.
 type still struct{ to uint32 }
 
-func (q *still) Send(_, to uint32, _ time.Duration)   { q.to = to }
-func (q *still) Refuse(uint32, time.Duration)         {}
-func (q *still) Fail(uint32)                          {}
-func (q *still) Cancel(uint32, int)                   {}
-func (q *still) Probe(uint32)                         {}
-func (q *still) Count(string, float64, time.Duration) {}
-func (q *still) SetTimer(time.Duration, string)       {}
-func (q *still) Watch(bool)                           {}
-func (q *still) Log(string)                           {}
+func (q *still) Send(_, to uint32, _ time.Duration)          { q.to = to }
+func (q *still) Refuse(uint32, time.Duration)                {}
+func (q *still) Fail(uint32)                                 {}
+func (q *still) Cancel(uint32, int)                          {}
+func (q *still) Probe(uint32)                                {}
+func (q *still) AddToCounter(string, float64, time.Duration) {}
+func (q *still) SetTimer(time.Duration, string)              {}
+func (q *still) Watch(bool)                                  {}
+func (q *still) Log(string)                                  {}
 
 func coreSettings() choice.Settings {
-	return choice.Settings{Doors: 1, Zone: "a", Tick: time.Millisecond, MaxTries: 3, SecondCopies: true, Cancels: true,
-		DrainGrace: drainHold, ColdFrom: 0.3, ColdFor: 3 * time.Second, FallMultiple: 2.5, FallAfter: time.Second,
-		Classes: []choice.Class{{Name: "read", Aim: 800 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}},
+	return choice.Settings{Gateways: 1, Zone: "a", Tick: time.Millisecond, MaxAttempts: 3, Hedging: true, Cancels: true,
+		DrainGrace: drainHold, ColdCapacity: 0.3, WarmupTime: 3 * time.Second, OverloadRatio: 2.5, OverloadTime: time.Second,
+		Classes: []choice.Class{{Name: "read", Target: 800 * time.Millisecond, Deadline: 3 * time.Second, Value: 1}},
 		Plans:   []choice.Plan{{Name: "open", ValueFactor: 1, OverrunCost: 1}}}
 }
 
@@ -444,13 +444,13 @@
 	for i := range fleet {
 		fleet[i] = choice.Member{ID: uint32(i + 1), Zone: "a", Weight: 1}
 	}
-	b.Roster(0, choice.Roster{Whole: true, Members: fleet})
+	b.HandleRoster(0, choice.RosterUpdate{Whole: true, Members: fleet})
 	rounds := max(200, 200000/n)
 	began := time.Now()
 	for i := range rounds {
 		now, id := time.Duration(i+1)*5*time.Millisecond, uint32(i+1)
-		b.Request(now, choice.Request{ID: id, Class: "read", Plan: "open", Customer: "c", NotAfter: now + 3*time.Second, Units: 1, Width: 1})
-		b.Outcome(now, choice.Outcome{ID: id, Backend: act.to, Elapsed: 50 * time.Millisecond, Final: true})
+		b.HandleRequest(now, choice.Request{ID: id, Class: "read", Plan: "open", Customer: "c", Deadline: now + 3*time.Second, Units: 1, Gateways: 1})
+		b.HandleOutcome(now, choice.Outcome{ID: id, Backend: act.to, Elapsed: 50 * time.Millisecond, Final: true})
 	}
 	return float64(time.Since(began).Nanoseconds()) / 1000 / float64(rounds), nil
 }
@@ -472,7 +472,7 @@
 		Sockets: transport.NewSockets(100)}, false)
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	core, err := routing.New(coreSettings(), 1, now, routing.Hands{Fleet: fleet})
+	core, err := routing.New(coreSettings(), 1, now, routing.Dependencies{Fleet: fleet})
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -484,11 +484,11 @@
 		LeaveAbove: 0.9, LeaveHold: time.Minute, DeadAfter: 3})
 	pass := func() time.Duration { // until the core has taken the changes
 		began := time.Now()
-		var n routing.News
+		var n routing.DiscoveryUpdate
 		for _, c := range m.Take(now()) {
 			n.Members = append(n.Members, routing.Member{Member: c.Member, Addr: c.Addr, Name: c.Name})
 		}
-		core.News(n)
+		core.HandleDiscovery(n)
 		core.Stats()
 		return time.Since(began)
 	}
--- a/internal/clustercli/clustercli.go
+++ b/internal/clustercli/clustercli.go
@@ -164,7 +164,7 @@
 		return err
 	}
 	own := settings.Settings{}
-	own.Doors = 1
+	own.Gateways = 1
 	if _, err := own.With(text); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
--- a/internal/concurrency/concurrency_test.go
+++ b/internal/concurrency/concurrency_test.go
@@ -12,21 +12,21 @@
 func TestLimitStaysInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(100 * time.Millisecond)
-		l.Share = rapid.Float64Range(0.05, 50).Draw(t, "share")
+		l.ServersPerGateway = rapid.Float64Range(0.05, 50).Draw(t, "share")
 		now := time.Second
-		l.Begin(now)
+		l.Init(now)
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "pause"))
-			l.Steer(now, rapid.Float64Range(0, 200).Draw(t, "out"), rapid.Bool().Draw(t, "late"))
-			if l.Max < l.Floor()/2 || l.Max > mostOver*l.Floor()*1.3+0.1 {
-				t.Fatalf("limit %v with a floor of %v", l.Max, l.Floor())
+			l.Adjust(now, rapid.Float64Range(0, 200).Draw(t, "out"), rapid.Bool().Draw(t, "late"))
+			if l.Max < l.Min()/2 || l.Max > mostOver*l.Min()*1.3+0.1 {
+				t.Fatalf("limit %v with a floor of %v", l.Max, l.Min())
 			}
 		}
 		for range 60 {
-			l.Steer(now, 5, true)
+			l.Adjust(now, 5, true)
 		}
-		if l.Max > l.Floor()*1.01 {
-			t.Fatalf("limit %v after late answers alone, floor %v", l.Max, l.Floor())
+		if l.Max > l.Min()*1.01 {
+			t.Fatalf("limit %v after late answers alone, floor %v", l.Max, l.Min())
 		}
 	})
 }
@@ -35,11 +35,11 @@
 func TestLimitGrowsWhereItIsUsed(t *testing.T) {
 	for used, grows := range map[float64]bool{1: false, 7: true} {
 		l := New(100 * time.Millisecond)
-		l.Share = 2
-		l.Begin(0)
+		l.ServersPerGateway = 2
+		l.Init(0)
 		before := l.Max
 		for i := range 50 {
-			l.Steer(time.Duration(i)*100*time.Millisecond, used, false)
+			l.Adjust(time.Duration(i)*100*time.Millisecond, used, false)
 		}
 		if (l.Max > before) != grows {
 			t.Errorf("%v out: limit from %v to %v", used, before, l.Max)
@@ -51,19 +51,19 @@
 // not any more once answers have come late.
 func TestLimitBeginsAnew(t *testing.T) {
 	whole, one := New(100*time.Millisecond), New(100*time.Millisecond)
-	whole.Share = 3
-	whole.Begin(0)
+	whole.ServersPerGateway = 3
+	whole.Init(0)
 	for _, share := range []float64{0.03, 1, 3} {
-		one.Share = share
-		one.Begin(0)
+		one.ServersPerGateway = share
+		one.Init(0)
 	}
 	if one.Max != whole.Max {
 		t.Errorf("limit %v, all at once %v", one.Max, whole.Max)
 	}
-	one.Steer(time.Second, 20, true)
+	one.Adjust(time.Second, 20, true)
 	before := one.Max
-	one.Share = 4
-	if one.Begin(time.Second); one.Max != before {
+	one.ServersPerGateway = 4
+	if one.Init(time.Second); one.Max != before {
 		t.Errorf("limit from %v to %v after late answers", before, one.Max)
 	}
 }
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -211,7 +211,7 @@
 // Close answers all that is open: the process ends in a moment.
 func (p *Plane) Close() {
 	for _, l := range *p.lanes.Load() {
-		l.core.Close()
+		l.core.AnswerOpen()
 	}
 }
 
--- a/internal/dataplane/fault.go
+++ b/internal/dataplane/fault.go
@@ -113,7 +113,7 @@
 	switch {
 	case a.Kind == protocol.Served:
 		return "ran"
-	case a.Kind == protocol.Refused && a.Verdict != routing.MayHaveRun, a.Kind == protocol.Twice:
+	case a.Kind == protocol.Refused && a.Verdict != routing.MayHaveExecuted, a.Kind == protocol.Twice:
 		return "never ran"
 	}
 	return "may have run"
@@ -194,7 +194,7 @@
 				end("not made: not on record in time")
 			default:
 				b.l.core.Submit(&routing.Request{Class: b.r.Class, Plan: b.r.Plan, Customer: b.r.Customer, Deadline: b.p.opt.Now() + b.whole,
-					Units: b.r.Units, Width: b.r.Width, Call: again, Reply: unheard{b, end}})
+					Units: b.r.Units, Gateways: b.r.Gateways, Call: again, Reply: unheard{b, end}})
 			}
 		})
 	}
@@ -231,7 +231,7 @@
 }
 
 func (u unheard) Refused(_ time.Duration, v routing.Verdict) {
-	if v == routing.MayHaveRun {
+	if v == routing.MayHaveExecuted {
 		u.over("ran once, and the second may have run")
 		return
 	}
@@ -240,7 +240,7 @@
 
 func (u unheard) Failed(bool) { u.over("ran once, and the second may have run") }
 
-func (u unheard) Unfit(error) { u.Refused(0, routing.Untried) }
+func (u unheard) Disallowed(error) { u.Refused(0, routing.NotAttempted) }
 
 func (u unheard) over(outcome string) {
 	u.b.p.opt.World.Go(func() {
--- a/internal/dataplane/front.go
+++ b/internal/dataplane/front.go
@@ -76,7 +76,7 @@
 		return
 	}
 	call.Transparent, call.Times = true, times
-	r := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: plan, Units: 1, Width: 1, Fit: p.bound(t, route)}
+	r := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: plan, Units: 1, Gateways: 1, ResolveTerms: p.bound(t, route)}
 	l := (*p.lanes.Load())[route.Pick(xxhash.Sum64String(id))]
 	rank := route.Rank
 	if t.Keyed() && !route.Anonymous {
@@ -134,7 +134,7 @@
 		ctx.SetStatusCode(a.Answer.StatusCode())
 		protocol.PassOn(ctx, a.Answer)
 	case protocol.Refused:
-		if a.Verdict == routing.MayHaveRun { // no promise can be given
+		if a.Verdict == routing.MayHaveExecuted { // no promise can be given
 			ctx.SetStatusCode(fasthttp.StatusBadGateway)
 			return
 		}
--- a/internal/dataplane/lane.go
+++ b/internal/dataplane/lane.go
@@ -43,7 +43,7 @@
 	l.fleet.Dialect = speech
 	var err error
 	l.core, err = routing.New(set, p.opt.Seed^xxhash.Sum64String(name), p.opt.Now,
-		routing.Hands{World: p.opt.World, Fleet: l.fleet, Watcher: silent{}, Drop: protocol.Drop})
+		routing.Dependencies{Env: p.opt.World, Fleet: l.fleet, Watcher: silent{}, DiscardAnswer: protocol.Drop})
 	if err != nil {
 		return nil, err
 	}
@@ -63,18 +63,18 @@
 		return
 	}
 	l.set = set
-	l.core.Adopt(version, set)
+	l.core.ApplyPolicy(version, set)
 }
 
 func equal(a, b choice.Settings) bool {
-	return a.Doors == b.Doors && a.Index == b.Index && a.RetryMost == b.RetryMost && a.Slots == b.Slots && slices.Equal(a.Classes, b.Classes)
+	return a.Gateways == b.Gateways && a.Index == b.Index && a.RetryBudget == b.RetryBudget && a.ServerConcurrency == b.ServerConcurrency && slices.Equal(a.Classes, b.Classes)
 }
 
 // update takes the service's servers. One that nobody has heard of for a while is
 // used only where there is no other.
 func (l *lane) update(list []Server) {
 	live := lo.SomeBy(list, func(s Server) bool { return s.State == choice.Up })
-	news := routing.News{Whole: true}
+	news := routing.DiscoveryUpdate{Whole: true}
 	for _, s := range list {
 		if s.State == choice.Down && live {
 			continue
@@ -94,7 +94,7 @@
 		news.Members = append(news.Members, routing.Member{Member: m, Addr: s.Addr, Name: s.ID})
 	}
 	l.some.Store(len(news.Members) > 0)
-	l.core.News(news)
+	l.core.HandleDiscovery(news)
 }
 
 // empty says that there is no server, or no lane.
@@ -103,17 +103,17 @@
 // settings are a service's by the configuration: a class for each route that leads
 // to it and each rank that its requests may have.
 func (p *Plane) settings(t *sysconfig.Table, service string) choice.Settings {
-	set := choice.Settings{Doors: p.gates, Index: p.index, Zone: p.opt.Zone, MaxTries: 1, Shuts: true, Spare: spare, SecondCopies: true, Cancels: true,
-		RetryAfter: true, ConnectTimeout: connectWithin, Weighted: true, Turns: turns, ColdFrom: 0.5, ColdFor: p.opt.ColdFor,
-		CrossZone: crossZone, RetryShare: p.opt.RetryRatio * budgetUsed, RetryMost: max(1, p.opt.RetrySlack*budgetUsed/float64(p.gates)),
+	set := choice.Settings{Gateways: p.gates, Index: p.index, Zone: p.opt.Zone, MaxAttempts: 1, RefusesWhenBusy: true, HeadroomSigmas: spare, Hedging: true, Cancels: true,
+		RetryAfter: true, ConnectTimeout: connectWithin, Weighted: true, TurnWeight: turns, ColdCapacity: 0.5, WarmupTime: p.opt.ColdFor,
+		CrossZone: crossZone, RetryRatio: p.opt.RetryRatio * budgetUsed, RetryBudget: max(1, p.opt.RetrySlack*budgetUsed/float64(p.gates)),
 		Plans: []choice.Plan{{Name: plan, ValueFactor: 1, OverrunCost: 1}}}
 	if list := p.servers[service]; len(list) > 0 {
-		set.Slots = lo.SumBy(list, func(s Server) float64 { return float64(s.Capacity) }) / float64(len(list))
+		set.ServerConcurrency = lo.SumBy(list, func(s Server) float64 { return float64(s.Capacity) }) / float64(len(list))
 	}
 	for _, r := range t.RoutesTo(service) {
-		c := choice.Class{Aim: cmp.Or(r.Target, r.Deadline), Deadline: r.Deadline, LateWorth: 0.3, Tries: max(r.Tries, 1)}
+		c := choice.Class{Target: cmp.Or(r.Target, r.Deadline), Deadline: r.Deadline, LateValue: 0.3, MaxAttempts: max(r.Tries, 1)}
 		if c.Effect = choice.Retryable; r.Class == sysconfig.Effectful {
-			c.Effect = choice.Fragile
+			c.Effect = choice.NonRetryable
 		}
 		for _, rank := range t.Ranks(r) {
 			c.Name, c.Value = class(r, rank), float64(max(1, 4-rank))
--- a/internal/dataplane/lane_test.go
+++ b/internal/dataplane/lane_test.go
@@ -24,7 +24,7 @@
 	l, late := (*g.plane.lanes.Load())["toy"], &closable{}
 	resp := fasthttp.AcquireResponse()
 	resp.SetBodyStream(late, -1)
-	l.core.Ended(1, routing.Attempt{ID: 99}, choice.OK, resp, nil)
+	l.core.AttemptEnded(1, routing.Attempt{ID: 99}, choice.OK, resp, nil)
 	l.core.Stats() // waits for its turn
 	if !late.closed.Load() {
 		t.Error("a late stream stays open")
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -19,89 +19,91 @@
 
 // Server is what is believed of one.
 type Server struct {
-	Slow  float64       // time of its answers against the mean of their kind
-	Fault float64       // share of faults among its answers
-	Until time.Duration // left out until then; 0: it is not
-	Zone  *Zone         // nil: it has none
+	Slowness     float64       // time of its answers against the mean of their kind
+	FaultRate    float64       // share of faults among its answers
+	EjectedUntil time.Duration // left out until then; 0: it is not
+	Zone         *Zone         // nil: it has none
 
-	Strikes int // in a row, without a good answer
-	seen    float64
+	Ejections int // in a row, without a good answer
+	seen      float64
 }
 
 // Restart forgets what an earlier process did.
-func (s *Server) Restart() { s.Slow, s.Fault, s.Until, s.Strikes, s.seen = 0.5, 0, 0, 0, 0 }
+func (s *Server) Reset() {
+	s.Slowness, s.FaultRate, s.EjectedUntil, s.Ejections, s.seen = 0.5, 0, 0, 0, 0
+}
 
 // Took tells that an answer took so many times the mean of its kind.
-func (s *Server) Took(times float64) {
+func (s *Server) ObserveSuccess(times float64) {
 	s.seen = min(s.seen+1, most)
-	s.Slow += (min(times, mostSlow) - s.Slow) / (doubt + s.seen)
-	s.Fault -= s.Fault / (doubt + s.seen)
-	s.Until, s.Strikes = 0, 0
+	s.Slowness += (min(times, mostSlow) - s.Slowness) / (doubt + s.seen)
+	s.FaultRate -= s.FaultRate / (doubt + s.seen)
+	s.EjectedUntil, s.Ejections = 0, 0
 }
 
 // Failed tells of an answer that was a fault.
-func (s *Server) Failed() {
+func (s *Server) ObserveFault() {
 	s.seen = min(s.seen+1, most)
-	s.Fault += (1 - s.Fault) / (doubt + s.seen)
+	s.FaultRate += (1 - s.FaultRate) / (doubt + s.seen)
 }
 
 // Age lets evidence fade over a time. usual is the share of faults among all answers.
-func (s *Server) Age(past time.Duration, usual float64) {
-	s.Slow += (0.5 - s.Slow) * past.Seconds() / forgive.Seconds()
+func (s *Server) Decay(past time.Duration, usual float64) {
+	s.Slowness += (0.5 - s.Slowness) * past.Seconds() / forgive.Seconds()
 	part := min(1, past.Seconds()/memory.Seconds())
-	s.Fault += (usual - s.Fault) * part
+	s.FaultRate += (usual - s.FaultRate) * part
 	s.seen -= s.seen * part
 }
 
 // Strike leaves a server out for a time that doubles with each strike; not again while it is out.
-func (s *Server) Strike(now, least time.Duration) {
-	if now < s.Until {
+func (s *Server) Eject(now, least time.Duration) {
+	if now < s.EjectedUntil {
 		return
 	}
-	s.Strikes = min(s.Strikes+1, mostTimes)
-	s.Until = now + least<<s.Strikes
+	s.Ejections = min(s.Ejections+1, mostTimes)
+	s.EjectedUntil = now + least<<s.Ejections
 }
 
 // Out reports whether nothing should be sent there, for its own sake or its zone's.
-func (s *Server) Out() bool { return s.Until > 0 || s.Zone != nil && s.Zone.Lost }
+func (s *Server) Ejected() bool { return s.EjectedUntil > 0 || s.Zone != nil && s.Zone.SuspectedDown }
 
 // Due reports whether to look if a server is back that was left out. Of a lost
 // zone it is one server after another, each time after a pause.
-func (s *Server) Due(now, pause time.Duration) bool {
-	if z := s.Zone; z != nil && z.Lost {
-		due := now >= z.Look
+func (s *Server) ProbeDue(now, pause time.Duration) bool {
+	if z := s.Zone; z != nil && z.SuspectedDown {
+		due := now >= z.NextProbe
 		if due {
-			z.Look = now + pause
+			z.NextProbe = now + pause
 		}
 		return due
 	}
-	return s.Until > 0 && now >= s.Until
+	return s.EjectedUntil > 0 && now >= s.EjectedUntil
 }
 
 // Zone is what is believed of all servers of one zone together.
 type Zone struct {
-	Lost bool          // several servers in a row did not answer: the others may be gone with them
-	Look time.Duration // while it is lost, whether it is back is looked at next then
+	SuspectedDown bool          // several servers in a row did not answer: the others may be gone with them
+	NextProbe     time.Duration // while it is lost, whether it is back is looked at next then
 
 	silent []*Server // since the last sign of life
 }
 
 // Alive tells of an answer from the zone.
-func (z *Zone) Alive() { z.Lost, z.silent = false, z.silent[:0] }
+func (z *Zone) Responded() { z.SuspectedDown, z.silent = false, z.silent[:0] }
 
 // Silent tells that a server did not answer, or broke its connection. It
 // reports whether the zone has come to look lost by that. One server in a row
 // counts once, and a zone's only server is no zone.
-func (z *Zone) Silent(s *Server, now time.Duration) bool {
+func (z *Zone) NoResponse(s *Server, now time.Duration) bool {
 	for _, x := range z.silent {
 		if x == s {
 			return false
 		}
 	}
 	z.silent = append(z.silent, s)
-	if z.Lost || len(z.silent) < lostAfter {
+	if z.SuspectedDown || len(z.silent) < lostAfter {
 		return false
 	}
-	z.Lost, z.Look = true, now
+	z.SuspectedDown, z.NextProbe = true, now
 	return true
 }
--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -7,8 +7,8 @@
 
 // Latency is what is known of the time that answers of one kind take, in seconds.
 type Latency struct {
-	Mean, Dev float64
-	Base      float64 // lowest lasting mean: what work takes without queues
+	Mean, Deviation float64
+	Baseline        float64 // lowest lasting mean: what work takes without queues
 
 	n    int
 	calm float64 // more than that can't be calm
@@ -17,27 +17,29 @@
 // NewLatency returns a guess for answers that should come within aim.
 func NewLatency(aim time.Duration) Latency {
 	guess := aim.Seconds() / 8
-	return Latency{Mean: guess, Base: guess, Dev: guess / 2, calm: aim.Seconds() / 4}
+	return Latency{Mean: guess, Baseline: guess, Deviation: guess / 2, calm: aim.Seconds() / 4}
 }
 
 // Took takes one in, at a weight between 0 and 1.
-func (l *Latency) Took(took, weight float64) {
-	l.Dev += (math.Abs(took-l.Mean) - l.Dev) * weight
+func (l *Latency) Observe(took, weight float64) {
+	l.Deviation += (math.Abs(took-l.Mean) - l.Deviation) * weight
 	l.Mean += (took - l.Mean) * weight
-	if l.n++; l.n < 50 || l.Mean < l.Base {
-		l.Base = min(l.Mean, l.calm) // a start under load must not pass for calm
+	if l.n++; l.n < 50 || l.Mean < l.Baseline {
+		l.Baseline = min(l.Mean, l.calm) // a start under load must not pass for calm
 	} else {
-		l.Base += (l.Mean - l.Base) * 0.0003
+		l.Baseline += (l.Mean - l.Baseline) * 0.0003
 	}
 }
 
 // Tardy is how long an answer takes only rarely.
-func (l *Latency) Tardy() time.Duration {
-	return time.Duration((l.Mean + 4*l.Dev) * float64(time.Second))
+func (l *Latency) Slow() time.Duration {
+	return time.Duration((l.Mean + 4*l.Deviation) * float64(time.Second))
 }
 
 // Pressed reports whether answers show queues: then lateness comes of load, and tells nothing of one server.
-func (l *Latency) Pressed() bool { return l.Mean > 1.5*l.Base }
+func (l *Latency) Queueing() bool { return l.Mean > 1.5*l.Baseline }
 
 // Gone reports whether so long a silence means more than load.
-func (l *Latency) Gone(quiet time.Duration) bool { return quiet > l.Tardy()*3/2 && !l.Pressed() }
+func (l *Latency) Unresponsive(quiet time.Duration) bool {
+	return quiet > l.Slow()*3/2 && !l.Queueing()
+}
--- a/internal/program/cluster.go
+++ b/internal/program/cluster.go
@@ -57,7 +57,7 @@
 
 // May reads the lease before the clock: a process that stood still in between finds
 // that it has run out.
-func (g *gate) May(now func() time.Duration) (version int64, ok, soon bool) {
+func (g *gate) Version(now func() time.Duration) (version int64, ok, soon bool) {
 	s := g.state.Load()
 	switch {
 	case now() < s.lease.Until:
@@ -75,7 +75,7 @@
 	if g == nil {
 		return true
 	}
-	_, ok, soon := g.May(now)
+	_, ok, soon := g.Version(now)
 	return ok || soon
 }
 
@@ -86,7 +86,7 @@
 		s.last = l.Version
 	}
 	g.state.Store(s)
-	g.core.Look()
+	g.core.RecheckGate()
 }
 
 // join puts the gateway's side of a cluster together. The core has to be there when
@@ -107,7 +107,7 @@
 		Adopt: func(version int64, text []byte) error {
 			set, err := with(text)
 			if err == nil {
-				gt.core.Adopt(version, set.Settings)
+				gt.core.ApplyPolicy(version, set.Settings)
 			}
 			return err
 		},
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -137,12 +137,12 @@
 	}
 	if retunes {
 		set := &now.Settings.Settings
-		set.Classes, set.Plans, set.MaxTries = next.Settings.Classes, next.Settings.Plans, next.Settings.MaxTries
+		set.Classes, set.Plans, set.MaxAttempts = next.Settings.Classes, next.Settings.Plans, next.Settings.MaxAttempts
 		set.CrossZone, set.ProbePrice = next.Settings.CrossZone, next.Settings.ProbePrice
 		set.WastePrice, set.LateFailPrice = next.Settings.WastePrice, next.Settings.LateFailPrice
 	}
 	log.Printf("event=reload discovery=%s counter=%s classes=%d attempts=%d", now.Discovery, now.Counter,
-		len(now.Settings.Classes), now.Settings.MaxTries)
+		len(now.Settings.Classes), now.Settings.MaxAttempts)
 	for key, same := range map[string]bool{
 		"name": c.Name == next.Name, "listen": c.Listen == next.Listen, "limits": c.Limits == next.Limits,
 		"management": c.Management == next.Management,
--- a/internal/program/members.go
+++ b/internal/program/members.go
@@ -25,7 +25,7 @@
 	box      *mailbox.Box[any]
 	resolver *dns.Resolver
 	is       *serverset.Membership
-	tell     func(routing.News)
+	tell     func(routing.DiscoveryUpdate)
 	told     bool // the core knows that a source has spoken
 	begun    bool // the core has heard anything
 	trust    atomic.Bool
@@ -54,7 +54,7 @@
 }
 
 // wire lets it speak to the core.
-func (m *members) wire(tell func(routing.News)) {
+func (m *members) wire(tell func(routing.DiscoveryUpdate)) {
 	m.tell = tell
 	m.resolver = dns.NewResolver(m.options(m.conf), func(e dns.Event) { m.box.Put(e) })
 	log.Printf("event=start srv=%q name_servers=%q", m.conf.Names, m.conf.NameServers)
@@ -70,15 +70,15 @@
 func (m *members) Stop() { m.box.Put(nil) }
 
 // list takes the list's news.
-func (m *members) list(n routing.News) { m.box.Put(n) }
+func (m *members) list(n routing.DiscoveryUpdate) { m.box.Put(n) }
 
 // listHeard tells that the list answers.
 func (m *members) listHeard() { m.box.Put(listOK{}) }
 
 // Heard takes an outcome, if it says anything about whether the server is there.
-func (m *members) Heard(server uint32, status choice.Status) {
+func (m *members) Observe(server uint32, status choice.Status) {
 	switch status {
-	case choice.OK, choice.Error, choice.Full: // it has answered
+	case choice.OK, choice.Error, choice.Overloaded: // it has answered
 		if !m.failing[server] {
 			return
 		}
@@ -128,7 +128,7 @@
 
 func (m *members) take(now time.Duration, msg any) {
 	switch e := msg.(type) {
-	case routing.News:
+	case routing.DiscoveryUpdate:
 		switch {
 		case !m.conf.List:
 		case e.Broken:
@@ -146,7 +146,7 @@
 	case dns.Event:
 		m.event(now, e)
 	case outcome:
-		ok := e.status == choice.OK || e.status == choice.Error || e.status == choice.Full
+		ok := e.status == choice.OK || e.status == choice.Error || e.status == choice.Overloaded
 		if m.is.Outcome(now, e.server, ok, e.status == choice.ConnectFailed) {
 			m.resolver.Hurry()
 		}
@@ -217,7 +217,7 @@
 	if len(changes) == 0 && m.begun && m.told == !saved {
 		return
 	}
-	n := routing.News{Saved: saved, Members: make([]routing.Member, len(changes))}
+	n := routing.DiscoveryUpdate{Saved: saved, Members: make([]routing.Member, len(changes))}
 	for i, c := range changes {
 		n.Members[i] = routing.Member{Member: c.Member, Addr: c.Addr, Name: c.Name}
 	}
--- a/internal/program/pair.go
+++ b/internal/program/pair.go
@@ -83,7 +83,7 @@
 	}
 	if len(others) != p.others {
 		p.others = len(others)
-		p.core.Twins(1 + p.others)
+		p.core.SetProcesses(1 + p.others)
 		log.Printf("event=twin others=%d", p.others)
 	}
 	older, gives := false, false
@@ -95,7 +95,7 @@
 		gives = gives || c.Serves
 		if p.opened.Load() && !p.handed[c.ID] {
 			p.handed[c.ID] = true
-			if err := p.twin.Hand(c, p.core.Hand()); err != nil {
+			if err := p.twin.Hand(c, p.core.ExportState()); err != nil {
 				log.Printf("event=twin what=%q error=%q", "handed nothing on", err)
 			}
 		}
@@ -118,10 +118,10 @@
 // take begins with the older process's state, or without it, and then serves.
 func (p *pair) take(now time.Time, older bool) {
 	if !p.taken {
-		var s choice.Learnt
+		var s choice.SavedState
 		got, err := p.twin.Take(&s)
 		if got && err == nil {
-			err = p.core.Take(s)
+			err = p.core.ImportState(s)
 		}
 		if err != nil {
 			p.strange(err)
--- a/internal/program/pair_test.go
+++ b/internal/program/pair_test.go
@@ -28,15 +28,15 @@
 		t.Fatal(err)
 	}
 	defer older.Leave()
-	if err := older.Hand(hotrestart.Card{ID: "0000000000000007"}, choice.Learnt{}); err != nil {
+	if err := older.Hand(hotrestart.Card{ID: "0000000000000007"}, choice.SavedState{}); err != nil {
 		t.Fatal(err)
 	}
-	set := choice.Settings{Doors: 1, MaxTries: 2, MaxUnits: 1, Tick: time.Millisecond,
-		Classes: []choice.Class{{Name: "a", Aim: time.Second, Deadline: time.Second, Value: 1}},
+	set := choice.Settings{Gateways: 1, MaxAttempts: 2, MaxUnits: 1, Tick: time.Millisecond,
+		Classes: []choice.Class{{Name: "a", Target: time.Second, Deadline: time.Second, Value: 1}},
 		Plans:   []choice.Plan{{Name: "basic", Rate: 10, Burst: 10, ValueFactor: 1, OverrunCost: 1}}}
 	start := time.Now()
 	core, err := routing.New(set, 1, func() time.Duration { return time.Hour + time.Since(start) },
-		routing.Hands{Fleet: protocol.NewFleet(transport.PeerOptions{Keep: transport.NewKeep(time.Minute), Sockets: transport.NewSockets(9)}, false)})
+		routing.Dependencies{Fleet: protocol.NewFleet(transport.PeerOptions{Keep: transport.NewKeep(time.Minute), Sockets: transport.NewSockets(9)}, false)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -171,7 +171,7 @@
 	}
 	now := clock(world)
 	g.sockets = transport.NewSockets(servers)
-	g.figures = ops.NewFigures(func() int { return g.core.Targets() }, func() int { return g.core.Avoided() })
+	g.figures = ops.NewFigures(func() int { return g.core.ListedServers() }, func() int { return g.core.EjectedServers() })
 	for _, c := range set.Classes {
 		g.figures.Class(c.Name)
 	}
@@ -183,10 +183,10 @@
 			}
 		}}, set.Reports)
 	watch := &watcher{}
-	hands := routing.Hands{World: world, Fleet: fleet, Watcher: watch, Drop: protocol.Drop}
+	hands := routing.Dependencies{Env: world, Fleet: fleet, Watcher: watch, DiscardAnswer: protocol.Drop}
 	if set.Counter {
 		g.counter = protocol.NewCounter(world, cfg.Counter, orDefault(set.CounterTimeout, 50*time.Millisecond),
-			func(name string, s choice.Status, total float64) { g.core.Counted(name, s, total) })
+			func(name string, s choice.Status, total float64) { g.core.CounterEnded(name, s, total) })
 		hands.Counter = g.counter
 	}
 	if g.srv = newMembers(world, files.SRV, cfg.Seed, now); g.srv != nil {
@@ -199,9 +199,9 @@
 		if node, g.gate, err = g.join(files.Cluster, now); err != nil {
 			return nil, err
 		}
-		hands.Gate, hands.Wait = g.gate, time.Duration(files.Cluster.WaitMs*float64(time.Millisecond))
+		hands.Gate, hands.MaxGateWait = g.gate, time.Duration(files.Cluster.WaitMs*float64(time.Millisecond))
 	}
-	hands.Adopted = func(set choice.Settings) {
+	hands.PolicyApplied = func(set choice.Settings) {
 		for _, c := range set.Classes {
 			g.figures.Class(c.Name)
 		}
@@ -218,11 +218,11 @@
 		g.parts = append(g.parts, node)
 	}
 	list := protocol.DiscoveryOptions{World: world, Addr: cfg.Discovery, Hold: 2 * time.Second, Grace: 500 * time.Millisecond,
-		Connect: 250 * time.Millisecond, Pace: backoff.Terms{Shared: set.Subscribe, Within: set.AskWithin, Gateways: set.Doors}}
-	news := g.core.News
+		Connect: 250 * time.Millisecond, Pace: backoff.Options{Shared: set.Subscribe, MaxNewsAge: set.MaxNewsAge, Gateways: set.Gateways}}
+	news := g.core.HandleDiscovery
 	if g.srv != nil {
 		list.Heard, news = g.srv.listHeard, g.srv.list
-		g.srv.wire(g.core.News)
+		g.srv.wire(g.core.HandleDiscovery)
 	}
 	g.list = protocol.NewDiscovery(list, cfg.Known, set.Subscribe, news)
 	if watch.d = g.list; watch.on {
@@ -242,7 +242,7 @@
 	front = protocol.NewFront(set.Settings)
 	front.Late = g.gate != nil
 	front.Core, front.Now, front.Leaving, front.Tally = g.core, now, g.away, g.figures
-	able := func() bool { return g.core.Ready() > 0 && g.srv.trusted() && g.gate.open(now) }
+	able := func() bool { return g.core.ReadyServers() > 0 && g.srv.trusted() && g.gate.open(now) }
 	front.Ready = func() bool { // of the address: the next process may have it
 		return able() && (g.serves() || g.pair.gives() && !g.draining.Load())
 	}
@@ -403,7 +403,7 @@
 	was := g.cfg.Settings
 	g.cfg = g.cfg.reload(next.Config, g.retunes)
 	if set := g.cfg.Settings; !reflect.DeepEqual(was, set) {
-		g.core.Adopt(plansVersion(g.plans, set.Plans), set.Settings)
+		g.core.ApplyPolicy(plansVersion(g.plans, set.Plans), set.Settings)
 	}
 	g.srv.reload(next.SRV)
 	g.list.Move(g.cfg.Discovery)
@@ -439,11 +439,11 @@
 func (g *Gateway) report() {
 	b := g.Books()
 	log.Printf("event=totals requests=%d served=%d refused=%d failed=%d gone=%d attempts=%d probes=%d counts=%d "+
-		"outcomes=%v open=%d clients=%d out=%d under=%d servers=%d why=%v limit=%.2f load=%.2f rate=%.2f", b.Requests, b.Served, b.Refused, b.Failed, b.Gone, b.Attempts,
-		b.Probes, b.Counts, b.Outcomes, b.Open, b.Clients, b.Out, b.Under, b.Servers,
-		b.Module.Refused, b.Module.Limit, b.Module.Out, b.Module.Rate)
+		"outcomes=%v open=%d clients=%d out=%d under=%d servers=%d why=%v limit=%.2f load=%.2f rate=%.2f", b.Requests, b.Served, b.Refused, b.Failed, b.ClientsGone, b.Attempts,
+		b.Probes, b.CounterCalls, b.Outcomes, b.Open, b.Clients, b.InFlight, b.Under, b.Servers,
+		b.Module.Refused, b.Module.Limit, b.Module.InFlight, b.Module.SendRate)
 	if g.gate != nil {
-		log.Printf("event=policy version=%d waited=%d unleased=%d", b.Version, b.Waited, b.Unleased)
+		log.Printf("event=policy version=%d waited=%d unleased=%d", b.Version, b.WaitedAtGate, b.RefusedUnleased)
 	}
 	g.srv.report()
 }
--- a/internal/protocol/answers_test.go
+++ b/internal/protocol/answers_test.go
@@ -12,7 +12,7 @@
 // must not take its place while it is read.
 func TestOneFinal(t *testing.T) {
 	a := &Answers{have: true, left: true, final: Final{Kind: TimedOut}}
-	a.Refused(0, routing.Unrun)
+	a.Refused(0, routing.NotExecuted)
 	if a.final.Kind != TimedOut {
 		t.Errorf("the answer turned into %v", a.final.Kind)
 	}
@@ -21,9 +21,9 @@
 // failing is a core that fails what it is given.
 type failing struct{}
 
-func (failing) Submit(r *routing.Request) { r.Reply.Failed(false) }
-func (failing) Sent(*routing.Request)     {}
-func (failing) Gone(*routing.Request)     {}
+func (failing) Submit(r *routing.Request)     { r.Reply.Failed(false) }
+func (failing) BodyProgress(*routing.Request) {}
+func (failing) ClientGone(*routing.Request)   {}
 
 // Of two requests with one id at a time the second is told so; those without an id are nobody's twins.
 func TestTwins(t *testing.T) {
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -176,7 +176,7 @@
 
 // Bind makes a request carry the call, whose client waits so long.
 func (c *Call) Bind(r *routing.Request, limit time.Duration) {
-	r.Call, r.Spent = c, c.spent
+	r.Call, r.BodyConsumed = c, c.spent
 	if c.rest != nil {
 		c.rest.limit = limit
 	}
--- a/internal/protocol/counter.go
+++ b/internal/protocol/counter.go
@@ -336,7 +336,7 @@
 	l.calls = l.calls[1:]
 	switch m.kind {
 	case busy:
-		c.end(k, choice.Full, 0)
+		c.end(k, choice.Overloaded, 0)
 	case refused:
 		log.Printf("event=counter what=refused name=%s error=%q", k.name, m.err)
 		c.end(k, choice.ConnectFailed, 0)
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -63,16 +63,16 @@
 	Hold    time.Duration // how long a watch may wait for news
 	Grace   time.Duration // how long its answer may take beyond that
 	Connect time.Duration
-	Pace    backoff.Terms // of the calls
-	World   hostenv.Seam  // nil: the real one
-	Heard   func()        // after each call that went well; nil: nobody asks
+	Pace    backoff.Options // of the calls
+	World   hostenv.Seam    // nil: the real one
+	Heard   func()          // after each call that went well; nil: nobody asks
 }
 
 // Discovery is the actor that owns the list: it watches for changes and tells
 // the core at once.
 type Discovery struct {
 	opt     DiscoveryOptions
-	news    func(routing.News)
+	news    func(routing.DiscoveryUpdate)
 	box     *mailbox.Box[any]
 	on      bool
 	whole   bool // the next call asks for the whole list
@@ -82,7 +82,7 @@
 	lastID  uint32
 	ask     *ask            // under way
 	conn    *transport.Conn // of the last one, if it may carry another
-	pace    *backoff.Pace
+	pace    *backoff.Backoff
 	after   time.Time // no call before
 }
 
@@ -106,11 +106,11 @@
 
 // NewDiscovery returns an actor that tells its news through news. The watch
 // goes on from what is known. It begins at once, or once asked for.
-func NewDiscovery(opt DiscoveryOptions, known List, onDemand bool, news func(routing.News)) *Discovery {
+func NewDiscovery(opt DiscoveryOptions, known List, onDemand bool, news func(routing.DiscoveryUpdate)) *Discovery {
 	opt.World = hostenv.Or(opt.World)
 	d := &Discovery{opt: opt, news: news, box: mailbox.NewBox[any](opt.World), on: !onDemand,
 		whole: len(known.Servers) == 0, ids: map[string]uint32{}, pace: backoff.New(opt.Pace)}
-	d.after = opt.World.Now().Add(d.pace.First(d.odds()))
+	d.after = opt.World.Now().Add(d.pace.InitialDelay(d.odds()))
 	n := d.take(known, true)
 	n.Saved = true
 	news(n)
@@ -168,7 +168,7 @@
 	}
 	d.breakOff()
 	d.opt.Addr, d.whole, d.after = addr, true, time.Time{}
-	d.pace.Heard()
+	d.pace.Reset()
 }
 
 // breakOff ends the call under way and its connection.
@@ -218,12 +218,12 @@
 		}
 		var status statusError
 		busy := errors.As(m.err, &status) && status == fasthttp.StatusServiceUnavailable
-		d.after = d.opt.World.Now().Add(d.pace.Failed(busy, d.odds()))
-		d.news(routing.News{Broken: true})
+		d.after = d.opt.World.Now().Add(d.pace.NextDelay(busy, d.odds()))
+		d.news(routing.DiscoveryUpdate{Broken: true})
 		return
 	}
 	first := !d.heard
-	d.pace.Heard()
+	d.pace.Reset()
 	d.whole, d.heard = false, true
 	if d.opt.Heard != nil {
 		d.opt.Heard()
@@ -286,9 +286,9 @@
 
 // take turns a list into news. Its times are on the core's clock, which is the
 // Unix time: one clock is read by all machines.
-func (d *Discovery) take(list List, whole bool) routing.News {
+func (d *Discovery) take(list List, whole bool) routing.DiscoveryUpdate {
 	d.version = list.Version
-	n := routing.News{Whole: whole}
+	n := routing.DiscoveryUpdate{Whole: whole}
 	ids := d.ids
 	if whole {
 		ids = map[string]uint32{}
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -30,14 +30,14 @@
 		}
 		return l
 	}
-	var got []routing.News
-	tell := func(n routing.News) { got = append(got, n) }
+	var got []routing.DiscoveryUpdate
+	tell := func(n routing.DiscoveryUpdate) { got = append(got, n) }
 	d := NewDiscovery(DiscoveryOptions{}, list(`{"version":41,"full":true,"servers":[
 		{"id":"s-b","addr":"10.1.0.18:8443","zone":"a","kind":"m2","cell":3,"state":"up","weight":1.5,"started_ms":0}]}`), false, tell)
 	tell(d.take(list(`{"version":43,"servers":[
 		{"id":"s-a","addr":"10.1.0.19:8443","state":"up","weight":1,"started_ms":1796126400123},
 		{"id":"s-b","addr":"10.1.0.18:8443","state":"draining"},{"id":"s-c","state":"removed"}]}`), false))
-	want := []routing.News{
+	want := []routing.DiscoveryUpdate{
 		{Whole: true, Saved: true, Members: []routing.Member{{Addr: "10.1.0.18:8443", Name: "s-b", Member: choice.Member{ID: 1, Key: xxhash.Sum64String("s-b"), Zone: "a",
 			Kind: "m2", Cell: 3, Weight: 1.5}}}},
 		{Members: []routing.Member{
@@ -63,9 +63,9 @@
 		defer ln.Close()
 		accept[kind] = ln
 	}
-	news := make(chan routing.News, 10)
+	news := make(chan routing.DiscoveryUpdate, 10)
 	d := NewDiscovery(DiscoveryOptions{Addr: accept["old"].Addr().String(), Hold: time.Hour, Grace: time.Hour,
-		Connect: time.Minute}, List{}, false, func(n routing.News) { news <- n })
+		Connect: time.Minute}, List{}, false, func(n routing.DiscoveryUpdate) { news <- n })
 	defer d.Stop()
 	go d.Run()
 	list := func(version, id int) string {
@@ -96,21 +96,21 @@
 
 // Which failures speak of a crowd, and that gateways which start or fail together do not come back together.
 func TestDiscoveryIsLeftAloneWhereItIsCrowded(t *testing.T) {
-	shared := backoff.Terms{Shared: true, Within: 10 * time.Second, Gateways: 80}
+	shared := backoff.Options{Shared: true, MaxNewsAge: 10 * time.Second, Gateways: 80}
 	for _, tc := range []struct {
 		err         error
-		pace        backoff.Terms
+		pace        backoff.Options
 		least, most time.Duration // of the wait after the sixth failure in a row
 	}{
 		{statusError(503), shared, 5 * time.Second, 15 * time.Second},
-		{statusError(503), backoff.Terms{Gateways: 300}, 80 * time.Millisecond, 240 * time.Millisecond},
+		{statusError(503), backoff.Options{Gateways: 300}, 80 * time.Millisecond, 240 * time.Millisecond},
 		{io.EOF, shared, 160 * time.Millisecond, 480 * time.Millisecond},
 		{statusError(500), shared, 160 * time.Millisecond, 480 * time.Millisecond},
 	} {
 		waits := map[time.Duration]bool{}
 		for range 20 {
 			began := time.Now()
-			d := NewDiscovery(DiscoveryOptions{Pace: tc.pace}, List{}, false, func(routing.News) {})
+			d := NewDiscovery(DiscoveryOptions{Pace: tc.pace}, List{}, false, func(routing.DiscoveryUpdate) {})
 			if late := d.after.Sub(began) > time.Second/2; late && !tc.pace.Shared {
 				t.Errorf("an agent is asked %v after the start", d.after.Sub(began))
 			}
@@ -139,9 +139,9 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	news := make(chan routing.News, 10)
+	news := make(chan routing.DiscoveryUpdate, 10)
 	d := NewDiscovery(DiscoveryOptions{Addr: ln.Addr().String(), Hold: time.Hour, Grace: time.Hour, Connect: time.Minute},
-		List{Version: 41, Servers: []Entry{{ID: "s-a", Addr: "127.0.0.1:1", State: "up"}}}, false, func(n routing.News) { news <- n })
+		List{Version: 41, Servers: []Entry{{ID: "s-a", Addr: "127.0.0.1:1", State: "up"}}}, false, func(n routing.DiscoveryUpdate) { news <- n })
 	defer d.Stop()
 	go d.Run()
 	none := `{"version":41,"full":false,"servers":[]}`
@@ -158,7 +158,7 @@
 
 // What has left the list is forgotten: on a long day servers never stop coming.
 func TestNumbersAreForgotten(t *testing.T) {
-	d := NewDiscovery(DiscoveryOptions{}, List{}, false, func(routing.News) {})
+	d := NewDiscovery(DiscoveryOptions{}, List{}, false, func(routing.DiscoveryUpdate) {})
 	for i := range 1000 {
 		up, gone := fmt.Sprint("s-", i), fmt.Sprint("s-", i-2)
 		d.take(List{Servers: []Entry{{ID: up, State: "up"}, {ID: gone, State: "removed"}}}, false)
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -16,8 +16,8 @@
 
 // Ends hears how attempts and probes end.
 type Ends interface {
-	Ended(server uint32, a routing.Attempt, status choice.Status, answer any, load *choice.Load)
-	Probed(server uint32, a routing.Attempt, status choice.Status, load *choice.Load)
+	AttemptEnded(server uint32, a routing.Attempt, status choice.Status, answer any, load *choice.Load)
+	ProbeEnded(server uint32, a routing.Attempt, status choice.Status, load *choice.Load)
 }
 
 // Fleet carries out attempts by an actor for each server. The core's goroutine
@@ -53,7 +53,7 @@
 }
 
 // Update takes the list's news.
-func (f *Fleet) Update(news routing.News) {
+func (f *Fleet) Update(news routing.DiscoveryUpdate) {
 	named := map[uint32]bool{}
 	for _, m := range news.Members {
 		s := f.servers[m.ID]
@@ -100,7 +100,7 @@
 		s.peer.Send(a, f.Dialect.wire(call.(*Call), s.name, left), call)
 		return
 	}
-	f.Ends.Ended(id, a, choice.ConnectFailed, nil, nil)
+	f.Ends.AttemptEnded(id, a, choice.ConnectFailed, nil, nil)
 }
 
 // Probe asks a server how it is.
@@ -113,7 +113,7 @@
 		s.peer.Send(a, []byte("GET "+path+" HTTP/1.1\r\nHost: "+s.addr+"\r\n\r\n"), nil)
 		return
 	}
-	f.Ends.Probed(id, a, choice.ConnectFailed, nil)
+	f.Ends.ProbeEnded(id, a, choice.ConnectFailed, nil)
 }
 
 // Cancel gives an attempt or a probe up.
@@ -133,18 +133,18 @@
 			status = f.Dialect.outcome(r.End, r.Answer, &Call{})
 		}
 		if r.End == transport.Spoilt {
-			status = choice.Moot // it tells nothing
+			status = choice.NotExecuted // it tells nothing
 		}
 		if r.Answer != nil {
 			if status == choice.OK && f.reports {
 				load = report(r.Answer.Body())
 			}
 			if r.Answer.StatusCode() == fasthttp.StatusServiceUnavailable {
-				status = choice.Full
+				status = choice.Overloaded
 			}
 			fasthttp.ReleaseResponse(r.Answer)
 		}
-		f.Ends.Probed(id, r.Key, status, load)
+		f.Ends.ProbeEnded(id, r.Key, status, load)
 		return
 	}
 	call := r.Note.(*Call)
@@ -158,7 +158,7 @@
 		fasthttp.ReleaseResponse(r.Answer)
 		r.Answer = nil
 	}
-	f.Ends.Ended(id, r.Key, status, r.Answer, load)
+	f.Ends.AttemptEnded(id, r.Key, status, r.Answer, load)
 }
 
 // outcome is the protocol's table. A 503 or 504 proves that nothing ran only
@@ -177,12 +177,12 @@
 	case d.Target != "" && status == fasthttp.StatusMisdirectedRequest: // another server has the address now
 		return choice.ConnectFailed
 	case d.Any && d.says(answer, d.NotRun, "1"):
-		return choice.Full
+		return choice.Overloaded
 	case status == fasthttp.StatusOK:
 		return choice.OK
 	case status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout:
 		if d.says(answer, d.NotRun, "1") {
-			return choice.Full
+			return choice.Overloaded
 		}
 	case call.Transparent && status >= 200 && status < 500:
 		return choice.OK
--- a/internal/protocol/fleet_test.go
+++ b/internal/protocol/fleet_test.go
@@ -36,8 +36,8 @@
 		"500, described":             {transport.Answered, answer(500), true, choice.Error},
 		"503 proves nothing":         {transport.Answered, answer(503), false, choice.Error},
 		"504 proves nothing":         {transport.Answered, answer(504), true, choice.Error},
-		"503 with proof":             {transport.Answered, answer(503, headerNotRun, "1"), false, choice.Full},
-		"504 with proof, other case": {transport.Answered, answer(504, "x-not-processed", "1"), false, choice.Full},
+		"503 with proof":             {transport.Answered, answer(503, headerNotRun, "1"), false, choice.Overloaded},
+		"504 with proof, other case": {transport.Answered, answer(504, "x-not-processed", "1"), false, choice.Overloaded},
 		"503 with another word":      {transport.Answered, answer(503, headerNotRun, "0"), false, choice.Error},
 		"500 with proof":             {transport.Answered, answer(500, headerNotRun, "1"), false, choice.Error},
 		"404 on the platform":        {transport.Answered, answer(404), false, choice.Error},
@@ -74,11 +74,11 @@
 // ends keeps what a fleet tells of its attempts and probes.
 type ends chan string
 
-func (e ends) Ended(_ uint32, a routing.Attempt, s choice.Status, _ any, l *choice.Load) {
+func (e ends) AttemptEnded(_ uint32, a routing.Attempt, s choice.Status, _ any, l *choice.Load) {
 	e <- fmt.Sprint("attempt ", a, " ", int(s), " ", l != nil)
 }
 
-func (e ends) Probed(_ uint32, a routing.Attempt, s choice.Status, l *choice.Load) {
+func (e ends) ProbeEnded(_ uint32, a routing.Attempt, s choice.Status, l *choice.Load) {
 	e <- fmt.Sprint("probe ", a, " ", int(s), " ", l != nil)
 }
 
@@ -93,11 +93,11 @@
 	f := NewFleet(transport.PeerOptions{Connect: time.Minute, Keep: transport.NewKeep(time.Minute), Sockets: transport.NewSockets(3)}, true)
 	f.Ends = got
 	up := routing.Member{Addr: ln.Addr().String(), Member: choice.Member{ID: 7}}
-	f.Update(routing.News{Whole: true, Members: []routing.Member{up}})
+	f.Update(routing.DiscoveryUpdate{Whole: true, Members: []routing.Member{up}})
 	try := 0
 	next := func() {
 		try++
-		f.Probe(7, routing.Attempt{Try: try}, time.Minute)
+		f.Probe(7, routing.Attempt{Number: try}, time.Minute)
 	}
 	expect := func(want string) func() {
 		return func() {
@@ -134,7 +134,7 @@
 		server2 close
 		broken close`)
 	// A server that has left the list gets nothing new.
-	f.Update(routing.News{Whole: true})
+	f.Update(routing.DiscoveryUpdate{Whole: true})
 	next()
 	expect("probe {0 6} 4 false")()
 	f.Send(7, routing.Attempt{ID: 1}, &Call{}, time.Minute)
@@ -153,7 +153,7 @@
 	sockets := transport.NewSockets(2)
 	f := NewFleet(transport.PeerOptions{Connect: time.Minute, Keep: transport.NewKeep(time.Minute), Sockets: sockets}, false)
 	f.Ends = got
-	f.Update(routing.News{Whole: true, Members: []routing.Member{{Addr: ln.Addr().String(), Member: choice.Member{ID: 7}}}})
+	f.Update(routing.DiscoveryUpdate{Whole: true, Members: []routing.Member{{Addr: ln.Addr().String(), Member: choice.Member{ID: 7}}}})
 	for id := range uint32(3) {
 		f.Send(7, routing.Attempt{ID: id + 1}, &Call{head: []byte("GET / HTTP/1.1\r\n")}, time.Minute)
 	}
@@ -188,8 +188,8 @@
 	defer ln.Close()
 	f := NewFleet(transport.PeerOptions{Connect: time.Minute, Keep: transport.NewKeep(time.Minute), Sockets: transport.NewSockets(3)}, false)
 	f.Ends = make(ends, 10)
-	list := func(id uint32, addr string, s choice.State) routing.News {
-		return routing.News{Members: []routing.Member{{Addr: addr, Member: choice.Member{ID: id, State: s}}}}
+	list := func(id uint32, addr string, s choice.State) routing.DiscoveryUpdate {
+		return routing.DiscoveryUpdate{Members: []routing.Member{{Addr: addr, Member: choice.Member{ID: id, State: s}}}}
 	}
 	f.Update(list(7, ln.Addr().String(), choice.Up))
 	f.Send(7, routing.Attempt{ID: 1}, &Call{head: []byte("GET / HTTP/1.1\r\n")}, time.Minute)
@@ -218,7 +218,7 @@
 		f.Update(list(8+i, "", choice.Down))
 	}
 	for end := time.Now().Add(scenario.Patience); len(f.servers) > 1 || len(f.servers[7].peers) > 1; {
-		if f.Update(routing.News{}); time.Now().After(end) {
+		if f.Update(routing.DiscoveryUpdate{}); time.Now().After(end) {
 			t.Fatalf("%d servers, %d actors of the one on the list", len(f.servers), len(f.servers[7].peers))
 		}
 	}
--- a/internal/protocol/front.go
+++ b/internal/protocol/front.go
@@ -25,8 +25,8 @@
 // Core is what a front needs of the core.
 type Core interface {
 	Submit(r *routing.Request)
-	Sent(r *routing.Request) // more of its body has gone out
-	Gone(r *routing.Request)
+	BodyProgress(r *routing.Request) // more of its body has gone out
+	ClientGone(r *routing.Request)
 }
 
 // IDs are the ids of the requests that are open, on all fronts together.
@@ -83,7 +83,7 @@
 
 // NewFront returns a front for the classes and plans of the settings.
 func NewFront(set choice.Settings) *Front {
-	f := &Front{IDs: NewIDs(), doors: set.Doors}
+	f := &Front{IDs: NewIDs(), doors: set.Gateways}
 	f.Adopt(set)
 	return f
 }
@@ -254,8 +254,8 @@
 	if err != nil {
 		return nil, "", err
 	}
-	r.Call, r.Spent = call, call.spent
-	id, r.Class, r.Plan, r.Again = got[0], got[1], got[2], got[6] == "1"
+	r.Call, r.BodyConsumed = call, call.spent
+	id, r.Class, r.Plan, r.IsRetry = got[0], got[1], got[2], got[6] == "1"
 	switch {
 	case id == "":
 		return nil, "", fmt.Errorf("%s is missing", headerID)
@@ -277,7 +277,7 @@
 	}
 	if f.Late {
 		r.Deadline = said.at + time.Hour // until the policy says
-		r.Fit = func() error {
+		r.ResolveTerms = func() error {
 			policy := f.policy.Load()
 			if err := policy.allows(r, said); err != nil {
 				return err
@@ -329,7 +329,7 @@
 		call.rest.limit = limit
 		r.Deadline += longest
 	}
-	r.Units, r.Width, r.First, err = f.terms(s.terms, t.plans[r.Plan])
+	r.Units, r.Gateways, r.FirstGateway, err = f.terms(s.terms, t.plans[r.Plan])
 	return err
 }
 
@@ -466,14 +466,14 @@
 // Refused is told by the core.
 func (a *Answers) Refused(after time.Duration, verdict routing.Verdict) {
 	f := Final{Kind: Refused, RetryAfter: after, Status: fasthttp.StatusTooManyRequests, Verdict: verdict}
-	if verdict != routing.Untried || after == 0 {
+	if verdict != routing.NotAttempted || after == 0 {
 		f.Status = fasthttp.StatusServiceUnavailable
 	}
 	a.end(f)
 }
 
 // Unfit is told by the core.
-func (a *Answers) Unfit(err error) { a.end(Final{Kind: Unfit, Err: err}) }
+func (a *Answers) Disallowed(err error) { a.end(Final{Kind: Unfit, Err: err}) }
 
 // Failed is told by the core.
 func (a *Answers) Failed(timedOut bool) {
@@ -520,7 +520,7 @@
 		return Final{Kind: Left}
 	}
 	if !c.Await(a.done) {
-		core.Gone(r)
+		core.ClientGone(r)
 		a.leave()
 		return Final{Kind: Left}
 	}
@@ -530,14 +530,14 @@
 // uploads gives a request's body to whoever sends it, and bounds the wait for what comes
 // after that. It reports false if there is nobody left to answer.
 func (a *Answers) uploads(c *transport.ClientConn, core Core, r *routing.Request, rest *upload) bool {
-	if !rest.feed(c, a.done, func() { core.Sent(r) }) {
+	if !rest.feed(c, a.done, func() { core.BodyProgress(r) }) {
 		rest.Stop()
-		core.Gone(r)
+		core.ClientGone(r)
 		a.leave()
 		return false
 	}
 	if !c.AwaitFor(rest.limit, a.done) {
-		core.Gone(r)
+		core.ClientGone(r)
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if !a.have { // its time is up
--- a/internal/protocol/openapi/description.go
+++ b/internal/protocol/openapi/description.go
@@ -67,9 +67,9 @@
 func Twins(classes []choice.Class) []choice.Class {
 	all := slices.Clone(classes)
 	for _, c := range classes {
-		if c.Effect != choice.Fragile {
+		if c.Effect != choice.NonRetryable {
 			c.Name += once
-			c.Effect = choice.Fragile
+			c.Effect = choice.NonRetryable
 			all = append(all, c)
 		}
 	}
@@ -197,7 +197,7 @@
 			}
 		}
 	}
-	if class.Effect == choice.Fragile {
+	if class.Effect == choice.NonRetryable {
 		if strict == Safe {
 			d.note("%s: the operation says safe, its class %s never runs twice: never repeated", o.Name, class.Name)
 		}
--- a/internal/protocol/openapi/description_test.go
+++ b/internal/protocol/openapi/description_test.go
@@ -11,8 +11,8 @@
 )
 
 var classes = []choice.Class{
-	{Name: "status-read", Aim: 4 * time.Second, Deadline: 5 * time.Second, Value: 1},
-	{Name: "submit-nom", Aim: 4 * time.Second, Deadline: 5 * time.Second, Value: 3, Effect: choice.Fragile},
+	{Name: "status-read", Target: 4 * time.Second, Deadline: 5 * time.Second, Value: 1},
+	{Name: "submit-nom", Target: 4 * time.Second, Deadline: 5 * time.Second, Value: 3, Effect: choice.NonRetryable},
 }
 
 // describe wraps paths into a description.
@@ -106,7 +106,7 @@
 
 func TestTwins(t *testing.T) {
 	want := append(append([]choice.Class(nil), classes...), classes[0])
-	want[2].Name, want[2].Effect = "status-read"+once, choice.Fragile
+	want[2].Name, want[2].Effect = "status-read"+once, choice.NonRetryable
 	if d := cmp.Diff(want, Twins(classes)); d != "" {
 		t.Error(d)
 	}
--- a/internal/protocol/openapi/front.go
+++ b/internal/protocol/openapi/front.go
@@ -45,7 +45,7 @@
 
 // NewFront returns a front without a description.
 func NewFront(set choice.Settings, routes []Route, names Names) *Front {
-	f := &Front{IDs: protocol.NewIDs(), Random: hostenv.Real.Random, names: names, plans: map[string]float64{}, doors: set.Doors,
+	f := &Front{IDs: protocol.NewIDs(), Random: hostenv.Real.Random, names: names, plans: map[string]float64{}, doors: set.Gateways,
 		rules: Rules{Classes: set.Classes, MaxUnits: set.MaxUnits, Routes: routes}}
 	for _, p := range set.Plans {
 		f.plans[p.Name] = protocol.MostUnits(&set, &p)
@@ -154,7 +154,7 @@
 	}
 	call.Transparent = true
 	return &routing.Request{Reply: &protocol.Answers{}, Call: call, Class: op.Class, Units: op.Units, Plan: plan,
-		Width: f.doors, Customer: customerKey(customer), Deadline: f.Now() + limit}, id, 0, nil
+		Gateways: f.doors, Customer: customerKey(customer), Deadline: f.Now() + limit}, id, 0, nil
 }
 
 // customerKey is a customer's key on the counter, the same at all gateways and
--- a/internal/protocol/openapi/front_test.go
+++ b/internal/protocol/openapi/front_test.go
@@ -98,7 +98,7 @@
 // newGateway runs the front, the core and the server's actor on real sockets.
 func newGateway(t *testing.T, server *standIn, routes []Route, description []byte) *gateway {
 	t.Helper()
-	set := choice.Settings{Doors: 1, MaxTries: 5, Cancels: true, SecondCopies: true, RetryAfter: true, MaxUnits: 3,
+	set := choice.Settings{Gateways: 1, MaxAttempts: 5, Cancels: true, Hedging: true, RetryAfter: true, MaxUnits: 3,
 		Tick: time.Millisecond, Classes: classes, Plans: []choice.Plan{
 			{Name: "basic", Rate: 1000, Burst: 1000, ValueFactor: 1, OverrunCost: 1},
 			{Name: "tiny", Rate: 0.5, Burst: 1, ValueFactor: 1, OverrunCost: 1}}}
@@ -111,7 +111,7 @@
 	start := time.Now()
 	f.Now = func() time.Duration { return time.Hour + time.Since(start) }
 	set.Classes = Twins(classes)
-	core, err := routing.New(set, 1, f.Now, routing.Hands{Fleet: fleet})
+	core, err := routing.New(set, 1, f.Now, routing.Dependencies{Fleet: fleet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 	for i := range 40 { // enough for all requests of a test at once: the module starts with two for each
 		members = append(members, routing.Member{Addr: server.Addr().String(), Member: choice.Member{ID: uint32(i + 1), Weight: 1}})
 	}
-	core.News(routing.News{Whole: true, Members: members})
+	core.HandleDiscovery(routing.DiscoveryUpdate{Whole: true, Members: members})
 	go core.Run()
 	ln, err := transport.Listen(nil, "127.0.0.1:0", 200)
 	if err != nil {
--- a/internal/ratecap/ratecap.go
+++ b/internal/ratecap/ratecap.go
@@ -16,21 +16,21 @@
 import "time"
 
 // Terms are a customer's, in units and units a second, over all gateways.
-type Terms struct {
+type Limits struct {
 	Rate, Burst           float64 // of the ceiling
 	QuotaRate, QuotaBurst float64 // of the quota below it; 0: none
-	Width                 float64 // gateways that have a share
+	Gateways              float64 // gateways that have a share
 }
 
 // Word is how far the counter vouches for a request.
-type Word int
+type Assurance int
 
 // The words.
 const (
-	None  Word = iota // it can't be asked, or there is no quota
-	Guess             // it counts, but has not been asked for this request
-	Late              // it has put the request inside, and may have lost counts of late
-	Sure              // it has put the request inside
+	CounterUnavailable Assurance = iota // it can't be asked, or there is no quota
+	NotAsked                            // it counts, but has not been asked for this request
+	Doubtful                            // it has put the request inside, and may have lost counts of late
+	Confirmed                           // it has put the request inside
 )
 
 // Share is what one gateway may still send on.
@@ -42,34 +42,34 @@
 // New returns an empty share that fills from a time on.
 func New(at time.Duration) Share { return Share{at: at} }
 
-func (s *Share) fill(now time.Duration, t Terms) {
+func (s *Share) fill(now time.Duration, t Limits) {
 	past := max(0, (now - s.at).Seconds())
 	s.at = now
-	s.room = min(t.Burst/t.Width, s.room+t.Rate/t.Width*past)
-	s.spare = min((t.Burst-t.QuotaBurst)/t.Width, s.spare+(t.Rate-t.QuotaRate)/t.Width*past)
+	s.room = min(t.Burst/t.Gateways, s.room+t.Rate/t.Gateways*past)
+	s.spare = min((t.Burst-t.QuotaBurst)/t.Gateways, s.spare+(t.Rate-t.QuotaRate)/t.Gateways*past)
 }
 
 // Has reports whether units would pass without the counter's word.
-func (s *Share) Has(now time.Duration, t Terms, units float64) bool {
+func (s *Share) Allows(now time.Duration, t Limits, units float64) bool {
 	s.fill(now, t)
 	return s.room >= units && s.spare >= units
 }
 
 // Take takes units if they stay under the ceiling.
-func (s *Share) Take(now time.Duration, t Terms, units float64, w Word) bool {
+func (s *Share) Take(now time.Duration, t Limits, units float64, w Assurance) bool {
 	s.fill(now, t)
-	if w != Sure && s.room < units || w == Guess && s.spare < units {
+	if w != Confirmed && s.room < units || w == NotAsked && s.spare < units {
 		return false
 	}
 	s.room -= units
-	if w < Late {
+	if w < Doubtful {
 		s.spare -= units
 	}
 	return true
 }
 
 // Halve gives half of a share away, and returns what is given. Debts stay.
-func (s *Share) Halve() (room, spare float64) {
+func (s *Share) SplitHalf() (room, spare float64) {
 	room, spare = max(0, s.room/2), max(0, s.spare/2)
 	s.room -= room
 	s.spare -= spare
@@ -77,11 +77,11 @@
 }
 
 // Give adds what Halve took elsewhere to an empty share that fills from now on.
-func (s *Share) Give(now time.Duration, room, spare float64) { *s = Share{room, spare, now} }
+func (s *Share) Restore(now time.Duration, room, spare float64) { *s = Share{room, spare, now} }
 
 // Trusted is how long counts have to be sound, after they may have been lost,
 // before the word counts for all: in that time the ceiling fills up beyond what
 // the quota can take meanwhile.
-func (t Terms) Trusted() time.Duration {
+func (t Limits) DistrustPeriod() time.Duration {
 	return time.Duration(t.Burst / max(t.Rate-t.QuotaRate, 1e-3) * float64(time.Second))
 }
--- a/internal/ratecap/ratecap_test.go
+++ b/internal/ratecap/ratecap_test.go
@@ -11,11 +11,11 @@
 // ceiling is never passed, whatever the counter vouches for, as long as it vouches for no more than the quota.
 func TestNeverOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{QuotaRate: rapid.Float64Range(0.5, 8).Draw(t, "rate"),
-			QuotaBurst: rapid.Float64Range(1, 20).Draw(t, "burst"), Width: float64(rapid.IntRange(1, 12).Draw(t, "width"))}
+		terms := Limits{QuotaRate: rapid.Float64Range(0.5, 8).Draw(t, "rate"),
+			QuotaBurst: rapid.Float64Range(1, 20).Draw(t, "burst"), Gateways: float64(rapid.IntRange(1, 12).Draw(t, "width"))}
 		over := rapid.Float64Range(1.01, 3).Draw(t, "ceiling over quota")
 		terms.Rate, terms.Burst = terms.QuotaRate*over, terms.QuotaBurst*over
-		shares := make([]Share, int(terms.Width))
+		shares := make([]Share, int(terms.Gateways))
 		quota, store := terms.QuotaBurst, terms.Burst
 		var now, blind time.Duration
 		blind = -1
@@ -31,22 +31,22 @@
 					blind = now
 				}
 			}
-			w := Word(rapid.IntRange(0, 3).Draw(t, "word"))
+			w := Assurance(rapid.IntRange(0, 3).Draw(t, "word"))
 			switch {
 			case blind >= 0:
-				w = None
-			case blind < -1 && now-(-1-blind) < terms.Trusted():
-				w = min(w, Late)
+				w = CounterUnavailable
+			case blind < -1 && now-(-1-blind) < terms.DistrustPeriod():
+				w = min(w, Doubtful)
 			}
-			if w == None && blind < 0 {
-				w = Guess
+			if w == CounterUnavailable && blind < 0 {
+				w = NotAsked
 			}
 			units := 1.0
-			if w >= Late && quota < units {
+			if w >= Doubtful && quota < units {
 				continue // the counter would not have put it inside
 			}
 			if shares[rapid.IntRange(0, len(shares)-1).Draw(t, "gateway")].Take(now, terms, units, w) {
-				if store -= units; w >= Late {
+				if store -= units; w >= Doubtful {
 					quota -= units
 				}
 			}
@@ -59,17 +59,17 @@
 
 // A share is empty at its start, and no word of the counter's makes it wait.
 func TestShare(t *testing.T) {
-	terms := Terms{Rate: 20, Burst: 20, QuotaRate: 10, QuotaBurst: 10, Width: 2}
+	terms := Limits{Rate: 20, Burst: 20, QuotaRate: 10, QuotaBurst: 10, Gateways: 2}
 	s := New(0)
-	if s.Take(0, terms, 1, None) || s.Take(0, terms, 1, Guess) || s.Take(0, terms, 1, Late) || !s.Take(0, terms, 1, Sure) {
+	if s.Take(0, terms, 1, CounterUnavailable) || s.Take(0, terms, 1, NotAsked) || s.Take(0, terms, 1, Doubtful) || !s.Take(0, terms, 1, Confirmed) {
 		t.Error("an empty share let something through but by the counter's word, or not even that")
 	}
 	s = New(0)
-	if s.Has(50*time.Millisecond, terms, 1) || !s.Has(time.Second, terms, 1) {
+	if s.Allows(50*time.Millisecond, terms, 1) || !s.Allows(time.Second, terms, 1) {
 		t.Error("a share fills at rate over width, its spare part at what the ceiling has beyond the quota")
 	}
 	n := 0
-	for s.Take(time.Minute, terms, 1, Guess) {
+	for s.Take(time.Minute, terms, 1, NotAsked) {
 		n++
 	}
 	if n != 5 {
--- a/internal/routing/gate_test.go
+++ b/internal/routing/gate_test.go
@@ -17,7 +17,7 @@
 	soon    bool
 }
 
-func (d *door) May(now func() time.Duration) (int64, bool, bool) {
+func (d *door) Version(now func() time.Duration) (int64, bool, bool) {
 	return d.version, now() < d.until, d.soon
 }
 
@@ -33,7 +33,7 @@
 	if d.until > 0 { // as of the world's clock
 		d.until += w.at
 	}
-	w.Core.hands.Gate, w.Core.hands.Wait = d, 100*time.Millisecond
+	w.Core.hands.Gate, w.Core.hands.MaxGateWait = d, 100*time.Millisecond
 	w.step(0)
 	return w
 }
@@ -67,19 +67,19 @@
 	w.Submit(waits)
 	w.Submit(left)
 	w.step(30 * time.Millisecond)
-	w.Gone(left)
+	w.ClientGone(left)
 	w.step(30 * time.Millisecond)
 	w.expect(t)
 	d.version, d.until, d.soon = 1, w.at+time.Hour, false
-	w.Look()
+	w.RecheckGate()
 	w.step(time.Millisecond)
 	w.expect(t) // the lease is there, the policy not yet in the module
 	set := testSet
-	set.Classes = []choice.Class{{Name: "new", Aim: 100 * time.Millisecond, Deadline: time.Second, Value: 1}}
-	w.Adopt(1, set)
+	set.Classes = []choice.Class{{Name: "new", Target: 100 * time.Millisecond, Deadline: time.Second, Value: 1}}
+	w.ApplyPolicy(1, set)
 	w.step(time.Millisecond)
 	w.expect(t, "send {1 0} to 7 with call in 939ms")
-	w.Ended(7, Attempt{1, 0}, choice.OK, "fine", nil)
+	w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "fine", nil)
 	w.step(0)
 	w.did = nil
 	d.until, d.soon = -1, true
@@ -96,14 +96,14 @@
 	d := &door{until: -1, soon: true}
 	w := gated(t, d)
 	r, fits := w.request("read", time.Second), 0
-	r.Fit = func() error { fits++; return errors.New("unknown class") }
+	r.ResolveTerms = func() error { fits++; return errors.New("unknown class") }
 	w.Submit(r)
 	w.step(10 * time.Millisecond)
 	if w.expect(t); fits != 0 {
 		t.Error("a request is fitted to a policy that is not in force")
 	}
 	d.until = w.at + time.Hour
-	w.Look()
+	w.RecheckGate()
 	w.step(time.Millisecond)
 	w.expect(t, "unfit: unknown class")
 }
--- a/internal/routing/rest.go
+++ b/internal/routing/rest.go
@@ -50,11 +50,11 @@
 	if c.asleep = false; len(c.open)+len(c.probes)+len(c.counts)+len(c.waiting) > 0 || c.asks && !beaten {
 		return
 	}
-	if !c.told && now < c.trust+viewEvery || !c.bal.Still() {
+	if !c.told && now < c.trust+viewEvery || !c.bal.Idle() {
 		return
 	}
 	c.timers = slices.DeleteFunc(c.timers, c.lapsed)
-	if heap.Init(&c.timers); len(c.timers) != 1 || c.timers[0].token != choice.Beat {
+	if heap.Init(&c.timers); len(c.timers) != 1 || c.timers[0].token != choice.HousekeepingTimer {
 		return
 	}
 	c.asleep, c.until = true, now+mostAsleep-(now-c.phase)%mostAsleep
--- a/internal/routing/rest_test.go
+++ b/internal/routing/rest_test.go
@@ -46,7 +46,7 @@
 
 func (p *play) Send(s uint32, a Attempt, _ any, left time.Duration) {
 	p.log("send %v to %d in %v", a, s, left)
-	r := p.draw(a.ID, a.Try)
+	r := p.draw(a.ID, a.Number)
 	status := choice.OK
 	if r.IntN(8) == 0 {
 		status = choice.Status(r.IntN(int(choice.Reset) + 1))
@@ -55,14 +55,14 @@
 	if status == choice.Timeout { // silence
 		return
 	}
-	p.in(took, func() { p.Ended(s, a, status, "fine", nil) })
+	p.in(took, func() { p.AttemptEnded(s, a, status, "fine", nil) })
 }
 
 func (p *play) Probe(s uint32, a Attempt, _ time.Duration) {
 	p.log("probe %v to %d", a, s)
-	r := p.draw(s, a.Try)
+	r := p.draw(s, a.Number)
 	status := lo(r.IntN(3) == 0, choice.ConnectFailed, choice.OK)
-	p.in(time.Duration(r.ExpFloat64()*3e6), func() { p.Probed(s, a, status, nil) })
+	p.in(time.Duration(r.ExpFloat64()*3e6), func() { p.ProbeEnded(s, a, status, nil) })
 }
 
 func (p *play) Cancel(s uint32, a Attempt) { p.log("cancel %v to %d", a, s) }
@@ -72,7 +72,7 @@
 	p.total, p.n = p.total+n, p.n+1
 	r, total := p.draw(77, int(p.n)), p.total
 	status := lo(r.IntN(6) == 0, choice.Timeout, choice.OK)
-	p.in(time.Duration(r.ExpFloat64()*2e6), func() { p.Counted(name, status, total) })
+	p.in(time.Duration(r.ExpFloat64()*2e6), func() { p.CounterEnded(name, status, total) })
 }
 
 func lo[T any](cond bool, a, b T) T {
@@ -92,7 +92,7 @@
 	r.p.log("%d refused %v %v", r.id, after, v)
 }
 func (r playReply) Failed(timedOut bool) { r.p.log("%d failed %v", r.id, timedOut) }
-func (r playReply) Unfit(error)          {}
+func (r playReply) Disallowed(error)     {}
 
 // run plays until end.
 func (p *play) run(end time.Duration) {
@@ -125,7 +125,7 @@
 	p := &play{seed: seed, awake: awake}
 	p.at = 1000 * time.Second
 	var err error
-	p.Core, err = New(set, seed, func() time.Duration { return p.at }, Hands{Fleet: p, Counter: p, Watcher: p})
+	p.Core, err = New(set, seed, func() time.Duration { return p.at }, Dependencies{Fleet: p, Counter: p, Watcher: p})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,11 +137,11 @@
 func TestSleepChangesNoDecision(t *testing.T) {
 	asleep, awake := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		set := choice.Settings{Doors: 2, MaxTries: 2, Cancels: true, RetryAfter: true, Shuts: true, SecondCopies: true, Spare: 2, Weighted: true,
-			ConnectTimeout: 300 * time.Millisecond, Turns: 0.03, ColdFrom: 0.5, ColdFor: 3 * time.Second, RetryShare: 0.1, RetryMost: 3, CrossZone: 0.1,
-			FallMultiple: rapid.SampledFrom([]float64{0, 3}).Draw(t, "fall"), FallAfter: time.Second, CounterTimeout: 20 * time.Millisecond,
-			Classes: []choice.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: 800 * time.Millisecond, Value: 1, LateWorth: 0.3, Tries: 2},
-				{Name: "write", Aim: 300 * time.Millisecond, Deadline: time.Second, Value: 2, Effect: choice.Fragile}},
+		set := choice.Settings{Gateways: 2, MaxAttempts: 2, Cancels: true, RetryAfter: true, RefusesWhenBusy: true, Hedging: true, HeadroomSigmas: 2, Weighted: true,
+			ConnectTimeout: 300 * time.Millisecond, TurnWeight: 0.03, ColdCapacity: 0.5, WarmupTime: 3 * time.Second, RetryRatio: 0.1, RetryBudget: 3, CrossZone: 0.1,
+			OverloadRatio: rapid.SampledFrom([]float64{0, 3}).Draw(t, "fall"), OverloadTime: time.Second, CounterTimeout: 20 * time.Millisecond,
+			Classes: []choice.Class{{Name: "read", Target: 300 * time.Millisecond, Deadline: 800 * time.Millisecond, Value: 1, LateValue: 0.3, MaxAttempts: 2},
+				{Name: "write", Target: 300 * time.Millisecond, Deadline: time.Second, Value: 2, Effect: choice.NonRetryable}},
 			Plans:  []choice.Plan{{Name: "plan", ValueFactor: 1, OverrunCost: 1, Rate: rapid.SampledFrom([]float64{0, 4}).Draw(t, "rate"), Burst: 8}},
 			Probes: rapid.Bool().Draw(t, "probes"), Counter: rapid.Bool().Draw(t, "counter")}
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -168,7 +168,7 @@
 		}
 		servers := rapid.IntRange(1, 20).Draw(t, "servers")
 		for _, p := range plays {
-			list := func(x uint64) (news News) {
+			list := func(x uint64) (news DiscoveryUpdate) {
 				news.Whole = true
 				for i := range servers {
 					m := choice.Member{ID: uint32(i + 1), Weight: 1, Zone: string(rune('a' + i%2))}
@@ -181,24 +181,24 @@
 				}
 				return news
 			}
-			p.News(list(0))
+			p.HandleDiscovery(list(0))
 			for i, s := range steps {
 				p.in(s.at, func() {
 					switch s.kind {
 					case 0:
-						p.News(list(s.x))
+						p.HandleDiscovery(list(s.x))
 					case 1:
 						x := set
-						x.Doors = 1 + int(s.x%4)
-						p.Adopt(0, x)
+						x.Gateways = 1 + int(s.x%4)
+						p.ApplyPolicy(0, x)
 					case 2:
-						p.Twins(1 + int(s.x%2))
+						p.SetProcesses(1 + int(s.x%2))
 					default:
 						r := &Request{Class: lo(s.x%3 == 0, "write", "read"), Plan: "plan", Customer: fmt.Sprint(s.x % 3), Units: 1,
-							Width: 2, Deadline: p.at + 800*time.Millisecond, Reply: playReply{p, i}}
+							Gateways: 2, Deadline: p.at + 800*time.Millisecond, Reply: playReply{p, i}}
 						p.Submit(r)
 						if s.kind == 3 {
-							p.in(5*time.Millisecond, func() { p.Gone(r) })
+							p.in(5*time.Millisecond, func() { p.ClientGone(r) })
 						}
 					}
 				})
@@ -211,25 +211,25 @@
 		if d := diff.Diff(b.did, a.did); d != "" {
 			t.Fatal("(-awake +asleep)", d)
 		}
-		states := [2]choice.Learnt{}
+		states := [2]choice.SavedState{}
 		for i, p := range plays {
 			p.catchUp(p.at + 1)
 			p.turn(0)
-			s := p.bal.Hand(p.at)
+			s := p.bal.ExportState(p.at)
 			slices.SortFunc(s.Classes, func(x, y choice.ClassState) int { return cmp.Compare(x.Name, y.Name) })
 			states[i] = s
 		}
 		if d := diff.Diff(states[1], states[0]); d != "" {
 			t.Fatal("what was learnt (-awake +asleep)", d)
 		}
-		if d := diff.Diff(b.bal.Books(), a.bal.Books()); d != "" {
+		if d := diff.Diff(b.bal.Totals(), a.bal.Totals()); d != "" {
 			t.Fatal("books (-awake +asleep)", d)
 		}
 		asleep, awake = asleep+a.turns, awake+b.turns
 		a.due = nil
 		a.run(a.at + 2*time.Second) // what was under way ends
-		if turns := a.turns; a.bal.Still() && len(a.open)+len(a.counts)+len(a.probes) == 0 {
-			if a.run(a.at + 10*time.Second); a.bal.Still() && a.turns-turns > 66 { // a quarter of its beats
+		if turns := a.turns; a.bal.Idle() && len(a.open)+len(a.counts)+len(a.probes) == 0 {
+			if a.run(a.at + 10*time.Second); a.bal.Idle() && a.turns-turns > 66 { // a quarter of its beats
 				t.Fatalf("with nothing to do it was woken %d times in 10 s", a.turns-turns)
 			}
 		}
@@ -244,17 +244,17 @@
 	for _, n := range []int{1, 29} {
 		b.Run(fmt.Sprint("servers ", n), func(b *testing.B) {
 			set := testSet
-			set.Classes = []choice.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: time.Second, Value: 1}}
+			set.Classes = []choice.Class{{Name: "read", Target: 300 * time.Millisecond, Deadline: time.Second, Value: 1}}
 			w := &world{at: 1000 * time.Second}
 			var err error
-			if w.Core, err = New(set, 1, func() time.Duration { return w.at }, Hands{Fleet: w, Counter: w, Watcher: w}); err != nil {
+			if w.Core, err = New(set, 1, func() time.Duration { return w.at }, Dependencies{Fleet: w, Counter: w, Watcher: w}); err != nil {
 				b.Fatal(err)
 			}
 			var all []Member
 			for i := range n {
 				all = append(all, Member{Member: choice.Member{ID: uint32(i + 1), Weight: 1}})
 			}
-			w.News(News{Whole: true, Members: all})
+			w.HandleDiscovery(DiscoveryUpdate{Whole: true, Members: all})
 			w.turn(0)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -19,20 +19,20 @@
 
 // Request is a client's try. A front fills it in and submits it once.
 type Request struct {
-	Class, Plan, Customer string
-	Deadline              time.Duration // on the core's clock: the client waits no longer
-	Units                 float64
-	Width, First          int
-	Again                 bool
-	Call                  any // what the fleet passes on; the core does not look at it
-	Reply                 Reply
+	Class, Plan, Customer  string
+	Deadline               time.Duration // on the core's clock: the client waits no longer
+	Units                  float64
+	Gateways, FirstGateway int
+	IsRetry                bool
+	Call                   any // what the fleet passes on; the core does not look at it
+	Reply                  Reply
 
 	// Fit gives the request its terms by the policy in force, or an error if that does
 	// not allow it. Nil: it has them.
-	Fit func() error
+	ResolveTerms func() error
 
 	// Spent tells that what has been sent of it can't be sent again. Nil: it always can.
-	Spent func() bool
+	BodyConsumed func() bool
 
 	id uint32
 }
@@ -44,7 +44,7 @@
 	// the servers; one that was not is beyond its quota, or there is no room.
 	Refused(retryAfter time.Duration, verdict Verdict)
 	Failed(timedOut bool) // no promise
-	Unfit(err error)      // the policy in force does not allow what it says; it was not tried
+	Disallowed(err error) // the policy in force does not allow what it says; it was not tried
 }
 
 // Verdict tells whether a request may have run.
@@ -52,9 +52,9 @@
 
 // The verdicts.
 const (
-	Untried Verdict = iota // it was sent to nobody
-	Unrun                  // it was, and has not run: each that it was sent to has proved that
-	MayHaveRun
+	NotAttempted Verdict = iota // it was sent to nobody
+	NotExecuted                 // it was, and has not run: each that it was sent to has proved that
+	MayHaveExecuted
 )
 
 // Member is a server of the list and where it listens.
@@ -65,22 +65,22 @@
 }
 
 // News is what discovery tells.
-type News struct {
+type DiscoveryUpdate struct {
 	Members              []Member
 	Whole, Saved, Broken bool
 }
 
 // Attempt names one attempt for as long as it is out. A probe has ID 0.
 type Attempt struct {
-	ID  uint32
-	Try int
+	ID     uint32
+	Number int
 }
 
 // Fleet carries out attempts. The core calls it from its own goroutine only,
 // and hears of the ends by Core.Ended and Core.Probed. Nothing is heard of an
 // attempt that was cancelled, or it is ignored.
 type Fleet interface {
-	Update(news News)
+	Update(news DiscoveryUpdate)
 	Send(server uint32, a Attempt, call any, left time.Duration)
 	Probe(server uint32, a Attempt, left time.Duration)
 	Cancel(server uint32, a Attempt)
@@ -97,8 +97,8 @@
 }
 
 // Health hears how attempts and probes end, on the core's goroutine.
-type Health interface {
-	Heard(server uint32, status choice.Status)
+type HealthObserver interface {
+	Observe(server uint32, status choice.Status)
 }
 
 // Gate tells by which version of the policy the core may decide, if any. It is asked
@@ -106,39 +106,39 @@
 type Gate interface {
 	// May returns the version; with ok false none, and soon tells that it will be
 	// over in a moment.
-	May(now func() time.Duration) (version int64, ok, soon bool)
+	Version(now func() time.Duration) (version int64, ok, soon bool)
 }
 
 // Hands are what the core acts through.
-type Hands struct {
-	World   hostenv.Seam // nil: the real one
-	Fleet   Fleet
-	Counter Counter
-	Watcher Watcher
-	Health  Health                    // nil: nobody wants to hear
-	Gate    Gate                      // nil: the settings of the start are in force for good
-	Wait    time.Duration             // most that a request waits at the gate
-	Drop    func(answer any)          // takes answers that come too late; nil: nobody has to
-	Adopted func(set choice.Settings) // hears of a policy that comes into force, before any request is decided by it
+type Dependencies struct {
+	Env           hostenv.Seam // nil: the real one
+	Fleet         Fleet
+	Counter       Counter
+	Watcher       Watcher
+	Health        HealthObserver            // nil: nobody wants to hear
+	Gate          Gate                      // nil: the settings of the start are in force for good
+	MaxGateWait   time.Duration             // most that a request waits at the gate
+	DiscardAnswer func(answer any)          // takes answers that come too late; nil: nobody has to
+	PolicyApplied func(set choice.Settings) // hears of a policy that comes into force, before any request is decided by it
 }
 
 // Stats are totals since the start.
 type Stats struct {
-	Requests, Served, Refused, Failed, Gone int
-	Attempts, Probes, Counts                int
-	Outcomes                                [choice.Moot + 1]int
-	Open, Ready                             int
-	Out                                     int // attempts and probes under way
-	Waited, Unleased                        int // at the gate; refused there
-	Version                                 int64
-	Module                                  choice.Books
+	Requests, Served, Refused, Failed, ClientsGone int
+	Attempts, Probes, CounterCalls                 int
+	Outcomes                                       [choice.NotExecuted + 1]int
+	Open, Ready                                    int
+	InFlight                                       int // attempts and probes under way
+	WaitedAtGate, RefusedUnleased                  int // at the gate; refused there
+	Version                                        int64
+	Module                                         choice.Totals
 }
 
 // Core is the actor round the module.
 type Core struct {
 	box        *mailbox.Box[message]
 	now        func() time.Duration
-	hands      Hands
+	hands      Dependencies
 	bal        *choice.Balancer
 	timers     timers
 	seq        uint64 // keeps timers of one moment in order
@@ -168,18 +168,18 @@
 const viewEvery = 200 * time.Millisecond
 
 // Ready is the number of servers that requests may go to.
-func (c *Core) Ready() int { return int(c.view.ready.Load()) }
+func (c *Core) ReadyServers() int { return int(c.view.ready.Load()) }
 
 // Targets are the servers in the list, and Avoided those of them that nothing is sent to now.
-func (c *Core) Targets() int { return int(c.view.listed.Load()) }
+func (c *Core) ListedServers() int { return int(c.view.listed.Load()) }
 
 // Avoided are the listed servers that this gateway keeps away from.
-func (c *Core) Avoided() int { return int(c.view.avoided.Load()) }
+func (c *Core) EjectedServers() int { return int(c.view.avoided.Load()) }
 
 func (c *Core) survey(now time.Duration) {
 	c.counted = now
 	c.view.listed.Store(int64(len(c.listed)))
-	c.view.avoided.Store(int64(len(c.listed) - len(c.up) + c.bal.Avoided()))
+	c.view.avoided.Store(int64(len(c.listed) - len(c.up) + c.bal.EjectedServers()))
 	ready := 0
 	if c.told || now >= c.trust {
 		ready = len(c.up)
@@ -204,10 +204,10 @@
 
 // verdict is what the attempts so far prove.
 func (o *open) verdict() Verdict {
-	v := Untried
+	v := NotAttempted
 	for _, a := range o.attempts {
-		if v = max(v, Unrun); a.out || a.status != choice.Full && a.status != choice.ConnectFailed && a.status != choice.Moot {
-			return MayHaveRun
+		if v = max(v, NotExecuted); a.out || a.status != choice.Overloaded && a.status != choice.ConnectFailed && a.status != choice.NotExecuted {
+			return MayHaveExecuted
 		}
 	}
 	return v
@@ -227,8 +227,8 @@
 }
 
 // New returns a core that acts through hands once it runs. now is its clock.
-func New(set choice.Settings, seed uint64, now func() time.Duration, hands Hands) (*Core, error) {
-	c := &Core{box: mailbox.NewBox[message](hands.World), now: now, hands: hands, open: map[uint32]*open{},
+func New(set choice.Settings, seed uint64, now func() time.Duration, hands Dependencies) (*Core, error) {
+	c := &Core{box: mailbox.NewBox[message](hands.Env), now: now, hands: hands, open: map[uint32]*open{},
 		probes: map[uint32]probe{}, counts: map[string]time.Duration{}, up: map[uint32]bool{},
 		listed: map[uint32]bool{}, rest: newRest(set, seed)}
 	if c.probeLimit = set.ConnectTimeout; c.probeLimit <= 0 {
@@ -252,7 +252,7 @@
 
 // Close answers all that is open, at once, by what is known of it: the process is about to
 // end, and nobody could tell its silence from a lost request. What comes later is as ever.
-func (c *Core) Close() { c.box.Put(closing{}) }
+func (c *Core) AnswerOpen() { c.box.Put(closing{}) }
 
 type closing struct{}
 
@@ -264,7 +264,7 @@
 	c.waiting = nil
 	for _, id := range ids {
 		if o := c.open[id]; o != nil && !o.answered {
-			c.bal.GiveUp(now, id)
+			c.bal.AnswerNow(now, id)
 		}
 		c.settle()
 	}
@@ -303,7 +303,7 @@
 		t := heap.Pop(&c.timers).(timer)
 		t.fire(c, now)
 		c.settle()
-		beaten = beaten || t.token == choice.Beat
+		beaten = beaten || t.token == choice.HousekeepingTimer
 	}
 	if now-c.counted >= viewEvery {
 		c.survey(now)
@@ -316,7 +316,7 @@
 	for len(c.later) > 0 {
 		o := c.later[0]
 		c.later = c.later[1:]
-		c.bal.Outcome(c.now(), o)
+		c.bal.HandleOutcome(c.now(), o)
 	}
 }
 
@@ -325,7 +325,7 @@
 
 // Sent tells that more of a submitted request's body has gone out: silence and time count
 // from now on.
-func (c *Core) Sent(r *Request) { c.box.Put(sent{r}) }
+func (c *Core) BodyProgress(r *Request) { c.box.Put(sent{r}) }
 
 type sent struct{ r *Request }
 
@@ -337,50 +337,50 @@
 	for try := range o.attempts {
 		if a := &o.attempts[try]; a.out {
 			a.sent = now
-			c.bal.Sent(now, m.r.id, try)
+			c.bal.HandleBodyProgress(now, m.r.id, try)
 		}
 	}
 }
 
 // Gone tells that the client of a submitted request has left.
-func (c *Core) Gone(r *Request) { c.box.Put(gone{r}) }
+func (c *Core) ClientGone(r *Request) { c.box.Put(gone{r}) }
 
 // Ended tells how an attempt ended.
-func (c *Core) Ended(server uint32, a Attempt, status choice.Status, answer any, load *choice.Load) {
+func (c *Core) AttemptEnded(server uint32, a Attempt, status choice.Status, answer any, load *choice.Load) {
 	c.box.Put(ended{server, a, status, answer, load})
 }
 
 // Probed tells how a probe ended.
-func (c *Core) Probed(server uint32, a Attempt, status choice.Status, load *choice.Load) {
+func (c *Core) ProbeEnded(server uint32, a Attempt, status choice.Status, load *choice.Load) {
 	c.box.Put(probed{server, a, status, load})
 }
 
 // Counted tells the end of a counter call.
-func (c *Core) Counted(name string, status choice.Status, total float64) {
+func (c *Core) CounterEnded(name string, status choice.Status, total float64) {
 	c.box.Put(counted{name, status, total})
 }
 
 // News tells what discovery has said.
-func (c *Core) News(n News) { c.box.Put(n) }
+func (c *Core) HandleDiscovery(n DiscoveryUpdate) { c.box.Put(n) }
 
 // Stats asks for the totals; it waits for the core's turn.
 func (c *Core) Stats() Stats {
-	ask := &asked{bell: hostenv.Or(c.hands.World).NewBell()}
+	ask := &asked{bell: hostenv.Or(c.hands.Env).NewBell()}
 	c.box.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.stats
 }
 
 // Twins tells how many processes are this gateway.
-func (c *Core) Twins(n int) { c.box.Put(twins(n)) }
+func (c *Core) SetProcesses(n int) { c.box.Put(twins(n)) }
 
 type twins int
 
-func (m twins) apply(c *Core, _ time.Duration) { c.bal.Twins(int(m)) }
+func (m twins) apply(c *Core, _ time.Duration) { c.bal.SetProcesses(int(m)) }
 
 // Hand asks for what the module knows; it waits for the core's turn.
-func (c *Core) Hand() choice.Learnt {
-	ask := &hand{bell: hostenv.Or(c.hands.World).NewBell()}
+func (c *Core) ExportState() choice.SavedState {
+	ask := &hand{bell: hostenv.Or(c.hands.Env).NewBell()}
 	c.box.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.state
@@ -388,18 +388,18 @@
 
 type hand struct {
 	bell  hostenv.Bell
-	state choice.Learnt
+	state choice.SavedState
 }
 
 func (m *hand) apply(c *Core, now time.Duration) {
-	m.state = c.bal.Hand(now)
+	m.state = c.bal.ExportState(now)
 	m.bell.Ring()
 }
 
 // Take gives the module what another process of this gateway knew. It waits for the core's
 // turn, and reports what is strange about it: then nothing is taken.
-func (c *Core) Take(s choice.Learnt) error {
-	ask := &take{bell: hostenv.Or(c.hands.World).NewBell(), state: s}
+func (c *Core) ImportState(s choice.SavedState) error {
+	ask := &take{bell: hostenv.Or(c.hands.Env).NewBell(), state: s}
 	c.box.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.err
@@ -407,12 +407,12 @@
 
 type take struct {
 	bell  hostenv.Bell
-	state choice.Learnt
+	state choice.SavedState
 	err   error
 }
 
 func (m *take) apply(c *Core, now time.Duration) {
-	m.err = c.bal.Take(now, m.state)
+	m.err = c.bal.ImportState(now, m.state)
 	m.bell.Ring()
 }
 
@@ -432,17 +432,17 @@
 }
 
 func (c *Core) decide(now time.Duration, r *Request) {
-	if r.Fit != nil {
-		if err := r.Fit(); err != nil {
+	if r.ResolveTerms != nil {
+		if err := r.ResolveTerms(); err != nil {
 			if reply := c.final(r.id); reply != nil {
 				c.stats.Refused++
-				reply.Unfit(err)
+				reply.Disallowed(err)
 			}
 			return
 		}
 	}
-	c.bal.Request(now, choice.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
-		NotAfter: r.Deadline, Units: r.Units, Width: r.Width, First: r.First, Again: r.Again})
+	c.bal.HandleRequest(now, choice.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
+		Deadline: r.Deadline, Units: r.Units, Gateways: r.Gateways, FirstGateway: r.FirstGateway, IsRetry: r.IsRetry})
 }
 
 type gone struct{ r *Request }
@@ -453,9 +453,9 @@
 		return
 	}
 	o.answered = true // nobody is left to answer
-	c.stats.Gone++
+	c.stats.ClientsGone++
 	c.waiting = slices.DeleteFunc(c.waiting, func(id uint32) bool { return id == m.r.id })
-	c.bal.Gone(now, m.r.id)
+	c.bal.HandleClientGone(now, m.r.id)
 	c.forget(m.r.id, o)
 }
 
@@ -470,11 +470,11 @@
 // apply drops what comes late: an attempt has one end, and a request one answer.
 func (m ended) apply(c *Core, now time.Duration) {
 	o := c.open[m.ID]
-	if o == nil || m.Try >= len(o.attempts) || !o.attempts[m.Try].out || o.attempts[m.Try].server != m.server {
+	if o == nil || m.Number >= len(o.attempts) || !o.attempts[m.Number].out || o.attempts[m.Number].server != m.server {
 		c.drop(m.answer)
 		return
 	}
-	a := &o.attempts[m.Try]
+	a := &o.attempts[m.Number]
 	a.out, a.status = false, m.status
 	o.out--
 	c.stats.Outcomes[m.status]++
@@ -486,7 +486,7 @@
 	} else {
 		c.drop(m.answer)
 	}
-	c.bal.Outcome(now, choice.Outcome{ID: m.ID, Try: m.Try, Backend: m.server, Status: m.status,
+	c.bal.HandleOutcome(now, choice.Outcome{ID: m.ID, Attempt: m.Number, Backend: m.server, Status: m.status,
 		Elapsed: now - a.sent, Final: o.answered, Load: m.load})
 	c.forget(m.ID, o)
 }
@@ -500,12 +500,12 @@
 
 func (m probed) apply(c *Core, now time.Duration) {
 	p, ok := c.probes[m.server]
-	if !ok || p.try != m.Try {
+	if !ok || p.try != m.Number {
 		return
 	}
 	delete(c.probes, m.server)
 	c.heard(m.server, m.status)
-	c.bal.Probed(now, choice.Probed{Backend: m.server, Status: m.status, Elapsed: now - p.sent, Load: m.load})
+	c.bal.HandleProbe(now, choice.ProbeResult{Backend: m.server, Status: m.status, Elapsed: now - p.sent, Load: m.load})
 }
 
 type counted struct {
@@ -517,11 +517,11 @@
 func (m counted) apply(c *Core, now time.Duration) {
 	sent := c.counts[m.name]
 	delete(c.counts, m.name)
-	c.bal.Counted(now, choice.Counted{Name: m.name, Status: m.status, Total: m.total, Elapsed: now - sent})
+	c.bal.HandleCounter(now, choice.CounterResult{Name: m.name, Status: m.status, Total: m.total, Elapsed: now - sent})
 }
 
-func (m News) apply(c *Core, now time.Duration) {
-	r := choice.Roster{Whole: m.Whole, Saved: m.Saved, Broken: m.Broken}
+func (m DiscoveryUpdate) apply(c *Core, now time.Duration) {
+	r := choice.RosterUpdate{Whole: m.Whole, Saved: m.Saved, Broken: m.Broken}
 	if !m.Broken {
 		if c.hands.Fleet.Update(m); m.Whole {
 			clear(c.up)
@@ -538,7 +538,7 @@
 		}
 		c.told = c.told || !m.Saved
 	}
-	c.bal.Roster(now, r)
+	c.bal.HandleRoster(now, r)
 	c.survey(now)
 }
 
@@ -550,10 +550,10 @@
 func (m *asked) apply(c *Core, now time.Duration) {
 	s := c.stats
 	c.survey(now)
-	s.Open, s.Ready = len(c.open), c.Ready()
-	s.Out, s.Module, s.Version = len(c.probes), c.bal.Books(), c.version
+	s.Open, s.Ready = len(c.open), c.ReadyServers()
+	s.InFlight, s.Module, s.Version = len(c.probes), c.bal.Totals(), c.version
 	for _, o := range c.open {
-		s.Out += o.out
+		s.InFlight += o.out
 	}
 	m.stats = s
 	m.bell.Ring()
@@ -561,14 +561,14 @@
 
 func (c *Core) heard(server uint32, status choice.Status) {
 	if c.hands.Health != nil {
-		c.hands.Health.Heard(server, status)
+		c.hands.Health.Observe(server, status)
 	}
 }
 
 // drop gives up an answer that nobody takes.
 func (c *Core) drop(answer any) {
-	if c.hands.Drop != nil {
-		c.hands.Drop(answer)
+	if c.hands.DiscardAnswer != nil {
+		c.hands.DiscardAnswer(answer)
 	}
 }
 
@@ -596,11 +596,11 @@
 	if limit > 0 {
 		left = min(left, limit)
 	}
-	again := try > 0 && o.req.Spent != nil && o.req.Spent()
+	again := try > 0 && o.req.BodyConsumed != nil && o.req.BodyConsumed()
 	if o.answered || left <= 0 || again { // the request is over: it must not go out
-		o.attempts[try].out, o.attempts[try].status = false, choice.Moot
+		o.attempts[try].out, o.attempts[try].status = false, choice.NotExecuted
 		o.out--
-		c.later = append(c.later, choice.Outcome{ID: id, Try: try, Backend: backend, Status: choice.Moot, Final: o.answered})
+		c.later = append(c.later, choice.Outcome{ID: id, Attempt: try, Backend: backend, Status: choice.NotExecuted, Final: o.answered})
 		return
 	}
 	c.stats.Attempts++
@@ -652,7 +652,7 @@
 	c.stats.Outcomes[status]++
 	c.heard(a.server, status)
 	c.hands.Fleet.Cancel(a.server, Attempt{id, try})
-	c.later = append(c.later, choice.Outcome{ID: id, Try: try, Backend: a.server, Status: status,
+	c.later = append(c.later, choice.Outcome{ID: id, Attempt: try, Backend: a.server, Status: status,
 		Elapsed: c.now() - a.sent, Final: o.answered})
 	c.forget(id, o)
 }
@@ -666,16 +666,16 @@
 	c.hands.Fleet.Probe(backend, Attempt{0, c.probed}, c.probeLimit)
 }
 
-func (x *actions) Count(name string, add float64, life time.Duration) {
+func (x *actions) AddToCounter(name string, add float64, life time.Duration) {
 	c := (*Core)(x)
-	c.stats.Counts++
+	c.stats.CounterCalls++
 	c.counts[name] = c.now()
 	c.hands.Counter.Add(name, add, life)
 }
 
 func (x *actions) SetTimer(after time.Duration, token string) {
 	c := (*Core)(x)
-	if token == choice.Beat {
+	if token == choice.HousekeepingTimer {
 		c.beat = after
 	}
 	c.after(after, timer{kind: moduleTimer, token: token, id: of(token)})
@@ -716,7 +716,7 @@
 func (t timer) fire(c *Core, now time.Duration) {
 	switch t.kind {
 	case moduleTimer:
-		c.bal.Timer(now, t.token)
+		c.bal.HandleTimer(now, t.token)
 	case attemptTimer:
 		if o := c.open[t.id]; o != nil && t.try < len(o.attempts) && o.attempts[t.try].out {
 			c.stop(t.id, o, t.try, choice.Timeout)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -21,7 +21,7 @@
 
 func (w *world) note(format string, args ...any) { w.did = append(w.did, fmt.Sprintf(format, args...)) }
 
-func (w *world) Update(News) {}
+func (w *world) Update(DiscoveryUpdate) {}
 func (w *world) Send(s uint32, a Attempt, call any, left time.Duration) {
 	w.note("send %v to %d with %v in %v", a, s, call, left)
 }
@@ -34,31 +34,31 @@
 
 func (r reply) Served(answer any) { r.w.note("served %v", answer) }
 func (r reply) Refused(after time.Duration, verdict Verdict) {
-	r.w.note("refused, after %v, tried %v", after, verdict != Untried)
+	r.w.note("refused, after %v, tried %v", after, verdict != NotAttempted)
 }
 func (r reply) Failed(timedOut bool) { r.w.note("failed, timed out %v", timedOut) }
-func (r reply) Unfit(err error)      { r.w.note("unfit: %v", err) }
+func (r reply) Disallowed(err error) { r.w.note("unfit: %v", err) }
 
-var testSet = choice.Settings{Doors: 1, MaxTries: 5, Cancels: true, RetryAfter: true, Tick: time.Millisecond,
+var testSet = choice.Settings{Gateways: 1, MaxAttempts: 5, Cancels: true, RetryAfter: true, Tick: time.Millisecond,
 	Classes: []choice.Class{
-		{Name: "read", Aim: 4 * time.Second, Deadline: 9 * time.Second, Value: 1},
-		{Name: "submit", Aim: 4 * time.Second, Deadline: 9 * time.Second, Value: 3, Effect: choice.Fragile}},
+		{Name: "read", Target: 4 * time.Second, Deadline: 9 * time.Second, Value: 1},
+		{Name: "submit", Target: 4 * time.Second, Deadline: 9 * time.Second, Value: 3, Effect: choice.NonRetryable}},
 	Plans: []choice.Plan{{Name: "plan", Rate: 100, Burst: 100, ValueFactor: 1, OverrunCost: 1}}}
 
 func newWorld(t *testing.T, set choice.Settings) *world {
 	t.Helper()
 	w := &world{at: 1000 * time.Second}
 	var err error
-	w.Core, err = New(set, 1, func() time.Duration { return w.at }, Hands{Fleet: w, Counter: w, Watcher: w})
+	w.Core, err = New(set, 1, func() time.Duration { return w.at }, Dependencies{Fleet: w, Counter: w, Watcher: w})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.News(News{Whole: true, Members: []Member{{Member: choice.Member{ID: 7, Weight: 1}}}})
+	w.HandleDiscovery(DiscoveryUpdate{Whole: true, Members: []Member{{Member: choice.Member{ID: 7, Weight: 1}}}})
 	return w
 }
 
 func (w *world) request(class string, patience time.Duration) *Request {
-	return &Request{Class: class, Plan: "plan", Customer: "c", Deadline: w.at + patience, Units: 1, Width: 1,
+	return &Request{Class: class, Plan: "plan", Customer: "c", Deadline: w.at + patience, Units: 1, Gateways: 1,
 		Call: "call", Reply: reply{w}}
 }
 
@@ -84,48 +84,48 @@
 		want  []string
 	}{
 		"served": {"submit", func(w *world, r *Request) {
-			w.Ended(7, Attempt{1, 0}, choice.OK, "fine", nil)
+			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "fine", nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "served fine"}},
 		"a second end of the attempt is dropped": {"submit", func(w *world, r *Request) {
-			w.Ended(7, Attempt{1, 0}, choice.OK, "fine", nil)
-			w.Ended(7, Attempt{1, 0}, choice.OK, "again", nil)
-			w.Ended(7, Attempt{1, 5}, choice.OK, "odd", nil)
-			w.Ended(7, Attempt{9, 0}, choice.OK, "odd", nil)
+			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "fine", nil)
+			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "again", nil)
+			w.AttemptEnded(7, Attempt{1, 5}, choice.OK, "odd", nil)
+			w.AttemptEnded(7, Attempt{9, 0}, choice.OK, "odd", nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "served fine"}},
 		"a reset submission is failed": {"submit", func(w *world, r *Request) {
-			w.Ended(7, Attempt{1, 0}, choice.Reset, nil, nil)
+			w.AttemptEnded(7, Attempt{1, 0}, choice.Reset, nil, nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "failed, timed out false"}},
 		"one that never ran goes out again": {"submit", func(w *world, r *Request) {
-			w.Ended(7, Attempt{1, 0}, choice.ConnectFailed, nil, nil)
+			w.AttemptEnded(7, Attempt{1, 0}, choice.ConnectFailed, nil, nil)
 			w.step(time.Second)
-			w.Ended(7, Attempt{1, 1}, choice.OK, "fine", nil)
+			w.AttemptEnded(7, Attempt{1, 1}, choice.OK, "fine", nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "send {1 1} to 7 with call in 5s", "served fine"}},
 		"an end of the process: what may have run gets no promise": {"submit", func(w *world, r *Request) {
-			w.Close()
+			w.AnswerOpen()
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "cancel {1 0} to 7", "failed, timed out false"}},
 		"an end of the process: a read was tried, and may be repeated": {"read", func(w *world, r *Request) {
-			w.Close()
-			w.Ended(7, Attempt{1, 0}, choice.OK, "late", nil)
+			w.AnswerOpen()
+			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "late", nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "cancel {1 0} to 7", "refused, after 500ms, tried true"}},
 		"silence is answered in time, and what comes late is dropped": {"submit", func(w *world, r *Request) {
 			w.step(20 * time.Second)
-			w.Ended(7, Attempt{1, 0}, choice.OK, "late", nil)
+			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "late", nil)
 			w.step(time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "cancel {1 0} to 7", "failed, timed out true"}},
 		"a client that leaves is not answered": {"submit", func(w *world, r *Request) {
-			w.Gone(r)
-			w.Ended(7, Attempt{1, 0}, choice.OK, "late", nil)
+			w.ClientGone(r)
+			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "late", nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "cancel {1 0} to 7"}},
 		"a client that leaves after its answer": {"submit", func(w *world, r *Request) {
-			w.Ended(7, Attempt{1, 0}, choice.OK, "fine", nil)
-			w.Gone(r)
+			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "fine", nil)
+			w.ClientGone(r)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "served fine"}},
 		"unknown class": {"odd", func(w *world, r *Request) { w.step(time.Second) }, []string{"refused, after 0s, tried false"}},
@@ -168,7 +168,7 @@
 	w.did = nil
 	w.open[1].answered = true
 	(*actions)(w.Core).Send(1, 7, 0)
-	want := []choice.Outcome{{ID: 1, Try: 1, Backend: 7, Status: choice.Moot, Final: true}}
+	want := []choice.Outcome{{ID: 1, Attempt: 1, Backend: 7, Status: choice.NotExecuted, Final: true}}
 	if d := cmp.Diff(want, w.later); d != "" || len(w.did) != 0 {
 		t.Error(d, w.did)
 	}
@@ -181,7 +181,7 @@
 	w.step(0)
 	(*actions)(w.Core).Probe(7)
 	w.step(time.Second)
-	w.Probed(7, Attempt{0, 1}, choice.OK, nil)
+	w.ProbeEnded(7, Attempt{0, 1}, choice.OK, nil)
 	w.step(0)
 	if d := cmp.Diff([]string{"probe {0 1} to 7", "cancel {0 1} to 7"}, w.did); d != "" || len(w.probes) != 0 {
 		t.Error(d, w.probes)
@@ -192,7 +192,7 @@
 func TestReadyWithoutDiscovery(t *testing.T) {
 	w := newWorld(t, testSet)
 	w.box.Take(0)
-	w.News(News{Whole: true, Saved: true, Members: []Member{{Member: choice.Member{ID: 7}}}})
+	w.HandleDiscovery(DiscoveryUpdate{Whole: true, Saved: true, Members: []Member{{Member: choice.Member{ID: 7}}}})
 	for _, want := range []int{0, 1} {
 		ask := &asked{bell: hostenv.Real.NewBell()}
 		w.box.Put(ask)
@@ -209,22 +209,22 @@
 	w := newWorld(t, testSet)
 	up := []Member{{Member: choice.Member{ID: 7}}}
 	for i, c := range []struct {
-		news News
+		news DiscoveryUpdate
 		want int
 	}{
-		{News{Whole: true, Saved: true, Members: up}, 0},
-		{News{Broken: true}, 0},
-		{News{Whole: true, Members: up}, 1},
-		{News{Members: []Member{{Member: choice.Member{ID: 8}}}}, 2},
-		{News{Broken: true}, 2},
-		{News{Members: []Member{{Member: choice.Member{ID: 7, State: choice.Draining}}}}, 1},
-		{News{Whole: true}, 0},
+		{DiscoveryUpdate{Whole: true, Saved: true, Members: up}, 0},
+		{DiscoveryUpdate{Broken: true}, 0},
+		{DiscoveryUpdate{Whole: true, Members: up}, 1},
+		{DiscoveryUpdate{Members: []Member{{Member: choice.Member{ID: 8}}}}, 2},
+		{DiscoveryUpdate{Broken: true}, 2},
+		{DiscoveryUpdate{Members: []Member{{Member: choice.Member{ID: 7, State: choice.Draining}}}}, 1},
+		{DiscoveryUpdate{Whole: true}, 0},
 	} {
 
 		if i == 0 {
 			w.box.Take(0) // the list that newWorld gave
 		}
-		w.News(c.news)
+		w.HandleDiscovery(c.news)
 		ask := &asked{bell: hostenv.Real.NewBell()}
 		w.box.Put(ask)
 		w.step(0)
--- a/internal/settings/policy_test.go
+++ b/internal/settings/policy_test.go
@@ -29,7 +29,7 @@
 	if len(s.Classes) != 2 || s.Classes[1].Name != "submit" || len(s.Plans) != 1 || s.Plans[0].Rate != 5 || s.ProbePrice != 0.1 || s.CrossZone != 0 {
 		t.Errorf("%+v", s)
 	}
-	if s.Doors != 3 || s.Index != 2 || s.Zone != "b" || s.MaxUnits != 7 || s.CounterPrice != 0.01 {
+	if s.Gateways != 3 || s.Index != 2 || s.Zone != "b" || s.MaxUnits != 7 || s.CounterPrice != 0.01 {
 		t.Errorf("what is no policy has changed: %+v", s)
 	}
 	if len(own.Classes) != 1 || own.Classes[0].Name != "old" {
@@ -40,7 +40,7 @@
 // What can't be taken is told by line and key.
 func TestWithBad(t *testing.T) {
 	own := Settings{}
-	own.Doors = 1
+	own.Gateways = 1
 	for _, c := range [][3]string{
 		{`"aimMs": 100, "deadlineMs": 200, "effect": "fragile"`, `"aimMs": 0, "deadlineMs": 200, "effect": "fragile"`, "line 4: services[1].aimMs must be above 0, got 0s"},
 		{`"quotaRate": 5`, `"quotaRate": -5`, "line 6: contracts[0].quotaRate must not be negative, got -5"},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -101,17 +101,17 @@
 	}
 	s := Settings{IdleClose: Span(e.Caps.IdleCloseMs), Reports: e.LoadInfo.Source != "" && e.LoadInfo.Source != "off"}
 	s.Settings = choice.Settings{
-		Doors: e.Balancers, Index: e.SelfIndex, Zone: e.Locality, Tick: Span(e.TickMs),
-		MaxTries: e.Caps.TryLimit, SecondCopies: e.Caps.SecondCopies, Cancels: e.Caps.Cancel, Probes: e.Caps.Probes,
+		Gateways: e.Balancers, Index: e.SelfIndex, Zone: e.Locality, Tick: Span(e.TickMs),
+		MaxAttempts: e.Caps.TryLimit, Hedging: e.Caps.SecondCopies, Cancels: e.Caps.Cancel, Probes: e.Caps.Probes,
 		RetryAfter: e.Caps.RetryAfter, MaxRetryAfter: Span(e.Caps.MaxRetryAfterMs),
 		ConnectTimeout: Span(e.Caps.ConnectTimeoutMs),
-		Subscribe:      e.Discovery == "subscribe", AskWithin: Span(e.Safety.AskWithinMs),
+		Subscribe:      e.Discovery == "subscribe", MaxNewsAge: Span(e.Safety.AskWithinMs),
 		Weighted: e.WeightSource != "off" && e.WeightSource != "",
 		Counter:  e.FamilyInfo.SharedCounter, CounterTimeout: Span(e.FamilyInfo.CounterTimeoutMs),
 		MaxUnits: e.FamilyInfo.MaxUnits, PostPaid: e.FamilyInfo.PostPaid,
 		AnswerSlack: Span(e.Safety.AnswerSlackMs), DrainGrace: Span(e.Safety.DrainGraceMs),
-		ColdFrom: e.Safety.ColdFrom, ColdFor: Span(e.Safety.ColdMs),
-		FallMultiple: e.Safety.FallMultiple, FallAfter: Span(e.Safety.TipAfterMs),
+		ColdCapacity: e.Safety.ColdFrom, WarmupTime: Span(e.Safety.ColdMs),
+		OverloadRatio: e.Safety.FallMultiple, OverloadTime: Span(e.Safety.TipAfterMs),
 		CounterPrice: e.FamilyInfo.CountFee,
 	}
 	return s, e.into(&s)
@@ -123,17 +123,17 @@
 	s.CrossZone, s.ProbePrice, s.WastePrice, s.LateFailPrice = r.Prices.CrossZone, r.Prices.Probe, r.Prices.Waste, r.Prices.LateFail
 	for _, c := range r.Services {
 		effect, ok := map[string]choice.Effect{
-			"retryable": choice.Retryable, "dedup": choice.Keyed, "fragile": choice.Fragile}[c.Effect]
+			"retryable": choice.Retryable, "dedup": choice.Keyed, "fragile": choice.NonRetryable}[c.Effect]
 		if !ok {
 			return fmt.Errorf("services: %s: unknown effect %q", c.Name, c.Effect)
 		}
 		group, ok := map[string]choice.Group{
-			"": choice.All, "all": choice.All, "zone": choice.SameZone, "cell": choice.SameCell}[c.Group]
+			"": choice.AllBackends, "all": choice.AllBackends, "zone": choice.SameZone, "cell": choice.SameCell}[c.Group]
 		if !ok {
 			return fmt.Errorf("services: %s: unknown group %q", c.Name, c.Group)
 		}
-		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Aim: Span(c.AimMs), Deadline: Span(c.DeadlineMs),
-			LateWorth: c.LateWorth, Value: c.Value, Effect: effect, Group: group, KeyTTL: Span(c.KeyTTLMs),
+		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Target: Span(c.AimMs), Deadline: Span(c.DeadlineMs),
+			LateValue: c.LateWorth, Value: c.Value, Effect: effect, Group: group, KeyTTL: Span(c.KeyTTLMs),
 			Stream: c.Stream})
 	}
 	for _, p := range r.Contracts {
@@ -163,8 +163,8 @@
 }
 
 // keys maps the names in the module's complaints to the keys an operator wrote.
-var keys = strings.NewReplacer("Index", "selfIndex", "ProbePrice", "prices.probe", "Doors", "balancers", "Tick", "tickMs", "Classes", "services", "Plans", "contracts",
-	".Name", ".name", ".Aim", ".aimMs", ".Effect", ".effect", ".Group", ".group", ".Rate", ".quotaRate",
+var keys = strings.NewReplacer("Index", "selfIndex", "ProbePrice", "prices.probe", "Gateways", "balancers", "Tick", "tickMs", "Classes", "services", "Plans", "contracts",
+	".Name", ".name", ".Target", ".aimMs", ".Effect", ".effect", ".Group", ".group", ".Rate", ".quotaRate",
 	".Burst", ".peakUnits", ".MaxOut", ".maxOut", ".CeilingRate", ".neverOverRate", ".CeilingBurst", ".ceilingBurst")
 
 // Check reports the first setting that makes no sense, by its key.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,10 +19,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Settings{IdleClose: 15 * time.Second, Reports: true, Settings: choice.Settings{Doors: 3, Zone: "a",
-		Tick: 2 * time.Millisecond, Cancels: true, MaxTries: 5, ConnectTimeout: 250500 * time.Microsecond,
+	want := Settings{IdleClose: 15 * time.Second, Reports: true, Settings: choice.Settings{Gateways: 3, Zone: "a",
+		Tick: 2 * time.Millisecond, Cancels: true, MaxAttempts: 5, ConnectTimeout: 250500 * time.Microsecond,
 		Counter: true, CounterTimeout: 50 * time.Millisecond, ProbePrice: 0.08,
-		Classes: []choice.Class{{Name: "s", Aim: 800 * time.Millisecond, Deadline: 3 * time.Second, Effect: choice.Keyed,
+		Classes: []choice.Class{{Name: "s", Target: 800 * time.Millisecond, Deadline: 3 * time.Second, Effect: choice.Keyed,
 			Group: choice.SameZone, KeyTTL: 5 * time.Second, Value: 3}},
 		Plans: []choice.Plan{{Name: "p", Rate: 0.76, Burst: 3, CeilingRate: 12, CeilingBurst: 32, CeilingSlack: 3}}}}
 	if d := cmp.Diff(want, got); d != "" {
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -84,8 +84,8 @@
 			return fmt.Errorf("services[%d].deadlineMs must be above 0, got %v", i, c.Deadline)
 		}
 	}
-	if s.MaxTries <= 0 {
-		return fmt.Errorf("caps.tryLimit must be above 0, got %d", s.MaxTries)
+	if s.MaxAttempts <= 0 {
+		return fmt.Errorf("caps.tryLimit must be above 0, got %d", s.MaxAttempts)
 	}
 	return nil
 }
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -108,8 +108,8 @@
 	switch {
 	case b.Open != 0:
 		r.Breaks("books", "g%d has %d requests open at rest", g.index, b.Open)
-	case b.Under != b.Out:
-		r.Breaks("books", "g%d takes %d attempts to be out, its connections carry %d", g.index, b.Out, b.Under)
+	case b.Under != b.InFlight:
+		r.Breaks("books", "g%d takes %d attempts to be out, its connections carry %d", g.index, b.InFlight, b.Under)
 	case b.Clients != clients:
 		r.Breaks("books", "g%d counts %d clients' connections, and has %d", g.index, b.Clients, clients)
 	case b.Servers != servers:
--- a/internal/stride/stride.go
+++ b/internal/stride/stride.go
@@ -7,10 +7,10 @@
 package stride
 
 // Clock is a gateway's: it goes on by one for each round over all its servers.
-type Clock struct{ now float64 }
+type Scheduler struct{ now float64 }
 
 // Seat is a server's place among the turns.
-type Seat struct {
+type Position struct {
 	due   float64 // its next turn
 	taken bool
 }
@@ -23,7 +23,7 @@
 // Ahead is how far a server is from its next turn, in its own intervals: 0 and
 // below, it is due; 1, it has just had it. weight is its share of a round against
 // the mean; odds, from 0 to 1, give a server that is new its place.
-func (c *Clock) Ahead(s *Seat, weight, odds float64) float64 {
+func (c *Scheduler) Distance(s *Position, weight, odds float64) float64 {
 	if !s.taken {
 		s.due, s.taken = c.now+odds/weight, true
 	}
@@ -31,7 +31,7 @@
 }
 
 // Took gives a server a turn. total is the weight of all that take turns.
-func (c *Clock) Took(s *Seat, weight, total float64) {
+func (c *Scheduler) Advance(s *Position, weight, total float64) {
 	if total > 0 {
 		c.now += 1 / total
 	}
--- a/internal/stride/stride_test.go
+++ b/internal/stride/stride_test.go
@@ -10,15 +10,15 @@
 
 // gateway sends to the server that is due first.
 type gateway struct {
-	Clock
-	seats   []Seat
+	Scheduler
+	seats   []Position
 	weights []float64
 	total   float64
 	rng     *rand.Rand
 }
 
 func newGateway(weights []float64, seed uint64) *gateway {
-	g := &gateway{seats: make([]Seat, len(weights)), weights: weights, rng: rand.New(rand.NewPCG(seed, 1))}
+	g := &gateway{seats: make([]Position, len(weights)), weights: weights, rng: rand.New(rand.NewPCG(seed, 1))}
 	for _, w := range weights {
 		g.total += w
 	}
@@ -28,11 +28,11 @@
 func (g *gateway) send(skip int) int {
 	best, least := -1, math.Inf(1)
 	for i := range g.seats {
-		if a := g.Ahead(&g.seats[i], g.weights[i], g.rng.Float64()); i != skip && a < least {
+		if a := g.Distance(&g.seats[i], g.weights[i], g.rng.Float64()); i != skip && a < least {
 			best, least = i, a
 		}
 	}
-	g.Took(&g.seats[best], g.weights[best], g.total)
+	g.Advance(&g.seats[best], g.weights[best], g.total)
 	return best
 }
 
