--- a/choice/adopt_test.go
+++ b/choice/adopt_test.go
@@ -141,8 +141,8 @@
 		t.Errorf("sent %d times, want once more after the connection failed", m.q.sent)
 	}
 	m.HandleOutcome(m.now, Outcome{ID: 500, Attempt: 1, Backend: 1, Status: OK, Elapsed: time.Millisecond})
-	if got := m.passed("basic", 3); got != 0 || len(m.reqs) != 0 {
-		t.Errorf("%d pass of a class that is gone, %d open", got, len(m.reqs))
+	if got := m.passed("basic", 3); got != 0 || len(m.requests) != 0 {
+		t.Errorf("%d pass of a class that is gone, %d open", got, len(m.requests))
 	}
 }
 
--- a/choice/api.go
+++ b/choice/api.go
@@ -1,11 +1,11 @@
 // Package choice makes the decisions of a gateway that meters many customers'
-// use of one shared service: admit or refuse, which backend, when to try
-// again, and what to tell the shared counter.
+// use of one shared service: whether to admit a request, which backend to
+// send it to, when to retry, and what to report to the shared counter.
 //
-// This file is the whole interface: settings, events and actions. All
-// decisions are in choice.go, meter.go and servers.go. A host creates one Balancer per gateway with
-// New, calls a method for each event, and carries out what the Balancer asks
-// of its Actions. A Balancer is not safe for concurrent use; it never blocks
+// This file declares the settings, events and actions. The decisions are in
+// choice.go, meter.go and servers.go. A host creates one Balancer per gateway
+// with New, calls a method for each event, and executes the Actions that the
+// Balancer calls. A Balancer is not safe for concurrent use; it never blocks
 // and reads no clock.
 package choice
 
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// NameLife is the longest that the shared counter keeps a name.
-const CounterNameTTL = time.Minute
+// CounterTTL is the longest time that the shared counter keeps a name.
+const CounterTTL = time.Minute
 
-// Effect tells whether a request may run more than once.
+// Effect is the idempotency of a request: whether it may run more than once.
 type Effect int
 
 // The effects of a class.
 const (
-	Retryable    Effect = iota // harmless to repeat
-	Keyed                      // repeats are dropped inside the class's Group, for KeyTTL
-	NonRetryable               // must never run twice
+	Retryable    Effect = iota // idempotent
+	Keyed                      // has an idempotency key: the class's Group drops repeats for KeyTTL
+	NonRetryable               // must not run twice
 )
 
-// Group is the set of backends that drops repeats of a keyed request.
+// Group is the set of backends that deduplicates keyed requests.
 type Group int
 
 // The groups of a keyed class.
@@ -41,55 +41,55 @@
 type Class struct {
 	Name             string
 	Target, Deadline time.Duration
-	LateValue        float64 // share of the worth for an answer after the aim
+	LateValue        float64 // share of Value that a response after Target still has
 	Value            float64
 	Effect           Effect
 	Group            Group
 	KeyTTL           time.Duration
 	Stream           bool
-	MaxAttempts      int // servers that one request may be sent to; 0: the settings' MaxTries
+	MaxAttempts      int // for one request; 0: Settings.MaxAttempts
 }
 
-// Plan is what a customer has bought. Quotas hold over all gateways together.
+// Plan holds a customer's quotas and prices. Quotas hold over all gateways together.
 type Plan struct {
 	Name                                    string
-	Rate, Burst                             float64 // units a second and at once; Rate 0: no such quota
-	MaxOut                                  int     // attempts out at once; 0: no such quota
+	Rate, Burst                             float64 // units a second, and in a burst; Rate 0: no quota
+	MaxOut                                  int     // attempts in flight; 0: no cap
 	CeilingRate, CeilingBurst, CeilingSlack float64 // CeilingRate 0: no ceiling
 	ValueFactor                             float64
-	ExcessWorth, OverrunCost                float64 // shares of the worth earned and paid beyond the quota
+	ExcessWorth, OverrunCost                float64 // shares of the value earned and paid beyond the quota
 }
 
-// Settings are all that a Balancer is told at its start.
+// Settings configure a Balancer.
 type Settings struct {
-	Gateways int // gateways in all
-	Index    int // which of them this one is, from 0
+	Gateways int // number of gateways
+	Index    int // of this gateway, from 0
 	Zone     string
 	Classes  []Class
 	Plans    []Plan
 
-	Tick              time.Duration // shortest time between two batches of events
+	Tick              time.Duration // shortest time between batches of events
 	MaxAttempts       int
-	TurnWeight        float64 // how much the turns of servers count against expected delay; 0: as much as for many gateways
-	ServerConcurrency float64 // requests that a server works on at once; 0: not known
-	HeadroomSigmas    float64 // standard deviations of chance that the limit on attempts allows for
-	RetryRatio        float64 // of a repeat that each request adds to the budget; 0: a tenth
-	RetryBudget       float64 // repeats in the budget; 0: ten
-	RefusesWhenBusy   bool    // servers refuse connections while they are busy: such an attempt reached nobody
-	Hedging           bool    // two attempts of one request may be out at once
+	TurnWeight        float64 // of the stride schedule against expected delay; 0: 1
+	ServerConcurrency float64 // requests that a server processes concurrently; 0: unknown
+	HeadroomSigmas    float64 // random variation, in standard deviations, that the limit on attempts allows for
+	RetryRatio        float64 // retries that each request adds to the budget; 0: 0.1
+	RetryBudget       float64 // most retries in the budget; 0: 10
+	RefusesWhenBusy   bool    // servers refuse connections while busy: a refused one has not run
+	Hedging           bool    // two attempts of one request may be in flight
 	Cancels           bool
 	Probes            bool
-	RetryAfter        bool          // clients are told when to come back
-	MaxRetryAfter     time.Duration // the longest that they heed; 0: not known
+	RetryAfter        bool          // refusals carry a Retry-After
+	MaxRetryAfter     time.Duration // longest that clients honor; 0: unknown
 	ConnectTimeout    time.Duration
-	Subscribe         bool // roster changes come only after Watch
+	Subscribe         bool // roster updates come only after Watch
 	MaxNewsAge        time.Duration
-	Weighted          bool // roster weights mean something
+	Weighted          bool // roster weights are valid
 
 	Counter        bool
 	CounterTimeout time.Duration
 	MaxUnits       float64
-	PostPaid       bool // the true units come with the answer
+	PostPaid       bool // responses carry the actual units
 
 	AnswerSlack   time.Duration
 	DrainGrace    time.Duration
@@ -97,27 +97,27 @@
 	WarmupTime    time.Duration
 	OverloadRatio float64
 	OverloadTime  time.Duration
-	CrossZone     float64 // price of an attempt that crosses zones
-	CounterPrice  float64 // price of one counter call a request
-	ProbePrice    float64 // price of one probe a request
+	CrossZone     float64 // price of an attempt in another zone
+	CounterPrice  float64 // price of one counter call per request
+	ProbePrice    float64 // price of one probe per request
 	WastePrice    float64
 	LateFailPrice float64
 }
 
-// Request is a client's try, which is owed one final answer.
+// Request is a client's request. It gets exactly one final answer.
 type Request struct {
 	ID           uint32
 	Class        string
 	Plan         string
 	Customer     string
-	Deadline     time.Duration // clock time at which the client stops waiting
+	Deadline     time.Duration // when the client stops waiting
 	Units        float64
-	Gateways     int // gateways that may get this customer's requests
+	Gateways     int // that may get this customer's requests
 	FirstGateway int
-	IsRetry      bool // a client's repeat, where clients mark it
+	IsRetry      bool // a client's retry, where clients mark them
 }
 
-// State is what the roster says of a backend.
+// State is a backend's state in the roster.
 type State int
 
 // The states of a backend.
@@ -130,27 +130,28 @@
 // Member is a roster entry.
 type Member struct {
 	ID      uint32
-	Key     uint64 // the same at every gateway, whatever number it has there; 0: its ID is
+	Key     uint64 // the same at every gateway, unlike ID; 0: ID is
 	Zone    string
 	Kind    string
 	Cell    int
 	State   State
 	Weight  float64
-	Started time.Duration // clock time of its last start; 0: long ago
+	Started time.Duration // its last start; 0: long ago
 }
 
-// Roster is news of the fleet.
+// RosterUpdate reports changes of the server list.
 type RosterUpdate struct {
 	Members []Member
-	Whole   bool // the list replaces the old one
-	Saved   bool // the list this gateway had before it stopped, maybe old
-	Broken  bool // a Fetch or Watch failed; the old list stands
+	Whole   bool // replaces the whole list
+	Saved   bool // the list saved by an earlier process, maybe outdated
+	Broken  bool // fetching or watching failed; the old list stays valid
 }
 
 // Status is how an attempt, a probe or a counter call ended.
 type Status int
 
-// The statuses. Full, ConnectFailed and Moot prove that nothing ran; a probe that ends as Moot proves nothing at all.
+// The statuses. Overloaded, ConnectFailed and NotExecuted prove that nothing ran. A probe that ends with
+// NotExecuted proves nothing.
 const (
 	OK Status = iota
 	Error
@@ -162,25 +163,25 @@
 	NotExecuted
 )
 
-// Load is a backend's report. Fields it does not give are absent.
+// Load is a backend's load report. The Has fields tell which figures it contains.
 type Load struct {
 	InFlight, Queue, Util          float64
 	HasInFlight, HasQueue, HasUtil bool
 }
 
-// Outcome ends an attempt.
+// Outcome is the end of an attempt.
 type Outcome struct {
 	ID          uint32
 	Attempt     int
 	Backend     uint32
 	Status      Status
 	Elapsed     time.Duration
-	Final       bool    // the request is over
-	ActualUnits float64 // true units; 0: as guessed
+	Final       bool    // the request is finished
+	ActualUnits float64 // 0: as estimated
 	Load        *Load
 }
 
-// Probed ends a probe.
+// ProbeResult is the end of a probe.
 type ProbeResult struct {
 	Backend uint32
 	Status  Status
@@ -188,7 +189,7 @@
 	Load    *Load
 }
 
-// Counted ends a counter call.
+// CounterResult is the end of a counter call.
 type CounterResult struct {
 	Name    string
 	Status  Status
@@ -196,32 +197,32 @@
 	Elapsed time.Duration
 }
 
-// Reason is why a request was refused.
+// Reason tells why a request was refused.
 type Reason int
 
 // The reasons of refusals.
 const (
-	DeadlinePassed Reason = iota // its client's time was up when it came
-	NoServer                     // none may be sent anything now
-	OverQuota                    // its customer's quota
-	Shed                         // servers: it would have come late, or made others late
-	TargetPassed                 // its aim has gone by, and the servers have others to serve
-	OverCeiling                  // this gateway's share of its customer's ceiling
-	AttemptsUsed                 // attempts failed without having run, and no further one was allowed
+	DeadlinePassed Reason = iota // the deadline had passed on arrival
+	NoServer                     // no server is eligible
+	OverQuota                    // beyond the customer's quota
+	Shed                         // load: it would have been late, or delayed others
+	TargetPassed                 // load: its target had passed
+	OverCeiling                  // beyond this gateway's share of the customer's ceiling
+	AttemptsUsed                 // attempts failed without running, and no retry was allowed
 	reasonCount
 )
 
-// Books are totals of a Balancer since its start, and figures that it goes by.
+// Totals are counts since the start of a Balancer, and its current load figures.
 type Totals struct {
 	Refused  [reasonCount]int // by Reason
-	InFlight float64          // mean attempts out, of late
-	Limit    float64          // how many may be out before requests are refused
-	SendRate float64          // attempts a second, of late
+	InFlight float64          // moving mean of attempts in flight
+	Limit    float64          // attempts in flight above which requests are refused
+	SendRate float64          // attempts a second
 }
 
-// Actions is what a host carries out for a Balancer.
+// Actions are executed by the host.
 type Actions interface {
-	Send(id, backend uint32, limit time.Duration) // limit 0: as long as the client waits
+	Send(id, backend uint32, limit time.Duration) // limit 0: the client's deadline
 	Refuse(id uint32, retryAfter time.Duration)
 	Fail(id uint32)
 	Cancel(id uint32, try int)
@@ -232,7 +233,7 @@
 	Log(text string)
 }
 
-// Validate reports the first setting that makes no sense.
+// Validate returns an error for the first invalid setting.
 func (s *Settings) Validate() error {
 	if s.Gateways < 1 {
 		return fmt.Errorf("Gateways must be at least 1, got %d", s.Gateways)
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -63,11 +63,11 @@
 			b.ReportAllocs()
 			now := time.Duration(0)
 			for b.Loop() {
-				for end := now + time.Second; now < end; now += bal.beat {
+				for end := now + time.Second; now < end; now += bal.interval {
 					bal.HandleTimer(now, HousekeepingTimer)
 				}
 			}
-			b.ReportMetric(time.Second.Seconds()/bal.beat.Seconds(), "beats")
+			b.ReportMetric(time.Second.Seconds()/bal.interval.Seconds(), "beats")
 		})
 	}
 }
--- a/choice/books.go
+++ b/choice/books.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Books tells what it has counted, and what it goes by now.
+// Totals returns the counts since the start and the current load figures.
 func (b *Balancer) Totals() Totals {
-	b.books.InFlight, b.books.Limit, b.books.SendRate = b.limit.Load, b.limit.Max, b.sends
-	return b.books
+	b.totals.InFlight, b.totals.Limit, b.totals.SendRate = b.limit.Load, b.limit.Max, b.sendRate
+	return b.totals
 }
 
-// Avoided are the servers in the list that this gateway would send nothing now but a trial.
+// EjectedServers counts the listed servers that this gateway sends nothing to now, except for trial requests.
 func (b *Balancer) EjectedServers() int {
 	n := 0
-	for _, be := range b.fleet {
+	for _, be := range b.backends {
 		if be.listed && be.Ejected() {
 			n++
 		}
@@ -19,16 +19,16 @@
 	return n
 }
 
-// Sent tells that a request's body still goes out: its server's silence counts from now on.
+// HandleBodyProgress records that a request's body is still being sent: its server's silence counts from now on.
 func (b *Balancer) HandleBodyProgress(now time.Duration, id uint32, try int) {
-	if r := b.reqs[id]; r != nil && try < len(r.tries) {
-		r.tries[try].sent = now
+	if r := b.requests[id]; r != nil && try < len(r.attempts) {
+		r.attempts[try].sentAt = now
 	}
 }
 
 func (b *Balancer) logOnce(text string) {
 	if !b.logged[text] && len(b.logged) < 50 {
 		b.logged[text] = true
-		b.act.Log(text)
+		b.host.Log(text)
 	}
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,10 +1,8 @@
 package choice
 
-// The interface (settings, events, actions) is in api.go. All decisions are here, in meter.go and servers.go.
-//
-// Ordinary path: one TAT per customer, tested and advanced by GCRA over the customer's global rate and burst,
-// and pushed forward by the units that other gateways put on the shared counter. docs/design.md lists the
-// exceptions and the conditions under which each acts.
+// Settings, events and actions are in api.go; the decisions are here, in meter.go and in servers.go. Usually
+// a customer has one theoretical arrival time (TAT) that GCRA tests and advances by the customer's rate and
+// burst, and that units added by other gateways advance too. docs/design.md lists the exceptions.
 
 import (
 	"cmp"
@@ -22,90 +20,90 @@
 	"asterwell/internal/stride"
 )
 
-// Balancer decides for one gateway.
+// Balancer makes the decisions of one gateway: admission, server choice, retries and counter calls.
 type Balancer struct {
-	set       Settings
-	act       Actions
-	rng       *rand.Rand
-	classes   map[string]*class
-	plans     map[string]*Plan
-	reqs      map[uint32]*request
-	byID      map[uint32]*backend
-	fleet     []*backend // in order of id
-	ring      []*backend // in an order that all gateways have, zones taking turns
-	cover     aperture.CachedCover
-	reach     int              // how many of them it uses
-	twins     int              // processes that are this gateway
-	turns     stride.Scheduler // that they take
-	weight    float64          // mean
-	customers map[string]*customer
-	idlers    []*customer // in order of arrival
-	logged    map[string]bool
-	ended     map[*Plan]bool // plans of policies before this one
-	names     string         // in the counter's names: empty until a policy has changed
+	cfg           Settings
+	host          Actions
+	rng           *rand.Rand
+	classes       map[string]*class
+	plans         map[string]*Plan
+	requests      map[uint32]*request
+	byID          map[uint32]*backend
+	backends      []*backend // sorted by id
+	ring          []*backend // the same order at every gateway, zones interleaved
+	aperture      aperture.CachedCover
+	wanted        int              // backends that this gateway uses
+	processes     int              // that share this gateway's identity
+	turns         stride.Scheduler // which backend is due next
+	meanWeight    float64          // of the listed backends
+	customers     map[string]*customer
+	meters        []*customer // in order of their first request
+	logged        map[string]bool
+	oldPlans      map[*Plan]bool // plans of earlier policies
+	counterSuffix string         // of counter names; empty until the first policy change
 
-	started, beat, slotPeriod time.Duration // first request; housekeeping; longest attempt
+	startedAt, interval, claimPeriod time.Duration // first request; of housekeeping; longest attempt
 
-	retries, spread float64            // retry budget; of the choice: wider the less is seen
-	looks           int                // probes for each request
-	beats           float64            // so far
-	sends, sent     float64            // attempts a second, had all found a server; since the beat
-	mass, whole     float64            // size of what this gateway uses, and of all
-	quickest        map[string]float64 // probe of each zone, in seconds
-	usual           float64            // time of a probe past it
-	density         float64            // mean worth per second of work among requests seen
-	open, stuck     int                // attempts out; of these, where backends look dead
-	zones           map[string]*health.Zone
-	faults          float64           // share of faults among answers
-	limit           concurrency.Limit // on attempts out, before requests are shed
+	tokens, turnWeight      float64            // left in the retry budget; grows with the number of gateways
+	maxProbes               int                // for each request
+	intervals               float64            // housekeeping runs so far
+	sendRate, attempted     float64            // attempts a second; attempts since the last housekeeping
+	usedWeight, totalWeight float64            // relative weight of the aperture and of all backends
+	fastestProbe            map[string]float64 // of each zone, in seconds
+	probeDelay              float64            // mean time of a probe beyond the fastest of its zone
+	valueRate               float64            // mean value of a request per second of work
+	inFlight, lost          int                // attempts; those of them at ejected backends
+	zones                   map[string]*health.Zone
+	faultRate               float64           // share of faults among responses
+	limit                   concurrency.Limit // on attempts in flight, above which requests are shed
 
-	calls               map[string]func(now time.Duration, e CounterResult)
-	stake, floor        float64       // mean loss by a request beyond quota; that worth a call
-	beyond              float64       // share of those put on the counter that were beyond quota
-	fails               int           // counter calls in a row without an answer
-	callAfter, silentAt time.Duration // no counter call before; start of its silence
-	backAt              time.Duration // end of its last silence
-	countedAt, doubtAt  time.Duration // its last answer; last sign that it may have lost its counts
-	books               Totals
+	counterCalls            map[string]func(now time.Duration, e CounterResult)
+	meanLoss, minLoss       float64       // mean loss by a request beyond quota; loss worth a counter call
+	overQuota               float64       // share of counted requests that were beyond quota
+	counterFails            int           // consecutive counter calls without a response
+	nextCallAt, silentSince time.Duration // of the counter: next call, and start of its outage
+	silenceEnd              time.Duration // end of its last outage
+	countedAt, doubtedAt    time.Duration // last response; last sign that it may have lost counts
+	totals                  Totals
 }
 
-// class is a Class with what has been learnt of its answers.
+// class is a Class with its latency statistics.
 type class struct {
 	Class
 	health.Latency
-	span  time.Duration // what most tries are waited for, by majority vote
-	votes int
+	usualWait time.Duration // how long clients of the class usually wait, by majority vote
+	votes     int
 }
 
 type request struct {
 	Request
-	class         *class
-	plan          *Plan
-	cust          *customer
-	aimAt         time.Duration
-	tries         []*attempt
-	out           int
-	worth         float64 // a second of work
-	inside, pays  bool    // took units from the quota; the loss if it is beyond is worth a counter call
-	beyond, known bool    // its customer is taken to have no room; decided on a fresh count
-	done, stream  bool
-	asks          bool  // the counter could tell more of it
-	most          int   // attempts
-	slot          int64 // period whose count of attempts out holds this request; 0: none
+	class                  *class
+	plan                   *Plan
+	customer               *customer
+	targetAt               time.Duration
+	attempts               []*attempt
+	inFlight               int
+	valueRate              float64 // per second of work
+	inQuota, payable       bool    // charged to the quota; worth a counter call
+	assumedOver, confirmed bool    // its customer probably has no quota left; the counter has answered
+	done, streaming        bool
+	uncertain              bool // the local meter is too old to decide alone
+	maxAttempts            int
+	claimPeriod            int64 // whose count of attempts includes this request; 0: none
 }
 
 type attempt struct {
-	req    *request
-	to     *backend
-	sent   time.Duration
-	out    bool
-	status Status
+	req     *request
+	backend *backend
+	sentAt  time.Duration
+	pending bool
+	status  Status
 }
 
-// bound is the first attempt that is out or ended without proof that it never ran: it limits what may follow.
-func (r *request) bound() *attempt {
-	for _, a := range r.tries {
-		if a.out || a.status != Overloaded && a.status != ConnectFailed && a.status != NotExecuted {
+// firstExecuted returns the first attempt that may have run. It restricts which attempts may follow.
+func (r *request) firstExecuted() *attempt {
+	for _, a := range r.attempts {
+		if a.pending || a.status != Overloaded && a.status != ConnectFailed && a.status != NotExecuted {
 			return a
 		}
 	}
@@ -113,131 +111,133 @@
 }
 
 const (
-	namePeriod   = CounterNameTTL / 3
-	mostRetries  = 10                      // in the budget, where the settings name no other
-	quietCounter = 2 * time.Second         // without an answer: it may have been emptied meanwhile
-	mostLooks    = 2                       // probes for a request
-	leastReach   = 8                       // backends used, where there are so many
-	meetWithin   = 1500 * time.Millisecond // each should be sent something so often
-	worthLooks   = 0.02                    // share of a request's worth that they may cost
+	counterPeriod       = CounterTTL / 3
+	retryBudget         = 10              // where the settings give none
+	counterQuietLimit   = 2 * time.Second // without a response it may have lost its counts
+	maxProbesPerRequest = 2
+	minAperture         = 8                       // backends, if there are that many
+	contactGap          = 1500 * time.Millisecond // longest mean time between requests to a backend in use
+	probeValueShare     = 0.02                    // share of a request's value that its probes may cost
 )
 
-// New returns a Balancer that acts through act. It reports settings that make no sense.
+// New returns a Balancer that acts through act, or an error if set is invalid.
 func New(set Settings, seed uint64, act Actions) (*Balancer, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, act: act, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*class{},
-		plans: map[string]*Plan{}, reqs: map[uint32]*request{}, byID: map[uint32]*backend{},
-		customers: map[string]*customer{}, quickest: map[string]float64{}, logged: map[string]bool{},
-		zones: map[string]*health.Zone{}, calls: map[string]func(time.Duration, CounterResult){}, twins: 1}
-	b.set.MaxAttempts, b.set.MaxRetryAfter = max(set.MaxAttempts, 1), cmp.Or(set.MaxRetryAfter, math.MaxInt64)
-	b.set.RetryRatio, b.set.RetryBudget = cmp.Or(set.RetryRatio, 0.1), cmp.Or(set.RetryBudget, mostRetries)
-	b.beat = set.Classes[0].Target
+	b := &Balancer{cfg: set, host: act, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*class{},
+		plans: map[string]*Plan{}, requests: map[uint32]*request{}, byID: map[uint32]*backend{},
+		customers: map[string]*customer{}, fastestProbe: map[string]float64{}, logged: map[string]bool{},
+		zones: map[string]*health.Zone{}, processes: 1,
+		counterCalls: map[string]func(time.Duration, CounterResult){}}
+	b.cfg.MaxAttempts, b.cfg.MaxRetryAfter = max(set.MaxAttempts, 1), cmp.Or(set.MaxRetryAfter, math.MaxInt64)
+	b.cfg.RetryRatio, b.cfg.RetryBudget = cmp.Or(set.RetryRatio, 0.1), cmp.Or(set.RetryBudget, retryBudget)
+	b.interval = set.Classes[0].Target
 	for _, c := range set.Classes {
 		b.classes[c.Name] = &class{Class: c, Latency: health.NewLatency(c.Target)}
-		b.beat = min(b.beat, c.Target)
-		b.slotPeriod = max(b.slotPeriod, c.Target, c.Deadline)
+		b.interval = min(b.interval, c.Target)
+		b.claimPeriod = max(b.claimPeriod, c.Target, c.Deadline)
 	}
-	b.beat = max(b.beat/8, set.Tick)
-	b.limit, b.retries, b.beyond = concurrency.New(b.beat), b.set.RetryBudget, 0.3
-	b.spread = cmp.Or(set.TurnWeight, 1) * math.Sqrt(float64(set.Gateways)) / 20
-	b.looks = int(min(worthLooks/max(set.ProbePrice, 1e-9), mostLooks))
+	b.interval = max(b.interval/8, set.Tick)
+	b.limit, b.tokens, b.overQuota = concurrency.New(b.interval), b.cfg.RetryBudget, 0.3
+	b.turnWeight = cmp.Or(set.TurnWeight, 1) * math.Sqrt(float64(set.Gateways)) / 20
+	b.maxProbes = int(min(probeValueShare/max(set.ProbePrice, 1e-9), maxProbesPerRequest))
 	for _, p := range set.Plans {
 		b.plans[p.Name] = &p
 	}
 	if set.Subscribe {
 		act.Watch(true)
 	}
-	act.SetTimer(b.beat, HousekeepingTimer)
+	act.SetTimer(b.interval, HousekeepingTimer)
 	return b, nil
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Request takes a client's try.
+// HandleRequest decides a client's request.
 func (b *Balancer) HandleRequest(now time.Duration, q Request) {
-	b.started = cmp.Or(b.started, now) // the time before the first request earns no room under a ceiling
-	b.doubtAt = cmp.Or(b.doubtAt, now) // counts may have been lost just before, and nobody tells
+	b.startedAt = cmp.Or(b.startedAt, now) // ceilings fill from the first request on
+	b.doubtedAt = cmp.Or(b.doubtedAt, now) // the counter may have restarted just before
 	cl, pl := b.classes[q.Class], b.plans[q.Plan]
-	if cl == nil || pl == nil || b.reqs[q.ID] != nil {
+	if cl == nil || pl == nil || b.requests[q.ID] != nil {
 		b.logOnce(fmt.Sprintf("refused a request of unknown class %q or plan %q", q.Class, q.Plan))
-		b.act.Refuse(q.ID, 0)
+		b.host.Refuse(q.ID, 0)
 		return
 	}
-	r := &request{Request: q, class: cl, plan: pl, aimAt: now + cl.Target}
-	r.Gateways, r.most = max(1, min(q.Gateways, b.set.Gateways))*b.twins,
-		cmp.Or(cl.MaxAttempts, b.set.MaxAttempts)
-	b.reqs[q.ID] = r
-	left := q.Deadline - now - 2*b.set.Tick
-	if off := (left - cl.span).Abs() > 2*b.set.Tick; !off {
+	r := &request{Request: q, class: cl, plan: pl, targetAt: now + cl.Target}
+	r.Gateways, r.maxAttempts = max(1, min(q.Gateways, b.cfg.Gateways))*b.processes,
+		cmp.Or(cl.MaxAttempts, b.cfg.MaxAttempts)
+	b.requests[q.ID] = r
+	left := q.Deadline - now - 2*b.cfg.Tick
+	if off := (left - cl.usualWait).Abs() > 2*b.cfg.Tick; !off {
 		cl.votes = min(cl.votes+1, 50)
 	} else if cl.votes--; cl.votes < 0 {
-		cl.span, cl.votes = left, 0
-	} else if cl.votes > 5 { // bounded by the deadline of all its tries, which tells its age
-		r.aimAt = min(r.aimAt, q.Deadline-cl.Deadline+cl.Target)
+		cl.usualWait, cl.votes = left, 0
+	} else if cl.votes > 5 { // an unusual wait is what is left of the deadline: a retry
+		r.targetAt = min(r.targetAt, q.Deadline-cl.Deadline+cl.Target)
 	}
 	if left <= 0 {
 		b.refuse(now, r, DeadlinePassed, 0)
 		return
 	}
-	b.act.SetTimer(left, "end "+strconv.FormatUint(uint64(q.ID), 10))
-	b.retries = min(b.retries+b.set.RetryRatio, b.set.RetryBudget)
+	b.host.SetTimer(left, "end "+strconv.FormatUint(uint64(q.ID), 10))
+	b.tokens = min(b.tokens+b.cfg.RetryRatio, b.cfg.RetryBudget)
 	b.admit(now, r)
 }
 
-// admit decides a new request. Where others' use since the last read could change the answer, its units first
-// go on the counter, whose order decides: no two gateways grant one unit. A request to be shed costs no call.
+// admit decides a new request. Where other gateways' use since the last read could change the outcome, it
+// first reserves the units on the counter: no two gateways grant the same unit. Shed requests make no call.
 func (b *Balancer) admit(now time.Duration, r *request) {
 	c, p := b.customer(now, r), r.plan
-	r.cust, r.worth = c, r.class.Value*p.ValueFactor/r.class.Mean
-	b.density = cmp.Or(b.density, r.worth)
-	b.density += (r.worth - b.density) * 0.02
+	r.customer, r.valueRate = c, r.class.Value*p.ValueFactor/r.class.Mean
+	b.valueRate = cmp.Or(b.valueRate, r.valueRate)
+	b.valueRate += (r.valueRate - b.valueRate) * 0.02
 	if b.shed(now, r, true) {
 		return
 	}
-	for range b.looks {
-		b.scout(now)
+	for range b.maxProbes {
+		b.probeOne(now)
 	}
-	share := p.OverrunCost - p.ExcessWorth + min(1, b.busy(now)/b.limit.Max) // the busier, the dearer
-	loss := r.class.Value * p.ValueFactor * r.Units * max(share, 0.1)        // if beyond the quota
-	b.stake += (loss - b.stake) * 0.02
-	chance := min(1, loss/b.floor) // of a call
-	if b.fails > 0 {
-		chance = 1 // one at a time, to hear of its return
+	share := p.OverrunCost - p.ExcessWorth + min(1, b.load(now)/b.limit.Max) // excess costs more under load
+	loss := r.class.Value * p.ValueFactor * r.Units * max(share, 0.1)        // if it is beyond the quota
+	b.meanLoss += (loss - b.meanLoss) * 0.02
+	chance := min(1, loss/b.minLoss) // of a counter call
+	if b.counterFails > 0 {
+		chance = 1 // one call at a time, to detect its recovery
 	}
-	r.pays = b.rng.Float64() < chance
-	pass, _ := b.inside(now, c, r)
+	r.payable = b.rng.Float64() < chance
+	pass, _ := b.inQuota(now, c, r)
 	room, age := p.Burst-(c.tat-now).Seconds()*p.Rate, now-c.readAt
-	metered := b.set.Counter && c.width > 1 && p.Rate > 0 && share > 0.5 && !b.silent(now)
-	fresh := age <= b.set.CounterTimeout/4 || room-r.Units >= max(p.Burst/2, 2*p.Rate*age.Seconds())
-	fresh = fresh && (p.CeilingRate == 0 || c.share.Allows(now, r.terms(), r.Units))
-	if r.asks = metered && (c.readAt == 0 || pass && !fresh); r.asks {
-		// While calls are scarce, few for a customer whose store was empty at the last reads.
-		if r.pays = r.pays && (b.floor == 0 || b.rng.Float64() < 1/(1+c.over)); r.pays && b.callable(now) {
-			if c.queue = append(c.queue, r); c.call == "" {
+	metered := b.cfg.Counter && c.gateways > 1 && p.Rate > 0 && share > 0.5 && !b.counterDown(now)
+	fresh := age <= b.cfg.CounterTimeout/4 || room-r.Units >= max(p.Burst/2, 2*p.Rate*age.Seconds())
+	fresh = fresh && (p.CeilingRate == 0 || c.ceiling.Allows(now, r.capLimits(), r.Units))
+	if r.uncertain = metered && (c.readAt == 0 || pass && !fresh); r.uncertain {
+		// While calls are limited, few go to customers that had no quota left at the last reads.
+		if r.payable = r.payable && (b.minLoss == 0 || b.rng.Float64() < 1/(1+c.emptyReads)); r.payable &&
+			b.mayCall(now) {
+			if c.awaiting = append(c.awaiting, r); c.call == "" {
 				b.callCounter(now, c)
 			}
 			return
 		}
-		r.beyond = c.over > 0
+		r.assumedOver = c.emptyReads > 0
 	}
 	b.decide(now, r)
 }
 
-// decide refuses a request or sends it on.
+// decide refuses a request or dispatches it.
 func (b *Balancer) decide(now time.Duration, r *request) {
-	c := r.cust
+	c := r.customer
 	to, delay := b.pick(now, r)
-	inside, wait := b.inside(now, c, r)
+	inside, wait := b.inQuota(now, c, r)
 	if to == nil {
 		if inside {
-			b.sent++
+			b.attempted++
 		}
 		b.refuse(now, r, NoServer, r.class.Target/2)
 		return
 	}
-	if r.beyond {
+	if r.assumedOver {
 		inside, wait = false, max(wait, r.plan.span(r.Units))
 	}
 	p := r.plan
@@ -245,185 +245,185 @@
 		b.refuse(now, r, OverQuota, wait)
 		return
 	}
-	if r.asks && !r.known { // it may be beyond its quota, and is less worth sending the likelier that is
-		r.worth *= max(0, 1-b.beyond*(1+p.OverrunCost-p.ExcessWorth))
+	if r.uncertain && !r.confirmed { // the likelier it is beyond its quota, the less it is worth
+		r.valueRate *= max(0, 1-b.overQuota*(1+p.OverrunCost-p.ExcessWorth))
 	}
-	if !(inside && r.known) && b.shed(now, r, inside) {
+	if !(inside && r.confirmed) && b.shed(now, r, inside) {
 		return
 	}
-	c.heat, c.heatAt = c.heat*math.Exp(-(now-c.heatAt).Seconds()/2)+0.5, now
-	crowd := c.heat * r.class.Mean * float64(c.width) // what the set should have out
-	if b.set.Counter && p.MaxOut > 0 && c.width > 1 && (c.out > 0 || crowd > 0.2*float64(p.MaxOut)) {
+	c.arrivals, c.arrivalsAt = c.arrivals*math.Exp(-(now-c.arrivalsAt).Seconds()/2)+0.5, now
+	demand := c.arrivals * r.class.Mean * float64(c.gateways) // expected at all gateways
+	if b.cfg.Counter && p.MaxOut > 0 && c.gateways > 1 && (c.inFlight > 0 || demand > 0.2*float64(p.MaxOut)) {
 		c.waiting = append(c.waiting, r)
-		b.claim(now, c)
+		b.claimSlots(now, c)
 		return
 	}
-	b.place(now, r, to, inside, wait)
+	b.dispatch(now, r, to, inside, wait)
 }
 
-// shed refuses a request that would be late, and would make others late. The less its worth a second of work,
-// the smaller the part of the limit that is open to it.
+// shed refuses a request that would miss its target and delay others. The lower its value per second of work,
+// the smaller the part of the limit that it may use.
 func (b *Balancer) shed(now time.Duration, r *request, inside bool) bool {
-	keen := 1.2 * max(0.1, r.worth) / (r.worth + b.density/2)
-	why := Shed
-	if r.aimAt <= now { // a repeat too late for its aim: in a retry storm, most of the load
-		keen, why = r.class.LateValue, TargetPassed
+	part := 1.2 * max(0.1, r.valueRate) / (r.valueRate + b.valueRate/2)
+	reason := Shed
+	if r.targetAt <= now { // a retry past its target: in a retry storm, most of the load
+		part, reason = r.class.LateValue, TargetPassed
 	}
 	if !inside {
-		keen = min(keen, 0.5)
+		part = min(part, 0.5)
 	}
-	if b.busy(now) < b.limit.Max*keen {
+	if b.load(now) < b.limit.Max*part {
 		return false
 	}
-	b.refuse(now, r, why, seconds(r.class.Target.Seconds()*(0.25+b.rng.Float64()/2))) // not all together
+	b.refuse(now, r, reason, seconds(r.class.Target.Seconds()*(0.25+b.rng.Float64()/2))) // jittered
 	return true
 }
 
-// maySend is rule 2, with the limits on attempts.
+// maySend enforces rule 2 (no unsafe repeats) and the limits on attempts.
 func (b *Balancer) maySend(now time.Duration, r *request, be *backend) bool {
-	if r.done || r.stream || b.reached(r) >= r.most || r.out > 0 && !b.set.Hedging {
+	if r.done || r.streaming || b.countedAttempts(r) >= r.maxAttempts || r.inFlight > 0 && !b.cfg.Hedging {
 		return false
 	}
-	first := r.bound()
+	first := r.firstExecuted()
 	if first == nil || r.class.Effect == Retryable {
 		return true
 	}
-	if r.class.Effect == NonRetryable || now-first.sent+2*b.set.Tick >= r.class.KeyTTL {
+	if r.class.Effect == NonRetryable || now-first.sentAt+2*b.cfg.Tick >= r.class.KeyTTL {
 		return false
 	}
 	group := r.class.Group
-	near := be.Member.Zone == first.to.Member.Zone
-	return group == AllBackends || near && (group == SameZone || be.Cell == first.to.Cell)
+	near := be.Member.Zone == first.backend.Member.Zone
+	return group == AllBackends || near && (group == SameZone || be.Cell == first.backend.Cell)
 }
 
 func (b *Balancer) send(now time.Duration, r *request, be *backend) {
-	a := &attempt{req: r, to: be, sent: now, out: true}
-	r.tries = append(r.tries, a)
-	be.outs = append(be.outs, a)
-	be.allowed--
-	be.looked = 0
-	b.turns.Advance(&be.seat, b.size(be)*max(be.part, 0.05), b.mass)
-	b.sent++
-	r.out++
-	b.open++
-	r.cust.out++
+	a := &attempt{req: r, backend: be, sentAt: now, pending: true}
+	r.attempts = append(r.attempts, a)
+	be.open = append(be.open, a)
+	be.allowance--
+	be.probedAt = 0
+	b.turns.Advance(&be.position, b.weight(be)*max(be.use, 0.05), b.usedWeight)
+	b.attempted++
+	r.inFlight++
+	b.inFlight++
+	r.customer.inFlight++
 	if r.class.Effect != NonRetryable {
-		b.act.SetTimer(r.class.Slow(), "tardy "+strconv.FormatUint(uint64(r.ID), 10))
+		b.host.SetTimer(r.class.Slow(), "tardy "+strconv.FormatUint(uint64(r.ID), 10))
 	}
-	b.act.Send(r.ID, be.ID, 0)
+	b.host.Send(r.ID, be.ID, 0)
 }
 
-// refuse answers that a new try does no harm; only for what has not run, or may run again.
-func (b *Balancer) refuse(now time.Duration, r *request, why Reason, wait time.Duration) {
-	b.books.Refused[why]++
-	if !b.set.RetryAfter {
+// refuse tells the client that a retry is safe. Only for requests that have not run, or may run again.
+func (b *Balancer) refuse(now time.Duration, r *request, reason Reason, wait time.Duration) {
+	b.totals.Refused[reason]++
+	if !b.cfg.RetryAfter {
 		wait = 0
 	}
-	b.end(now, r)
-	b.act.Refuse(r.ID, min(max(wait, 0), b.set.MaxRetryAfter))
+	b.finish(now, r)
+	b.host.Refuse(r.ID, min(max(wait, 0), b.cfg.MaxRetryAfter))
 }
 
-// giveUp gives the final answer to a request that was not served.
-func (b *Balancer) giveUp(now time.Duration, r *request) {
-	if r.bound() == nil || r.class.Effect == Retryable {
-		b.refuse(now, r, AttemptsUsed, seconds(r.class.Mean)) // an immediate retry would add to a storm
+// answerUnserved refuses or fails a request that was not served.
+func (b *Balancer) answerUnserved(now time.Duration, r *request) {
+	if r.firstExecuted() == nil || r.class.Effect == Retryable {
+		b.refuse(now, r, AttemptsUsed, seconds(r.class.Mean)) // the cause may last: no retry storm
 	} else {
-		b.end(now, r)
-		b.act.Fail(r.ID)
+		b.finish(now, r)
+		b.host.Fail(r.ID)
 	}
 }
 
-// end closes a request, and calls off what it still has out.
-func (b *Balancer) end(now time.Duration, r *request) {
-	for i, a := range r.tries {
-		if a.out && !r.done && !r.stream && b.set.Cancels {
-			b.act.Cancel(r.ID, i)
+// finish closes a request and cancels its pending attempts.
+func (b *Balancer) finish(now time.Duration, r *request) {
+	for i, a := range r.attempts {
+		if a.pending && !r.done && !r.streaming && b.cfg.Cancels {
+			b.host.Cancel(r.ID, i)
 		}
 	}
-	if r.done = true; r.out == 0 {
-		delete(b.reqs, r.ID)
-		b.release(now, r)
+	if r.done = true; r.inFlight == 0 {
+		delete(b.requests, r.ID)
+		b.releaseSlot(now, r)
 	}
 }
 
-// Outcome takes the end of an attempt.
+// HandleOutcome processes the end of an attempt.
 func (b *Balancer) HandleOutcome(now time.Duration, o Outcome) {
-	r := b.reqs[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.tries) || !r.tries[o.Attempt].out {
+	r := b.requests[o.ID]
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].pending {
 		return
 	}
-	a := r.tries[o.Attempt]
-	a.out, a.status = false, o.Status
-	r.out, b.open, r.cust.out = r.out-1, b.open-1, r.cust.out-1
-	a.to.outs = slices.DeleteFunc(a.to.outs, func(x *attempt) bool { return x == a })
-	b.learn(now, a, o)
-	if o.Status == OK && o.ActualUnits > 0 && r.inside && r.plan.Rate > 0 {
-		c, diff := r.cust, o.ActualUnits-r.Units
+	a := r.attempts[o.Attempt]
+	a.pending, a.status = false, o.Status
+	r.inFlight, b.inFlight, r.customer.inFlight = r.inFlight-1, b.inFlight-1, r.customer.inFlight-1
+	a.backend.open = slices.DeleteFunc(a.backend.open, func(x *attempt) bool { return x == a })
+	b.observe(now, a, o)
+	if o.Status == OK && o.ActualUnits > 0 && r.inQuota && r.plan.Rate > 0 {
+		c, diff := r.customer, o.ActualUnits-r.Units
 		c.tat += r.plan.span(diff)
-		c.unsent += diff
+		c.unreported += diff
 	}
 	switch {
 	case r.done || o.Final || o.Status == OK:
-		b.end(now, r)
-	case r.out == 0 && !b.again(now, r):
-		b.giveUp(now, r)
+		b.finish(now, r)
+	case r.inFlight == 0 && !b.retry(now, r):
+		b.answerUnserved(now, r)
 	}
 }
 
-// again sends a request that has no attempt out once more, where rules, time and budget allow.
-func (b *Balancer) again(now time.Duration, r *request) bool {
+// retry sends a request again, if the rules, its deadline and the retry budget allow.
+func (b *Balancer) retry(now time.Duration, r *request) bool {
 	to, delay := b.pick(now, r)
-	if to == nil || now+delay > r.Deadline || b.retries < b.price(r) || now >= min(r.aimAt, r.Deadline) {
+	if to == nil || now+delay > r.Deadline || b.tokens < b.price(r) || now >= min(r.targetAt, r.Deadline) {
 		return false
 	}
-	b.retries -= b.price(r)
+	b.tokens -= b.price(r)
 	b.send(now, r, to)
 	return true
 }
 
-// tardy hedges a request whose backend has said nothing since it was sent: a lost backend, not long work.
-func (b *Balancer) tardy(now time.Duration, r *request) {
-	i := slices.IndexFunc(r.tries, func(a *attempt) bool { return a.out })
-	if r.out != 1 || now >= r.aimAt || r.tries[i].to.heard >= r.tries[i].sent ||
-		now-r.tries[i].sent < r.class.Slow()/2 {
+// hedge retries a request whose backend has sent nothing since: probably lost, not just slow.
+func (b *Balancer) hedge(now time.Duration, r *request) {
+	i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.pending })
+	if r.inFlight != 1 || now >= r.targetAt || r.attempts[i].backend.lastAnswer >= r.attempts[i].sentAt ||
+		now-r.attempts[i].sentAt < r.class.Slow()/2 {
 		return
 	}
-	if b.set.Hedging {
-		b.again(now, r)
-	} else if b.set.Cancels && b.retries >= 1 && len(r.tries) < r.most {
-		b.act.Cancel(r.ID, i)
+	if b.cfg.Hedging {
+		b.retry(now, r)
+	} else if b.cfg.Cancels && b.tokens >= 1 && len(r.attempts) < r.maxAttempts {
+		b.host.Cancel(r.ID, i)
 	}
 }
 
-// Accepted tells that the answer to an attempt has started to stream.
+// HandleStreamStart records that the response to an attempt has started to stream.
 func (b *Balancer) HandleStreamStart(now time.Duration, id uint32, try int) {
-	if r := b.reqs[id]; r != nil && try >= 0 && try < len(r.tries) {
-		r.tries[try].to.heard, r.stream = now, true
+	if r := b.requests[id]; r != nil && try >= 0 && try < len(r.attempts) {
+		r.attempts[try].backend.lastAnswer, r.streaming = now, true
 	}
 }
 
-// Gone tells that nobody waits for a request any more.
+// HandleClientGone closes a request whose client has disconnected.
 func (b *Balancer) HandleClientGone(now time.Duration, id uint32) {
-	if r := b.reqs[id]; r != nil {
-		b.end(now, r)
+	if r := b.requests[id]; r != nil {
+		b.finish(now, r)
 	}
 }
 
-// Timer takes a timer that has fired.
+// HandleTimer processes a timer that has fired.
 func (b *Balancer) HandleTimer(now time.Duration, token string) {
 	kind, digits, _ := strings.Cut(token, " ")
-	id, _ := strconv.ParseUint("0"+digits, 10, 32) // a beat has none: no error is made of it
-	r := b.reqs[uint32(id)]
+	id, _ := strconv.ParseUint("0"+digits, 10, 32) // the housekeeping timer has no id
+	r := b.requests[uint32(id)]
 	switch {
 	case kind == HousekeepingTimer:
-		b.act.SetTimer(b.beat, HousekeepingTimer)
+		b.host.SetTimer(b.interval, HousekeepingTimer)
 		b.housekeep(now)
 	case kind == "watch":
-		b.act.Watch(true)
-	case r == nil || r.done || r.stream:
+		b.host.Watch(true)
+	case r == nil || r.done || r.streaming:
 	case kind == "end":
-		b.giveUp(now, r)
+		b.answerUnserved(now, r)
 	case kind == "tardy":
-		b.tardy(now, r)
+		b.hedge(now, r)
 	}
 }
--- a/choice/close.go
+++ b/choice/close.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// GiveUp gives a request its final answer now, as at its end: the process is ending.
+// AnswerNow gives a request its final answer before its deadline, because the process is shutting down.
 func (b *Balancer) AnswerNow(now time.Duration, id uint32) {
-	if r := b.reqs[id]; r != nil && !r.done && !r.stream {
-		b.giveUp(now, r)
+	if r := b.requests[id]; r != nil && !r.done && !r.streaming {
+		b.answerUnserved(now, r)
 	}
 }
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -41,7 +41,7 @@
 // A probe that succeeds brings a backend back in full: marks of the past must not keep it unused for good.
 func TestProbedBackendIsUsedAgain(t *testing.T) {
 	b, rec := start(t, func(s *Settings) { s.Probes = true })
-	for _, be := range b.fleet {
+	for _, be := range b.backends {
 		if be.Member.Zone == "a" {
 			for range 3 {
 				be.EjectedUntil = 0
@@ -49,7 +49,7 @@
 			}
 		}
 	}
-	for now := time.Duration(0); now < 10*time.Second; now += b.beat {
+	for now := time.Duration(0); now < 10*time.Second; now += b.interval {
 		b.HandleTimer(now, "beat")
 		for _, id := range rec.probes {
 			b.HandleProbe(now, ProbeResult{Backend: id})
@@ -97,8 +97,8 @@
 		now := time.Duration(id) * 10 * msec
 		b.HandleRequest(now, ask(id, "once", "free", now))
 		for len(rec.sends) > 0 {
-			rec.end(b, now, len(b.reqs[id].tries)-1, Overloaded)
-			if b.reqs[id] == nil {
+			rec.end(b, now, len(b.requests[id].attempts)-1, Overloaded)
+			if b.requests[id] == nil {
 				break
 			}
 		}
@@ -182,8 +182,8 @@
 	be := b.byID[1]
 	be.probing = true
 	b.HandleProbe(time.Second, ProbeResult{Backend: 1, Status: NotExecuted})
-	if be.probing || be.EjectedUntil != 0 || be.looked != 0 || be.Ejections != 0 {
-		t.Errorf("probing %v, left out until %v, looked %v, strikes %d", be.probing, be.EjectedUntil, be.looked, be.Ejections)
+	if be.probing || be.EjectedUntil != 0 || be.probedAt != 0 || be.Ejections != 0 {
+		t.Errorf("probing %v, left out until %v, looked %v, strikes %d", be.probing, be.EjectedUntil, be.probedAt, be.Ejections)
 	}
 }
 
@@ -196,16 +196,16 @@
 		b.HandleRequest(0, ask(id, "read", "free", 0))
 	}
 	stranded := map[uint32]bool{}
-	for _, be := range b.fleet {
+	for _, be := range b.backends {
 		if be.Member.Zone == "a" {
-			for _, a := range be.outs {
+			for _, a := range be.open {
 				stranded[a.req.ID] = true
 			}
 		}
 	}
 	before, shown := len(rec.sends), 0
-	b.retries = 100
-	for _, be := range b.fleet {
+	b.tokens = 100
+	for _, be := range b.backends {
 		if be.Member.Zone == "a" {
 			shown = len(rec.sends) // the second one that fails shows the zone
 			b.eject(0, be)
@@ -220,13 +220,13 @@
 		t.Errorf("%d reads still wait for the lost zone alone", len(stranded))
 	}
 	out := 0
-	for _, be := range b.fleet {
+	for _, be := range b.backends {
 		if be.Member.Zone == "a" {
-			out += len(be.outs)
+			out += len(be.open)
 		}
 	}
-	if b.busy(time.Minute); out == 0 || math.Abs(b.limit.Load-float64(b.open-out)) > 0.5 {
-		t.Errorf("load %v, want the %d out less the %d at backends that look dead", b.limit.Load, b.open, out)
+	if b.load(time.Minute); out == 0 || math.Abs(b.limit.Load-float64(b.inFlight-out)) > 0.5 {
+		t.Errorf("load %v, want the %d out less the %d at backends that look dead", b.limit.Load, b.inFlight, out)
 	}
 }
 
@@ -235,11 +235,11 @@
 	b, rec := start(t, nil)
 	b.limit.Max = 100
 	fleet := []Member{}
-	for _, be := range b.fleet {
+	for _, be := range b.backends {
 		be.Member.Started = time.Second
 		fleet = append(fleet, be.Member)
 	}
-	for _, be := range b.fleet {
+	for _, be := range b.backends {
 		be.Member.Started = 0
 	}
 	b.HandleRoster(time.Second, RosterUpdate{Members: fleet})
@@ -283,7 +283,7 @@
 func TestWorthDecidesUnderLoad(t *testing.T) {
 	for worth, want := range map[float64]bool{5: true, 1: false} {
 		b, rec := start(t, func(s *Settings) { s.Classes[2].Value = worth })
-		b.limit.Max, b.open, b.limit.Load, b.density = 10, 8, 8, 30 // the mean of those asked is 3 in 0.1 s
+		b.limit.Max, b.inFlight, b.limit.Load, b.valueRate = 10, 8, 8, 30 // the mean of those asked is 3 in 0.1 s
 		b.HandleRequest(0, ask(1, "once", "free", 0))
 		if sent := len(rec.sends) == 1; sent != want {
 			t.Errorf("worth %v: sent %v, want %v", worth, sent, want)
@@ -307,7 +307,7 @@
 		}
 		b.HandleRoster(0, fleet)
 		b.limit.Max = 100
-		b.sends, b.sent, b.beats = sends, sends*b.beat.Seconds(), 100
+		b.sendRate, b.attempted, b.intervals = sends, sends*b.interval.Seconds(), 100
 		b.housekeep(0)
 		all, recs = append(all, b), append(recs, rec)
 	}
@@ -321,13 +321,13 @@
 	all, _ := gateways(t, doors, size, sends)
 	allowed := 0
 	for _, b := range all {
-		for _, be := range b.fleet {
-			if be.part == 0 { // back a second ago
+		for _, be := range b.backends {
+			if be.use == 0 { // back a second ago
 				be.Member.Started = 10 * time.Second
-				be.allowed, be.allowedAt = b.rng.Float64(), 10*time.Second
+				be.allowance, be.allowanceAt = b.rng.Float64(), 10*time.Second
 				for now := 10 * time.Second; now < 12*time.Second; now += 100 * msec {
-					for b.coldRoom(now, be) {
-						be.allowed--
+					for b.coldOK(now, be) {
+						be.allowance--
 						allowed++
 					}
 				}
--- a/choice/meter.go
+++ b/choice/meter.go
@@ -1,6 +1,6 @@
 package choice
 
-// Customers: quotas, caps, ceilings, and the shared counter.
+// Customer quotas, concurrency caps and ceilings, and the calls to the shared counter.
 
 import (
 	"math"
@@ -10,306 +10,306 @@
 	"asterwell/internal/ratecap"
 )
 
-// customer is the meter of one customer at this gateway.
+// customer meters one customer at this gateway.
 type customer struct {
-	key        string
-	plan       *Plan
-	tat, seen  time.Duration
-	width, out int
+	key                string
+	plan               *Plan
+	tat, seenAt        time.Duration
+	gateways, inFlight int
 
-	unsent, flying float64       // units not yet on the counter (below 0: owed back); in the call
-	fix            float64       // of these, what stands for idle time
-	call           string        // name of the call under way
-	period         int64         // of that name
-	queue          []*request    // waiting for its answer
-	asked          int           // of those, the ones whose units are in the call
-	owes           bool          // units of a request that was not sent on are on the count
-	over           float64       // reads that found its store empty, of late
-	readAt         time.Duration // last answer; 0: never
+	unreported, reporting float64       // units not on the counter yet (negative: to take back); in the call
+	idleUnits             float64       // of the unreported units, those that stand for idle time
+	call                  string        // counter name of the call under way
+	callPeriod            int64         // of the counter name
+	awaiting              []*request    // requests that wait for the call
+	inCall                int           // number of those whose units are in the call
+	owesUnits             bool          // the counter has units of a request that was not dispatched
+	emptyReads            float64       // recent reads that found no quota left
+	readAt                time.Duration // last response; 0: none
 
-	assumeAt time.Duration // TAT was moved until then for a silent counter
+	assumedUntil time.Duration // TAT covers an outage of the counter up to then
 
 	slots
-	heat   float64 // arrivals a second
-	heatAt time.Duration
-	share  ratecap.Share
+	arrivals   float64 // a second
+	arrivalsAt time.Duration
+	ceiling    ratecap.Share
 }
 
-// slots keep attempts out under a cap held by all gateways. A request waits only where others may matter.
+// slots keep attempts under a cap shared by all gateways. Requests wait only where other gateways matter.
 type slots struct {
-	change, moving, mine float64 // not yet added; in the call under way; this gateway's part of the count
-	since                int64   // the count's period
-	waiting              []*request
-	asking               bool
-	claimed              int // of those waiting, the ones in the call under way
+	delta, deltaInCall, ownCount float64 // not yet added; in the call; own part of the count
+	period                       int64   // of the count
+	waiting                      []*request
+	claiming                     bool
+	claimsInCall                 int // number of waiting requests in the call
 }
 
-// silent reports whether the counter has answered nothing for a while: a call or two may time out in a crowd.
-func (b *Balancer) silent(now time.Duration) bool {
-	return b.fails > 2 && now-b.silentAt > 8*b.set.CounterTimeout
+// counterDown reports an outage of the counter. One or two timeouts may only mean that it is overloaded.
+func (b *Balancer) counterDown(now time.Duration) bool {
+	return b.counterFails > 2 && now-b.silentSince > 8*b.cfg.CounterTimeout
 }
 
-// callable reports whether the counter may be called: while it fails, one at a time and ever more seldom.
-func (b *Balancer) callable(now time.Duration) bool {
-	return now >= b.callAfter && (b.fails == 0 || len(b.calls) == 0)
+// mayCall reports whether the counter may be called: one at a time and with backoff while calls fail.
+func (b *Balancer) mayCall(now time.Duration) bool {
+	return now >= b.nextCallAt && (b.counterFails == 0 || len(b.counterCalls) == 0)
 }
 
-// claim asks the counter for room under the cap for all that wait, and gives back what has ended.
-func (b *Balancer) claim(now time.Duration, c *customer) {
-	if c.asking || c.change == 0 && len(c.waiting) == 0 {
+// claimSlots claims slots on the counter for all waiting requests, and returns those of ended ones.
+func (b *Balancer) claimSlots(now time.Duration, c *customer) {
+	if c.claiming || c.delta == 0 && len(c.waiting) == 0 {
 		return
 	}
-	others := c.plan.MaxOut - (c.plan.MaxOut+c.width-1)/c.width // all but an even share, if none answers
-	if !b.callable(now) {
-		b.grant(now, c, len(c.waiting), others)
+	// Without a response, the other gateways are taken to use all but an even share.
+	others := c.plan.MaxOut - (c.plan.MaxOut+c.gateways-1)/c.gateways
+	if !b.mayCall(now) {
+		b.grantSlots(now, c, len(c.waiting), others)
 		return
 	}
-	if since := 1 + int64(now/b.slotPeriod); c.since != since {
-		c.since, c.mine, c.change = since, 0, 0
+	if period := 1 + int64(now/b.claimPeriod); c.period != period {
+		c.period, c.ownCount, c.delta = period, 0, 0
 	}
-	c.asking, c.claimed = true, len(c.waiting)
+	c.claiming, c.claimsInCall = true, len(c.waiting)
 	for _, r := range c.waiting {
-		r.slot = c.since
+		r.claimPeriod = c.period
 	}
-	c.moving, c.change = c.change+float64(c.claimed), 0
-	name := c.key + ".o" + strconv.FormatInt(c.since, 36)
-	b.act.AddToCounter(name, c.moving, CounterNameTTL)
-	b.calls[name] = func(now time.Duration, e CounterResult) {
-		c.asking = false
+	c.deltaInCall, c.delta = c.delta+float64(c.claimsInCall), 0
+	name := c.key + ".o" + strconv.FormatInt(c.period, 36)
+	b.host.AddToCounter(name, c.deltaInCall, CounterTTL)
+	b.counterCalls[name] = func(now time.Duration, e CounterResult) {
+		c.claiming = false
 		if e.Status == Overloaded || e.Status == ConnectFailed {
-			c.change += c.moving - float64(c.claimed)
-			for _, r := range c.waiting[:c.claimed] {
-				r.slot = 0
+			c.delta += c.deltaInCall - float64(c.claimsInCall)
+			for _, r := range c.waiting[:c.claimsInCall] {
+				r.claimPeriod = 0
 			}
-		} else if c.mine += c.moving; e.Status == OK { // a timed-out claim is taken as landed, as with units
-			others = int(math.Round(max(0, e.Total-c.mine)))
+		} else if c.ownCount += c.deltaInCall; e.Status == OK { // a timeout counts as added
+			others = int(math.Round(max(0, e.Total-c.ownCount)))
 		}
-		b.grant(now, c, c.claimed, others)
-		b.claim(now, c)
+		b.grantSlots(now, c, c.claimsInCall, others)
+		b.claimSlots(now, c)
 	}
 }
 
-// grant decides the first n that wait, given how many attempts others have out.
-func (b *Balancer) grant(now time.Duration, c *customer, n, others int) {
+// grantSlots decides the first n waiting requests, given the attempts of other gateways.
+func (b *Balancer) grantSlots(now time.Duration, c *customer, n, others int) {
 	ready := c.waiting[:n]
 	c.waiting = c.waiting[n:]
 	for _, r := range ready {
 		to, _ := b.pick(now, r)
-		inside, wait := b.inside(now, c, r)
+		inside, wait := b.inQuota(now, c, r)
 		switch {
 		case r.done:
-			b.release(now, r)
-		case to == nil || !inside || c.out+others >= r.plan.MaxOut:
+			b.releaseSlot(now, r)
+		case to == nil || !inside || c.inFlight+others >= r.plan.MaxOut:
 			b.refuse(now, r, OverQuota, max(wait, seconds(r.class.Mean)))
 		default:
-			b.place(now, r, to, true, wait)
+			b.dispatch(now, r, to, true, wait)
 		}
 	}
 }
 
-// release gives a request's slot back.
-func (b *Balancer) release(now time.Duration, r *request) {
-	if r.slot != 0 && r.slot == r.cust.since {
-		r.cust.change--
-		r.slot = 0
-		b.claim(now, r.cust)
+// releaseSlot returns a request's slot.
+func (b *Balancer) releaseSlot(now time.Duration, r *request) {
+	if r.claimPeriod != 0 && r.claimPeriod == r.customer.period {
+		r.customer.delta--
+		r.claimPeriod = 0
+		b.claimSlots(now, r.customer)
 	}
 }
 
-// place takes a request's units and sends it.
-func (b *Balancer) place(now time.Duration, r *request, to *backend, inside bool, wait time.Duration) {
-	c := r.cust
+// dispatch charges a request's units and sends it.
+func (b *Balancer) dispatch(now time.Duration, r *request, to *backend, inside bool, wait time.Duration) {
+	c := r.customer
 	if r.plan.CeilingRate > 0 && !b.underCeiling(now, r, inside) {
 		b.refuse(now, r, OverCeiling, wait)
 		return
 	}
-	if r.inside = inside; inside && r.plan.Rate > 0 {
+	if r.inQuota = inside; inside && r.plan.Rate > 0 {
 		c.tat = max(now, c.tat) + r.plan.span(r.Units)
-		c.unsent += r.Units
+		c.unreported += r.Units
 	}
 	b.send(now, r, to)
-	b.sync(now, c, r.pays)
+	b.syncCounter(now, c, r.payable)
 }
 
-// underCeiling takes a request's units from this gateway's share of the ceiling (rule 5), where the counter's
-// word does not do. It doesn't for the time in which a store fills after a period's start, nor for a while
-// after a sign that counts were lost.
+// underCeiling takes units from this gateway's share of the ceiling (rule 5) unless confirmed by the counter.
+// That isn't enough until a burst has refilled after a period's start, nor shortly after counts were lost.
 func (b *Balancer) underCeiling(now time.Duration, r *request, inside bool) bool {
-	p, t, word := r.plan, r.terms(), ratecap.CounterUnavailable
+	p, caps, assurance := r.plan, r.capLimits(), ratecap.CounterUnavailable
 	switch {
-	case !b.set.Counter || p.Rate == 0 || t.Rate <= p.Rate || t.Burst <= p.Burst || b.silent(now):
-	case !inside || !r.known:
-		word = ratecap.NotAsked
-	case now%namePeriod < p.span(p.Burst) || now-b.doubtAt < t.DistrustPeriod():
-		word = ratecap.Doubtful
+	case !b.cfg.Counter || p.Rate == 0 || caps.Rate <= p.Rate || caps.Burst <= p.Burst || b.counterDown(now):
+	case !inside || !r.confirmed:
+		assurance = ratecap.NotAsked
+	case now%counterPeriod < p.span(p.Burst) || now-b.doubtedAt < caps.DistrustPeriod():
+		assurance = ratecap.Doubtful
 	default:
-		word = ratecap.Confirmed
+		assurance = ratecap.Confirmed
 	}
-	return r.cust.share.Take(now, t, r.Units, word)
+	return r.customer.ceiling.Take(now, caps, r.Units, assurance)
 }
 
-func (r *request) terms() ratecap.Limits {
+func (r *request) capLimits() ratecap.Limits {
 	return ratecap.Limits{Rate: r.plan.CeilingRate, Burst: r.plan.CeilingBurst, QuotaRate: r.plan.Rate,
 		QuotaBurst: r.plan.Burst, Gateways: float64(r.Gateways)}
 }
 
-// span is the time that units stand for: each the emission interval T.
+// span is the time that units take at the plan's rate (GCRA's emission interval for each).
 func (p *Plan) span(units float64) time.Duration { return seconds(units / p.Rate) }
 
-// customer finds or makes a customer's meter. While the counter cannot tell, an unseen one gets its even
-// share of the burst, at least its largest request, since others may have granted the rest.
+// customer returns a customer's meter. A new one starts with an even share of the burst, as others may have
+// granted the rest, but at least the largest request.
 func (b *Balancer) customer(now time.Duration, r *request) *customer {
 	c := b.customers[r.Customer]
 	if c == nil {
-		c = &customer{key: r.Customer, plan: r.plan, width: r.Gateways, assumeAt: now}
-		c.share = ratecap.New(b.started)
+		c = &customer{key: r.Customer, plan: r.plan, gateways: r.Gateways, assumedUntil: now}
+		c.ceiling = ratecap.New(b.startedAt)
 		if c.tat = now; r.plan.Rate > 0 {
-			free := min(max(r.plan.Burst/float64(r.Gateways), b.set.MaxUnits, 1), r.plan.Burst)
+			free := min(max(r.plan.Burst/float64(r.Gateways), b.cfg.MaxUnits, 1), r.plan.Burst)
 			c.tat = now + r.plan.span(r.plan.Burst-free)
 		}
 		b.customers[r.Customer] = c
-		b.idlers = append(b.idlers, c)
-	} else if b.ended[c.plan] {
-		b.carry(now, c, r.plan)
+		b.meters = append(b.meters, c)
+	} else if b.oldPlans[c.plan] {
+		b.transfer(now, c, r.plan)
 	}
-	c.seen, c.width = now, r.Gateways
+	c.seenAt, c.gateways = now, r.Gateways
 	return c
 }
 
-// inside is GCRA's test. It also tells how long a refused client should wait.
-func (b *Balancer) inside(now time.Duration, c *customer, r *request) (bool, time.Duration) {
-	if r.plan.MaxOut > 0 && c.out >= r.plan.MaxOut {
+// inQuota is the GCRA test. It also returns how long a refused client should wait.
+func (b *Balancer) inQuota(now time.Duration, c *customer, r *request) (bool, time.Duration) {
+	if r.plan.MaxOut > 0 && c.inFlight >= r.plan.MaxOut {
 		return false, seconds(r.class.Mean)
 	}
 	if r.plan.Rate == 0 {
 		return true, 0
 	}
-	b.assume(now, c)
+	b.assumeOthers(now, c)
 	at := c.tat + r.plan.span(r.Units-r.plan.Burst)
 	return now >= at, at - now
 }
 
-// assume stands in for a silent counter: others are taken to use all but this gateway's even share.
-func (b *Balancer) assume(now time.Duration, c *customer) {
-	if from := max(c.assumeAt, b.silentAt, c.readAt); b.silent(now) && from < now {
-		c.tat += time.Duration(float64(now-from) * (1 - 1/float64(c.width)))
+// assumeOthers replaces a counter that is down: other gateways are assumed to use all but an even share.
+func (b *Balancer) assumeOthers(now time.Duration, c *customer) {
+	if from := max(c.assumedUntil, b.silentSince, c.readAt); b.counterDown(now) && from < now {
+		c.tat += time.Duration(float64(now-from) * (1 - 1/float64(c.gateways)))
 	}
-	c.assumeAt = now
+	c.assumedUntil = now
 }
 
-// sync adds units to the counter and reads others' where it matters: enough is unreported, or the limit near.
-// What was put there for a request that is not sent on is taken back at once.
-func (b *Balancer) sync(now time.Duration, c *customer, pays bool) {
+// syncCounter reports units and reads those of others, once enough are unreported or the quota is nearly used
+// up. Units reserved for requests that were not dispatched are taken back at once.
+func (b *Balancer) syncCounter(now time.Duration, c *customer, payable bool) {
 	p := c.plan
-	if !b.set.Counter || p.Rate == 0 || c.call != "" || !b.callable(now) {
+	if !b.cfg.Counter || p.Rate == 0 || c.call != "" || !b.mayCall(now) {
 		return
 	}
-	near := c.unsent > 0 && c.tat-now > p.span(p.Burst/2)
-	if len(c.queue) > 0 || c.fix != 0 || c.owes || pays && (near || c.unsent >= p.Burst/float64(4*c.width)) {
+	near := c.unreported > 0 && c.tat-now > p.span(p.Burst/2)
+	if len(c.awaiting) > 0 || c.idleUnits != 0 || c.owesUnits ||
+		payable && (near || c.unreported >= p.Burst/float64(4*c.gateways)) {
 		b.callCounter(now, c)
 	}
 }
 
 func (b *Balancer) callCounter(now time.Duration, c *customer) {
-	c.period, c.asked = int64(now/namePeriod), len(c.queue)
-	if b.silent(now) || c.readAt < b.backAt {
-		// Units passed while the counter was silent: what this gateway assumed of the others stands for all,
-		// and whoever reads first writes it down. Reported on top of that they would count twice.
-		c.unsent = min(c.unsent, 0)
+	c.callPeriod, c.inCall = int64(now/counterPeriod), len(c.awaiting)
+	if b.counterDown(now) || c.readAt < b.silenceEnd {
+		// The assumed use of other gateways already covers units granted during the outage, and the first
+		// reader writes it to the counter. Reporting these units as well would count them twice.
+		c.unreported = min(c.unreported, 0)
 	}
 	reserved := 0.0
-	for _, r := range c.queue {
+	for _, r := range c.awaiting {
 		reserved += r.Units
 	}
-	c.call = c.key + b.names + "." + strconv.FormatInt(c.period, 36)
-	c.flying, c.unsent, c.owes = c.unsent+reserved, -reserved, false
-	b.calls[c.call] = func(now time.Duration, e CounterResult) { b.synced(now, c, e) }
-	b.act.AddToCounter(c.call, c.flying, CounterNameTTL)
+	c.call = c.key + b.counterSuffix + "." + strconv.FormatInt(c.callPeriod, 36)
+	c.reporting, c.unreported, c.owesUnits = c.unreported+reserved, -reserved, false
+	b.counterCalls[c.call] = func(now time.Duration, e CounterResult) { b.counterAnswered(now, c, e) }
+	b.host.AddToCounter(c.call, c.reporting, CounterTTL)
 }
 
-// Counted takes the end of a counter call.
+// HandleCounter processes the end of a counter call.
 func (b *Balancer) HandleCounter(now time.Duration, e CounterResult) {
-	then := b.calls[e.Name]
-	if then == nil {
+	handle := b.counterCalls[e.Name]
+	if handle == nil {
 		return
 	}
-	delete(b.calls, e.Name)
-	failed := e.Status != OK && e.Status != Error     // a spoilt answer is one: neither crowd nor silence
-	if failed || e.Elapsed > b.set.CounterTimeout/2 { // crowded
-		b.floor = min(max(b.floor*2, b.stake/4), 8*b.stake)
-	} else if b.floor *= 0.95 * math.Exp(-(now - b.countedAt).Seconds()); b.floor < b.stake/16 {
-		b.floor = 0 // a crowd of a second ago says little, however few calls were answered since
+	delete(b.counterCalls, e.Name)
+	failed := e.Status != OK && e.Status != Error     // an unreadable response: no overload, no outage
+	if failed || e.Elapsed > b.cfg.CounterTimeout/2 { // overloaded
+		b.minLoss = min(max(b.minLoss*2, b.meanLoss/4), 8*b.meanLoss)
+	} else if b.minLoss *= 0.95 * math.Exp(-(now - b.countedAt).Seconds()); b.minLoss < b.meanLoss/16 {
+		b.minLoss = 0 // overload decays by time as well, since there may be few calls
 	}
 	if e.Status == OK {
-		if b.countedAt > 0 && now-b.countedAt > quietCounter {
-			b.doubtAt = now
+		if b.countedAt > 0 && now-b.countedAt > counterQuietLimit {
+			b.doubtedAt = now
 		}
 		b.countedAt = now
 	} else if failed && e.Status != Overloaded {
-		b.doubtAt = now
+		b.doubtedAt = now
 	}
-	if b.fails == 0 {
-		b.silentAt = now
+	if b.counterFails == 0 {
+		b.silentSince = now
 	}
-	if failed && now >= b.callAfter { // calls made side by side fail as one
-		b.callAfter = now + b.set.CounterTimeout<<min(b.fails, 5)
-		b.fails++
+	if failed && now >= b.nextCallAt { // concurrent calls that fail count once
+		b.nextCallAt = now + b.cfg.CounterTimeout<<min(b.counterFails, 5)
+		b.counterFails++
 	}
-	if !failed && b.silent(now) { // its silence was no crowd: calls are not scarce for that
-		b.backAt, b.floor = now, min(b.floor, b.stake/4)
+	if !failed && b.counterDown(now) { // an outage is no overload: calls need not stay limited
+		b.silenceEnd, b.minLoss = now, min(b.minLoss, b.meanLoss/4)
 	}
-	if then(now, e); !failed {
-		b.fails = 0
+	if handle(now, e); !failed {
+		b.counterFails = 0
 	}
 }
 
-// synced takes the answer to an add, and decides what waited for it.
-func (b *Balancer) synced(now time.Duration, c *customer, e CounterResult) {
+// counterAnswered applies a response and decides the requests that waited for it.
+func (b *Balancer) counterAnswered(now time.Duration, c *customer, e CounterResult) {
 	c.call = ""
-	b.absorb(now, c, e)
-	queue, owes := c.queue[:c.asked], c.owes
-	c.queue = c.queue[c.asked:]
-	for _, r := range queue {
-		if r.known = e.Status == OK; r.known && !r.done {
-			pass, _ := b.inside(now, c, r)
-			if b.beyond *= 0.95; pass {
-				c.over /= 2
+	b.applyCount(now, c, e)
+	answered, owes := c.awaiting[:c.inCall], c.owesUnits
+	c.awaiting = c.awaiting[c.inCall:]
+	for _, r := range answered {
+		if r.confirmed = e.Status == OK; r.confirmed && !r.done {
+			pass, _ := b.inQuota(now, c, r)
+			if b.overQuota *= 0.95; pass {
+				c.emptyReads /= 2
 			} else {
-				c.over, b.beyond = c.over+1, b.beyond+0.05
+				c.emptyReads, b.overQuota = c.emptyReads+1, b.overQuota+0.05
 			}
 		}
 		if !r.done {
 			b.decide(now, r)
 		}
-		owes = owes || len(r.tries) == 0
+		owes = owes || len(r.attempts) == 0
 	}
-	c.owes = owes && c.unsent < 0
-	b.sync(now, c, true)
+	c.owesUnits = owes && c.unreported < 0
+	b.syncCounter(now, c, true)
 }
 
-// absorb sets TAT to what the count tells: the start of its period and all units since. Whoever finds it well
-// behind the clock, or behind what this gateway knows (a new period, an emptied counter), writes the
-// difference down as units.
-func (b *Balancer) absorb(now time.Duration, c *customer, e CounterResult) {
+// applyCount sets TAT from the count: the start of its period plus the time of all units since. If that is
+// well behind the clock or the local TAT (a new period, lost counts), the difference is added to the counter.
+func (b *Balancer) applyCount(now time.Duration, c *customer, e CounterResult) {
 	if e.Status == Overloaded || e.Status == ConnectFailed {
-		c.unsent += c.flying
+		c.unreported += c.reporting
 	}
-	if e.Status != OK { // with no answer, taken as landed: a second add could count it twice
+	if e.Status != OK { // without a response units count as added: adding again could double them
 		return
 	}
-	b.assume(now, c)
+	b.assumeOthers(now, c)
 	p, own := c.plan, now
 	if c.readAt > 0 {
 		own = c.tat
 	}
-	at := time.Duration(c.period)*namePeriod + p.span(e.Total+c.unsent)
-	full, lag := max(now, own), p.Burst/8*(1+3*min(1, math.Ceil(b.floor))) // the longer, the fewer calls
-	if fix := p.span(c.fix); fix > 0 && at-full > fix/2 {                  // another wrote the same down
-		c.unsent, at = c.unsent-c.fix, at-fix
-		c.fix, c.owes = 0, true
-	} else if c.fix = 0; full-at > p.span(lag) {
-		c.fix = (full - at).Seconds() * p.Rate
-		c.unsent, at = c.unsent+c.fix, full
+	at := time.Duration(c.callPeriod)*counterPeriod + p.span(e.Total+c.unreported)
+	want, lag := max(now, own), p.Burst/8*(1+3*min(1, math.Ceil(b.minLoss))) // longer while calls are limited
+	if idle := p.span(c.idleUnits); idle > 0 && at-want > idle/2 {           // another gateway added it too
+		c.unreported, at = c.unreported-c.idleUnits, at-idle
+		c.idleUnits, c.owesUnits = 0, true
+	} else if c.idleUnits = 0; want-at > p.span(lag) {
+		c.idleUnits = (want - at).Seconds() * p.Rate
+		c.unreported, at = c.unreported+c.idleUnits, want
 	}
 	if c.readAt > 0 {
 		at = max(at, own)
--- a/choice/meter_test.go
+++ b/choice/meter_test.go
@@ -59,7 +59,7 @@
 		t.Errorf("%d passed, want burst / width = 5", got)
 	}
 	b, rec = start(t, nil) // nor may more pass while the counter can't be asked
-	b.fails, b.callAfter = 1, time.Hour
+	b.counterFails, b.nextCallAt = 1, time.Hour
 	if got := flood(b, rec, 1, 20, "rated", 1, 2, 0); got != 5 {
 		t.Errorf("%d passed unasked, want burst / width = 5", got)
 	}
@@ -174,9 +174,9 @@
 		q := ask(1+i, "read", "rated", now)
 		q.Gateways = 300
 		before := len(rec.counts)
-		b.floor = 1e-9 // calls are scarce
+		b.minLoss = 1e-9 // calls are scarce
 		b.HandleRequest(now, q)
-		for len(b.calls) > 0 {
+		for len(b.counterCalls) > 0 {
 			if rec.counts[len(rec.counts)-1].add > 0 {
 				asked++
 			}
@@ -243,11 +243,11 @@
 				s.Plans[i].OverrunCost = 1 // worth a call
 			}
 		})
-		bs[i].limit.Max, bs[i].doubtAt = 100, 1 // no load; started long ago
+		bs[i].limit.Max, bs[i].doubtedAt = 100, 1 // no load; started long ago
 	}
 	sent, store, totals := 0, 20.0, map[string]float64{}
-	id, began := uint32(0), 40*time.Second+namePeriod/2 // well into a period
-	for tick := range 400 {                             // 100 a second in all, ten times the quota
+	id, began := uint32(0), 40*time.Second+counterPeriod/2 // well into a period
+	for tick := range 400 {                                // 100 a second in all, ten times the quota
 		now := began + time.Duration(tick)*10*msec
 		i := tick % doors
 		id++
@@ -278,7 +278,7 @@
 		q := ask(1, "read", plan, now)
 		q.Gateways = 2
 		c := b.customer(now, &request{Request: q, plan: b.plans[plan]})
-		c.readAt, c.share = now-msec, ratecap.New(now) // just read, and full
+		c.readAt, c.ceiling = now-msec, ratecap.New(now) // just read, and full
 		b.HandleRequest(now, q)
 		if asked := len(rec.sends) == 0 && len(rec.counts) == 1; asked != want {
 			t.Errorf("%s: sends %v, calls %v, want the call first: %v", plan, rec.sends, rec.counts, want)
@@ -290,8 +290,8 @@
 func TestGuessesGoLastUnderLoad(t *testing.T) {
 	for odds, want := range map[float64]bool{0: true, 0.5: false} {
 		b, rec := start(t, nil)
-		b.limit.Max, b.open, b.limit.Load, b.density, b.beyond = 10, 6, 6, 10, odds
-		b.fails, b.callAfter = 1, time.Hour
+		b.limit.Max, b.inFlight, b.limit.Load, b.valueRate, b.overQuota = 10, 6, 6, 10, odds
+		b.counterFails, b.nextCallAt = 1, time.Hour
 		q := ask(1, "read", "rated", 0)
 		q.Gateways = 2
 		b.HandleRequest(0, q)
@@ -304,10 +304,10 @@
 // What comes too late for its aim is told apart from what the servers have no room for.
 func TestReasonsOfRefusals(t *testing.T) {
 	b, _ := start(t, nil)
-	b.limit.Max, b.open, b.limit.Load = 10, 12, 12
+	b.limit.Max, b.inFlight, b.limit.Load = 10, 12, 12
 	b.HandleRequest(0, ask(1, "read", "free", 0))
 	q := ask(2, "read", "free", 0)
-	b.classes["read"].votes, b.classes["read"].span = 50, q.Deadline-2*b.set.Tick
+	b.classes["read"].votes, b.classes["read"].usualWait = 50, q.Deadline-2*b.cfg.Tick
 	q.Deadline = time.Second // of a deadline of 3 s: it has been asked for 2 s
 	b.HandleRequest(0, q)
 	if r := b.Totals().Refused; r[Shed] != 1 || r[TargetPassed] != 1 {
@@ -318,13 +318,13 @@
 // A crowd at the counter is over soon, however few calls a gateway makes that could tell it.
 func TestCrowdAgesByTime(t *testing.T) {
 	b, _ := start(t, nil)
-	b.stake, b.floor = 1, 8
+	b.meanLoss, b.minLoss = 1, 8
 	for i := range 4 {
-		b.calls["n"] = func(time.Duration, CounterResult) {}
+		b.counterCalls["n"] = func(time.Duration, CounterResult) {}
 		b.HandleCounter(time.Duration(i+1)*time.Second, CounterResult{Name: "n", Status: OK, Elapsed: msec})
 	}
-	if b.floor > 0.25 {
-		t.Errorf("worth of a call still %v after 4 s of good answers", b.floor)
+	if b.minLoss > 0.25 {
+		t.Errorf("worth of a call still %v after 4 s of good answers", b.minLoss)
 	}
 }
 
@@ -352,9 +352,9 @@
 	for _, c := range rec.counts {
 		b.HandleCounter(msec, CounterResult{Name: c.name, Total: c.add})
 	}
-	b.HandleTimer(2*CounterNameTTL, "beat")
-	if len(b.customers) != 0 || len(b.idlers) != 0 {
-		t.Errorf("%d customers, %d in the ring, want none", len(b.customers), len(b.idlers))
+	b.HandleTimer(2*CounterTTL, "beat")
+	if len(b.customers) != 0 || len(b.meters) != 0 {
+		t.Errorf("%d customers, %d in the ring, want none", len(b.customers), len(b.meters))
 	}
 }
 
@@ -367,11 +367,11 @@
 		rec.answer(b, now, Timeout, 0)
 		now, id = now+3*time.Second, id+100
 	}
-	scarce := b.floor
+	scarce := b.minLoss
 	spend(t, b, rec, "rated", id, now)
 	rec.answer(b, now, OK, 10*now.Seconds())
-	if b.floor > b.stake/4 || scarce < 2*b.floor {
-		t.Errorf("floor %v while silent, %v after, the mean loss is %v", scarce, b.floor, b.stake)
+	if b.minLoss > b.meanLoss/4 || scarce < 2*b.minLoss {
+		t.Errorf("floor %v while silent, %v after, the mean loss is %v", scarce, b.minLoss, b.meanLoss)
 	}
 }
 
@@ -389,8 +389,8 @@
 		}
 		now, id = now+3*time.Second, id+100
 	}
-	if b.silent(now) || !b.callable(now) || b.floor > 0 {
-		t.Errorf("silent %v, callable %v, floor %v", b.silent(now), b.callable(now), b.floor)
+	if b.counterDown(now) || !b.mayCall(now) || b.minLoss > 0 {
+		t.Errorf("silent %v, callable %v, floor %v", b.counterDown(now), b.mayCall(now), b.minLoss)
 	}
 }
 
@@ -406,11 +406,11 @@
 	if len(rec.counts) != 20 {
 		t.Fatalf("%d calls", len(rec.counts))
 	}
-	now += b.set.CounterTimeout
+	now += b.cfg.CounterTimeout
 	for _, c := range slices.Clone(rec.counts) {
-		b.HandleCounter(now, CounterResult{Name: c.name, Status: Timeout, Elapsed: b.set.CounterTimeout})
+		b.HandleCounter(now, CounterResult{Name: c.name, Status: Timeout, Elapsed: b.cfg.CounterTimeout})
 	}
-	if now += b.set.CounterTimeout; !b.callable(now) {
-		t.Errorf("the counter may not be called before %v, it is %v", b.callAfter, now)
+	if now += b.cfg.CounterTimeout; !b.mayCall(now) {
+		t.Errorf("the counter may not be called before %v, it is %v", b.nextCallAt, now)
 	}
 }
--- a/choice/repeat_test.go
+++ b/choice/repeat_test.go
@@ -18,10 +18,10 @@
 			now += msec
 			b.HandleOutcome(now, Outcome{ID: 1, Attempt: try, Backend: rec.sends[try].to, Status: ConnectFailed, Elapsed: msec})
 		}
-		if want := map[bool]int{true: 2 + mostShut, false: 2}[shuts]; len(rec.sends) != want || len(rec.refused) != 1 {
+		if want := map[bool]int{true: 2 + maxUnconnected, false: 2}[shuts]; len(rec.sends) != want || len(rec.refused) != 1 {
 			t.Errorf("shuts %v: %d attempts, want %d; refused %v", shuts, len(rec.sends), want, rec.refused)
 		}
-		if left := b.retries; shuts != (left >= 1) {
+		if left := b.tokens; shuts != (left >= 1) {
 			t.Errorf("shuts %v: %v left in the budget", shuts, left)
 		}
 		lost := b.zones["a"].SuspectedDown || b.zones["b"].SuspectedDown
@@ -49,9 +49,9 @@
 func TestSpareRoom(t *testing.T) {
 	for _, c := range []struct{ servers, least, most float64 }{{2, 1.9, 2.6}, {2000, 1.0, 1.06}} {
 		b, _ := start(t, func(s *Settings) { s.ServerConcurrency = 2 })
-		even := b.share(c.servers)
-		b.set.HeadroomSigmas = 2
-		if part := b.share(c.servers) / even; part < c.least || part > c.most {
+		even := b.serversPerGateway(c.servers)
+		b.cfg.HeadroomSigmas = 2
+		if part := b.serversPerGateway(c.servers) / even; part < c.least || part > c.most {
 			t.Errorf("%v servers: %v times the even share", c.servers, part)
 		}
 	}
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -67,11 +67,11 @@
 			if tick == 20*rate {
 				for _, b := range bs {
 					fleet := []Member{}
-					for _, be := range b.fleet {
+					for _, be := range b.backends {
 						be.Member.Started = now
 						fleet = append(fleet, be.Member)
 					}
-					for _, be := range b.fleet {
+					for _, be := range b.backends {
 						be.Member.Started = 0
 					}
 					b.HandleRoster(now, RosterUpdate{Members: fleet})
@@ -434,15 +434,15 @@
 			fleet.Members = append(fleet.Members, Member{ID: 100 + id, Zone: string(rune('a' + id%3)), Weight: 1})
 		}
 		b.HandleRoster(0, fleet)
-		b.sends, b.sent, b.beats = 4, 4*b.beat.Seconds(), 100
+		b.sendRate, b.attempted, b.intervals = 4, 4*b.interval.Seconds(), 100
 		b.housekeep(0)
-		for _, be := range b.fleet {
-			used[be.ID] += be.part
+		for _, be := range b.backends {
+			used[be.ID] += be.use
 		}
-		if b.sends, b.sent = 100, 100*b.beat.Seconds(); i == 0 {
+		if b.sendRate, b.attempted = 100, 100*b.interval.Seconds(); i == 0 {
 			b.housekeep(0)
-			if n := slices.IndexFunc(b.fleet, func(be *backend) bool { return be.part == 0 }); n >= 0 {
-				t.Errorf("at 100 requests a second backend %d is not used", b.fleet[n].ID)
+			if n := slices.IndexFunc(b.backends, func(be *backend) bool { return be.use == 0 }); n >= 0 {
+				t.Errorf("at 100 requests a second backend %d is not used", b.backends[n].ID)
 			}
 		}
 	}
--- a/choice/still.go
+++ b/choice/still.go
@@ -1,16 +1,16 @@
 package choice
 
-// Beat is the token of the timer for housekeeping.
+// HousekeepingTimer is the token of the timer for housekeeping.
 const HousekeepingTimer = "beat"
 
-// Still reports whether beats ask for nothing as long as nothing else comes: they only let
-// what is known age. A host may then play them later, each at its own time.
+// Idle reports whether housekeeping calls no action until the next event and only decays
+// statistics. A host may then run it later, with the original time of each run.
 func (b *Balancer) Idle() bool {
-	if len(b.reqs) > 0 || len(b.calls) > 0 || b.set.Probes && b.EjectedServers() > 0 { // what is left out is looked at
+	if len(b.requests) > 0 || len(b.counterCalls) > 0 || b.cfg.Probes && b.EjectedServers() > 0 { // ejected servers are probed
 		return false
 	}
-	for _, c := range b.idlers {
-		if b.set.Counter && (len(c.queue) > 0 || c.fix != 0 || c.owes) { // what is owed is told
+	for _, c := range b.meters {
+		if b.cfg.Counter && (len(c.awaiting) > 0 || c.idleUnits != 0 || c.owesUnits) { // units have to be reported
 			return false
 		}
 	}
--- a/choice/sums_test.go
+++ b/choice/sums_test.go
@@ -43,7 +43,7 @@
 	q.Gateways, q.Customer = len(s.bs), customer
 	sends := len(rec.sends)
 	b.HandleRequest(now, q)
-	for len(b.calls) > 0 {
+	for len(b.counterCalls) > 0 {
 		for _, c := range rec.counts {
 			status := Timeout
 			if !s.silent {
@@ -51,7 +51,7 @@
 				status = OK
 			}
 			total := s.counts[c.name]
-			if b.calls[c.name] != nil {
+			if b.counterCalls[c.name] != nil {
 				rec.counts = rec.counts[1:]
 				b.HandleCounter(now, CounterResult{Name: c.name, Status: status, Total: total})
 				break
@@ -183,7 +183,7 @@
 	const asked = 90.0
 	for i := range int(asked) { // six a second, the quota is ten
 		for _, b := range s.bs {
-			b.floor = 5 // one call in five
+			b.minLoss = 5 // one call in five
 		}
 		if s.ask(2*time.Minute+time.Duration(i)*time.Second/6, i%3, "rated") {
 			sent++
@@ -194,7 +194,7 @@
 		counted += n
 	}
 	for _, b := range s.bs {
-		counted += b.customers["c"].unsent
+		counted += b.customers["c"].unreported
 	}
 	if sent < asked*6/10 {
 		t.Errorf("%v of %v requests sent on", sent, asked)
@@ -217,7 +217,7 @@
 				p := &s.Plans[3]
 				p.OverrunCost, p.CeilingRate, p.CeilingBurst = 1, 11, 12 // hardly more than the quota
 			})
-			b.limit.Max, b.started = 1000, now
+			b.limit.Max, b.startedAt = 1000, now
 			return b, rec
 		}
 		var bs []*Balancer
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -19,60 +19,60 @@
 }
 
 const (
-	first = 20 * time.Millisecond // after the first failure
+	initialPause = 20 * time.Millisecond // after the first failure
 	// News may be waiting, so a failure that says nothing of a crowd is followed up soon.
-	mostAlone = 320 * time.Millisecond
+	maxPauseShared = 320 * time.Millisecond
 	// An agent's news is told when the agent has it: with half as much again by
 	// chance and a call's time, two tries fit into the 500 ms that drains leave.
-	mostLocal = 160 * time.Millisecond
+	maxPauseLocal = 160 * time.Millisecond
 
-	each     = 50 * time.Millisecond  // of a shared discovery's time, for each gateway's first call
-	eachBusy = 125 * time.Millisecond // and for each call, once it has turned some away
+	perGateway     = 50 * time.Millisecond  // of a shared discovery's time, for each gateway's first call
+	perGatewayBusy = 125 * time.Millisecond // and for each call, once it has turned some away
 	// Shares of the age at which news counts as told: the first call's latest time,
 	// and that of the next one after a failure, which may be four times as old.
-	shareFirst = 0.4
-	shareBusy  = 4 * 0.4
-	unknown    = 10 * time.Second // for Within
+	firstCallShare = 0.4
+	busyPauseShare = 4 * 0.4
+	defaultNewsAge = 10 * time.Second // for Within
 )
 
 // Pace is where a gateway stands.
 type Backoff struct {
-	terms Options
-	pause time.Duration // after the next failure, on the mean
+	options Options
+	pause   time.Duration // after the next failure, on the mean
 }
 
 // New returns the pace of a gateway that has just started.
 func New(t Options) *Backoff {
 	if t.MaxNewsAge <= 0 {
-		t.MaxNewsAge = unknown
+		t.MaxNewsAge = defaultNewsAge
 	}
-	return &Backoff{terms: t, pause: first}
+	return &Backoff{options: t, pause: initialPause}
 }
 
 // share is a time for each gateway, up to a share of the news' age.
-func (p *Backoff) share(each time.Duration, part float64) time.Duration {
-	return min(time.Duration(p.terms.Gateways)*each, time.Duration(part*float64(p.terms.MaxNewsAge)))
+func (p *Backoff) spreadOver(each time.Duration, part float64) time.Duration {
+	return min(time.Duration(p.options.Gateways)*each, time.Duration(part*float64(p.options.MaxNewsAge)))
 }
 
 // First is the wait before the first call after a start. odds is drawn from 0 to 1.
 func (p *Backoff) InitialDelay(odds float64) time.Duration {
-	if !p.terms.Shared {
+	if !p.options.Shared {
 		return 0
 	}
-	return time.Duration(odds * float64(p.share(each, shareFirst)))
+	return time.Duration(odds * float64(p.spreadOver(perGateway, firstCallShare)))
 }
 
 // Failed is the wait after a call that failed: from half the pause to half as
 // much again by odds, so that gateways which failed together do not come back
 // together. busy: discovery said that it has too much to do.
 func (p *Backoff) NextDelay(busy bool, odds float64) time.Duration {
-	most := mostLocal
+	most := maxPauseLocal
 	switch {
-	case p.terms.Shared && busy:
-		p.pause = max(p.pause, p.share(each, shareFirst))
-		most = max(mostAlone, p.share(eachBusy, shareBusy))
-	case p.terms.Shared:
-		most = mostAlone
+	case p.options.Shared && busy:
+		p.pause = max(p.pause, p.spreadOver(perGateway, firstCallShare))
+		most = max(maxPauseShared, p.spreadOver(perGatewayBusy, busyPauseShare))
+	case p.options.Shared:
+		most = maxPauseShared
 	}
 	p.pause = min(p.pause, most)
 	wait := p.pause/2 + time.Duration(odds*float64(p.pause))
@@ -81,4 +81,4 @@
 }
 
 // Heard tells of a call that went well, or of a move to another discovery.
-func (p *Backoff) Reset() { p.pause = first }
+func (p *Backoff) Reset() { p.pause = initialPause }
--- a/internal/concurrency/concurrency.go
+++ b/internal/concurrency/concurrency.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	lateShare = 0.05 // of answers near or past their aim: what it steers for
-	startOver = 2    // where it starts, in its floor
-	mostOver  = 4    // where it ends
+	targetLateShare = 0.05 // of answers near or past their aim: what it steers for
+	startFactor     = 2    // where it starts, in its floor
+	maxFactor       = 4    // where it ends
 )
 
 // Limit is a gateway's.
@@ -20,25 +20,25 @@
 	Max               float64 // attempts that may be out before requests are shed
 	Load              float64 // mean of those that are
 	ServersPerGateway float64 // servers up, for each gateway
-	beat              time.Duration
-	at                time.Duration // of Load
-	from              float64       // what Max began at; 0: it has been lowered since
+	interval          time.Duration
+	loadAt            time.Duration // of Load
+	initialMax        float64       // what Max began at; 0: it has been lowered since
 }
 
 // New returns one that has not begun. beat is an eighth of the shortest aim.
-func New(beat time.Duration) Limit { return Limit{Max: math.Inf(1), beat: beat} }
+func New(beat time.Duration) Limit { return Limit{Max: math.Inf(1), interval: beat} }
 
 // Begin sets the start once servers are known, as with one attempt out: no rush of first requests.
 // They may become known one by one: until answers have come late, the start moves up with them.
 func (l *Limit) Init(now time.Duration) {
-	start := startOver * l.Min() * min(1, (1+l.ServersPerGateway)/2)
+	start := startFactor * l.Min() * min(1, (1+l.ServersPerGateway)/2)
 	switch {
 	case l.ServersPerGateway <= 0:
 	case math.IsInf(l.Max, 1):
-		l.Max, l.from = start, start
-		l.Load, l.at = min(l.Max, 1), now
-	case l.from > 0 && start > l.from:
-		l.Max, l.from = max(l.Max, start), start
+		l.Max, l.initialMax = start, start
+		l.Load, l.loadAt = min(l.Max, 1), now
+	case l.initialMax > 0 && start > l.initialMax:
+		l.Max, l.initialMax = max(l.Max, start), start
 	}
 }
 
@@ -46,9 +46,9 @@
 // the number of the moment says nothing, and a mean over one aim still refused by
 // chance. It may hurt when load doubles within those.
 func (l *Limit) UpdateLoad(now time.Duration, out float64) float64 {
-	rate := (1 + l.Load*l.Load) / float64(48*l.beat)
-	l.Load += (max(0, out) - l.Load) * (1 - math.Exp(-rate*float64(now-l.at)))
-	l.at = now
+	rate := (1 + l.Load*l.Load) / float64(48*l.interval)
+	l.Load += (max(0, out) - l.Load) * (1 - math.Exp(-rate*float64(now-l.loadAt)))
+	l.loadAt = now
 	return l.Load
 }
 
@@ -63,10 +63,10 @@
 // hurt where lateness does not come of load.
 func (l *Limit) Adjust(now time.Duration, out float64, late bool) {
 	load, step, least := l.UpdateLoad(now, out), l.SampleWeight(), l.Min()
-	if l.Max = min(l.Max, mostOver*least); late {
-		l.from = 0
+	if l.Max = min(l.Max, maxFactor*least); late {
+		l.initialMax = 0
 		l.Max = max(least, l.Max*(1-step))
 	} else if load > l.Max/2 {
-		l.Max = l.Max*(1+step*lateShare/(1-lateShare)) + min(1, l.ServersPerGateway)*step/4
+		l.Max = l.Max*(1+step*targetLateShare/(1-targetLateShare)) + min(1, l.ServersPerGateway)*step/4
 	}
 }
--- a/internal/concurrency/concurrency_test.go
+++ b/internal/concurrency/concurrency_test.go
@@ -18,7 +18,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "answers") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "pause"))
 			l.Adjust(now, rapid.Float64Range(0, 200).Draw(t, "out"), rapid.Bool().Draw(t, "late"))
-			if l.Max < l.Min()/2 || l.Max > mostOver*l.Min()*1.3+0.1 {
+			if l.Max < l.Min()/2 || l.Max > maxFactor*l.Min()*1.3+0.1 {
 				t.Fatalf("limit %v with a floor of %v", l.Max, l.Min())
 			}
 		}
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -8,13 +8,13 @@
 import "time"
 
 const (
-	doubt     = 2.0              // answers that the mean counts for, against those of the server itself
-	most      = 18.0             // answers that its own figures rest on at most
-	memory    = 10 * time.Second // evidence fades within it
-	forgive   = 30 * time.Second // a slow server is tried anew within it
-	mostSlow  = 5.0              // times the mean: more than that is chance
-	lostAfter = 2                // servers of a zone failing in a row: the zone may be lost
-	mostTimes = 5                // strikes that lengthen the time out
+	priorWeight        = 2.0              // answers that the mean counts for, against those of the server itself
+	maxEvidence        = 18.0             // answers that its own figures rest on at most
+	evidenceLife       = 10 * time.Second // evidence fades within it
+	slownessLife       = 30 * time.Second // a slow server is tried anew within it
+	maxSlowness        = 5.0              // times the mean: more than that is chance
+	silentServersLimit = 2                // servers of a zone failing in a row: the zone may be lost
+	maxDoublings       = 5                // strikes that lengthen the time out
 )
 
 // Server is what is believed of one.
@@ -25,34 +25,34 @@
 	Zone         *Zone         // nil: it has none
 
 	Ejections int // in a row, without a good answer
-	seen      float64
+	evidence  float64
 }
 
 // Restart forgets what an earlier process did.
 func (s *Server) Reset() {
-	s.Slowness, s.FaultRate, s.EjectedUntil, s.Ejections, s.seen = 0.5, 0, 0, 0, 0
+	s.Slowness, s.FaultRate, s.EjectedUntil, s.Ejections, s.evidence = 0.5, 0, 0, 0, 0
 }
 
 // Took tells that an answer took so many times the mean of its kind.
 func (s *Server) ObserveSuccess(times float64) {
-	s.seen = min(s.seen+1, most)
-	s.Slowness += (min(times, mostSlow) - s.Slowness) / (doubt + s.seen)
-	s.FaultRate -= s.FaultRate / (doubt + s.seen)
+	s.evidence = min(s.evidence+1, maxEvidence)
+	s.Slowness += (min(times, maxSlowness) - s.Slowness) / (priorWeight + s.evidence)
+	s.FaultRate -= s.FaultRate / (priorWeight + s.evidence)
 	s.EjectedUntil, s.Ejections = 0, 0
 }
 
 // Failed tells of an answer that was a fault.
 func (s *Server) ObserveFault() {
-	s.seen = min(s.seen+1, most)
-	s.FaultRate += (1 - s.FaultRate) / (doubt + s.seen)
+	s.evidence = min(s.evidence+1, maxEvidence)
+	s.FaultRate += (1 - s.FaultRate) / (priorWeight + s.evidence)
 }
 
 // Age lets evidence fade over a time. usual is the share of faults among all answers.
 func (s *Server) Decay(past time.Duration, usual float64) {
-	s.Slowness += (0.5 - s.Slowness) * past.Seconds() / forgive.Seconds()
-	part := min(1, past.Seconds()/memory.Seconds())
+	s.Slowness += (0.5 - s.Slowness) * past.Seconds() / slownessLife.Seconds()
+	part := min(1, past.Seconds()/evidenceLife.Seconds())
 	s.FaultRate += (usual - s.FaultRate) * part
-	s.seen -= s.seen * part
+	s.evidence -= s.evidence * part
 }
 
 // Strike leaves a server out for a time that doubles with each strike; not again while it is out.
@@ -60,7 +60,7 @@
 	if now < s.EjectedUntil {
 		return
 	}
-	s.Ejections = min(s.Ejections+1, mostTimes)
+	s.Ejections = min(s.Ejections+1, maxDoublings)
 	s.EjectedUntil = now + least<<s.Ejections
 }
 
@@ -101,7 +101,7 @@
 		}
 	}
 	z.silent = append(z.silent, s)
-	if z.SuspectedDown || len(z.silent) < lostAfter {
+	if z.SuspectedDown || len(z.silent) < silentServersLimit {
 		return false
 	}
 	z.SuspectedDown, z.NextProbe = true, now
--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -10,22 +10,22 @@
 	Mean, Deviation float64
 	Baseline        float64 // lowest lasting mean: what work takes without queues
 
-	n    int
-	calm float64 // more than that can't be calm
+	samples     int
+	maxBaseline float64 // more than that can't be calm
 }
 
 // NewLatency returns a guess for answers that should come within aim.
 func NewLatency(aim time.Duration) Latency {
 	guess := aim.Seconds() / 8
-	return Latency{Mean: guess, Baseline: guess, Deviation: guess / 2, calm: aim.Seconds() / 4}
+	return Latency{Mean: guess, Baseline: guess, Deviation: guess / 2, maxBaseline: aim.Seconds() / 4}
 }
 
 // Took takes one in, at a weight between 0 and 1.
 func (l *Latency) Observe(took, weight float64) {
 	l.Deviation += (math.Abs(took-l.Mean) - l.Deviation) * weight
 	l.Mean += (took - l.Mean) * weight
-	if l.n++; l.n < 50 || l.Mean < l.Baseline {
-		l.Baseline = min(l.Mean, l.calm) // a start under load must not pass for calm
+	if l.samples++; l.samples < 50 || l.Mean < l.Baseline {
+		l.Baseline = min(l.Mean, l.maxBaseline) // a start under load must not pass for calm
 	} else {
 		l.Baseline += (l.Mean - l.Baseline) * 0.0003
 	}
--- a/internal/ratecap/ratecap.go
+++ b/internal/ratecap/ratecap.go
@@ -35,44 +35,44 @@
 
 // Share is what one gateway may still send on.
 type Share struct {
-	room, spare float64 // of the whole ceiling; of what it has beyond the quota
-	at          time.Duration
+	available, excess float64 // of the whole ceiling; of what it has beyond the quota
+	filledAt          time.Duration
 }
 
 // New returns an empty share that fills from a time on.
-func New(at time.Duration) Share { return Share{at: at} }
+func New(at time.Duration) Share { return Share{filledAt: at} }
 
 func (s *Share) fill(now time.Duration, t Limits) {
-	past := max(0, (now - s.at).Seconds())
-	s.at = now
-	s.room = min(t.Burst/t.Gateways, s.room+t.Rate/t.Gateways*past)
-	s.spare = min((t.Burst-t.QuotaBurst)/t.Gateways, s.spare+(t.Rate-t.QuotaRate)/t.Gateways*past)
+	past := max(0, (now - s.filledAt).Seconds())
+	s.filledAt = now
+	s.available = min(t.Burst/t.Gateways, s.available+t.Rate/t.Gateways*past)
+	s.excess = min((t.Burst-t.QuotaBurst)/t.Gateways, s.excess+(t.Rate-t.QuotaRate)/t.Gateways*past)
 }
 
 // Has reports whether units would pass without the counter's word.
 func (s *Share) Allows(now time.Duration, t Limits, units float64) bool {
 	s.fill(now, t)
-	return s.room >= units && s.spare >= units
+	return s.available >= units && s.excess >= units
 }
 
 // Take takes units if they stay under the ceiling.
 func (s *Share) Take(now time.Duration, t Limits, units float64, w Assurance) bool {
 	s.fill(now, t)
-	if w != Confirmed && s.room < units || w == NotAsked && s.spare < units {
+	if w != Confirmed && s.available < units || w == NotAsked && s.excess < units {
 		return false
 	}
-	s.room -= units
+	s.available -= units
 	if w < Doubtful {
-		s.spare -= units
+		s.excess -= units
 	}
 	return true
 }
 
 // Halve gives half of a share away, and returns what is given. Debts stay.
 func (s *Share) SplitHalf() (room, spare float64) {
-	room, spare = max(0, s.room/2), max(0, s.spare/2)
-	s.room -= room
-	s.spare -= spare
+	room, spare = max(0, s.available/2), max(0, s.excess/2)
+	s.available -= room
+	s.excess -= spare
 	return room, spare
 }
 
--- a/internal/routing/gate_test.go
+++ b/internal/routing/gate_test.go
@@ -11,36 +11,36 @@
 )
 
 // door is a gate that a test opens and closes.
-type door struct {
+type fakeGate struct {
 	version int64
 	until   time.Duration
 	soon    bool
 }
 
-func (d *door) Version(now func() time.Duration) (int64, bool, bool) {
+func (d *fakeGate) Version(now func() time.Duration) (int64, bool, bool) {
 	return d.version, now() < d.until, d.soon
 }
 
-func (w *world) expect(t *testing.T, want ...string) {
+func (w *testCore) expect(t *testing.T, want ...string) {
 	t.Helper()
 	if d := cmp.Diff(want, w.did); d != "" {
 		t.Fatal(d)
 	}
 }
 
-func gated(t *testing.T, d *door) *world {
-	w := newWorld(t, testSet)
+func newGatedCore(t *testing.T, d *fakeGate) *testCore {
+	w := newTestCore(t, testSet)
 	if d.until > 0 { // as of the world's clock
 		d.until += w.at
 	}
-	w.Core.hands.Gate, w.Core.hands.MaxGateWait = d, 100*time.Millisecond
+	w.Core.deps.Gate, w.Core.deps.MaxGateWait = d, 100*time.Millisecond
 	w.step(0)
 	return w
 }
 
 // Without a lease a request is refused at once, and the servers hear nothing.
 func TestNoLease(t *testing.T) {
-	w := gated(t, &door{until: -1})
+	w := newGatedCore(t, &fakeGate{until: -1})
 	w.Submit(w.request("read", time.Second))
 	w.step(time.Millisecond)
 	w.expect(t, "refused, after 1s, tried true")
@@ -49,8 +49,8 @@
 // A lease that runs out while the process stands still is not decided by: the clock
 // is read after the request has come.
 func TestLeaseRunsOut(t *testing.T) {
-	d := &door{until: 50 * time.Millisecond}
-	w := gated(t, d)
+	d := &fakeGate{until: 50 * time.Millisecond}
+	w := newGatedCore(t, d)
 	w.at += 60 * time.Millisecond // stopped in between
 	w.Submit(w.request("read", time.Second))
 	w.step(time.Millisecond)
@@ -60,8 +60,8 @@
 // In a turn a request waits, and is decided by what comes; one that waits too long
 // is refused, and one whose client has left is forgotten.
 func TestTurnIsWaitedFor(t *testing.T) {
-	d := &door{until: time.Hour}
-	w := gated(t, d)
+	d := &fakeGate{until: time.Hour}
+	w := newGatedCore(t, d)
 	d.until, d.soon = -1, true
 	waits, left := w.request("new", time.Second), w.request("new", time.Second)
 	w.Submit(waits)
@@ -93,8 +93,8 @@
 // What the policy in force does not allow is told only once that is known, and counts
 // as decided by it.
 func TestFit(t *testing.T) {
-	d := &door{until: -1, soon: true}
-	w := gated(t, d)
+	d := &fakeGate{until: -1, soon: true}
+	w := newGatedCore(t, d)
 	r, fits := w.request("read", time.Second), 0
 	r.ResolveTerms = func() error { fits++; return errors.New("unknown class") }
 	w.Submit(r)
--- a/internal/routing/rest_test.go
+++ b/internal/routing/rest_test.go
@@ -15,36 +15,36 @@
 )
 
 // play is a world whose servers and counter answer by a plan that is drawn from a seed.
-type play struct {
-	world
-	seed  uint64
-	awake bool // it is woken for each timer at its time, as a core that never sleeps is
-	due   []happening
-	turns int
-	total float64
-	n     uint64
+type scenario struct {
+	testCore
+	seed   uint64
+	awake  bool // it is woken for each timer at its time, as a core that never sleeps is
+	events []event
+	turns  int
+	total  float64
+	n      uint64
 }
 
-type happening struct {
+type event struct {
 	at time.Duration
 	do func()
 }
 
-func (p *play) in(d time.Duration, do func()) {
-	p.due = append(p.due, happening{p.at + d, do})
-	slices.SortStableFunc(p.due, func(a, b happening) int { return cmp.Compare(a.at, b.at) })
+func (p *scenario) in(d time.Duration, do func()) {
+	p.events = append(p.events, event{p.at + d, do})
+	slices.SortStableFunc(p.events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 }
 
 // draw is by the seed and by what it is for, so that both plays have the same.
-func (p *play) draw(what uint32, more int) *rand.Rand {
+func (p *scenario) draw(what uint32, more int) *rand.Rand {
 	return rand.New(rand.NewPCG(p.seed, uint64(what)<<20+uint64(more)))
 }
 
-func (p *play) log(format string, args ...any) {
+func (p *scenario) log(format string, args ...any) {
 	p.note("%v %s", p.at, fmt.Sprintf(format, args...))
 }
 
-func (p *play) Send(s uint32, a Attempt, _ any, left time.Duration) {
+func (p *scenario) Send(s uint32, a Attempt, _ any, left time.Duration) {
 	p.log("send %v to %d in %v", a, s, left)
 	r := p.draw(a.ID, a.Number)
 	status := choice.OK
@@ -58,61 +58,61 @@
 	p.in(took, func() { p.AttemptEnded(s, a, status, "fine", nil) })
 }
 
-func (p *play) Probe(s uint32, a Attempt, _ time.Duration) {
+func (p *scenario) Probe(s uint32, a Attempt, _ time.Duration) {
 	p.log("probe %v to %d", a, s)
 	r := p.draw(s, a.Number)
-	status := lo(r.IntN(3) == 0, choice.ConnectFailed, choice.OK)
+	status := choose(r.IntN(3) == 0, choice.ConnectFailed, choice.OK)
 	p.in(time.Duration(r.ExpFloat64()*3e6), func() { p.ProbeEnded(s, a, status, nil) })
 }
 
-func (p *play) Cancel(s uint32, a Attempt) { p.log("cancel %v to %d", a, s) }
+func (p *scenario) Cancel(s uint32, a Attempt) { p.log("cancel %v to %d", a, s) }
 
-func (p *play) Add(name string, n float64, _ time.Duration) {
+func (p *scenario) Add(name string, n float64, _ time.Duration) {
 	p.log("add %s %v", name, n)
 	p.total, p.n = p.total+n, p.n+1
 	r, total := p.draw(77, int(p.n)), p.total
-	status := lo(r.IntN(6) == 0, choice.Timeout, choice.OK)
+	status := choose(r.IntN(6) == 0, choice.Timeout, choice.OK)
 	p.in(time.Duration(r.ExpFloat64()*2e6), func() { p.CounterEnded(name, status, total) })
 }
 
-func lo[T any](cond bool, a, b T) T {
+func choose[T any](cond bool, a, b T) T {
 	if cond {
 		return a
 	}
 	return b
 }
 
-type playReply struct {
-	p  *play
+type scenarioReply struct {
+	p  *scenario
 	id int
 }
 
-func (r playReply) Served(any) { r.p.log("%d served", r.id) }
-func (r playReply) Refused(after time.Duration, v Verdict) {
+func (r scenarioReply) Served(any) { r.p.log("%d served", r.id) }
+func (r scenarioReply) Refused(after time.Duration, v Verdict) {
 	r.p.log("%d refused %v %v", r.id, after, v)
 }
-func (r playReply) Failed(timedOut bool) { r.p.log("%d failed %v", r.id, timedOut) }
-func (r playReply) Disallowed(error)     {}
+func (r scenarioReply) Failed(timedOut bool) { r.p.log("%d failed %v", r.id, timedOut) }
+func (r scenarioReply) Disallowed(error)     {}
 
 // run plays until end.
-func (p *play) run(end time.Duration) {
+func (p *scenario) run(end time.Duration) {
 	for {
 		next := end
-		if len(p.due) > 0 {
-			next = min(next, p.due[0].at)
+		if len(p.events) > 0 {
+			next = min(next, p.events[0].at)
 		}
 		if p.awake && len(p.timers) > 0 {
 			next = min(next, p.timers[0].at)
 		} else if !p.awake {
-			next = min(next, p.at+p.wait())
+			next = min(next, p.at+p.nextWake())
 		}
 		p.at = max(p.at, next)
-		for len(p.due) > 0 && p.due[0].at <= p.at {
-			do := p.due[0].do
-			p.due = p.due[1:]
+		for len(p.events) > 0 && p.events[0].at <= p.at {
+			do := p.events[0].do
+			p.events = p.events[1:]
 			do()
 		}
-		p.turn(0)
+		p.runOnce(0)
 		p.asleep = p.asleep && !p.awake
 		p.turns++
 		if p.at >= end {
@@ -121,8 +121,8 @@
 	}
 }
 
-func newPlay(t *rapid.T, set choice.Settings, seed uint64, awake bool) *play {
-	p := &play{seed: seed, awake: awake}
+func newScenario(t *rapid.T, set choice.Settings, seed uint64, awake bool) *scenario {
+	p := &scenario{seed: seed, awake: awake}
 	p.at = 1000 * time.Second
 	var err error
 	p.Core, err = New(set, seed, func() time.Duration { return p.at }, Dependencies{Fleet: p, Counter: p, Watcher: p})
@@ -145,7 +145,7 @@
 			Plans:  []choice.Plan{{Name: "plan", ValueFactor: 1, OverrunCost: 1, Rate: rapid.SampledFrom([]float64{0, 4}).Draw(t, "rate"), Burst: 8}},
 			Probes: rapid.Bool().Draw(t, "probes"), Counter: rapid.Bool().Draw(t, "counter")}
 		seed := rapid.Uint64().Draw(t, "seed")
-		plays := []*play{newPlay(t, set, seed, false), newPlay(t, set, seed, true)}
+		plays := []*scenario{newScenario(t, set, seed, false), newScenario(t, set, seed, true)}
 		type step struct {
 			at   time.Duration
 			kind int
@@ -194,8 +194,8 @@
 					case 2:
 						p.SetProcesses(1 + int(s.x%2))
 					default:
-						r := &Request{Class: lo(s.x%3 == 0, "write", "read"), Plan: "plan", Customer: fmt.Sprint(s.x % 3), Units: 1,
-							Gateways: 2, Deadline: p.at + 800*time.Millisecond, Reply: playReply{p, i}}
+						r := &Request{Class: choose(s.x%3 == 0, "write", "read"), Plan: "plan", Customer: fmt.Sprint(s.x % 3), Units: 1,
+							Gateways: 2, Deadline: p.at + 800*time.Millisecond, Reply: scenarioReply{p, i}}
 						p.Submit(r)
 						if s.kind == 3 {
 							p.in(5*time.Millisecond, func() { p.ClientGone(r) })
@@ -213,23 +213,23 @@
 		}
 		states := [2]choice.SavedState{}
 		for i, p := range plays {
-			p.catchUp(p.at + 1)
-			p.turn(0)
-			s := p.bal.ExportState(p.at)
+			p.replayMissed(p.at + 1)
+			p.runOnce(0)
+			s := p.balancer.ExportState(p.at)
 			slices.SortFunc(s.Classes, func(x, y choice.ClassState) int { return cmp.Compare(x.Name, y.Name) })
 			states[i] = s
 		}
 		if d := diff.Diff(states[1], states[0]); d != "" {
 			t.Fatal("what was learnt (-awake +asleep)", d)
 		}
-		if d := diff.Diff(b.bal.Totals(), a.bal.Totals()); d != "" {
+		if d := diff.Diff(b.balancer.Totals(), a.balancer.Totals()); d != "" {
 			t.Fatal("books (-awake +asleep)", d)
 		}
 		asleep, awake = asleep+a.turns, awake+b.turns
-		a.due = nil
+		a.events = nil
 		a.run(a.at + 2*time.Second) // what was under way ends
-		if turns := a.turns; a.bal.Idle() && len(a.open)+len(a.counts)+len(a.probes) == 0 {
-			if a.run(a.at + 10*time.Second); a.bal.Idle() && a.turns-turns > 66 { // a quarter of its beats
+		if turns := a.turns; a.balancer.Idle() && len(a.requests)+len(a.counterCalls)+len(a.probes) == 0 {
+			if a.run(a.at + 10*time.Second); a.balancer.Idle() && a.turns-turns > 66 { // a quarter of its beats
 				t.Fatalf("with nothing to do it was woken %d times in 10 s", a.turns-turns)
 			}
 		}
@@ -245,7 +245,7 @@
 		b.Run(fmt.Sprint("servers ", n), func(b *testing.B) {
 			set := testSet
 			set.Classes = []choice.Class{{Name: "read", Target: 300 * time.Millisecond, Deadline: time.Second, Value: 1}}
-			w := &world{at: 1000 * time.Second}
+			w := &testCore{at: 1000 * time.Second}
 			var err error
 			if w.Core, err = New(set, 1, func() time.Duration { return w.at }, Dependencies{Fleet: w, Counter: w, Watcher: w}); err != nil {
 				b.Fatal(err)
@@ -255,12 +255,12 @@
 				all = append(all, Member{Member: choice.Member{ID: uint32(i + 1), Weight: 1}})
 			}
 			w.HandleDiscovery(DiscoveryUpdate{Whole: true, Members: all})
-			w.turn(0)
+			w.runOnce(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				for end := w.at + time.Second; w.at < end; {
-					w.at += max(w.wait(), time.Millisecond)
-					w.turn(0)
+					w.at += max(w.nextWake(), time.Millisecond)
+					w.runOnce(0)
 				}
 			}
 		})
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -136,36 +136,36 @@
 
 // Core is the actor round the module.
 type Core struct {
-	box        *mailbox.Box[message]
-	now        func() time.Duration
-	hands      Dependencies
-	bal        *choice.Balancer
-	timers     timers
-	seq        uint64 // keeps timers of one moment in order
-	open       map[uint32]*open
-	lastID     uint32
-	probes     map[uint32]probe
-	probed     int
-	counts     map[string]time.Duration
-	later      []choice.Outcome // of cancels, told once the module has finished its turn
-	probeLimit time.Duration
-	up         map[uint32]bool
-	stats      Stats
-	halted     bool
-	told       bool          // the list came from discovery, not from the saved copy
-	trust      time.Duration // from then on the saved copy has to do
-	version    int64         // of the policy in the module
-	waiting    []uint32      // requests at the gate, in order
-	listed     map[uint32]bool
-	counted    time.Duration // when view was brought up to date
-	view       view
-	rest
+	inbox           *mailbox.Box[message]
+	now             func() time.Duration
+	deps            Dependencies
+	balancer        *choice.Balancer
+	timers          timers
+	timerSeq        uint64 // keeps timers of one moment in order
+	requests        map[uint32]*openRequest
+	lastID          uint32
+	probes          map[uint32]probe
+	probeCount      int
+	counterCalls    map[string]time.Duration
+	pendingOutcomes []choice.Outcome // of cancels, told once the module has finished its turn
+	probeTimeout    time.Duration
+	upServers       map[uint32]bool
+	stats           Stats
+	stopped         bool
+	discovered      bool          // the list came from discovery, not from the saved copy
+	trustSavedAt    time.Duration // from then on the saved copy has to do
+	policyVersion   int64         // of the policy in the module
+	gateQueue       []uint32      // requests at the gate, in order
+	listedServers   map[uint32]bool
+	viewUpdatedAt   time.Duration // when view was brought up to date
+	view            view
+	sleepState
 }
 
 // view is what others may read at any time, without the core's turn.
 type view struct{ listed, avoided, ready atomic.Int64 }
 
-const viewEvery = 200 * time.Millisecond
+const viewPeriod = 200 * time.Millisecond
 
 // Ready is the number of servers that requests may go to.
 func (c *Core) ReadyServers() int { return int(c.view.ready.Load()) }
@@ -176,37 +176,37 @@
 // Avoided are the listed servers that this gateway keeps away from.
 func (c *Core) EjectedServers() int { return int(c.view.avoided.Load()) }
 
-func (c *Core) survey(now time.Duration) {
-	c.counted = now
-	c.view.listed.Store(int64(len(c.listed)))
-	c.view.avoided.Store(int64(len(c.listed) - len(c.up) + c.bal.EjectedServers()))
+func (c *Core) updateView(now time.Duration) {
+	c.viewUpdatedAt = now
+	c.view.listed.Store(int64(len(c.listedServers)))
+	c.view.avoided.Store(int64(len(c.listedServers) - len(c.upServers) + c.balancer.EjectedServers()))
 	ready := 0
-	if c.told || now >= c.trust {
-		ready = len(c.up)
+	if c.discovered || now >= c.trustSavedAt {
+		ready = len(c.upServers)
 	}
 	c.view.ready.Store(int64(ready))
 }
 
-type open struct {
-	req      *Request
-	came     time.Duration
-	attempts []attempt
-	out      int
-	answered bool
+type openRequest struct {
+	req       *Request
+	arrivedAt time.Duration
+	attempts  []attempt
+	inFlight  int
+	answered  bool
 }
 
 type attempt struct {
-	server uint32
-	sent   time.Duration
-	out    bool
-	status choice.Status // its end
+	server  uint32
+	sent    time.Duration
+	pending bool
+	status  choice.Status // its end
 }
 
 // verdict is what the attempts so far prove.
-func (o *open) verdict() Verdict {
+func (o *openRequest) verdict() Verdict {
 	v := NotAttempted
 	for _, a := range o.attempts {
-		if v = max(v, NotExecuted); a.out || a.status != choice.Overloaded && a.status != choice.ConnectFailed && a.status != choice.NotExecuted {
+		if v = max(v, NotExecuted); a.pending || a.status != choice.Overloaded && a.status != choice.ConnectFailed && a.status != choice.NotExecuted {
 			return MayHaveExecuted
 		}
 	}
@@ -220,7 +220,7 @@
 
 // savedAfter is how long a gateway waits for discovery's word after its start.
 // While discovery is down the saved list is better than none.
-const savedAfter = 500 * time.Millisecond
+const savedListDelay = 500 * time.Millisecond
 
 type message interface {
 	apply(c *Core, now time.Duration)
@@ -228,60 +228,60 @@
 
 // New returns a core that acts through hands once it runs. now is its clock.
 func New(set choice.Settings, seed uint64, now func() time.Duration, hands Dependencies) (*Core, error) {
-	c := &Core{box: mailbox.NewBox[message](hands.Env), now: now, hands: hands, open: map[uint32]*open{},
-		probes: map[uint32]probe{}, counts: map[string]time.Duration{}, up: map[uint32]bool{},
-		listed: map[uint32]bool{}, rest: newRest(set, seed)}
-	if c.probeLimit = set.ConnectTimeout; c.probeLimit <= 0 {
-		c.probeLimit = time.Second
+	c := &Core{inbox: mailbox.NewBox[message](hands.Env), now: now, deps: hands, requests: map[uint32]*openRequest{},
+		probes: map[uint32]probe{}, counterCalls: map[string]time.Duration{}, upServers: map[uint32]bool{},
+		listedServers: map[uint32]bool{}, sleepState: newSleepState(set, seed)}
+	if c.probeTimeout = set.ConnectTimeout; c.probeTimeout <= 0 {
+		c.probeTimeout = time.Second
 	}
-	c.trust = now() + savedAfter
+	c.trustSavedAt = now() + savedListDelay
 	var err error
-	c.bal, err = choice.New(set, seed, (*actions)(c))
+	c.balancer, err = choice.New(set, seed, (*actions)(c))
 	return c, err
 }
 
 // Run serves until it is stopped.
 func (c *Core) Run() {
-	for !c.halted {
-		c.turn(c.wait())
+	for !c.stopped {
+		c.runOnce(c.nextWake())
 	}
 }
 
 // Stop ends Run. What is open then gets no answer.
-func (c *Core) Stop() { c.box.Put(halt{}) }
+func (c *Core) Stop() { c.inbox.Put(stop{}) }
 
 // Close answers all that is open, at once, by what is known of it: the process is about to
 // end, and nobody could tell its silence from a lost request. What comes later is as ever.
-func (c *Core) AnswerOpen() { c.box.Put(closing{}) }
+func (c *Core) AnswerOpen() { c.inbox.Put(answerOpen{}) }
 
-type closing struct{}
+type answerOpen struct{}
 
-func (closing) apply(c *Core, now time.Duration) {
-	ids := slices.Sorted(maps.Keys(c.open))
-	for _, id := range c.waiting {
+func (answerOpen) apply(c *Core, now time.Duration) {
+	ids := slices.Sorted(maps.Keys(c.requests))
+	for _, id := range c.gateQueue {
 		(*actions)(c).Refuse(id, 0)
 	}
-	c.waiting = nil
+	c.gateQueue = nil
 	for _, id := range ids {
-		if o := c.open[id]; o != nil && !o.answered {
-			c.bal.AnswerNow(now, id)
+		if o := c.requests[id]; o != nil && !o.answered {
+			c.balancer.AnswerNow(now, id)
 		}
-		c.settle()
+		c.deliverOutcomes()
 	}
 }
 
-type halt struct{}
+type stop struct{}
 
-func (halt) apply(c *Core, _ time.Duration) { c.halted = true }
+func (stop) apply(c *Core, _ time.Duration) { c.stopped = true }
 
 // wait is how long the core may sleep: until the next timer that does something.
-func (c *Core) wait() time.Duration {
-	for len(c.timers) > 0 && c.lapsed(c.timers[0]) {
+func (c *Core) nextWake() time.Duration {
+	for len(c.timers) > 0 && c.expired(c.timers[0]) {
 		heap.Pop(&c.timers)
 	}
 	switch {
 	case c.asleep:
-		return max(0, c.until-c.now())
+		return max(0, c.wakeAt-c.now())
 	case len(c.timers) == 0:
 		return time.Second
 	}
@@ -289,130 +289,130 @@
 }
 
 // turn takes what has come within the wait, and all timers that are due.
-func (c *Core) turn(wait time.Duration) {
-	got := c.box.Take(wait)
+func (c *Core) runOnce(wait time.Duration) {
+	got := c.inbox.Take(wait)
 	now := c.now()
 	beaten := c.asleep
-	c.catchUp(now)
+	c.replayMissed(now)
 	for _, m := range got {
 		m.apply(c, c.now())
-		c.settle()
+		c.deliverOutcomes()
 	}
 	now = c.now()
 	for len(c.timers) > 0 && c.timers[0].at <= now {
 		t := heap.Pop(&c.timers).(timer)
 		t.fire(c, now)
-		c.settle()
+		c.deliverOutcomes()
 		beaten = beaten || t.token == choice.HousekeepingTimer
 	}
-	if now-c.counted >= viewEvery {
-		c.survey(now)
+	if now-c.viewUpdatedAt >= viewPeriod {
+		c.updateView(now)
 	}
-	c.doze(now, beaten)
+	c.trySleep(now, beaten)
 }
 
 // settle tells the module the ends of what it cancelled.
-func (c *Core) settle() {
-	for len(c.later) > 0 {
-		o := c.later[0]
-		c.later = c.later[1:]
-		c.bal.HandleOutcome(c.now(), o)
+func (c *Core) deliverOutcomes() {
+	for len(c.pendingOutcomes) > 0 {
+		o := c.pendingOutcomes[0]
+		c.pendingOutcomes = c.pendingOutcomes[1:]
+		c.balancer.HandleOutcome(c.now(), o)
 	}
 }
 
 // Submit takes a request. Its Reply hears of the answer, whatever happens.
-func (c *Core) Submit(r *Request) { c.box.Put(submitted{r}) }
+func (c *Core) Submit(r *Request) { c.inbox.Put(submitted{r}) }
 
 // Sent tells that more of a submitted request's body has gone out: silence and time count
 // from now on.
-func (c *Core) BodyProgress(r *Request) { c.box.Put(sent{r}) }
+func (c *Core) BodyProgress(r *Request) { c.inbox.Put(bodyProgress{r}) }
 
-type sent struct{ r *Request }
+type bodyProgress struct{ r *Request }
 
-func (m sent) apply(c *Core, now time.Duration) {
-	o := c.open[m.r.id]
+func (m bodyProgress) apply(c *Core, now time.Duration) {
+	o := c.requests[m.r.id]
 	if o == nil || o.req != m.r {
 		return
 	}
 	for try := range o.attempts {
-		if a := &o.attempts[try]; a.out {
+		if a := &o.attempts[try]; a.pending {
 			a.sent = now
-			c.bal.HandleBodyProgress(now, m.r.id, try)
+			c.balancer.HandleBodyProgress(now, m.r.id, try)
 		}
 	}
 }
 
 // Gone tells that the client of a submitted request has left.
-func (c *Core) ClientGone(r *Request) { c.box.Put(gone{r}) }
+func (c *Core) ClientGone(r *Request) { c.inbox.Put(clientGone{r}) }
 
 // Ended tells how an attempt ended.
 func (c *Core) AttemptEnded(server uint32, a Attempt, status choice.Status, answer any, load *choice.Load) {
-	c.box.Put(ended{server, a, status, answer, load})
+	c.inbox.Put(attemptEnded{server, a, status, answer, load})
 }
 
 // Probed tells how a probe ended.
 func (c *Core) ProbeEnded(server uint32, a Attempt, status choice.Status, load *choice.Load) {
-	c.box.Put(probed{server, a, status, load})
+	c.inbox.Put(probeEnded{server, a, status, load})
 }
 
 // Counted tells the end of a counter call.
 func (c *Core) CounterEnded(name string, status choice.Status, total float64) {
-	c.box.Put(counted{name, status, total})
+	c.inbox.Put(counterEnded{name, status, total})
 }
 
 // News tells what discovery has said.
-func (c *Core) HandleDiscovery(n DiscoveryUpdate) { c.box.Put(n) }
+func (c *Core) HandleDiscovery(n DiscoveryUpdate) { c.inbox.Put(n) }
 
 // Stats asks for the totals; it waits for the core's turn.
 func (c *Core) Stats() Stats {
-	ask := &asked{bell: hostenv.Or(c.hands.Env).NewBell()}
-	c.box.Put(ask)
+	ask := &statsRequest{bell: hostenv.Or(c.deps.Env).NewBell()}
+	c.inbox.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.stats
 }
 
 // Twins tells how many processes are this gateway.
-func (c *Core) SetProcesses(n int) { c.box.Put(twins(n)) }
+func (c *Core) SetProcesses(n int) { c.inbox.Put(processCount(n)) }
 
-type twins int
+type processCount int
 
-func (m twins) apply(c *Core, _ time.Duration) { c.bal.SetProcesses(int(m)) }
+func (m processCount) apply(c *Core, _ time.Duration) { c.balancer.SetProcesses(int(m)) }
 
 // Hand asks for what the module knows; it waits for the core's turn.
 func (c *Core) ExportState() choice.SavedState {
-	ask := &hand{bell: hostenv.Or(c.hands.Env).NewBell()}
-	c.box.Put(ask)
+	ask := &exportRequest{bell: hostenv.Or(c.deps.Env).NewBell()}
+	c.inbox.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.state
 }
 
-type hand struct {
+type exportRequest struct {
 	bell  hostenv.Bell
 	state choice.SavedState
 }
 
-func (m *hand) apply(c *Core, now time.Duration) {
-	m.state = c.bal.ExportState(now)
+func (m *exportRequest) apply(c *Core, now time.Duration) {
+	m.state = c.balancer.ExportState(now)
 	m.bell.Ring()
 }
 
 // Take gives the module what another process of this gateway knew. It waits for the core's
 // turn, and reports what is strange about it: then nothing is taken.
 func (c *Core) ImportState(s choice.SavedState) error {
-	ask := &take{bell: hostenv.Or(c.hands.Env).NewBell(), state: s}
-	c.box.Put(ask)
+	ask := &importRequest{bell: hostenv.Or(c.deps.Env).NewBell(), state: s}
+	c.inbox.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.err
 }
 
-type take struct {
+type importRequest struct {
 	bell  hostenv.Bell
 	state choice.SavedState
 	err   error
 }
 
-func (m *take) apply(c *Core, now time.Duration) {
-	m.err = c.bal.ImportState(now, m.state)
+func (m *importRequest) apply(c *Core, now time.Duration) {
+	m.err = c.balancer.ImportState(now, m.state)
 	m.bell.Ring()
 }
 
@@ -420,12 +420,12 @@
 
 func (m submitted) apply(c *Core, now time.Duration) {
 	r := m.r
-	for c.lastID++; c.lastID == 0 || c.open[c.lastID] != nil; c.lastID++ { // 0 is for probes
+	for c.lastID++; c.lastID == 0 || c.requests[c.lastID] != nil; c.lastID++ { // 0 is for probes
 	}
 	r.id = c.lastID
-	c.open[r.id] = &open{req: r, came: now}
+	c.requests[r.id] = &openRequest{req: r, arrivedAt: now}
 	c.stats.Requests++
-	if c.hands.Gate != nil && !c.pass(now, r) {
+	if c.deps.Gate != nil && !c.passGate(now, r) {
 		return
 	}
 	c.decide(now, r)
@@ -434,32 +434,32 @@
 func (c *Core) decide(now time.Duration, r *Request) {
 	if r.ResolveTerms != nil {
 		if err := r.ResolveTerms(); err != nil {
-			if reply := c.final(r.id); reply != nil {
+			if reply := c.takeReply(r.id); reply != nil {
 				c.stats.Refused++
 				reply.Disallowed(err)
 			}
 			return
 		}
 	}
-	c.bal.HandleRequest(now, choice.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
+	c.balancer.HandleRequest(now, choice.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
 		Deadline: r.Deadline, Units: r.Units, Gateways: r.Gateways, FirstGateway: r.FirstGateway, IsRetry: r.IsRetry})
 }
 
-type gone struct{ r *Request }
+type clientGone struct{ r *Request }
 
-func (m gone) apply(c *Core, now time.Duration) {
-	o := c.open[m.r.id]
+func (m clientGone) apply(c *Core, now time.Duration) {
+	o := c.requests[m.r.id]
 	if o == nil || o.req != m.r || o.answered {
 		return
 	}
 	o.answered = true // nobody is left to answer
 	c.stats.ClientsGone++
-	c.waiting = slices.DeleteFunc(c.waiting, func(id uint32) bool { return id == m.r.id })
-	c.bal.HandleClientGone(now, m.r.id)
-	c.forget(m.r.id, o)
+	c.gateQueue = slices.DeleteFunc(c.gateQueue, func(id uint32) bool { return id == m.r.id })
+	c.balancer.HandleClientGone(now, m.r.id)
+	c.removeIfDone(m.r.id, o)
 }
 
-type ended struct {
+type attemptEnded struct {
 	server uint32
 	Attempt
 	status choice.Status
@@ -468,113 +468,113 @@
 }
 
 // apply drops what comes late: an attempt has one end, and a request one answer.
-func (m ended) apply(c *Core, now time.Duration) {
-	o := c.open[m.ID]
-	if o == nil || m.Number >= len(o.attempts) || !o.attempts[m.Number].out || o.attempts[m.Number].server != m.server {
-		c.drop(m.answer)
+func (m attemptEnded) apply(c *Core, now time.Duration) {
+	o := c.requests[m.ID]
+	if o == nil || m.Number >= len(o.attempts) || !o.attempts[m.Number].pending || o.attempts[m.Number].server != m.server {
+		c.discard(m.answer)
 		return
 	}
 	a := &o.attempts[m.Number]
-	a.out, a.status = false, m.status
-	o.out--
+	a.pending, a.status = false, m.status
+	o.inFlight--
 	c.stats.Outcomes[m.status]++
-	c.heard(m.server, m.status)
+	c.observe(m.server, m.status)
 	if m.status == choice.OK && !o.answered {
 		o.answered = true
 		c.stats.Served++
 		o.req.Reply.Served(m.answer)
 	} else {
-		c.drop(m.answer)
+		c.discard(m.answer)
 	}
-	c.bal.HandleOutcome(now, choice.Outcome{ID: m.ID, Attempt: m.Number, Backend: m.server, Status: m.status,
+	c.balancer.HandleOutcome(now, choice.Outcome{ID: m.ID, Attempt: m.Number, Backend: m.server, Status: m.status,
 		Elapsed: now - a.sent, Final: o.answered, Load: m.load})
-	c.forget(m.ID, o)
+	c.removeIfDone(m.ID, o)
 }
 
-type probed struct {
+type probeEnded struct {
 	server uint32
 	Attempt
 	status choice.Status
 	load   *choice.Load
 }
 
-func (m probed) apply(c *Core, now time.Duration) {
+func (m probeEnded) apply(c *Core, now time.Duration) {
 	p, ok := c.probes[m.server]
 	if !ok || p.try != m.Number {
 		return
 	}
 	delete(c.probes, m.server)
-	c.heard(m.server, m.status)
-	c.bal.HandleProbe(now, choice.ProbeResult{Backend: m.server, Status: m.status, Elapsed: now - p.sent, Load: m.load})
+	c.observe(m.server, m.status)
+	c.balancer.HandleProbe(now, choice.ProbeResult{Backend: m.server, Status: m.status, Elapsed: now - p.sent, Load: m.load})
 }
 
-type counted struct {
+type counterEnded struct {
 	name   string
 	status choice.Status
 	total  float64
 }
 
-func (m counted) apply(c *Core, now time.Duration) {
-	sent := c.counts[m.name]
-	delete(c.counts, m.name)
-	c.bal.HandleCounter(now, choice.CounterResult{Name: m.name, Status: m.status, Total: m.total, Elapsed: now - sent})
+func (m counterEnded) apply(c *Core, now time.Duration) {
+	sent := c.counterCalls[m.name]
+	delete(c.counterCalls, m.name)
+	c.balancer.HandleCounter(now, choice.CounterResult{Name: m.name, Status: m.status, Total: m.total, Elapsed: now - sent})
 }
 
 func (m DiscoveryUpdate) apply(c *Core, now time.Duration) {
 	r := choice.RosterUpdate{Whole: m.Whole, Saved: m.Saved, Broken: m.Broken}
 	if !m.Broken {
-		if c.hands.Fleet.Update(m); m.Whole {
-			clear(c.up)
-			clear(c.listed)
+		if c.deps.Fleet.Update(m); m.Whole {
+			clear(c.upServers)
+			clear(c.listedServers)
 		}
 		for _, s := range m.Members {
 			r.Members = append(r.Members, s.Member)
-			if delete(c.up, s.ID); s.State == choice.Up {
-				c.up[s.ID] = true
+			if delete(c.upServers, s.ID); s.State == choice.Up {
+				c.upServers[s.ID] = true
 			}
-			if delete(c.listed, s.ID); s.State != choice.Down {
-				c.listed[s.ID] = true
+			if delete(c.listedServers, s.ID); s.State != choice.Down {
+				c.listedServers[s.ID] = true
 			}
 		}
-		c.told = c.told || !m.Saved
+		c.discovered = c.discovered || !m.Saved
 	}
-	c.bal.HandleRoster(now, r)
-	c.survey(now)
+	c.balancer.HandleRoster(now, r)
+	c.updateView(now)
 }
 
-type asked struct {
+type statsRequest struct {
 	bell  hostenv.Bell
 	stats Stats
 }
 
-func (m *asked) apply(c *Core, now time.Duration) {
+func (m *statsRequest) apply(c *Core, now time.Duration) {
 	s := c.stats
-	c.survey(now)
-	s.Open, s.Ready = len(c.open), c.ReadyServers()
-	s.InFlight, s.Module, s.Version = len(c.probes), c.bal.Totals(), c.version
-	for _, o := range c.open {
-		s.InFlight += o.out
+	c.updateView(now)
+	s.Open, s.Ready = len(c.requests), c.ReadyServers()
+	s.InFlight, s.Module, s.Version = len(c.probes), c.balancer.Totals(), c.policyVersion
+	for _, o := range c.requests {
+		s.InFlight += o.inFlight
 	}
 	m.stats = s
 	m.bell.Ring()
 }
 
-func (c *Core) heard(server uint32, status choice.Status) {
-	if c.hands.Health != nil {
-		c.hands.Health.Observe(server, status)
+func (c *Core) observe(server uint32, status choice.Status) {
+	if c.deps.Health != nil {
+		c.deps.Health.Observe(server, status)
 	}
 }
 
 // drop gives up an answer that nobody takes.
-func (c *Core) drop(answer any) {
-	if c.hands.DiscardAnswer != nil {
-		c.hands.DiscardAnswer(answer)
+func (c *Core) discard(answer any) {
+	if c.deps.DiscardAnswer != nil {
+		c.deps.DiscardAnswer(answer)
 	}
 }
 
-func (c *Core) forget(id uint32, o *open) {
-	if o.answered && o.out == 0 {
-		delete(c.open, id)
+func (c *Core) removeIfDone(id uint32, o *openRequest) {
+	if o.answered && o.inFlight == 0 {
+		delete(c.requests, id)
 	}
 }
 
@@ -583,34 +583,34 @@
 
 func (x *actions) Send(id, backend uint32, limit time.Duration) {
 	c := (*Core)(x)
-	o := c.open[id]
+	o := c.requests[id]
 	if o == nil {
 		log.Printf("event=bug what=%q request=%d", "send for an unknown request", id)
 		return
 	}
 	now := c.now()
 	try := len(o.attempts)
-	o.attempts = append(o.attempts, attempt{server: backend, sent: now, out: true})
-	o.out++
+	o.attempts = append(o.attempts, attempt{server: backend, sent: now, pending: true})
+	o.inFlight++
 	left := o.req.Deadline - now
 	if limit > 0 {
 		left = min(left, limit)
 	}
 	again := try > 0 && o.req.BodyConsumed != nil && o.req.BodyConsumed()
 	if o.answered || left <= 0 || again { // the request is over: it must not go out
-		o.attempts[try].out, o.attempts[try].status = false, choice.NotExecuted
-		o.out--
-		c.later = append(c.later, choice.Outcome{ID: id, Attempt: try, Backend: backend, Status: choice.NotExecuted, Final: o.answered})
+		o.attempts[try].pending, o.attempts[try].status = false, choice.NotExecuted
+		o.inFlight--
+		c.pendingOutcomes = append(c.pendingOutcomes, choice.Outcome{ID: id, Attempt: try, Backend: backend, Status: choice.NotExecuted, Final: o.answered})
 		return
 	}
 	c.stats.Attempts++
-	c.after(left, timer{kind: attemptTimer, id: id, try: try})
-	c.hands.Fleet.Send(backend, Attempt{id, try}, o.req.Call, left)
+	c.schedule(left, timer{kind: attemptTimer, id: id, try: try})
+	c.deps.Fleet.Send(backend, Attempt{id, try}, o.req.Call, left)
 }
 
 func (x *actions) Refuse(id uint32, retryAfter time.Duration) {
-	o := x.open[id]
-	if r := (*Core)(x).final(id); r != nil {
+	o := x.requests[id]
+	if r := (*Core)(x).takeReply(id); r != nil {
 		x.stats.Refused++
 		r.Refused(retryAfter, o.verdict())
 	}
@@ -618,8 +618,8 @@
 
 func (x *actions) Fail(id uint32) {
 	c := (*Core)(x)
-	o := c.open[id]
-	if r := c.final(id); r != nil {
+	o := c.requests[id]
+	if r := c.takeReply(id); r != nil {
 		x.stats.Failed++
 		// The module gives up a little before the deadline, in time to answer.
 		r.Failed(c.now()+20*time.Millisecond >= o.req.Deadline)
@@ -627,61 +627,61 @@
 }
 
 // final marks a request as answered and returns who hears of it.
-func (c *Core) final(id uint32) Reply {
-	o := c.open[id]
+func (c *Core) takeReply(id uint32) Reply {
+	o := c.requests[id]
 	if o == nil || o.answered {
 		return nil
 	}
 	o.answered = true
-	c.forget(id, o)
+	c.removeIfDone(id, o)
 	return o.req.Reply
 }
 
 func (x *actions) Cancel(id uint32, try int) {
 	c := (*Core)(x)
-	if o := c.open[id]; o != nil && try < len(o.attempts) && o.attempts[try].out {
-		c.stop(id, o, try, choice.Cancelled)
+	if o := c.requests[id]; o != nil && try < len(o.attempts) && o.attempts[try].pending {
+		c.abortAttempt(id, o, try, choice.Cancelled)
 	}
 }
 
 // stop gives up an attempt that is out.
-func (c *Core) stop(id uint32, o *open, try int, status choice.Status) {
+func (c *Core) abortAttempt(id uint32, o *openRequest, try int, status choice.Status) {
 	a := &o.attempts[try]
-	a.out, a.status = false, status
-	o.out--
+	a.pending, a.status = false, status
+	o.inFlight--
 	c.stats.Outcomes[status]++
-	c.heard(a.server, status)
-	c.hands.Fleet.Cancel(a.server, Attempt{id, try})
-	c.later = append(c.later, choice.Outcome{ID: id, Attempt: try, Backend: a.server, Status: status,
+	c.observe(a.server, status)
+	c.deps.Fleet.Cancel(a.server, Attempt{id, try})
+	c.pendingOutcomes = append(c.pendingOutcomes, choice.Outcome{ID: id, Attempt: try, Backend: a.server, Status: status,
 		Elapsed: c.now() - a.sent, Final: o.answered})
-	c.forget(id, o)
+	c.removeIfDone(id, o)
 }
 
 func (x *actions) Probe(backend uint32) {
 	c := (*Core)(x)
-	c.probed++
+	c.probeCount++
 	c.stats.Probes++
-	c.probes[backend] = probe{try: c.probed, sent: c.now()}
-	c.after(c.probeLimit, timer{kind: probeTimer, id: backend, try: c.probed})
-	c.hands.Fleet.Probe(backend, Attempt{0, c.probed}, c.probeLimit)
+	c.probes[backend] = probe{try: c.probeCount, sent: c.now()}
+	c.schedule(c.probeTimeout, timer{kind: probeTimer, id: backend, try: c.probeCount})
+	c.deps.Fleet.Probe(backend, Attempt{0, c.probeCount}, c.probeTimeout)
 }
 
 func (x *actions) AddToCounter(name string, add float64, life time.Duration) {
 	c := (*Core)(x)
 	c.stats.CounterCalls++
-	c.counts[name] = c.now()
-	c.hands.Counter.Add(name, add, life)
+	c.counterCalls[name] = c.now()
+	c.deps.Counter.Add(name, add, life)
 }
 
 func (x *actions) SetTimer(after time.Duration, token string) {
 	c := (*Core)(x)
 	if token == choice.HousekeepingTimer {
-		c.beat = after
+		c.interval = after
 	}
-	c.after(after, timer{kind: moduleTimer, token: token, id: of(token)})
+	c.schedule(after, timer{kind: moduleTimer, token: token, id: timerRequest(token)})
 }
 
-func (x *actions) Watch(on bool) { x.hands.Watcher.Watch(on) }
+func (x *actions) Watch(on bool) { x.deps.Watcher.Watch(on) }
 
 func (x *actions) Log(text string) { log.Printf("event=module text=%q", text) }
 
@@ -703,10 +703,10 @@
 	try   int
 }
 
-func (c *Core) after(d time.Duration, t timer) {
-	c.seq++
-	if t.seq = c.seq; c.played > 0 {
-		t.at = c.played + d
+func (c *Core) schedule(d time.Duration, t timer) {
+	c.timerSeq++
+	if t.seq = c.timerSeq; c.replayTime > 0 {
+		t.at = c.replayTime + d
 	} else {
 		t.at = c.now() + d
 	}
@@ -716,17 +716,17 @@
 func (t timer) fire(c *Core, now time.Duration) {
 	switch t.kind {
 	case moduleTimer:
-		c.bal.HandleTimer(now, t.token)
+		c.balancer.HandleTimer(now, t.token)
 	case attemptTimer:
-		if o := c.open[t.id]; o != nil && t.try < len(o.attempts) && o.attempts[t.try].out {
-			c.stop(t.id, o, t.try, choice.Timeout)
+		if o := c.requests[t.id]; o != nil && t.try < len(o.attempts) && o.attempts[t.try].pending {
+			c.abortAttempt(t.id, o, t.try, choice.Timeout)
 		}
 	case gateTimer:
-		c.look(now)
+		c.recheckGate(now)
 	case probeTimer:
 		if p, ok := c.probes[t.id]; ok && p.try == t.try {
-			c.hands.Fleet.Cancel(t.id, Attempt{0, t.try})
-			probed{t.id, Attempt{0, t.try}, choice.Timeout, nil}.apply(c, now)
+			c.deps.Fleet.Cancel(t.id, Attempt{0, t.try})
+			probeEnded{t.id, Attempt{0, t.try}, choice.Timeout, nil}.apply(c, now)
 		}
 	}
 }
--- a/internal/stride/stride_test.go
+++ b/internal/stride/stride_test.go
@@ -65,8 +65,8 @@
 			got++
 		}
 	}
-	if got < 4 || got > 4+int(math.Ceil(2*mostBehind)) {
-		t.Errorf("%d of 20 requests go to the server that is back, want 4 to %d", got, 4+int(math.Ceil(2*mostBehind)))
+	if got < 4 || got > 4+int(math.Ceil(2*maxBehind)) {
+		t.Errorf("%d of 20 requests go to the server that is back, want 4 to %d", got, 4+int(math.Ceil(2*maxBehind)))
 	}
 }
 
