--- a/choice/choice.go
+++ b/choice/choice.go
@@ -128,8 +128,8 @@
 	b := &Balancer{cfg: set, host: act, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*class{},
 		plans: map[string]*Plan{}, requests: map[uint32]*request{}, byID: map[uint32]*backend{},
 		customers: map[string]*customer{}, fastestProbe: map[string]float64{}, logged: map[string]bool{},
-		zones: map[string]*health.Zone{}, processes: 1,
-		counterCalls: map[string]func(time.Duration, CounterResult){}}
+		zones:        map[string]*health.Zone{},
+		counterCalls: map[string]func(time.Duration, CounterResult){}, processes: 1}
 	b.cfg.MaxAttempts, b.cfg.MaxRetryAfter = max(set.MaxAttempts, 1), cmp.Or(set.MaxRetryAfter, math.MaxInt64)
 	b.cfg.RetryRatio, b.cfg.RetryBudget = cmp.Or(set.RetryRatio, 0.1), cmp.Or(set.RetryBudget, retryBudget)
 	b.interval = set.Classes[0].Target
--- a/internal/aperture/aperture.go
+++ b/internal/aperture/aperture.go
@@ -1,8 +1,8 @@
-// Package aperture tells which servers of a fleet a gateway should use, where
-// there are so many gateways and servers that each gateway would meet each
-// server too seldom to know it or to find its connection still open. All
-// gateways work it out alike from their own number, without a word to each
-// other, so that every server is used by about as many of them. No I/O, no clock.
+// Package aperture selects the servers that a gateway should use, for systems with
+// so many gateways and servers that each gateway would use each server too rarely to
+// have statistics of it or an open connection. Each gateway computes its part from
+// its index alone, without communication, so that all servers are used by about the
+// same number of gateways. No I/O, no clock.
 package aperture
 
 import (
@@ -11,21 +11,20 @@
 	"slices"
 )
 
-// Node is a server: Key is the same at every gateway and has no meaning.
+// Node is a server. Key is the same at every gateway; its value has no meaning.
 type Node struct {
 	Key  uint64
 	Zone string
 }
 
-// Ring returns items, each a node, in an order that is the same at every
-// gateway. Zones take turns in it, so that any part of it in a row holds about
-// as much of each zone as the whole does. One node more or less moves the
-// others by at most a place or two.
+// Ring returns the items in an order that is the same at every gateway. Zones are
+// interleaved, so that any contiguous part has about the same zone proportions as the
+// whole. Adding or removing a node moves the others by at most a place or two.
 func Ring[T any](items []T, node func(T) Node) []T {
 	type place struct {
 		item T
 		Node
-		rank float64 // in its zone
+		rank float64 // within its zone
 	}
 	ring, size := make([]place, len(items)), map[string]float64{}
 	for i, it := range items {
@@ -46,20 +45,20 @@
 	return order
 }
 
-// Start is where on a ring of length 1 a gateway's own part begins. Numbers that
-// follow each other lie a golden section apart: any row of gateways, such as
-// those that one customer's requests come in through, covers the ring evenly.
+// StartOffset is where a gateway's part begins on a ring of length 1. Consecutive
+// gateways are a golden section apart, so that any range of gateways, such as those
+// that one customer's requests arrive at, covers the ring evenly.
 func StartOffset(gateway int) float64 {
 	_, part := math.Modf(float64(gateway) * math.Phi)
 	return part
 }
 
-// Cover is a gateway's part of a ring: what share of each node is its own, from 0
-// to 1. Nodes take as much of the ring as they weigh; weight 0 is none. The part
-// begins at the gateway's place, within a node if need be, and holds want of
-// weight, of all that can be used. Parts that began and ended only between nodes
-// would meet some by a gateway more than others: with a dozen gateways for a node
-// that is a tenth of its load. What can't be used is made up for by the next.
+// Cover returns the share of each node, from 0 to 1, that belongs to a gateway's part
+// of a ring. Nodes take space on the ring by weight. The part begins at the gateway's
+// offset, possibly within a node, and covers a weight of want among usable nodes;
+// unusable ones are replaced by the next. If parts began and ended only between nodes,
+// some nodes would be used by one gateway more than others: with a dozen gateways for
+// each node, that is a tenth of its load.
 func Cover(gateway int, weights []float64, usable func(i int) bool, want float64) []float64 {
 	share, total := make([]float64, len(weights)), 0.0
 	for _, w := range weights {
@@ -73,7 +72,7 @@
 		at -= weights[first]
 		first++
 	}
-	skip := min(at, weights[first]) // what of the first node lies before the part
+	skip := min(at, weights[first]) // weight of the first node before the part
 	for n := range weights {
 		i := (first + n) % len(weights)
 		if w := weights[i]; w > 0 && usable(i) {
@@ -83,14 +82,14 @@
 		}
 		skip = 0
 	}
-	if i := first; want > 1e-9 && weights[i] > 0 && usable(i) { // all the way round
+	if i := first; want > 1e-9 && weights[i] > 0 && usable(i) { // wrapped around the whole ring
 		share[i] = min(1, share[i]+want/weights[i])
 	}
 	return share
 }
 
-// Part is a gateway's part of a ring as it was last worked out. Without news of its nodes it is worked
-// out from the same weights again and again, at each beat of each service: what is the same is not redone.
+// CachedCover computes Cover and keeps the last result. Housekeeping of each service asks again and again
+// for the same weights, and then gets the cached result.
 type CachedCover struct {
 	gateway       int
 	want          float64
@@ -99,15 +98,15 @@
 	share         []float64
 }
 
-// Weights are n of no weight, for the caller to fill in and give to Cover.
+// Weights returns n zero weights that the caller fills in before calling Cover.
 func (p *CachedCover) Weights(n int) []float64 {
 	p.next = slices.Grow(p.next[:0], n)[:n]
 	clear(p.next)
 	return p.next
 }
 
-// Cover is what the function of that name says of the weights that the caller has filled in. It is not to
-// be changed, and good until the next call.
+// Cover returns what the function Cover does for the weights that the caller has filled in. The result must
+// not be modified and is valid until the next call.
 func (p *CachedCover) Cover(gateway int, usable func(i int) bool, want float64) []float64 {
 	same := p.share != nil && gateway == p.gateway && want == p.want && slices.Equal(p.weights, p.next)
 	for i := 0; same && i < len(p.next); i++ {
--- a/internal/aperture/aperture_test.go
+++ b/internal/aperture/aperture_test.go
@@ -17,7 +17,7 @@
 	return nodes
 }
 
-// All gateways have one order, whatever the order of their lists, and any row of it holds the zones as the whole does.
+// The order doesn't depend on the order of the list, and any contiguous part has the zone proportions of the whole.
 func TestRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := fleet(t)
@@ -46,7 +46,7 @@
 	})
 }
 
-// Any row of gateways covers the ring evenly.
+// Any range of gateways covers the ring evenly.
 func TestStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, row := rapid.IntRange(0, 500).Draw(t, "first"), rapid.IntRange(8, 200).Draw(t, "row")
@@ -58,14 +58,14 @@
 		slices.Sort(starts)
 		for i, s := range starts {
 			next := starts[(i+1)%row]
-			if gap := (next - s + n) % n; gap*row > 3*n { // a golden section leaves gaps of three lengths
+			if gap := (next - s + n) % n; gap*row > 3*n { // a golden section leaves gaps of at most three lengths
 				t.Fatalf("a gap of %.2f mean ones among %d gateways from %d", float64(gap*row)/n, row, first)
 			}
 		}
 	})
 }
 
-// A part holds what is wanted, or all that can be used, and nothing else.
+// A part covers the wanted weight, or all usable nodes, and nothing else.
 func TestCoverHoldsWhatIsWanted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.5, 1, 2, 4}), 1, 60).Draw(t, "weights")
@@ -89,8 +89,8 @@
 	})
 }
 
-// Where each gateway spreads its requests over its part, all nodes get alike by
-// weight: with a dozen gateways for a node within a tenth, and mostly far less.
+// If each gateway spreads its requests over its part, all nodes get load by weight:
+// with a dozen gateways for each node within a tenth, mostly far less. The check allows a fifth.
 func TestCoverIsEvenOverAllGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(20, 200).Draw(t, "nodes")
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,47 +1,46 @@
-// Package backoff paces a gateway's calls to discovery: when it makes the first
-// one after a start, and how long it waits after one that failed. Two things
-// pull against each other. What discovery has to tell counts as told to a gateway
-// that does not ask, so that waiting may break the rule on drains; and a
-// discovery that many gateways share can be kept from answering anybody by their
-// calls alone. Which of them binds is told by the settings and by what the calls
-// show, not by the number of gateways: an agent on the gateway's own machine
-// bears any number of calls, and all that it has is told; a shared discovery
-// leaves time until a stated age of the news. No I/O, no clock.
+// Package backoff computes the delays of a gateway's calls to discovery: before the
+// first one after a start, and after a failed one. There are two conflicting risks. A
+// change in discovery counts as known to a gateway that doesn't ask for it, so that
+// waiting may violate the rule on drains; and the calls of many gateways alone may
+// overload a shared discovery service. Which one matters depends on the settings and
+// on responses, not on the number of gateways: an agent on the gateway's own machine
+// handles any number of calls, and its news counts as known at once; news of a shared
+// service counts as known only from a configured age on. No I/O, no clock.
 package backoff
 
 import "time"
 
-// Terms tell what discovery is like.
+// Options describe the discovery service.
 type Options struct {
-	Shared     bool          // calls of all gateways go to one service; else an agent on this machine answers
-	MaxNewsAge time.Duration // of a shared one: what is listed counts as told to a gateway that has not asked for so long; 0: not known
-	Gateways   int           // that share it
+	Shared     bool          // all gateways call one service; otherwise an agent on this machine answers
+	MaxNewsAge time.Duration // of a shared service: age from which news counts as known to a gateway that has not asked; 0: unknown
+	Gateways   int           // that share the service
 }
 
 const (
 	initialPause = 20 * time.Millisecond // after the first failure
-	// News may be waiting, so a failure that says nothing of a crowd is followed up soon.
+	// There may be news, so the call is repeated soon unless the service is overloaded.
 	maxPauseShared = 320 * time.Millisecond
-	// An agent's news is told when the agent has it: with half as much again by
-	// chance and a call's time, two tries fit into the 500 ms that drains leave.
+	// An agent's news counts as known when the agent has it. With 50 % jitter and the
+	// time of a call, two attempts fit into the 500 ms that drains allow.
 	maxPauseLocal = 160 * time.Millisecond
 
-	perGateway     = 50 * time.Millisecond  // of a shared discovery's time, for each gateway's first call
-	perGatewayBusy = 125 * time.Millisecond // and for each call, once it has turned some away
-	// Shares of the age at which news counts as told: the first call's latest time,
-	// and that of the next one after a failure, which may be four times as old.
+	perGateway     = 50 * time.Millisecond  // spreads the first calls to a shared service
+	perGatewayBusy = 125 * time.Millisecond // spreads all calls, once the service has rejected some
+	// Limits of the spread, as shares of the age at which news counts as known: of the
+	// first call, and of the one after a failure, for which it may be four times as old.
 	firstCallShare = 0.4
 	busyPauseShare = 4 * 0.4
-	defaultNewsAge = 10 * time.Second // for Within
+	defaultNewsAge = 10 * time.Second // for Options.MaxNewsAge
 )
 
-// Pace is where a gateway stands.
+// Backoff is the backoff state of one gateway.
 type Backoff struct {
 	options Options
-	pause   time.Duration // after the next failure, on the mean
+	pause   time.Duration // mean delay after the next failure
 }
 
-// New returns the pace of a gateway that has just started.
+// New returns the state of a gateway that has just started.
 func New(t Options) *Backoff {
 	if t.MaxNewsAge <= 0 {
 		t.MaxNewsAge = defaultNewsAge
@@ -49,12 +48,12 @@
 	return &Backoff{options: t, pause: initialPause}
 }
 
-// share is a time for each gateway, up to a share of the news' age.
+// spreadOver is a time for each gateway, limited to a share of the news age.
 func (p *Backoff) spreadOver(each time.Duration, part float64) time.Duration {
 	return min(time.Duration(p.options.Gateways)*each, time.Duration(part*float64(p.options.MaxNewsAge)))
 }
 
-// First is the wait before the first call after a start. odds is drawn from 0 to 1.
+// InitialDelay is the delay before the first call after a start. odds is random from 0 to 1.
 func (p *Backoff) InitialDelay(odds float64) time.Duration {
 	if !p.options.Shared {
 		return 0
@@ -62,9 +61,9 @@
 	return time.Duration(odds * float64(p.spreadOver(perGateway, firstCallShare)))
 }
 
-// Failed is the wait after a call that failed: from half the pause to half as
-// much again by odds, so that gateways which failed together do not come back
-// together. busy: discovery said that it has too much to do.
+// NextDelay is the delay after a failed call: the pause with 50 % jitter by odds, so
+// that gateways which failed together don't retry together. busy tells that discovery
+// reported overload.
 func (p *Backoff) NextDelay(busy bool, odds float64) time.Duration {
 	most := maxPauseLocal
 	switch {
@@ -80,5 +79,5 @@
 	return wait
 }
 
-// Heard tells of a call that went well, or of a move to another discovery.
+// Reset starts over after a successful call or a move to another discovery service.
 func (p *Backoff) Reset() { p.pause = initialPause }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// What an agent on this machine has counts as told: whatever fails there, a
-// gateway of however large a fleet asks at once, and twice in the 500 ms that
-// drains leave. This guards against the 15 s that gateways of a fleet of 300 once waited.
+// News of an agent on this machine counts as known. Whatever fails, a gateway asks at once and
+// twice within the 500 ms that drains allow, however many gateways there are. Guards against
+// the 15 s that gateways of a fleet of 300 once waited.
 func TestAgentIsAskedAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Options{Gateways: rapid.IntRange(1, 5000).Draw(t, "gateways"),
@@ -27,8 +27,8 @@
 	})
 }
 
-// A shared discovery is asked before its news counts as told, however many
-// gateways there are, and with fewer calls the more of them are turned away.
+// A shared service is asked before its news counts as known, however many gateways there
+// are, and less often the more calls it rejects.
 func TestSharedIsAskedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Options{Shared: true, Gateways: rapid.IntRange(1, 5000).Draw(t, "gateways"),
@@ -47,9 +47,9 @@
 	})
 }
 
-// Waits after answers of a crowded discovery grow with those who share it; after
-// a good answer they start anew.
-func TestCrowdIsLeftAlone(t *testing.T) {
+// Delays after calls that an overloaded service rejected grow with the number of gateways,
+// and start over after a successful call.
+func TestBacksOffFromOverloadedService(t *testing.T) {
 	p := New(Options{Shared: true, MaxNewsAge: 10 * time.Second, Gateways: 80})
 	if first := p.InitialDelay(1); first != 4*time.Second {
 		t.Errorf("first calls spread over %v, want 4s", first)
@@ -60,6 +60,6 @@
 		}
 	}
 	if p.Reset(); p.NextDelay(false, 0.5) != 20*time.Millisecond {
-		t.Error("a good answer did not count")
+		t.Error("a successful call did not reset the delay")
 	}
 }
--- a/internal/concurrency/concurrency.go
+++ b/internal/concurrency/concurrency.go
@@ -1,7 +1,7 @@
-// Package concurrency steers how many attempts a gateway may have out, by whether
-// answers come late. Servers that once hold too much stay jammed for long, so it
-// starts low: gateways that see a sliver of the traffic each cannot even it out,
-// and at a start all their customers' stores are full. No I/O, no clock.
+// Package concurrency limits a gateway's attempts in flight, adapting to how many
+// responses are late. The limit starts low, because overloaded servers take long to
+// recover, gateways with a small part of the traffic can't correct each other, and
+// after a start all customers have their full burst. No I/O, no clock.
 package concurrency
 
 import (
@@ -10,26 +10,27 @@
 )
 
 const (
-	targetLateShare = 0.05 // of answers near or past their aim: what it steers for
-	startFactor     = 2    // where it starts, in its floor
-	maxFactor       = 4    // where it ends
+	targetLateShare = 0.05 // of responses near or past their target: what the limit settles at
+	startFactor     = 2    // initial limit, as a multiple of Min
+	maxFactor       = 4    // highest limit, as a multiple of Min
 )
 
-// Limit is a gateway's.
+// Limit is the adaptive limit of one gateway.
 type Limit struct {
-	Max               float64 // attempts that may be out before requests are shed
-	Load              float64 // mean of those that are
-	ServersPerGateway float64 // servers up, for each gateway
+	Max               float64 // attempts in flight, above which requests are shed
+	Load              float64 // moving mean of attempts in flight
+	ServersPerGateway float64 // servers that are up, divided by gateways
 	interval          time.Duration
-	loadAt            time.Duration // of Load
-	initialMax        float64       // what Max began at; 0: it has been lowered since
+	loadAt            time.Duration // last update of Load
+	initialMax        float64       // initial Max; 0: it has been lowered since
 }
 
-// New returns one that has not begun. beat is an eighth of the shortest aim.
+// New returns an unlimited one, until Init. interval is an eighth of the shortest target.
 func New(beat time.Duration) Limit { return Limit{Max: math.Inf(1), interval: beat} }
 
-// Begin sets the start once servers are known, as with one attempt out: no rush of first requests.
-// They may become known one by one: until answers have come late, the start moves up with them.
+// Init sets the initial limit once servers are known. Load starts at one attempt, to avoid a rush of
+// first requests. Servers may become known one by one: the initial limit rises with them until the
+// first late response.
 func (l *Limit) Init(now time.Duration) {
 	start := startFactor * l.Min() * min(1, (1+l.ServersPerGateway)/2)
 	switch {
@@ -42,9 +43,9 @@
 	}
 }
 
-// Busy is the mean of attempts out, over six aims where they are few: below one,
-// the number of the moment says nothing, and a mean over one aim still refused by
-// chance. It may hurt when load doubles within those.
+// UpdateLoad returns the moving mean of attempts in flight. It spans six targets where
+// there are few attempts: below one, the current number tells nothing, and a mean over
+// one target still refused requests by chance. It lags if load doubles within that time.
 func (l *Limit) UpdateLoad(now time.Duration, out float64) float64 {
 	rate := (1 + l.Load*l.Load) / float64(48*l.interval)
 	l.Load += (max(0, out) - l.Load) * (1 - math.Exp(-rate*float64(now-l.loadAt)))
@@ -52,15 +53,15 @@
 	return l.Load
 }
 
-// Pace is the weight of one answer in what is learnt of load: the more, the fewer there are.
+// SampleWeight is the weight of one response in moving means: the lower the load, the higher.
 func (l *Limit) SampleWeight() float64 { return max(0.08, min(0.8/l.Load, 0.3)) }
 
-// Floor is the least that it may be: two attempts a server.
+// Min is the lowest limit: two attempts per server.
 func (l *Limit) Min() float64 { return 2 * l.ServersPerGateway }
 
-// Steer moves the limit, so that few answers come late, be it of overload, a
-// shrunken fleet or slow servers. Its floor keeps answers to learn from. It may
-// hurt where lateness does not come of load.
+// Adjust moves the limit so that few responses are late, whether because of overload,
+// lost servers or slow servers. Min ensures that there are responses to adapt to. It
+// does harm where lateness isn't caused by load.
 func (l *Limit) Adjust(now time.Duration, out float64, late bool) {
 	load, step, least := l.UpdateLoad(now, out), l.SampleWeight(), l.Min()
 	if l.Max = min(l.Max, maxFactor*least); late {
--- a/internal/concurrency/concurrency_test.go
+++ b/internal/concurrency/concurrency_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever answers show, the limit stays between its floor and its end, and a run
-// of late answers brings it to the floor.
+// Whatever the responses, the limit stays between its bounds, and a series of late
+// responses lowers it to the minimum.
 func TestLimitStaysInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(100 * time.Millisecond)
@@ -19,19 +19,19 @@
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "pause"))
 			l.Adjust(now, rapid.Float64Range(0, 200).Draw(t, "out"), rapid.Bool().Draw(t, "late"))
 			if l.Max < l.Min()/2 || l.Max > maxFactor*l.Min()*1.3+0.1 {
-				t.Fatalf("limit %v with a floor of %v", l.Max, l.Min())
+				t.Fatalf("limit %v with a minimum of %v", l.Max, l.Min())
 			}
 		}
 		for range 60 {
 			l.Adjust(now, 5, true)
 		}
 		if l.Max > l.Min()*1.01 {
-			t.Fatalf("limit %v after late answers alone, floor %v", l.Max, l.Min())
+			t.Fatalf("limit %v after only late responses, minimum %v", l.Max, l.Min())
 		}
 	})
 }
 
-// It grows only where it is used.
+// The limit grows only while it is used.
 func TestLimitGrowsWhereItIsUsed(t *testing.T) {
 	for used, grows := range map[float64]bool{1: false, 7: true} {
 		l := New(100 * time.Millisecond)
@@ -47,9 +47,9 @@
 	}
 }
 
-// Servers that become known one by one count as if all had been known at once, but
-// not any more once answers have come late.
-func TestLimitBeginsAnew(t *testing.T) {
+// Servers that become known one by one give the same limit as all at once, but not
+// after a late response.
+func TestInitialLimitFollowsServers(t *testing.T) {
 	whole, one := New(100*time.Millisecond), New(100*time.Millisecond)
 	whole.ServersPerGateway = 3
 	whole.Init(0)
@@ -64,6 +64,6 @@
 	before := one.Max
 	one.ServersPerGateway = 4
 	if one.Init(time.Second); one.Max != before {
-		t.Errorf("limit from %v to %v after late answers", before, one.Max)
+		t.Errorf("limit from %v to %v after late responses", before, one.Max)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -408,8 +408,8 @@
 func (p *Process) tell() {
 	for name, t := range p.plane.Totals() {
 		p.say.WithFields(log.Fields{"service": name, "requests": t.Requests, "served": t.Served, "refused": t.Refused,
-			"failed": t.Failed, "gone": t.ClientsGone, "attempts": t.Attempts, "ends": t.Outcomes, "why": t.Module.Refused,
-			"limit": fmt.Sprintf("%.1f", t.Module.Limit), "out": fmt.Sprintf("%.1f", t.Module.InFlight)}).Info("totals")
+			"failed": t.Failed, "gone": t.ClientsGone, "attempts": t.Attempts, "ends": t.Outcomes, "why": t.Balancer.Refused,
+			"limit": fmt.Sprintf("%.1f", t.Balancer.Limit), "out": fmt.Sprintf("%.1f", t.Balancer.InFlight)}).Info("totals")
 	}
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,39 +1,39 @@
-// Package health is what a gateway believes of each server from how attempts
-// end there: how slow it is, how often it fails, whether it is left out for a
-// while, and whether its whole zone looks lost. A gateway that meets a server
-// seldom has little to go by: figures lean on the mean until there is evidence,
-// and evidence ages by time. No I/O, no clock: times are the caller's.
+// Package health keeps a gateway's statistics of each server from how attempts end
+// there: how slow it is, how often it fails, whether it is ejected for a while, and
+// whether its whole zone seems to be down. Where a gateway rarely uses a server, the
+// figures stay near the mean until there is evidence, and evidence decays with time.
+// No I/O, no clock: times are the caller's.
 package health
 
 import "time"
 
 const (
-	priorWeight        = 2.0              // answers that the mean counts for, against those of the server itself
-	maxEvidence        = 18.0             // answers that its own figures rest on at most
-	evidenceLife       = 10 * time.Second // evidence fades within it
-	slownessLife       = 30 * time.Second // a slow server is tried anew within it
-	maxSlowness        = 5.0              // times the mean: more than that is chance
-	silentServersLimit = 2                // servers of a zone failing in a row: the zone may be lost
-	maxDoublings       = 5                // strikes that lengthen the time out
+	priorWeight        = 2.0              // weight of the mean of all servers, in responses
+	maxEvidence        = 18.0             // most responses that count as evidence
+	evidenceLife       = 10 * time.Second // time constant in which evidence decays
+	slownessLife       = 30 * time.Second // time constant in which slowness decays, so that a slow server is tried again
+	maxSlowness        = 5.0              // times the mean: more than that is an outlier
+	silentServersLimit = 2                // consecutive failing servers of a zone, after which it is suspected down
+	maxDoublings       = 5                // ejections that double the time
 )
 
-// Server is what is believed of one.
+// Server holds the statistics of one server.
 type Server struct {
-	Slowness     float64       // time of its answers against the mean of their kind
-	FaultRate    float64       // share of faults among its answers
-	EjectedUntil time.Duration // left out until then; 0: it is not
-	Zone         *Zone         // nil: it has none
+	Slowness     float64       // its latency relative to the mean of the request class
+	FaultRate    float64       // share of faults among its responses
+	EjectedUntil time.Duration // 0: not ejected
+	Zone         *Zone         // nil: none
 
-	Ejections int // in a row, without a good answer
+	Ejections int // since the last successful response
 	evidence  float64
 }
 
-// Restart forgets what an earlier process did.
+// Reset starts anew, for a restarted server.
 func (s *Server) Reset() {
 	s.Slowness, s.FaultRate, s.EjectedUntil, s.Ejections, s.evidence = 0.5, 0, 0, 0, 0
 }
 
-// Took tells that an answer took so many times the mean of its kind.
+// ObserveSuccess records a successful response and its latency relative to the mean.
 func (s *Server) ObserveSuccess(times float64) {
 	s.evidence = min(s.evidence+1, maxEvidence)
 	s.Slowness += (min(times, maxSlowness) - s.Slowness) / (priorWeight + s.evidence)
@@ -41,13 +41,13 @@
 	s.EjectedUntil, s.Ejections = 0, 0
 }
 
-// Failed tells of an answer that was a fault.
+// ObserveFault records a response that was a fault.
 func (s *Server) ObserveFault() {
 	s.evidence = min(s.evidence+1, maxEvidence)
 	s.FaultRate += (1 - s.FaultRate) / (priorWeight + s.evidence)
 }
 
-// Age lets evidence fade over a time. usual is the share of faults among all answers.
+// Decay lets evidence decay over the time past. usual is the share of faults among all responses.
 func (s *Server) Decay(past time.Duration, usual float64) {
 	s.Slowness += (0.5 - s.Slowness) * past.Seconds() / slownessLife.Seconds()
 	part := min(1, past.Seconds()/evidenceLife.Seconds())
@@ -55,7 +55,7 @@
 	s.evidence -= s.evidence * part
 }
 
-// Strike leaves a server out for a time that doubles with each strike; not again while it is out.
+// Eject ejects a server for a time that doubles with each ejection. While it is ejected, Eject has no effect.
 func (s *Server) Eject(now, least time.Duration) {
 	if now < s.EjectedUntil {
 		return
@@ -64,11 +64,11 @@
 	s.EjectedUntil = now + least<<s.Ejections
 }
 
-// Out reports whether nothing should be sent there, for its own sake or its zone's.
+// Ejected reports whether nothing should be sent to the server, because of itself or its zone.
 func (s *Server) Ejected() bool { return s.EjectedUntil > 0 || s.Zone != nil && s.Zone.SuspectedDown }
 
-// Due reports whether to look if a server is back that was left out. Of a lost
-// zone it is one server after another, each time after a pause.
+// ProbeDue reports whether an ejected server should be probed. In a zone that is
+// suspected down, only one server is probed in each pause.
 func (s *Server) ProbeDue(now, pause time.Duration) bool {
 	if z := s.Zone; z != nil && z.SuspectedDown {
 		due := now >= z.NextProbe
@@ -80,20 +80,20 @@
 	return s.EjectedUntil > 0 && now >= s.EjectedUntil
 }
 
-// Zone is what is believed of all servers of one zone together.
+// Zone holds what is known of all servers of one zone together.
 type Zone struct {
-	SuspectedDown bool          // several servers in a row did not answer: the others may be gone with them
-	NextProbe     time.Duration // while it is lost, whether it is back is looked at next then
+	SuspectedDown bool          // several servers in a row did not respond: the rest may be down as well
+	NextProbe     time.Duration // next probe while it is suspected down
 
-	silent []*Server // since the last sign of life
+	silent []*Server // servers without a response since the last one from the zone
 }
 
-// Alive tells of an answer from the zone.
+// Responded records a response from the zone.
 func (z *Zone) Responded() { z.SuspectedDown, z.silent = false, z.silent[:0] }
 
-// Silent tells that a server did not answer, or broke its connection. It
-// reports whether the zone has come to look lost by that. One server in a row
-// counts once, and a zone's only server is no zone.
+// NoResponse records that a server did not respond, or broke its connection. It
+// reports whether that makes the zone suspect. Each server counts once, so that a
+// zone with a single server never is.
 func (z *Zone) NoResponse(s *Server, now time.Duration) bool {
 	for _, x := range z.silent {
 		if x == s {
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -9,32 +9,32 @@
 
 const sec = time.Second
 
-// Two servers of a zone that fail in a row put the zone in doubt; an answer in between does not let it come so far,
-// and one afterwards ends it at once.
+// Two servers of a zone that fail in a row make the zone suspect. A response in between prevents that, and a
+// response afterwards ends it.
 func TestZone(t *testing.T) {
 	z := &Zone{}
 	a, b := &Server{Zone: z}, &Server{Zone: z}
 	first, second := z.NoResponse(a, 0), z.NoResponse(a, 0)
 	if first || second {
-		t.Fatal("one server took the zone with it")
+		t.Fatal("one server made the zone suspect")
 	}
 	z.Responded()
 	if z.NoResponse(b, 0) {
-		t.Fatal("the zone is lost though it answered in between")
+		t.Fatal("the zone is suspect although it responded in between")
 	}
 	if !z.NoResponse(a, 5*sec) || !a.Ejected() || !b.Ejected() {
-		t.Fatal("two in a row and the zone is not lost")
+		t.Fatal("two failures in a row did not make the zone suspect")
 	}
 	if !a.ProbeDue(5*sec, sec) || b.ProbeDue(5*sec, sec) || !b.ProbeDue(6*sec, sec) {
-		t.Error("servers of a lost zone are not looked at one after another")
+		t.Error("servers of a suspect zone are not probed one at a time")
 	}
 	if z.Responded(); a.Ejected() || b.Ejected() {
-		t.Error("the zone answered, and is still lost")
+		t.Error("the zone responded, and is still suspect")
 	}
 }
 
-// Whatever happens to other zones, a zone that answers between any two failures of its own is never lost.
-func TestZonesAreApart(t *testing.T) {
+// Whatever happens to other zones, a zone that responds between any two failures of its own is never suspect.
+func TestZonesAreIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []*Zone{{}, {}}
 		servers := []*Server{}
@@ -47,34 +47,34 @@
 				s.Zone.Responded()
 			}
 			if zones[0].SuspectedDown {
-				t.Fatal("lost")
+				t.Fatal("a zone that responds after each failure is suspect")
 			}
 		}
 	})
 }
 
-// With little evidence a server counts as the mean; a few faults tell; evidence fades.
+// With little evidence the fault rate stays near the mean; a few faults raise it; evidence decays.
 func TestFaults(t *testing.T) {
 	s := Server{Slowness: 1}
 	s.ObserveFault()
 	if s.FaultRate < 0.3 || s.FaultRate > 0.5 {
-		t.Errorf("after one fault a share of %v is believed", s.FaultRate)
+		t.Errorf("fault rate %v after one fault", s.FaultRate)
 	}
 	for range 50 {
 		s.ObserveFault()
 	}
 	if s.FaultRate < 0.9 {
-		t.Errorf("after nothing but faults %v", s.FaultRate)
+		t.Errorf("fault rate %v after nothing but faults", s.FaultRate)
 	}
 	for range 300 {
 		s.Decay(100*time.Millisecond, 0.01)
 	}
 	if s.FaultRate > 0.08 {
-		t.Errorf("after 30 s without any %v", s.FaultRate)
+		t.Errorf("fault rate %v after 30 s without faults", s.FaultRate)
 	}
 }
 
-// A server met twice is not judged by those two answers alone, one met often is.
+// Two slow responses don't determine a server's slowness alone; many do.
 func TestSlowness(t *testing.T) {
 	seldom, often := Server{Slowness: 1}, Server{Slowness: 1}
 	for range 2 {
@@ -84,24 +84,24 @@
 		often.ObserveSuccess(4)
 	}
 	if seldom.Slowness > 3 || often.Slowness < 3.7 {
-		t.Errorf("slowness 4: believed %v after 2 answers, %v after 60", seldom.Slowness, often.Slowness)
+		t.Errorf("slowness 4: estimated %v after 2 responses, %v after 60", seldom.Slowness, often.Slowness)
 	}
 }
 
-// The time out doubles with each strike, but a strike while it is out adds none; a good answer ends it.
-func TestStrikes(t *testing.T) {
+// The time doubles with each ejection, except while the server is ejected; a successful response ends it.
+func TestEjectionTimes(t *testing.T) {
 	s := Server{Slowness: 1}
 	s.Eject(0, sec)
 	s.Eject(sec, sec)
 	if s.EjectedUntil != 2*sec {
-		t.Errorf("out until %v, want 2 s", s.EjectedUntil)
+		t.Errorf("ejected until %v, want 2 s", s.EjectedUntil)
 	}
 	s.Eject(3*sec, sec)
 	if s.EjectedUntil != 7*sec || s.ProbeDue(6*sec, sec) || !s.ProbeDue(7*sec, sec) {
-		t.Errorf("out until %v, want 3 s + 4 s", s.EjectedUntil)
+		t.Errorf("ejected until %v, want 3 s + 4 s", s.EjectedUntil)
 	}
 	if s.ObserveSuccess(1); s.Ejected() || s.Ejections != 0 {
-		t.Error("it answered, and is still out")
+		t.Error("the server responded, and is still ejected")
 	}
 }
 
@@ -111,12 +111,12 @@
 		l.Observe(0.05, 0.1)
 	}
 	if l.Queueing() || !l.Unresponsive(time.Second) {
-		t.Errorf("%+v: steady answers are no queue, and a second without one is too long", l)
+		t.Errorf("%+v: steady latencies are no queueing, and a second of silence is too long", l)
 	}
 	for range 20 {
 		l.Observe(0.3, 0.1)
 	}
 	if !l.Queueing() || l.Unresponsive(time.Second) {
-		t.Errorf("%+v: answers show queues, so that silence tells nothing", l)
+		t.Errorf("%+v: latencies show queueing, so a second of silence may be load", l)
 	}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -441,7 +441,7 @@
 	log.Printf("event=totals requests=%d served=%d refused=%d failed=%d gone=%d attempts=%d probes=%d counts=%d "+
 		"outcomes=%v open=%d clients=%d out=%d under=%d servers=%d why=%v limit=%.2f load=%.2f rate=%.2f", b.Requests, b.Served, b.Refused, b.Failed, b.ClientsGone, b.Attempts,
 		b.Probes, b.CounterCalls, b.Outcomes, b.Open, b.Clients, b.InFlight, b.Under, b.Servers,
-		b.Module.Refused, b.Module.Limit, b.Module.InFlight, b.Module.SendRate)
+		b.Balancer.Refused, b.Balancer.Limit, b.Balancer.InFlight, b.Balancer.SendRate)
 	if g.gate != nil {
 		log.Printf("event=policy version=%d waited=%d unleased=%d", b.Version, b.WaitedAtGate, b.RefusedUnleased)
 	}
--- a/internal/ratecap/ratecap.go
+++ b/internal/ratecap/ratecap.go
@@ -1,45 +1,45 @@
-// Package ratecap keeps a customer's requests under a ceiling that holds over
-// all gateways together, without a word among them. Each gateway has an even
-// share of it, empty at its start, since an earlier life may have spent it.
+// Package ratecap keeps a customer's requests under a ceiling that holds over all
+// gateways together, without communication between them. Each gateway has an even
+// share of it, empty at its start, since an earlier process may have used it up.
 //
-// What the shared counter has just put inside the customer's quota needs no
-// share: the quota is below the ceiling, so that all of it fits. The rest then
-// shares what the ceiling has beyond the quota. Proof, for any time t in which
-// the counter's counts hold: by its word go at most burst + rate*t units of the
-// quota, by spare shares at most what the ceiling's burst and rate are more than
-// that; together no more than the ceiling's own burst and rate*t. Where the
-// counts can't be trusted all goes by full shares, which sum up to the ceiling
-// in any interleaving: each use is taken from the share, below nothing if need
-// be, and what a full one loses is lost. No I/O, no clock.
+// Requests that the shared counter has just confirmed to be within the customer's
+// quota need no share: the quota is below the ceiling, so all of it fits. Other
+// requests then share what the ceiling has in excess of the quota. Proof, for any
+// time t in which the counts are valid: confirmed requests use at most the quota's
+// burst + rate*t, and shares of the excess at most the difference between that and
+// the ceiling's burst + rate*t; together no more than the ceiling. While counts
+// can't be trusted, all requests use full shares, which add up to the ceiling in any
+// interleaving: each use is taken from the share, even below zero, and what refills
+// beyond a full share is lost. No I/O, no clock.
 package ratecap
 
 import "time"
 
-// Terms are a customer's, in units and units a second, over all gateways.
+// Limits are a customer's limits over all gateways, in units and units a second.
 type Limits struct {
 	Rate, Burst           float64 // of the ceiling
 	QuotaRate, QuotaBurst float64 // of the quota below it; 0: none
-	Gateways              float64 // gateways that have a share
+	Gateways              float64 // number of gateways that have a share
 }
 
-// Word is how far the counter vouches for a request.
+// Assurance is how far the counter confirms that a request is within its quota.
 type Assurance int
 
-// The words.
+// The assurances, from the weakest to the strongest.
 const (
-	CounterUnavailable Assurance = iota // it can't be asked, or there is no quota
-	NotAsked                            // it counts, but has not been asked for this request
-	Doubtful                            // it has put the request inside, and may have lost counts of late
-	Confirmed                           // it has put the request inside
+	CounterUnavailable Assurance = iota // it can't be called, or there is no quota
+	NotAsked                            // it works, but was not called for this request
+	Doubtful                            // it has confirmed the request, but may have lost counts recently
+	Confirmed                           // it has confirmed the request
 )
 
-// Share is what one gateway may still send on.
+// Share is what one gateway may still send.
 type Share struct {
-	available, excess float64 // of the whole ceiling; of what it has beyond the quota
+	available, excess float64 // of the whole ceiling; of its excess over the quota
 	filledAt          time.Duration
 }
 
-// New returns an empty share that fills from a time on.
+// New returns an empty share that refills from a time on.
 func New(at time.Duration) Share { return Share{filledAt: at} }
 
 func (s *Share) fill(now time.Duration, t Limits) {
@@ -49,13 +49,13 @@
 	s.excess = min((t.Burst-t.QuotaBurst)/t.Gateways, s.excess+(t.Rate-t.QuotaRate)/t.Gateways*past)
 }
 
-// Has reports whether units would pass without the counter's word.
+// Allows reports whether units would pass without the counter's confirmation.
 func (s *Share) Allows(now time.Duration, t Limits, units float64) bool {
 	s.fill(now, t)
 	return s.available >= units && s.excess >= units
 }
 
-// Take takes units if they stay under the ceiling.
+// Take takes units from the share if they stay under the ceiling, and reports whether they do.
 func (s *Share) Take(now time.Duration, t Limits, units float64, w Assurance) bool {
 	s.fill(now, t)
 	if w != Confirmed && s.available < units || w == NotAsked && s.excess < units {
@@ -68,7 +68,7 @@
 	return true
 }
 
-// Halve gives half of a share away, and returns what is given. Debts stay.
+// SplitHalf takes half of the share away and returns it. A negative balance stays.
 func (s *Share) SplitHalf() (room, spare float64) {
 	room, spare = max(0, s.available/2), max(0, s.excess/2)
 	s.available -= room
@@ -76,12 +76,12 @@
 	return room, spare
 }
 
-// Give adds what Halve took elsewhere to an empty share that fills from now on.
+// Restore starts the share with what SplitHalf returned elsewhere, refilling from now on.
 func (s *Share) Restore(now time.Duration, room, spare float64) { *s = Share{room, spare, now} }
 
-// Trusted is how long counts have to be sound, after they may have been lost,
-// before the word counts for all: in that time the ceiling fills up beyond what
-// the quota can take meanwhile.
+// DistrustPeriod is how long counts must have been complete, after they may have been
+// lost, before confirmations suffice: in that time the ceiling refills beyond what the
+// quota can use meanwhile.
 func (t Limits) DistrustPeriod() time.Duration {
 	return time.Duration(t.Burst / max(t.Rate-t.QuotaRate, 1e-3) * float64(time.Second))
 }
--- a/internal/routing/gate.go
+++ b/internal/routing/gate.go
@@ -6,18 +6,18 @@
 	"asterwell/choice"
 )
 
-// untilLease is when a client should come back to a gateway that may decide nothing.
+// leaseRetryAfter is what clients are told by a gateway without a lease on the policy.
 const leaseRetryAfter = time.Second
 
-// Look tells that the gate may have changed.
+// RecheckGate tells the core that the gate's answer may have changed.
 func (c *Core) RecheckGate() { c.inbox.Put(gateChanged{}) }
 
 type gateChanged struct{}
 
 func (gateChanged) apply(c *Core, now time.Duration) { c.recheckGate(now) }
 
-// Adopt takes over a policy: what comes from now on goes by it, what is open keeps
-// its rules. The settings have been checked.
+// ApplyPolicy puts a policy in force for new requests. Open requests keep their rules.
+// The settings must be valid.
 func (c *Core) ApplyPolicy(version int64, set choice.Settings) {
 	c.inbox.Put(policyReceived{version, set})
 }
@@ -35,13 +35,13 @@
 	c.recheckGate(now)
 }
 
-// pass lets a request through the gate, lets it wait, or refuses it.
+// passGate reports whether a request may be decided now. If not, it queues or refuses it.
 func (c *Core) passGate(now time.Duration, r *Request) bool {
 	version, ok, soon := c.deps.Gate.Version(c.now)
 	if ok && version == c.policyVersion {
 		return true
 	}
-	if (soon || ok) && c.deps.MaxGateWait > 0 { // a turn is under way, or the module is just being told
+	if (soon || ok) && c.deps.MaxGateWait > 0 { // the policy is being replaced, or not yet in the balancer
 		c.stats.WaitedAtGate++
 		c.gateQueue = append(c.gateQueue, r.id)
 		c.schedule(max(0, min(c.deps.MaxGateWait, r.Deadline-now)), timer{kind: gateTimer})
@@ -51,16 +51,16 @@
 	return false
 }
 
-// look decides what waits at the gate, once it is open; what has waited its time is
-// refused.
+// recheckGate decides the queued requests if the gate is open, and refuses those that
+// have waited too long.
 func (c *Core) recheckGate(now time.Duration) {
 	if len(c.gateQueue) == 0 {
 		return
 	}
 	version, ok, soon := c.deps.Gate.Version(c.now)
-	ready := c.gateQueue
+	queued := c.gateQueue
 	c.gateQueue = nil
-	for _, id := range ready {
+	for _, id := range queued {
 		o := c.requests[id]
 		switch {
 		case o == nil || o.answered:
@@ -74,11 +74,11 @@
 	}
 }
 
-// unleased refuses a request by no policy at all.
+// refuseUnleased refuses a request because no policy is in force.
 func (c *Core) refuseUnleased(id uint32) {
 	c.stats.RefusedUnleased++
 	if r := c.takeReply(id); r != nil {
 		c.stats.Refused++
-		r.Refused(leaseRetryAfter, NotExecuted) // no fault of the customer's
+		r.Refused(leaseRetryAfter, NotExecuted) // a server-side fault, not an exceeded quota
 	}
 }
--- a/internal/routing/gate_test.go
+++ b/internal/routing/gate_test.go
@@ -10,7 +10,7 @@
 	"asterwell/choice"
 )
 
-// door is a gate that a test opens and closes.
+// fakeGate is a gate that a test opens and closes.
 type fakeGate struct {
 	version int64
 	until   time.Duration
@@ -23,43 +23,43 @@
 
 func (w *testCore) expect(t *testing.T, want ...string) {
 	t.Helper()
-	if d := cmp.Diff(want, w.did); d != "" {
+	if d := cmp.Diff(want, w.actions); d != "" {
 		t.Fatal(d)
 	}
 }
 
 func newGatedCore(t *testing.T, d *fakeGate) *testCore {
 	w := newTestCore(t, testSet)
-	if d.until > 0 { // as of the world's clock
-		d.until += w.at
+	if d.until > 0 { // relative to the test's clock
+		d.until += w.clock
 	}
 	w.Core.deps.Gate, w.Core.deps.MaxGateWait = d, 100*time.Millisecond
 	w.step(0)
 	return w
 }
 
-// Without a lease a request is refused at once, and the servers hear nothing.
-func TestNoLease(t *testing.T) {
+// Without a lease a request is refused at once, and nothing is sent to the servers.
+func TestRefusesWithoutLease(t *testing.T) {
 	w := newGatedCore(t, &fakeGate{until: -1})
 	w.Submit(w.request("read", time.Second))
 	w.step(time.Millisecond)
 	w.expect(t, "refused, after 1s, tried true")
 }
 
-// A lease that runs out while the process stands still is not decided by: the clock
-// is read after the request has come.
-func TestLeaseRunsOut(t *testing.T) {
+// A lease that expires while the process is suspended must not be used: the clock is
+// read after the request has arrived.
+func TestExpiredLeaseIsNotUsed(t *testing.T) {
 	d := &fakeGate{until: 50 * time.Millisecond}
 	w := newGatedCore(t, d)
-	w.at += 60 * time.Millisecond // stopped in between
+	w.clock += 60 * time.Millisecond // suspended
 	w.Submit(w.request("read", time.Second))
 	w.step(time.Millisecond)
 	w.expect(t, "refused, after 1s, tried true")
 }
 
-// In a turn a request waits, and is decided by what comes; one that waits too long
-// is refused, and one whose client has left is forgotten.
-func TestTurnIsWaitedFor(t *testing.T) {
+// While the policy changes, a request waits and is decided by the new one. One that waits
+// too long is refused, and one whose client has disconnected is dropped.
+func TestRequestWaitsForPolicyChange(t *testing.T) {
 	d := &fakeGate{until: time.Hour}
 	w := newGatedCore(t, d)
 	d.until, d.soon = -1, true
@@ -70,10 +70,10 @@
 	w.ClientGone(left)
 	w.step(30 * time.Millisecond)
 	w.expect(t)
-	d.version, d.until, d.soon = 1, w.at+time.Hour, false
+	d.version, d.until, d.soon = 1, w.clock+time.Hour, false
 	w.RecheckGate()
 	w.step(time.Millisecond)
-	w.expect(t) // the lease is there, the policy not yet in the module
+	w.expect(t) // the lease is valid, but the policy is not yet in the balancer
 	set := testSet
 	set.Classes = []choice.Class{{Name: "new", Target: 100 * time.Millisecond, Deadline: time.Second, Value: 1}}
 	w.ApplyPolicy(1, set)
@@ -81,7 +81,7 @@
 	w.expect(t, "send {1 0} to 7 with call in 939ms")
 	w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "fine", nil)
 	w.step(0)
-	w.did = nil
+	w.actions = nil
 	d.until, d.soon = -1, true
 	w.Submit(w.request("new", time.Second))
 	w.step(99 * time.Millisecond)
@@ -90,9 +90,9 @@
 	w.expect(t, "refused, after 1s, tried true")
 }
 
-// What the policy in force does not allow is told only once that is known, and counts
-// as decided by it.
-func TestFit(t *testing.T) {
+// A request is resolved only once a policy is in force. If the policy doesn't allow it,
+// the client gets the reason.
+func TestResolveTermsByPolicyInForce(t *testing.T) {
 	d := &fakeGate{until: -1, soon: true}
 	w := newGatedCore(t, d)
 	r, fits := w.request("read", time.Second), 0
@@ -100,9 +100,9 @@
 	w.Submit(r)
 	w.step(10 * time.Millisecond)
 	if w.expect(t); fits != 0 {
-		t.Error("a request is fitted to a policy that is not in force")
+		t.Error("a request was resolved by a policy that is not in force")
 	}
-	d.until = w.at + time.Hour
+	d.until = w.clock + time.Hour
 	w.RecheckGate()
 	w.step(time.Millisecond)
 	w.expect(t, "unfit: unknown class")
--- a/internal/routing/layer_test.go
+++ b/internal/routing/layer_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// imports are those of a package, tests left out.
+// imports returns the imports of a package without its tests.
 func imports(t *testing.T, dir string) (paths []string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -32,8 +32,8 @@
 	return paths
 }
 
-// Each layer knows only what is below it. A path that ends with a star stands for
-// all that begin so; "own" for the program's packages that are not named.
+// Each package may import only lower layers. A path that ends with a star is a prefix,
+// "own" stands for all packages of this module, and "!" makes an exception.
 func TestLayers(t *testing.T) {
 	for dir, bad := range map[string][]string{
 		"../routing":      {"net*", "encoding/*", "github.com/*", "own", "!asterwell/internal/mailbox", "!asterwell/internal/hostenv", "!asterwell/choice"},
--- a/internal/routing/rest.go
+++ b/internal/routing/rest.go
@@ -10,33 +10,33 @@
 	"asterwell/choice"
 )
 
-// A core with nothing under way sleeps: it does not get up for the module's beats, in which
-// what is known only ages. Whatever wakes it, the beats that it has missed are played first,
-// each at its own time, so that the module decides as if it had been awake.
+// An idle core sleeps through the balancer's housekeeping, which then only decays
+// statistics. When it wakes, it first replays the housekeeping runs that it missed, each
+// with its own time, so that the balancer decides as if the core had been awake.
 
 const (
 	maxSleep  = 8 * time.Second
-	maxMissed = 512 // beats; a process that stood still for longer goes on with one, as one that is awake does
+	maxMissed = 512 // housekeeping runs; after a longer stop of the process one run has to do, as when awake
 )
 
-// rest is how a core sleeps.
+// sleepState is the state of a core's sleep.
 type sleepState struct {
 	asleep            bool
-	wakeAt            time.Duration // then it gets up, whatever comes
-	wakePhase         time.Duration // of a second, so that the lanes of a process don't get up together
-	interval          time.Duration // between the module's beats
-	replayTime        time.Duration // the time of the missed beat that is being played; 0: none
-	needsHousekeeping bool          // the module has more to look through before it can say that it is still
+	wakeAt            time.Duration // latest time to wake up
+	wakePhase         time.Duration // offset of wakeAt, so that the cores of a process don't wake together
+	interval          time.Duration // of the balancer's housekeeping
+	replayTime        time.Duration // of the missed housekeeping being replayed; 0: none
+	needsHousekeeping bool          // the balancer may be idle only after housekeeping
 }
 
 func newSleepState(set choice.Settings, seed uint64) sleepState {
 	return sleepState{wakePhase: time.Duration(seed % uint64(maxSleep)), needsHousekeeping: set.Counter || set.Probes}
 }
 
-// lapsed tells that a timer would do nothing: it is for a request or an attempt that has ended.
+// expired reports whether a timer's request or attempt has ended, so that it would do nothing.
 func (c *Core) expired(t timer) bool {
 	switch t.kind {
-	case moduleTimer:
+	case balancerTimer:
 		return t.id != 0 && c.requests[t.id] == nil
 	case attemptTimer:
 		o := c.requests[t.id]
@@ -45,9 +45,9 @@
 	return false
 }
 
-// doze lets the core sleep if it may. beaten: a beat was played in this turn.
-func (c *Core) trySleep(now time.Duration, beaten bool) {
-	if c.asleep = false; len(c.requests)+len(c.probes)+len(c.counterCalls)+len(c.gateQueue) > 0 || c.needsHousekeeping && !beaten {
+// trySleep puts the core to sleep if it is idle. housekept: housekeeping ran in this turn.
+func (c *Core) trySleep(now time.Duration, housekept bool) {
+	if c.asleep = false; len(c.requests)+len(c.probes)+len(c.counterCalls)+len(c.gateQueue) > 0 || c.needsHousekeeping && !housekept {
 		return
 	}
 	if !c.discovered && now < c.trustSavedAt+viewPeriod || !c.balancer.Idle() {
@@ -61,7 +61,7 @@
 	c.wakeAt = min(c.wakeAt, now+maxMissed*c.interval)
 }
 
-// catchUp plays the beats that were missed before now.
+// replayMissed replays the housekeeping that was missed before now.
 func (c *Core) replayMissed(now time.Duration) {
 	for n := 0; c.asleep && n < maxMissed && c.timers[0].at < now; n++ {
 		t := heap.Pop(&c.timers).(timer)
@@ -72,9 +72,9 @@
 	c.asleep = false
 }
 
-// of is the request that a timer of the module is for; 0: none.
+// timerRequest returns the id of the request that a balancer timer is for, or 0.
 func timerRequest(token string) uint32 {
 	_, digits, _ := strings.Cut(token, " ")
-	id, _ := strconv.ParseUint("0"+digits, 10, 32) // a beat has none, and no error is made of that
+	id, _ := strconv.ParseUint("0"+digits, 10, 32) // the housekeeping timer has no id
 	return uint32(id)
 }
--- a/internal/routing/rest_test.go
+++ b/internal/routing/rest_test.go
@@ -14,15 +14,15 @@
 	"asterwell/choice"
 )
 
-// play is a world whose servers and counter answer by a plan that is drawn from a seed.
+// scenario is a test core whose servers and counter answer pseudo-randomly by a seed.
 type scenario struct {
 	testCore
-	seed   uint64
-	awake  bool // it is woken for each timer at its time, as a core that never sleeps is
-	events []event
-	turns  int
-	total  float64
-	n      uint64
+	seed        uint64
+	neverSleeps bool // runs each timer at its time, like a core that never sleeps
+	events      []event
+	wakeups     int
+	total       float64
+	adds        uint64
 }
 
 type event struct {
@@ -31,17 +31,17 @@
 }
 
 func (p *scenario) in(d time.Duration, do func()) {
-	p.events = append(p.events, event{p.at + d, do})
+	p.events = append(p.events, event{p.clock + d, do})
 	slices.SortStableFunc(p.events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 }
 
-// draw is by the seed and by what it is for, so that both plays have the same.
+// draw depends only on the seed and its purpose, so that both scenarios get the same.
 func (p *scenario) draw(what uint32, more int) *rand.Rand {
 	return rand.New(rand.NewPCG(p.seed, uint64(what)<<20+uint64(more)))
 }
 
 func (p *scenario) log(format string, args ...any) {
-	p.note("%v %s", p.at, fmt.Sprintf(format, args...))
+	p.record("%v %s", p.clock, fmt.Sprintf(format, args...))
 }
 
 func (p *scenario) Send(s uint32, a Attempt, _ any, left time.Duration) {
@@ -52,7 +52,7 @@
 		status = choice.Status(r.IntN(int(choice.Reset) + 1))
 	}
 	took := time.Duration(r.ExpFloat64() * 20e6)
-	if status == choice.Timeout { // silence
+	if status == choice.Timeout { // no answer
 		return
 	}
 	p.in(took, func() { p.AttemptEnded(s, a, status, "fine", nil) })
@@ -69,8 +69,8 @@
 
 func (p *scenario) Add(name string, n float64, _ time.Duration) {
 	p.log("add %s %v", name, n)
-	p.total, p.n = p.total+n, p.n+1
-	r, total := p.draw(77, int(p.n)), p.total
+	p.total, p.adds = p.total+n, p.adds+1
+	r, total := p.draw(77, int(p.adds)), p.total
 	status := choose(r.IntN(6) == 0, choice.Timeout, choice.OK)
 	p.in(time.Duration(r.ExpFloat64()*2e6), func() { p.CounterEnded(name, status, total) })
 }
@@ -94,46 +94,46 @@
 func (r scenarioReply) Failed(timedOut bool) { r.p.log("%d failed %v", r.id, timedOut) }
 func (r scenarioReply) Disallowed(error)     {}
 
-// run plays until end.
+// run advances the scenario until end.
 func (p *scenario) run(end time.Duration) {
 	for {
 		next := end
 		if len(p.events) > 0 {
 			next = min(next, p.events[0].at)
 		}
-		if p.awake && len(p.timers) > 0 {
+		if p.neverSleeps && len(p.timers) > 0 {
 			next = min(next, p.timers[0].at)
-		} else if !p.awake {
-			next = min(next, p.at+p.nextWake())
+		} else if !p.neverSleeps {
+			next = min(next, p.clock+p.nextWake())
 		}
-		p.at = max(p.at, next)
-		for len(p.events) > 0 && p.events[0].at <= p.at {
+		p.clock = max(p.clock, next)
+		for len(p.events) > 0 && p.events[0].at <= p.clock {
 			do := p.events[0].do
 			p.events = p.events[1:]
 			do()
 		}
 		p.runOnce(0)
-		p.asleep = p.asleep && !p.awake
-		p.turns++
-		if p.at >= end {
+		p.asleep = p.asleep && !p.neverSleeps
+		p.wakeups++
+		if p.clock >= end {
 			return
 		}
 	}
 }
 
 func newScenario(t *rapid.T, set choice.Settings, seed uint64, awake bool) *scenario {
-	p := &scenario{seed: seed, awake: awake}
-	p.at = 1000 * time.Second
+	p := &scenario{seed: seed, neverSleeps: awake}
+	p.clock = 1000 * time.Second
 	var err error
-	p.Core, err = New(set, seed, func() time.Duration { return p.at }, Dependencies{Fleet: p, Counter: p, Watcher: p})
+	p.Core, err = New(set, seed, func() time.Duration { return p.clock }, Dependencies{Fleet: p, Counter: p, Watcher: p})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// A core that sleeps decides to the bit as one that is woken for each beat: what it does,
-// when, and all that it has learnt in the end.
+// A core that sleeps behaves exactly like one that runs all housekeeping on time: the same
+// actions at the same times, and the same statistics in the end.
 func TestSleepChangesNoDecision(t *testing.T) {
 	asleep, awake := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -145,7 +145,7 @@
 			Plans:  []choice.Plan{{Name: "plan", ValueFactor: 1, OverrunCost: 1, Rate: rapid.SampledFrom([]float64{0, 4}).Draw(t, "rate"), Burst: 8}},
 			Probes: rapid.Bool().Draw(t, "probes"), Counter: rapid.Bool().Draw(t, "counter")}
 		seed := rapid.Uint64().Draw(t, "seed")
-		plays := []*scenario{newScenario(t, set, seed, false), newScenario(t, set, seed, true)}
+		scenarios := []*scenario{newScenario(t, set, seed, false), newScenario(t, set, seed, true)}
 		type step struct {
 			at   time.Duration
 			kind int
@@ -158,7 +158,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "how soon") {
 			case 0:
 				gap /= 100
-			case 1: // with a beat
+			case 1: // at the same time as housekeeping
 				gap = (gap/20 + at).Round(beat) - at
 			case 2:
 				gap /= 8
@@ -167,13 +167,13 @@
 			steps = append(steps, step{at, rapid.IntRange(0, 11).Draw(t, "kind"), rapid.Uint64().Draw(t, "x")})
 		}
 		servers := rapid.IntRange(1, 20).Draw(t, "servers")
-		for _, p := range plays {
+		for _, p := range scenarios {
 			list := func(x uint64) (news DiscoveryUpdate) {
 				news.Whole = true
 				for i := range servers {
 					m := choice.Member{ID: uint32(i + 1), Weight: 1, Zone: string(rune('a' + i%2))}
 					if x>>i&3 == 1 {
-						m.Started = p.at
+						m.Started = p.clock
 					}
 					if x>>(i+19)&7 != 1 {
 						news.Members = append(news.Members, Member{Member: m})
@@ -195,7 +195,7 @@
 						p.SetProcesses(1 + int(s.x%2))
 					default:
 						r := &Request{Class: choose(s.x%3 == 0, "write", "read"), Plan: "plan", Customer: fmt.Sprint(s.x % 3), Units: 1,
-							Gateways: 2, Deadline: p.at + 800*time.Millisecond, Reply: scenarioReply{p, i}}
+							Gateways: 2, Deadline: p.clock + 800*time.Millisecond, Reply: scenarioReply{p, i}}
 						p.Submit(r)
 						if s.kind == 3 {
 							p.in(5*time.Millisecond, func() { p.ClientGone(r) })
@@ -203,34 +203,34 @@
 					}
 				})
 			}
-			end := p.at + at + time.Duration(s64(steps[0].x)%int64(40*time.Second))
+			end := p.clock + at + time.Duration(s64(steps[0].x)%int64(40*time.Second))
 			p.run(end)
-			p.at = end
+			p.clock = end
 		}
-		a, b := plays[0], plays[1]
-		if d := diff.Diff(b.did, a.did); d != "" {
+		a, b := scenarios[0], scenarios[1]
+		if d := diff.Diff(b.actions, a.actions); d != "" {
 			t.Fatal("(-awake +asleep)", d)
 		}
 		states := [2]choice.SavedState{}
-		for i, p := range plays {
-			p.replayMissed(p.at + 1)
+		for i, p := range scenarios {
+			p.replayMissed(p.clock + 1)
 			p.runOnce(0)
-			s := p.balancer.ExportState(p.at)
+			s := p.balancer.ExportState(p.clock)
 			slices.SortFunc(s.Classes, func(x, y choice.ClassState) int { return cmp.Compare(x.Name, y.Name) })
 			states[i] = s
 		}
 		if d := diff.Diff(states[1], states[0]); d != "" {
-			t.Fatal("what was learnt (-awake +asleep)", d)
+			t.Fatal("state (-awake +asleep)", d)
 		}
 		if d := diff.Diff(b.balancer.Totals(), a.balancer.Totals()); d != "" {
-			t.Fatal("books (-awake +asleep)", d)
+			t.Fatal("totals (-awake +asleep)", d)
 		}
-		asleep, awake = asleep+a.turns, awake+b.turns
+		asleep, awake = asleep+a.wakeups, awake+b.wakeups
 		a.events = nil
-		a.run(a.at + 2*time.Second) // what was under way ends
-		if turns := a.turns; a.balancer.Idle() && len(a.requests)+len(a.counterCalls)+len(a.probes) == 0 {
-			if a.run(a.at + 10*time.Second); a.balancer.Idle() && a.turns-turns > 66 { // a quarter of its beats
-				t.Fatalf("with nothing to do it was woken %d times in 10 s", a.turns-turns)
+		a.run(a.clock + 2*time.Second) // pending work ends
+		if turns := a.wakeups; a.balancer.Idle() && len(a.requests)+len(a.counterCalls)+len(a.probes) == 0 {
+			if a.run(a.clock + 10*time.Second); a.balancer.Idle() && a.wakeups-turns > 66 { // a quarter of its housekeeping runs
+				t.Fatalf("with nothing to do it was woken %d times in 10 s", a.wakeups-turns)
 			}
 		}
 	})
@@ -239,15 +239,15 @@
 
 func s64(x uint64) int64 { return int64(x >> 1) }
 
-// BenchmarkSleep is a second of a core without requests, by its servers.
+// BenchmarkSleep measures one second of an idle core, by its number of servers.
 func BenchmarkSleep(b *testing.B) {
 	for _, n := range []int{1, 29} {
 		b.Run(fmt.Sprint("servers ", n), func(b *testing.B) {
 			set := testSet
 			set.Classes = []choice.Class{{Name: "read", Target: 300 * time.Millisecond, Deadline: time.Second, Value: 1}}
-			w := &testCore{at: 1000 * time.Second}
+			w := &testCore{clock: 1000 * time.Second}
 			var err error
-			if w.Core, err = New(set, 1, func() time.Duration { return w.at }, Dependencies{Fleet: w, Counter: w, Watcher: w}); err != nil {
+			if w.Core, err = New(set, 1, func() time.Duration { return w.clock }, Dependencies{Fleet: w, Counter: w, Watcher: w}); err != nil {
 				b.Fatal(err)
 			}
 			var all []Member
@@ -258,8 +258,8 @@
 			w.runOnce(0)
 			b.ReportAllocs()
 			for b.Loop() {
-				for end := w.at + time.Second; w.at < end; {
-					w.at += max(w.nextWake(), time.Millisecond)
+				for end := w.clock + time.Second; w.clock < end; {
+					w.clock += max(w.nextWake(), time.Millisecond)
 					w.runOnce(0)
 				}
 			}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,7 +1,7 @@
-// Package routing is the core of the gateway. It knows requests, attempts and
-// outcomes, and no wire: fronts submit requests, a fleet carries out attempts,
-// a counter adds numbers, and the decision module in package choice says what
-// happens. One goroutine owns the module, its timers and the open requests.
+// Package routing is the core of the gateway. It handles requests, attempts and
+// outcomes independently of protocols: frontends submit requests, a Fleet executes
+// attempts, a Counter adds numbers, and the Balancer of package choice decides. One
+// goroutine owns the balancer, its timers and the open requests.
 package routing
 
 import (
@@ -17,68 +17,67 @@
 	"asterwell/internal/mailbox"
 )
 
-// Request is a client's try. A front fills it in and submits it once.
+// Request is a client's request. A frontend fills it in and submits it once.
 type Request struct {
 	Class, Plan, Customer  string
-	Deadline               time.Duration // on the core's clock: the client waits no longer
+	Deadline               time.Duration // on the core's clock: when the client stops waiting
 	Units                  float64
 	Gateways, FirstGateway int
 	IsRetry                bool
-	Call                   any // what the fleet passes on; the core does not look at it
+	Call                   any // opaque to the core; passed to the fleet
 	Reply                  Reply
 
-	// Fit gives the request its terms by the policy in force, or an error if that does
-	// not allow it. Nil: it has them.
+	// ResolveTerms fills in what depends on the policy in force, or returns an error if
+	// the policy doesn't allow the request. Nil: nothing is left to fill in.
 	ResolveTerms func() error
 
-	// Spent tells that what has been sent of it can't be sent again. Nil: it always can.
+	// BodyConsumed reports that the body can't be sent again. Nil: it always can.
 	BodyConsumed func() bool
 
 	id uint32
 }
 
-// Reply takes the one final answer to a request. Its methods must not block.
+// Reply receives the one final answer to a request. Its methods must not block.
 type Reply interface {
 	Served(answer any)
-	// Refused: to try again is harmless. A request that was tried met a fault of
-	// the servers; one that was not is beyond its quota, or there is no room.
+	// Refused means that a retry is safe. If the request was attempted, servers
+	// failed; if not, it is beyond its quota or there is no capacity.
 	Refused(retryAfter time.Duration, verdict Verdict)
-	Failed(timedOut bool) // no promise
-	Disallowed(err error) // the policy in force does not allow what it says; it was not tried
+	Failed(timedOut bool) // the request may have run
+	Disallowed(err error) // the policy in force doesn't allow the request; it was not attempted
 }
 
-// Verdict tells whether a request may have run.
+// Verdict tells whether a request may have been executed.
 type Verdict int
 
 // The verdicts.
 const (
-	NotAttempted Verdict = iota // it was sent to nobody
-	NotExecuted                 // it was, and has not run: each that it was sent to has proved that
+	NotAttempted Verdict = iota // not sent to any server
+	NotExecuted                 // sent, but each attempt has proof that it didn't run
 	MayHaveExecuted
 )
 
-// Member is a server of the list and where it listens.
+// Member is a server and its address.
 type Member struct {
 	choice.Member
 	Addr string
-	Name string // the id that the list has for it
+	Name string // its id in discovery
 }
 
-// News is what discovery tells.
+// DiscoveryUpdate is a change of the server list. Its fields are those of choice.RosterUpdate.
 type DiscoveryUpdate struct {
 	Members              []Member
 	Whole, Saved, Broken bool
 }
 
-// Attempt names one attempt for as long as it is out. A probe has ID 0.
+// Attempt identifies a pending attempt or probe. Probes have ID 0.
 type Attempt struct {
 	ID     uint32
 	Number int
 }
 
-// Fleet carries out attempts. The core calls it from its own goroutine only,
-// and hears of the ends by Core.Ended and Core.Probed. Nothing is heard of an
-// attempt that was cancelled, or it is ignored.
+// Fleet executes attempts. Only the core's goroutine calls it. It reports their ends
+// by Core.AttemptEnded and Core.ProbeEnded; those of cancelled attempts are ignored.
 type Fleet interface {
 	Update(news DiscoveryUpdate)
 	Send(server uint32, a Attempt, call any, left time.Duration)
@@ -86,94 +85,94 @@
 	Cancel(server uint32, a Attempt)
 }
 
-// Counter adds to named numbers. It answers every Add once, by Core.Counted.
+// Counter adds to named numbers. It answers every Add once, by Core.CounterEnded.
 type Counter interface {
 	Add(name string, amount float64, life time.Duration)
 }
 
-// Watcher starts and stops the news where the deployment wants to be asked.
+// Watcher starts and stops discovery updates where they need a subscription.
 type Watcher interface {
 	Watch(on bool)
 }
 
-// Health hears how attempts and probes end, on the core's goroutine.
+// HealthObserver is told how attempts and probes end, on the core's goroutine.
 type HealthObserver interface {
 	Observe(server uint32, status choice.Status)
 }
 
-// Gate tells by which version of the policy the core may decide, if any. It is asked
-// with the time after a request has come, and looks at the lease before it compares.
+// Gate tells by which policy version the core may decide, if any. It must read the
+// clock after the request has arrived, so that an expired lease is never used.
 type Gate interface {
-	// May returns the version; with ok false none, and soon tells that it will be
-	// over in a moment.
+	// Version returns the policy version. If ok is false there is none, and soon tells
+	// that there will be one in a moment.
 	Version(now func() time.Duration) (version int64, ok, soon bool)
 }
 
-// Hands are what the core acts through.
+// Dependencies are what the core acts through.
 type Dependencies struct {
-	Env           hostenv.Seam // nil: the real one
+	Env           hostenv.Seam // nil: the real environment
 	Fleet         Fleet
 	Counter       Counter
 	Watcher       Watcher
-	Health        HealthObserver            // nil: nobody wants to hear
-	Gate          Gate                      // nil: the settings of the start are in force for good
-	MaxGateWait   time.Duration             // most that a request waits at the gate
-	DiscardAnswer func(answer any)          // takes answers that come too late; nil: nobody has to
-	PolicyApplied func(set choice.Settings) // hears of a policy that comes into force, before any request is decided by it
+	Health        HealthObserver            // nil: none
+	Gate          Gate                      // nil: the initial settings stay in force
+	MaxGateWait   time.Duration             // longest wait of a request at the gate
+	DiscardAnswer func(answer any)          // releases responses that nobody receives; may be nil
+	PolicyApplied func(set choice.Settings) // called before the first request is decided by a new policy
 }
 
-// Stats are totals since the start.
+// Stats are totals since the start, and current figures.
 type Stats struct {
 	Requests, Served, Refused, Failed, ClientsGone int
 	Attempts, Probes, CounterCalls                 int
 	Outcomes                                       [choice.NotExecuted + 1]int
 	Open, Ready                                    int
-	InFlight                                       int // attempts and probes under way
-	WaitedAtGate, RefusedUnleased                  int // at the gate; refused there
+	InFlight                                       int // pending attempts and probes
+	WaitedAtGate, RefusedUnleased                  int // at the gate: queued, and refused without a lease
 	Version                                        int64
-	Module                                         choice.Totals
+	Balancer                                       choice.Totals
 }
 
-// Core is the actor round the module.
+// Core is the actor that owns the balancer.
 type Core struct {
 	inbox           *mailbox.Box[message]
 	now             func() time.Duration
 	deps            Dependencies
 	balancer        *choice.Balancer
 	timers          timers
-	timerSeq        uint64 // keeps timers of one moment in order
+	timerSeq        uint64 // orders timers of the same time
 	requests        map[uint32]*openRequest
 	lastID          uint32
 	probes          map[uint32]probe
 	probeCount      int
 	counterCalls    map[string]time.Duration
-	pendingOutcomes []choice.Outcome // of cancels, told once the module has finished its turn
+	pendingOutcomes []choice.Outcome // of cancelled attempts, delivered after the balancer has returned
 	probeTimeout    time.Duration
 	upServers       map[uint32]bool
 	stats           Stats
 	stopped         bool
-	discovered      bool          // the list came from discovery, not from the saved copy
-	trustSavedAt    time.Duration // from then on the saved copy has to do
-	policyVersion   int64         // of the policy in the module
-	gateQueue       []uint32      // requests at the gate, in order
+	discovered      bool          // the server list comes from discovery, not from the saved copy
+	trustSavedAt    time.Duration // when the saved copy becomes good enough
+	policyVersion   int64         // of the policy in the balancer
+	gateQueue       []uint32      // requests waiting at the gate, in order
 	listedServers   map[uint32]bool
-	viewUpdatedAt   time.Duration // when view was brought up to date
+	viewUpdatedAt   time.Duration // last update of view
 	view            view
 	sleepState
 }
 
-// view is what others may read at any time, without the core's turn.
+// view holds figures that other goroutines may read at any time.
 type view struct{ listed, avoided, ready atomic.Int64 }
 
 const viewPeriod = 200 * time.Millisecond
 
-// Ready is the number of servers that requests may go to.
+// ReadyServers is the number of servers that requests may go to.
 func (c *Core) ReadyServers() int { return int(c.view.ready.Load()) }
 
-// Targets are the servers in the list, and Avoided those of them that nothing is sent to now.
+// ListedServers is the number of servers in the list.
 func (c *Core) ListedServers() int { return int(c.view.listed.Load()) }
 
-// Avoided are the listed servers that this gateway keeps away from.
+// EjectedServers is the number of listed servers that get no requests now.
 func (c *Core) EjectedServers() int { return int(c.view.avoided.Load()) }
 
 func (c *Core) updateView(now time.Duration) {
@@ -199,10 +198,10 @@
 	server  uint32
 	sent    time.Duration
 	pending bool
-	status  choice.Status // its end
+	status  choice.Status // once it has ended
 }
 
-// verdict is what the attempts so far prove.
+// verdict tells what the attempts so far prove.
 func (o *openRequest) verdict() Verdict {
 	v := NotAttempted
 	for _, a := range o.attempts {
@@ -218,17 +217,17 @@
 	sent time.Duration
 }
 
-// savedAfter is how long a gateway waits for discovery's word after its start.
-// While discovery is down the saved list is better than none.
+// savedListDelay is how long a gateway waits for discovery after its start before it uses
+// the saved server list. While discovery is down, that list is better than none.
 const savedListDelay = 500 * time.Millisecond
 
 type message interface {
 	apply(c *Core, now time.Duration)
 }
 
-// New returns a core that acts through hands once it runs. now is its clock.
-func New(set choice.Settings, seed uint64, now func() time.Duration, hands Dependencies) (*Core, error) {
-	c := &Core{inbox: mailbox.NewBox[message](hands.Env), now: now, deps: hands, requests: map[uint32]*openRequest{},
+// New returns a core that acts through deps once it runs. now is its clock.
+func New(set choice.Settings, seed uint64, now func() time.Duration, deps Dependencies) (*Core, error) {
+	c := &Core{inbox: mailbox.NewBox[message](deps.Env), now: now, deps: deps, requests: map[uint32]*openRequest{},
 		probes: map[uint32]probe{}, counterCalls: map[string]time.Duration{}, upServers: map[uint32]bool{},
 		listedServers: map[uint32]bool{}, sleepState: newSleepState(set, seed)}
 	if c.probeTimeout = set.ConnectTimeout; c.probeTimeout <= 0 {
@@ -240,18 +239,19 @@
 	return c, err
 }
 
-// Run serves until it is stopped.
+// Run processes messages and timers until Stop.
 func (c *Core) Run() {
 	for !c.stopped {
 		c.runOnce(c.nextWake())
 	}
 }
 
-// Stop ends Run. What is open then gets no answer.
+// Stop ends Run. Open requests then get no answer.
 func (c *Core) Stop() { c.inbox.Put(stop{}) }
 
-// Close answers all that is open, at once, by what is known of it: the process is about to
-// end, and nobody could tell its silence from a lost request. What comes later is as ever.
+// AnswerOpen answers all open requests at once, by what is known of them: the process is
+// about to exit, and clients couldn't tell its silence from a lost request. Later requests
+// are processed as usual.
 func (c *Core) AnswerOpen() { c.inbox.Put(answerOpen{}) }
 
 type answerOpen struct{}
@@ -274,7 +274,7 @@
 
 func (stop) apply(c *Core, _ time.Duration) { c.stopped = true }
 
-// wait is how long the core may sleep: until the next timer that does something.
+// nextWake is how long the core may block: until the next timer that isn't expired.
 func (c *Core) nextWake() time.Duration {
 	for len(c.timers) > 0 && c.expired(c.timers[0]) {
 		heap.Pop(&c.timers)
@@ -288,11 +288,11 @@
 	return max(0, min(c.timers[0].at-c.now(), time.Second))
 }
 
-// turn takes what has come within the wait, and all timers that are due.
+// runOnce processes the messages that arrive within wait, and all timers that are due.
 func (c *Core) runOnce(wait time.Duration) {
 	got := c.inbox.Take(wait)
 	now := c.now()
-	beaten := c.asleep
+	housekept := c.asleep
 	c.replayMissed(now)
 	for _, m := range got {
 		m.apply(c, c.now())
@@ -303,15 +303,15 @@
 		t := heap.Pop(&c.timers).(timer)
 		t.fire(c, now)
 		c.deliverOutcomes()
-		beaten = beaten || t.token == choice.HousekeepingTimer
+		housekept = housekept || t.token == choice.HousekeepingTimer
 	}
 	if now-c.viewUpdatedAt >= viewPeriod {
 		c.updateView(now)
 	}
-	c.trySleep(now, beaten)
+	c.trySleep(now, housekept)
 }
 
-// settle tells the module the ends of what it cancelled.
+// deliverOutcomes tells the balancer the ends of attempts that it cancelled.
 func (c *Core) deliverOutcomes() {
 	for len(c.pendingOutcomes) > 0 {
 		o := c.pendingOutcomes[0]
@@ -320,11 +320,11 @@
 	}
 }
 
-// Submit takes a request. Its Reply hears of the answer, whatever happens.
+// Submit takes a request. Its Reply always gets an answer, unless the client leaves.
 func (c *Core) Submit(r *Request) { c.inbox.Put(submitted{r}) }
 
-// Sent tells that more of a submitted request's body has gone out: silence and time count
-// from now on.
+// BodyProgress records that more of a submitted request's body was sent: the server's
+// silence and latency count from now on.
 func (c *Core) BodyProgress(r *Request) { c.inbox.Put(bodyProgress{r}) }
 
 type bodyProgress struct{ r *Request }
@@ -342,28 +342,28 @@
 	}
 }
 
-// Gone tells that the client of a submitted request has left.
+// ClientGone tells that the client of a submitted request has disconnected.
 func (c *Core) ClientGone(r *Request) { c.inbox.Put(clientGone{r}) }
 
-// Ended tells how an attempt ended.
+// AttemptEnded tells how an attempt ended.
 func (c *Core) AttemptEnded(server uint32, a Attempt, status choice.Status, answer any, load *choice.Load) {
 	c.inbox.Put(attemptEnded{server, a, status, answer, load})
 }
 
-// Probed tells how a probe ended.
+// ProbeEnded tells how a probe ended.
 func (c *Core) ProbeEnded(server uint32, a Attempt, status choice.Status, load *choice.Load) {
 	c.inbox.Put(probeEnded{server, a, status, load})
 }
 
-// Counted tells the end of a counter call.
+// CounterEnded tells how a counter call ended.
 func (c *Core) CounterEnded(name string, status choice.Status, total float64) {
 	c.inbox.Put(counterEnded{name, status, total})
 }
 
-// News tells what discovery has said.
+// HandleDiscovery takes a change of the server list.
 func (c *Core) HandleDiscovery(n DiscoveryUpdate) { c.inbox.Put(n) }
 
-// Stats asks for the totals; it waits for the core's turn.
+// Stats returns the totals. It waits for the core's goroutine.
 func (c *Core) Stats() Stats {
 	ask := &statsRequest{bell: hostenv.Or(c.deps.Env).NewBell()}
 	c.inbox.Put(ask)
@@ -371,14 +371,14 @@
 	return ask.stats
 }
 
-// Twins tells how many processes are this gateway.
+// SetProcesses sets how many processes share this gateway's identity.
 func (c *Core) SetProcesses(n int) { c.inbox.Put(processCount(n)) }
 
 type processCount int
 
 func (m processCount) apply(c *Core, _ time.Duration) { c.balancer.SetProcesses(int(m)) }
 
-// Hand asks for what the module knows; it waits for the core's turn.
+// ExportState returns the balancer's state. It waits for the core's goroutine.
 func (c *Core) ExportState() choice.SavedState {
 	ask := &exportRequest{bell: hostenv.Or(c.deps.Env).NewBell()}
 	c.inbox.Put(ask)
@@ -396,8 +396,8 @@
 	m.bell.Ring()
 }
 
-// Take gives the module what another process of this gateway knew. It waits for the core's
-// turn, and reports what is strange about it: then nothing is taken.
+// ImportState gives the balancer the state of another process of this gateway, or returns
+// an error if the state is invalid. It waits for the core's goroutine.
 func (c *Core) ImportState(s choice.SavedState) error {
 	ask := &importRequest{bell: hostenv.Or(c.deps.Env).NewBell(), state: s}
 	c.inbox.Put(ask)
@@ -452,7 +452,7 @@
 	if o == nil || o.req != m.r || o.answered {
 		return
 	}
-	o.answered = true // nobody is left to answer
+	o.answered = true // no answer can be delivered
 	c.stats.ClientsGone++
 	c.gateQueue = slices.DeleteFunc(c.gateQueue, func(id uint32) bool { return id == m.r.id })
 	c.balancer.HandleClientGone(now, m.r.id)
@@ -467,7 +467,7 @@
 	load   *choice.Load
 }
 
-// apply drops what comes late: an attempt has one end, and a request one answer.
+// apply ignores late ends: an attempt has one end, and a request one answer.
 func (m attemptEnded) apply(c *Core, now time.Duration) {
 	o := c.requests[m.ID]
 	if o == nil || m.Number >= len(o.attempts) || !o.attempts[m.Number].pending || o.attempts[m.Number].server != m.server {
@@ -551,7 +551,7 @@
 	s := c.stats
 	c.updateView(now)
 	s.Open, s.Ready = len(c.requests), c.ReadyServers()
-	s.InFlight, s.Module, s.Version = len(c.probes), c.balancer.Totals(), c.policyVersion
+	s.InFlight, s.Balancer, s.Version = len(c.probes), c.balancer.Totals(), c.policyVersion
 	for _, o := range c.requests {
 		s.InFlight += o.inFlight
 	}
@@ -565,7 +565,7 @@
 	}
 }
 
-// drop gives up an answer that nobody takes.
+// discard releases a response that nobody receives.
 func (c *Core) discard(answer any) {
 	if c.deps.DiscardAnswer != nil {
 		c.deps.DiscardAnswer(answer)
@@ -578,7 +578,7 @@
 	}
 }
 
-// actions is the Core as the module sees it.
+// actions implements choice.Actions for the balancer.
 type actions Core
 
 func (x *actions) Send(id, backend uint32, limit time.Duration) {
@@ -597,7 +597,7 @@
 		left = min(left, limit)
 	}
 	again := try > 0 && o.req.BodyConsumed != nil && o.req.BodyConsumed()
-	if o.answered || left <= 0 || again { // the request is over: it must not go out
+	if o.answered || left <= 0 || again { // the request is finished: don't send it
 		o.attempts[try].pending, o.attempts[try].status = false, choice.NotExecuted
 		o.inFlight--
 		c.pendingOutcomes = append(c.pendingOutcomes, choice.Outcome{ID: id, Attempt: try, Backend: backend, Status: choice.NotExecuted, Final: o.answered})
@@ -621,12 +621,12 @@
 	o := c.requests[id]
 	if r := c.takeReply(id); r != nil {
 		x.stats.Failed++
-		// The module gives up a little before the deadline, in time to answer.
+		// The balancer fails requests shortly before their deadline, so that the answer arrives in time.
 		r.Failed(c.now()+20*time.Millisecond >= o.req.Deadline)
 	}
 }
 
-// final marks a request as answered and returns who hears of it.
+// takeReply marks a request as answered and returns its Reply, or nil if it was answered before.
 func (c *Core) takeReply(id uint32) Reply {
 	o := c.requests[id]
 	if o == nil || o.answered {
@@ -644,7 +644,7 @@
 	}
 }
 
-// stop gives up an attempt that is out.
+// abortAttempt ends a pending attempt.
 func (c *Core) abortAttempt(id uint32, o *openRequest, try int, status choice.Status) {
 	a := &o.attempts[try]
 	a.pending, a.status = false, status
@@ -678,7 +678,7 @@
 	if token == choice.HousekeepingTimer {
 		c.interval = after
 	}
-	c.schedule(after, timer{kind: moduleTimer, token: token, id: timerRequest(token)})
+	c.schedule(after, timer{kind: balancerTimer, token: token, id: timerRequest(token)})
 }
 
 func (x *actions) Watch(on bool) { x.deps.Watcher.Watch(on) }
@@ -688,7 +688,7 @@
 type timerKind int
 
 const (
-	moduleTimer timerKind = iota
+	balancerTimer timerKind = iota
 	attemptTimer
 	probeTimer
 	gateTimer
@@ -715,7 +715,7 @@
 
 func (t timer) fire(c *Core, now time.Duration) {
 	switch t.kind {
-	case moduleTimer:
+	case balancerTimer:
 		c.balancer.HandleTimer(now, t.token)
 	case attemptTimer:
 		if o := c.requests[t.id]; o != nil && t.try < len(o.attempts) && o.attempts[t.try].pending {
@@ -731,7 +731,7 @@
 	}
 }
 
-// timers is a heap, the earliest first.
+// timers is a heap, ordered by time.
 type timers []timer
 
 func (h timers) Len() int { return len(h) }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -12,34 +12,34 @@
 	"asterwell/internal/hostenv"
 )
 
-// world is a core with a clock of its own, and what it did and answered.
+// testCore is a core with a simulated clock that records its actions and answers.
 type testCore struct {
 	*Core
-	at  time.Duration
-	did []string
+	clock   time.Duration
+	actions []string
 }
 
-func (w *testCore) note(format string, args ...any) {
-	w.did = append(w.did, fmt.Sprintf(format, args...))
+func (w *testCore) record(format string, args ...any) {
+	w.actions = append(w.actions, fmt.Sprintf(format, args...))
 }
 
 func (w *testCore) Update(DiscoveryUpdate) {}
 func (w *testCore) Send(s uint32, a Attempt, call any, left time.Duration) {
-	w.note("send %v to %d with %v in %v", a, s, call, left)
+	w.record("send %v to %d with %v in %v", a, s, call, left)
 }
-func (w *testCore) Probe(s uint32, a Attempt, _ time.Duration)     { w.note("probe %v to %d", a, s) }
-func (w *testCore) Cancel(s uint32, a Attempt)                     { w.note("cancel %v to %d", a, s) }
-func (w *testCore) Add(name string, n float64, life time.Duration) { w.note("add %s %v", name, n) }
-func (w *testCore) Watch(on bool)                                  { w.note("watch %v", on) }
+func (w *testCore) Probe(s uint32, a Attempt, _ time.Duration)     { w.record("probe %v to %d", a, s) }
+func (w *testCore) Cancel(s uint32, a Attempt)                     { w.record("cancel %v to %d", a, s) }
+func (w *testCore) Add(name string, n float64, life time.Duration) { w.record("add %s %v", name, n) }
+func (w *testCore) Watch(on bool)                                  { w.record("watch %v", on) }
 
 type reply struct{ w *testCore }
 
-func (r reply) Served(answer any) { r.w.note("served %v", answer) }
+func (r reply) Served(answer any) { r.w.record("served %v", answer) }
 func (r reply) Refused(after time.Duration, verdict Verdict) {
-	r.w.note("refused, after %v, tried %v", after, verdict != NotAttempted)
+	r.w.record("refused, after %v, tried %v", after, verdict != NotAttempted)
 }
-func (r reply) Failed(timedOut bool) { r.w.note("failed, timed out %v", timedOut) }
-func (r reply) Disallowed(err error) { r.w.note("unfit: %v", err) }
+func (r reply) Failed(timedOut bool) { r.w.record("failed, timed out %v", timedOut) }
+func (r reply) Disallowed(err error) { r.w.record("unfit: %v", err) }
 
 var testSet = choice.Settings{Gateways: 1, MaxAttempts: 5, Cancels: true, RetryAfter: true, Tick: time.Millisecond,
 	Classes: []choice.Class{
@@ -49,9 +49,9 @@
 
 func newTestCore(t *testing.T, set choice.Settings) *testCore {
 	t.Helper()
-	w := &testCore{at: 1000 * time.Second}
+	w := &testCore{clock: 1000 * time.Second}
 	var err error
-	w.Core, err = New(set, 1, func() time.Duration { return w.at }, Dependencies{Fleet: w, Counter: w, Watcher: w})
+	w.Core, err = New(set, 1, func() time.Duration { return w.clock }, Dependencies{Fleet: w, Counter: w, Watcher: w})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,19 +60,19 @@
 }
 
 func (w *testCore) request(class string, patience time.Duration) *Request {
-	return &Request{Class: class, Plan: "plan", Customer: "c", Deadline: w.at + patience, Units: 1, Gateways: 1,
+	return &Request{Class: class, Plan: "plan", Customer: "c", Deadline: w.clock + patience, Units: 1, Gateways: 1,
 		Call: "call", Reply: reply{w}}
 }
 
-// step lets time pass and the core do what is due.
+// step advances the clock and runs everything that is due.
 func (w *testCore) step(d time.Duration) {
-	for end := w.at + d; ; {
+	for end := w.clock + d; ; {
 		w.runOnce(0)
 		next := end
 		if len(w.timers) > 0 {
 			next = min(next, w.timers[0].at)
 		}
-		if w.at = max(w.at, next); w.at >= end {
+		if w.clock = max(w.clock, next); w.clock >= end {
 			w.runOnce(0)
 			return
 		}
@@ -89,43 +89,43 @@
 			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "fine", nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "served fine"}},
-		"a second end of the attempt is dropped": {"submit", func(w *testCore, r *Request) {
+		"a second end of an attempt is ignored": {"submit", func(w *testCore, r *Request) {
 			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "fine", nil)
 			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "again", nil)
 			w.AttemptEnded(7, Attempt{1, 5}, choice.OK, "odd", nil)
 			w.AttemptEnded(7, Attempt{9, 0}, choice.OK, "odd", nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "served fine"}},
-		"a reset submission is failed": {"submit", func(w *testCore, r *Request) {
+		"a connection reset fails a non-retryable request": {"submit", func(w *testCore, r *Request) {
 			w.AttemptEnded(7, Attempt{1, 0}, choice.Reset, nil, nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "failed, timed out false"}},
-		"one that never ran goes out again": {"submit", func(w *testCore, r *Request) {
+		"a request that never ran is retried": {"submit", func(w *testCore, r *Request) {
 			w.AttemptEnded(7, Attempt{1, 0}, choice.ConnectFailed, nil, nil)
 			w.step(time.Second)
 			w.AttemptEnded(7, Attempt{1, 1}, choice.OK, "fine", nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "send {1 1} to 7 with call in 5s", "served fine"}},
-		"an end of the process: what may have run gets no promise": {"submit", func(w *testCore, r *Request) {
+		"shutdown: a request that may have run fails": {"submit", func(w *testCore, r *Request) {
 			w.AnswerOpen()
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "cancel {1 0} to 7", "failed, timed out false"}},
-		"an end of the process: a read was tried, and may be repeated": {"read", func(w *testCore, r *Request) {
+		"shutdown: an attempted read may be retried": {"read", func(w *testCore, r *Request) {
 			w.AnswerOpen()
 			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "late", nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "cancel {1 0} to 7", "refused, after 500ms, tried true"}},
-		"silence is answered in time, and what comes late is dropped": {"submit", func(w *testCore, r *Request) {
+		"a silent server: the client gets its answer in time, and a late response is ignored": {"submit", func(w *testCore, r *Request) {
 			w.step(20 * time.Second)
 			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "late", nil)
 			w.step(time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "cancel {1 0} to 7", "failed, timed out true"}},
-		"a client that leaves is not answered": {"submit", func(w *testCore, r *Request) {
+		"a client that disconnects gets no answer": {"submit", func(w *testCore, r *Request) {
 			w.ClientGone(r)
 			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "late", nil)
 			w.step(20 * time.Second)
 		}, []string{"send {1 0} to 7 with call in 5s", "cancel {1 0} to 7"}},
-		"a client that leaves after its answer": {"submit", func(w *testCore, r *Request) {
+		"a client that disconnects after its answer": {"submit", func(w *testCore, r *Request) {
 			w.AttemptEnded(7, Attempt{1, 0}, choice.OK, "fine", nil)
 			w.ClientGone(r)
 			w.step(20 * time.Second)
@@ -138,7 +138,7 @@
 			w.Submit(r)
 			w.step(0)
 			c.play(w, r)
-			if d := cmp.Diff(c.want, w.did); d != "" {
+			if d := cmp.Diff(c.want, w.actions); d != "" {
 				t.Error(d)
 			}
 			if len(w.requests) != 0 {
@@ -148,8 +148,8 @@
 	}
 }
 
-// Where attempts can't be cancelled, one that is out after its request's end
-// must still end, by the client's deadline at the latest.
+// Where attempts can't be cancelled, a pending attempt of a finished request must end
+// by the client's deadline at the latest.
 func TestAttemptEndsWithoutCancel(t *testing.T) {
 	set := testSet
 	set.Cancels = false
@@ -157,22 +157,22 @@
 	w.Submit(w.request("submit", 5*time.Second))
 	w.step(20 * time.Second)
 	want := []string{"send {1 0} to 7 with call in 5s", "failed, timed out true", "cancel {1 0} to 7"}
-	if d := cmp.Diff(want, w.did); d != "" || len(w.requests) != 0 {
+	if d := cmp.Diff(want, w.actions); d != "" || len(w.requests) != 0 {
 		t.Error(d, len(w.requests))
 	}
 }
 
-// An attempt for a request that is over must not go out: it would run for nobody.
-func TestNothingIsSentAfterTheEnd(t *testing.T) {
+// No attempt may be sent for a finished request: it would run for nobody.
+func TestNothingIsSentForFinishedRequest(t *testing.T) {
 	w := newTestCore(t, testSet)
 	w.Submit(w.request("read", 5*time.Second))
 	w.step(0)
-	w.did = nil
+	w.actions = nil
 	w.requests[1].answered = true
 	(*actions)(w.Core).Send(1, 7, 0)
 	want := []choice.Outcome{{ID: 1, Attempt: 1, Backend: 7, Status: choice.NotExecuted, Final: true}}
-	if d := cmp.Diff(want, w.pendingOutcomes); d != "" || len(w.did) != 0 {
-		t.Error(d, w.did)
+	if d := cmp.Diff(want, w.pendingOutcomes); d != "" || len(w.actions) != 0 {
+		t.Error(d, w.actions)
 	}
 }
 
@@ -185,12 +185,12 @@
 	w.step(time.Second)
 	w.ProbeEnded(7, Attempt{0, 1}, choice.OK, nil)
 	w.step(0)
-	if d := cmp.Diff([]string{"probe {0 1} to 7", "cancel {0 1} to 7"}, w.did); d != "" || len(w.probes) != 0 {
+	if d := cmp.Diff([]string{"probe {0 1} to 7", "cancel {0 1} to 7"}, w.actions); d != "" || len(w.probes) != 0 {
 		t.Error(d, w.probes)
 	}
 }
 
-// While discovery is down, the saved list makes a gateway ready all the same.
+// While discovery is down, the saved list makes a gateway ready after savedListDelay.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	w := newTestCore(t, testSet)
 	w.inbox.Take(0)
@@ -206,8 +206,8 @@
 	}
 }
 
-// Until discovery has spoken the list is a saved one: the gateway is not ready.
-func TestReadyOnceTold(t *testing.T) {
+// With only a saved list, the gateway is not ready until discovery has answered.
+func TestReadyOnceDiscoveryAnswers(t *testing.T) {
 	w := newTestCore(t, testSet)
 	up := []Member{{Member: choice.Member{ID: 7}}}
 	for i, c := range []struct {
@@ -224,7 +224,7 @@
 	} {
 
 		if i == 0 {
-			w.inbox.Take(0) // the list that newWorld gave
+			w.inbox.Take(0) // the list of newTestCore
 		}
 		w.HandleDiscovery(c.news)
 		ask := &statsRequest{bell: hostenv.Real.NewBell()}
@@ -236,7 +236,7 @@
 	}
 }
 
-func TestTimersOfOneMomentKeepTheirOrder(t *testing.T) {
+func TestTimersOfSameTimeKeepTheirOrder(t *testing.T) {
 	w := newTestCore(t, testSet)
 	w.timers = nil
 	for i := range 20 {
@@ -245,7 +245,7 @@
 	var got []uint32
 	for len(w.timers) > 0 {
 		got = append(got, w.timers[0].id)
-		w.at = w.timers[0].at
+		w.clock = w.timers[0].at
 		heap.Pop(&w.timers)
 	}
 	want := []uint32{0, 3, 6, 9, 12, 15, 18, 1, 4, 7, 10, 13, 16, 19, 2, 5, 8, 11, 14, 17}
--- a/internal/stride/stride_test.go
+++ b/internal/stride/stride_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// gateway sends to the server that is due first.
+// gateway is a gateway that always uses the server that is due first.
 type gateway struct {
 	Scheduler
 	seats   []Position
@@ -36,7 +36,7 @@
 	return best
 }
 
-// Over whole rounds each server gets its share by weight, give or take two turns.
+// Each server gets its share by weight, within two turns.
 func TestTurnsGoByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.5, 4), 2, 40).Draw(t, "weights")
@@ -53,8 +53,8 @@
 	})
 }
 
-// A server that was left out for long is not made up to: no herd on its return.
-func TestNoHerdOnWhatWasLeftOut(t *testing.T) {
+// A server that was left out for long doesn't catch up: no herd when it returns.
+func TestNoHerdOnReturningServer(t *testing.T) {
 	g := newGateway([]float64{1, 1, 1, 1, 1}, 7)
 	for range 200 {
 		g.send(3)
@@ -66,13 +66,13 @@
 		}
 	}
 	if got < 4 || got > 4+int(math.Ceil(2*maxBehind)) {
-		t.Errorf("%d of 20 requests go to the server that is back, want 4 to %d", got, 4+int(math.Ceil(2*maxBehind)))
+		t.Errorf("%d of 20 requests go to the returning server, want 4 to %d", got, 4+int(math.Ceil(2*maxBehind)))
 	}
 }
 
-// Hundreds of gateways that take turns spread requests over servers more evenly than chance:
-// the aim of this package. The bound is over six standard errors away.
-func TestTurnsOfManyAreMoreEvenThanChance(t *testing.T) {
+// Hundreds of gateways that use servers in turn spread requests more evenly than random choice,
+// which is the purpose of this package. The bound is over six standard errors away.
+func TestStridesOfManyGatewaysBeatRandomChoice(t *testing.T) {
 	const gateways, servers, each = 300, 40, 7
 	spread := func(choose func(g *gateway) int) float64 {
 		sum := 0.0
@@ -81,7 +81,7 @@
 			for i := range gateways {
 				g := newGateway(make20(), uint64(round*gateways+i))
 				first := i * 13 % servers
-				for range 20 { // it has run for a while
+				for range 20 { // warm up
 					g.send(-1)
 				}
 				for range each {
@@ -99,7 +99,7 @@
 	turns := spread(func(g *gateway) int { return g.send(-1) })
 	chance := spread(func(g *gateway) int { return g.rng.IntN(len(g.seats)) })
 	if turns > 0.9*chance {
-		t.Errorf("spread %.3f by turns, %.3f by chance", turns, chance)
+		t.Errorf("spread %.3f by strides, %.3f by random choice", turns, chance)
 	}
 }
 
