--- a/cmd/loom/main_test.go
+++ b/cmd/loom/main_test.go
@@ -78,9 +78,9 @@
 	v, err := storage.Open(ts.MkAbs(args[0]))
 	ts.Check(err)
 	defer v.Close()
-	seat := consensus.Seat{Addr: "here", Life: 1}
-	body, err := cbor.Marshal(consensus.Disk{Life: 1, Format: consensus.DiskFormat, Record: consensus.Record{Founding: 1, Set: []consensus.Seat{seat}}, Count: 7,
-		Marks: []consensus.Mark{{Addr: "there", Life: 2, Count: 9, Run: 3}}, Kept: consensus.Doc{Version: uint32(args[1][0] - '0'), Body: []byte("configuration of " + args[1])}})
+	seat := consensus.Member{Addr: "here", DiskID: 1}
+	body, err := cbor.Marshal(consensus.DurableState{DiskID: 1, Format: consensus.StateFormat, Record: consensus.EpochRecord{ClusterID: 1, Members: []consensus.Member{seat}}, Saves: 7,
+		KnownTokens: []consensus.KnownToken{{Addr: "there", DiskID: 2, Saves: 9, RunID: 3}}, Committed: consensus.Doc{Version: uint32(args[1][0] - '0'), Body: []byte("configuration of " + args[1])}})
 	ts.Check(err)
 	if args[1] == "later" { // a later program's
 		body, err = cbor.Marshal(map[int]any{1: 1, 6: "of another kind", 10: 2})
@@ -102,10 +102,10 @@
 	defer v.Close()
 	data, err := v.Load(record)
 	ts.Check(err)
-	var d consensus.Disk
+	var d consensus.DurableState
 	ts.Check(cbor.Unmarshal(data, &d))
-	if new := reflect.DeepEqual(d, consensus.Disk{Life: d.Life, Kept: d.Kept}) && d.Life > 1; new == neg ||
-		neg && (d.Life != 1 || len(d.Record.Set) != 1 || len(d.Marks) > 0) {
+	if new := reflect.DeepEqual(d, consensus.DurableState{DiskID: d.DiskID, Committed: d.Committed}) && d.DiskID > 1; new == neg ||
+		neg && (d.DiskID != 1 || len(d.Record.Members) != 1 || len(d.KnownTokens) > 0) {
 		ts.Fatalf("%+v", d)
 	}
 }
--- a/cmd/loom/state.go
+++ b/cmd/loom/state.go
@@ -135,11 +135,11 @@
 func holding(name string, data []byte) (string, error) {
 	switch name {
 	case record:
-		d, err := consensus.ReadDisk(data)
+		d, err := consensus.DecodeState(data)
 		if err != nil {
 			return "", fmt.Errorf("record %q: %w", name, err)
 		}
-		return fmt.Sprintf("configuration %08x, epoch %d", d.Kept.Version, d.Record.Ballot.N), nil
+		return fmt.Sprintf("configuration %08x, epoch %d", d.Committed.Version, d.Record.Ballot.N), nil
 	case list:
 		var rows []registry.Row
 		if err := cbor.Unmarshal(data, &rows); err != nil {
@@ -192,21 +192,21 @@
 	if !ok {
 		return nil
 	}
-	d, err := consensus.ReadDisk(data)
+	d, err := consensus.DecodeState(data)
 	if err != nil {
 		return fmt.Errorf("record %q: %w", record, err)
 	}
 	if whole {
-		d.Marks = nil
+		d.KnownTokens = nil
 	} else {
 		var life [8]byte
 		if _, err := rand.Read(life[:]); err != nil {
 			return err
 		}
-		d = &consensus.Disk{Life: binary.BigEndian.Uint64(life[:]) | 1, Kept: d.Kept}
+		d = &consensus.DurableState{DiskID: binary.BigEndian.Uint64(life[:]) | 1, Committed: d.Committed}
 		clear(records)
 	}
-	data, err = d.Bytes()
+	data, err = d.Encode()
 	records[record] = data
 	return err
 }
--- a/internal/bench/agreement.go
+++ b/internal/bench/agreement.go
@@ -26,60 +26,60 @@
 
 // agreementModels: those that end by themselves first, then one with all that may go wrong,
 // by breadth and by depth.
-func agreementModels(states int) []consensus.Bounds {
-	all := []consensus.Bounds{
+func agreementModels(states int) []consensus.ModelBounds {
+	all := []consensus.ModelBounds{
 		{Puts: 2, Reads: 1},
-		{Puts: 2, Same: true},
-		{Silent: true, Puts: 2},
-		{Silent: true, Puts: 2, Same: true},
-		{Silent: true, Puts: 1, Shorts: 1},
-		{Silent: true, Puts: 1, Longs: 1},
-		{Silent: true, Puts: 1, Lost: 1},
-		{Silent: true, Puts: 1, Late: 1},
-		{Silent: true, Puts: 1, Doubled: 1},
-		{Silent: true, Puts: 1, Deaths: 1},
-		{Silent: true, Puts: 1, Wipes: 1},
-		{Silent: true, Shorts: 1, Longs: 1, Deaths: 1},
-		{Silent: true, Shorts: 1, Wipes: 1},
-		{Silent: true, Shorts: 1, Lost: 1, Late: 1, Doubled: 1},
-		{Silent: true, Puts: 2, Shorts: 1},
-		{Silent: true, Puts: 1, Shorts: 1, Deaths: 1},
-		{Silent: true, Puts: 1, Shorts: 1, Wipes: 1},
+		{Puts: 2, SameVersion: true},
+		{StartSilent: true, Puts: 2},
+		{StartSilent: true, Puts: 2, SameVersion: true},
+		{StartSilent: true, Puts: 1, ShortWaits: 1},
+		{StartSilent: true, Puts: 1, LongWaits: 1},
+		{StartSilent: true, Puts: 1, LostMessages: 1},
+		{StartSilent: true, Puts: 1, LateMessages: 1},
+		{StartSilent: true, Puts: 1, DuplicatedMessages: 1},
+		{StartSilent: true, Puts: 1, Crashes: 1},
+		{StartSilent: true, Puts: 1, DiskWipes: 1},
+		{StartSilent: true, ShortWaits: 1, LongWaits: 1, Crashes: 1},
+		{StartSilent: true, ShortWaits: 1, DiskWipes: 1},
+		{StartSilent: true, ShortWaits: 1, LostMessages: 1, LateMessages: 1, DuplicatedMessages: 1},
+		{StartSilent: true, Puts: 2, ShortWaits: 1},
+		{StartSilent: true, Puts: 1, ShortWaits: 1, Crashes: 1},
+		{StartSilent: true, Puts: 1, ShortWaits: 1, DiskWipes: 1},
 	}
-	full := consensus.Bounds{Silent: true, Puts: 2, Reads: 1, Lost: 1, Late: 1, Doubled: 1, Deaths: 2, Wipes: 1, Shorts: 2, Longs: 4}
+	full := consensus.ModelBounds{StartSilent: true, Puts: 2, Reads: 1, LostMessages: 1, LateMessages: 1, DuplicatedMessages: 1, Crashes: 2, DiskWipes: 1, ShortWaits: 2, LongWaits: 4}
 	deep := full
-	deep.Deep = true
+	deep.DepthFirst = true
 	all = append(all, full, deep)
 	for i := range all {
-		all[i].States = states
+		all[i].MaxStates = states
 	}
 	return all
 }
 
 // bounded tells bounds in few words.
-func bounded(b consensus.Bounds) string {
+func bounded(b consensus.ModelBounds) string {
 	var words []string
 	add := func(n int, word string) {
 		if n > 0 {
 			words = append(words, fmt.Sprintf("%d %s", n, word))
 		}
 	}
-	if b.Silent {
+	if b.StartSilent {
 		words = append(words, "primary unheard")
 	}
 	add(b.Puts, "puts")
-	if b.Same {
+	if b.SameVersion {
 		words = append(words, "of one version")
 	}
 	add(b.Reads, "reads")
-	add(b.Lost, "lost")
-	add(b.Late, "late")
-	add(b.Doubled, "doubled")
-	add(b.Deaths, "deaths")
-	add(b.Wipes, "wipes")
-	add(b.Shorts, "repeats")
-	add(b.Longs, "waits")
-	if b.Deep {
+	add(b.LostMessages, "lost")
+	add(b.LateMessages, "late")
+	add(b.DuplicatedMessages, "doubled")
+	add(b.Crashes, "deaths")
+	add(b.DiskWipes, "wipes")
+	add(b.ShortWaits, "repeats")
+	add(b.LongWaits, "waits")
+	if b.DepthFirst {
 		words = append(words, "by depth")
 	}
 	return strings.Join(words, ", ")
@@ -128,26 +128,26 @@
 
 func (o AgreementOptions) models(r *Report, say func(string, ...any)) {
 	models := agreementModels(o.States)
-	found := make([]consensus.Survey, len(models))
+	found := make([]consensus.Exploration, len(models))
 	took := make([]time.Duration, len(models))
 	side(len(models), o.Side, func(i int) {
 		began := time.Now()
 		found[i] = consensus.Explore(models[i])
 		took[i] = time.Since(began)
-		say("%s: %d states, all of them: %v %s", bounded(models[i]), found[i].States, found[i].All, found[i].Broken)
+		say("%s: %d states, all of them: %v %s", bounded(models[i]), found[i].States, found[i].Complete, found[i].Violation)
 	})
 	r.Row("small model", "visited", "states", "steps", "depth", "acked", "epochs", "seconds")
 	states, whole, wholes := 0, 0, 0
 	for i, f := range found {
 		states += f.States
 		visited := "the first"
-		if f.All {
+		if f.Complete {
 			visited = "whole"
 			whole += f.States
 			wholes++
 		}
 		r.Row(bounded(models[i]), visited, f.States, f.Steps, f.Depth, f.Acked, f.Epochs, took[i].Seconds())
-		r.Rule(f.Broken == "", "small model, %s: %s\n  %s", bounded(models[i]), f.Broken, strings.Join(f.Trace, "\n  "))
+		r.Rule(f.Violation == "", "small model, %s: %s\n  %s", bounded(models[i]), f.Violation, strings.Join(f.Trace, "\n  "))
 	}
 	for k, v := range map[string]int{"states": states, "states_of_whole_models": whole, "models": len(models), "whole_models": wholes} {
 		r.Figure[k] = v
@@ -155,16 +155,16 @@
 }
 
 // agreementWalks are schedules for cores of several sizes.
-func agreementWalks() (names []string, bounds []consensus.Bounds, pairs []consensus.Pair) {
-	add := func(name string, b consensus.Bounds, p consensus.Pair) {
-		b.Silent, b.Puts, b.Reads, b.Lost, b.Late, b.Doubled, b.Shorts, b.Longs = true, 4, 2, 3, 3, 3, 30, 15*b.Members
+func agreementWalks() (names []string, bounds []consensus.ModelBounds, pairs []consensus.PairFault) {
+	add := func(name string, b consensus.ModelBounds, p consensus.PairFault) {
+		b.StartSilent, b.Puts, b.Reads, b.LostMessages, b.LateMessages, b.DuplicatedMessages, b.ShortWaits, b.LongWaits = true, 4, 2, 3, 3, 3, 30, 15*b.Members
 		names, bounds, pairs = append(names, name), append(bounds, b), append(pairs, p)
 	}
-	add("3 members, 2 deaths, 1 wipe", consensus.Bounds{Members: 3, Losses: 1, Deaths: 2, Wipes: 1}, consensus.NoPair)
-	add("5 members for 1 loss", consensus.Bounds{Members: 5, Losses: 1, Deaths: 2, Wipes: 1}, consensus.NoPair)
+	add("3 members, 2 deaths, 1 wipe", consensus.ModelBounds{Members: 3, ToleratedLosses: 1, Crashes: 2, DiskWipes: 1}, consensus.NoPair)
+	add("5 members for 1 loss", consensus.ModelBounds{Members: 5, ToleratedLosses: 1, Crashes: 2, DiskWipes: 1}, consensus.NoPair)
 	for _, n := range []int{6, 8} {
 		for i, what := range []string{"2 killed at once", "2 at once, 1 wiped", "2 wiped at once"} {
-			add(fmt.Sprintf("%d members, %s", n, what), consensus.Bounds{Members: n, Losses: 2}, consensus.BothKilled+consensus.Pair(i))
+			add(fmt.Sprintf("%d members, %s", n, what), consensus.ModelBounds{Members: n, ToleratedLosses: 2}, consensus.BothKilled+consensus.PairFault(i))
 		}
 	}
 	return names, bounds, pairs
@@ -174,42 +174,42 @@
 
 func (o AgreementOptions) walks(r *Report, say func(string, ...any)) {
 	names, bounds, pairs := agreementWalks()
-	found := make([]consensus.Walks, len(names))
+	found := make([]consensus.RandomWalks, len(names))
 	side(len(names), o.Side, func(i int) {
 		found[i] = consensus.Walk(bounds[i], pairs[i], o.Seed, o.Walks, walkSteps)
-		say("%s: %d schedules, %d with a takeover %s", names[i], found[i].Count, found[i].Epochs, found[i].Broken)
+		say("%s: %d schedules, %d with a takeover %s", names[i], found[i].Count, found[i].Epochs, found[i].Violation)
 	})
 	r.Row("drawn schedules", "", "schedules", "steps", "with a takeover", "acked")
 	schedules := 0
 	for i, w := range found {
 		schedules += w.Count
 		r.Row(names[i], "", w.Count, w.Steps, w.Epochs, w.Acked)
-		r.Rule(w.Broken == "", "%s, seed %d: %s\n  %s", names[i], w.Seed, w.Broken, strings.Join(w.Trace, "\n  "))
+		r.Rule(w.Violation == "", "%s, seed %d: %s\n  %s", names[i], w.Seed, w.Violation, strings.Join(w.Trace, "\n  "))
 	}
 	r.Figure["schedules"] = schedules
 }
 
 // mutants hunts faults: by the small model, by schedules, by days of the whole system.
 func (o AgreementOptions) mutants(r *Report, say func(string, ...any)) {
-	three := consensus.Bounds{Members: 3, Losses: 1, Silent: true, Puts: 4, Reads: 2, Lost: 1, Late: 1, Doubled: 1, Shorts: 20,
-		Longs: 30, Deaths: 2, Wipes: 1}
+	three := consensus.ModelBounds{Members: 3, ToleratedLosses: 1, StartSilent: true, Puts: 4, Reads: 2, LostMessages: 1, LateMessages: 1, DuplicatedMessages: 1, ShortWaits: 20,
+		LongWaits: 30, Crashes: 2, DiskWipes: 1}
 	five := three
 	five.Members = 5
 	hunts := []struct {
 		what  string
 		bug   consensus.Bug
-		small consensus.Bounds
-		walk  consensus.Bounds
+		small consensus.ModelBounds
+		walk  consensus.ModelBounds
 		day   systemsim.Bug
 	}{
-		{"acknowledged by the primary alone", consensus.BugAckEarly, consensus.Bounds{Silent: true, Puts: 1, Shorts: 1}, three, systemsim.Sound},
-		{"acknowledged before the disks have synced", consensus.BugUnsynced, consensus.Bounds{}, three, systemsim.Sound},
-		{"taken over without the witnesses", consensus.BugAlone, consensus.Bounds{}, five, systemsim.Sound},
-		{"an overtaken primary obeyed", consensus.BugNoPromise, consensus.Bounds{}, three, systemsim.Sound},
-		{"an empty disk counts as one that remembers", consensus.BugAmnesia, consensus.Bounds{Silent: true, Puts: 1, Wipes: 1}, three, systemsim.Sound},
-		{"a disk says so before it has synced", 0, consensus.Bounds{}, consensus.Bounds{}, systemsim.Early},
-		{"a home does not tell that a server leaves", 0, consensus.Bounds{}, consensus.Bounds{}, systemsim.Mute},
-		{"an add counted twice after a restart", 0, consensus.Bounds{}, consensus.Bounds{}, systemsim.Twice},
+		{"acknowledged by the primary alone", consensus.BugAckEarly, consensus.ModelBounds{StartSilent: true, Puts: 1, ShortWaits: 1}, three, systemsim.Sound},
+		{"acknowledged before the disks have synced", consensus.BugEarlySync, consensus.ModelBounds{}, three, systemsim.Sound},
+		{"taken over without the witnesses", consensus.BugNoQuorum, consensus.ModelBounds{}, five, systemsim.Sound},
+		{"an overtaken primary obeyed", consensus.BugNoPromise, consensus.ModelBounds{}, three, systemsim.Sound},
+		{"an empty disk counts as one that remembers", consensus.BugReuseDiskID, consensus.ModelBounds{StartSilent: true, Puts: 1, DiskWipes: 1}, three, systemsim.Sound},
+		{"a disk says so before it has synced", 0, consensus.ModelBounds{}, consensus.ModelBounds{}, systemsim.Early},
+		{"a home does not tell that a server leaves", 0, consensus.ModelBounds{}, consensus.ModelBounds{}, systemsim.Mute},
+		{"an add counted twice after a restart", 0, consensus.ModelBounds{}, consensus.ModelBounds{}, systemsim.Twice},
 	}
 	type hit struct {
 		by, rule string
@@ -226,16 +226,16 @@
 				hits[i].n, hits[i].rule = hits[i].n+1, s.Broken
 			}
 		default:
-			if h.small != (consensus.Bounds{}) {
-				h.small.Bug, h.small.States = h.bug, o.States
+			if h.small != (consensus.ModelBounds{}) {
+				h.small.Bug, h.small.MaxStates = h.bug, o.States
 				f := consensus.Explore(h.small)
-				if hits[i] = (hit{"states", f.Broken, f.States}); f.Broken != "" {
+				if hits[i] = (hit{"states", f.Violation, f.States}); f.Violation != "" {
 					break
 				}
 			}
 			h.walk.Bug = h.bug
 			w := consensus.Walk(h.walk, consensus.NoPair, o.Seed, 10*o.Most, walkSteps)
-			hits[i] = hit{"schedules", w.Broken, w.Count}
+			hits[i] = hit{"schedules", w.Violation, w.Count}
 		}
 		say("mutant, %s: %d %s: %s", h.what, hits[i].n, hits[i].by, hits[i].rule)
 	})
--- a/internal/bench/callerframes.go
+++ b/internal/bench/callerframes.go
@@ -51,7 +51,7 @@
 
 // formerAnswer is the frame that answers a call of the asker's earlier life.
 func formerAnswer(from string, call uint64) []byte {
-	return daemon.Frames.Encode(&daemon.Frame{From: from, Msg: consensus.Answered{ID: call, Salt: 7, Verdict: consensus.Kept,
+	return daemon.Frames.Encode(&daemon.Frame{From: from, Msg: consensus.ForwardReply{ID: call, CallerID: 7, Result: consensus.ResultAccepted,
 		Doc: &consensus.Doc{Version: uint32(call), Body: []byte(frameText("former", call))}}})
 }
 
@@ -88,7 +88,7 @@
 		ready.Wait()
 		if q, ok := f.Msg.(consensus.Forward); ok {
 			doc := q.Doc
-			answerer.To(f.From).Send(&daemon.Frame{From: there.Addr, Msg: consensus.Answered{ID: q.ID, Salt: q.Salt, Verdict: consensus.Kept, Doc: &doc}})
+			answerer.To(f.From).Send(&daemon.Frame{From: there.Addr, Msg: consensus.ForwardReply{ID: q.ID, CallerID: q.CallerID, Result: consensus.ResultAccepted, Doc: &doc}})
 		}
 	})
 	ready.Done()
@@ -115,7 +115,7 @@
 		}
 		for _, an := range out.Answers {
 			text := "busy"
-			if an.Verdict == consensus.Kept && an.Doc != nil {
+			if an.Result == consensus.ResultAccepted && an.Doc != nil {
 				text = string(an.Doc.Body)
 			}
 			p.answers[an.ID] = append(p.answers[an.ID], text)
@@ -128,18 +128,18 @@
 		for end := time.Now().Add(5 * time.Second); !done() && time.Now().Before(end); {
 			for _, x := range in.Take(2 * time.Millisecond) {
 				f := x.(*daemon.Frame)
-				took(a.Take(now(), f.From, f.Msg))
+				took(a.Receive(now(), f.From, f.Msg))
 			}
 			took(a.Tick(now()))
 		}
 	}
-	took(a.Take(now(), there.Addr, consensus.View{Leads: true, Record: consensus.Record{Founding: 1, Ballot: consensus.Ballot{N: 1, By: there.Addr, Life: 1},
-		Set: []consensus.Seat{{Addr: there.Addr, Life: 1}}, Writers: []string{there.Addr}, Active: true}}))
+	took(a.Receive(now(), there.Addr, consensus.View{Leading: true, Record: consensus.EpochRecord{ClusterID: 1, Ballot: consensus.Ballot{N: 1, By: there.Addr, DiskID: 1},
+		Members: []consensus.Member{{Addr: there.Addr, DiskID: 1}}, Writers: []string{there.Addr}, Active: true}}))
 	call(1)
 	until(func() bool { return len(p.answers[1]) > 0 })
 	proxy, kind := there, frameKind(consensus.Forward{})
 	if c.back {
-		proxy, kind = here, frameKind(consensus.Answered{})
+		proxy, kind = here, frameKind(consensus.ForwardReply{})
 	}
 	f := c.fault
 	if f.Kind == faultproxy.Before {
@@ -217,7 +217,7 @@
 			if c.fault.Kind != faultproxy.Before {
 				continue
 			}
-			if p := c.play(consensus.BugAnyLife); p.err == nil {
+			if p := c.play(consensus.BugAnyCaller); p.err == nil {
 				p.judge(func(_, form string, args ...any) { found = fmt.Sprintf(form, args...) })
 			}
 			if found != "" {
--- a/internal/bench/controlorders.go
+++ b/internal/bench/controlorders.go
@@ -128,13 +128,13 @@
 // ordersWalk draws schedules of a small core that is given several texts of one number.
 func ordersWalk(seed uint64, count int, bug consensus.Bug) string {
 	w := consensus.Walk(ordersBounds(bug), consensus.NoPair, seed, count, orderSteps)
-	return w.Broken
+	return w.Violation
 }
 
 const orderSteps = 160
 
-func ordersBounds(bug consensus.Bug) consensus.Bounds {
-	return consensus.Bounds{Members: 3, Losses: 1, Silent: true, Puts: 4, Over: true, Lost: 1, Shorts: 20, Longs: 30, Deaths: 2, Bug: bug}
+func ordersBounds(bug consensus.Bug) consensus.ModelBounds {
+	return consensus.ModelBounds{Members: 3, ToleratedLosses: 1, StartSilent: true, Puts: 4, Overtaken: true, LostMessages: 1, ShortWaits: 20, LongWaits: 30, Crashes: 2, Bug: bug}
 }
 
 // controlOrders plays what must not make two texts of a number, or refuse an order that was taken.
@@ -152,8 +152,8 @@
 		}
 		p.Lines = append(p.Lines, where+": "+why)
 	}
-	models := []consensus.Bounds{{Puts: 2, Same: true}, {Puts: 3, Over: true, States: 100_000}, {Silent: true, Puts: 2, Same: true, Shorts: 1, States: 100_000}}
-	explore := each(len(models), func(i int) { met(bounded(models[i]), twoTexts, consensus.Explore(models[i]).Broken) })
+	models := []consensus.ModelBounds{{Puts: 2, SameVersion: true}, {Puts: 3, Overtaken: true, MaxStates: 100_000}, {StartSilent: true, Puts: 2, SameVersion: true, ShortWaits: 1, MaxStates: 100_000}}
+	explore := each(len(models), func(i int) { met(bounded(models[i]), twoTexts, consensus.Explore(models[i]).Violation) })
 	walk := func() { met("drawn schedules", twoTexts, ordersWalk(seed, 200, 0)) }
 	play := each(days, func(i int) {
 		at := seed + uint64(i)
@@ -197,9 +197,9 @@
 		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Refuses); return key != "" },
 		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Confuses); return key != "" },
 		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Numberless); return key == otherStopped },
-		func(s uint64) bool { return ordersWalk(s, 1, consensus.BugAnyText) != "" },
+		func(s uint64) bool { return ordersWalk(s, 1, consensus.BugAnyBody) != "" },
 		func(s uint64) bool { // met by one schedule of 30 to some thousands: hunted once, in many
-			return s == seed && walkFinds(ordersBounds(consensus.BugForgets), consensus.NoPair, seed, orderSteps)
+			return s == seed && walkFinds(ordersBounds(consensus.BugDropLedger), consensus.NoPair, seed, orderSteps)
 		},
 	}
 	p.Mutants = len(mutants)
--- a/internal/bench/controlseats.go
+++ b/internal/bench/controlseats.go
@@ -18,9 +18,9 @@
 )
 
 // seatModels are small cores with leaves that are visited whole, and looked at whether they go on.
-var seatModels = []consensus.Bounds{
-	{Leaves: 1, Resumes: 1}, {Leaves: 2, Resumes: 2}, {Leaves: 1, Learner: true, Resumes: 10}, {Leaves: 1, Puts: 1},
-	{Leaves: 1, Deaths: 1, Resumes: 10}, {Leaves: 1, Wipes: 1, Resumes: 10}, {Leaves: 1, Ends: true, Wipes: 1, Resumes: 10}, {Wipes: 1, Shorts: 1, Resumes: 10},
+var seatModels = []consensus.ModelBounds{
+	{Leaves: 1, LivenessEvery: 1}, {Leaves: 2, LivenessEvery: 2}, {Leaves: 1, Learner: true, LivenessEvery: 10}, {Leaves: 1, Puts: 1},
+	{Leaves: 1, Crashes: 1, LivenessEvery: 10}, {Leaves: 1, DiskWipes: 1, LivenessEvery: 10}, {Leaves: 1, ForcedLeave: true, DiskWipes: 1, LivenessEvery: 10}, {DiskWipes: 1, ShortWaits: 1, LivenessEvery: 10},
 }
 
 // seatGuards are taken out one by one. One more is in TestGuards of consensus, which needs a world of its own.
@@ -29,17 +29,17 @@
 	find func(seed uint64) (broken string)
 }{
 	{"who leaves keeps its seat", func(uint64) string {
-		return consensus.Explore(consensus.Bounds{Leaves: 1, Wipes: 1, Resumes: 5, Bug: consensus.BugStay}).Broken
+		return consensus.Explore(consensus.ModelBounds{Leaves: 1, DiskWipes: 1, LivenessEvery: 5, Bug: consensus.BugNoLeave}).Violation
 	}},
 	{"who leaves ends before the others know the epoch", func(uint64) string {
-		return consensus.Explore(consensus.Bounds{Leaves: 1, Wipes: 1, Resumes: 5, Bug: consensus.BugReleased}).Broken
+		return consensus.Explore(consensus.ModelBounds{Leaves: 1, DiskWipes: 1, LivenessEvery: 5, Bug: consensus.BugEarlyExit}).Violation
 	}},
 	{"silence counts as a loss", func(seed uint64) string {
-		return consensus.Walk(consensus.Bounds{Members: 4, Losses: 1, Silent: true, Puts: 4, Reads: 2, Lost: 3, Late: 3, Doubled: 3, Shorts: 30,
-			Longs: 60, Leaves: 1, Bug: consensus.BugUnproven}, consensus.NoPair, seed, 1000, 220).Broken
+		return consensus.Walk(consensus.ModelBounds{Members: 4, ToleratedLosses: 1, StartSilent: true, Puts: 4, Reads: 2, LostMessages: 3, LateMessages: 3, DuplicatedMessages: 3, ShortWaits: 30,
+			LongWaits: 60, Leaves: 1, Bug: consensus.BugAssumeLost}, consensus.NoPair, seed, 1000, 220).Violation
 	}},
 	{"who is ended soon while another one is missing keeps its seat", func(uint64) string {
-		return consensus.Explore(consensus.Bounds{Leaves: 1, Ends: true, Wipes: 1, Resumes: 5, Bug: consensus.BugRemnant}).Broken
+		return consensus.Explore(consensus.ModelBounds{Leaves: 1, ForcedLeave: true, DiskWipes: 1, LivenessEvery: 5, Bug: consensus.BugNoShrinkOnForcedLeave}).Violation
 	}},
 	{"a seat for a newcomer that has gone again", func(seed uint64) string {
 		for n := range uint64(8) {
@@ -104,8 +104,8 @@
 	for _, b := range seatModels {
 		todo = append(todo, func() {
 			f := consensus.Explore(b)
-			if f.Broken != "" || !f.All {
-				broke(noQuorum, "model %+v: %d states, all %v: %s", b, f.States, f.All, f.Broken)
+			if f.Violation != "" || !f.Complete {
+				broke(noQuorum, "model %+v: %d states, all %v: %s", b, f.States, f.Complete, f.Violation)
 			}
 		})
 	}
--- a/internal/bench/controlstate.go
+++ b/internal/bench/controlstate.go
@@ -58,8 +58,8 @@
 const edgeRate = 2e6 / 8 // bytes a second of a link of 2 Mbit/s
 
 // stateWalk is the model's bounds for disks that are put back.
-func stateWalk(members, losses int) consensus.Bounds {
-	return consensus.Bounds{Members: members, Losses: losses, Silent: true, Puts: 4, Reads: 2, Lost: 3, Late: 2, Doubled: 1, Shorts: 60, Longs: 90}
+func stateWalk(members, losses int) consensus.ModelBounds {
+	return consensus.ModelBounds{Members: members, ToleratedLosses: losses, StartSilent: true, Puts: 4, Reads: 2, LostMessages: 3, LateMessages: 2, DuplicatedMessages: 1, ShortWaits: 60, LongWaits: 90}
 }
 
 const (
@@ -105,14 +105,14 @@
 			b = stateWalk(6, 2)
 		}
 		from := seed + uint64(i*stateChunk)
-		if w := consensus.Walk(b, consensus.OneBack, from, min(stateChunk, 2*days-i*stateChunk), stateSteps); w.Broken != "" {
-			broke(walkKey(w.Broken), "disk put back, %d members, schedule %d: %s", b.Members, w.Seed, w.Broken)
+		if w := consensus.Walk(b, consensus.OneRolledBack, from, min(stateChunk, 2*days-i*stateChunk), stateSteps); w.Violation != "" {
+			broke(walkKey(w.Violation), "disk put back, %d members, schedule %d: %s", b.Members, w.Seed, w.Violation)
 		}
 	})
-	small := []consensus.Bounds{{Silent: true, Backs: 1, Shorts: 1}, {Silent: true, Backs: 1, Puts: 1}, {Silent: true, Backs: 1, Longs: 1}}
+	small := []consensus.ModelBounds{{StartSilent: true, DiskRollbacks: 1, ShortWaits: 1}, {StartSilent: true, DiskRollbacks: 1, Puts: 1}, {StartSilent: true, DiskRollbacks: 1, LongWaits: 1}}
 	models := each(len(small), func(i int) {
-		if f := consensus.Explore(small[i]); f.Broken != "" || !f.All {
-			broke(walkKey(f.Broken), "disk put back, small model %+v: %s", small[i], f.Broken)
+		if f := consensus.Explore(small[i]); f.Violation != "" || !f.Complete {
+			broke(walkKey(f.Violation), "disk put back, small model %+v: %s", small[i], f.Violation)
 		}
 	})
 	hunts := each(len(stateMutants), func(i int) {
@@ -139,21 +139,21 @@
 }{
 	{"a disk that was put back counts as the newer one", func(seed uint64) bool {
 		old := stateWalk(3, 1)
-		old.Bug = consensus.BugOldDisk
-		return walkFinds(old, consensus.OneBack, seed, 2*stateSteps) // a copy has to grow old first
+		old.Bug = consensus.BugNoFencing
+		return walkFinds(old, consensus.OneRolledBack, seed, 2*stateSteps) // a copy has to grow old first
 	}},
 	{"who is behind leads with what it has", func(seed uint64) bool {
-		any := consensus.Bounds{Members: 5, Losses: 1, Silent: true, Puts: 4, Reads: 2, Lost: 3, Late: 3, Doubled: 3, Shorts: 30, Longs: 75,
-			Bug: consensus.BugAnyData}
+		any := consensus.ModelBounds{Members: 5, ToleratedLosses: 1, StartSilent: true, Puts: 4, Reads: 2, LostMessages: 3, LateMessages: 3, DuplicatedMessages: 3, ShortWaits: 30, LongWaits: 75,
+			Bug: consensus.BugAnyState}
 		return walkFinds(any, consensus.BothKilled, seed, walkSteps)
 	}},
 	{"a candidate that lacks a text which a promise names goes on with its own", func(seed uint64) bool {
 		own := stateWalk(3, 1)
-		own.Bug, own.Late = consensus.BugOwnText, 3
+		own.Bug, own.LateMessages = consensus.BugOwnBody, 3
 		return walkFinds(own, consensus.BothKilled, seed, stateSteps)
 	}},
 	{"an empty disk counts as the one that was there", func(uint64) bool {
-		return consensus.Explore(consensus.Bounds{Silent: true, Wipes: 1, Bug: consensus.BugAmnesia}).Broken != ""
+		return consensus.Explore(consensus.ModelBounds{StartSilent: true, DiskWipes: 1, Bug: consensus.BugReuseDiskID}).Violation != ""
 	}},
 	{"who has missed a document doesn't ask for it", func(seed uint64) bool {
 		return systemsim.Return(systemsim.Away{How: "kill", Who: "witness", Changes: 10, Routes: 30, Sync: time.Millisecond, Seed: seed, Bug: systemsim.Deaf}).Never != ""
@@ -166,7 +166,7 @@
 }
 
 // walkFinds hunts a mutant by drawn schedules, several at a time.
-func walkFinds(b consensus.Bounds, pair consensus.Pair, seed uint64, steps int) bool {
+func walkFinds(b consensus.ModelBounds, pair consensus.PairFault, seed uint64, steps int) bool {
 	var mu sync.Mutex
 	found := false
 	side(stateMutant/stateChunk, huntSide, func(i int) {
@@ -179,7 +179,7 @@
 		w := consensus.Walk(b, pair, seed+uint64(i*stateChunk), stateChunk, steps)
 		mu.Lock()
 		defer mu.Unlock()
-		found = found || w.Broken != ""
+		found = found || w.Violation != ""
 	})
 	return found
 }
--- a/internal/bench/state.go
+++ b/internal/bench/state.go
@@ -89,21 +89,21 @@
 	}
 	most, stop := watchSize(dir)
 	began := time.Now()
-	seats := []consensus.Seat{{Addr: "10.0.0.1:7000", Life: 1 << 60}, {Addr: "10.0.0.2:7000", Life: 1 << 61}, {Addr: "10.0.0.3:7000", Life: 1 << 62}}
-	d := consensus.Disk{Life: seats[0].Life, Format: consensus.DiskFormat, Record: consensus.Record{Founding: 1, Set: seats, Old: seats, Active: true}}
+	seats := []consensus.Member{{Addr: "10.0.0.1:7000", DiskID: 1 << 60}, {Addr: "10.0.0.2:7000", DiskID: 1 << 61}, {Addr: "10.0.0.3:7000", DiskID: 1 << 62}}
+	d := consensus.DurableState{DiskID: seats[0].DiskID, Format: consensus.StateFormat, Record: consensus.EpochRecord{ClusterID: 1, Members: seats, OldMembers: seats, Active: true}}
 	for _, s := range seats[1:] {
-		d.Marks = append(d.Marks, consensus.Mark{Addr: s.Addr, Life: s.Life, Count: 1 << 20, Run: 1 << 60})
+		d.KnownTokens = append(d.KnownTokens, consensus.KnownToken{Addr: s.Addr, DiskID: s.DiskID, Saves: 1 << 20, RunID: 1 << 60})
 	}
 	for i := range changes {
 		doc := consensus.Doc{Version: uint32(i + 1), Body: body}
 		for _, next := range []bool{true, false} {
-			if d.Next = (consensus.Doc{}); next {
-				d.Next = doc
+			if d.Pending = (consensus.Doc{}); next {
+				d.Pending = doc
 			} else {
-				d.Kept = doc
+				d.Committed = doc
 			}
-			d.Count++
-			data, err := d.Bytes()
+			d.Saves++
+			data, err := d.Encode()
 			if err == nil {
 				err = v.Save("pact", data)
 			}
@@ -127,9 +127,9 @@
 	if err != nil {
 		return g, err
 	}
-	kept, err := consensus.ReadDisk(data)
+	kept, err := consensus.DecodeState(data)
 	g.open = time.Since(began)
-	if err != nil || kept.Kept.Version != uint32(changes) {
+	if err != nil || kept.Committed.Version != uint32(changes) {
 		return g, fmt.Errorf("version %d is not read back: %w", changes, err)
 	}
 	var m runtime.MemStats
--- a/internal/bench/texts_test.go
+++ b/internal/bench/texts_test.go
@@ -24,8 +24,8 @@
 	}
 	difference, _ := delta.Make(one, two)
 	whole, _ := delta.Whole(two)
-	disk := consensus.Disk{Life: 1, Kept: consensus.Doc{Version: 1, Body: one}, Next: consensus.Doc{Version: 2, Body: two}}
-	packed, _ := disk.Bytes()
+	disk := consensus.DurableState{DiskID: 1, Committed: consensus.Doc{Version: 1, Body: one}, Pending: consensus.Doc{Version: 2, Body: two}}
+	packed, _ := disk.Encode()
 	b.Logf("%d bytes; a difference of %d, %d packed, %d on disk", len(two), len(difference.Steps), len(whole.Steps), len(packed))
 	for _, s := range []struct {
 		name string
@@ -40,7 +40,7 @@
 		{"apply", func() { _, _ = difference.Apply(one) }},
 		{"pack", func() { delta.Whole(two) }},
 		{"unpack", func() { _, _ = whole.Apply(nil) }},
-		{"disk", func() { _, _ = disk.Bytes() }},
+		{"disk", func() { _, _ = disk.Encode() }},
 		{"compare", func() { sysconfig.Diff(c, c) }},
 	} {
 		b.Run(s.name, func(b *testing.B) {
--- a/internal/consensus/amend.go
+++ b/internal/consensus/amend.go
@@ -3,7 +3,7 @@
 import "asterwell/internal/fsm"
 
 // Leads is the epoch that this process serves as its primary, if it does.
-func (m *Machine) Leads() (Ballot, bool) {
+func (m *Machine) Leading() (Ballot, bool) {
 	if m.lead == nil {
 		return Ballot{}, false
 	}
@@ -14,12 +14,12 @@
 func (m *Machine) Primary() string { return m.view.primary() }
 
 // Seats is the newest set of the core that is known to be in force, and its epoch.
-func (m *Machine) Seats() (Ballot, []Seat) { return m.view.Ballot, m.view.Set }
+func (m *Machine) Members() (Ballot, []Member) { return m.view.Ballot, m.view.Members }
 
 // Affirm asks all writers whether this still is the primary. Out.Affirmed tells the
 // answer later, by the number returned; never, if another one leads by then. 0: it
 // isn't one.
-func (m *Machine) Affirm(now fsm.Time) (round uint64, out Out) {
+func (m *Machine) ConfirmLeadership(now fsm.Time) (round uint64, out Out) {
 	m.now = max(m.now, now)
 	if l := m.lead; l != nil {
 		l.round++
@@ -37,11 +37,11 @@
 // this primary: never later under another one that has kept something else.
 func (m *Machine) Amend(now fsm.Time, doc Doc) (ok bool, out Out) {
 	m.now = max(m.now, now)
-	l, kept := m.lead, m.d.Kept
-	if ok = l != nil && (l.doc == nil || l.doc.Notes > 0) && m.enough() && doc.Version == kept.Version && doc.Rev == kept.Rev+1; ok {
-		doc.Sum, doc.Orders, doc.Notes, doc.By, doc.Past = kept.Sum, kept.Orders, 0, l.rec.Ballot, kept.Past
+	l, kept := m.lead, m.d.Committed
+	if ok = l != nil && (l.doc == nil || l.doc.LedgerRev > 0) && m.enough() && doc.Version == kept.Version && doc.Rev == kept.Rev+1; ok {
+		doc.Digest, doc.Ledger, doc.LedgerRev, doc.CreatedIn, doc.History = kept.Digest, kept.Ledger, 0, l.rec.Ballot, kept.History
 		if l.doc != nil { // numbers that were to be noted go with it
-			doc.Orders = l.doc.Orders
+			doc.Ledger = l.doc.Ledger
 		}
 		l.doc, l.docAt, l.appended = &doc, m.now, map[string]bool{}
 		m.append()
--- a/internal/consensus/candidate.go
+++ b/internal/consensus/candidate.go
@@ -29,14 +29,14 @@
 	begun    fsm.Time
 	round    uint64
 	ballot   Ballot
-	base     Record // the newest record met
-	plan     []Seat // the set to come, if base still is the epoch it was made for
+	base     EpochRecord // the newest record met
+	plan     []Member    // the set to come, if base still is the epoch it was made for
 	planned  Ballot
 	grants   map[string]uint64 // address to life
 	promises map[string]Promise
 	refused  map[string]bool
-	enough   fsm.Time // since when the promises do, or 0
-	rec      Record   // the epoch to be
+	enough   fsm.Time    // since when the promises do, or 0
+	rec      EpochRecord // the epoch to be
 	kept     Doc
 	next     Doc
 	copied   map[string]bool
@@ -58,7 +58,7 @@
 		return max(0, i-1)
 	}
 	n := max(0, len(r.Writers)-1)
-	for _, s := range r.Set {
+	for _, s := range r.Members {
 		if s.Addr == m.c.Self {
 			break
 		}
@@ -132,7 +132,7 @@
 
 // stateWay is how long the state of a member may be on a slow link.
 func (m *Machine) stateWay(b *bid) time.Duration {
-	way := m.onWay(m.d.Kept) + m.onWay(m.d.Next) + Way(len(m.d.Kept.Orders)+len(m.d.Next.Orders))
+	way := m.onWay(m.d.Committed) + m.onWay(m.d.Pending) + TransferTime(len(m.d.Committed.Ledger)+len(m.d.Pending.Ledger))
 	return min(max(way, m.onWay(b.kept)+m.onWay(b.next)), mostState)
 }
 
@@ -143,27 +143,27 @@
 	switch b.phase {
 	case probing:
 		for _, s := range b.base.voters() {
-			if b.grants[s.Addr] != s.Life {
-				m.send(s.Addr, Probe{Round: b.round, Record: b.base})
+			if b.grants[s.Addr] != s.DiskID {
+				m.send(s.Addr, PreVote{Round: b.round, Record: b.base})
 			}
 		}
 	case preparing:
 		for _, s := range union(b.base.voters(), b.plan) {
-			if b.promises[s.Addr].Life != s.Life {
-				m.durable(s.Addr, Prepare{Ballot: b.ballot, Life: s.Life, Record: b.base, Handed: b.handed, Names: m.bug != BugWhole})
+			if b.promises[s.Addr].DiskID != s.DiskID {
+				m.durable(s.Addr, Prepare{Ballot: b.ballot, DiskID: s.DiskID, Record: b.base, HandedOver: b.handed, OmitBodies: m.bug != BugNoPacking})
 			}
 		}
 	case copying:
-		for _, s := range b.rec.Set {
+		for _, s := range b.rec.Members {
 			if slices.Contains(b.rec.Writers, s.Addr) && !b.copied[s.Addr] {
-				m.send(s.Addr, Copy{Ballot: b.ballot, Life: s.Life, Kept: b.kept, Next: b.next, again: b.copies})
+				m.send(s.Addr, InstallState{Ballot: b.ballot, DiskID: s.DiskID, Committed: b.kept, Pending: b.next, again: b.copies})
 			}
 		}
 		b.copies = true
 	case enacting:
 		for _, s := range b.rec.voters() {
-			if b.enacted[s.Addr] != s.Life {
-				m.send(s.Addr, Enact{Record: b.rec, Life: s.Life})
+			if b.enacted[s.Addr] != s.DiskID {
+				m.send(s.Addr, RecordEpoch{Record: b.rec, DiskID: s.DiskID})
 			}
 		}
 	}
@@ -174,7 +174,7 @@
 	m.again()
 }
 
-func (m *Machine) onProbed(from string, t Probed) {
+func (m *Machine) onProbed(from string, t PreVoteReply) {
 	m.top = max(m.top, t.Promised.N)
 	m.learn(t.Record)
 	b := m.bid
@@ -186,28 +186,28 @@
 		return
 	}
 	if t.Grant {
-		b.grants[from] = t.Life
+		b.grants[from] = t.DiskID
 	}
 	for _, s := range b.base.voters() { // a hint: the promises decide
-		if s.Addr == from && s.Life != t.Life {
+		if s.Addr == from && s.DiskID != t.DiskID {
 			b.void[s.key()] = true
 		}
 	}
-	if t.Record.newer(b.base) && t.Record.Founding == b.base.Founding {
+	if t.Record.newer(b.base) && t.Record.ClusterID == b.base.ClusterID {
 		b.base = t.Record
 		m.again()
 	}
-	if m.carries(b.base, func(s Seat) bool { return b.grants[s.Addr] == s.Life }) {
+	if m.carries(b.base, func(s Member) bool { return b.grants[s.Addr] == s.DiskID }) {
 		m.prepare()
 	}
 }
 
-func (m *Machine) carries(r Record, agreed func(Seat) bool) bool {
-	return m.bug == BugAlone || r.carried(m.c.Losses, agreed, m.lost)
+func (m *Machine) carries(r EpochRecord, agreed func(Member) bool) bool {
+	return m.bug == BugNoQuorum || r.carried(m.c.ToleratedLosses, agreed, m.lost)
 }
 
 // reshape makes a primary ask for a fresh epoch, to have other writers or another set.
-func (m *Machine) reshape(plan []Seat) {
+func (m *Machine) reshape(plan []Member) {
 	rec := m.lead.rec
 	m.lead = nil
 	m.bid = &bid{begun: m.now, base: rec, plan: plan, planned: rec.Ballot, promises: map[string]Promise{},
@@ -220,7 +220,7 @@
 	b := m.bid
 	m.top = max(m.top, m.d.Promised.N) + 1
 	b.refused, b.void = map[string]bool{}, map[string]bool{}
-	b.ballot = Ballot{N: m.top, By: m.c.Self, Life: m.d.Life}
+	b.ballot = Ballot{N: m.top, By: m.c.Self, DiskID: m.d.DiskID}
 	m.d.Promised, m.dirty = b.ballot, true
 	m.hear(m.c.Self)
 	m.enter(preparing)
@@ -231,14 +231,14 @@
 	if b == nil || b.phase != preparing || b.ballot != t.Ballot {
 		return
 	}
-	if !t.Record.none() && t.Record.Founding != b.base.Founding {
+	if !t.Record.none() && t.Record.ClusterID != b.base.ClusterID {
 		return
 	}
 	if _, ok := b.promises[from]; ok { // a second one may have lost what the first brought, or bring what was asked for
-		t.Kept, t.Next, b.wanted = b.found(t.Kept), b.found(t.Next), 0
+		t.Committed, t.Pending, b.wanted = b.found(t.Committed), b.found(t.Pending), 0
 	}
 	b.promises[from] = t
-	if m.merge(t.Marks); m.bid != b {
+	if m.merge(t.KnownTokens); m.bid != b {
 		return
 	}
 	if t.Record.newer(b.base) {
@@ -251,16 +251,16 @@
 // tally goes on to copying once the promises decide, and those that are late had a moment.
 func (m *Machine) tally() {
 	b := m.bid
-	if !b.base.has(m.c.Self, m.d.Life) { // a change of the set is half done: its members may end it
+	if !b.base.has(m.c.Self, m.d.DiskID) { // a change of the set is half done: its members may end it
 		m.learn(b.base)
-		for _, s := range b.base.Set {
+		for _, s := range b.base.Members {
 			m.send(s.Addr, Resign{Ballot: b.ballot})
 		}
 		m.drop()
 		m.alive = m.now + silence
 		return
 	}
-	promised := func(s Seat) bool { p, ok := b.promises[s.Addr]; return ok && p.Life == s.Life }
+	promised := func(s Member) bool { p, ok := b.promises[s.Addr]; return ok && p.DiskID == s.DiskID }
 	m.settles(promised)
 	data, ok := m.data(promised)
 	if !ok || !m.carries(b.base, promised) {
@@ -269,8 +269,8 @@
 	all := union(b.base.voters(), b.plan)
 	kept, next := m.chosen(all, data)
 	here := !kept.lacks() && !next.lacks()
-	if !here && m.bug == BugOwnText {
-		kept, next, here = m.d.Kept, Doc{}, true
+	if !here && m.bug == BugOwnBody {
+		kept, next, here = m.d.Committed, Doc{}, true
 	}
 	if !here {
 		m.want(kept, next)
@@ -278,64 +278,64 @@
 	if b.enough == 0 {
 		b.enough = m.now
 	}
-	if !here || count(all, func(s Seat) bool { return promised(s) || m.lost(s) }) < len(all) && m.now-b.enough < gather {
+	if !here || count(all, func(s Member) bool { return promised(s) || m.lost(s) }) < len(all) && m.now-b.enough < gather {
 		return
 	}
 	// a newcomer lost meanwhile gets no seat, it would weaken the set from the start; nor is one
 	// given up for a set that could not go on
-	fresh := func(s Seat) bool { return !b.base.has(s.Addr, s.Life) && !promised(s) && m.bug != BugNoLearner }
-	rec := Record{Founding: b.base.Founding, Ballot: b.ballot, Set: b.base.Set, Old: b.base.Old, Free: b.base.Free}
+	fresh := func(s Member) bool { return !b.base.has(s.Addr, s.DiskID) && !promised(s) && m.bug != BugSkipLearner }
+	rec := EpochRecord{ClusterID: b.base.ClusterID, Ballot: b.ballot, Members: b.base.Members, OldMembers: b.base.OldMembers, Vacancies: b.base.Vacancies}
 	if b.base.single() {
-		rec.Old = b.base.Set
+		rec.OldMembers = b.base.Members
 	}
 	if b.base.Active { // one change at a time: what is under way ends first
 		if b.plan != nil && b.planned == b.base.Ballot && count(b.plan, fresh) == 0 && most(b.plan, promised) {
-			rec.Set, rec.Free = b.plan, max(0, len(b.base.Set)+b.base.Free-len(b.plan))
+			rec.Members, rec.Vacancies = b.plan, max(0, len(b.base.Members)+b.base.Vacancies-len(b.plan))
 		}
 	}
-	whole := b.base.single() || decides(b.base.Set, nil, promised, m.lost) // else the old set agrees, and no more
-	if rec.Writers = m.writers(rec.Set, promised, whole); rec.Writers == nil {
+	whole := b.base.single() || decides(b.base.Members, nil, promised, m.lost) // else the old set agrees, and no more
+	if rec.Writers = m.writers(rec.Members, promised, whole); rec.Writers == nil {
 		return
 	}
 	b.rec, b.kept, b.next = rec, kept.full(), next.full()
-	if m.bug == BugForgets {
-		b.kept, b.next = b.kept.Forgetful(), b.next.Forgetful()
+	if m.bug == BugDropLedger {
+		b.kept, b.next = b.kept.ResetLedger(), b.next.ResetLedger()
 	}
 	b.copied = map[string]bool{}
 	m.enter(copying)
 }
 
 // settles notes that the old set of a change that is half done has agreed to it.
-func (m *Machine) settles(promised func(Seat) bool) {
+func (m *Machine) settles(promised func(Member) bool) {
 	b := m.bid
-	holds := func(s Seat) bool { return promised(s) && b.promises[s.Addr].Record.Ballot == b.base.Ballot }
-	if m.bug == BugRemnant || b.base.single() || b.base.Ballot.N == 1 || !decides(b.base.Old, b.base.Set, holds, m.lost) {
+	holds := func(s Member) bool { return promised(s) && b.promises[s.Addr].Record.Ballot == b.base.Ballot }
+	if m.bug == BugNoShrinkOnForcedLeave || b.base.single() || b.base.Ballot.N == 1 || !decides(b.base.OldMembers, b.base.Members, holds, m.lost) {
 		return
 	}
-	b.base.Settled = true
+	b.base.OldSetAgreed = true
 	m.settled(b.base.Ballot)
 }
 
 func (m *Machine) settled(b Ballot) {
 	if r := &m.d.Record; r.Ballot == b && !r.single() {
-		r.Settled, m.dirty = true, true
+		r.OldSetAgreed, m.dirty = true, true
 	}
 }
 
 // chosen is what the epoch to be begins with: the newest committed document of any promise, and what is above it
 // in the state of the last epoch. One whose text is not here yet lacks it.
-func (m *Machine) chosen(all []Seat, data Doc) (kept, next Doc) {
+func (m *Machine) chosen(all []Member, data Doc) (kept, next Doc) {
 	b := m.bid
-	kept = m.d.Kept
+	kept = m.d.Committed
 	for _, s := range all {
-		if k := b.promises[s.Addr].Kept; k.Above(kept) {
+		if k := b.promises[s.Addr].Committed; k.Supersedes(kept) {
 			kept = k
 		}
 	}
 	switch {
-	case data.Above(kept):
+	case data.Supersedes(kept):
 		next = data
-	case data.is(kept) && len(data.Orders) > 0:
+	case data.is(kept) && len(data.Ledger) > 0:
 		kept = data
 	}
 	return b.found(kept), b.found(next)
@@ -343,22 +343,22 @@
 
 // data is the state of the last epoch, from one of its writers that remembers. One that
 // was given the state by a later candidate has all of it too.
-func (m *Machine) data(promised func(Seat) bool) (Doc, bool) {
+func (m *Machine) data(promised func(Member) bool) (Doc, bool) {
 	b := m.bid
 	var doc Doc
 	var stamp Ballot
 	found := false
-	for _, s := range b.base.Set {
+	for _, s := range b.base.Members {
 		p := b.promises[s.Addr]
 		if !promised(s) {
 			continue
 		}
-		if m.bug != BugAnyData && (b.base.Ballot.above(p.Stamp) || !slices.Contains(b.base.Writers, s.Addr)) {
+		if m.bug != BugAnyState && (b.base.Ballot.above(p.StateBallot) || !slices.Contains(b.base.Writers, s.Addr)) {
 			continue
 		}
-		l := latest(p.Kept, p.Next)
-		if c := p.Stamp.compare(stamp); !found || c > 0 || c == 0 && l.Above(doc) {
-			doc, stamp, found = l, p.Stamp, true
+		l := latest(p.Committed, p.Pending)
+		if c := p.StateBallot.compare(stamp); !found || c > 0 || c == 0 && l.Supersedes(doc) {
+			doc, stamp, found = l, p.StateBallot, true
 		}
 	}
 	return doc, found
@@ -366,8 +366,8 @@
 
 // writers picks self and as many backups as may be lost, or nil. Where too few seats are left
 // it takes them all: such an epoch serves nothing new, it only lets newcomers in.
-func (m *Machine) writers(set []Seat, promised func(Seat) bool, whole bool) []string {
-	var me, good, bad []Seat
+func (m *Machine) writers(set []Member, promised func(Member) bool, whole bool) []string {
+	var me, good, bad []Member
 	for _, s := range set {
 		switch {
 		case s.Addr == m.c.Self:
@@ -379,7 +379,7 @@
 			good = append(good, s)
 		}
 	}
-	need := min(m.c.Losses+1, len(set)-count(set, m.lost))
+	need := min(m.c.ToleratedLosses+1, len(set)-count(set, m.lost))
 	if !whole {
 		need = min(need, len(me)+len(good)+len(bad))
 	}
@@ -393,7 +393,7 @@
 	return spread(seats, need)
 }
 
-func (m *Machine) onRefuse(from string, t Refuse) {
+func (m *Machine) onRefuse(from string, t Reject) {
 	m.top = max(m.top, t.Promised.N)
 	m.learn(t.Record)
 	if m.lead != nil && t.Ballot == m.lead.rec.Ballot {
@@ -403,14 +403,14 @@
 	if b == nil || b.phase == probing || b.ballot != t.Ballot {
 		return
 	}
-	if b.refused[from] = true; t.Promised.above(t.Ballot) || 2*len(b.refused) >= len(b.base.Set) {
+	if b.refused[from] = true; t.Promised.above(t.Ballot) || 2*len(b.refused) >= len(b.base.Members) {
 		m.drop()
 	}
 }
 
-func (m *Machine) onCopied(from string, t Copied) {
+func (m *Machine) onCopied(from string, t StateInstalled) {
 	b := m.bid
-	if b == nil || b.phase != copying || b.ballot != t.Ballot || !b.rec.has(from, t.Life) {
+	if b == nil || b.phase != copying || b.ballot != t.Ballot || !b.rec.has(from, t.DiskID) {
 		return
 	}
 	b.copied[from] = true
@@ -423,18 +423,18 @@
 	m.enter(enacting)
 }
 
-func (m *Machine) onEnacted(from string, t Enacted) {
+func (m *Machine) onEnacted(from string, t EpochRecorded) {
 	b := m.bid
 	if b == nil || b.phase != enacting || b.ballot != t.Ballot {
 		return
 	}
-	b.enacted[from] = t.Life
-	yes := func(s Seat) bool { return b.enacted[s.Addr] == s.Life || m.bug == BugAlone }
+	b.enacted[from] = t.DiskID
+	yes := func(s Member) bool { return b.enacted[s.Addr] == s.DiskID || m.bug == BugNoQuorum }
 	switch {
-	case !decides(b.rec.Old, b.rec.Set, yes, m.lost):
-	case decides(b.rec.Set, nil, yes, m.lost):
+	case !decides(b.rec.OldMembers, b.rec.Members, yes, m.lost):
+	case decides(b.rec.Members, nil, yes, m.lost):
 		m.activate()
-	case m.bug != BugRemnant:
+	case m.bug != BugNoShrinkOnForcedLeave:
 		m.settled(b.ballot)
 	}
 }
--- a/internal/consensus/cell.go
+++ b/internal/consensus/cell.go
@@ -14,11 +14,11 @@
 type cell struct {
 	m       *Machine
 	lot     *lot
-	synced  *Disk
-	old     *Disk   // a copy that was taken of it
-	cache   []Write // under way
-	lost    uint64  // the memory that was wiped here
-	adopted uint32  // in this life
+	synced  *DurableState
+	old     *DurableState // a copy that was taken of it
+	cache   []Write       // under way
+	lost    uint64        // the memory that was wiped here
+	adopted uint32        // in this life
 	broken  string
 }
 
@@ -152,11 +152,11 @@
 	var out Out
 	switch in.kind {
 	case take:
-		out = m.Take(m.now, from, msg)
+		out = m.Receive(m.now, from, msg)
 	case sync:
 		w := c.cache[0]
-		c.synced, c.cache = &w.Disk, c.cache[1:]
-		out = m.Written(m.now, w.Seq)
+		c.synced, c.cache = &w.State, c.cache[1:]
+		out = m.WriteDone(m.now, w.Seq)
 	case put:
 		out = m.Put(m.now, uint64(in.arg)+1, o.puts[in.arg])
 	case get:
@@ -164,7 +164,7 @@
 	case saveOff:
 		c.old = c.synced
 	case leave:
-		out = m.Leave(m.now, Notice(in.arg))
+		out = m.Leave(m.now, LeaveUrgency(in.arg))
 	case die, wipe, putBack:
 		out = c.restart(in, o.bug)
 		m = c.m
@@ -180,10 +180,10 @@
 			break
 		}
 		c.cache = append(c.cache, *out.Write)
-		if o.bug != BugUnsynced {
+		if o.bug != BugEarlySync {
 			break
 		}
-		out = m.Written(m.now, out.Write.Seq)
+		out = m.WriteDone(m.now, out.Write.Seq)
 	}
 	return c, sends, facts
 }
@@ -194,12 +194,12 @@
 	if in.kind == putBack {
 		c.synced = c.old
 	} else if in.kind == wipe {
-		c.lost, c.synced, cfg.Genesis = m.d.Life, nil, false
+		c.lost, c.synced, cfg.Genesis = m.d.DiskID, nil, false
 	} else if in.arg > 0 {
-		c.synced = &c.cache[in.arg-1].Disk
+		c.synced = &c.cache[in.arg-1].State
 	}
 	c.cache, c.adopted = nil, 0
-	var d *Disk
+	var d *DurableState
 	if c.synced != nil {
 		x := *c.synced
 		d = &x
@@ -209,9 +209,9 @@
 	n.rng = rngOf(c.lot)
 	n.salt, n.jitter, n.bug = c.lot.Uint64(), 0, bug
 	if d == nil {
-		n.d.Life = c.lot.Uint64() | 1
-		if bug == BugAmnesia {
-			n.d.Life = c.lost
+		n.d.DiskID = c.lot.Uint64() | 1
+		if bug == BugReuseDiskID {
+			n.d.DiskID = c.lost
 		}
 	}
 	c.m = n
@@ -221,7 +221,7 @@
 // judge notes what a machine let be seen, and what of it never may be.
 func (c *cell) judge(o *course, out Out) []fact {
 	var facts []fact
-	if a := out.Adopt; a != nil {
+	if a := out.Apply; a != nil {
 		if a.Version <= c.adopted {
 			c.broken = fmt.Sprintf("%s puts version %d in force after %d", c.m.c.Self, a.Version, c.adopted)
 		}
@@ -229,22 +229,22 @@
 		facts = append(facts, fact{kind: adopts, version: a.Version, body: string(a.Body)})
 	}
 	for _, s := range out.Send {
-		if t, ok := s.Msg.(Answered); ok && (t.Verdict == Kept || t.Verdict == Differs) {
-			facts = append(facts, c.put(o, t.ID, t.Verdict))
+		if t, ok := s.Msg.(ForwardReply); ok && (t.Result == ResultAccepted || t.Result == ResultConflict) {
+			facts = append(facts, c.put(o, t.ID, t.Result))
 		}
 		if life, ok := vouches(s.Msg); ok && c.lost != 0 && life == c.lost {
 			c.broken = fmt.Sprintf("%s lost its disk, and %T counts as of the memory lost", c.m.c.Self, s.Msg)
 		}
 	}
 	for _, a := range out.Answers {
-		switch a.Verdict {
-		case Kept, Differs:
+		switch a.Result {
+		case ResultAccepted, ResultConflict:
 			if c.m.lead != nil {
-				facts = append(facts, c.put(o, a.ID, a.Verdict))
+				facts = append(facts, c.put(o, a.ID, a.Result))
 			}
-		case Read:
+		case ResultRead:
 			facts = append(facts, fact{kind: reads, id: a.ID, version: a.Doc.Version, body: string(a.Doc.Body)})
-		case None:
+		case ResultNone:
 			facts = append(facts, fact{kind: readsNone})
 		}
 	}
@@ -252,10 +252,10 @@
 }
 
 // put is what a primary says of one.
-func (c *cell) put(o *course, id uint64, v Verdict) fact {
+func (c *cell) put(o *course, id uint64, v Result) fact {
 	d := o.puts[id-1]
 	f := fact{kind: acks, version: d.Version, body: string(d.Body)}
-	if v == Differs {
+	if v == ResultConflict {
 		f.kind = refuses
 	}
 	if c.m.lead != nil {
@@ -268,15 +268,15 @@
 func vouches(msg any) (uint64, bool) {
 	switch t := msg.(type) {
 	case Promise:
-		return t.Life, true
-	case Copied:
-		return t.Life, true
-	case Enacted:
-		return t.Life, true
+		return t.DiskID, true
+	case StateInstalled:
+		return t.DiskID, true
+	case EpochRecorded:
+		return t.DiskID, true
 	case Appended:
-		return t.Life, true
+		return t.DiskID, true
 	case Confirmed:
-		return t.Life, true
+		return t.DiskID, true
 	}
 	return 0, false
 }
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -39,7 +39,7 @@
 	if p == "" {
 		return
 	}
-	if n > 0 && c.to != "" && m.bug != BugStorms {
+	if n > 0 && c.to != "" && m.bug != BugUnthrottledRetries {
 		if m.now < m.spare {
 			return
 		}
@@ -53,19 +53,19 @@
 
 // Put offers a document; the answer comes once, in some Out.Answers.
 func (m *Machine) Put(now fsm.Time, id uint64, doc Doc) Out {
-	return m.call(now, Forward{ID: id, Salt: m.salt, Packs: true, Doc: doc.summed()})
+	return m.call(now, Forward{ID: id, CallerID: m.salt, ReadsPacked: true, Doc: doc.summed()})
 }
 
 // Get reads the document as it is at some moment between the call and the answer.
 func (m *Machine) Get(now fsm.Time, id uint64) Out {
-	return m.call(now, Forward{ID: id, Salt: m.salt, Packs: true, Read: true})
+	return m.call(now, Forward{ID: id, CallerID: m.salt, ReadsPacked: true, Read: true})
 }
 
 // Prove asks for a proof of contact, as young as the call: the primary has had it from all
 // writers, after the call came in, that its epoch stands, so no other majority has decided
 // anything by then; and the way to it and back was open. It carries no document.
-func (m *Machine) Prove(now fsm.Time, id uint64) Out {
-	return m.call(now, Forward{ID: id, Salt: m.salt, Read: true, Bare: true})
+func (m *Machine) CheckContact(now fsm.Time, id uint64) Out {
+	return m.call(now, Forward{ID: id, CallerID: m.salt, Read: true, ContactOnly: true})
 }
 
 func (m *Machine) call(now fsm.Time, f Forward) Out {
@@ -85,8 +85,8 @@
 	who := m.near()
 	for range min(n, len(who)) {
 		m.turn++
-		if len(c.f.Doc.Body) > 0 && m.bug != BugStorms {
-			m.send(who[m.turn%len(who)], Ask{})
+		if len(c.f.Doc.Body) > 0 && m.bug != BugUnthrottledRetries {
+			m.send(who[m.turn%len(who)], ViewRequest{})
 		} else {
 			m.send(who[m.turn%len(who)], c.f)
 		}
@@ -98,7 +98,7 @@
 func (m *Machine) redirect() {
 	p := m.view.primary()
 	for _, c := range m.calls {
-		if c.to == p && len(c.f.Doc.Body) > 0 && m.bug != BugStorms {
+		if c.to == p && len(c.f.Doc.Body) > 0 && m.bug != BugUnthrottledRetries {
 			continue
 		}
 		c.sent = m.now
@@ -106,25 +106,25 @@
 	}
 }
 
-func (m *Machine) onAnswered(t Answered) {
-	i := slices.IndexFunc(m.calls, func(c *call) bool { return c.f.ID == t.ID && (c.f.Salt == t.Salt || m.bug == BugAnyLife) })
+func (m *Machine) onAnswered(t ForwardReply) {
+	i := slices.IndexFunc(m.calls, func(c *call) bool { return c.f.ID == t.ID && (c.f.CallerID == t.CallerID || m.bug == BugAnyCaller) })
 	if i < 0 {
 		return
 	}
-	bare := m.calls[i].f.Bare
+	bare := m.calls[i].f.ContactOnly
 	m.calls = slices.Delete(m.calls, i, i+1)
-	if bare && t.Verdict != Busy { // a primary that doesn't know the call has read
+	if bare && t.Result != ResultBusy { // a primary that doesn't know the call has read
 		if t.Doc != nil {
 			t.Version = t.Doc.Version
 		}
-		m.out.Answers = append(m.out.Answers, Answer{ID: t.ID, Verdict: Proved, Primary: m.view.primary(), Version: t.Version})
+		m.out.Answers = append(m.out.Answers, Answer{ID: t.ID, Result: ResultContact, Primary: m.view.primary(), Version: t.Version})
 		return
 	}
-	m.answer(t.ID, t.Verdict, t.Doc)
+	m.answer(t.ID, t.Result, t.Doc)
 }
 
-func (m *Machine) answer(id uint64, v Verdict, d *Doc) {
-	m.out.Answers = append(m.out.Answers, Answer{ID: id, Verdict: v, Doc: d, Primary: m.view.primary()})
+func (m *Machine) answer(id uint64, v Result, d *Doc) {
+	m.out.Answers = append(m.out.Answers, Answer{ID: id, Result: v, Doc: d, Primary: m.view.primary()})
 }
 
 // expire repeats calls, and ends those that took too long.
@@ -133,13 +133,13 @@
 	var rest []*call
 	for _, c := range m.calls {
 		if m.now-c.at >= patience {
-			m.answer(c.f.ID, Busy, nil)
+			m.answer(c.f.ID, ResultBusy, nil)
 			continue
 		}
 		rest = append(rest, c)
 		if m.now-c.sent >= c.retry() {
 			c.sent = m.now
-			if m.bug != BugStorms {
+			if m.bug != BugUnthrottledRetries {
 				c.again++
 			}
 			m.forward(c)
--- a/internal/consensus/code_test.go
+++ b/internal/consensus/code_test.go
@@ -125,9 +125,9 @@
 // TestScribes: scribes write each state and message of drawn schedules as reflection reads it, byte by byte.
 func TestScribes(t *testing.T) {
 	cells, messages := 0, 0
-	for _, b := range []Bounds{
-		{Puts: 3, Reads: 2, Lost: 3, Late: 2, Doubled: 2, Deaths: 2, Wipes: 1, Shorts: 6, Longs: 3, Copies: 1, Backs: 1},
-		{Puts: 2, Same: true, Lost: 2, Late: 1, Deaths: 1, Shorts: 6, Longs: 3, Leaves: 2, Learner: true},
+	for _, b := range []ModelBounds{
+		{Puts: 3, Reads: 2, LostMessages: 3, LateMessages: 2, DuplicatedMessages: 2, Crashes: 2, DiskWipes: 1, ShortWaits: 6, LongWaits: 3, DiskCopies: 1, DiskRollbacks: 1},
+		{Puts: 2, SameVersion: true, LostMessages: 2, LateMessages: 1, Crashes: 1, ShortWaits: 6, LongWaits: 3, Leaves: 2, Learner: true},
 	} {
 		x := newExplorer(b)
 		begin := x.first()
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -31,82 +31,82 @@
 
 // Config is what a process knows about itself.
 type Config struct {
-	Self       string // mesh address
-	Name, Zone string
-	Member     bool // has a disk
-	Genesis    bool // the disk is empty because nothing was ever there
-	Losses     int
-	Seeds      []string
-	Seed       uint64
-	Enter      func(kept, next Doc) Doc // what a primary keeps of a new document; nil: it as it is
+	Self            string // mesh address
+	Name, Zone      string
+	Member          bool // has a disk
+	Genesis         bool // the disk is empty because nothing was ever there
+	ToleratedLosses int
+	Seeds           []string
+	Seed            uint64
+	Transform       func(kept, next Doc) Doc // what a primary keeps of a new document; nil: it as it is
 }
 
 // Doc is the document. Version 0 is none. A primary may amend one: the same version
 // and body with a higher Rev, and what its user keeps beside it.
 type Doc struct {
-	Version uint32 `cbor:"1,keyasint,omitempty"`
-	Body    []byte `cbor:"2,keyasint,omitempty"`
-	Rev     uint32 `cbor:"3,keyasint,omitempty"`
-	Side    []byte `cbor:"4,keyasint,omitempty"`
-
-	Sum    []byte       `cbor:"5,keyasint,omitempty"` // digest of Body
-	By     Ballot       `cbor:"6,keyasint,omitzero"`  // the epoch that made it
-	Orders dedup.Ledger `cbor:"7,keyasint,omitempty"` // accepted up to this one
-	Notes  uint32       `cbor:"8,keyasint,omitempty"` // how often others were added to them since
+	Version    uint32 `cbor:"1,keyasint,omitempty"`
+	Body       []byte `cbor:"2,keyasint,omitempty"`
+	Rev        uint32 `cbor:"3,keyasint,omitempty"`
+	Attachment []byte `cbor:"4,keyasint,omitempty"`
+
+	Digest    []byte       `cbor:"5,keyasint,omitempty"` // digest of Body
+	CreatedIn Ballot       `cbor:"6,keyasint,omitzero"`  // the epoch that made it
+	Ledger    dedup.Ledger `cbor:"7,keyasint,omitempty"` // accepted up to this one
+	LedgerRev uint32       `cbor:"8,keyasint,omitempty"` // how often others were added to them since
 	// Past is of the versions before this one: it stays while the version does, amended or not.
-	Past []byte `cbor:"9,keyasint,omitempty"`
+	History []byte `cbor:"9,keyasint,omitempty"`
 
 	Packed *delta.Delta `cbor:"10,keyasint,omitempty"` // the body, on the wire only: see pack.go
 }
 
 // Above says which of two documents takes the other's place.
-func (d Doc) Above(o Doc) bool {
-	return cmp.Or(cmp.Compare(d.Version, o.Version), cmp.Compare(d.Rev, o.Rev), cmp.Compare(d.Notes, o.Notes)) > 0
+func (d Doc) Supersedes(o Doc) bool {
+	return cmp.Or(cmp.Compare(d.Version, o.Version), cmp.Compare(d.Rev, o.Rev), cmp.Compare(d.LedgerRev, o.LedgerRev)) > 0
 }
 
 // Disk is all that a member must not forget.
-type Disk struct {
-	Life     uint64 `cbor:"1,keyasint"`
-	Genesis  bool   `cbor:"2,keyasint,omitempty"` // never had a seat, so there is nothing forgotten
-	Promised Ballot `cbor:"3,keyasint"`
-	Record   Record `cbor:"4,keyasint"`
-	Stamp    Ballot `cbor:"5,keyasint"`            // the epoch that Kept and Next were last copied or appended in
-	Kept     Doc    `cbor:"6,keyasint"`            // committed
-	Next     Doc    `cbor:"7,keyasint"`            // perhaps not committed, above Kept
-	Count    uint64 `cbor:"8,keyasint,omitempty"`  // saves of this life, but for those of marks alone
-	Marks    []Mark `cbor:"9,keyasint,omitempty"`  // what other seats have vouched for, see fence.go
-	Format   uint32 `cbor:"10,keyasint,omitempty"` // see DiskFormat; of a write
+type DurableState struct {
+	DiskID      uint64       `cbor:"1,keyasint"`
+	NeverMember bool         `cbor:"2,keyasint,omitempty"` // never had a seat, so there is nothing forgotten
+	Promised    Ballot       `cbor:"3,keyasint"`
+	Record      EpochRecord  `cbor:"4,keyasint"`
+	StateBallot Ballot       `cbor:"5,keyasint"`            // the epoch that Kept and Next were last copied or appended in
+	Committed   Doc          `cbor:"6,keyasint"`            // committed
+	Pending     Doc          `cbor:"7,keyasint"`            // perhaps not committed, above Kept
+	Saves       uint64       `cbor:"8,keyasint,omitempty"`  // saves of this life, but for those of marks alone
+	KnownTokens []KnownToken `cbor:"9,keyasint,omitempty"`  // what other seats have vouched for, see fence.go
+	Format      uint32       `cbor:"10,keyasint,omitempty"` // see DiskFormat; of a write
 }
 
 // latest is the state that a writer vouches for.
 func latest(kept, next Doc) Doc {
-	if next.Above(kept) {
+	if next.Supersedes(kept) {
 		return next
 	}
 	return kept
 }
 
 // Verdict is how an operator's call ended.
-type Verdict uint8
+type Result uint8
 
 // The verdicts.
 const (
-	Kept Verdict = iota + 1
-	Busy
-	Read
-	None
-	Differs // another text was accepted under this number
-	Proved
+	ResultAccepted Result = iota + 1
+	ResultBusy
+	ResultRead
+	ResultNone
+	ResultConflict // another text was accepted under this number
+	ResultContact
 )
 
-func (v Verdict) String() string {
+func (v Result) String() string {
 	return [...]string{"?", "kept", "busy", "read", "none", "differs", "proved"}[min(int(v), 6)]
 }
 
 // Answer ends a Put, a Get or a Prove.
 type Answer struct {
 	ID      uint64
-	Verdict Verdict
+	Result  Result
 	Doc     *Doc
 	Primary string
 	Version uint32 // Proved: what was kept then
@@ -114,25 +114,25 @@
 
 // Write asks to sync a disk's whole content.
 type Write struct {
-	Seq  uint64
-	Disk Disk
+	Seq   uint64
+	State DurableState
 }
 
 // Out is what a machine wants done.
 type Out struct {
-	Send     []fsm.Send
-	Write    *Write
-	Answers  []Answer
-	Adopt    *Doc
-	Affirmed uint64 // the newest of Affirm's rounds that is confirmed
-	Fenced   bool   // the disk was older than what it had vouched for: this member is a newcomer now
+	Send           []fsm.Send
+	Write          *Write
+	Answers        []Answer
+	Apply          *Doc
+	ConfirmedRound uint64 // the newest of Affirm's rounds that is confirmed
+	Fenced         bool   // the disk was older than what it had vouched for: this member is a newcomer now
 }
 
 // Peer is a process as the membership sees it.
 type Peer struct {
 	Addr, Name, Zone string
 	Member, Up       bool
-	Held             uint32
+	Version          uint32
 }
 
 // Status is for operators.
@@ -161,7 +161,7 @@
 // Machine is one process's part.
 type Machine struct {
 	c     Config
-	d     Disk
+	d     DurableState
 	rng   *rand.Rand
 	salt  uint64
 	now   fsm.Time
@@ -180,9 +180,9 @@
 
 	seeds  []string
 	peers  []Peer
-	most   uint32 // the highest version that one of them has
-	view   Record // the newest active one known
-	told   uint32 // highest committed version heard of
+	most   uint32      // the highest version that one of them has
+	view   EpochRecord // the newest active one known
+	told   uint32      // highest committed version heard of
 	teller string
 	given  map[string]fsm.Time // large documents that were asked for, and may be on their way still
 	primed fsm.Time            // when the primary last told its view
@@ -208,13 +208,13 @@
 	adopted Doc     // the newest handed out to be put in force
 	recent  []Delta // that led to the document held, for those that were away; never changed in place
 	packed  Delta   // the document held, whole
-	past    []Change
-	notice  Notice   // 0: it does not leave
-	parted  fsm.Time // when it first said that it ends as soon as it may
-	left    fsm.Time // when it last asked for that
-	free    bool     // it has been released
-	active  uint64   // the write that had the record as an active one first; 0: it is on disk
-	handed  fsm.Time // when it handed its epoch over
+	past    []EpochChange
+	notice  LeaveUrgency // 0: it does not leave
+	parted  fsm.Time     // when it first said that it ends as soon as it may
+	left    fsm.Time     // when it last asked for that
+	free    bool         // it has been released
+	active  uint64       // the write that had the record as an active one first; 0: it is on disk
+	handed  fsm.Time     // when it handed its epoch over
 	bug     Bug
 
 	base   uint64   // saves that the disk had when this process started
@@ -232,34 +232,34 @@
 
 // The bugs. Those of disks are the models'.
 const (
-	BugAckEarly    Bug = iota + 1 // answer before the backups have it
-	BugNoPromise                  // obey primaries that were overtaken
-	BugAnyData                    // take over with whatever data the promises bring
-	BugAlone                      // take over without the witnesses' promises and records
-	BugUnsynced                   // a disk says that it has synced before it has
-	BugAmnesia                    // an empty disk counts as the one that was there
-	BugOldDisk                    // a disk put back to an older state counts as the newer one
-	BugAnyText                    // acknowledge any text under a number that is not above the one kept
-	BugForgets                    // a takeover forgets which orders were accepted
-	BugStay                       // who leaves keeps its seat
-	BugUnproven                   // who does not answer counts as lost
-	BugNoLearner                  // a newcomer has its seat before it has said that it is there
-	BugReleased                   // who leaves ends before the others know the epoch without it
-	BugFew                        // take puts with fewer writers than copies are wanted
-	BugDeaf                       // who has missed a document doesn't ask for it
-	BugStorms                     // documents are repeated to whoever may lead, as often as small calls
-	BugUnconfirmed                // reads are answered without asking the writers
-	BugWhole                      // large documents are not packed in promises, copies, appends and calls
-	BugRemnant                    // who is ended soon while another one is missing keeps its seat
-	BugAnyLife                    // answers to calls of a caller's earlier life count
-	BugOwnText                    // a candidate that lacks a text which a promise names goes on with its own
+	BugAckEarly              Bug = iota + 1 // answer before the backups have it
+	BugNoPromise                            // obey primaries that were overtaken
+	BugAnyState                             // take over with whatever data the promises bring
+	BugNoQuorum                             // take over without the witnesses' promises and records
+	BugEarlySync                            // a disk says that it has synced before it has
+	BugReuseDiskID                          // an empty disk counts as the one that was there
+	BugNoFencing                            // a disk put back to an older state counts as the newer one
+	BugAnyBody                              // acknowledge any text under a number that is not above the one kept
+	BugDropLedger                           // a takeover forgets which orders were accepted
+	BugNoLeave                              // who leaves keeps its seat
+	BugAssumeLost                           // who does not answer counts as lost
+	BugSkipLearner                          // a newcomer has its seat before it has said that it is there
+	BugEarlyExit                            // who leaves ends before the others know the epoch without it
+	BugTooFewWriters                        // take puts with fewer writers than copies are wanted
+	BugNoCatchUp                            // who has missed a document doesn't ask for it
+	BugUnthrottledRetries                   // documents are repeated to whoever may lead, as often as small calls
+	BugUnconfirmed                          // reads are answered without asking the writers
+	BugNoPacking                            // large documents are not packed in promises, copies, appends and calls
+	BugNoShrinkOnForcedLeave                // who is ended soon while another one is missing keeps its seat
+	BugAnyCaller                            // answers to calls of a caller's earlier life count
+	BugOwnBody                              // a candidate that lacks a text which a promise names goes on with its own
 )
 
 // SetBug switches a guard off.
 func (m *Machine) SetBug(b Bug) { m.bug = b }
 
 // New starts a process. A nil disk is an empty one, or none.
-func New(c Config, d *Disk, now fsm.Time) *Machine {
+func New(c Config, d *DurableState, now fsm.Time) *Machine {
 	h := fnv.New64a()
 	h.Write([]byte(c.Self))
 	m := &Machine{c: c, rng: rand.New(rand.NewPCG(c.Seed, h.Sum64())), now: now, start: now, tick: now,
@@ -271,13 +271,13 @@
 	if !c.Member {
 		return m
 	}
-	if d != nil && d.Life != 0 {
+	if d != nil && d.DiskID != 0 {
 		m.d = *d
 	} else {
-		m.d = Disk{Life: m.rng.Uint64() | 1, Genesis: c.Genesis}
+		m.d = DurableState{DiskID: m.rng.Uint64() | 1, NeverMember: c.Genesis}
 		m.dirty = true
 	}
-	m.base, m.safe = m.d.Count, m.d.Count
+	m.base, m.safe = m.d.Saves, m.d.Saves
 	m.top = m.d.Promised.N
 	if m.d.Record.Active {
 		m.view = m.d.Record
@@ -289,19 +289,19 @@
 }
 
 // Held is the newest committed document known here.
-func (m *Machine) Held() *Doc {
-	if m.d.Kept.Version == 0 {
+func (m *Machine) Committed() *Doc {
+	if m.d.Committed.Version == 0 {
 		return nil
 	}
-	d := m.d.Kept
+	d := m.d.Committed
 	return &d
 }
 
 // Status tells operators how things stand.
 func (m *Machine) Status() Status {
-	s := Status{Role: "follower", Epoch: m.view.Ballot.N, Primary: m.view.primary(), Founding: m.view.Founding,
-		Writers: slices.Clone(m.view.Writers), Version: m.d.Kept.Version}
-	for _, seat := range m.view.Set {
+	s := Status{Role: "follower", Epoch: m.view.Ballot.N, Primary: m.view.primary(), Founding: m.view.ClusterID,
+		Writers: slices.Clone(m.view.Writers), Version: m.d.Committed.Version}
+	for _, seat := range m.view.Members {
 		s.Members = append(s.Members, seat.Addr)
 	}
 	switch {
@@ -316,23 +316,23 @@
 }
 
 // Peers takes the membership's view, which may be wrong, and keeps it.
-func (m *Machine) Peers(now fsm.Time, peers []Peer) {
+func (m *Machine) SetPeers(now fsm.Time, peers []Peer) {
 	m.now, m.peers, m.most = max(m.now, now), peers, 0
 	for _, p := range peers {
-		m.most = max(m.most, p.Held)
+		m.most = max(m.most, p.Version)
 	}
 }
 
 // Holds notes which version a process has.
-func (m *Machine) Holds(addr string, version uint32) {
+func (m *Machine) NotePeerVersion(addr string, version uint32) {
 	if i := slices.IndexFunc(m.peers, func(p Peer) bool { return p.Addr == addr }); i >= 0 {
-		m.peers[i].Held = max(m.peers[i].Held, version)
+		m.peers[i].Version = max(m.peers[i].Version, version)
 		m.most = max(m.most, version)
 	}
 }
 
 // Seeds replaces the addresses to turn to.
-func (m *Machine) Seeds(now fsm.Time, seeds []string) {
+func (m *Machine) SetSeeds(now fsm.Time, seeds []string) {
 	m.now, m.seeds = max(m.now, now), slices.Clone(seeds)
 }
 
@@ -356,7 +356,7 @@
 }
 
 // Written says that a write, and all before it, are synced.
-func (m *Machine) Written(now fsm.Time, seq uint64) Out {
+func (m *Machine) WriteDone(now fsm.Time, seq uint64) Out {
 	m.now = max(m.now, now)
 	m.written = max(m.written, seq)
 	if m.active <= m.written {
@@ -384,7 +384,7 @@
 }
 
 // Take takes a message.
-func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
+func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
 	m.now = max(m.now, now)
 	m.take(from, msg)
 	return m.end()
@@ -400,15 +400,15 @@
 		return
 	}
 	switch t := msg.(type) {
-	case Hello:
+	case JoinRequest:
 		m.onHello(from, t)
-	case Found:
+	case FirstEpoch:
 		m.onFound(t.Record)
-	case Ask:
+	case ViewRequest:
 		m.tell(from)
 	case View:
 		m.learn(t.Record)
-		if t.Leads && from == m.view.primary() {
+		if t.Leading && from == m.view.primary() {
 			m.primed = m.now
 			if m.bid == nil && m.lead == nil {
 				m.hear(from)
@@ -421,26 +421,26 @@
 		} else {
 			m.commit(t.Doc)
 		}
-		for _, to := range t.On {
+		for _, to := range t.Relay {
 			m.send(to, Push{Doc: t.Doc.bare(), Deltas: t.Deltas})
 		}
-	case Amended:
-		kept := m.d.Kept
-		doc := Doc{Version: t.Version, Rev: t.Rev, Body: kept.Body, Sum: kept.Sum, By: t.By, Notes: t.Notes, Past: kept.Past}
-		if kept.Version == t.Version && (t.Notes == 0 || doc.is(m.d.Next)) {
+	case CommitAmendment:
+		kept := m.d.Committed
+		doc := Doc{Version: t.Version, Rev: t.Rev, Body: kept.Body, Digest: kept.Digest, CreatedIn: t.CreatedIn, LedgerRev: t.LedgerRev, History: kept.History}
+		if kept.Version == t.Version && (t.LedgerRev == 0 || doc.is(m.d.Pending)) {
 			m.commit(doc)
 		}
 	case Pull:
-		if m.d.Kept.Version > t.Held {
-			if t.Deltas {
-				m.bring(from, m.parcel(t.Held))
+		if m.d.Committed.Version > t.Version {
+			if t.AcceptsDeltas {
+				m.bring(from, m.parcel(t.Version))
 			} else { // what came as differences was damaged
-				m.send(from, Push{Doc: m.d.Kept.bare()})
+				m.send(from, Push{Doc: m.d.Committed.bare()})
 			}
 		}
 	case Forward:
 		m.onForward(from, t)
-	case Answered:
+	case ForwardReply:
 		m.onAnswered(t)
 	default:
 		if m.c.Member {
@@ -454,47 +454,47 @@
 		return
 	}
 	switch t := msg.(type) {
-	case Beat:
+	case Heartbeat:
 		m.onBeat(from, t)
 	case Resign:
 		m.onResign(from, t)
-	case Probe:
+	case PreVote:
 		m.onProbe(from, t)
 	case Prepare:
 		m.onPrepare(from, t)
-	case Copy:
+	case InstallState:
 		m.onCopy(from, t)
-	case Enact:
+	case RecordEpoch:
 		m.onEnact(from, t)
 	case Append:
 		m.onAppend(from, t)
 	case Confirm:
 		m.onConfirm(from, t)
-	case Probed:
+	case PreVoteReply:
 		m.onProbed(from, t)
 	case Promise:
 		m.onPromise(from, t)
-	case Refuse:
+	case Reject:
 		m.onRefuse(from, t)
-	case Copied:
+	case StateInstalled:
 		m.onCopied(from, t)
-	case Enacted:
+	case EpochRecorded:
 		m.onEnacted(from, t)
 	case Leave:
 		m.onLeave(from, t)
-	case Released:
-		m.free = m.free || m.notice != 0 && t.Life == m.d.Life
+	case LeaveGranted:
+		m.free = m.free || m.notice != 0 && t.DiskID == m.d.DiskID
 	case Handover:
 		m.onHandover(from, t)
-	case Void:
+	case MemberLost:
 		m.onVoid(from, t)
-	case Beaten:
+	case HeartbeatReply:
 		m.onBeaten(from, t)
 	case Appended:
 		m.onAppended(from, t)
 	case Confirmed:
 		m.onConfirmed(from, t)
-	case Fenced:
+	case FenceNotice:
 		m.onFenced(t)
 	}
 }
@@ -523,13 +523,13 @@
 		}
 		if (m.dirty || m.flush) && m.c.Member {
 			if m.dirty {
-				m.d.Count++
+				m.d.Saves++
 			}
 			m.seq++
-			m.writes = append(m.writes, pendingWrite{m.seq, m.now, m.d.Life, m.d.Count})
+			m.writes = append(m.writes, pendingWrite{m.seq, m.now, m.d.DiskID, m.d.Saves})
 			m.noted = 0
-			m.d.Format = DiskFormat
-			m.out.Write = &Write{Seq: m.seq, Disk: m.d}
+			m.d.Format = StateFormat
+			m.out.Write = &Write{Seq: m.seq, State: m.d}
 		}
 		m.dirty, m.flush = false, false
 		fresh := m.fresh
@@ -543,8 +543,8 @@
 		}
 		if len(m.loop) == 0 {
 			m.remember()
-			if m.d.Kept.later(m.adopted) {
-				m.adopted, m.out.Adopt = m.d.Kept, m.Held()
+			if m.d.Committed.later(m.adopted) {
+				m.adopted, m.out.Apply = m.d.Committed, m.Committed()
 			}
 			out := m.out
 			m.out = Out{}
@@ -557,4 +557,4 @@
 func (m *Machine) slow() bool { return len(m.writes) > 0 && m.now-m.writes[0].at > stall }
 
 // seated says whether the newest record held gives this very memory a seat.
-func (m *Machine) seated() bool { return m.c.Member && m.d.Record.has(m.c.Self, m.d.Life) }
+func (m *Machine) seated() bool { return m.c.Member && m.d.Record.has(m.c.Self, m.d.DiskID) }
--- a/internal/consensus/delta.go
+++ b/internal/consensus/delta.go
@@ -9,12 +9,12 @@
 // Delta is a committed document as a difference to the one before it, or to none: most of what
 // operators change in a large one is in one place. Who has not that base asks for what it needs.
 type Delta struct {
-	From uint32      `cbor:"1,keyasint,omitempty"` // version of the base; 0: none
-	Head Doc         `cbor:"2,keyasint"`           // the document without its body
-	Body delta.Delta `cbor:"3,keyasint"`
+	From   uint32      `cbor:"1,keyasint,omitempty"` // version of the base; 0: none
+	Doc    Doc         `cbor:"2,keyasint"`           // the document without its body
+	Change delta.Delta `cbor:"3,keyasint"`
 }
 
-func (d Delta) size() int { return len(d.Body.Steps) + len(d.Head.Side) + 64 }
+func (d Delta) size() int { return len(d.Change.Steps) + len(d.Doc.Attachment) + 64 }
 
 // head is a document as others than writers are given it, without its body.
 func (d Doc) head() Doc {
@@ -41,13 +41,13 @@
 		return
 	}
 	if body, ok := delta.Make(old.Body, doc.Body); ok {
-		m.keepDelta(Delta{From: old.Version, Head: doc.head(), Body: body})
+		m.keepDelta(Delta{From: old.Version, Doc: doc.head(), Change: body})
 	}
 }
 
 // keepDelta adds a difference to those that lead to the document held; they are one chain.
 func (m *Machine) keepDelta(d Delta) {
-	if n := len(m.recent); n > 0 && m.recent[n-1].Head.Version != d.From {
+	if n := len(m.recent); n > 0 && m.recent[n-1].Doc.Version != d.From {
 		m.recent = nil
 	}
 	m.recent = append(slices.Clip(m.recent), d)
@@ -61,9 +61,9 @@
 
 // since are the differences from a version on to the document held, or nil: it is to be sent whole.
 func (m *Machine) since(version uint32) []Delta {
-	kept := m.d.Kept
+	kept := m.d.Committed
 	n := len(m.recent)
-	if version == 0 || n == 0 || m.recent[n-1].Head.Version != kept.Version {
+	if version == 0 || n == 0 || m.recent[n-1].Doc.Version != kept.Version {
 		return nil
 	}
 	i := slices.IndexFunc(m.recent, func(d Delta) bool { return d.From == version })
@@ -71,7 +71,7 @@
 		return nil
 	}
 	all, size := slices.Clone(m.recent[i:]), 0
-	all[len(all)-1].Head = kept.head() // it may have been amended since
+	all[len(all)-1].Doc = kept.head() // it may have been amended since
 	for _, d := range all {
 		size += d.size()
 	}
@@ -83,17 +83,17 @@
 
 // parcel is the document held for somebody that holds that version, as short as may be.
 func (m *Machine) parcel(held uint32) Push {
-	kept := m.d.Kept
+	kept := m.d.Committed
 	if all := m.since(held); all != nil {
 		return Push{Deltas: all}
 	}
-	if m.packed.Head.Version != kept.Version || m.packed.Head.Rev != kept.Rev {
-		m.packed = Delta{Head: kept.head()}
+	if m.packed.Doc.Version != kept.Version || m.packed.Doc.Rev != kept.Rev {
+		m.packed = Delta{Doc: kept.head()}
 		if body, ok := delta.Whole(kept.Body); ok {
-			m.packed.Body = body
+			m.packed.Change = body
 		}
 	}
-	if m.packed.Body.Size > 0 {
+	if m.packed.Change.Size > 0 {
 		return Push{Deltas: []Delta{m.packed}}
 	}
 	return Push{Doc: kept.bare()}
@@ -103,17 +103,17 @@
 // for what it lacks, and for the whole document where one is damaged.
 func (m *Machine) onDeltas(from string, all []Delta) {
 	last := all[len(all)-1]
-	if !last.Head.Above(m.d.Kept) {
+	if !last.Doc.Supersedes(m.d.Committed) {
 		return
 	}
-	if kept := m.d.Kept; kept.Version == last.Head.Version && delta.Sum(kept.Body) == last.Body.To { // amended
-		m.commit(last.Head.with(kept.Body))
+	if kept := m.d.Committed; kept.Version == last.Doc.Version && delta.Sum(kept.Body) == last.Change.To { // amended
+		m.commit(last.Doc.with(kept.Body))
 		return
 	}
 	var fresh []Delta
 	damaged := false
-	body := m.d.Kept.Body
-	at := m.d.Kept.Version
+	body := m.d.Committed.Body
+	at := m.d.Committed.Version
 	for _, d := range all {
 		if d.From == 0 {
 			body, at = nil, 0
@@ -121,20 +121,20 @@
 		if d.From != at {
 			continue // before what is held, or beside it
 		}
-		text, err := d.Body.Apply(body)
+		text, err := d.Change.Apply(body)
 		if err != nil {
 			damaged = true
 			break
 		}
-		body, at, fresh = text, d.Head.Version, append(fresh, d)
+		body, at, fresh = text, d.Doc.Version, append(fresh, d)
 	}
-	if at != last.Head.Version || len(fresh) == 0 {
-		m.told, m.teller = max(m.told, last.Head.Version), from
-		m.send(from, Pull{Held: m.d.Kept.Version, Deltas: !damaged})
+	if at != last.Doc.Version || len(fresh) == 0 {
+		m.told, m.teller = max(m.told, last.Doc.Version), from
+		m.send(from, Pull{Version: m.d.Committed.Version, AcceptsDeltas: !damaged})
 		m.pulled = m.now
 		return
 	}
-	m.commit(last.Head.with(body))
+	m.commit(last.Doc.with(body))
 	for _, d := range fresh {
 		if d.From != 0 {
 			m.keepDelta(d)
@@ -144,7 +144,7 @@
 
 // before is the version that the document held was made of, if that is known; else 0.
 func (m *Machine) before(doc Doc) uint32 {
-	if n := len(m.recent); n > 0 && m.recent[n-1].Head.Version == doc.Version {
+	if n := len(m.recent); n > 0 && m.recent[n-1].Doc.Version == doc.Version {
 		return m.recent[n-1].From
 	}
 	return 0
--- a/internal/consensus/delta_test.go
+++ b/internal/consensus/delta_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 	o := w.call(w.nodes[len(w.nodes)-1], false, d)
 	w.run(1500 * ms)
-	if o.done == nil || o.done.Verdict != Kept {
+	if o.done == nil || o.done.Result != ResultAccepted {
 		t.Fatalf("version %d: %+v", d.Version, o.done)
 	}
 	w.alike(t)
@@ -58,7 +58,7 @@
 func (w *world) alike(t *testing.T) {
 	t.Helper()
 	for _, n := range w.nodes {
-		if h := n.m.Held(); n.up && (h == nil || h.Version != w.acked || string(h.Body) != w.bodies[w.acked]) {
+		if h := n.m.Committed(); n.up && (h == nil || h.Version != w.acked || string(h.Body) != w.bodies[w.acked]) {
 			t.Fatalf("%s has not version %d", n.cfg.Self, w.acked)
 		}
 	}
@@ -111,7 +111,7 @@
 	t.Helper()
 	o := w.call(w.primary(), false, d)
 	w.run(time.Second)
-	if o.done == nil || o.done.Verdict != Kept {
+	if o.done == nil || o.done.Result != ResultAccepted {
 		t.Fatalf("version %d: %+v", d.Version, o.done)
 	}
 }
@@ -124,25 +124,25 @@
 	n := w.nodes[5]
 	p := w.primary()
 	w.change2(t, routes(12, 7))
-	held := n.m.Held()
+	held := n.m.Committed()
 	good := p.m.recent[len(p.m.recent)-1]
 	for i, spoil := range []func(d *Delta){
-		func(d *Delta) { d.Body.Steps = d.Body.Steps[:len(d.Body.Steps)-1] },
-		func(d *Delta) { d.Body.From++ },
-		func(d *Delta) { d.Body.To++ },
+		func(d *Delta) { d.Change.Steps = d.Change.Steps[:len(d.Change.Steps)-1] },
+		func(d *Delta) { d.Change.From++ },
+		func(d *Delta) { d.Change.To++ },
 		func(d *Delta) { d.From++ },
 	} {
 		d := good
-		d.From, d.Head.Version = 12, 13
+		d.From, d.Doc.Version = 12, 13
 		spoil(&d)
-		out := n.m.Take(w.now, p.cfg.Self, Push{Deltas: []Delta{d}})
-		if h := n.m.Held(); h.Version != held.Version || string(h.Body) != string(held.Body) || out.Adopt != nil {
+		out := n.m.Receive(w.now, p.cfg.Self, Push{Deltas: []Delta{d}})
+		if h := n.m.Committed(); h.Version != held.Version || string(h.Body) != string(held.Body) || out.Apply != nil {
 			t.Errorf("%d: it was taken", i)
 		}
 		asked := false
 		for _, s := range out.Send {
 			pull, ok := s.Msg.(Pull)
-			asked = asked || ok && pull.Deltas == (i == 3) && pull.Held == held.Version && s.To == p.cfg.Self
+			asked = asked || ok && pull.AcceptsDeltas == (i == 3) && pull.Version == held.Version && s.To == p.cfg.Self
 		}
 		if !asked {
 			t.Errorf("%d: the document is not asked for: %+v", i, out.Send)
@@ -155,7 +155,7 @@
 	t.Parallel()
 	w, _, _ := fleet(t)
 	w.change(t, routes(12, 7))
-	out := w.nodes[4].m.Take(w.now, "n05", Pull{Held: 11})
+	out := w.nodes[4].m.Receive(w.now, "n05", Pull{Version: 11})
 	if p, ok := out.Send[0].Msg.(Push); !ok || p.Doc.Version != 12 || len(p.Deltas) > 0 {
 		t.Errorf("%+v", out.Send)
 	}
@@ -166,18 +166,18 @@
 	t.Parallel()
 	m := New(Config{Self: "a"}, nil, 0)
 	for v := range uint32(1500) {
-		d := Delta{From: v, Head: Doc{Version: v + 1}}
-		d.Body.Steps = make([]byte, 100)
+		d := Delta{From: v, Doc: Doc{Version: v + 1}}
+		d.Change.Steps = make([]byte, 100)
 		m.keepDelta(d)
 	}
 	size := 0
 	for _, d := range m.recent {
 		size += d.size()
 	}
-	if size > recentMost || len(m.recent) != fewMost || m.recent[len(m.recent)-1].Head.Version != 1500 {
+	if size > recentMost || len(m.recent) != fewMost || m.recent[len(m.recent)-1].Doc.Version != 1500 {
 		t.Errorf("%d bytes in %d", size, len(m.recent))
 	}
-	if m.keepDelta(Delta{From: 9, Head: Doc{Version: 10}}); len(m.recent) != 1 {
+	if m.keepDelta(Delta{From: 9, Doc: Doc{Version: 10}}); len(m.recent) != 1 {
 		t.Error("a chain with a gap")
 	}
 }
--- a/internal/consensus/explore.go
+++ b/internal/consensus/explore.go
@@ -11,56 +11,56 @@
 )
 
 // Bounds of an exploration: what may go wrong, how often time passes, and where to end.
-type Bounds struct {
-	Members int  // 3 if it is 0
-	Losses  int  // 1
-	Silent  bool // begins when all but the primary are about to lose patience with it
-	Same    bool // the puts are of one version
-	Over    bool // the first put is of version 3, the others of 2
-	Puts    int
-	Reads   int
-	Lost    int // messages, in all
-	Late    int // messages that are overtaken by others of their link
-	Doubled int
-	Deaths  int  // of processes, each at most once, with what was under way to the disk or without
-	Wipes   int  // of those, that lose the disk as well
-	Leaves  int  // processes told to end, which then ask until they are let go
-	Ends    bool // they are ended soon, whatever stands elsewhere; and who is wiped comes back after that
-	Learner bool // one more, which has no seat, is there from the start
-	Copies  int  // taken of disks
-	Backs   int  // disks that such a copy takes the place of, once all others remember what was vouched for since
-	Shorts  int  // times that a process repeats what is not answered
-	Longs   int  // half the patience of a process
-	States  int  // end after so many; 0: never
-	Deep    bool // the newest state first, not the oldest
-	Stalls  bool // a core that doesn't go on is counted, and nothing more
-	Resumes int  // every so manieth state must be one from which the core goes on; 0: that is not judged
-	Bug     Bug
+type ModelBounds struct {
+	Members            int  // 3 if it is 0
+	ToleratedLosses    int  // 1
+	StartSilent        bool // begins when all but the primary are about to lose patience with it
+	SameVersion        bool // the puts are of one version
+	Overtaken          bool // the first put is of version 3, the others of 2
+	Puts               int
+	Reads              int
+	LostMessages       int // messages, in all
+	LateMessages       int // messages that are overtaken by others of their link
+	DuplicatedMessages int
+	Crashes            int  // of processes, each at most once, with what was under way to the disk or without
+	DiskWipes          int  // of those, that lose the disk as well
+	Leaves             int  // processes told to end, which then ask until they are let go
+	ForcedLeave        bool // they are ended soon, whatever stands elsewhere; and who is wiped comes back after that
+	Learner            bool // one more, which has no seat, is there from the start
+	DiskCopies         int  // taken of disks
+	DiskRollbacks      int  // disks that such a copy takes the place of, once all others remember what was vouched for since
+	ShortWaits         int  // times that a process repeats what is not answered
+	LongWaits          int  // half the patience of a process
+	MaxStates          int  // end after so many; 0: never
+	DepthFirst         bool // the newest state first, not the oldest
+	CountStalls        bool // a core that doesn't go on is counted, and nothing more
+	LivenessEvery      int  // every so manieth state must be one from which the core goes on; 0: that is not judged
+	Bug                Bug
 }
 
 // Survey is what an exploration came to.
-type Survey struct {
-	States, Steps int // visited; ways gone from one to another
-	Depth         int // steps that lie between the first state and the last one visited
-	All           bool
-	Cells         int // states of single machines
-	Acked, Epochs int // puts acknowledged, epochs begun after the first, in some state
-	Asked, Stuck  int // states looked at whether the core goes on; where it does not
-	Known         int // of those, where somebody left has the record of a change of the set
-	Broken        string
-	Trace         []string // the way there
+type Exploration struct {
+	States, Steps          int // visited; ways gone from one to another
+	Depth                  int // steps that lie between the first state and the last one visited
+	Complete               bool
+	MachineStates          int // states of single machines
+	Acked, Epochs          int // puts acknowledged, epochs begun after the first, in some state
+	LivenessChecked, Stuck int // states looked at whether the core goes on; where it does not
+	StuckWithChange        int // of those, where somebody left has the record of a change of the set
+	Violation              string
+	Trace                  []string // the way there
 }
 
 // Explore visits the states that a core in force can come to within bounds. Each process
 // has a clock of its own; links keep their order but for messages that are late; and a disk,
 // a link or a process may take any time for its next step, which is how it is cut off, frozen
 // or slow. All that happens at a machine, the real one does.
-func Explore(b Bounds) Survey {
+func Explore(b ModelBounds) Exploration {
 	x := newExplorer(b)
 	x.meet(x.first(), 0, move{})
-	for x.at < len(x.todo) && x.found.Broken == "" && (b.States == 0 || len(x.ways) <= b.States) {
+	for x.at < len(x.todo) && x.found.Violation == "" && (b.MaxStates == 0 || len(x.ways) <= b.MaxStates) {
 		var next pending
-		if b.Deep {
+		if b.DepthFirst {
 			next = x.todo[len(x.todo)-1]
 			x.todo = x.todo[:len(x.todo)-1]
 		} else {
@@ -71,7 +71,7 @@
 		x.visit(next)
 	}
 	f := x.found
-	f.States, f.All, f.Cells = len(x.ways), x.at == len(x.todo), len(x.cells)
+	f.States, f.Complete, f.MachineStates = len(x.ways), x.at == len(x.todo), len(x.cells)
 	return f
 }
 
@@ -148,7 +148,7 @@
 }
 
 type explorer struct {
-	b      Bounds
+	b      ModelBounds
 	n      int
 	course course
 	names  []string
@@ -165,7 +165,7 @@
 	todo   []pending
 	at     int
 	buf    []byte
-	found  Survey
+	found  Exploration
 	first0 Ballot
 	read   int // answers to reads
 }
@@ -177,9 +177,9 @@
 	facts []fact
 }
 
-func newExplorer(b Bounds) *explorer {
+func newExplorer(b ModelBounds) *explorer {
 	if b.Members == 0 {
-		b.Members, b.Losses = 3, 1
+		b.Members, b.ToleratedLosses = 3, 1
 	}
 	if b.Learner {
 		b.Members++
@@ -188,10 +188,10 @@
 		judgOf: map[string]uint32{}, next: map[uint64]outcome{}, seen: map[uint64]uint32{}}
 	for i := range b.Puts {
 		v := uint32(2 + i)
-		if b.Same || b.Over {
+		if b.SameVersion || b.Overtaken {
 			v = 2
 		}
-		if b.Over && i == 0 {
+		if b.Overtaken && i == 0 {
 			v = 3
 		}
 		x.course.puts = append(x.course.puts, Doc{Version: v, Body: []byte{byte('a' + i)}})
@@ -211,9 +211,9 @@
 	}
 	for i, name := range x.names {
 		m := New(Config{Self: name, Name: name, Zone: string(rune('a' + i%3)), Member: true,
-			Genesis: !x.b.Learner || i < x.n-1, Losses: x.b.Losses, Seeds: x.names[:3]}, nil, begin)
+			Genesis: !x.b.Learner || i < x.n-1, ToleratedLosses: x.b.ToleratedLosses, Seeds: x.names[:3]}, nil, begin)
 		l := &lot{of: uint64(i + 1)}
-		m.rng, m.salt, m.jitter, m.d.Life = rngOf(l), l.Uint64(), 0, l.Uint64()|1
+		m.rng, m.salt, m.jitter, m.d.DiskID = rngOf(l), l.Uint64(), 0, l.Uint64()|1
 		cells = append(cells, &cell{m: m, lot: l})
 	}
 	s := &state{cells: make([]uint32, x.n), links: make([][]uint32, x.n*x.n)}
@@ -228,20 +228,20 @@
 	for range 200 {
 		x.settle(s, steady)
 		lead = x.primary(s)
-		if x.held(s) && (x.b.Backs == 0 || x.remembered(s, lead)) {
+		if x.held(s) && (x.b.DiskRollbacks == 0 || x.remembered(s, lead)) {
 			break
 		}
 		if lead >= 0 && s.put == 0 {
 			s.put = 1
 			for i := range s.cells {
-				if x.b.Backs > 0 {
+				if x.b.DiskRollbacks > 0 {
 					x.step(s, move{at: uint8(i), in: input{kind: saveOff}, link: none})
 				}
 			}
 			x.step(s, move{at: uint8(lead), in: input{kind: put}, link: none})
 		}
 	}
-	if !x.held(s) || x.b.Backs > 0 && !x.remembered(s, lead) {
+	if !x.held(s) || x.b.DiskRollbacks > 0 && !x.remembered(s, lead) {
 		panic("the model's core is not founded") // a bug
 	}
 	x.first0 = x.cells[s.cells[lead]].m.lead.rec.Ballot
@@ -250,12 +250,12 @@
 		c.m.calls, c.m.queue = nil, nil
 		s.cells[i] = x.cell(c)
 	}
-	for i := 0; (x.b.Learner || x.b.Leaves+x.b.Resumes > 0) && i < 12; i++ { // the set may change, and a learner is held as one
+	for i := 0; (x.b.Learner || x.b.Leaves+x.b.LivenessEvery > 0) && i < 12; i++ { // the set may change, and a learner is held as one
 		x.settle(s, steady)
 	}
 	x.course.bug, x.course.puts = sound, puts
 	x.next = map[uint64]outcome{}
-	if x.b.Silent {
+	if x.b.StartSilent {
 		for i := range s.cells {
 			for range 2 {
 				if i != lead {
@@ -264,9 +264,9 @@
 			}
 		}
 	}
-	s.put, x.found = 0, Survey{}
-	s.left = [11]uint8{uint8(x.b.Reads), uint8(x.b.Lost), uint8(x.b.Late), uint8(x.b.Doubled), uint8(x.b.Deaths),
-		uint8(x.b.Wipes), uint8(x.b.Shorts), uint8(x.b.Longs), uint8(x.b.Copies), uint8(x.b.Backs),
+	s.put, x.found = 0, Exploration{}
+	s.left = [11]uint8{uint8(x.b.Reads), uint8(x.b.LostMessages), uint8(x.b.LateMessages), uint8(x.b.DuplicatedMessages), uint8(x.b.Crashes),
+		uint8(x.b.DiskWipes), uint8(x.b.ShortWaits), uint8(x.b.LongWaits), uint8(x.b.DiskCopies), uint8(x.b.DiskRollbacks),
 		uint8(x.b.Leaves)}
 	return s
 }
@@ -281,7 +281,7 @@
 // held says whether all keep version 1, and serve one epoch.
 func (x *explorer) held(s *state) bool {
 	for _, id := range s.cells {
-		if m := x.cells[id].m; m.d.Kept.Version != 1 || !m.d.Record.Active || m.seq != m.written {
+		if m := x.cells[id].m; m.d.Committed.Version != 1 || !m.d.Record.Active || m.seq != m.written {
 			return false
 		}
 	}
@@ -426,8 +426,8 @@
 }
 
 func (x *explorer) fail(form string, args ...any) {
-	if x.found.Broken == "" {
-		x.found.Broken = fmt.Sprintf(form, args...)
+	if x.found.Violation == "" {
+		x.found.Violation = fmt.Sprintf(form, args...)
 	}
 }
 
@@ -516,9 +516,9 @@
 	}
 	x.found.Epochs = max(x.found.Epochs, int(l.rec.Ballot.N-min(x.first0.N, l.rec.Ballot.N)))
 	for version, by := range x.judges[s.judge].acked {
-		if l.rec.Ballot.above(by) && c.m.d.Kept.Version < version {
+		if l.rec.Ballot.above(by) && c.m.d.Committed.Version < version {
 			x.fail("version %d was acknowledged in epoch %d, and %s serves epoch %d with version %d",
-				version, by.N, x.names[i], l.rec.Ballot.N, c.m.d.Kept.Version)
+				version, by.N, x.names[i], l.rec.Ballot.N, c.m.d.Committed.Version)
 		}
 	}
 }
@@ -560,10 +560,10 @@
 		if s.left[ofReads] > 0 {
 			add(get, x.b.Reads-int(s.left[ofReads]), false)
 		}
-		if s.left[ofLeaves] > 0 && c.m.notice == 0 && !c.m.Left() {
-			n := Last
-			if x.b.Ends {
-				n = Ends
+		if s.left[ofLeaves] > 0 && c.m.notice == 0 && !c.m.MayExit() {
+			n := LeaveWhenSafe
+			if x.b.ForcedLeave {
+				n = LeaveForced
 			}
 			add(leave, int(n), false)
 		}
@@ -594,7 +594,7 @@
 // seat beside it have the newest that it has vouched for. Where nobody has, it can't be told.
 func (x *explorer) remembered(s *state, at int) bool {
 	c := x.cells[s.cells[at]]
-	if c.old == nil || c.old.Life != c.m.d.Life || c.old.Count >= c.m.safe || !c.m.seated() {
+	if c.old == nil || c.old.DiskID != c.m.d.DiskID || c.old.Saves >= c.m.safe || !c.m.seated() {
 		return false
 	}
 	for _, seat := range c.m.d.Record.voters() {
@@ -603,8 +603,8 @@
 			continue
 		}
 		d := x.cells[s.cells[i]].synced
-		if d == nil || !slices.ContainsFunc(d.Marks, func(k Mark) bool {
-			return k.Addr == x.names[at] && k.Life == c.m.d.Life && k.Count >= c.m.safe
+		if d == nil || !slices.ContainsFunc(d.KnownTokens, func(k KnownToken) bool {
+			return k.Addr == x.names[at] && k.DiskID == c.m.d.DiskID && k.Saves >= c.m.safe
 		}) {
 			return false
 		}
@@ -658,7 +658,7 @@
 		x.step(&n, v)
 		x.found.Steps++
 		x.todoFrom(&n, from, v, p.depth+1)
-		if x.found.Broken != "" {
+		if x.found.Violation != "" {
 			return
 		}
 	}
@@ -669,16 +669,16 @@
 func (x *explorer) todoFrom(s *state, from uint32, v move, depth int) {
 	code := x.encode(s)
 	key := xxhash.Sum64(code)
-	if _, ok := x.seen[key]; ok && x.found.Broken == "" {
+	if _, ok := x.seen[key]; ok && x.found.Violation == "" {
 		return
 	}
 	next := pending{string(code), depth} // what follows uses the buffer again
 	x.seen[key] = uint32(len(x.ways))
 	x.ways = append(x.ways, way{from, v})
-	if x.b.Resumes > 0 && len(x.ways)%x.b.Resumes == 0 && x.found.Broken == "" {
+	if x.b.LivenessEvery > 0 && len(x.ways)%x.b.LivenessEvery == 0 && x.found.Violation == "" {
 		x.judgeResume(s, uint32(len(x.ways)-1))
 	}
-	if x.found.Broken != "" {
+	if x.found.Violation != "" {
 		x.found.Depth = depth
 		x.found.Trace = x.trace(uint32(len(x.ways) - 1))
 		return
--- a/internal/consensus/fence.go
+++ b/internal/consensus/fence.go
@@ -16,33 +16,33 @@
 // Token is how far a disk has got. A process can't reach by saves of its own what another one
 // vouched for on the same disk: what counts is what it found there.
 type Token struct {
-	Count uint64 `cbor:"1,keyasint,omitempty"` // saves that are on the disk
-	Base  uint64 `cbor:"2,keyasint,omitempty"` // those that the process found when it started
-	Run   uint64 `cbor:"3,keyasint,omitempty"` // names the process; 0: one that knows no tokens
+	Saves        uint64 `cbor:"1,keyasint,omitempty"` // saves that are on the disk
+	SavesAtStart uint64 `cbor:"2,keyasint,omitempty"` // those that the process found when it started
+	RunID        uint64 `cbor:"3,keyasint,omitempty"` // names the process; 0: one that knows no tokens
 }
 
 // Mark is the newest token that a seat is known to have vouched for.
-type Mark struct {
-	Addr  string `cbor:"1,keyasint"`
-	Life  uint64 `cbor:"2,keyasint"`
-	Count uint64 `cbor:"3,keyasint"`
-	Run   uint64 `cbor:"4,keyasint"`
+type KnownToken struct {
+	Addr   string `cbor:"1,keyasint"`
+	DiskID uint64 `cbor:"2,keyasint"`
+	Saves  uint64 `cbor:"3,keyasint"`
+	RunID  uint64 `cbor:"4,keyasint"`
 }
 
 // Fenced tells a member that its life has vouched for more than its disk has.
-type Fenced struct {
-	Mark Mark `cbor:"1,keyasint"`
+type FenceNotice struct {
+	Token KnownToken `cbor:"1,keyasint"`
 }
 
 // noteAfter is how long marks wait for a save that takes them along, before one is made for
 // them: never in a row of changes, once after it. Nothing waits for it.
 const noteAfter = 300 * time.Millisecond
 
-func (m *Machine) token() Token { return Token{Count: m.safe, Base: m.base, Run: m.salt} }
+func (m *Machine) token() Token { return Token{Saves: m.safe, SavesAtStart: m.base, RunID: m.salt} }
 
 // lacks says whether a process's disk was without what the mark tells when it started.
-func (k Mark) lacks(t Token) bool {
-	return k.Run != 0 && t.Run != 0 && t.Run != k.Run && t.Base < k.Count
+func (k KnownToken) lacks(t Token) bool {
+	return k.RunID != 0 && t.RunID != 0 && t.RunID != k.RunID && t.SavesAtStart < k.Saves
 }
 
 // stamped gives a message that a memory stands behind the token of what is synced now.
@@ -52,12 +52,12 @@
 		t.Token = m.token()
 		return t
 	case Promise:
-		t.Token, t.Marks = m.token(), m.marks(m.d.Record)
+		t.Token, t.KnownTokens = m.token(), m.marks(m.d.Record)
 		return t
-	case Copied:
+	case StateInstalled:
 		t.Token = m.token()
 		return t
-	case Enacted:
+	case EpochRecorded:
 		t.Token = m.token()
 		return t
 	case Appended:
@@ -66,8 +66,8 @@
 	case Confirmed:
 		t.Token = m.token()
 		return t
-	case Beaten:
-		t.Token, t.Sum = m.token(), m.sum(m.d.Record)
+	case HeartbeatReply:
+		t.Token, t.TokensHash = m.token(), m.sum(m.d.Record)
 		return t
 	}
 	return msg
@@ -77,19 +77,19 @@
 func vouch(msg any) (life uint64, t Token, ok bool) {
 	switch t := msg.(type) {
 	case Prepare:
-		return t.Ballot.Life, t.Token, true
+		return t.Ballot.DiskID, t.Token, true
 	case Promise:
-		return t.Life, t.Token, true
-	case Copied:
-		return t.Life, t.Token, true
-	case Enacted:
-		return t.Life, t.Token, true
+		return t.DiskID, t.Token, true
+	case StateInstalled:
+		return t.DiskID, t.Token, true
+	case EpochRecorded:
+		return t.DiskID, t.Token, true
 	case Appended:
-		return t.Life, t.Token, true
+		return t.DiskID, t.Token, true
 	case Confirmed:
-		return t.Life, t.Token, true
-	case Beaten:
-		return t.Life, t.Token, true
+		return t.DiskID, t.Token, true
+	case HeartbeatReply:
+		return t.DiskID, t.Token, true
 	}
 	return 0, Token{}, false
 }
@@ -98,75 +98,75 @@
 // One that came late from a process before is taken for that as well: it is sent again.
 func (m *Machine) believes(from string, msg any) bool {
 	life, t, ok := vouch(msg)
-	if !ok || from == m.c.Self || t.Run == 0 {
+	if !ok || from == m.c.Self || t.RunID == 0 {
 		return true
 	}
-	k := Mark{from, life, t.Count, t.Run}
-	if old, ok := m.mark(from, life); ok && old.lacks(t) && m.bug != BugOldDisk {
-		m.send(from, Fenced{old})
+	k := KnownToken{from, life, t.Saves, t.RunID}
+	if old, ok := m.mark(from, life); ok && old.lacks(t) && m.bug != BugNoFencing {
+		m.send(from, FenceNotice{old})
 		return false
 	}
 	m.note(k)
 	return true
 }
 
-func (m *Machine) mark(addr string, life uint64) (Mark, bool) {
-	i := slices.IndexFunc(m.d.Marks, func(k Mark) bool { return k.Addr == addr && k.Life == life })
+func (m *Machine) mark(addr string, life uint64) (KnownToken, bool) {
+	i := slices.IndexFunc(m.d.KnownTokens, func(k KnownToken) bool { return k.Addr == addr && k.DiskID == life })
 	if i < 0 {
-		return Mark{}, false
+		return KnownToken{}, false
 	}
-	return m.d.Marks[i], true
+	return m.d.KnownTokens[i], true
 }
 
 // note keeps the newest mark of each seat, and of seats only: there are no more than those.
-func (m *Machine) note(k Mark) {
-	if k.Addr == m.c.Self || k.Run == 0 {
+func (m *Machine) note(k KnownToken) {
+	if k.Addr == m.c.Self || k.RunID == 0 {
 		return
 	}
 	seats := m.d.Record.voters()
-	old, ok := m.mark(k.Addr, k.Life)
-	if !has(seats, k.Addr, k.Life) || ok && old.Count >= k.Count && (old.Run == k.Run || old.Count > k.Count) {
+	old, ok := m.mark(k.Addr, k.DiskID)
+	if !has(seats, k.Addr, k.DiskID) || ok && old.Saves >= k.Saves && (old.RunID == k.RunID || old.Saves > k.Saves) {
 		return
 	}
-	marks := slices.DeleteFunc(slices.Clone(m.d.Marks), func(o Mark) bool {
-		return o.Addr == k.Addr && o.Life == k.Life || !has(seats, o.Addr, o.Life)
+	marks := slices.DeleteFunc(slices.Clone(m.d.KnownTokens), func(o KnownToken) bool {
+		return o.Addr == k.Addr && o.DiskID == k.DiskID || !has(seats, o.Addr, o.DiskID)
 	})
 	marks = append(marks, k)
-	slices.SortFunc(marks, func(a, b Mark) int { return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Life, b.Life)) })
-	m.d.Marks = marks
+	slices.SortFunc(marks, func(a, b KnownToken) int { return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID)) })
+	m.d.KnownTokens = marks
 	if m.noted == 0 {
 		m.noted = m.now
 	}
 }
 
 // merge takes what others remember: of this member, and of those whose promises it counts.
-func (m *Machine) merge(marks []Mark) {
+func (m *Machine) merge(marks []KnownToken) {
 	for _, k := range marks {
 		if k.Addr == m.c.Self {
-			m.onFenced(Fenced{k})
+			m.onFenced(FenceNotice{k})
 			continue
 		}
 		m.note(k)
 	}
-	if m.bid == nil || m.bug == BugOldDisk {
+	if m.bid == nil || m.bug == BugNoFencing {
 		return
 	}
-	for _, k := range m.d.Marks {
-		if p, ok := m.bid.promises[k.Addr]; ok && p.Life == k.Life && k.lacks(p.Token) {
+	for _, k := range m.d.KnownTokens {
+		if p, ok := m.bid.promises[k.Addr]; ok && p.DiskID == k.DiskID && k.lacks(p.Token) {
 			delete(m.bid.promises, k.Addr)
 			m.bid.enough = 0
-			m.send(k.Addr, Fenced{k})
+			m.send(k.Addr, FenceNotice{k})
 		}
 	}
 }
 
 // onFenced makes a newcomer of a member whose disk is older than what it vouched for. What is
 // committed stays so, and is kept.
-func (m *Machine) onFenced(t Fenced) {
-	if t.Mark.Addr != m.c.Self || t.Mark.Life != m.d.Life || !t.Mark.lacks(m.token()) || m.bug == BugOldDisk {
+func (m *Machine) onFenced(t FenceNotice) {
+	if t.Token.Addr != m.c.Self || t.Token.DiskID != m.d.DiskID || !t.Token.lacks(m.token()) || m.bug == BugNoFencing {
 		return
 	}
-	m.d = Disk{Life: m.rng.Uint64() | 1, Kept: m.d.Kept}
+	m.d = DurableState{DiskID: m.rng.Uint64() | 1, Committed: m.d.Committed}
 	m.lead, m.bid, m.held, m.fresh, m.loop = nil, nil, nil, nil, nil
 	m.base, m.safe, m.noted, m.dirty = 0, 0, 0, true
 	m.hello = m.now - 2*helloEvery
@@ -174,12 +174,12 @@
 }
 
 // marks are those of an epoch's seats, this member's own among them.
-func (m *Machine) marks(r Record) []Mark {
-	var all []Mark
-	for _, s := range r.Set {
-		if s.is(m.c.Self, m.d.Life) {
-			all = append(all, Mark{s.Addr, s.Life, m.safe, m.salt})
-		} else if k, ok := m.mark(s.Addr, s.Life); ok {
+func (m *Machine) marks(r EpochRecord) []KnownToken {
+	var all []KnownToken
+	for _, s := range r.Members {
+		if s.is(m.c.Self, m.d.DiskID) {
+			all = append(all, KnownToken{s.Addr, s.DiskID, m.safe, m.salt})
+		} else if k, ok := m.mark(s.Addr, s.DiskID); ok {
 			all = append(all, k)
 		}
 	}
@@ -187,12 +187,12 @@
 }
 
 // sum is the same where the marks are, so that a beat need not bring them.
-func (m *Machine) sum(r Record) uint32 {
+func (m *Machine) sum(r EpochRecord) uint32 {
 	h := fnv.New32a()
 	var b []byte
 	for _, k := range m.marks(r) {
 		b = append(b[:0], k.Addr...)
-		for _, n := range []uint64{k.Life, k.Count, k.Run} {
+		for _, n := range []uint64{k.DiskID, k.Saves, k.RunID} {
 			b = binary.BigEndian.AppendUint64(b, n)
 		}
 		h.Write(b)
@@ -209,10 +209,10 @@
 
 // saved notes that a save is on disk.
 func (m *Machine) saved(w pendingWrite) {
-	if w.life == m.d.Life {
+	if w.life == m.d.DiskID {
 		m.safe = max(m.safe, w.count)
 	}
 }
 
 // Fences is how often this process was told that its disk is older than what it vouched for.
-func (m *Machine) Fences() int { return m.fenced }
+func (m *Machine) FenceCount() int { return m.fenced }
--- a/internal/consensus/fence_test.go
+++ b/internal/consensus/fence_test.go
@@ -12,22 +12,22 @@
 // has heard of the token but not yet got the document. Nobody may serve until the primary is back; the mutant does.
 func TestPutBack(t *testing.T) {
 	t.Parallel()
-	for _, bug := range []Bug{0, BugOldDisk} {
+	for _, bug := range []Bug{0, BugNoFencing} {
 		w := calm(t, 3, 0, 1)
 		w.setBug(bug)
 		p, b, o := w.primary(), w.backup(), w.other()
-		old, life := *b.synced, b.m.d.Life
+		old, life := *b.synced, b.m.d.DiskID
 		w.part(p, 20*ms, func(n *node) bool { return n == o }, false)
 		w.until(t, 50*ms, p)
 		for limit := w.now + time.Second; ; w.run(ms) {
-			if k, _ := o.m.mark(b.cfg.Self, life); k.Count > old.Count {
+			if k, _ := o.m.mark(b.cfg.Self, life); k.Saves > old.Saves {
 				break
 			}
 			if w.now > limit {
 				t.Fatal("the witness is not told of tokens")
 			}
 		}
-		if o.m.d.Kept.Version == w.acked {
+		if o.m.d.Committed.Version == w.acked {
 			t.Fatal("the document came before the token")
 		}
 		w.kill(p, true)
@@ -43,8 +43,8 @@
 			}
 			continue
 		}
-		if b.m.d.Life == life || b.m.Fences() != 1 || w.primary() != nil {
-			t.Errorf("life %d after %d, %d times fenced, primary %v", b.m.d.Life, life, b.m.Fences(), w.primary())
+		if b.m.d.DiskID == life || b.m.FenceCount() != 1 || w.primary() != nil {
+			t.Errorf("life %d after %d, %d times fenced, primary %v", b.m.d.DiskID, life, b.m.FenceCount(), w.primary())
 		}
 		w.settled() // also that the seat is taken again
 		w.sane(t)
@@ -57,7 +57,7 @@
 	for i := range 3 {
 		w := calm(t, 3, 1, 1)
 		n := w.nodes[i]
-		old, life := *n.synced, n.m.d.Life
+		old, life := *n.synced, n.m.d.DiskID
 		for range 3 {
 			w.until(t, 100*ms, w.primary())
 		}
@@ -66,8 +66,8 @@
 		n.synced = &old
 		w.start(n)
 		w.run(3 * time.Second)
-		if n.m.d.Life == life || !n.m.seated() || n.m.Fences() != 1 {
-			t.Errorf("%s: life %d after %d, seated %v, fenced %d", n.cfg.Self, n.m.d.Life, life, n.m.seated(), n.m.Fences())
+		if n.m.d.DiskID == life || !n.m.seated() || n.m.FenceCount() != 1 {
+			t.Errorf("%s: life %d after %d, seated %v, fenced %d", n.cfg.Self, n.m.d.DiskID, life, n.m.seated(), n.m.FenceCount())
 		}
 		w.settled()
 		w.sane(t)
@@ -81,7 +81,7 @@
 	w := calm(t, 3, 0, 1)
 	lives := map[*node]uint64{}
 	for _, n := range w.nodes {
-		lives[n] = n.m.d.Life
+		lives[n] = n.m.d.DiskID
 	}
 	for i := range 30 {
 		n := w.nodes[i%3]
@@ -94,7 +94,7 @@
 	w.settled()
 	w.sane(t)
 	for n, life := range lives {
-		if n.m.d.Life != life || n.m.Fences() > 0 {
+		if n.m.d.DiskID != life || n.m.FenceCount() > 0 {
 			t.Errorf("%s is fenced for nothing", n.cfg.Self)
 		}
 	}
@@ -105,8 +105,8 @@
 		t.Errorf("%d writes at rest", after-before)
 	}
 	for _, n := range w.nodes {
-		if len(n.synced.Marks) != 2 {
-			t.Errorf("%s has %d marks on disk", n.cfg.Self, len(n.synced.Marks))
+		if len(n.synced.KnownTokens) != 2 {
+			t.Errorf("%s has %d marks on disk", n.cfg.Self, len(n.synced.KnownTokens))
 		}
 	}
 }
@@ -114,9 +114,9 @@
 // TestOldDiskWhole visits all states of small models in which a disk goes back, with guards in place.
 func TestOldDiskWhole(t *testing.T) {
 	t.Parallel()
-	for _, b := range []Bounds{{Silent: true, Backs: 1}, {Silent: true, Backs: 1, Shorts: 1}, {Silent: true, Backs: 1, Puts: 1},
-		{Silent: true, Backs: 1, Longs: 1}} {
-		if f := Explore(b); !f.All || f.Broken != "" {
+	for _, b := range []ModelBounds{{StartSilent: true, DiskRollbacks: 1}, {StartSilent: true, DiskRollbacks: 1, ShortWaits: 1}, {StartSilent: true, DiskRollbacks: 1, Puts: 1},
+		{StartSilent: true, DiskRollbacks: 1, LongWaits: 1}} {
+		if f := Explore(b); !f.Complete || f.Violation != "" {
 			t.Errorf("%+v: %+v", b, f)
 		}
 	}
@@ -126,8 +126,8 @@
 func TestOldDiskWalks(t *testing.T) {
 	t.Parallel()
 	for _, m := range [][2]int{{3, 1}, {6, 2}} {
-		b := Bounds{Members: m[0], Losses: m[1], Silent: true, Puts: 4, Reads: 2, Lost: 3, Late: 2, Doubled: 1, Shorts: 60, Longs: 90}
-		if w := Walk(b, OneBack, 1, 25, 400); w.Broken != "" || w.Backs == 0 {
+		b := ModelBounds{Members: m[0], ToleratedLosses: m[1], StartSilent: true, Puts: 4, Reads: 2, LostMessages: 3, LateMessages: 2, DuplicatedMessages: 1, ShortWaits: 60, LongWaits: 90}
+		if w := Walk(b, OneRolledBack, 1, 25, 400); w.Violation != "" || w.DiskRollbacks == 0 {
 			t.Errorf("%+v", w)
 		}
 	}
@@ -135,13 +135,13 @@
 
 // before is what a disk was before there were tokens.
 type before struct {
-	Life     uint64 `cbor:"1,keyasint"`
-	Genesis  bool   `cbor:"2,keyasint,omitempty"`
-	Promised Ballot `cbor:"3,keyasint"`
-	Record   Record `cbor:"4,keyasint"`
-	Stamp    Ballot `cbor:"5,keyasint"`
-	Kept     Doc    `cbor:"6,keyasint"`
-	Next     Doc    `cbor:"7,keyasint"`
+	Life     uint64      `cbor:"1,keyasint"`
+	Genesis  bool        `cbor:"2,keyasint,omitempty"`
+	Promised Ballot      `cbor:"3,keyasint"`
+	Record   EpochRecord `cbor:"4,keyasint"`
+	Stamp    Ballot      `cbor:"5,keyasint"`
+	Kept     Doc         `cbor:"6,keyasint"`
+	Next     Doc         `cbor:"7,keyasint"`
 }
 
 // TestDisksBefore reads a disk of the program before with this one, and this one's with that, and starts on it.
@@ -154,15 +154,15 @@
 		t.Fatal(err)
 	}
 	var older before
-	if err := cbor.Unmarshal(raw, &older); err != nil || older.Life != n.m.d.Life || !reflect.DeepEqual(older.Kept, n.m.d.Kept) {
+	if err := cbor.Unmarshal(raw, &older); err != nil || older.Life != n.m.d.DiskID || !reflect.DeepEqual(older.Kept, n.m.d.Committed) {
 		t.Fatalf("%v: %+v", err, older)
 	}
 	for _, n := range w.nodes { // all go back to the program before, and on to this one
 		w.kill(n, true)
-		raw, _ := cbor.Marshal(before{n.synced.Life, n.synced.Genesis, n.synced.Promised, n.synced.Record, n.synced.Stamp,
-			n.synced.Kept, n.synced.Next})
-		n.synced = &Disk{}
-		if err := cbor.Unmarshal(raw, n.synced); err != nil || n.synced.Count != 0 {
+		raw, _ := cbor.Marshal(before{n.synced.DiskID, n.synced.NeverMember, n.synced.Promised, n.synced.Record, n.synced.StateBallot,
+			n.synced.Committed, n.synced.Pending})
+		n.synced = &DurableState{}
+		if err := cbor.Unmarshal(raw, n.synced); err != nil || n.synced.Saves != 0 {
 			t.Fatal(err)
 		}
 	}
@@ -171,11 +171,11 @@
 	w.settled()
 	w.sane(t)
 	for _, n := range w.nodes {
-		if n.m.Fences() > 0 {
+		if n.m.FenceCount() > 0 {
 			t.Errorf("%s is fenced", n.cfg.Self)
 		}
 	}
-	for _, msg := range []any{Beaten{Life: 1}, Promise{Life: 1}, Appended{Life: 1}, Copied{Life: 1}, Enacted{Life: 1}, Prepare{}, Confirmed{}} {
+	for _, msg := range []any{HeartbeatReply{DiskID: 1}, Promise{DiskID: 1}, Appended{DiskID: 1}, StateInstalled{DiskID: 1}, EpochRecorded{DiskID: 1}, Prepare{}, Confirmed{}} {
 		raw, err := cbor.Marshal(msg) // without a token they read as before: the field is left out
 		if err != nil || w.nodes[0].m.believes("n01", msg) == false {
 			t.Errorf("%T: %x, %v", msg, raw, err)
--- a/internal/consensus/format.go
+++ b/internal/consensus/format.go
@@ -10,12 +10,12 @@
 
 // DiskFormat is the newest format of a member's disk that this program knows. A change that
 // an older program must not pass over by leaving out what it does not know raises it.
-const DiskFormat = 1
+const StateFormat = 1
 
 // Newer tells that a disk was written by a later program, which an older one leaves alone.
-type Newer struct{ Have, Want uint32 }
+type NewerFormatError struct{ Have, Want uint32 }
 
-func (e *Newer) Error() string {
+func (e *NewerFormatError) Error() string {
 	return fmt.Sprintf("format %d, this program knows up to %d", e.Have, e.Want)
 }
 
@@ -30,7 +30,7 @@
 )
 
 // Bytes is the disk as it is written.
-func (d *Disk) Bytes() ([]byte, error) {
+func (d *DurableState) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(d)
 	if err != nil || len(data) < packDiskFrom {
 		return data, err
@@ -42,7 +42,7 @@
 }
 
 // ReadDisk reads what a member must not forget. Disks from before there were formats have none.
-func ReadDisk(data []byte) (*Disk, error) {
+func DecodeState(data []byte) (*DurableState, error) {
 	if len(data) > 0 && data[0] == packedMark {
 		all, err := delta.Unpack(data[1:], diskMost)
 		if err != nil {
@@ -56,10 +56,10 @@
 	if err := cbor.Unmarshal(data, &head); err != nil {
 		return nil, err
 	}
-	if head.Format > DiskFormat {
-		return nil, &Newer{head.Format, DiskFormat}
+	if head.Format > StateFormat {
+		return nil, &NewerFormatError{head.Format, StateFormat}
 	}
-	d := &Disk{}
+	d := &DurableState{}
 	if err := cbor.Unmarshal(data, d); err != nil {
 		return nil, err
 	}
--- a/internal/consensus/format_test.go
+++ b/internal/consensus/format_test.go
@@ -18,20 +18,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ReadDisk(raw); err != nil || d.Format != DiskFormat || !reflect.DeepEqual(*got, d) {
+	if got, err := DecodeState(raw); err != nil || d.Format != StateFormat || !reflect.DeepEqual(*got, d) {
 		t.Errorf("%v: %+v, not %+v", err, got, d)
 	}
 	d.Format = 0
 	raw, _ = cbor.Marshal(d)
-	if got, err := ReadDisk(raw); err != nil || got.Life != d.Life {
+	if got, err := DecodeState(raw); err != nil || got.DiskID != d.DiskID {
 		t.Errorf("%v: %+v", err, got)
 	}
-	raw, _ = cbor.Marshal(map[int]any{1: "another kind", 10: DiskFormat + 1})
-	var newer *Newer
-	if got, err := ReadDisk(raw); got != nil || !errors.As(err, &newer) || newer.Have != DiskFormat+1 {
+	raw, _ = cbor.Marshal(map[int]any{1: "another kind", 10: StateFormat + 1})
+	var newer *NewerFormatError
+	if got, err := DecodeState(raw); got != nil || !errors.As(err, &newer) || newer.Have != StateFormat+1 {
 		t.Errorf("%v: %+v", err, got)
 	}
-	if got, err := ReadDisk([]byte("no record")); got != nil || err == nil || errors.As(err, &newer) {
+	if got, err := DecodeState([]byte("no record")); got != nil || err == nil || errors.As(err, &newer) {
 		t.Errorf("%v: %+v", err, got)
 	}
 }
--- a/internal/consensus/found.go
+++ b/internal/consensus/found.go
@@ -15,7 +15,7 @@
 	hello map[string]joiner
 	grown fsm.Time // when the last newcomer came
 	asked fsm.Time
-	rec   Record
+	rec   EpochRecord
 }
 
 func newFounder(c Config, now fsm.Time) founder {
@@ -40,8 +40,8 @@
 		return
 	}
 	m.hello = m.now
-	h := Hello{Seat: Seat{Addr: m.c.Self, Life: m.d.Life, Name: m.c.Name, Zone: m.c.Zone},
-		Grow: m.d.Genesis}
+	h := JoinRequest{Member: Member{Addr: m.c.Self, DiskID: m.d.DiskID, Name: m.c.Name, Zone: m.c.Zone},
+		NeverMember: m.d.NeverMember}
 	if !m.d.Record.Active {
 		h.Record = m.d.Record
 	}
@@ -57,13 +57,13 @@
 	}
 }
 
-func (m *Machine) onHello(from string, t Hello) {
-	if t.Seat.Addr != from {
+func (m *Machine) onHello(from string, t JoinRequest) {
+	if t.Member.Addr != from {
 		return
 	}
 	if l := m.lead; l != nil {
-		if !l.rec.has(from, t.Seat.Life) {
-			l.joiners[from] = joiner{seat: t.Seat, grow: t.Grow && m.never(t.Seat), at: m.now}
+		if !l.rec.has(from, t.Member.DiskID) {
+			l.joiners[from] = joiner{seat: t.Member, grow: t.NeverMember && m.never(t.Member), at: m.now}
 		}
 		m.tell(from)
 		return
@@ -80,20 +80,20 @@
 		f.rec = t.Record
 	}
 	if !f.rec.none() {
-		if t.Record.none() && f.rec.has(from, t.Seat.Life) {
-			m.send(from, Found{Record: f.rec})
+		if t.Record.none() && f.rec.has(from, t.Member.DiskID) {
+			m.send(from, FirstEpoch{Record: f.rec})
 		}
 		return
 	}
-	if old, ok := f.hello[from]; t.Grow && (!ok || old.seat.Life != t.Seat.Life) {
+	if old, ok := f.hello[from]; t.NeverMember && (!ok || old.seat.DiskID != t.Member.DiskID) {
 		f.grown = m.now
 	}
-	f.hello[from] = joiner{seat: t.Seat, grow: t.Grow, at: m.now}
+	f.hello[from] = joiner{seat: t.Member, grow: t.NeverMember, at: m.now}
 }
 
 // never says whether the address has no seat, so that one that was wiped does not count twice.
-func (m *Machine) never(s Seat) bool {
-	return !slices.ContainsFunc(m.lead.rec.Set, func(o Seat) bool { return o.Addr == s.Addr })
+func (m *Machine) never(s Member) bool {
+	return !slices.ContainsFunc(m.lead.rec.Members, func(o Member) bool { return o.Addr == s.Addr })
 }
 
 // found gives out the first record when no more members come.
@@ -105,23 +105,23 @@
 	if m.now-f.asked >= helloEvery {
 		f.asked = m.now
 		for _, to := range m.near() {
-			m.send(to, Ask{})
+			m.send(to, ViewRequest{})
 		}
 	}
-	var set []Seat
+	var set []Member
 	for _, j := range f.hello {
 		if j.grow && m.now-j.at < time.Second {
 			set = append(set, j.seat)
 		}
 	}
-	if len(set) < 2*m.c.Losses+1 || m.now-f.grown < settle || m.now-m.start < settle {
+	if len(set) < 2*m.c.ToleratedLosses+1 || m.now-f.grown < settle || m.now-m.start < settle {
 		return
 	}
-	slices.SortFunc(set, func(a, b Seat) int { return cmp.Compare(a.Addr, b.Addr) })
-	f.rec = Record{Founding: m.rng.Uint64() | 1, Ballot: Ballot{N: 1}, Set: set, Old: set,
-		Writers: spread(set, m.c.Losses+1)}
+	slices.SortFunc(set, func(a, b Member) int { return cmp.Compare(a.Addr, b.Addr) })
+	f.rec = EpochRecord{ClusterID: m.rng.Uint64() | 1, Ballot: Ballot{N: 1}, Members: set, OldMembers: set,
+		Writers: spread(set, m.c.ToleratedLosses+1)}
 	for _, s := range set {
-		m.send(s.Addr, Found{Record: f.rec})
+		m.send(s.Addr, FirstEpoch{Record: f.rec})
 	}
 }
 
@@ -133,6 +133,6 @@
 	m.hello = m.now
 	if who := m.near(); len(who) > 0 {
 		m.turn++
-		m.send(who[m.turn%len(who)], Ask{})
+		m.send(who[m.turn%len(who)], ViewRequest{})
 	}
 }
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -12,26 +12,26 @@
 // seat kept by one that never comes back would weigh like a lost one.
 
 // Notice is how near its end a process is that leaves.
-type Notice uint8
+type LeaveUrgency uint8
 
 // The notices.
 const (
-	Leaves Notice = iota + 1 // it will end
-	Last                     // it ends as soon as it may
-	Ends                     // it is ended soon, whatever stands elsewhere
+	LeaveEventually LeaveUrgency = iota + 1 // it will end
+	LeaveWhenSafe                           // it ends as soon as it may
+	LeaveForced                             // it is ended soon, whatever stands elsewhere
 )
 
 // leaver is a seat that its holder wants to give away.
 type leaver struct {
 	life   uint64
-	notice Notice
+	notice LeaveUrgency
 	at     fsm.Time
 }
 
 // Leave says that this process will end.
-func (m *Machine) Leave(now fsm.Time, n Notice) Out {
+func (m *Machine) Leave(now fsm.Time, n LeaveUrgency) Out {
 	m.now = max(m.now, now)
-	if m.notice < Last && n >= Last {
+	if m.notice < LeaveWhenSafe && n >= LeaveWhenSafe {
 		m.parted = m.now
 	}
 	m.notice = max(m.notice, n)
@@ -44,15 +44,15 @@
 // seat for it, so its writers have all, and whoever follows will find it in force. Nothing can
 // be left where nobody else has a seat. Nor can who leads by the version before, which takes no Leave: it
 // is left as that version leaves.
-func (m *Machine) Left() bool {
-	early := m.bug == BugReleased && !m.view.has(m.c.Self, m.d.Life)
-	if !m.c.Member || m.free || early || m.bug == BugStay || m.view.none() && m.d.Record.none() {
+func (m *Machine) MayExit() bool {
+	early := m.bug == BugEarlyExit && !m.view.has(m.c.Self, m.d.DiskID)
+	if !m.c.Member || m.free || early || m.bug == BugNoLeave || m.view.none() && m.d.Record.none() {
 		return true
 	}
-	if p := m.view.primary(); m.notice >= Last && p != "" && p != m.c.Self && !m.knowsLeave(p) && m.now-m.parted > stall {
+	if p := m.view.primary(); m.notice >= LeaveWhenSafe && p != "" && p != m.c.Self && !m.knowsLeave(p) && m.now-m.parted > stall {
 		return true
 	}
-	return len(m.view.Set) == 1 && m.view.Set[0].Addr == m.c.Self
+	return len(m.view.Members) == 1 && m.view.Members[0].Addr == m.c.Self
 }
 
 // knowsLeave says whether a process has shown that it is not of the version before: packed documents came
@@ -61,7 +61,7 @@
 
 // depart asks for that, until it is so.
 func (m *Machine) depart() {
-	if m.notice == 0 || m.bug == BugStay || m.left != 0 && m.now-m.left < resendEvery || m.Left() {
+	if m.notice == 0 || m.bug == BugNoLeave || m.left != 0 && m.now-m.left < resendEvery || m.MayExit() {
 		return
 	}
 	m.left = m.now
@@ -73,19 +73,19 @@
 	switch {
 	case p == "":
 	case p != m.c.Self:
-		m.send(p, Leave{Life: m.d.Life, Last: m.notice >= Last, Ends: m.notice == Ends})
+		m.send(p, Leave{DiskID: m.d.DiskID, WhenSafe: m.notice >= LeaveWhenSafe, Forced: m.notice == LeaveForced})
 	case m.handed != 0 && m.now-m.handed > 2*resendEvery: // whom it was handed to does not come
 		m.handed = 0
-		for _, s := range m.view.Set {
+		for _, s := range m.view.Members {
 			if s.Addr != m.c.Self {
 				m.send(s.Addr, Resign{Ballot: m.view.Ballot})
 			}
 		}
 	}
-	if m.notice == Ends && m.misses() {
-		for _, s := range m.view.Set {
+	if m.notice == LeaveForced && m.misses() {
+		for _, s := range m.view.Members {
 			if s.Addr != m.c.Self && s.Addr != p {
-				m.send(s.Addr, Leave{Life: m.d.Life, Last: true, Ends: true, Missed: true})
+				m.send(s.Addr, Leave{DiskID: m.d.DiskID, WhenSafe: true, Forced: true, PrimarySilent: true})
 			}
 		}
 	}
@@ -94,49 +94,49 @@
 func (m *Machine) onLeave(from string, t Leave) {
 	l := m.lead
 	if l == nil {
-		if t.Missed && m.misses() && m.bid == nil { // both do: there is no time for the usual patience
+		if t.PrimarySilent && m.misses() && m.bid == nil { // both do: there is no time for the usual patience
 			m.alive, m.aliveBy = m.now-silence, ""
 		}
 		m.tell(from)
 		return
 	}
-	if !l.rec.has(from, t.Life) {
+	if !l.rec.has(from, t.DiskID) {
 		delete(l.joiners, from)
-		if most(l.rec.Set, m.storedAt) {
-			m.send(from, Released{Life: t.Life})
+		if most(l.rec.Members, m.storedAt) {
+			m.send(from, LeaveGranted{DiskID: t.DiskID})
 		}
 		return
 	}
 	if _, ok := l.leavers[from]; !ok {
 		m.tell(from) // so that it knows who it asks
 	}
-	l.leavers[from] = leaver{t.Life, t.notice(), m.now}
+	l.leavers[from] = leaver{t.DiskID, t.notice(), m.now}
 	m.steer()
 }
 
-func (t Leave) notice() Notice {
+func (t Leave) notice() LeaveUrgency {
 	switch {
-	case t.Ends:
-		return Ends
-	case t.Last:
-		return Last
+	case t.Forced:
+		return LeaveForced
+	case t.WhenSafe:
+		return LeaveWhenSafe
 	}
-	return Leaves
+	return LeaveEventually
 }
 
 // misses says whether two beats have not come.
 func (m *Machine) misses() bool { return m.lead == nil && m.now-m.alive > 2*beatEvery }
 
 // goes says whether a seat is one that is given away.
-func (l *lead) goes(s Seat, now fsm.Time) (leaver, bool) {
+func (l *lead) goes(s Member, now fsm.Time) (leaver, bool) {
 	g, ok := l.leavers[s.Addr]
-	return g, ok && g.life == s.Life && now-g.at < settle
+	return g, ok && g.life == s.DiskID && now-g.at < settle
 }
 
 // give puts learners in the place of those that leave; a seat that nobody wants is given up if
 // its holder is about to end, and the rest is as many as copies are wanted, and heard by most.
 // Who is ended soon has its vote for that long only: see remnant.
-func (m *Machine) give(set []Seat, learners []Seat) []Seat {
+func (m *Machine) give(set []Member, learners []Member) []Member {
 	l := m.lead
 	for _, s := range slices.Clone(set) {
 		g, ok := l.goes(s, m.now)
@@ -150,9 +150,9 @@
 		}
 		rest := slices.Delete(slices.Clone(set), i, i+1)
 		switch {
-		case g.notice >= Last && len(rest) > m.c.Losses && most(rest, m.answers):
+		case g.notice >= LeaveWhenSafe && len(rest) > m.c.ToleratedLosses && most(rest, m.answers):
 			set = rest
-		case g.notice == Ends && m.bug != BugRemnant:
+		case g.notice == LeaveForced && m.bug != BugNoShrinkOnForcedLeave:
 			set = m.remnant(set, rest)
 		}
 	}
@@ -161,9 +161,9 @@
 
 // hasty says whether somebody has no time left for an epoch to come to rest first.
 func (m *Machine) hasty() bool {
-	return slices.ContainsFunc(m.lead.rec.Set, func(s Seat) bool {
+	return slices.ContainsFunc(m.lead.rec.Members, func(s Member) bool {
 		g, ok := m.lead.goes(s, m.now)
-		return ok && g.notice == Ends
+		return ok && g.notice == LeaveForced
 	})
 }
 
@@ -172,18 +172,18 @@
 // Most of the set is there now for the last time, so it leaves both out; also where fewer are left than copies
 // are wanted: such an epoch takes no documents before somebody has joined. Not if who is left leaves as well:
 // then all are stopped, and come back.
-func (m *Machine) remnant(set, rest []Seat) []Seat {
+func (m *Machine) remnant(set, rest []Member) []Member {
 	left := count(rest, m.answers)
-	i := slices.IndexFunc(rest, func(s Seat) bool { return s.Addr != m.c.Self && !m.answers(s) && m.now-m.lead.since > resendEvery })
+	i := slices.IndexFunc(rest, func(s Member) bool { return s.Addr != m.c.Self && !m.answers(s) && m.now-m.lead.since > resendEvery })
 	if left == 0 || i < 0 || 2*left != len(rest) ||
-		count(rest, func(s Seat) bool { _, goes := m.lead.goes(s, m.now); return goes && m.answers(s) }) > 0 {
+		count(rest, func(s Member) bool { _, goes := m.lead.goes(s, m.now); return goes && m.answers(s) }) > 0 {
 		return set
 	}
 	return slices.Delete(rest, i, i+1)
 }
 
 // answers says whether a seat has been heard in this epoch, and lately.
-func (m *Machine) answers(s Seat) bool {
+func (m *Machine) answers(s Member) bool {
 	return s.Addr == m.c.Self || m.hears(s) && m.lead.heard[s.Addr] > m.lead.since
 }
 
@@ -193,33 +193,33 @@
 }
 
 // storedAt says it of a seat, to a primary. One of the version before doesn't tell, but that it holds the record.
-func (m *Machine) storedAt(s Seat) bool {
+func (m *Machine) storedAt(s Member) bool {
 	if s.Addr != m.c.Self && !m.knowsLeave(s.Addr) && m.lead.known[s.Addr] && m.now-m.lead.since > stall {
 		return true
 	}
 	return m.lead.stored[s.Addr] || s.Addr == m.c.Self && m.stores(m.lead.rec.Ballot)
 }
 
-func (m *Machine) hears(s Seat) bool {
+func (m *Machine) hears(s Member) bool {
 	return s.Addr == m.c.Self || m.now-m.lead.heard[s.Addr] < silence
 }
 
 // hand lets a backup lead at once. What is under way ends first.
 func (m *Machine) hand() {
 	l := m.lead
-	l.leavers[m.c.Self] = leaver{m.d.Life, m.notice, m.now}
+	l.leavers[m.c.Self] = leaver{m.d.DiskID, m.notice, m.now}
 	if l.doc != nil && m.now-l.docAt < stall {
 		return
 	}
 	plan := m.plan()
-	i := slices.IndexFunc(l.rec.Set, func(s Seat) bool {
+	i := slices.IndexFunc(l.rec.Members, func(s Member) bool {
 		_, goes := l.goes(s, m.now)
 		return !goes && s.Addr != m.c.Self && slices.Contains(l.rec.Writers, s.Addr) && m.answers(s) && !l.slow[s.Addr] && m.shun[s.Addr] <= m.now
 	})
 	if i < 0 {
 		return
 	}
-	m.send(l.rec.Set[i].Addr, Handover{Record: l.rec, Life: l.rec.Set[i].Life, Plan: plan})
+	m.send(l.rec.Members[i].Addr, Handover{Record: l.rec, DiskID: l.rec.Members[i].DiskID, NextMembers: plan})
 	m.lead, m.handed = nil, m.now
 	m.alive, m.aliveBy = m.now, ""
 }
@@ -231,7 +231,7 @@
 		return false
 	}
 	var going []string
-	fit := func(s Seat) bool {
+	fit := func(s Member) bool {
 		if _, ok := l.goes(s, m.now); ok {
 			if s.Addr != m.c.Self && slices.Contains(l.rec.Writers, s.Addr) {
 				going = append(going, s.Addr)
@@ -240,7 +240,7 @@
 		}
 		return m.answers(s) && !l.slow[s.Addr] && m.shun[s.Addr] <= m.now
 	}
-	if count(l.rec.Set, fit) <= m.c.Losses {
+	if count(l.rec.Members, fit) <= m.c.ToleratedLosses {
 		return false
 	}
 	for _, a := range going {
@@ -251,7 +251,7 @@
 
 // onHandover makes a candidate of a backup, without the patience of others.
 func (m *Machine) onHandover(from string, t Handover) {
-	if t.Life != m.d.Life || m.lead != nil || m.bid != nil && m.bid.phase != probing {
+	if t.DiskID != m.d.DiskID || m.lead != nil || m.bid != nil && m.bid.phase != probing {
 		return
 	}
 	m.learn(t.Record)
@@ -259,7 +259,7 @@
 		return
 	}
 	m.shun[from] = m.now + 2*vacant
-	m.bid = &bid{begun: m.now, base: m.d.Record, plan: t.Plan, planned: t.Record.Ballot, handed: true,
+	m.bid = &bid{begun: m.now, base: m.d.Record, plan: t.NextMembers, planned: t.Record.Ballot, handed: true,
 		promises: map[string]Promise{}, void: map[string]bool{}}
 	m.prepare()
 }
@@ -267,22 +267,22 @@
 // excused says whether a candidate need not wait until the primary is missed: it was handed
 // the epoch that is held here, by that primary.
 func (m *Machine) excused(t Prepare) bool {
-	return t.Handed && !m.slow() && m.lead == nil && m.d.Record.Ballot == t.Record.Ballot
+	return t.HandedOver && !m.slow() && m.lead == nil && m.d.Record.Ballot == t.Record.Ballot
 }
 
 // key tells seats apart.
-func (s Seat) key() string { return fmt.Sprintf("%s %x", s.Addr, s.Life) }
+func (s Member) key() string { return fmt.Sprintf("%s %x", s.Addr, s.DiskID) }
 
 // onVoid notes that a seat's memory is lost for good. The question named its life, so that
 // life is older than the answer; and an address has one life after the other.
-func (m *Machine) onVoid(from string, t Void) {
+func (m *Machine) onVoid(from string, t MemberLost) {
 	if b := m.bid; b != nil && b.phase == preparing && b.ballot == t.Ballot {
-		b.void[Seat{Addr: from, Life: t.Life}.key()] = true
+		b.void[Member{Addr: from, DiskID: t.DiskID}.key()] = true
 		m.tally()
 	}
 }
 
 // lost says of which seats the bid knows that.
-func (m *Machine) lost(s Seat) bool {
-	return m.bid.void[s.key()] || m.bug == BugUnproven && s.Addr != m.c.Self && m.bid.promises[s.Addr].Life != s.Life
+func (m *Machine) lost(s Member) bool {
+	return m.bid.void[s.key()] || m.bug == BugAssumeLost && s.Addr != m.c.Self && m.bid.promises[s.Addr].DiskID != s.DiskID
 }
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -11,15 +11,15 @@
 // leave tells a process to end, and ends it when it may; then is what comes after that.
 func (w *world) leave(n *node, then func()) {
 	life, told := n.life, w.now
-	w.input(n, life, func() Out { return n.m.Leave(w.now, Last) })
+	w.input(n, life, func() Out { return n.m.Leave(w.now, LeaveWhenSafe) })
 	w.after(graceOf-850*ms, func() {
-		w.input(n, life, func() Out { return n.m.Leave(w.now, Ends) })
+		w.input(n, life, func() Out { return n.m.Leave(w.now, LeaveForced) })
 	})
 	var look func()
 	look = func() {
 		switch {
 		case !n.up || n.life != life:
-		case n.frozen <= w.now && n.m.Left() || w.now-told > graceOf:
+		case n.frozen <= w.now && n.m.MayExit() || w.now-told > graceOf:
 			w.trace("%v %s ends %v after it was told to", w.now, n.cfg.Self, w.now-told)
 			w.kill(n, true)
 			then()
@@ -48,7 +48,7 @@
 			n := of(w)
 			at, ended, sent := w.now, false, w.sent
 			w.leave(n, func() { ended = true })
-			for w.now < at+time.Second && w.record().has(n.cfg.Self, n.m.d.Life) {
+			for w.now < at+time.Second && w.record().has(n.cfg.Self, n.m.d.DiskID) {
 				w.run(ms)
 			}
 			took, most := w.now-at, beatEvery
@@ -56,19 +56,19 @@
 				w.run(ms)
 			}
 			t.Logf("%d members, %s: %v to the record, %v to its end, %d messages", s[0], kind, took, w.now-at, w.sent-sent)
-			if took > most || !ended || len(w.record().Set) != s[0]-1 {
-				t.Errorf("%d members, %s leaves: %v, ended %v, %d seats", s[0], kind, took, ended, len(w.record().Set))
+			if took > most || !ended || len(w.record().Members) != s[0]-1 {
+				t.Errorf("%d members, %s leaves: %v, ended %v, %d seats", s[0], kind, took, ended, len(w.record().Members))
 			}
 			w.until(t, 50*ms, w.primary())
 			w.run(500 * ms)
 			w.start(n)
 			at = w.now
-			for w.now < at+time.Second && !w.record().has(n.cfg.Self, n.m.d.Life) {
+			for w.now < at+time.Second && !w.record().has(n.cfg.Self, n.m.d.DiskID) {
 				w.run(ms)
 			}
 			t.Logf("%d members, %s: %v to its seat", s[0], kind, w.now-at)
-			if len(w.record().Set) != s[0] {
-				t.Errorf("%d members, %s is back: %d seats", s[0], kind, len(w.record().Set))
+			if len(w.record().Members) != s[0] {
+				t.Errorf("%d members, %s is back: %d seats", s[0], kind, len(w.record().Members))
 			}
 			w.settled()
 			w.sane(t)
@@ -82,7 +82,7 @@
 func TestSecondLoss(t *testing.T) {
 	t.Parallel()
 	stuck := 0
-	for _, bug := range []Bug{0, BugStay} {
+	for _, bug := range []Bug{0, BugNoLeave} {
 		for kind, of := range kinds {
 			for i := range 3 {
 				for _, learner := range []bool{false, true} {
@@ -140,7 +140,7 @@
 		w := calm(t, s[0], s[1], s[2])
 		whole := func(what string) {
 			at := w.now
-			for w.now < at+2*time.Second && (len(w.record().Set) < s[0] || len(w.lost(w.record().Set)) > 0) {
+			for w.now < at+2*time.Second && (len(w.record().Members) < s[0] || len(w.lost(w.record().Members)) > 0) {
 				w.run(ms)
 			}
 			if d := w.now - at; d > 1500*ms {
@@ -248,21 +248,21 @@
 // looked at the core goes on. Each guard that is taken out is found.
 func TestExploreLeaves(t *testing.T) {
 	t.Parallel()
-	for _, b := range []Bounds{{Leaves: 1, Resumes: 1}, {Leaves: 2, Resumes: 4}, {Leaves: 1, Learner: true, Resumes: 20},
-		{Leaves: 1, Puts: 1}, {Leaves: 1, Deaths: 1, Resumes: 40}, {Leaves: 1, Wipes: 1, Resumes: 40}, {Leaves: 1, Ends: true, Wipes: 1, Resumes: 40}, {Leaves: 2, Ends: true, Resumes: 4}} {
+	for _, b := range []ModelBounds{{Leaves: 1, LivenessEvery: 1}, {Leaves: 2, LivenessEvery: 4}, {Leaves: 1, Learner: true, LivenessEvery: 20},
+		{Leaves: 1, Puts: 1}, {Leaves: 1, Crashes: 1, LivenessEvery: 40}, {Leaves: 1, DiskWipes: 1, LivenessEvery: 40}, {Leaves: 1, ForcedLeave: true, DiskWipes: 1, LivenessEvery: 40}, {Leaves: 2, ForcedLeave: true, LivenessEvery: 4}} {
 		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
 			t.Parallel()
 			f := Explore(b)
-			t.Logf("%d states, %d asked", f.States, f.Asked)
-			if !f.All || f.Broken != "" || f.Epochs == 0 {
+			t.Logf("%d states, %d asked", f.States, f.LivenessChecked)
+			if !f.Complete || f.Violation != "" || f.Epochs == 0 {
 				t.Errorf("%+v", f)
 			}
 		})
 	}
-	for _, bug := range []Bug{BugStay, BugReleased, BugRemnant} {
+	for _, bug := range []Bug{BugNoLeave, BugEarlyExit, BugNoShrinkOnForcedLeave} {
 		t.Run(fmt.Sprint("bug ", bug), func(t *testing.T) {
 			t.Parallel()
-			if f := Explore(Bounds{Leaves: 1, Ends: bug == BugRemnant, Wipes: 1, Resumes: 5, Bug: bug}); f.Broken == "" {
+			if f := Explore(ModelBounds{Leaves: 1, ForcedLeave: bug == BugNoShrinkOnForcedLeave, DiskWipes: 1, LivenessEvery: 5, Bug: bug}); f.Violation == "" {
 				t.Errorf("it is not found in %d states", f.States)
 			}
 		})
@@ -301,7 +301,7 @@
 		bug  Bug
 		play func(w *world, p, b *node)
 	}{
-		"silence is no loss": {BugUnproven, func(w *world, p, b *node) {
+		"silence is no loss": {BugAssumeLost, func(w *world, p, b *node) {
 			w.part(p, 8*time.Second, func(n *node) bool { return n == b }, true)
 			for range 80 {
 				w.run(100 * ms)
@@ -311,14 +311,14 @@
 				w.call(b, true, Doc{})
 			}
 		}},
-		"no copy alone": {BugFew, func(w *world, p, b *node) {
+		"no copy alone": {BugTooFewWriters, func(w *world, p, b *node) {
 			w.wipe(b)
 			w.run(1500 * ms)
 			w.start(b)
 			for end := w.now + 2*time.Second; w.now < end; {
 				if o := w.put(p); o.doc.Version > w.acked {
 					w.run(10 * ms)
-					if o.done != nil && o.done.Verdict == Kept && p.synced.Record.Writers != nil && len(p.synced.Record.Writers) < 2 {
+					if o.done != nil && o.done.Result == ResultAccepted && p.synced.Record.Writers != nil && len(p.synced.Record.Writers) < 2 {
 						w.fail("version %d is acknowledged with %v", o.doc.Version, p.synced.Record.Writers)
 					}
 				}
@@ -344,7 +344,7 @@
 			t.Errorf("%s: the guard taken out is not met", name)
 		}
 	}
-	for _, bug := range []Bug{0, BugNoLearner} { // a learner that has gone again gets no seat
+	for _, bug := range []Bug{0, BugSkipLearner} { // a learner that has gone again gets no seat
 		w, p, b := left(t, bug, func(w *world) {
 			r := w.add(true, false)
 			w.start(r)
@@ -352,7 +352,7 @@
 			w.wipe(r)
 			r.gone = true
 		})
-		if n := len(w.record().Set); n != 2 && bug == 0 {
+		if n := len(w.record().Members); n != 2 && bug == 0 {
 			t.Errorf("%d seats", n)
 		}
 		w.wipe(p)
@@ -360,7 +360,7 @@
 		w.run(4 * time.Second)
 		o := w.put(b)
 		w.run(time.Second)
-		if kept := o.done != nil && o.done.Verdict == Kept; kept != (bug == 0) {
+		if kept := o.done != nil && o.done.Result == ResultAccepted; kept != (bug == 0) {
 			t.Errorf("bug %d: kept %v: %+v", bug, kept, w.record())
 		}
 	}
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -8,13 +8,13 @@
 	if m.lead != nil {
 		return from == m.c.Self
 	}
-	return m.aliveBy == "" || m.aliveBy == from || m.now-m.alive > sticky || m.notice == Ends && m.misses()
+	return m.aliveBy == "" || m.aliveBy == from || m.now-m.alive > sticky || m.notice == LeaveForced && m.misses()
 }
 
 func (m *Machine) hear(from string) { m.alive, m.aliveBy = m.now, from }
 
 // infant lets a member that holds no founding take the one of whoever has a seat for it.
-func (m *Machine) infant(r Record) {
+func (m *Machine) infant(r EpochRecord) {
 	if r.Ballot.N == 1 {
 		m.onFound(r)
 	}
@@ -22,16 +22,16 @@
 
 // onFound takes a first record. A founding held is never changed for another one,
 // unless that one is in force, and so this one never was.
-func (m *Machine) onFound(r Record) {
-	if !m.c.Member || !m.d.Record.none() || !r.has(m.c.Self, m.d.Life) || m.d.Promised.above(r.Ballot) {
+func (m *Machine) onFound(r EpochRecord) {
+	if !m.c.Member || !m.d.Record.none() || !r.has(m.c.Self, m.d.DiskID) || m.d.Promised.above(r.Ballot) {
 		return
 	}
-	m.d.Record, m.d.Promised, m.d.Stamp, m.dirty = r, r.Ballot, r.Ballot, true
+	m.d.Record, m.d.Promised, m.d.StateBallot, m.dirty = r, r.Ballot, r.Ballot, true
 	m.alive, m.aliveBy = m.now-silence, ""
 }
 
 // learn takes a record that is in force.
-func (m *Machine) learn(r Record) {
+func (m *Machine) learn(r EpochRecord) {
 	if !r.Active || r.none() {
 		return
 	}
@@ -55,23 +55,23 @@
 		return
 	}
 	m.d.Record, m.dirty, m.active = r, true, m.seq+1
-	m.d.Genesis = m.d.Genesis && !m.seated()
+	m.d.NeverMember = m.d.NeverMember && !m.seated()
 	if r.Ballot.above(m.d.Promised) {
 		m.d.Promised = r.Ballot
 	}
 }
 
 // foreign says whether a record is of another founding than the one held.
-func (m *Machine) foreign(r Record) bool {
-	return !m.d.Record.none() && m.d.Record.Founding != r.Founding
+func (m *Machine) foreign(r EpochRecord) bool {
+	return !m.d.Record.none() && m.d.Record.ClusterID != r.ClusterID
 }
 
 func (m *Machine) refuse(to string, b Ballot) {
-	m.send(to, Refuse{Ballot: b, Promised: m.d.Promised, Record: m.view})
+	m.send(to, Reject{Ballot: b, Promised: m.d.Promised, Record: m.view})
 }
 
-func (m *Machine) onBeat(from string, t Beat) {
-	m.merge(t.Marks)
+func (m *Machine) onBeat(from string, t Heartbeat) {
+	m.merge(t.KnownTokens)
 	m.heardOf(from, t.Version)
 	if m.d.Record.Ballot.above(t.Ballot) && m.d.Record.Active {
 		m.refuse(from, t.Ballot)
@@ -86,8 +86,8 @@
 	if m.bid == nil {
 		m.hear(from)
 	}
-	m.send(from, Beaten{Ballot: t.Ballot, Life: m.d.Life, Promised: m.d.Promised, Slow: m.hangs(), Bears: m.lag.told(m.now),
-		Known: m.d.Record.Active && m.d.Record.Ballot == t.Ballot, Stored: m.stores(t.Ballot)})
+	m.send(from, HeartbeatReply{Ballot: t.Ballot, DiskID: m.d.DiskID, Promised: m.d.Promised, DiskSlow: m.hangs(), DiskTolerance: m.lag.told(m.now),
+		RecordKnown: m.d.Record.Active && m.d.Record.Ballot == t.Ballot, RecordStored: m.stores(t.Ballot)})
 }
 
 func (m *Machine) onResign(from string, t Resign) {
@@ -96,21 +96,21 @@
 	}
 }
 
-func (m *Machine) onProbe(from string, t Probe) {
+func (m *Machine) onProbe(from string, t PreVote) {
 	m.infant(t.Record)
 	m.learn(t.Record)
 	grant := m.willing(from) && (m.booked < m.now || m.bookedBy == from)
 	if grant {
 		m.booked, m.bookedBy = m.now+booking, from
 	}
-	m.send(from, Probed{Round: t.Round, Life: m.d.Life, Grant: grant, Record: m.d.Record,
+	m.send(from, PreVoteReply{Round: t.Round, DiskID: m.d.DiskID, Grant: grant, Record: m.d.Record,
 		Promised: m.d.Promised})
 }
 
 func (m *Machine) onPrepare(from string, t Prepare) {
 	m.infant(t.Record)
-	if t.Life != m.d.Life {
-		m.durable(from, Void{Ballot: t.Ballot, Life: t.Life})
+	if t.DiskID != m.d.DiskID {
+		m.durable(from, MemberLost{Ballot: t.Ballot, DiskID: t.DiskID})
 		return
 	}
 	if m.foreign(t.Record) {
@@ -127,11 +127,11 @@
 		m.yield(t.Ballot)
 		m.hear(from)
 	}
-	kept, next := m.d.Kept, m.d.Next
+	kept, next := m.d.Committed, m.d.Pending
 	if from != m.c.Self {
 		kept, next = m.named(kept, t), m.named(next, t)
 	}
-	m.durable(from, Promise{Ballot: t.Ballot, Life: m.d.Life, Record: m.d.Record, Stamp: m.d.Stamp, Kept: kept, Next: next})
+	m.durable(from, Promise{Ballot: t.Ballot, DiskID: m.d.DiskID, Record: m.d.Record, StateBallot: m.d.StateBallot, Committed: kept, Pending: next})
 }
 
 // yield ends what this process does under a lower ballot.
@@ -146,7 +146,7 @@
 
 // obeys says whether a candidate's or a primary's order holds here.
 func (m *Machine) obeys(from string, b Ballot, life uint64) bool {
-	if life != m.d.Life {
+	if life != m.d.DiskID {
 		return false
 	}
 	if m.d.Promised.above(b) && m.bug != BugNoPromise {
@@ -161,40 +161,40 @@
 	return true
 }
 
-func (m *Machine) onCopy(from string, t Copy) {
-	if !m.obeys(from, t.Ballot, t.Life) {
+func (m *Machine) onCopy(from string, t InstallState) {
+	if !m.obeys(from, t.Ballot, t.DiskID) {
 		return
 	}
-	if m.d.Stamp != t.Ballot { // a late double must not undo an append
-		m.d.Stamp, m.d.Next, m.dirty = t.Ballot, t.Next, true
-		m.commit(t.Kept)
+	if m.d.StateBallot != t.Ballot { // a late double must not undo an append
+		m.d.StateBallot, m.d.Pending, m.dirty = t.Ballot, t.Pending, true
+		m.commit(t.Committed)
 	}
-	m.durable(from, Copied{Ballot: t.Ballot, Life: m.d.Life})
+	m.durable(from, StateInstalled{Ballot: t.Ballot, DiskID: m.d.DiskID})
 }
 
-func (m *Machine) onEnact(from string, t Enact) {
-	if m.foreign(t.Record) || !m.obeys(from, t.Record.Ballot, t.Life) {
+func (m *Machine) onEnact(from string, t RecordEpoch) {
+	if m.foreign(t.Record) || !m.obeys(from, t.Record.Ballot, t.DiskID) {
 		return
 	}
 	if m.d.Record.Ballot != t.Record.Ballot {
 		m.d.Record, m.dirty = t.Record, true
-		m.d.Genesis = m.d.Genesis && !m.seated()
+		m.d.NeverMember = m.d.NeverMember && !m.seated()
 	}
-	m.durable(from, Enacted{Ballot: t.Record.Ballot, Life: m.d.Life})
+	m.durable(from, EpochRecorded{Ballot: t.Record.Ballot, DiskID: m.d.DiskID})
 }
 
 func (m *Machine) onAppend(from string, t Append) {
-	if t.Ballot != m.d.Stamp && m.bug != BugNoPromise || !m.obeys(from, t.Ballot, t.Life) {
+	if t.Ballot != m.d.StateBallot && m.bug != BugNoPromise || !m.obeys(from, t.Ballot, t.DiskID) {
 		return
 	}
-	if t.Doc.Above(latest(m.d.Kept, m.d.Next)) {
-		m.d.Next, m.dirty = t.Doc, true
+	if t.Doc.Supersedes(latest(m.d.Committed, m.d.Pending)) {
+		m.d.Pending, m.dirty = t.Doc, true
 	}
-	m.durable(from, Appended{Ballot: t.Ballot, Life: m.d.Life, Version: t.Doc.Version, Rev: t.Doc.Rev, Noted: t.Doc.Notes + 1})
+	m.durable(from, Appended{Ballot: t.Ballot, DiskID: m.d.DiskID, Version: t.Doc.Version, Rev: t.Doc.Rev, LedgerRevPlusOne: t.Doc.LedgerRev + 1})
 }
 
 func (m *Machine) onConfirm(from string, t Confirm) {
-	if (t.Ballot == m.d.Stamp || m.bug == BugNoPromise) && m.obeys(from, t.Ballot, t.Life) {
-		m.send(from, Confirmed{Ballot: t.Ballot, Life: t.Life, Round: t.Round})
+	if (t.Ballot == m.d.StateBallot || m.bug == BugNoPromise) && m.obeys(from, t.Ballot, t.DiskID) {
+		m.send(from, Confirmed{Ballot: t.Ballot, DiskID: t.DiskID, Round: t.Round})
 	}
 }
--- a/internal/consensus/name.go
+++ b/internal/consensus/name.go
@@ -13,18 +13,18 @@
 
 // named is a document of a promise as that candidate wants it.
 func (m *Machine) named(d Doc, t Prepare) Doc {
-	if !t.Names || len(d.Sum) == 0 || len(d.Body) == 0 {
+	if !t.OmitBodies || len(d.Digest) == 0 || len(d.Body) == 0 {
 		return d
 	}
-	if !slices.ContainsFunc(t.Want, func(sum []byte) bool { return bytes.Equal(sum, d.Sum) }) {
+	if !slices.ContainsFunc(t.WantedBodies, func(sum []byte) bool { return bytes.Equal(sum, d.Digest) }) {
 		return d.nameOnly()
 	}
-	kept := m.d.Kept
-	if t.Held == kept.Version && d.Version != kept.Version {
+	kept := m.d.Committed
+	if t.CommittedVersion == kept.Version && d.Version != kept.Version {
 		return m.differing(d)
 	}
-	if all := m.since(t.Held); len(all) == 1 && d.Version == kept.Version {
-		d.Body, d.Packed = nil, &all[0].Body
+	if all := m.since(t.CommittedVersion); len(all) == 1 && d.Version == kept.Version {
+		d.Body, d.Packed = nil, &all[0].Change
 	}
 	return d
 }
@@ -45,8 +45,8 @@
 		return d
 	}
 	for _, p := range b.promises {
-		for _, o := range []Doc{p.Kept, p.Next} {
-			if !o.lacks() && len(o.Body) > 0 && bytes.Equal(o.Sum, d.Sum) {
+		for _, o := range []Doc{p.Committed, p.Pending} {
+			if !o.lacks() && len(o.Body) > 0 && bytes.Equal(o.Digest, d.Digest) {
 				d.Body, d.Packed = o.Body, nil
 				return d
 			}
@@ -63,17 +63,19 @@
 	size := 0
 	for _, d := range docs {
 		if d.lacks() {
-			sums, size = append(sums, d.Sum), size+d.Packed.Size
+			sums, size = append(sums, d.Digest), size+d.Packed.Size
 		}
 	}
-	if b.wanted != 0 && m.now-b.wanted < resendEvery+min(Way(size), mostState) {
+	if b.wanted != 0 && m.now-b.wanted < resendEvery+min(TransferTime(size), mostState) {
 		return
 	}
-	var who []Seat
+	var who []Member
 	for _, s := range union(b.base.voters(), b.plan) {
 		p, ok := b.promises[s.Addr]
-		has := func(sum []byte) bool { return bytes.Equal(sum, p.Kept.Sum) || bytes.Equal(sum, p.Next.Sum) }
-		if ok && p.Life == s.Life && s.Addr != m.c.Self && slices.ContainsFunc(sums, has) {
+		has := func(sum []byte) bool {
+			return bytes.Equal(sum, p.Committed.Digest) || bytes.Equal(sum, p.Pending.Digest)
+		}
+		if ok && p.DiskID == s.DiskID && s.Addr != m.c.Self && slices.ContainsFunc(sums, has) {
 			who = append(who, s)
 		}
 	}
@@ -82,20 +84,20 @@
 	}
 	s := who[int(b.asked)%len(who)]
 	b.wanted, b.asked = m.now, b.asked+1
-	m.durable(s.Addr, Prepare{Ballot: b.ballot, Life: s.Life, Record: b.base, Handed: b.handed, Names: true, Want: sums,
-		Held: m.d.Kept.Version})
+	m.durable(s.Addr, Prepare{Ballot: b.ballot, DiskID: s.DiskID, Record: b.base, HandedOver: b.handed, OmitBodies: true, WantedBodies: sums,
+		CommittedVersion: m.d.Committed.Version})
 }
 
 // toWriter is a document for a writer that has promised: named where it has the text, else as a difference to what it has.
 func (m *Machine) toWriter(to string, d Doc) Doc {
-	if m.bid == nil || len(d.Body) == 0 || len(d.Sum) == 0 {
+	if m.bid == nil || len(d.Body) == 0 || len(d.Digest) == 0 {
 		return m.packDoc(d)
 	}
 	p := m.bid.promises[to]
-	if bytes.Equal(p.Kept.Sum, d.Sum) || bytes.Equal(p.Next.Sum, d.Sum) {
+	if bytes.Equal(p.Committed.Digest, d.Digest) || bytes.Equal(p.Pending.Digest, d.Digest) {
 		return d.nameOnly()
 	}
-	base := m.bid.found(p.Kept).Body
+	base := m.bid.found(p.Committed).Body
 	if len(base) == 0 {
 		return m.packDoc(d)
 	}
--- a/internal/consensus/name_test.go
+++ b/internal/consensus/name_test.go
@@ -8,7 +8,7 @@
 // nameless is a message as the version before sends and reads it, which knows packed documents but no named ones.
 func nameless(msg any) any {
 	if t, ok := msg.(Prepare); ok {
-		t.Names, t.Want, t.Held = false, nil, 0
+		t.OmitBodies, t.WantedBodies, t.CommittedVersion = false, nil, 0
 		return t
 	}
 	return msg
@@ -26,8 +26,8 @@
 	w.part(w.primary(), 300*ms, func(n *node) bool { return n == c }, true)
 	o := w.call(w.primary(), false, routes(12, 7))
 	w.run(200 * ms)
-	if o.done == nil || o.done.Verdict != Kept || c.m.Held().Version != 11 {
-		t.Fatalf("%+v, %d is held", o.done, c.m.Held().Version)
+	if o.done == nil || o.done.Result != ResultAccepted || c.m.Committed().Version != 11 {
+		t.Fatalf("%+v, %d is held", o.done, c.m.Committed().Version)
 	}
 	w.kill(w.primary(), true)
 	w.cut = map[[2]string]bool{}
@@ -57,15 +57,15 @@
 	w.seen = func(to string, msg any) {
 		switch p := msg.(type) {
 		case Prepare:
-			wants += len(p.Want)
+			wants += len(p.WantedBodies)
 		case Promise:
 			promised += docBytes(p)
-		case Copy:
+		case InstallState:
 			copied += docBytes(p)
 		}
 	}
 	w.run(700 * ms)
-	if w.primary() != c || c.m.Held().Version != 12 || wants != 1 || promised == 0 || promised > 500 || copied == 0 || copied > 100 {
+	if w.primary() != c || c.m.Committed().Version != 12 || wants != 1 || promised == 0 || promised > 500 || copied == 0 || copied > 100 {
 		t.Errorf("%+v: asked for %d texts, %d bytes promised, %d copied", c.m.Status(), wants, promised, copied)
 	}
 	w.settled()
@@ -78,12 +78,12 @@
 	for _, s := range []struct {
 		members, losses int
 		bug             Bug
-	}{{3, 1, 0}, {5, 2, 0}, {3, 1, BugOwnText}} {
+	}{{3, 1, 0}, {5, 2, 0}, {3, 1, BugOwnBody}} {
 		w, c := lagging(t, s.members, s.losses)
 		w.setBug(s.bug)
 		asked := map[string]bool{}
 		w.seen = func(to string, msg any) {
-			if p, ok := msg.(Prepare); ok && len(p.Want) > 0 {
+			if p, ok := msg.(Prepare); ok && len(p.WantedBodies) > 0 {
 				if len(asked) == 0 {
 					w.kill(w.byAddr[to], true)
 				}
@@ -95,7 +95,7 @@
 		case s.bug != 0:
 		case s.members == 3 && (w.primary() != nil || len(asked) != 1):
 			t.Errorf("%d of 3: serves, or asked %v", s.losses, asked)
-		case s.members == 5 && (w.primary() == nil || c.m.Held().Version != 12 || len(asked) != 2):
+		case s.members == 5 && (w.primary() == nil || c.m.Committed().Version != 12 || len(asked) != 2):
 			t.Errorf("%d of 5: %+v, asked %v", s.losses, c.m.Status(), asked)
 		}
 		w.call(c, true, Doc{})
--- a/internal/consensus/orders.go
+++ b/internal/consensus/orders.go
@@ -14,8 +14,8 @@
 
 // summed is the document with its digest; the version before sends none.
 func (d Doc) summed() Doc {
-	if len(d.Sum) == 0 {
-		d.Sum = dedup.Digest(d.Body)
+	if len(d.Digest) == 0 {
+		d.Digest = dedup.Digest(d.Body)
 	}
 	return d
 }
@@ -23,24 +23,24 @@
 // bare is what others than writers are given: they have no use for the orders. It still tells
 // which document it is: an epoch makes one of each Version, Rev and Notes.
 func (d Doc) bare() Doc {
-	d.Orders, d.Notes = nil, 0
+	d.Ledger, d.LedgerRev = nil, 0
 	return d
 }
 
 // full is a document with its orders, gathered where the version before has kept none.
 func (d Doc) full() Doc {
-	if len(d.Orders) == 0 && d.Version > 0 {
+	if len(d.Ledger) == 0 && d.Version > 0 {
 		d = d.summed()
-		d.Orders = dedup.Since(d.Version, d.Body)
+		d.Ledger = dedup.Since(d.Version, d.Body)
 	}
 	return d
 }
 
 // Forgetful is a document that knows of no order but its own, and takes all others for new: what
 // fault injection makes of one.
-func (d Doc) Forgetful() Doc {
-	if d.Orders = nil; d.Version > 0 {
-		d.Orders = dedup.New().With(d.Version, d.summed().Sum)
+func (d Doc) ResetLedger() Doc {
+	if d.Ledger = nil; d.Version > 0 {
+		d.Ledger = dedup.New().With(d.Version, d.summed().Digest)
 	}
 	return d
 }
@@ -48,10 +48,10 @@
 // is says whether both are one document, with or without its orders. The version before drops
 // By, so that the text has to tell.
 func (d Doc) is(o Doc) bool {
-	if d.Version != o.Version || d.Rev != o.Rev || d.Notes != o.Notes {
+	if d.Version != o.Version || d.Rev != o.Rev || d.LedgerRev != o.LedgerRev {
 		return false
 	}
-	return d.By == o.By || (d.By == Ballot{} || o.By == Ballot{}) && bytes.Equal(d.summed().Sum, o.summed().Sum)
+	return d.CreatedIn == o.CreatedIn || (d.CreatedIn == Ballot{} || o.CreatedIn == Ballot{}) && bytes.Equal(d.summed().Digest, o.summed().Digest)
 }
 
 // later says which of two documents tells more to those who go by it.
@@ -61,58 +61,60 @@
 
 // overtaken says whether this primary holds a document that it has not made, and no ledger with
 // it: another one serves, and judges.
-func (m *Machine) overtaken() bool { return m.d.Kept.Version > 0 && len(m.d.Kept.Orders) == 0 }
+func (m *Machine) overtaken() bool {
+	return m.d.Committed.Version > 0 && len(m.d.Committed.Ledger) == 0
+}
 
 // knows is the verdict on an order that came to the primary, or 0.
-func (m *Machine) knows(d Doc) Verdict {
+func (m *Machine) knows(d Doc) Result {
 	switch {
 	case m.overtaken():
 		return 0
-	case d.Version > m.d.Kept.Version:
+	case d.Version > m.d.Committed.Version:
 		return 0
 	case d.Version == 0: // stands for none
-		return Kept
-	case m.bug == BugAnyText:
-		return Kept
+		return ResultAccepted
+	case m.bug == BugAnyBody:
+		return ResultAccepted
 	}
-	switch m.d.Kept.Orders.Of(d.Version, d.Sum) {
+	switch m.d.Committed.Ledger.Of(d.Version, d.Digest) {
 	case dedup.Unused: // overtaken before it was accepted: its text is noted first
 		return 0
 	case dedup.Other:
-		return Differs
+		return ResultConflict
 	case dedup.Unknown: // it may have been accepted long ago, with this text or another: neither is said
-		return Busy
+		return ResultBusy
 	}
-	return Kept
+	return ResultAccepted
 }
 
 // offer begins what the primary is to keep next: a higher order, or just the numbers and texts
 // of those that were overtaken before they were accepted. next may be nil.
 func (m *Machine) offer(next *Doc) {
-	l, kept := m.lead, m.d.Kept
+	l, kept := m.lead, m.d.Committed
 	if m.overtaken() {
 		return
 	}
 	d := kept
 	if next == nil {
-		d.Notes++
+		d.LedgerRev++
 	} else {
-		if d = *next; m.c.Enter != nil {
-			d = m.c.Enter(kept, d)
+		if d = *next; m.c.Transform != nil {
+			d = m.c.Transform(kept, d)
 		}
-		if d.Orders, d.Notes = kept.Orders, 0; kept.Version == 0 {
-			d.Orders = dedup.New()
+		if d.Ledger, d.LedgerRev = kept.Ledger, 0; kept.Version == 0 {
+			d.Ledger = dedup.New()
 		}
-		d.Orders = d.Orders.With(d.Version, d.Sum)
+		d.Ledger = d.Ledger.With(d.Version, d.Digest)
 	}
-	d.By = l.rec.Ballot
-	before := d.Orders
+	d.CreatedIn = l.rec.Ballot
+	before := d.Ledger
 	for _, w := range m.queue {
 		if !w.f.Read && w.f.Doc.Version < d.Version {
-			d.Orders = d.Orders.With(w.f.Doc.Version, w.f.Doc.Sum)
+			d.Ledger = d.Ledger.With(w.f.Doc.Version, w.f.Doc.Digest)
 		}
 	}
-	if next == nil && bytes.Equal(d.Orders, before) { // a full ledger's length stays as it is
+	if next == nil && bytes.Equal(d.Ledger, before) { // a full ledger's length stays as it is
 		return
 	}
 	l.doc, l.docAt, l.appended = &d, m.now, map[string]bool{}
--- a/internal/consensus/orders_test.go
+++ b/internal/consensus/orders_test.go
@@ -16,20 +16,20 @@
 // TestTexts visits cores that are given several texts of one number, and finds guards that are taken out.
 func TestTexts(t *testing.T) {
 	t.Parallel()
-	for _, b := range []Bounds{{Puts: 2, Same: true}, {Puts: 3, Over: true, States: 150_000},
-		{Silent: true, Puts: 2, Same: true, Shorts: 1, States: 150_000}} {
+	for _, b := range []ModelBounds{{Puts: 2, SameVersion: true}, {Puts: 3, Overtaken: true, MaxStates: 150_000},
+		{StartSilent: true, Puts: 2, SameVersion: true, ShortWaits: 1, MaxStates: 150_000}} {
 		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
 			t.Parallel()
-			if f := Explore(b); f.Broken != "" || f.Acked == 0 {
+			if f := Explore(b); f.Violation != "" || f.Acked == 0 {
 				t.Errorf("%+v", f)
 			}
 		})
 	}
-	if f := Explore(Bounds{Puts: 2, Same: true, Bug: BugAnyText}); f.Broken == "" {
+	if f := Explore(ModelBounds{Puts: 2, SameVersion: true, Bug: BugAnyBody}); f.Violation == "" {
 		t.Errorf("any text is acknowledged, and it is not found in %d states", f.States)
 	}
-	b := Bounds{Members: 3, Losses: 1, Silent: true, Puts: 4, Over: true, Lost: 1, Shorts: 20, Longs: 30, Deaths: 2}
-	for bug, want := range map[Bug]bool{0: false, BugAnyText: true, BugForgets: true} {
+	b := ModelBounds{Members: 3, ToleratedLosses: 1, StartSilent: true, Puts: 4, Overtaken: true, LostMessages: 1, ShortWaits: 20, LongWaits: 30, Crashes: 2}
+	for bug, want := range map[Bug]bool{0: false, BugAnyBody: true, BugDropLedger: true} {
 		b := b
 		b.Bug = bug
 		t.Run(fmt.Sprint("schedules, bug ", bug), func(t *testing.T) {
@@ -38,7 +38,7 @@
 			if !want {
 				part = 50
 			}
-			all := make([]Walks, count/part)
+			all := make([]RandomWalks, count/part)
 			t.Run("", func(t *testing.T) {
 				for i := range all {
 					t.Run("", func(t *testing.T) {
@@ -47,14 +47,14 @@
 					})
 				}
 			})
-			var w Walks
+			var w RandomWalks
 			for _, a := range all {
-				w.Count, w.Epochs, w.Acked, w.Broken = w.Count+a.Count, w.Epochs+a.Epochs, w.Acked+a.Acked, cmp.Or(w.Broken, a.Broken)
+				w.Count, w.Epochs, w.Acked, w.Violation = w.Count+a.Count, w.Epochs+a.Epochs, w.Acked+a.Acked, cmp.Or(w.Violation, a.Violation)
 			}
-			if (w.Broken != "") != want {
+			if (w.Violation != "") != want {
 				t.Errorf("%+v", w)
 			}
-			t.Logf("%d schedules, %d with another epoch, %d acknowledged; %s", w.Count, w.Epochs, w.Acked, w.Broken)
+			t.Logf("%d schedules, %d with another epoch, %d acknowledged; %s", w.Count, w.Epochs, w.Acked, w.Violation)
 		})
 	}
 }
@@ -72,11 +72,11 @@
 	for _, n := range w.members() {
 		w.kill(n, true)
 		var old struct { // as it was written then
-			Life     uint64 `cbor:"1,keyasint"`
-			Genesis  bool   `cbor:"2,keyasint,omitempty"`
-			Promised Ballot `cbor:"3,keyasint"`
-			Record   Record `cbor:"4,keyasint"`
-			Stamp    Ballot `cbor:"5,keyasint"`
+			Life     uint64      `cbor:"1,keyasint"`
+			Genesis  bool        `cbor:"2,keyasint,omitempty"`
+			Promised Ballot      `cbor:"3,keyasint"`
+			Record   EpochRecord `cbor:"4,keyasint"`
+			Stamp    Ballot      `cbor:"5,keyasint"`
 			Kept     struct {
 				Version uint32 `cbor:"1,keyasint,omitempty"`
 				Body    []byte `cbor:"2,keyasint,omitempty"`
@@ -87,21 +87,21 @@
 			t.Fatal(err)
 		}
 		data, _ = cbor.Marshal(old)
-		n.synced = new(Disk)
-		if err := cbor.Unmarshal(data, n.synced); err != nil || len(n.synced.Kept.Orders) > 0 {
+		n.synced = new(DurableState)
+		if err := cbor.Unmarshal(data, n.synced); err != nil || len(n.synced.Committed.Ledger) > 0 {
 			t.Fatal(err)
 		}
 	}
 	w.heal()
 	w.run(2500 * ms)
 	top := w.acked
-	for d, want := range map[*Doc]Verdict{
-		{Version: top, Body: []byte(w.bodies[top])}: Kept, {Version: top, Body: []byte("other")}: Differs,
-		{Version: top - 1, Body: []byte(w.bodies[top-1])}: Busy, {Version: top - 1, Body: []byte("other")}: Busy,
+	for d, want := range map[*Doc]Result{
+		{Version: top, Body: []byte(w.bodies[top])}: ResultAccepted, {Version: top, Body: []byte("other")}: ResultConflict,
+		{Version: top - 1, Body: []byte(w.bodies[top-1])}: ResultBusy, {Version: top - 1, Body: []byte("other")}: ResultBusy,
 	} {
 		o := w.call(n, false, *d)
 		w.run(100 * ms)
-		if o.done == nil || o.done.Verdict != want {
+		if o.done == nil || o.done.Result != want {
 			t.Errorf("%d %q: %+v, not %v", d.Version, d.Body, o.done, want)
 		}
 	}
@@ -121,12 +121,12 @@
 	}
 	writers := w.record().Writers
 	for _, n := range w.nodes {
-		d := n.m.d.Kept
-		if writes := n.cfg.Self == writers[0] || n.cfg.Self == writers[1]; writes != (len(d.Orders) > 0) {
-			t.Errorf("%s writes: %v, and has %d orders", n.cfg.Self, writes, d.Orders.Len())
+		d := n.m.d.Committed
+		if writes := n.cfg.Self == writers[0] || n.cfg.Self == writers[1]; writes != (len(d.Ledger) > 0) {
+			t.Errorf("%s writes: %v, and has %d orders", n.cfg.Self, writes, d.Ledger.Len())
 		}
-		if !bytes.Equal(d.Sum, dedup.Digest(d.Body)) || n.m.d.Next.Version > 0 {
-			t.Errorf("%s: %+v, next %+v", n.cfg.Self, d, n.m.d.Next)
+		if !bytes.Equal(d.Digest, dedup.Digest(d.Body)) || n.m.d.Pending.Version > 0 {
+			t.Errorf("%s: %+v, next %+v", n.cfg.Self, d, n.m.d.Pending)
 		}
 	}
 }
@@ -139,12 +139,12 @@
 	w.run(100 * ms)
 	p := w.primary()
 	late := w.call(p, false, Doc{Version: 5, Body: []byte("five")})
-	if l := p.m.lead; l.doc == nil || l.doc.Notes != 1 {
+	if l := p.m.lead; l.doc == nil || l.doc.LedgerRev != 1 {
 		t.Fatalf("five is not to be noted: %+v", l.doc)
 	}
-	amended := *p.m.Held()
+	amended := *p.m.Committed()
 	amended.Rev++
-	amended.Side = []byte("side")
+	amended.Attachment = []byte("side")
 	for _, n := range w.nodes {
 		n.adopted = 0 // an amendment is put in force as the same version
 	}
@@ -153,8 +153,8 @@
 	w.run(100 * ms)
 	other := w.call(w.nodes[1], false, Doc{Version: 5, Body: []byte("another five")})
 	w.run(100 * ms)
-	if d := p.m.Held(); !ok || d.Rev != 1 || string(d.Side) != "side" || late.done == nil || late.done.Verdict != Kept ||
-		other.done == nil || other.done.Verdict != Differs || w.broken != nil {
+	if d := p.m.Committed(); !ok || d.Rev != 1 || string(d.Attachment) != "side" || late.done == nil || late.done.Result != ResultAccepted ||
+		other.done == nil || other.done.Result != ResultConflict || w.broken != nil {
 		t.Errorf("amended %v: %+v; %+v, %+v; %v", ok, d, late.done, other.done, w.broken)
 	}
 }
@@ -167,11 +167,11 @@
 	w.put(w.nodes[0])
 	w.run(100 * ms)
 	p, from := w.primary(), w.nodes[3].cfg.Self
-	next := Doc{Version: 9, Body: []byte("nine"), By: Ballot{N: 99}}
-	p.m.Take(w.now, w.other().cfg.Self, Push{Doc: next})
-	out := p.m.Take(w.now, from, Forward{ID: 1, Salt: 1, Doc: Doc{Version: 9, Body: []byte("another nine")}})
+	next := Doc{Version: 9, Body: []byte("nine"), CreatedIn: Ballot{N: 99}}
+	p.m.Receive(w.now, w.other().cfg.Self, Push{Doc: next})
+	out := p.m.Receive(w.now, from, Forward{ID: 1, CallerID: 1, Doc: Doc{Version: 9, Body: []byte("another nine")}})
 	for _, s := range out.Send {
-		if a, ok := s.Msg.(Answered); ok {
+		if a, ok := s.Msg.(ForwardReply); ok {
 			t.Errorf("it answers %+v", a)
 		}
 	}
@@ -182,7 +182,7 @@
 
 // older is a message as the version before writes or reads it.
 func older(msg any) any {
-	bare := func(d Doc) Doc { return Doc{Version: d.Version, Body: d.Body, Rev: d.Rev, Side: d.Side} }
+	bare := func(d Doc) Doc { return Doc{Version: d.Version, Body: d.Body, Rev: d.Rev, Attachment: d.Attachment} }
 	switch t := nameless(msg).(type) {
 	case Forward:
 		t.Doc = bare(t.Doc)
@@ -191,13 +191,13 @@
 		t.Doc = bare(t.Doc)
 		return t
 	case Appended:
-		t.Noted = 0
+		t.LedgerRevPlusOne = 0
 		return t
-	case Copy:
-		t.Kept, t.Next = bare(t.Kept), bare(t.Next)
+	case InstallState:
+		t.Committed, t.Pending = bare(t.Committed), bare(t.Pending)
 		return t
 	case Promise:
-		t.Kept, t.Next = bare(t.Kept), bare(t.Next)
+		t.Committed, t.Pending = bare(t.Committed), bare(t.Pending)
 		return t
 	case Push:
 		t.Doc = bare(t.Doc)
@@ -210,24 +210,24 @@
 // how seats are handed over.
 func eldest(msg any) any {
 	switch t := older(msg).(type) {
-	case Leave, Handover, Released, Void, Fenced:
+	case Leave, Handover, LeaveGranted, MemberLost, FenceNotice:
 		return nil
 	case View:
-		t.Packs = false
+		t.ReadsPacked = false
 		return t
 	case Forward:
-		t.Packs = false
+		t.ReadsPacked = false
 		return t
 	case Prepare:
-		t.Token, t.Handed = Token{}, false
+		t.Token, t.HandedOver = Token{}, false
 		return t
 	case Promise:
-		t.Token, t.Marks = Token{}, nil
+		t.Token, t.KnownTokens = Token{}, nil
 		return t
-	case Copied:
+	case StateInstalled:
 		t.Token = Token{}
 		return t
-	case Enacted:
+	case EpochRecorded:
 		t.Token = Token{}
 		return t
 	case Appended:
@@ -236,11 +236,11 @@
 	case Confirmed:
 		t.Token = Token{}
 		return t
-	case Beat:
-		t.Marks = nil
+	case Heartbeat:
+		t.KnownTokens = nil
 		return t
-	case Beaten:
-		t.Token, t.Sum, t.Stored = Token{}, 0, false
+	case HeartbeatReply:
+		t.Token, t.TokensHash, t.RecordStored = Token{}, 0, false
 		return t
 	default:
 		return t
@@ -285,17 +285,17 @@
 		w.old = w.nodes[i].cfg.Self
 		w.startAll()
 		w.run(2500 * ms)
-		put := func(version uint32, text string, may ...Verdict) {
+		put := func(version uint32, text string, may ...Result) {
 			t.Helper()
 			o := w.call(w.nodes[3], false, Doc{Version: version, Body: fmt.Append(nil, text, version)})
 			w.run(400 * ms)
-			if o.done == nil || !slices.Contains(may, o.done.Verdict) {
+			if o.done == nil || !slices.Contains(may, o.done.Result) {
 				t.Errorf("%s is of the version before: %s%d is answered %+v", w.old, text, version, o.done)
 			}
 		}
 		kept := func(version uint32) {
 			t.Helper()
-			put(version, "text ", Kept)
+			put(version, "text ", ResultAccepted)
 		}
 		for _, version := range []uint32{3, 9, 9, 5, 12, 7, 9} {
 			kept(version)
@@ -307,10 +307,10 @@
 			w.run(2500 * ms)
 			for _, version := range []uint32{3, 9, 12} {
 				if version < w.acked {
-					put(version, "text ", Kept, Busy)
+					put(version, "text ", ResultAccepted, ResultBusy)
 				}
 				if p := w.primary(); p == nil || p.cfg.Self != w.old {
-					put(version, "another ", Differs, Busy)
+					put(version, "another ", ResultConflict, ResultBusy)
 				}
 			}
 			for _, version := range []uint32{w.acked, w.acked + 5, w.acked + 3} {
--- a/internal/consensus/pack.go
+++ b/internal/consensus/pack.go
@@ -19,12 +19,12 @@
 func packs(msg any) bool {
 	switch t := msg.(type) {
 	case View:
-		return t.Packs
+		return t.ReadsPacked
 	case Forward:
-		return t.Packs
+		return t.ReadsPacked
 	}
 	_, t, _ := vouch(msg)
-	return t.Run != 0
+	return t.RunID != 0
 }
 
 // noteReader notes who reads packed documents.
@@ -43,7 +43,7 @@
 // is to be kept goes first as a difference to what is in force, which the taker mostly has too; who
 // has not that base drops it, and what is repeated goes whole.
 func (m *Machine) shortened(to string, msg any) any {
-	if m.bug == BugWhole || to == m.c.Self || !slices.Contains(m.readers, to) {
+	if m.bug == BugNoPacking || to == m.c.Self || !slices.Contains(m.readers, to) {
 		return msg
 	}
 	switch t := msg.(type) {
@@ -57,9 +57,9 @@
 			t.Doc = m.differing(t.Doc)
 			return t
 		}
-	case Copy:
+	case InstallState:
 		if !t.again {
-			t.Kept, t.Next = m.toWriter(to, t.Kept), m.toWriter(to, t.Next)
+			t.Committed, t.Pending = m.toWriter(to, t.Committed), m.toWriter(to, t.Pending)
 			return t
 		}
 	}
@@ -70,7 +70,7 @@
 }
 
 // differing is a document as a difference to the one in force, if that is shorter.
-func (m *Machine) differing(d Doc) Doc { return m.differingFrom(m.d.Kept.Body, d) }
+func (m *Machine) differing(d Doc) Doc { return m.differingFrom(m.d.Committed.Body, d) }
 
 func (m *Machine) differingFrom(base []byte, d Doc) Doc {
 	if len(base) == 0 || len(d.Body) == 0 {
@@ -101,10 +101,10 @@
 func eachDoc(msg any, do func(Doc) Doc) any {
 	switch t := msg.(type) {
 	case Promise:
-		t.Kept, t.Next = do(t.Kept), do(t.Next)
+		t.Committed, t.Pending = do(t.Committed), do(t.Pending)
 		return t
-	case Copy:
-		t.Kept, t.Next = do(t.Kept), do(t.Next)
+	case InstallState:
+		t.Committed, t.Pending = do(t.Committed), do(t.Pending)
 		return t
 	case Append:
 		t.Doc = do(t.Doc)
@@ -112,7 +112,7 @@
 	case Forward:
 		t.Doc = do(t.Doc)
 		return t
-	case Answered:
+	case ForwardReply:
 		if t.Doc != nil {
 			d := do(*t.Doc)
 			t.Doc = &d
@@ -171,7 +171,7 @@
 		}
 		var body []byte
 		err := delta.ErrBase
-		for _, base := range [][]byte{nil, m.d.Kept.Body, m.d.Next.Body} {
+		for _, base := range [][]byte{nil, m.d.Committed.Body, m.d.Pending.Body} {
 			if errors.Is(err, delta.ErrBase) {
 				body, err = d.Packed.Apply(base)
 			}
@@ -195,8 +195,8 @@
 	}
 	for _, p := range m.parcels {
 		if p.as != nil && len(p.body) == len(d.Body) && &p.body[0] == &d.Body[0] {
-			return Way(len(p.as.Steps))
+			return TransferTime(len(p.as.Steps))
 		}
 	}
-	return Way(len(d.Body))
+	return TransferTime(len(d.Body))
 }
--- a/internal/consensus/pack_test.go
+++ b/internal/consensus/pack_test.go
@@ -24,10 +24,10 @@
 	t.Parallel()
 	w := calm(t, 3, 0, 1)
 	m := w.primary().m
-	d := Doc{Version: 9, Body: longText(1 << 20), Side: []byte("side")}
+	d := Doc{Version: 9, Body: longText(1 << 20), Attachment: []byte("side")}
 	other := w.backup().cfg.Self
 	m.readers = nil
-	for _, msg := range []any{Promise{Kept: d, Next: d}, Copy{Kept: d, Next: d}, Append{Doc: d}, Forward{Doc: d}, Answered{Doc: &d}} {
+	for _, msg := range []any{Promise{Committed: d, Pending: d}, InstallState{Committed: d, Pending: d}, Append{Doc: d}, Forward{Doc: d}, ForwardReply{Doc: &d}} {
 		if got := m.shortened(other, msg); !reflect.DeepEqual(got, msg) {
 			t.Errorf("%T is packed for a process that never said it reads that", msg)
 		}
@@ -63,19 +63,19 @@
 // TestPackedDisk: a large record is packed, is read back, and one that is damaged is refused.
 func TestPackedDisk(t *testing.T) {
 	t.Parallel()
-	d := Disk{Life: 3, Kept: Doc{Version: 1, Body: longText(1 << 20)}, Next: Doc{Version: 2, Body: longText(1 << 20)}}
-	data, err := d.Bytes()
+	d := DurableState{DiskID: 3, Committed: Doc{Version: 1, Body: longText(1 << 20)}, Pending: Doc{Version: 2, Body: longText(1 << 20)}}
+	data, err := d.Encode()
 	if err != nil || len(data) > 600<<10 {
 		t.Fatal(len(data), err)
 	}
-	if got, err := ReadDisk(data); err != nil || !reflect.DeepEqual(*got, d) {
+	if got, err := DecodeState(data); err != nil || !reflect.DeepEqual(*got, d) {
 		t.Fatal(err)
 	}
 	var older before
 	if cbor.Unmarshal(data, &older) == nil {
 		t.Error("the program before takes a packed record for its own")
 	}
-	if _, err := ReadDisk(data[:len(data)/2]); err == nil {
+	if _, err := DecodeState(data[:len(data)/2]); err == nil {
 		t.Error("half of a record is read")
 	}
 }
@@ -107,7 +107,7 @@
 	w.change(t, routes(12, 7))
 	w.change(t, routes(13, 7))
 	behind := w.nodes[5]
-	out := behind.m.Take(w.now, other.cfg.Self, m.shortened(other.cfg.Self, Forward{ID: 9, Doc: routes(14, 8)}))
+	out := behind.m.Receive(w.now, other.cfg.Self, m.shortened(other.cfg.Self, Forward{ID: 9, Doc: routes(14, 8)}))
 	if len(out.Send) == 0 {
 		t.Error("a caller is not told who leads")
 	}
--- a/internal/consensus/past.go
+++ b/internal/consensus/past.go
@@ -7,16 +7,16 @@
 )
 
 // Change is an epoch that has taken the place of another, as it became known here.
-type Change struct {
-	At     fsm.Time
-	Ballot Ballot
-	Seats  []Duty
+type EpochChange struct {
+	At      fsm.Time
+	Ballot  Ballot
+	Members []MemberRole
 }
 
 // Duty is what a seat of the core does in an epoch.
-type Duty struct {
-	Seat
-	Does string // primary, backup, witness
+type MemberRole struct {
+	Member
+	Role string // primary, backup, witness
 }
 
 const mostPast = 64
@@ -26,17 +26,17 @@
 	if n := len(m.past); m.view.none() || n > 0 && m.past[n-1].Ballot == m.view.Ballot {
 		return
 	}
-	c := Change{At: m.now, Ballot: m.view.Ballot}
-	for _, s := range m.view.Set {
-		d := Duty{s, "witness"}
+	c := EpochChange{At: m.now, Ballot: m.view.Ballot}
+	for _, s := range m.view.Members {
+		d := MemberRole{s, "witness"}
 		switch slices.Index(m.view.Writers, s.Addr) {
 		case -1:
 		case 0:
-			d.Does = "primary"
+			d.Role = "primary"
 		default:
-			d.Does = "backup"
+			d.Role = "backup"
 		}
-		c.Seats = append(c.Seats, d)
+		c.Members = append(c.Members, d)
 	}
 	if len(m.past) == mostPast {
 		m.past = slices.Delete(m.past, 0, 1)
@@ -45,4 +45,4 @@
 }
 
 // Past is the epochs that this process has seen, the newest last.
-func (m *Machine) Past() []Change { return slices.Clone(m.past) }
+func (m *Machine) EpochHistory() []EpochChange { return slices.Clone(m.past) }
--- a/internal/consensus/primary.go
+++ b/internal/consensus/primary.go
@@ -10,7 +10,7 @@
 
 // lead is what a primary knows of its epoch. All of it may be lost.
 type lead struct {
-	rec    Record
+	rec    EpochRecord
 	since  fsm.Time
 	beat   fsm.Time
 	heard  map[string]fsm.Time
@@ -38,7 +38,7 @@
 }
 
 type joiner struct {
-	seat Seat
+	seat Member
 	grow bool
 	at   fsm.Time
 }
@@ -62,19 +62,19 @@
 		confirmed: map[string]uint64{}, joiners: map[string]joiner{}, sums: map[string]uint32{}, leavers: map[string]leaver{},
 		void: b.void, stored: map[string]bool{}, known: map[string]bool{}}
 	m.active = m.seq + 1
-	for _, s := range rec.Set {
+	for _, s := range rec.Members {
 		m.lead.heard[s.Addr] = m.now
 	}
 	for _, w := range m.queue {
 		w.round = 0
 	}
-	fresh := b.next.later(m.d.Kept)
+	fresh := b.next.later(m.d.Committed)
 	m.commit(latest(b.kept, b.next))
 	for _, to := range m.everyone() {
 		m.tell(to)
 	}
 	if fresh {
-		m.push(m.d.Kept)
+		m.push(m.d.Committed)
 	}
 	m.redirect()
 	m.steer()
@@ -88,7 +88,7 @@
 		return
 	}
 	hears := m.hears
-	if m.hangs() || m.overtaken() || !decides(l.rec.Set, nil, hears, func(s Seat) bool { return l.void[s.key()] }) {
+	if m.hangs() || m.overtaken() || !decides(l.rec.Members, nil, hears, func(s Member) bool { return l.void[s.key()] }) {
 		m.resign()
 		return
 	}
@@ -97,7 +97,7 @@
 		return
 	}
 	if plan := m.plan(); plan != nil {
-		if has(plan, m.c.Self, m.d.Life) {
+		if has(plan, m.c.Self, m.d.DiskID) {
 			m.reshape(plan)
 		} else {
 			m.hand()
@@ -112,11 +112,11 @@
 	}
 	if m.now-l.beat >= beatEvery || l.beat == 0 {
 		l.beat = m.now
-		for _, s := range l.rec.Set {
+		for _, s := range l.rec.Members {
 			if s.Addr != m.c.Self {
-				b := Beat{Ballot: l.rec.Ballot, Version: m.d.Kept.Version}
+				b := Heartbeat{Ballot: l.rec.Ballot, Version: m.d.Committed.Version}
 				if sum, ok := l.sums[s.Addr]; ok && sum != m.sum(l.rec) {
-					b.Marks = m.marks(l.rec)
+					b.KnownTokens = m.marks(l.rec)
 				}
 				m.send(s.Addr, b)
 			}
@@ -131,13 +131,13 @@
 }
 
 // ails says whether the epoch's writers cannot go on while others could.
-func (m *Machine) ails(hears func(Seat) bool) bool {
+func (m *Machine) ails(hears func(Member) bool) bool {
 	l := m.lead
 	if l.rival.above(l.rec.Ballot) && m.now-l.rivals > resendEvery*3 {
 		return true
 	}
 	lost := false
-	for _, s := range l.rec.Set {
+	for _, s := range l.rec.Members {
 		if s.Addr == m.c.Self || !slices.Contains(l.rec.Writers, s.Addr) {
 			continue
 		}
@@ -148,15 +148,15 @@
 		}
 		lost = lost || late || l.slow[s.Addr] || !hears(s)
 	}
-	if !m.enough() && count(l.rec.Set, m.answers) > m.c.Losses {
+	if !m.enough() && count(l.rec.Members, m.answers) > m.c.ToleratedLosses {
 		return true
 	}
-	fit := func(s Seat) bool { return hears(s) && !l.slow[s.Addr] && m.shun[s.Addr] <= m.now }
-	return lost && count(l.rec.Set, fit) > m.c.Losses
+	fit := func(s Member) bool { return hears(s) && !l.slow[s.Addr] && m.shun[s.Addr] <= m.now }
+	return lost && count(l.rec.Members, fit) > m.c.ToleratedLosses
 }
 
 func (m *Machine) resign() {
-	for _, s := range m.lead.rec.Set {
+	for _, s := range m.lead.rec.Members {
 		if s.Addr != m.c.Self {
 			m.send(s.Addr, Resign{Ballot: m.lead.rec.Ballot})
 		}
@@ -166,7 +166,7 @@
 }
 
 // plan is the set to come if somebody is to have a seat, or nil.
-func (m *Machine) plan() []Seat {
+func (m *Machine) plan() []Member {
 	l := m.lead
 	if m.now-l.since < 2*helloEvery && m.enough() && !m.hasty() {
 		return nil
@@ -178,11 +178,11 @@
 		}
 	}
 	slices.SortFunc(who, func(a, b joiner) int { return cmp.Compare(a.seat.Addr, b.seat.Addr) })
-	set, changed := slices.Clone(l.rec.Set), false
-	room := max(2*m.c.Losses+1, len(set)+l.rec.Free)
-	var learners []Seat
+	set, changed := slices.Clone(l.rec.Members), false
+	room := max(2*m.c.ToleratedLosses+1, len(set)+l.rec.Vacancies)
+	var learners []Member
 	for _, j := range who {
-		i := slices.IndexFunc(set, func(s Seat) bool { return s.Addr == j.seat.Addr })
+		i := slices.IndexFunc(set, func(s Member) bool { return s.Addr == j.seat.Addr })
 		switch {
 		case i >= 0:
 		case j.grow:
@@ -200,21 +200,21 @@
 	}
 	n := len(set)
 	set = m.give(set, learners)
-	learners = slices.DeleteFunc(learners, func(s Seat) bool { return has(set, s.Addr, s.Life) })
+	learners = slices.DeleteFunc(learners, func(s Member) bool { return has(set, s.Addr, s.DiskID) })
 	for len(learners) > 0 && n == len(set) && len(set) < room {
 		set, learners = append(set, learners[0]), learners[1:]
 	}
-	if !changed && slices.Equal(set, l.rec.Set) {
+	if !changed && slices.Equal(set, l.rec.Members) {
 		return nil
 	}
 	return set
 }
 
 // enough says whether the epoch has as many copies as it is meant to.
-func (m *Machine) enough() bool { return len(m.lead.rec.Writers) > m.c.Losses }
+func (m *Machine) enough() bool { return len(m.lead.rec.Writers) > m.c.ToleratedLosses }
 
 // vacancy is the seat of a member silent for long, rather in that zone, or -1.
-func (m *Machine) vacancy(set []Seat, zone string) int {
+func (m *Machine) vacancy(set []Member, zone string) int {
 	best := -1
 	for i, s := range set {
 		at, ok := m.lead.heard[s.Addr]
@@ -228,18 +228,18 @@
 	return best
 }
 
-func (m *Machine) onBeaten(from string, t Beaten) {
+func (m *Machine) onBeaten(from string, t HeartbeatReply) {
 	l := m.lead
-	if l == nil || !l.rec.has(from, t.Life) || t.Ballot != l.rec.Ballot {
+	if l == nil || !l.rec.has(from, t.DiskID) || t.Ballot != l.rec.Ballot {
 		return
 	}
-	l.heard[from], l.slow[from], l.bears[from] = m.now, t.Slow, min(span(t.Bears), span(bearable))
-	l.stored[from], l.known[from] = t.Stored, t.Known
-	if t.Sum != 0 {
-		l.sums[from] = t.Sum
+	l.heard[from], l.slow[from], l.bears[from] = m.now, t.DiskSlow, min(span(t.DiskTolerance), span(bearable))
+	l.stored[from], l.known[from] = t.RecordStored, t.RecordKnown
+	if t.TokensHash != 0 {
+		l.sums[from] = t.TokensHash
 	}
 	m.rival(t.Promised)
-	if !t.Known {
+	if !t.RecordKnown {
 		m.tell(from)
 	}
 }
@@ -277,15 +277,15 @@
 		case v != 0:
 			m.reply(w, v, nil)
 		default:
-			if next == nil && w.f.Doc.Version > m.d.Kept.Version {
+			if next == nil && w.f.Doc.Version > m.d.Committed.Version {
 				next = &w.f.Doc
 			}
 			rest = append(rest, w)
 		}
 	}
 	m.queue = rest
-	free := l.doc == nil || l.doc.Notes > 0 && next != nil // a change doesn't wait for notes: it takes them along
-	if free && (m.enough() || m.bug == BugFew) {
+	free := l.doc == nil || l.doc.LedgerRev > 0 && next != nil // a change doesn't wait for notes: it takes them along
+	if free && (m.enough() || m.bug == BugTooFewWriters) {
 		m.offer(next)
 	}
 	if ask {
@@ -297,24 +297,24 @@
 	}
 }
 
-func (m *Machine) reply(w *wait, v Verdict, d *Doc) {
-	m.send(w.from, Answered{ID: w.f.ID, Salt: w.f.Salt, Verdict: v, Doc: d})
+func (m *Machine) reply(w *wait, v Result, d *Doc) {
+	m.send(w.from, ForwardReply{ID: w.f.ID, CallerID: w.f.CallerID, Result: v, Doc: d})
 }
 
 func (m *Machine) append() {
 	l := m.lead
 	l.docSent = m.now
-	for _, s := range l.rec.Set {
+	for _, s := range l.rec.Members {
 		if slices.Contains(l.rec.Writers, s.Addr) && !l.appended[s.Addr] {
-			m.send(s.Addr, Append{Ballot: l.rec.Ballot, Life: s.Life, Doc: *l.doc, again: m.now > l.docAt})
+			m.send(s.Addr, Append{Ballot: l.rec.Ballot, DiskID: s.DiskID, Doc: *l.doc, again: m.now > l.docAt})
 		}
 	}
 }
 
 func (m *Machine) onAppended(from string, t Appended) {
 	l := m.lead
-	if l == nil || t.Ballot != l.rec.Ballot || !l.rec.has(from, t.Life) || l.doc == nil ||
-		t.Version != l.doc.Version || t.Rev != l.doc.Rev || t.Noted != 0 && t.Noted != l.doc.Notes+1 {
+	if l == nil || t.Ballot != l.rec.Ballot || !l.rec.has(from, t.DiskID) || l.doc == nil ||
+		t.Version != l.doc.Version || t.Rev != l.doc.Rev || t.LedgerRevPlusOne != 0 && t.LedgerRevPlusOne != l.doc.LedgerRev+1 {
 		return
 	}
 	l.appended[from] = true
@@ -325,13 +325,13 @@
 	}
 	doc := *l.doc
 	l.doc = nil
-	later := doc.later(m.d.Kept)
+	later := doc.later(m.d.Committed)
 	m.commit(doc)
 	if later {
 		m.push(doc)
 	} else { // none but the writers keep notes
 		for _, w := range l.rec.Writers[1:] {
-			m.send(w, Amended{doc.Version, doc.Rev, doc.By, doc.Notes})
+			m.send(w, CommitAmendment{doc.Version, doc.Rev, doc.CreatedIn, doc.LedgerRev})
 		}
 	}
 	m.serve()
@@ -340,16 +340,16 @@
 func (m *Machine) confirm() {
 	l := m.lead
 	l.roundSent = m.now
-	for _, s := range l.rec.Set {
+	for _, s := range l.rec.Members {
 		if slices.Contains(l.rec.Writers, s.Addr) && l.confirmed[s.Addr] < l.round {
-			m.send(s.Addr, Confirm{Ballot: l.rec.Ballot, Life: s.Life, Round: l.round})
+			m.send(s.Addr, Confirm{Ballot: l.rec.Ballot, DiskID: s.DiskID, Round: l.round})
 		}
 	}
 }
 
 func (m *Machine) onConfirmed(from string, t Confirmed) {
 	l := m.lead
-	if l == nil || t.Ballot != l.rec.Ballot || !l.rec.has(from, t.Life) {
+	if l == nil || t.Ballot != l.rec.Ballot || !l.rec.has(from, t.DiskID) {
 		return
 	}
 	l.confirmed[from] = max(l.confirmed[from], t.Round)
@@ -360,7 +360,7 @@
 	if least == l.round {
 		l.roundAt = 0
 	}
-	m.out.Affirmed = least
+	m.out.ConfirmedRound = least
 	var rest []*wait
 	for _, w := range m.queue {
 		switch {
@@ -376,12 +376,12 @@
 // read answers one that the writers have confirmed.
 func (m *Machine) read(w *wait) {
 	switch {
-	case w.f.Bare:
-		m.send(w.from, Answered{ID: w.f.ID, Salt: w.f.Salt, Verdict: Proved, Version: m.d.Kept.Version})
-	case m.d.Kept.Version == 0:
-		m.reply(w, None, nil)
+	case w.f.ContactOnly:
+		m.send(w.from, ForwardReply{ID: w.f.ID, CallerID: w.f.CallerID, Result: ResultContact, Version: m.d.Committed.Version})
+	case m.d.Committed.Version == 0:
+		m.reply(w, ResultNone, nil)
 	default:
-		m.reply(w, Read, m.Held())
+		m.reply(w, ResultRead, m.Committed())
 	}
 }
 
@@ -392,7 +392,7 @@
 		return
 	}
 	for _, w := range m.queue {
-		if w.from == from && w.f.ID == f.ID && w.f.Salt == f.Salt {
+		if w.from == from && w.f.ID == f.ID && w.f.CallerID == f.CallerID {
 			return
 		}
 	}
--- a/internal/consensus/random_test.go
+++ b/internal/consensus/random_test.go
@@ -186,8 +186,8 @@
 	t.Parallel()
 	for name, bug := range map[string]Bug{
 		"ack before backups": BugAckEarly, "overtaken primaries obeyed": BugNoPromise,
-		"any text acknowledged": BugAnyText, "orders forgotten by a takeover": BugForgets,
-		"own text for a newer one that is named": BugOwnText,
+		"any text acknowledged": BugAnyBody, "orders forgotten by a takeover": BugDropLedger,
+		"own text for a newer one that is named": BugOwnBody,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -7,43 +7,43 @@
 
 // Ballot orders epochs. Life keeps a member that forgot its ballots from using one twice.
 type Ballot struct {
-	N    uint64 `cbor:"1,keyasint,omitempty"`
-	By   string `cbor:"2,keyasint,omitempty"`
-	Life uint64 `cbor:"3,keyasint,omitempty"`
+	N      uint64 `cbor:"1,keyasint,omitempty"`
+	By     string `cbor:"2,keyasint,omitempty"`
+	DiskID uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 func (b Ballot) compare(o Ballot) int {
-	return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.By, o.By), cmp.Compare(b.Life, o.Life))
+	return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.By, o.By), cmp.Compare(b.DiskID, o.DiskID))
 }
 
 func (b Ballot) above(o Ballot) bool { return b.compare(o) > 0 }
 
 // Seat is a member with one memory: a wiped disk makes another seat of it.
-type Seat struct {
-	Addr string `cbor:"1,keyasint,omitempty"`
-	Life uint64 `cbor:"2,keyasint,omitempty"`
-	Name string `cbor:"3,keyasint,omitempty"`
-	Zone string `cbor:"4,keyasint,omitempty"`
+type Member struct {
+	Addr   string `cbor:"1,keyasint,omitempty"`
+	DiskID uint64 `cbor:"2,keyasint,omitempty"`
+	Name   string `cbor:"3,keyasint,omitempty"`
+	Zone   string `cbor:"4,keyasint,omitempty"`
 }
 
-func (s Seat) is(addr string, life uint64) bool { return s.Addr == addr && s.Life == life }
+func (s Member) is(addr string, life uint64) bool { return s.Addr == addr && s.DiskID == life }
 
 // Record is an epoch. Until it is active, the set it came from has a say as well.
-type Record struct {
-	Founding uint64   `cbor:"1,keyasint,omitempty"`
-	Ballot   Ballot   `cbor:"2,keyasint"`
-	Set      []Seat   `cbor:"3,keyasint,omitempty"`
-	Old      []Seat   `cbor:"4,keyasint,omitempty"`
-	Writers  []string `cbor:"5,keyasint,omitempty"` // the primary first
-	Active   bool     `cbor:"6,keyasint,omitempty"`
-	Free     int      `cbor:"7,keyasint,omitempty"` // seats given up, for newcomers
+type EpochRecord struct {
+	ClusterID  uint64   `cbor:"1,keyasint,omitempty"`
+	Ballot     Ballot   `cbor:"2,keyasint"`
+	Members    []Member `cbor:"3,keyasint,omitempty"`
+	OldMembers []Member `cbor:"4,keyasint,omitempty"`
+	Writers    []string `cbor:"5,keyasint,omitempty"` // the primary first
+	Active     bool     `cbor:"6,keyasint,omitempty"`
+	Vacancies  int      `cbor:"7,keyasint,omitempty"` // seats given up, for newcomers
 	// Settled says that the old set has agreed: no candidate that it has a say for can pass this record by.
-	Settled bool `cbor:"8,keyasint,omitempty"`
+	OldSetAgreed bool `cbor:"8,keyasint,omitempty"`
 }
 
-func (r Record) none() bool { return r.Founding == 0 }
+func (r EpochRecord) none() bool { return r.ClusterID == 0 }
 
-func (r Record) primary() string {
+func (r EpochRecord) primary() string {
 	if len(r.Writers) == 0 || !r.Active {
 		return ""
 	}
@@ -51,43 +51,43 @@
 }
 
 // newer says whether r tells more than o.
-func (r Record) newer(o Record) bool {
+func (r EpochRecord) newer(o EpochRecord) bool {
 	c := r.Ballot.compare(o.Ballot)
-	return !r.none() && (o.none() || c > 0 || c == 0 && (r.Active && !o.Active || r.Settled && !o.Settled && !o.Active))
+	return !r.none() && (o.none() || c > 0 || c == 0 && (r.Active && !o.Active || r.OldSetAgreed && !o.OldSetAgreed && !o.Active))
 }
 
 // single says whether the set alone decides what follows.
-func (r Record) single() bool { return r.Active || r.Settled }
+func (r EpochRecord) single() bool { return r.Active || r.OldSetAgreed }
 
 // voters are all whose promises or records can matter.
-func (r Record) voters() []Seat {
+func (r EpochRecord) voters() []Member {
 	if r.single() {
-		return r.Set
+		return r.Members
 	}
-	return union(r.Set, r.Old)
+	return union(r.Members, r.OldMembers)
 }
 
 // carried says whether those who agreed can decide what follows this epoch. What
 // follows a founding needs all but the losses: then too few are left to found again.
-func (r Record) carried(losses int, agreed, lost func(Seat) bool) bool {
+func (r EpochRecord) carried(losses int, agreed, lost func(Member) bool) bool {
 	if !r.Active && r.Ballot.N == 1 {
-		return len(r.Set) > 0 && count(r.Set, agreed) >= len(r.Set)-losses
+		return len(r.Members) > 0 && count(r.Members, agreed) >= len(r.Members)-losses
 	}
 	if r.single() {
-		return decides(r.Set, nil, agreed, lost)
+		return decides(r.Members, nil, agreed, lost)
 	}
-	return decides(r.Old, r.Set, agreed, lost) && (decides(r.Set, nil, agreed, lost) || blocks(r.Set, agreed))
+	return decides(r.OldMembers, r.Members, agreed, lost) && (decides(r.Members, nil, agreed, lost) || blocks(r.Members, agreed))
 }
 
 // blocks says whether no majority of a set is without one of those who agreed. That is enough to
 // know what it has decided, and, unlike decides, not to decide.
-func blocks(set []Seat, agreed func(Seat) bool) bool { return 2*count(set, agreed) >= len(set) }
+func blocks(set []Member, agreed func(Member) bool) bool { return 2*count(set, agreed) >= len(set) }
 
 // decides says whether those of a set who agreed meet every majority of it that ever was or
 // will be. Most do; so do all that are left, if the lost ones were no majority by themselves.
 // Seats that another memory at the same address has taken in the set after it were lost before
 // that was begun. Where it needed the promise of all others, no majority since has one of them.
-func decides(set, after []Seat, agreed, lost func(Seat) bool) bool {
+func decides(set, after []Member, agreed, lost func(Member) bool) bool {
 	if most(set, agreed) {
 		return true
 	}
@@ -95,7 +95,7 @@
 	for _, s := range set {
 		switch {
 		case agreed(s):
-		case slices.ContainsFunc(after, func(o Seat) bool { return o.Addr == s.Addr && o.Life != s.Life }):
+		case slices.ContainsFunc(after, func(o Member) bool { return o.Addr == s.Addr && o.DiskID != s.DiskID }):
 			taken++
 		case lost(s):
 			gone++
@@ -109,13 +109,13 @@
 	return gone < need && count(set, agreed) > 0
 }
 
-func (r Record) has(addr string, life uint64) bool { return has(r.Set, addr, life) }
+func (r EpochRecord) has(addr string, life uint64) bool { return has(r.Members, addr, life) }
 
-func has(set []Seat, addr string, life uint64) bool {
-	return slices.ContainsFunc(set, func(s Seat) bool { return s.is(addr, life) })
+func has(set []Member, addr string, life uint64) bool {
+	return slices.ContainsFunc(set, func(s Member) bool { return s.is(addr, life) })
 }
 
-func count(set []Seat, agreed func(Seat) bool) int {
+func count(set []Member, agreed func(Member) bool) int {
 	n := 0
 	for _, s := range set {
 		if agreed(s) {
@@ -125,14 +125,14 @@
 	return n
 }
 
-func most(set []Seat, agreed func(Seat) bool) bool {
+func most(set []Member, agreed func(Member) bool) bool {
 	return len(set) > 0 && count(set, agreed) > len(set)/2
 }
 
-func union(a, b []Seat) []Seat {
+func union(a, b []Member) []Member {
 	all := slices.Clone(a)
 	for _, s := range b {
-		if !has(all, s.Addr, s.Life) {
+		if !has(all, s.Addr, s.DiskID) {
 			all = append(all, s)
 		}
 	}
@@ -140,15 +140,15 @@
 }
 
 // spread picks n seats, in other zones as far as there are some; the first stays first.
-func spread(seats []Seat, n int) []string {
-	var picked []Seat
+func spread(seats []Member, n int) []string {
+	var picked []Member
 	for len(picked) < n && len(picked) < len(seats) {
 		best, least := -1, 0
 		for i, s := range seats {
-			if has(picked, s.Addr, s.Life) {
+			if has(picked, s.Addr, s.DiskID) {
 				continue
 			}
-			same := count(picked, func(p Seat) bool { return p.Zone == s.Zone })
+			same := count(picked, func(p Member) bool { return p.Zone == s.Zone })
 			if best < 0 || same < least {
 				best, least = i, same
 			}
--- a/internal/consensus/record_test.go
+++ b/internal/consensus/record_test.go
@@ -8,12 +8,12 @@
 // TestBlocks: those who agreed tell all that a set has decided just where no majority of it is without them.
 func TestBlocks(t *testing.T) {
 	for n := 1; n <= 8; n++ {
-		var set []Seat
+		var set []Member
 		for i := range n {
-			set = append(set, Seat{Addr: fmt.Sprint(i), Life: 1})
+			set = append(set, Member{Addr: fmt.Sprint(i), DiskID: 1})
 		}
-		of := func(bits int) func(Seat) bool {
-			return func(s Seat) bool { return bits>>(s.Addr[0]-'0')&1 == 1 }
+		of := func(bits int) func(Member) bool {
+			return func(s Member) bool { return bits>>(s.Addr[0]-'0')&1 == 1 }
 		}
 		for agreed := range 1 << n {
 			without := false
@@ -30,24 +30,26 @@
 // TestSettled: who holds a settled record asks its set alone; one that is not settled asks the old set too, and
 // of an even new one half, to find out and no more.
 func TestSettled(t *testing.T) {
-	a, b, c := Seat{Addr: "a", Life: 1}, Seat{Addr: "b", Life: 2}, Seat{Addr: "c", Life: 3}
-	r := Record{Founding: 1, Ballot: Ballot{N: 5}, Set: []Seat{b, c}, Old: []Seat{a, b, c}}
-	is := func(all ...Seat) func(Seat) bool { return func(s Seat) bool { return has(all, s.Addr, s.Life) } }
+	a, b, c := Member{Addr: "a", DiskID: 1}, Member{Addr: "b", DiskID: 2}, Member{Addr: "c", DiskID: 3}
+	r := EpochRecord{ClusterID: 1, Ballot: Ballot{N: 5}, Members: []Member{b, c}, OldMembers: []Member{a, b, c}}
+	is := func(all ...Member) func(Member) bool {
+		return func(s Member) bool { return has(all, s.Addr, s.DiskID) }
+	}
 	for i, k := range []struct {
 		settled      bool
-		agreed, lost []Seat
+		agreed, lost []Member
 		want         bool
 	}{
-		{false, []Seat{a, b}, nil, true},
-		{false, []Seat{b}, []Seat{c}, false},
-		{false, []Seat{a}, nil, false},
-		{false, []Seat{a}, []Seat{b}, false},
-		{true, []Seat{b}, []Seat{c}, true},
-		{true, []Seat{b}, nil, false},
-		{true, []Seat{a, b}, nil, false},
-		{true, []Seat{b, c}, nil, true},
+		{false, []Member{a, b}, nil, true},
+		{false, []Member{b}, []Member{c}, false},
+		{false, []Member{a}, nil, false},
+		{false, []Member{a}, []Member{b}, false},
+		{true, []Member{b}, []Member{c}, true},
+		{true, []Member{b}, nil, false},
+		{true, []Member{a, b}, nil, false},
+		{true, []Member{b, c}, nil, true},
 	} {
-		r.Settled = k.settled
+		r.OldSetAgreed = k.settled
 		if got := r.carried(1, is(k.agreed...), is(k.lost...)); got != k.want {
 			t.Errorf("%d: %+v: %v", i, k, got)
 		}
--- a/internal/consensus/resume.go
+++ b/internal/consensus/resume.go
@@ -2,11 +2,11 @@
 
 // judgeResume asks that of a state, and counts.
 func (x *explorer) judgeResume(s *state, at uint32) {
-	x.found.Asked++
+	x.found.LivenessChecked++
 	if x.resumes(s) {
 		return
 	}
-	if !x.b.Stalls {
+	if !x.b.CountStalls {
 		x.fail("the core does not go on when all is well again and who was let go has ended")
 		return
 	}
@@ -15,8 +15,8 @@
 	}
 	for _, id := range s.cells {
 		if m := x.cells[id].m; m.seated() && m.d.Record.Ballot.above(x.first0) {
-			x.found.Known++
-			if x.found.Known == 1 {
+			x.found.StuckWithChange++
+			if x.found.StuckWithChange == 1 {
 				x.found.Trace = x.trace(at)
 			}
 			return
@@ -42,7 +42,7 @@
 	}
 	var gone, away uint16
 	for at, id := range n.cells {
-		if x.b.Ends && x.cells[id].lost != 0 {
+		if x.b.ForcedLeave && x.cells[id].lost != 0 {
 			away |= 1 << at
 		}
 	}
@@ -51,7 +51,7 @@
 		waits := false
 		for at, id := range n.cells {
 			if m := x.cells[id].m; gone&(1<<at) == 0 && m.notice != 0 {
-				if m.Left() || x.b.Ends && i == graceTicks {
+				if m.MayExit() || x.b.ForcedLeave && i == graceTicks {
 					gone, last, acked = gone|1<<at, i, 0
 				} else {
 					waits = true
@@ -81,5 +81,5 @@
 			here++
 		}
 	}
-	return here <= x.b.Losses
+	return here <= x.b.ToleratedLosses
 }
--- a/internal/consensus/scenario_test.go
+++ b/internal/consensus/scenario_test.go
@@ -37,7 +37,7 @@
 	for end := w.now + limit; w.now < end; {
 		o := w.put(n)
 		w.run(50 * ms)
-		if o.done != nil && o.done.Verdict == Kept {
+		if o.done != nil && o.done.Result == ResultAccepted {
 			return
 		}
 	}
@@ -60,20 +60,20 @@
 	t.Parallel()
 	for _, s := range [][3]int{{3, 8, 1}, {6, 30, 2}, {8, 75, 2}} {
 		w := calm(t, s[0], s[1], s[2])
-		if n := len(w.record().Set); n != s[0] {
+		if n := len(w.record().Members); n != s[0] {
 			t.Errorf("%d members in the set, not %d", n, s[0])
 		}
 		for _, n := range w.nodes {
 			for _, read := range []bool{false, true} {
 				o := w.call(n, read, Doc{Version: w.acked + 1, Body: []byte(n.cfg.Self)})
 				w.run(40 * ms)
-				if o.done == nil || o.done.Verdict == Busy {
+				if o.done == nil || o.done.Result == ResultBusy {
 					t.Fatalf("%s read %v: not answered in 40 ms: %+v", n.cfg.Self, read, o.done)
 				}
 			}
 			w.run(60 * ms)
 			for _, n := range w.nodes {
-				if h := n.m.Held(); h.Version != w.acked {
+				if h := n.m.Committed(); h.Version != w.acked {
 					t.Fatalf("%s holds %d, not %d", n.cfg.Self, h.Version, w.acked)
 				}
 			}
@@ -175,7 +175,7 @@
 		r := w.add(true, false)
 		w.start(r)
 		w.run(4 * time.Second)
-		if !r.m.seated() || len(w.record().Set) != 3 {
+		if !r.m.seated() || len(w.record().Members) != 3 {
 			t.Fatalf("%s was not seated: %+v", r.cfg.Self, w.record())
 		}
 	}
@@ -198,7 +198,7 @@
 		w.start(w.add(true, true))
 	}
 	w.run(2 * time.Second)
-	if n := len(w.record().Set); n != 6 {
+	if n := len(w.record().Members); n != 6 {
 		t.Fatalf("%d members after growth", n)
 	}
 	w.kill(spare, true)
@@ -232,9 +232,9 @@
 		w.settled()
 		w.sane(t)
 		for _, n := range w.members() {
-			if f := w.record().Founding; n.m.d.Record.Founding != f || !n.m.seated() {
+			if f := w.record().ClusterID; n.m.d.Record.ClusterID != f || !n.m.seated() {
 				t.Fatalf("killed at %v: %s has founding %d, not %d; seated %v", at, n.cfg.Self,
-					n.m.d.Record.Founding, f, n.m.seated())
+					n.m.d.Record.ClusterID, f, n.m.seated())
 			}
 		}
 	}
@@ -251,7 +251,7 @@
 	put, get := w.put(p), w.call(p, true, Doc{})
 	w.run(time.Second)
 	for _, c := range []*op{put, get} {
-		if c.done == nil || c.done.Verdict != Busy || c.took > 900*ms {
+		if c.done == nil || c.done.Result != ResultBusy || c.took > 900*ms {
 			t.Errorf("%+v after %v", c.done, c.took)
 		}
 	}
@@ -279,7 +279,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var d Disk
+	var d DurableState
 	if err := cbor.Unmarshal(raw, &d); err != nil || !reflect.DeepEqual(d, w.primary().m.d) {
 		t.Errorf("disk: %v, %+v", err, d)
 	}
@@ -294,7 +294,7 @@
 		w := calm(t, 3, 0, 1)
 		w.amnesia = amnesia.claims
 		if amnesia.unfenced {
-			w.setBug(BugOldDisk)
+			w.setBug(BugNoFencing)
 		}
 		p, missed, forgot := w.primary(), w.backup(), w.other()
 		w.kill(missed, true)
@@ -320,7 +320,7 @@
 // else saw: the majority that is left may not serve. The mutant that takes any data is caught.
 func TestNoWriter(t *testing.T) {
 	t.Parallel()
-	for _, bug := range []Bug{0, BugAnyData} {
+	for _, bug := range []Bug{0, BugAnyState} {
 		w := calm(t, 5, 0, 1)
 		w.setBug(bug)
 		p, b, o := w.primary(), w.backup(), w.other()
