--- a/internal/consensus/spread.go
+++ b/internal/consensus/spread.go
@@ -11,7 +11,7 @@
 // near are the processes that may be members, or know them.
 func (m *Machine) near() []string {
 	var who []string
-	for _, s := range m.view.Set {
+	for _, s := range m.view.Members {
 		who = append(who, s.Addr)
 	}
 	for _, p := range m.peers {
@@ -41,28 +41,28 @@
 
 func (m *Machine) tell(to string) {
 	if !m.view.none() {
-		m.send(to, View{Record: m.view, Version: m.d.Kept.Version, Leads: m.lead != nil, Packs: true})
+		m.send(to, View{Record: m.view, Version: m.d.Committed.Version, Leading: m.lead != nil, ReadsPacked: true})
 	}
 }
 
 // commit takes a document that is committed for certain. One that is not is never
 // adopted: it may be lost, and another one take its version.
 func (m *Machine) commit(doc Doc) {
-	if doc.is(m.d.Next) {
-		doc = m.d.Next // with its orders
+	if doc.is(m.d.Pending) {
+		doc = m.d.Pending // with its orders
 	}
-	if !doc.Above(m.d.Kept) {
-		if len(m.d.Kept.Orders) == 0 && len(doc.Orders) > 0 && doc.is(m.d.Kept) {
-			m.d.Kept, m.dirty = doc, true
+	if !doc.Supersedes(m.d.Committed) {
+		if len(m.d.Committed.Ledger) == 0 && len(doc.Ledger) > 0 && doc.is(m.d.Committed) {
+			m.d.Committed, m.dirty = doc, true
 		}
 		return
 	}
 	if m.lead != nil {
-		m.step(m.d.Kept, doc)
+		m.step(m.d.Committed, doc)
 	}
-	m.d.Kept, m.dirty, m.behind = doc, true, 0
-	if !m.d.Next.Above(doc) {
-		m.d.Next = Doc{}
+	m.d.Committed, m.dirty, m.behind = doc, true, 0
+	if !m.d.Pending.Supersedes(doc) {
+		m.d.Pending = Doc{}
 	}
 }
 
@@ -74,9 +74,9 @@
 func (m *Machine) push(doc Doc) {
 	doc = doc.bare()
 	all := m.everyone()
-	if doc.Rev > 0 && len(doc.Side) == 0 {
+	if doc.Rev > 0 && len(doc.Attachment) == 0 {
 		for _, to := range all {
-			m.send(to, Amended{doc.Version, doc.Rev, doc.By, 0})
+			m.send(to, CommitAmendment{doc.Version, doc.Rev, doc.CreatedIn, 0})
 		}
 		return
 	}
@@ -104,25 +104,25 @@
 		}
 	}
 	for _, to := range all {
-		p.On = on[to]
+		p.Relay = on[to]
 		m.send(to, p)
 	}
 }
 
 // way is how long a document like ours may be on a slow link: who hears of one before it
 // comes need not ask for it as well.
-func (m *Machine) way() time.Duration { return min(Way(len(m.d.Kept.Body)), mostWay) }
+func (m *Machine) way() time.Duration { return min(TransferTime(len(m.d.Committed.Body)), mostWay) }
 
 // mostWay: large documents mostly come as differences. Who waited for the time of a whole one would be
 // late where a difference was lost.
 const mostWay = 2 * time.Second
 
 // Way is how long so many bytes may be on a slow link.
-func Way(bytes int) time.Duration { return time.Duration(bytes) * retryByte }
+func TransferTime(bytes int) time.Duration { return time.Duration(bytes) * retryByte }
 
 // heardOf notes a committed version; the document itself mostly comes by a push.
 func (m *Machine) heardOf(from string, version uint32) {
-	if version <= m.d.Kept.Version || version <= m.told {
+	if version <= m.d.Committed.Version || version <= m.told {
 		return
 	}
 	m.told, m.teller = version, from
@@ -133,10 +133,10 @@
 
 // catchUp asks for a newer document if somebody has one.
 func (m *Machine) catchUp() {
-	if m.now-m.pulled < pullEvery || m.bug == BugDeaf {
+	if m.now-m.pulled < pullEvery || m.bug == BugNoCatchUp {
 		return
 	}
-	held := m.d.Kept.Version
+	held := m.d.Committed.Version
 	var who []string
 	if m.told > held {
 		who = append(who, m.teller, m.view.primary())
@@ -144,13 +144,13 @@
 	var ahead []Peer // mostly nobody
 	if m.most > held {
 		for _, p := range m.peers {
-			if p.Held > held && p.Up {
+			if p.Version > held && p.Up {
 				ahead = append(ahead, p)
 			}
 		}
 	}
 	slices.SortFunc(ahead, func(a, b Peer) int {
-		return cmp.Or(cmp.Compare(b.Held, a.Held), cmp.Compare(a.Addr, b.Addr))
+		return cmp.Or(cmp.Compare(b.Version, a.Version), cmp.Compare(a.Addr, b.Addr))
 	})
 	for _, p := range m.some(ahead) {
 		who = append(who, p.Addr)
@@ -168,7 +168,7 @@
 		if len(ahead) > mostAsked {
 			at += int(m.salt >> 40)
 		}
-		m.send(who[at%len(who)], Pull{Held: held, Deltas: true})
+		m.send(who[at%len(who)], Pull{Version: held, AcceptsDeltas: true})
 	}
 }
 
@@ -185,7 +185,7 @@
 		return ahead
 	}
 	for i, p := range ahead {
-		if p.Held < ahead[0].Held {
+		if p.Version < ahead[0].Version {
 			n = i
 			break
 		}
@@ -213,7 +213,7 @@
 			delete(m.given, a)
 		}
 	}
-	if at, ok := m.given[to]; ok && m.now-at < min(Way(size), mostWay) {
+	if at, ok := m.given[to]; ok && m.now-at < min(TransferTime(size), mostWay) {
 		return
 	}
 	if m.given == nil {
--- a/internal/consensus/spread_test.go
+++ b/internal/consensus/spread_test.go
@@ -13,12 +13,12 @@
 	asked := map[string]int{}
 	for i := range 480 {
 		self := fmt.Sprintf("10.0.1.%d:7", i)
-		m := New(Config{Self: self, Name: self, Losses: 1, Seeds: []string{"10.0.0.0:7"}, Seed: 5}, nil, time.Hour)
+		m := New(Config{Self: self, Name: self, ToleratedLosses: 1, Seeds: []string{"10.0.0.0:7"}, Seed: 5}, nil, time.Hour)
 		peers := []Peer{{Addr: self, Up: true}}
 		for k := range 12 {
-			peers = append(peers, Peer{Addr: fmt.Sprintf("10.0.0.%d:7", k), Up: true, Member: k < 8, Held: uint32(3 - k/10)})
+			peers = append(peers, Peer{Addr: fmt.Sprintf("10.0.0.%d:7", k), Up: true, Member: k < 8, Version: uint32(3 - k/10)})
 		}
-		m.Peers(time.Hour, peers)
+		m.SetPeers(time.Hour, peers)
 		for now := time.Hour; now < time.Hour+2*time.Second; now += 50 * time.Millisecond {
 			for _, s := range m.Tick(now).Send {
 				if _, is := s.Msg.(Pull); is {
@@ -51,15 +51,15 @@
 		deltas bool
 		want   int
 	}{{300 << 10, true, 2}, {300 << 10, false, 9}, {10 << 10, true, 9}} {
-		m := New(Config{Self: "a:1", Name: "a", Losses: 1, Seeds: []string{"a:1"}, Seed: 5}, nil, time.Hour)
+		m := New(Config{Self: "a:1", Name: "a", ToleratedLosses: 1, Seeds: []string{"a:1"}, Seed: 5}, nil, time.Hour)
 		body := make([]byte, c.size)
 		for i := range body {
 			body[i] = byte(i * i >> 7 * 31) // packs badly
 		}
-		m.d.Kept = Doc{Version: 3, Body: bytes.Clone(body)}
+		m.d.Committed = Doc{Version: 3, Body: bytes.Clone(body)}
 		now, sent := time.Hour, 0
 		for range 9 {
-			for _, s := range m.Take(now, "b:1", Pull{Deltas: c.deltas}).Send {
+			for _, s := range m.Receive(now, "b:1", Pull{AcceptsDeltas: c.deltas}).Send {
 				if _, is := s.Msg.(Push); is && s.To == "b:1" {
 					sent++
 				}
--- a/internal/consensus/storm_test.go
+++ b/internal/consensus/storm_test.go
@@ -17,10 +17,10 @@
 			}
 		}
 	}
-	set := []Seat{{Addr: "a", Life: 1}, {Addr: "b", Life: 1}, {Addr: "c", Life: 1}}
+	set := []Member{{Addr: "a", DiskID: 1}, {Addr: "b", DiskID: 1}, {Addr: "c", DiskID: 1}}
 	epoch := func(n uint64) {
 		if primary != "" {
-			note(m.Take(now, primary, View{Record: Record{Founding: 1, Ballot: Ballot{N: n}, Set: set, Writers: []string{primary}, Active: true}}))
+			note(m.Receive(now, primary, View{Record: EpochRecord{ClusterID: 1, Ballot: Ballot{N: n}, Members: set, Writers: []string{primary}, Active: true}}))
 		}
 	}
 	epoch(2)
@@ -48,10 +48,10 @@
 	if n := sentFor(0, "a"); n < 20*doc || n > 25*doc {
 		t.Errorf("%d documents for 20 calls", n/doc)
 	}
-	if n := sentFor(BugStorms, ""); n < 40*doc {
+	if n := sentFor(BugUnthrottledRetries, ""); n < 40*doc {
 		t.Errorf("the guard taken out is not met: %d documents", n/doc)
 	}
-	if n := sentFor(BugStorms, "a"); n < 40*doc {
+	if n := sentFor(BugUnthrottledRetries, "a"); n < 40*doc {
 		t.Errorf("the guard taken out is not met: %d documents", n/doc)
 	}
 }
--- a/internal/consensus/walk.go
+++ b/internal/consensus/walk.go
@@ -6,48 +6,48 @@
 )
 
 // Walks is what drawn schedules came to.
-type Walks struct {
-	Count, Steps int
-	Epochs       int // schedules in which another primary served
-	Acked        int // puts acknowledged
-	Backs        int // disks put back to an older state
-	Broken       string
-	Seed         uint64 // that broke
-	Trace        []string
+type RandomWalks struct {
+	Count, Steps  int
+	Epochs        int // schedules in which another primary served
+	Acked         int // puts acknowledged
+	DiskRollbacks int // disks put back to an older state
+	Violation     string
+	Seed          uint64 // that broke
+	Trace         []string
 }
 
 // Pair is how two machines are lost at one moment.
-type Pair uint8
+type PairFault uint8
 
 // The pairs.
 const (
-	NoPair     Pair = iota
-	BothKilled      // for the rest of the schedule; their disks are kept
+	NoPair     PairFault = iota
+	BothKilled           // for the rest of the schedule; their disks are kept
 	OneWiped
 	BothWiped
-	OneBack // one's disk is put back to a copy, and another one is killed as above; see Bounds.Backs
+	OneRolledBack // one's disk is put back to a copy, and another one is killed as above; see Bounds.Backs
 )
 
 // Walk draws schedules of so many steps within bounds, and loses two machines in each at a
 // drawn moment. Then all is mended, and the core has to give what was acknowledged.
-func Walk(b Bounds, pair Pair, from uint64, count, steps int) Walks {
-	var sum Walks
+func Walk(b ModelBounds, pair PairFault, from uint64, count, steps int) RandomWalks {
+	var sum RandomWalks
 	var x *explorer
 	var begin *state
-	for seed := from; seed < from+uint64(count) && sum.Broken == ""; seed++ {
+	for seed := from; seed < from+uint64(count) && sum.Violation == ""; seed++ {
 		if x == nil || len(x.cells) > 30000 {
 			x = newExplorer(b)
 			begin = x.first()
 		}
-		x.found = Survey{}
+		x.found = Exploration{}
 		sum.Count++
 		w := &walk{x: x, s: begin.clone(), rng: rand.New(rand.NewPCG(seed, 0xa9)), pair: pair}
 		w.run(steps)
 		sum.Steps += len(w.went)
 		sum.Acked += x.found.Acked
 		sum.Epochs += min(x.found.Epochs, 1)
-		sum.Backs += w.backs
-		if sum.Broken = x.found.Broken; sum.Broken != "" {
+		sum.DiskRollbacks += w.backs
+		if sum.Violation = x.found.Violation; sum.Violation != "" {
 			sum.Seed = seed
 			for _, v := range w.went {
 				sum.Trace = append(sum.Trace, x.say(v))
@@ -61,7 +61,7 @@
 	x       *explorer
 	s       *state
 	rng     *rand.Rand
-	pair    Pair
+	pair    PairFault
 	out     uint16 // machines that don't run
 	cut     map[int16]bool
 	stalled uint16 // disks that sync nothing
@@ -77,13 +77,13 @@
 
 func (w *walk) run(steps int) {
 	at := steps/8 + w.rng.IntN(steps/2)
-	for i := 0; i < steps && w.x.found.Broken == ""; i++ {
+	for i := 0; i < steps && w.x.found.Violation == ""; i++ {
 		switch {
-		case w.pair == OneBack && i == at/2:
+		case w.pair == OneRolledBack && i == at/2:
 			w.saveOff()
-		case w.pair == OneBack && i >= at && w.backs == 0:
+		case w.pair == OneRolledBack && i >= at && w.backs == 0:
 			w.putBack()
-		case i == at && w.pair != NoPair && w.pair != OneBack:
+		case i == at && w.pair != NoPair && w.pair != OneRolledBack:
 			w.lose()
 		}
 		if w.rng.IntN(30) == 0 {
@@ -214,7 +214,7 @@
 		s.cells[i] = x.cell(c)
 	}
 	for i := range mendTicks {
-		if x.found.Broken != "" {
+		if x.found.Violation != "" {
 			return
 		}
 		if i%20 == 10 {
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -68,7 +68,7 @@
 	frozen  time.Duration
 	ice     int // counts freezes
 	stalled time.Duration
-	synced  *Disk
+	synced  *DurableState
 	cache   []Write
 	ready   time.Duration // when the disk is through with what it has
 	adopted uint32
@@ -88,7 +88,7 @@
 func (w *world) add(member, genesis bool) *node {
 	addr := fmt.Sprintf("n%02d", len(w.nodes))
 	n := &node{cfg: Config{Self: addr, Name: addr, Zone: string(rune('a' + len(w.nodes)%3)), Member: member,
-		Genesis: genesis, Losses: w.losses}}
+		Genesis: genesis, ToleratedLosses: w.losses}}
 	w.nodes, w.byAddr[addr] = append(w.nodes, n), n
 	if len(w.seeds) < 3 {
 		w.seeds = append(w.seeds, addr)
@@ -142,7 +142,7 @@
 	n.up, n.frozen, n.adopted = true, 0, 0
 	n.life++
 	n.cfg.Seed, n.cfg.Seeds = w.rng.Uint64(), w.seeds
-	var d *Disk
+	var d *DurableState
 	if n.synced != nil {
 		c := *n.synced
 		d = &c
@@ -150,7 +150,7 @@
 	old := n.m
 	n.m = New(n.cfg, d, w.now)
 	if w.amnesia && d == nil && old != nil {
-		n.m.d.Life = old.d.Life
+		n.m.d.DiskID = old.d.DiskID
 	}
 	n.m.bug = w.bug
 	w.tick(n, n.life)
@@ -169,7 +169,7 @@
 	}
 	if n.frozen <= w.now {
 		if w.rng.IntN(8) == 0 || w.now < 100*ms {
-			n.m.Peers(w.now, w.peers())
+			n.m.SetPeers(w.now, w.peers())
 		}
 		w.apply(n, n.m.Tick(w.now))
 	}
@@ -183,8 +183,8 @@
 			continue
 		}
 		q := Peer{Addr: n.cfg.Self, Zone: n.cfg.Zone, Member: n.cfg.Member, Up: n.up && n.frozen <= w.now}
-		if h := n.m.Held(); h != nil {
-			q.Held = h.Version
+		if h := n.m.Committed(); h != nil {
+			q.Version = h.Version
 		}
 		p = append(p, q)
 	}
@@ -216,7 +216,7 @@
 			w.carry(n.cfg.Self, s)
 		}
 	}
-	if a := out.Adopt; a != nil {
+	if a := out.Apply; a != nil {
 		if a.Version <= n.adopted {
 			w.fail("%s adopts %d after %d", n.cfg.Self, a.Version, n.adopted)
 		}
@@ -240,10 +240,10 @@
 		return
 	}
 	for len(n.cache) > 0 && n.cache[0].Seq <= seq {
-		d := n.cache[0].Disk
+		d := n.cache[0].State
 		n.synced, n.cache = &d, n.cache[1:]
 	}
-	w.input(n, life, func() Out { return n.m.Written(w.now, seq) })
+	w.input(n, life, func() Out { return n.m.WriteDone(w.now, seq) })
 }
 
 func (w *world) carry(from string, s fsm.Send) {
@@ -271,7 +271,7 @@
 		if n == nil || w.cut[[2]string{from, s.To}] {
 			return
 		}
-		w.input(n, n.life, func() Out { return n.m.Take(w.now, from, s.Msg) })
+		w.input(n, n.life, func() Out { return n.m.Receive(w.now, from, s.Msg) })
 	})
 }
 
@@ -282,7 +282,7 @@
 	}
 	w.trace("%v kill %s power %v", w.now, n.cfg.Self, power)
 	if len(n.cache) > 0 && power {
-		d := n.cache[len(n.cache)-1].Disk
+		d := n.cache[len(n.cache)-1].State
 		n.synced = &d
 	}
 	n.up, n.cache, n.ready, n.stalled = false, nil, 0, 0
@@ -326,8 +326,8 @@
 		return
 	}
 	o.done, o.took = &a, w.now-o.at
-	switch a.Verdict {
-	case Kept:
+	switch a.Result {
+	case ResultAccepted:
 		w.acked = max(w.acked, o.doc.Version)
 		if t, ok := w.texts[o.doc.Version]; ok && t != string(o.doc.Body) {
 			w.fail("%s acknowledges %q as %d, which is %q", n.cfg.Self, o.doc.Body, o.doc.Version, t)
@@ -342,12 +342,12 @@
 		if w.bodies[o.doc.Version] == "" && len(w.bodies) == 0 {
 			w.fail("version %d is acknowledged and nobody has it", o.doc.Version)
 		}
-	case Differs:
+	case ResultConflict:
 		w.denied[order(o.doc.Version, string(o.doc.Body))] = true
 		if t := w.texts[o.doc.Version]; t == string(o.doc.Body) {
 			w.fail("%s refuses %q as %d, which was acknowledged", n.cfg.Self, t, o.doc.Version)
 		}
-	case Read:
+	case ResultRead:
 		if a.Doc.Version < o.floor {
 			w.fail("%s reads %d, %d was acknowledged", n.cfg.Self, a.Doc.Version, o.floor)
 		}
@@ -355,7 +355,7 @@
 			w.fail("%s reads %d %q, adopted %q", n.cfg.Self, a.Doc.Version, a.Doc.Body, b)
 		}
 		w.acked = max(w.acked, a.Doc.Version) // later reads may not go back behind it
-	case None:
+	case ResultNone:
 		if o.floor > 0 {
 			w.fail("%s reads nothing, %d was acknowledged", n.cfg.Self, o.floor)
 		}
@@ -387,8 +387,8 @@
 var filler = strings.Repeat("a route that stays; ", 40)
 
 // record is the newest active one that any process or disk knows.
-func (w *world) record() Record {
-	var r Record
+func (w *world) record() EpochRecord {
+	var r EpochRecord
 	for _, n := range w.nodes {
 		if n.m != nil && n.m.view.newer(r) {
 			r = n.m.view
@@ -408,17 +408,17 @@
 			r = n.synced.Record
 		}
 	}
-	r.Active = most(r.Set, func(s Seat) bool { // until a majority knows, the old set is needed
+	r.Active = most(r.Members, func(s Member) bool { // until a majority knows, the old set is needed
 		n := w.byAddr[s.Addr]
 		return n.synced != nil && n.synced.Record.Ballot == r.Ballot && n.synced.Record.Active
 	})
 	return len(w.lost(r.voters()))
 }
 
-func (w *world) lost(of []Seat) []Seat {
-	return slices.DeleteFunc(slices.Clone(of), func(s Seat) bool {
+func (w *world) lost(of []Member) []Member {
+	return slices.DeleteFunc(slices.Clone(of), func(s Member) bool {
 		n := w.byAddr[s.Addr]
-		return !n.gone && n.m != nil && n.m.d.Life == s.Life && n.synced != nil && n.synced.Life == s.Life
+		return !n.gone && n.m != nil && n.m.d.DiskID == s.DiskID && n.synced != nil && n.synced.DiskID == s.DiskID
 	})
 }
 
@@ -466,7 +466,7 @@
 	}
 	w.run(1200 * ms)
 	for _, o := range ops { // all texts are of one number: one is acknowledged, others are told that they differ
-		if o.done == nil || o.done.Verdict != Kept && o.done.Verdict != Differs {
+		if o.done == nil || o.done.Result != ResultAccepted && o.done.Result != ResultConflict {
 			w.late("%s: a put after all was healed: %+v", o.node.cfg.Self, o.done)
 		}
 		if _, ok := w.texts[o.doc.Version]; !ok {
@@ -474,11 +474,11 @@
 		}
 	}
 	for _, n := range w.nodes {
-		if h := n.m.Held(); n.up && (h == nil || h.Version < w.acked) {
+		if h := n.m.Committed(); n.up && (h == nil || h.Version < w.acked) {
 			w.late("%s is behind: %v, %d acknowledged", n.cfg.Self, h, w.acked)
 		}
 	}
-	if lost := w.lost(w.record().Set); len(lost) > 0 {
+	if lost := w.lost(w.record().Members); len(lost) > 0 {
 		w.late("a seat was not taken again: %+v", lost)
 	}
 }
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -46,7 +46,7 @@
 // Reply is a consensus.Answer: Proved, or Busy.
 func (k *Knot) Prove(now fsm.Time, call uint64) Out {
 	k.contact.asked[call] = now
-	k.agreed(now, k.pact.Prove(now, call))
+	k.agreed(now, k.pact.CheckContact(now, call))
 	return k.end()
 }
 
@@ -58,7 +58,7 @@
 // met tells whether this life has been in touch, and holds what was kept then.
 func (k *Knot) met() bool {
 	held := uint32(0)
-	if d := k.pact.Held(); d != nil {
+	if d := k.pact.Committed(); d != nil {
 		held = d.Version
 	}
 	return k.bugs.Unmet || k.contact.at != 0 && held >= k.contact.need
@@ -75,7 +75,7 @@
 	}
 	c.own, c.waits = c.own+1, true
 	c.asked[ownCalls|c.own] = now
-	k.agreed(now, k.pact.Prove(now, ownCalls|c.own))
+	k.agreed(now, k.pact.CheckContact(now, ownCalls|c.own))
 }
 
 // proof takes the answer of a call that may be one, and says whether a caller waits for it.
@@ -86,7 +86,7 @@
 		return true
 	}
 	delete(c.asked, a.ID)
-	if a.Verdict == consensus.Proved {
+	if a.Result == consensus.ResultContact {
 		if c.at == 0 {
 			c.need = a.Version
 		}
@@ -101,7 +101,7 @@
 
 // seats tells the list of servers who has a say in agreement.
 func (k *Knot) seats() {
-	b, set := k.pact.Seats()
+	b, set := k.pact.Members()
 	if b == k.seated && k.seatsTold {
 		return
 	}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -113,7 +113,7 @@
 }
 
 // New starts a process. A nil disk is an empty one, or none.
-func New(c Config, meter Meter, disk *consensus.Disk, now fsm.Time) *Knot {
+func New(c Config, meter Meter, disk *consensus.DurableState, now fsm.Time) *Knot {
 	k := &Knot{
 		self: c.Self, meter: meter, bane: c.faults(now), counter: quotas.NewCounter(c.Self, c.Life), round: map[string]*detour{},
 		bond: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.Control, Member: c.Member,
@@ -124,7 +124,7 @@
 		bugs: c.Bugs, contact: contact{asked: map[uint64]fsm.Time{}, pause: proveAgain},
 	}
 	k.pact = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
-		Losses: c.Losses, Seeds: c.Seeds, Seed: c.Seed, Enter: k.accord.Enter}, disk, now)
+		ToleratedLosses: c.Losses, Seeds: c.Seeds, Seed: c.Seed, Transform: k.accord.Enter}, disk, now)
 	k.pact.SetBug(c.Bugs.Pact)
 	k.lore.SetBug(c.Bugs.Lore)
 	k.seats()
@@ -140,7 +140,7 @@
 	case of == ofLore:
 		k.learnt(k.lore.Take(now, from, msg))
 	case of == ofPact:
-		k.agreed(now, k.pact.Take(now, from, msg))
+		k.agreed(now, k.pact.Receive(now, from, msg))
 	case of == ofBane:
 		k.ruled(func() faultrules.Out { return k.bane.Take(now, from, msg) })
 	case of == ofAccord:
@@ -220,7 +220,7 @@
 
 // Written says that a write, and all before it, are synced.
 func (k *Knot) Written(now fsm.Time, seq uint64) Out {
-	k.agreed(now, k.pact.Written(now, seq))
+	k.agreed(now, k.pact.WriteDone(now, seq))
 	if k.prepare != 0 && seq >= k.prepare {
 		k.prepare = 0
 		k.together(now, k.accord.Synced(now))
@@ -233,23 +233,23 @@
 	k.leaving, k.ready = true, false
 	k.cede.Fit(false, true)
 	k.bonded(now, k.bond.Leave(now))
-	k.agreed(now, k.pact.Leave(now, consensus.Leaves))
+	k.agreed(now, k.pact.Leave(now, consensus.LeaveEventually))
 	return k.end()
 }
 
 // Depart says that this process ends as soon as the others can go on without it, or soon in any case.
-func (k *Knot) Depart(now fsm.Time, n consensus.Notice) Out {
+func (k *Knot) Depart(now fsm.Time, n consensus.LeaveUrgency) Out {
 	k.agreed(now, k.pact.Leave(now, n))
 	return k.end()
 }
 
 // Left reports whether they can.
-func (k *Knot) Left() bool { return k.pact.Left() }
+func (k *Knot) Left() bool { return k.pact.MayExit() }
 
 // Seeds replaces the addresses to turn to.
 func (k *Knot) Seeds(now fsm.Time, seeds []string) {
 	k.bond.Seeds(now, seeds)
-	k.pact.Seeds(now, seeds)
+	k.pact.SetSeeds(now, seeds)
 }
 
 // Ready reports whether requests can be served here.
@@ -274,7 +274,7 @@
 func (k *Knot) Services(now fsm.Time) []registry.Sight { return k.lore.Sights(now) }
 
 // Epochs are those that this process has seen, the newest last.
-func (k *Knot) Epochs() []consensus.Change { return k.pact.Past() }
+func (k *Knot) Epochs() []consensus.EpochChange { return k.pact.EpochHistory() }
 
 // Pact tells how agreement stands.
 func (k *Knot) Pact() consensus.Status { return k.pact.Status() }
@@ -301,7 +301,7 @@
 func (k *Knot) bonded(now fsm.Time, out memberlist.Out) {
 	k.send(out.Send)
 	for _, h := range out.Holds {
-		k.pact.Holds(h.Addr, h.Held)
+		k.pact.NotePeerVersion(h.Addr, h.Held)
 	}
 	if !out.Changed {
 		return
@@ -314,8 +314,8 @@
 	k.late, k.looked, k.seen = false, now, len(view)
 	up := lo.Filter(view, func(n memberlist.Node, _ int) bool { return n.State == memberlist.Up })
 	k.learnt(k.lore.Nodes(now, view)) // who leaves still serves, and must hear of servers
-	k.pact.Peers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
-		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Held: n.Held}
+	k.pact.SetPeers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
+		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Version: n.Held}
 	}))
 	k.accord.Nodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
 		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
--- a/internal/controlplane/life_test.go
+++ b/internal/controlplane/life_test.go
@@ -74,7 +74,7 @@
 	for _, m := range former {
 		kinds[fmt.Sprintf("%T", m)]++
 	}
-	if kinds["consensus.Answered"] < 2 || kinds["registry.Ack"] == 0 {
+	if kinds["consensus.ForwardReply"] < 2 || kinds["registry.Ack"] == 0 {
 		t.Fatalf("nothing to tell apart: %v", kinds)
 	}
 	delete(p.held, "calls")
--- a/internal/controlplane/text_test.go
+++ b/internal/controlplane/text_test.go
@@ -128,7 +128,7 @@
 		return c.knots[2].Put(c.now, uint64(version), consensus.Doc{Version: version, Body: text})
 	})
 	c.run(300*time.Millisecond, false)
-	if len(c.said) != 1 || c.said[0].Verdict != consensus.Kept {
+	if len(c.said) != 1 || c.said[0].Result != consensus.ResultAccepted {
 		t.Fatalf("version %d: %+v", version, c.said)
 	}
 }
--- a/internal/controlplane/together.go
+++ b/internal/controlplane/together.go
@@ -9,20 +9,20 @@
 // roll tells the taking up of configurations what agreement has come to.
 func (k *Knot) roll(now fsm.Time, out consensus.Out) {
 	k.accord.Primary(k.pact.Primary())
-	epoch, leads := k.pact.Leads()
+	epoch, leads := k.pact.Leading()
 	if !leads {
 		k.together(now, k.accord.Leads(now, epoch, false))
 	}
-	if out.Adopt != nil {
+	if out.Apply != nil {
 		if k.prepare = 0; out.Write != nil { // nothing is confirmed before it is on disk
 			k.prepare = out.Write.Seq
 		}
-		k.together(now, k.accord.Doc(now, *out.Adopt, out.Write == nil))
+		k.together(now, k.accord.Doc(now, *out.Apply, out.Write == nil))
 	}
 	if leads {
 		k.together(now, k.accord.Leads(now, epoch, true))
-		if out.Affirmed != 0 {
-			k.together(now, k.accord.Affirmed(now, out.Affirmed))
+		if out.ConfirmedRound != 0 {
+			k.together(now, k.accord.Affirmed(now, out.ConfirmedRound))
 		}
 	}
 }
@@ -52,7 +52,7 @@
 		}
 	}
 	if out.Affirm {
-		round, then := k.pact.Affirm(now)
+		round, then := k.pact.ConfirmLeadership(now)
 		k.accord.Affirming(round)
 		k.agreed(now, then)
 	}
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -134,11 +134,11 @@
 	}
 	doc := consensus.Doc{Version: c.Version(), Body: body}
 	a, _ := p.ask(func(call uint64) { p.box.Put(proposed{call, doc}) }).(consensus.Answer)
-	switch a.Verdict {
-	case consensus.Kept:
+	switch a.Result {
+	case consensus.ResultAccepted:
 		ctx.SetContentType("application/json")
 		ctx.SetBodyString("{}")
-	case consensus.Differs: // for good: the same order would never get another answer
+	case consensus.ResultConflict: // for good: the same order would never get another answer
 		p.say.WithField("version", fmt.Sprintf("%08x", doc.Version)).Info("refused: the number has another text")
 		ctx.Error(fmt.Sprintf("Epoch: %08x was accepted with another text: read what is in force, and send this above it\n", doc.Version),
 			http.StatusConflict)
@@ -150,10 +150,10 @@
 func (p *Process) get(ctx *fasthttp.RequestCtx, _ string) {
 	a, _ := p.ask(func(call uint64) { p.box.Put(fetched{call}) }).(consensus.Answer)
 	switch {
-	case a.Verdict == consensus.Read && a.Doc != nil:
+	case a.Result == consensus.ResultRead && a.Doc != nil:
 		ctx.SetContentType("application/json")
 		ctx.SetBody(a.Doc.Body)
-	case a.Verdict == consensus.None:
+	case a.Result == consensus.ResultNone:
 		ctx.Error("there is no configuration yet\n", http.StatusNotFound)
 	default:
 		p.busy(ctx)
--- a/internal/daemon/contact.go
+++ b/internal/daemon/contact.go
@@ -13,7 +13,7 @@
 // not in touch, and must promise nothing and refuse nothing for good.
 func (p *Process) proof(within time.Duration) (kept uint32, ok bool) {
 	a, _ := p.askFor(within, func(call uint64) { p.box.Put(proving{call}) }).(consensus.Answer)
-	return a.Version, a.Verdict == consensus.Proved
+	return a.Version, a.Result == consensus.ResultContact
 }
 
 // patience is how long a call waits for proof before something else; with that it still
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -146,7 +146,7 @@
 	now, seed := p.now(), hostenv.Real.Random()
 	member := set.QuorumMember && set.StateDir != ""
 	life := uint64(time.Now().UnixMilli())
-	var kept *consensus.Disk
+	var kept *consensus.DurableState
 	sound := true
 	if member {
 		var err error
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -22,7 +22,7 @@
 // open reads what is on disk, and begins to write what comes. sound is false where
 // something was lost: what a member has forgotten, it may have promised, so that it
 // joins anew like one with an empty disk.
-func (p *Process) open(dir string) (v *storage.Vault, d *consensus.Disk, sound bool, err error) {
+func (p *Process) open(dir string) (v *storage.Vault, d *consensus.DurableState, sound bool, err error) {
 	var lost *storage.Damaged
 	if v, err = storage.Open(dir); v == nil {
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
@@ -46,7 +46,7 @@
 	case err != nil:
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
 	}
-	if d, err = consensus.ReadDisk(data); err != nil {
+	if d, err = consensus.DecodeState(data); err != nil {
 		return nil, nil, false, fmt.Errorf("StateDir: record %q: %w", record, err)
 	}
 	return v, d, true, nil
@@ -63,7 +63,7 @@
 			continue
 		}
 		last := all[len(all)-1]
-		data, err := last.Disk.Bytes()
+		data, err := last.State.Encode()
 		for err == nil {
 			if err = v.Save(record, data); err == nil {
 				break
--- a/internal/daemon/frames_test.go
+++ b/internal/daemon/frames_test.go
@@ -13,7 +13,7 @@
 func TestFrames(t *testing.T) {
 	var out, in tally
 	var wire bytes.Buffer
-	for _, msg := range []any{consensus.Ask{}, consensus.Pull{Held: 7}, consensus.Ask{}} {
+	for _, msg := range []any{consensus.ViewRequest{}, consensus.Pull{Version: 7}, consensus.ViewRequest{}} {
 		wire.Write(out.codec(func() bool { return false }).Encode(&frame{From: "127.0.0.1:1", Msg: msg}))
 	}
 	all := int64(wire.Len())
--- a/internal/daemon/leave.go
+++ b/internal/daemon/leave.go
@@ -18,7 +18,7 @@
 // leave is how far a process has come with leaving.
 type leave struct {
 	called bool
-	told   consensus.Notice
+	told   consensus.LeaveUrgency
 }
 
 type step int
@@ -35,13 +35,13 @@
 const departs = time.Second
 
 // notice is what the others are to be told now, if anything is new.
-func (l *leave) notice(gone, grace time.Duration, idle bool) consensus.Notice {
+func (l *leave) notice(gone, grace time.Duration, idle bool) consensus.LeaveUrgency {
 	n := l.told
 	switch {
 	case gone > grace-departs:
-		n = consensus.Ends
+		n = consensus.LeaveForced
 	case idle:
-		n = max(n, consensus.Last)
+		n = max(n, consensus.LeaveWhenSafe)
 	}
 	if n == l.told {
 		return 0
--- a/internal/daemon/leave_test.go
+++ b/internal/daemon/leave_test.go
@@ -51,13 +51,13 @@
 func TestNotice(t *testing.T) {
 	for _, idle := range []time.Duration{3 * time.Second, 5500 * time.Millisecond} {
 		var l leave
-		var told []consensus.Notice
+		var told []consensus.LeaveUrgency
 		for gone := time.Duration(0); gone < 6*time.Second; gone += 50 * time.Millisecond {
 			if n := l.notice(gone, 6*time.Second, gone >= idle); n != 0 {
 				told = append(told, n)
 			}
 		}
-		want := []consensus.Notice{consensus.Last, consensus.Ends}
+		want := []consensus.LeaveUrgency{consensus.LeaveWhenSafe, consensus.LeaveForced}
 		if idle > 5*time.Second {
 			want = want[1:]
 		}
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -84,9 +84,9 @@
 	p.show(ctx, func(p *Process) any {
 		now, today := p.now(), time.Now()
 		return adminapi.Epochs{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Role: p.knot.Pact().Role,
-			Epochs: lo.Map(p.knot.Epochs(), func(c consensus.Change, _ int) adminapi.Epoch {
-				return adminapi.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Seats, func(d consensus.Duty, _ int) adminapi.Seat {
-					return adminapi.Seat{Name: cmp.Or(d.Name, d.Addr), Zone: d.Zone, Addr: d.Addr, Does: d.Does}
+			Epochs: lo.Map(p.knot.Epochs(), func(c consensus.EpochChange, _ int) adminapi.Epoch {
+				return adminapi.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Members, func(d consensus.MemberRole, _ int) adminapi.Seat {
+					return adminapi.Seat{Name: cmp.Or(d.Name, d.Addr), Zone: d.Zone, Addr: d.Addr, Does: d.Role}
 				})}
 			})}
 	})
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -35,16 +35,16 @@
 // pull asks for what the primary has kept. What is prepared comes with the text of what is
 // live, so it takes twice as long as that.
 func (m *Machine) pull(now fsm.Time, from string, kept consensus.Doc) {
-	if !kept.Above(m.doc) {
+	if !kept.Supersedes(m.doc) {
 		m.lacks = 0
 		return
 	}
 	if m.lacks == 0 {
 		m.lacks = now
 	}
-	if wait := pullEvery + 2*consensus.Way(len(m.doc.Body)); now-m.lacks >= wait && now-m.pulled >= wait {
+	if wait := pullEvery + 2*consensus.TransferTime(len(m.doc.Body)); now-m.lacks >= wait && now-m.pulled >= wait {
 		m.pulled = now
-		m.send(from, consensus.Pull{Held: kept.Version - 1}) // or higher, and so the amended one too
+		m.send(from, consensus.Pull{Version: kept.Version - 1}) // or higher, and so the amended one too
 	}
 }
 
@@ -95,7 +95,7 @@
 	for range m.nodes {
 		m.turns++
 		if n := m.nodes[m.turns%len(m.nodes)]; n.Member && n.Addr != m.c.Self {
-			m.send(n.Addr, consensus.Ask{})
+			m.send(n.Addr, consensus.ViewRequest{})
 			return
 		}
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -43,14 +43,14 @@
 		{"overtaking", Enter(two, doc(5, each)), Prepared, 1},
 		{"after a withdrawn one", Enter(withdrawn(two, "why"), doc(3, each)), Prepared, 1},
 		{"after each again", Enter(turned(two), doc(3, together)), Live, 3},
-		{"an operator's own words beside it", Enter(one, consensus.Doc{Version: 2, Rev: 9, Side: []byte{1}}), Prepared, 1},
-		{"unreadable", consensus.Doc{Version: 2, Side: []byte{0xff}}, Withdrawn, 0},
+		{"an operator's own words beside it", Enter(one, consensus.Doc{Version: 2, Rev: 9, Attachment: []byte{1}}), Prepared, 1},
+		{"unreadable", consensus.Doc{Version: 2, Attachment: []byte{0xff}}, Withdrawn, 0},
 	} {
 		if s := Read(c.doc); s.Fate != c.fate || s.Version != c.live {
 			t.Errorf("%s: %v, live %d", c.name, s.Fate, s.Version)
 		}
 	}
-	if two.Above(turned(two)) || !doc(3, each).Above(turned(two)) {
+	if two.Supersedes(turned(two)) || !doc(3, each).Supersedes(turned(two)) {
 		t.Error("order")
 	}
 }
--- a/internal/rollout/side.go
+++ b/internal/rollout/side.go
@@ -30,10 +30,10 @@
 // Read is what is kept beside a document. What can't be read counts as withdrawn with
 // nothing live, so that nobody goes by it; no program writes such a thing.
 func Read(d consensus.Doc) (s Side) {
-	if len(d.Side) == 0 {
+	if len(d.Attachment) == 0 {
 		return Side{Version: d.Version, Body: d.Body}
 	}
-	if err := cbor.Unmarshal(d.Side, &s); err != nil {
+	if err := cbor.Unmarshal(d.Attachment, &s); err != nil {
 		return Side{Fate: Withdrawn, Why: err.Error()}
 	}
 	return s
@@ -56,9 +56,9 @@
 }
 
 func enter(kept, next consensus.Doc, rollout func(Side) sysconfig.Rollout) consensus.Doc {
-	next.Rev, next.Side, next.Past = 0, nil, past(kept)
+	next.Rev, next.Attachment, next.History = 0, nil, past(kept)
 	if was := Read(kept); was.Version != 0 && rollout(was).Together {
-		next.Side = write(Side{Fate: Prepared, Version: was.Version, Body: was.Body})
+		next.Attachment = write(Side{Fate: Prepared, Version: was.Version, Body: was.Body})
 	}
 	return next
 }
@@ -71,7 +71,7 @@
 func past(kept consensus.Doc) []byte {
 	all := withdrawnBefore(kept)
 	if Read(kept).Fate != Withdrawn {
-		return kept.Past
+		return kept.History
 	}
 	all = append(all, kept.Version)
 	data, err := cbor.Marshal(all[max(0, len(all)-pastMost):])
@@ -84,21 +84,21 @@
 // withdrawnBefore are the versions below a document's that have been withdrawn, the newest last.
 // What can't be read counts as none: their wishes hear that they are overtaken.
 func withdrawnBefore(d consensus.Doc) (all []uint32) {
-	if len(d.Past) > 0 && cbor.Unmarshal(d.Past, &all) != nil {
+	if len(d.History) > 0 && cbor.Unmarshal(d.History, &all) != nil {
 		return nil
 	}
 	return all
 }
 
 func turned(d consensus.Doc) consensus.Doc {
-	d.Rev, d.Side = d.Rev+1, nil
+	d.Rev, d.Attachment = d.Rev+1, nil
 	return d
 }
 
 func withdrawn(d consensus.Doc, why string) consensus.Doc {
 	s := Read(d)
 	s.Fate, s.Why = Withdrawn, why
-	d.Rev, d.Side = d.Rev+1, write(s)
+	d.Rev, d.Attachment = d.Rev+1, write(s)
 	return d
 }
 
--- a/internal/rollout/world/judge.go
+++ b/internal/rollout/world/judge.go
@@ -124,7 +124,7 @@
 			w.breaks("HELD", "%s confirms %d and has %d on disk", p.name, t.Checked, kept(p.disk))
 		}
 	case consensus.Append:
-		if t.Doc.Rev > 0 && len(t.Doc.Side) == 0 {
+		if t.Doc.Rev > 0 && len(t.Doc.Attachment) == 0 {
 			w.enough(p, t.Doc)
 		}
 	}
--- a/internal/rollout/world/play.go
+++ b/internal/rollout/world/play.go
@@ -11,11 +11,11 @@
 )
 
 func diskVersion(data []byte) uint32 {
-	var d consensus.Disk
+	var d consensus.DurableState
 	if err := cbor.Unmarshal(data, &d); err != nil {
 		panic(err)
 	}
-	return d.Kept.Version
+	return d.Committed.Version
 }
 
 // Begin brings the first versions into force: the second is the first that is taken up
--- a/internal/rollout/world/proc.go
+++ b/internal/rollout/world/proc.go
@@ -53,9 +53,9 @@
 	p.up, p.thaws, p.ice, p.waiting, p.gate, p.wishes = true, 0, nil, nil, rollout.Gate{}, map[uint64]wished{}
 	p.puts = map[uint64]uint32{}
 	p.life, p.heard = p.life+1, map[string]said{}
-	var kept *consensus.Disk
+	var kept *consensus.DurableState
 	if p.disk != nil {
-		kept = &consensus.Disk{}
+		kept = &consensus.DurableState{}
 		if err := cbor.Unmarshal(p.disk, kept); err != nil {
 			panic(err)
 		}
@@ -135,7 +135,7 @@
 func (p *Proc) carry(out controlplane.Out) {
 	w := p.w
 	if out.Write != nil {
-		data, err := cbor.Marshal(out.Write.Disk)
+		data, err := cbor.Marshal(out.Write.State)
 		if err != nil {
 			panic(err)
 		}
@@ -167,16 +167,16 @@
 		case rollout.Withdrew:
 			w.told(p, p.wishes[r.Call], t.Outcome)
 		case consensus.Answer:
-			switch version := p.puts[r.Call]; t.Verdict {
-			case consensus.Kept:
+			switch version := p.puts[r.Call]; t.Result {
+			case consensus.ResultAccepted:
 				w.acked(p, version)
-			case consensus.Busy: // no clear answer
-			case consensus.Differs:
+			case consensus.ResultBusy: // no clear answer
+			case consensus.ResultConflict:
 				if !w.other[version] {
 					w.breaks("AGAIN", "put of %d at %s: another text has its number, and there is none", version, p.name)
 				}
 			default:
-				w.breaks("AGAIN", "put of %d at %s is refused: %v", version, p.name, t.Verdict)
+				w.breaks("AGAIN", "put of %d at %s is refused: %v", version, p.name, t.Result)
 			}
 		}
 	}
--- a/internal/systemsim/bug.go
+++ b/internal/systemsim/bug.go
@@ -47,15 +47,15 @@
 func (b Bug) guards() controlplane.Bugs {
 	switch b {
 	case OldDisk:
-		return controlplane.Bugs{Pact: consensus.BugOldDisk}
+		return controlplane.Bugs{Pact: consensus.BugNoFencing}
 	case Deaf:
-		return controlplane.Bugs{Pact: consensus.BugDeaf}
+		return controlplane.Bugs{Pact: consensus.BugNoCatchUp}
 	case Unheard:
-		return controlplane.Bugs{Pact: consensus.BugNoLearner}
+		return controlplane.Bugs{Pact: consensus.BugSkipLearner}
 	case Remnant:
-		return controlplane.Bugs{Pact: consensus.BugRemnant}
+		return controlplane.Bugs{Pact: consensus.BugNoShrinkOnForcedLeave}
 	case Whole:
-		return controlplane.Bugs{Pact: consensus.BugWhole}
+		return controlplane.Bugs{Pact: consensus.BugNoPacking}
 	case Unread:
 		return controlplane.Bugs{Pact: consensus.BugUnconfirmed}
 	case Unvouched:
@@ -93,19 +93,19 @@
 			again.Life, again.Read, again.Echo = ^t.Life, false, false
 			return []any{again, msg}
 		}
-	case consensus.Answered:
-		if b == Confirms && t.Verdict == consensus.Differs {
-			t.Verdict = consensus.Kept
+	case consensus.ForwardReply:
+		if b == Confirms && t.Result == consensus.ResultConflict {
+			t.Result = consensus.ResultAccepted
 		}
 		return []any{t}
-	case consensus.Copy:
+	case consensus.InstallState:
 		if b == Forgets {
-			t.Kept, t.Next = t.Kept.Forgetful(), t.Next.Forgetful()
+			t.Committed, t.Pending = t.Committed.ResetLedger(), t.Pending.ResetLedger()
 		}
 		return []any{t}
 	case consensus.Promise:
 		if b == Forgets {
-			t.Kept, t.Next = t.Kept.Forgetful(), t.Next.Forgetful()
+			t.Committed, t.Pending = t.Committed.ResetLedger(), t.Pending.ResetLedger()
 		}
 		return []any{t}
 	case registry.News:
--- a/internal/systemsim/callers.go
+++ b/internal/systemsim/callers.go
@@ -147,10 +147,10 @@
 	try = func() {
 		c.try(func(p *proc, id uint64) controlplane.Out { return p.k.Put(p.clock(), id, doc) }, func(p *proc, a consensus.Answer, ok bool) {
 			switch {
-			case ok && a.Verdict == consensus.Kept:
+			case ok && a.Result == consensus.ResultAccepted:
 				c.w.kept(s.o, p)
 				end(Acked)
-			case ok && a.Verdict == consensus.Differs:
+			case ok && a.Result == consensus.ResultConflict:
 				end(Differed)
 			case tries == triesOf:
 				end(Unclear)
@@ -169,7 +169,7 @@
 	w, from := c.w, c.w.now
 	floor := w.acked
 	c.try(func(p *proc, id uint64) controlplane.Out { return p.k.Get(p.clock(), id) }, func(p *proc, a consensus.Answer, ok bool) {
-		if ok && a.Verdict == consensus.Read {
+		if ok && a.Result == consensus.ResultRead {
 			w.seen(p, "reads", a.Doc)
 			if a.Doc.Version < floor {
 				w.breaks("LOST", "%s reads version %d, %d was acknowledged", p.name, a.Doc.Version, floor)
--- a/internal/systemsim/disk.go
+++ b/internal/systemsim/disk.go
@@ -36,7 +36,7 @@
 		return
 	}
 	w := d.p.w
-	data, err := cbor.Marshal(d.wait.Disk)
+	data, err := cbor.Marshal(d.wait.State)
 	if err != nil {
 		panic(err) // a bug: the type is our own
 	}
@@ -72,11 +72,11 @@
 	d.spins++
 }
 
-func (d *disk) open() *consensus.Disk {
+func (d *disk) open() *consensus.DurableState {
 	if d.synced == nil {
 		return nil
 	}
-	kept := &consensus.Disk{}
+	kept := &consensus.DurableState{}
 	if err := cbor.Unmarshal(d.synced, kept); err != nil {
 		panic(err)
 	}
@@ -93,7 +93,7 @@
 }
 
 // keep puts a state on the disk of a machine on which nothing runs.
-func (d *disk) keep(kept *consensus.Disk) {
+func (d *disk) keep(kept *consensus.DurableState) {
 	data, err := cbor.Marshal(kept)
 	if err != nil {
 		panic(err)
--- a/internal/systemsim/heal.go
+++ b/internal/systemsim/heal.go
@@ -10,7 +10,7 @@
 
 func proved(v any) (uint32, bool) {
 	a, ok := v.(consensus.Answer)
-	return a.Version, ok && a.Verdict == consensus.Proved
+	return a.Version, ok && a.Result == consensus.ResultContact
 }
 
 // heal is a cut that has ended, until all that it parted have what was newest then.
@@ -115,7 +115,7 @@
 func (w *world) raise(p *proc, by uint64) {
 	p.end()
 	if d := p.disk.open(); d != nil {
-		d.Promised = consensus.Ballot{N: d.Promised.N + by, By: p.addr, Life: d.Life}
+		d.Promised = consensus.Ballot{N: d.Promised.N + by, By: p.addr, DiskID: d.DiskID}
 		p.disk.keep(d)
 	}
 	p.boot()
--- a/internal/systemsim/operator.go
+++ b/internal/systemsim/operator.go
@@ -96,15 +96,15 @@
 		}
 		return p.k.Put(p.clock(), id, consensus.Doc{Version: c.Version(), Body: o.body})
 	}, func(v any) {
-		if a, ok := v.(consensus.Answer); ok && a.Verdict == consensus.Kept {
+		if a, ok := v.(consensus.Answer); ok && a.Result == consensus.ResultAccepted {
 			w.kept(o, p)
 			return
-		} else if ok && a.Verdict == consensus.Differs && o.rival != nil && !o.acked {
+		} else if ok && a.Result == consensus.ResultConflict && o.rival != nil && !o.acked {
 			w.note("%s has another text as version %d", p.name, o.version)
 			o.over = true
 			return
-		} else if ok && a.Verdict != consensus.Busy {
-			w.breaks("REFUSED", "%s refuses version %d, which is in order: %v", p.name, o.version, a.Verdict)
+		} else if ok && a.Result != consensus.ResultBusy {
+			w.breaks("REFUSED", "%s refuses version %d, which is in order: %v", p.name, o.version, a.Result)
 		}
 		w.after(pause, func() { w.send(o, nil, min(pause*3/2, time.Second)) })
 	})
@@ -153,8 +153,8 @@
 	w.call(p, far, func(id uint64) controlplane.Out { return p.k.Get(p.clock(), id) }, func(v any) {
 		a, ok := v.(consensus.Answer)
 		switch {
-		case !ok || a.Verdict == consensus.Busy || a.Verdict == consensus.Kept:
-		case a.Verdict == consensus.None:
+		case !ok || a.Result == consensus.ResultBusy || a.Result == consensus.ResultAccepted:
+		case a.Result == consensus.ResultNone:
 			if floor > 0 {
 				w.breaks("LOST", "%s reads nothing, version %d was acknowledged", p.name, floor)
 			}
--- a/internal/systemsim/proc.go
+++ b/internal/systemsim/proc.go
@@ -83,7 +83,7 @@
 	p.table, p.version, p.serves, p.of = nil, 0, map[*server]bool{}, map[string][]*server{}
 	life := uint64(1e12) + uint64((w.now+p.wall)/ms) + 1e9
 	seed := w.rng.Uint64()
-	var kept *consensus.Disk
+	var kept *consensus.DurableState
 	if p.disk != nil {
 		kept = p.disk.open()
 	}
--- a/internal/systemsim/script.go
+++ b/internal/systemsim/script.go
@@ -744,14 +744,14 @@
 			then()
 		}
 	}
-	depart := func(n consensus.Notice) {
+	depart := func(n consensus.LeaveUrgency) {
 		if p.life == life && p.up {
 			p.input(func() controlplane.Out { return p.k.Depart(p.clock(), n) })
 		}
 	}
-	w.after(grace-departs, func() { depart(consensus.Ends) })
+	w.after(grace-departs, func() { depart(consensus.LeaveForced) })
 	w.after(2500*ms+w.upTo(grace-2800*ms), func() { // nothing is open any more
-		depart(consensus.Last)
+		depart(consensus.LeaveWhenSafe)
 		ends()
 	})
 }
--- a/internal/systemsim/takeover_test.go
+++ b/internal/systemsim/takeover_test.go
@@ -41,7 +41,7 @@
 
 // TestTakeover: a new primary is not sent texts that it has, nor sends them to who has them.
 func TestTakeover(t *testing.T) {
-	prepare, promise, state := reflect.TypeFor[consensus.Prepare]().Name(), reflect.TypeFor[consensus.Promise]().Name(), reflect.TypeFor[consensus.Copy]().Name()
+	prepare, promise, state := reflect.TypeFor[consensus.Prepare]().Name(), reflect.TypeFor[consensus.Promise]().Name(), reflect.TypeFor[consensus.InstallState]().Name()
 	for _, routes := range []int{30, 10600} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%d routes, seed %d", routes, seed+1), func(t *testing.T) {
