--- a/internal/consensus/amend.go
+++ b/internal/consensus/amend.go
@@ -4,10 +4,10 @@
 
 // Leads is the epoch that this process serves as its primary, if it does.
 func (m *Machine) Leading() (Ballot, bool) {
-	if m.lead == nil {
+	if m.primary == nil {
 		return Ballot{}, false
 	}
-	return m.lead.rec.Ballot, true
+	return m.primary.record.Ballot, true
 }
 
 // Primary is the address of the one that is thought to lead; empty: nobody known.
@@ -21,15 +21,15 @@
 // isn't one.
 func (m *Machine) ConfirmLeadership(now fsm.Time) (round uint64, out Out) {
 	m.now = max(m.now, now)
-	if l := m.lead; l != nil {
-		l.round++
-		if l.roundAt == 0 {
-			l.roundAt = m.now
+	if l := m.primary; l != nil {
+		l.confirmRound++
+		if l.confirmStarted == 0 {
+			l.confirmStarted = m.now
 		}
-		round = l.round
+		round = l.confirmRound
 		m.confirm()
 	}
-	return round, m.end()
+	return round, m.finishInput()
 }
 
 // Amend puts a document in the place of the one that is kept: the same version with
@@ -37,14 +37,14 @@
 // this primary: never later under another one that has kept something else.
 func (m *Machine) Amend(now fsm.Time, doc Doc) (ok bool, out Out) {
 	m.now = max(m.now, now)
-	l, kept := m.lead, m.d.Committed
-	if ok = l != nil && (l.doc == nil || l.doc.LedgerRev > 0) && m.enough() && doc.Version == kept.Version && doc.Rev == kept.Rev+1; ok {
-		doc.Digest, doc.Ledger, doc.LedgerRev, doc.CreatedIn, doc.History = kept.Digest, kept.Ledger, 0, l.rec.Ballot, kept.History
-		if l.doc != nil { // numbers that were to be noted go with it
-			doc.Ledger = l.doc.Ledger
+	l, kept := m.primary, m.state.Committed
+	if ok = l != nil && (l.proposal == nil || l.proposal.LedgerRev > 0) && m.hasAllCopies() && doc.Version == kept.Version && doc.Rev == kept.Rev+1; ok {
+		doc.Digest, doc.Ledger, doc.LedgerRev, doc.CreatedIn, doc.History = kept.Digest, kept.Ledger, 0, l.record.Ballot, kept.History
+		if l.proposal != nil { // numbers that were to be noted go with it
+			doc.Ledger = l.proposal.Ledger
 		}
-		l.doc, l.docAt, l.appended = &doc, m.now, map[string]bool{}
+		l.proposal, l.proposedAt, l.appended = &doc, m.now, map[string]bool{}
 		m.append()
 	}
-	return ok, m.end()
+	return ok, m.finishInput()
 }
--- a/internal/consensus/code.go
+++ b/internal/consensus/code.go
@@ -18,151 +18,151 @@
 // goes over all fields there are, so that a new one cannot be forgotten. How a type is written is worked
 // out once: a walk writes millions of states, and to ask reflection for each field of each took
 // more than a quarter of the models' time.
-type coder struct {
-	b       []byte // of which the first n are written: to move its end for each number costs more than the number
-	n       int
+type stateEncoder struct {
+	buf     []byte // of which the first n are written: to move its end for each number costs more than the number
+	length  int
 	now     fsm.Time
 	written uint64
 }
 
 // oldest is the age from which on no time matters any more.
-const oldest = 2 * vacant
+const maxEncodedAge = 2 * vacancyTimeout
 
 var (
-	timeType = reflect.TypeFor[time.Duration]()
-	leftOut  = []reflect.Type{reflect.TypeFor[Config](), reflect.TypeFor[*rand.Rand](), reflect.TypeFor[Out](), reflect.TypeFor[Bug](),
-		reflect.TypeFor[readers]()}
-	writeNums = []string{"seq", "Seq", "written", "active"}
+	timeType     = reflect.TypeFor[time.Duration]()
+	skippedTypes = []reflect.Type{reflect.TypeFor[Config](), reflect.TypeFor[*rand.Rand](), reflect.TypeFor[Out](), reflect.TypeFor[Bug](),
+		reflect.TypeFor[packReaderList]()}
+	writeNumberFields = []string{"seq", "Seq", "written", "activeRecordWrite"}
 )
 
 // coderOf writes behind what a buffer holds.
-func coderOf(b []byte, name string) coder {
+func newStateEncoder(b []byte, name string) stateEncoder {
 	b = append(append(b, name...), 0)
 	n := len(b)
-	return coder{b: b[:cap(b)], n: n}
+	return stateEncoder{buf: b[:cap(b)], length: n}
 }
 
-func (c *coder) num(x uint64) {
-	if len(c.b)-c.n < binary.MaxVarintLen64 {
+func (c *stateEncoder) uvarint(x uint64) {
+	if len(c.buf)-c.length < binary.MaxVarintLen64 {
 		c.grow(binary.MaxVarintLen64)
 	}
 	for ; x >= 0x80; x >>= 7 {
-		c.b[c.n] = byte(x) | 0x80
-		c.n++
+		c.buf[c.length] = byte(x) | 0x80
+		c.length++
 	}
-	c.b[c.n] = byte(x)
-	c.n++
+	c.buf[c.length] = byte(x)
+	c.length++
 }
 
-func (c *coder) grow(by int) {
-	next := make([]byte, 2*len(c.b)+by)
-	copy(next, c.b[:c.n])
-	c.b = next
+func (c *stateEncoder) grow(by int) {
+	next := make([]byte, 2*len(c.buf)+by)
+	copy(next, c.buf[:c.length])
+	c.buf = next
 }
 
-func (c *coder) flag(is bool) {
+func (c *stateEncoder) bool(is bool) {
 	if is {
-		c.num(1)
+		c.uvarint(1)
 	} else {
-		c.num(0)
+		c.uvarint(0)
 	}
 }
 
-func (c *coder) text(s string) {
-	c.num(uint64(len(s)))
-	if len(c.b)-c.n < len(s) {
+func (c *stateEncoder) string(s string) {
+	c.uvarint(uint64(len(s)))
+	if len(c.buf)-c.length < len(s) {
 		c.grow(len(s))
 	}
-	c.n += copy(c.b[c.n:], s)
+	c.length += copy(c.buf[c.length:], s)
 }
 
-func (c *coder) time(at fsm.Time) {
+func (c *stateEncoder) time(at fsm.Time) {
 	if at == 0 {
-		c.num(0)
+		c.uvarint(0)
 	} else {
-		c.num(uint64(min(c.now-at, oldest)+2*oldest) + 1)
+		c.uvarint(uint64(min(c.now-at, maxEncodedAge)+2*maxEncodedAge) + 1)
 	}
 }
 
 // scribe writes the value that stands at an address, of the type it was made for.
-type scribe func(c *coder, at unsafe.Pointer)
+type encodeFunc func(c *stateEncoder, at unsafe.Pointer)
 
 // scribes is that of each type.
-var scribes locks.Map
+var encodeFuncs locks.Map
 
 // scribeOf writes nothing of types that are left out.
-func scribeOf(t reflect.Type) scribe {
-	if slices.Contains(leftOut, t) {
-		return func(*coder, unsafe.Pointer) {}
+func encodeFuncFor(t reflect.Type) encodeFunc {
+	if slices.Contains(skippedTypes, t) {
+		return func(*stateEncoder, unsafe.Pointer) {}
 	}
-	return plainScribe(t)
+	return cachedEncodeFunc(t)
 }
 
-func plainScribe(t reflect.Type) scribe {
-	if s, ok := scribes.Load(t); ok {
-		return s.(scribe)
+func cachedEncodeFunc(t reflect.Type) encodeFunc {
+	if s, ok := encodeFuncs.Load(t); ok {
+		return s.(encodeFunc)
 	}
-	s := newScribe(t)
-	scribes.Store(t, s)
+	s := newEncodeFunc(t)
+	encodeFuncs.Store(t, s)
 	return s
 }
 
-func newScribe(t reflect.Type) scribe {
+func newEncodeFunc(t reflect.Type) encodeFunc {
 	switch t.Kind() {
 	case reflect.Bool:
-		return func(c *coder, at unsafe.Pointer) { c.flag(*(*bool)(at)) }
+		return func(c *stateEncoder, at unsafe.Pointer) { c.bool(*(*bool)(at)) }
 	case reflect.Int64, reflect.Int: // of one size here
 		if t == timeType {
-			return func(c *coder, at unsafe.Pointer) { c.time(*(*fsm.Time)(at)) }
+			return func(c *stateEncoder, at unsafe.Pointer) { c.time(*(*fsm.Time)(at)) }
 		}
-		return func(c *coder, at unsafe.Pointer) { c.num(uint64(*(*int64)(at))) }
+		return func(c *stateEncoder, at unsafe.Pointer) { c.uvarint(uint64(*(*int64)(at))) }
 	case reflect.Uint8:
-		return func(c *coder, at unsafe.Pointer) { c.num(uint64(*(*uint8)(at))) }
+		return func(c *stateEncoder, at unsafe.Pointer) { c.uvarint(uint64(*(*uint8)(at))) }
 	case reflect.Uint32:
-		return func(c *coder, at unsafe.Pointer) { c.num(uint64(*(*uint32)(at))) }
+		return func(c *stateEncoder, at unsafe.Pointer) { c.uvarint(uint64(*(*uint32)(at))) }
 	case reflect.Uint64:
-		return func(c *coder, at unsafe.Pointer) { c.num(*(*uint64)(at)) }
+		return func(c *stateEncoder, at unsafe.Pointer) { c.uvarint(*(*uint64)(at)) }
 	case reflect.String:
-		return func(c *coder, at unsafe.Pointer) { c.text(*(*string)(at)) }
+		return func(c *stateEncoder, at unsafe.Pointer) { c.string(*(*string)(at)) }
 	case reflect.Slice:
-		return sliceScribe(t)
+		return sliceEncodeFunc(t)
 	case reflect.Map:
-		return mapScribe(t)
+		return mapEncodeFunc(t)
 	case reflect.Pointer:
-		elem := locks.OnceValue(func() scribe { return scribeOf(t.Elem()) }) // it may point to its own kind
-		return func(c *coder, at unsafe.Pointer) {
+		elem := locks.OnceValue(func() encodeFunc { return encodeFuncFor(t.Elem()) }) // it may point to its own kind
+		return func(c *stateEncoder, at unsafe.Pointer) {
 			to := *(*unsafe.Pointer)(at)
 			if to == nil {
-				c.num(0)
+				c.uvarint(0)
 				return
 			}
-			c.num(1)
+			c.uvarint(1)
 			elem()(c, to)
 		}
 	case reflect.Interface:
-		return func(c *coder, at unsafe.Pointer) {
+		return func(c *stateEncoder, at unsafe.Pointer) {
 			v := reflect.NewAt(t, at).Elem().Elem()
-			c.text(v.Type().Name())
+			c.string(v.Type().Name())
 			c.boxed(v)
 		}
 	case reflect.Struct:
-		return structScribe(t)
+		return structEncodeFunc(t)
 	}
 	panic(t) // a bug: a kind that no field had
 }
 
 // boxed writes a value that has no address.
-func (c *coder) boxed(v reflect.Value) {
+func (c *stateEncoder) boxed(v reflect.Value) {
 	box := reflect.New(v.Type())
 	box.Elem().Set(v)
-	scribeOf(v.Type())(c, box.UnsafePointer())
+	encodeFuncFor(v.Type())(c, box.UnsafePointer())
 }
 
-func sliceScribe(t reflect.Type) scribe {
-	size, elem := t.Elem().Size(), scribeOf(t.Elem())
-	return func(c *coder, at unsafe.Pointer) {
+func sliceEncodeFunc(t reflect.Type) encodeFunc {
+	size, elem := t.Elem().Size(), encodeFuncFor(t.Elem())
+	return func(c *stateEncoder, at unsafe.Pointer) {
 		all := *(*[]byte)(at) // its beginning and its length, whatever it holds
-		c.num(uint64(len(all)))
+		c.uvarint(uint64(len(all)))
 		for i, first := 0, unsafe.Pointer(unsafe.SliceData(all)); i < len(all); i++ {
 			elem(c, unsafe.Add(first, uintptr(i)*size))
 		}
@@ -170,26 +170,26 @@
 }
 
 // mapScribe writes maps from texts, in the order of these.
-func mapScribe(t reflect.Type) scribe {
+func mapEncodeFunc(t reflect.Type) encodeFunc {
 	if t.Key().Kind() != reflect.String {
 		panic(t) // a bug: no field had one
 	}
 	switch reflect.Zero(t).Interface().(type) {
 	case map[string]bool:
-		return func(c *coder, at unsafe.Pointer) { sorted(c, *(*map[string]bool)(at), c.flag) }
+		return func(c *stateEncoder, at unsafe.Pointer) { encodeSortedMap(c, *(*map[string]bool)(at), c.bool) }
 	case map[string]uint32:
-		return func(c *coder, at unsafe.Pointer) {
-			sorted(c, *(*map[string]uint32)(at), func(n uint32) { c.num(uint64(n)) })
+		return func(c *stateEncoder, at unsafe.Pointer) {
+			encodeSortedMap(c, *(*map[string]uint32)(at), func(n uint32) { c.uvarint(uint64(n)) })
 		}
 	case map[string]uint64:
-		return func(c *coder, at unsafe.Pointer) { sorted(c, *(*map[string]uint64)(at), c.num) }
+		return func(c *stateEncoder, at unsafe.Pointer) { encodeSortedMap(c, *(*map[string]uint64)(at), c.uvarint) }
 	case map[string]fsm.Time:
-		return func(c *coder, at unsafe.Pointer) { sorted(c, *(*map[string]fsm.Time)(at), c.time) }
+		return func(c *stateEncoder, at unsafe.Pointer) { encodeSortedMap(c, *(*map[string]fsm.Time)(at), c.time) }
 	}
-	elem := locks.OnceValue(func() scribe { return scribeOf(t.Elem()) })
-	return func(c *coder, at unsafe.Pointer) {
+	elem := locks.OnceValue(func() encodeFunc { return encodeFuncFor(t.Elem()) })
+	return func(c *stateEncoder, at unsafe.Pointer) {
 		m := reflect.NewAt(t, at).Elem()
-		c.num(uint64(m.Len()))
+		c.uvarint(uint64(m.Len()))
 		if m.Len() == 0 {
 			return
 		}
@@ -197,7 +197,7 @@
 		slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(a.String(), b.String()) })
 		box := reflect.New(t.Elem())
 		for _, k := range keys {
-			c.text(k.String())
+			c.string(k.String())
 			box.Elem().Set(m.MapIndex(k))
 			elem()(c, box.UnsafePointer())
 		}
@@ -205,8 +205,8 @@
 }
 
 // sorted writes a map's texts in order, and what stands under each.
-func sorted[V any](c *coder, m map[string]V, write func(V)) {
-	c.num(uint64(len(m)))
+func encodeSortedMap[V any](c *stateEncoder, m map[string]V, write func(V)) {
+	c.uvarint(uint64(len(m)))
 	if len(m) == 0 {
 		return
 	}
@@ -217,52 +217,52 @@
 	}
 	slices.Sort(keys)
 	for _, k := range keys {
-		c.text(k)
+		c.string(k)
 		write(m[k])
 	}
 }
 
-func structScribe(t reflect.Type) scribe {
+func structEncodeFunc(t reflect.Type) encodeFunc {
 	type part struct {
 		offset uintptr
-		write  scribe
+		write  encodeFunc
 	}
 	var parts []part
 	for i := range t.NumField() {
 		switch f := t.Field(i); {
-		case slices.Contains(writeNums, f.Name):
+		case slices.Contains(writeNumberFields, f.Name):
 			if f.Type.Kind() != reflect.Uint64 {
 				panic(f.Name)
 			}
-			parts = append(parts, part{f.Offset, func(c *coder, at unsafe.Pointer) {
+			parts = append(parts, part{f.Offset, func(c *stateEncoder, at unsafe.Pointer) {
 				n := *(*uint64)(at)
 				if n > 0 {
 					n = n - c.written + 1
 				}
-				c.num(n)
+				c.uvarint(n)
 			}})
-		case !slices.Contains(leftOut, f.Type):
-			parts = append(parts, part{f.Offset, plainScribe(f.Type)})
+		case !slices.Contains(skippedTypes, f.Type):
+			parts = append(parts, part{f.Offset, cachedEncodeFunc(f.Type)})
 		}
 	}
-	return func(c *coder, at unsafe.Pointer) {
+	return func(c *stateEncoder, at unsafe.Pointer) {
 		for i := range parts {
 			parts[i].write(c, unsafe.Add(at, parts[i].offset))
 		}
 	}
 }
 
-var cellScribe = locks.OnceValue(func() scribe { return scribeOf(reflect.TypeFor[cell]()) })
+var nodeEncodeFunc = locks.OnceValue(func() encodeFunc { return encodeFuncFor(reflect.TypeFor[modelNode]()) })
 
-func (c *cell) code(b []byte) []byte {
-	w := coderOf(b, c.m.c.Self)
-	w.now, w.written = c.m.now, c.m.written
-	cellScribe()(&w, unsafe.Pointer(c))
-	return w.b[:w.n]
+func (c *modelNode) encode(b []byte) []byte {
+	w := newStateEncoder(b, c.machine.config.Self)
+	w.now, w.written = c.machine.now, c.machine.written
+	nodeEncodeFunc()(&w, unsafe.Pointer(c))
+	return w.buf[:w.length]
 }
 
-func code(msg any, b []byte) []byte {
-	w := coderOf(b, reflect.TypeOf(msg).Name())
+func encodeMessage(msg any, b []byte) []byte {
+	w := newStateEncoder(b, reflect.TypeOf(msg).Name())
 	w.boxed(reflect.ValueOf(msg))
-	return w.b[:w.n]
+	return w.buf[:w.length]
 }
--- a/internal/consensus/code_test.go
+++ b/internal/consensus/code_test.go
@@ -40,9 +40,9 @@
 	all := make([]field, t.NumField())
 	for i := range all {
 		switch f := t.Field(i); {
-		case slices.Contains(writeNums, f.Name):
+		case slices.Contains(writeNumberFields, f.Name):
 			all[i] = writeNum
-		case slices.Contains(leftOut, f.Type):
+		case slices.Contains(skippedTypes, f.Type):
 			all[i] = noField
 		}
 	}
@@ -51,7 +51,7 @@
 }
 
 func (c *slowCoder) value(v reflect.Value) {
-	if !slices.Contains(leftOut, v.Type()) {
+	if !slices.Contains(skippedTypes, v.Type()) {
 		c.plain(v)
 	}
 }
@@ -66,7 +66,7 @@
 		} else if at := fsm.Time(v.Int()); at == 0 {
 			c.num(0)
 		} else {
-			c.num(uint64(min(c.now-at, oldest)+2*oldest) + 1)
+			c.num(uint64(min(c.now-at, maxEncodedAge)+2*maxEncodedAge) + 1)
 		}
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
 		c.num(v.Uint())
@@ -75,7 +75,7 @@
 		c.b = append(c.b, v.String()...)
 	case reflect.Slice:
 		c.num(uint64(v.Len()))
-		if !slices.Contains(leftOut, v.Type().Elem()) {
+		if !slices.Contains(skippedTypes, v.Type().Elem()) {
 			for i := range v.Len() {
 				c.plain(v.Index(i))
 			}
@@ -130,26 +130,26 @@
 		{Puts: 2, SameVersion: true, LostMessages: 2, LateMessages: 1, Crashes: 1, ShortWaits: 6, LongWaits: 3, Leaves: 2, Learner: true},
 	} {
 		x := newExplorer(b)
-		begin := x.first()
+		begin := x.initialState()
 		for seed := uint64(1); seed <= 30; seed++ {
-			w := &walk{x: x, s: begin.clone(), rng: rand.New(rand.NewPCG(seed, 7))}
+			w := &randomWalk{explorer: x, state: begin.clone(), rng: rand.New(rand.NewPCG(seed, 7))}
 			w.run(160)
 		}
-		for _, c := range x.cells {
-			slow := slowCoder{b: append([]byte(c.m.c.Self), 0), now: c.m.now, written: c.m.written}
+		for _, c := range x.nodes {
+			slow := slowCoder{b: append([]byte(c.machine.config.Self), 0), now: c.machine.now, written: c.machine.written}
 			slow.value(reflect.ValueOf(c).Elem())
-			if got := c.code(nil); !bytes.Equal(got, slow.b) {
+			if got := c.encode(nil); !bytes.Equal(got, slow.b) {
 				t.Fatalf("a state is written\n%x, not\n%x", got, slow.b)
 			}
 		}
-		for _, msg := range x.msgs {
+		for _, msg := range x.messages {
 			slow := slowCoder{b: append([]byte(reflect.TypeOf(msg).Name()), 0)}
 			slow.value(reflect.ValueOf(msg))
-			if got := code(msg, nil); !bytes.Equal(got, slow.b) {
+			if got := encodeMessage(msg, nil); !bytes.Equal(got, slow.b) {
 				t.Fatalf("%T is written\n%x, not\n%x", msg, got, slow.b)
 			}
 		}
-		cells, messages = cells+len(x.cells), messages+len(x.msgs)
+		cells, messages = cells+len(x.nodes), messages+len(x.messages)
 	}
 	if t.Logf("%d states, %d messages", cells, messages); cells < 3000 || messages < 500 {
 		t.Error("too few states and messages were met")
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	beatEvery    = 200 * time.Millisecond
-	helloEvery   = 150 * time.Millisecond
-	pullEvery    = 300 * time.Millisecond
-	inquireEvery = 500 * time.Millisecond
-	resendEvery  = 100 * time.Millisecond
-	sticky       = 600 * time.Millisecond  // a primary heard within it lives
-	silence      = 700 * time.Millisecond  // and is lost after it
-	stall        = 450 * time.Millisecond  // a disk or a writer that takes longer is left out
-	vacant       = 1500 * time.Millisecond // a member silent so long may lose its seat
-	settle       = 600 * time.Millisecond  // no founding while members still come
-	patience     = 800 * time.Millisecond  // an operator's call, ticks included, ends within 900 ms
-	perRank      = 70 * time.Millisecond
-	booking      = 150 * time.Millisecond // keeps candidates from meeting half-way
-	gather       = 25 * time.Millisecond
+	heartbeatInterval   = 200 * time.Millisecond
+	joinInterval        = 150 * time.Millisecond
+	pullInterval        = 300 * time.Millisecond
+	viewRequestInterval = 500 * time.Millisecond
+	resendInterval      = 100 * time.Millisecond
+	primaryHold         = 600 * time.Millisecond  // a primary heard within it lives
+	primaryTimeout      = 700 * time.Millisecond  // and is lost after it
+	stallTimeout        = 450 * time.Millisecond  // a disk or a writer that takes longer is left out
+	vacancyTimeout      = 1500 * time.Millisecond // a member silent so long may lose its seat
+	quietPeriod         = 600 * time.Millisecond  // no founding while members still come
+	callTimeout         = 800 * time.Millisecond  // an operator's call, ticks included, ends within 900 ms
+	rankDelay           = 70 * time.Millisecond
+	preVoteReservation  = 150 * time.Millisecond // keeps candidates from meeting half-way
+	latePromiseWait     = 25 * time.Millisecond
 )
 
 // Config is what a process knows about itself.
@@ -79,7 +79,7 @@
 }
 
 // latest is the state that a writer vouches for.
-func latest(kept, next Doc) Doc {
+func newestDoc(kept, next Doc) Doc {
 	if next.Supersedes(kept) {
 		return next
 	}
@@ -146,7 +146,7 @@
 	Version  uint32
 }
 
-type heldSend struct {
+type deferredSend struct {
 	seq  uint64
 	send fsm.Send
 }
@@ -160,71 +160,71 @@
 
 // Machine is one process's part.
 type Machine struct {
-	c     Config
-	d     DurableState
-	rng   *rand.Rand
-	salt  uint64
-	now   fsm.Time
-	start fsm.Time
-	tick  fsm.Time
-	out   Out
-	loop  []fsm.Send // to itself
-
-	dirty   bool
-	seq     uint64
-	written uint64
-	writes  []pendingWrite
-	lag     lag
-	fresh   []fsm.Send // to go out once what this input wrote is synced
-	held    []heldSend
-
-	seeds  []string
-	peers  []Peer
-	most   uint32      // the highest version that one of them has
-	view   EpochRecord // the newest active one known
-	told   uint32      // highest committed version heard of
-	teller string
-	given  map[string]fsm.Time // large documents that were asked for, and may be on their way still
-	primed fsm.Time            // when the primary last told its view
-
-	alive    fsm.Time // when a primary or a candidate promised to was heard
-	aliveBy  string
-	top      uint64 // highest ballot number seen
-	jitter   fsm.Time
-	booked   fsm.Time // until when only bookedBy may be granted a probe
-	bookedBy string
-	bid      *bid
-	lead     *lead
-	shun     map[string]fsm.Time
-
-	calls   []*call
-	spare   fsm.Time // when a document may be repeated again
-	queue   []*wait
-	hello   fsm.Time
-	pulled  fsm.Time
-	behind  fsm.Time // since when others are known to have more; 0: they haven't
-	turn    int
-	founder founder
-	adopted Doc     // the newest handed out to be put in force
-	recent  []Delta // that led to the document held, for those that were away; never changed in place
-	packed  Delta   // the document held, whole
-	past    []EpochChange
-	notice  LeaveUrgency // 0: it does not leave
-	parted  fsm.Time     // when it first said that it ends as soon as it may
-	left    fsm.Time     // when it last asked for that
-	free    bool         // it has been released
-	active  uint64       // the write that had the record as an active one first; 0: it is on disk
-	handed  fsm.Time     // when it handed its epoch over
-	bug     Bug
-
-	base   uint64   // saves that the disk had when this process started
-	safe   uint64   // saves that are synced
-	noted  fsm.Time // since when marks wait to be written; 0: none do
-	flush  bool     // they wait no longer
-	fenced int
-
-	readers readers     // of packed documents
-	parcels []parcelled // what was packed last
+	config    Config
+	state     DurableState
+	rng       *rand.Rand
+	runID     uint64
+	now       fsm.Time
+	startedAt fsm.Time
+	lastTick  fsm.Time
+	out       Out
+	selfSends []fsm.Send // to itself
+
+	dirty         bool
+	seq           uint64
+	written       uint64
+	pendingWrites []pendingWrite
+	diskLag       diskLagTracker
+	afterSave     []fsm.Send // to go out once what this input wrote is synced
+	deferred      []deferredSend
+
+	seeds             []string
+	peers             []Peer
+	newestPeerVersion uint32      // the highest version that one of them has
+	view              EpochRecord // the newest active one known
+	reportedVersion   uint32      // highest committed version heard of
+	reportedBy        string
+	largeSentAt       map[string]fsm.Time // large documents that were asked for, and may be on their way still
+	primaryViewAt     fsm.Time            // when the primary last told its view
+
+	primaryHeardAt       fsm.Time // when a primary or a candidate promised to was heard
+	primaryHeardFrom     string
+	highestBallot        uint64 // highest ballot number seen
+	jitter               fsm.Time
+	preVoteReservedUntil fsm.Time // until when only bookedBy may be granted a probe
+	preVoteReservedFor   string
+	candidate            *candidateState
+	primary              *primaryState
+	avoidUntil           map[string]fsm.Time
+
+	calls             []*call
+	nextDocRetryAt    fsm.Time // when a document may be repeated again
+	waiting           []*waitingCall
+	joinSentAt        fsm.Time
+	pulledAt          fsm.Time
+	behindSince       fsm.Time // since when others are known to have more; 0: they haven't
+	rotation          int
+	founder           founder
+	applied           Doc     // the newest handed out to be put in force
+	recentDeltas      []Delta // that led to the document held, for those that were away; never changed in place
+	packedWhole       Delta   // the document held, whole
+	epochHistory      []EpochChange
+	leaving           LeaveUrgency // 0: it does not leave
+	leaveWhenSafeAt   fsm.Time     // when it first said that it ends as soon as it may
+	leaveSentAt       fsm.Time     // when it last asked for that
+	leaveGranted      bool         // it has been released
+	activeRecordWrite uint64       // the write that had the record as an active one first; 0: it is on disk
+	handedOverAt      fsm.Time     // when it handed its epoch over
+	bug               Bug
+
+	savesAtStart  uint64   // saves that the disk had when this process started
+	savesSynced   uint64   // saves that are synced
+	tokensNotedAt fsm.Time // since when marks wait to be written; 0: none do
+	flushTokens   bool     // they wait no longer
+	fenceCount    int
+
+	packReaders  packReaderList // of packed documents
+	packedBodies []packedBody   // what was packed last
 }
 
 // Bug switches a guard off, to show that the judges miss it.
@@ -262,54 +262,54 @@
 func New(c Config, d *DurableState, now fsm.Time) *Machine {
 	h := fnv.New64a()
 	h.Write([]byte(c.Self))
-	m := &Machine{c: c, rng: rand.New(rand.NewPCG(c.Seed, h.Sum64())), now: now, start: now, tick: now,
-		alive: now, hello: now - helloEvery, pulled: now - pullEvery, shun: map[string]fsm.Time{},
+	m := &Machine{config: c, rng: rand.New(rand.NewPCG(c.Seed, h.Sum64())), now: now, startedAt: now, lastTick: now,
+		primaryHeardAt: now, joinSentAt: now - joinInterval, pulledAt: now - pullInterval, avoidUntil: map[string]fsm.Time{},
 		seeds: slices.Clone(c.Seeds)}
-	m.salt = m.rng.Uint64()
+	m.runID = m.rng.Uint64()
 	m.jitter = time.Duration(m.rng.Int64N(int64(60 * time.Millisecond)))
 	m.founder = newFounder(c, now)
 	if !c.Member {
 		return m
 	}
 	if d != nil && d.DiskID != 0 {
-		m.d = *d
+		m.state = *d
 	} else {
-		m.d = DurableState{DiskID: m.rng.Uint64() | 1, NeverMember: c.Genesis}
+		m.state = DurableState{DiskID: m.rng.Uint64() | 1, NeverMember: c.Genesis}
 		m.dirty = true
 	}
-	m.base, m.safe = m.d.Saves, m.d.Saves
-	m.top = m.d.Promised.N
-	if m.d.Record.Active {
-		m.view = m.d.Record
+	m.savesAtStart, m.savesSynced = m.state.Saves, m.state.Saves
+	m.highestBallot = m.state.Promised.N
+	if m.state.Record.Active {
+		m.view = m.state.Record
 	}
-	if w := m.d.Record.Writers; len(w) > 0 && w[0] == c.Self {
-		m.alive = now - silence + 150*time.Millisecond
+	if w := m.state.Record.Writers; len(w) > 0 && w[0] == c.Self {
+		m.primaryHeardAt = now - primaryTimeout + 150*time.Millisecond
 	}
 	return m
 }
 
 // Held is the newest committed document known here.
 func (m *Machine) Committed() *Doc {
-	if m.d.Committed.Version == 0 {
+	if m.state.Committed.Version == 0 {
 		return nil
 	}
-	d := m.d.Committed
+	d := m.state.Committed
 	return &d
 }
 
 // Status tells operators how things stand.
 func (m *Machine) Status() Status {
 	s := Status{Role: "follower", Epoch: m.view.Ballot.N, Primary: m.view.primary(), Founding: m.view.ClusterID,
-		Writers: slices.Clone(m.view.Writers), Version: m.d.Committed.Version}
+		Writers: slices.Clone(m.view.Writers), Version: m.state.Committed.Version}
 	for _, seat := range m.view.Members {
 		s.Members = append(s.Members, seat.Addr)
 	}
 	switch {
-	case m.lead != nil:
+	case m.primary != nil:
 		s.Role = "primary"
-	case m.bid != nil:
+	case m.candidate != nil:
 		s.Role = "candidate"
-	case m.seated():
+	case m.isMember():
 		s.Role = "member"
 	}
 	return s
@@ -317,9 +317,9 @@
 
 // Peers takes the membership's view, which may be wrong, and keeps it.
 func (m *Machine) SetPeers(now fsm.Time, peers []Peer) {
-	m.now, m.peers, m.most = max(m.now, now), peers, 0
+	m.now, m.peers, m.newestPeerVersion = max(m.now, now), peers, 0
 	for _, p := range peers {
-		m.most = max(m.most, p.Version)
+		m.newestPeerVersion = max(m.newestPeerVersion, p.Version)
 	}
 }
 
@@ -327,7 +327,7 @@
 func (m *Machine) NotePeerVersion(addr string, version uint32) {
 	if i := slices.IndexFunc(m.peers, func(p Peer) bool { return p.Addr == addr }); i >= 0 {
 		m.peers[i].Version = max(m.peers[i].Version, version)
-		m.most = max(m.most, version)
+		m.newestPeerVersion = max(m.newestPeerVersion, version)
 	}
 }
 
@@ -339,82 +339,82 @@
 // Tick lets time pass.
 func (m *Machine) Tick(now fsm.Time) Out {
 	m.now = max(m.now, now)
-	if m.now-m.tick > sticky && m.lead == nil { // frozen: what was not heard says nothing
-		m.alive = m.now
-		m.bid = nil
+	if m.now-m.lastTick > primaryHold && m.primary == nil { // frozen: what was not heard says nothing
+		m.primaryHeardAt = m.now
+		m.candidate = nil
 	}
-	m.tick = m.now
-	m.expire()
-	m.greet()
-	m.found()
-	m.steer()
-	m.depart()
-	m.rise()
+	m.lastTick = m.now
+	m.retryCalls()
+	m.requestJoin()
+	m.foundCluster()
+	m.maintainEpoch()
+	m.requestLeave()
+	m.campaign()
 	m.catchUp()
-	m.settleMarks()
-	return m.end()
+	m.flushTokensWhenDue()
+	return m.finishInput()
 }
 
 // Written says that a write, and all before it, are synced.
 func (m *Machine) WriteDone(now fsm.Time, seq uint64) Out {
 	m.now = max(m.now, now)
 	m.written = max(m.written, seq)
-	if m.active <= m.written {
-		m.active = 0
+	if m.activeRecordWrite <= m.written {
+		m.activeRecordWrite = 0
 	}
-	if len(m.writes) > 0 && m.writes[0].seq <= seq {
-		m.lag.note(m.now, m.now-m.writes[0].at)
+	if len(m.pendingWrites) > 0 && m.pendingWrites[0].seq <= seq {
+		m.diskLag.observe(m.now, m.now-m.pendingWrites[0].at)
 	}
-	for _, w := range m.writes {
+	for _, w := range m.pendingWrites {
 		if w.seq <= m.written {
-			m.saved(w)
+			m.noteSaved(w)
 		}
 	}
-	m.writes = slices.DeleteFunc(m.writes, func(w pendingWrite) bool { return w.seq <= m.written })
-	rest := m.held[:0:0]
-	for _, h := range m.held {
+	m.pendingWrites = slices.DeleteFunc(m.pendingWrites, func(w pendingWrite) bool { return w.seq <= m.written })
+	rest := m.deferred[:0:0]
+	for _, h := range m.deferred {
 		if h.seq <= m.written {
 			m.send(h.send.To, h.send.Msg)
 		} else {
 			rest = append(rest, h)
 		}
 	}
-	m.held = rest
-	return m.end()
+	m.deferred = rest
+	return m.finishInput()
 }
 
 // Take takes a message.
 func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
 	m.now = max(m.now, now)
-	m.take(from, msg)
-	return m.end()
+	m.dispatch(from, msg)
+	return m.finishInput()
 }
 
-func (m *Machine) take(from string, msg any) {
-	m.noteReader(from, msg)
-	msg, whole := m.unpacked(msg)
+func (m *Machine) dispatch(from string, msg any) {
+	m.notePackReader(from, msg)
+	msg, whole := m.unpack(msg)
 	if !whole {
 		if _, ok := msg.(Forward); ok { // the caller may have gone by an older one than leads
-			m.tell(from)
+			m.sendView(from)
 		}
 		return
 	}
 	switch t := msg.(type) {
 	case JoinRequest:
-		m.onHello(from, t)
+		m.onJoinRequest(from, t)
 	case FirstEpoch:
-		m.onFound(t.Record)
+		m.onFirstEpoch(t.Record)
 	case ViewRequest:
-		m.tell(from)
+		m.sendView(from)
 	case View:
-		m.learn(t.Record)
+		m.learnRecord(t.Record)
 		if t.Leading && from == m.view.primary() {
-			m.primed = m.now
-			if m.bid == nil && m.lead == nil {
-				m.hear(from)
+			m.primaryViewAt = m.now
+			if m.candidate == nil && m.primary == nil {
+				m.notePrimaryHeard(from)
 			}
 		}
-		m.heardOf(from, t.Version)
+		m.noteReportedVersion(from, t.Version)
 	case Push:
 		if len(t.Deltas) > 0 {
 			m.onDeltas(from, t.Deltas)
@@ -422,129 +422,129 @@
 			m.commit(t.Doc)
 		}
 		for _, to := range t.Relay {
-			m.send(to, Push{Doc: t.Doc.bare(), Deltas: t.Deltas})
+			m.send(to, Push{Doc: t.Doc.withoutLedger(), Deltas: t.Deltas})
 		}
 	case CommitAmendment:
-		kept := m.d.Committed
+		kept := m.state.Committed
 		doc := Doc{Version: t.Version, Rev: t.Rev, Body: kept.Body, Digest: kept.Digest, CreatedIn: t.CreatedIn, LedgerRev: t.LedgerRev, History: kept.History}
-		if kept.Version == t.Version && (t.LedgerRev == 0 || doc.is(m.d.Pending)) {
+		if kept.Version == t.Version && (t.LedgerRev == 0 || doc.sameAs(m.state.Pending)) {
 			m.commit(doc)
 		}
 	case Pull:
-		if m.d.Committed.Version > t.Version {
+		if m.state.Committed.Version > t.Version {
 			if t.AcceptsDeltas {
-				m.bring(from, m.parcel(t.Version))
+				m.sendDoc(from, m.committedPush(t.Version))
 			} else { // what came as differences was damaged
-				m.send(from, Push{Doc: m.d.Committed.bare()})
+				m.send(from, Push{Doc: m.state.Committed.withoutLedger()})
 			}
 		}
 	case Forward:
 		m.onForward(from, t)
 	case ForwardReply:
-		m.onAnswered(t)
+		m.onForwardReply(t)
 	default:
-		if m.c.Member {
-			m.takeMember(from, msg)
+		if m.config.Member {
+			m.dispatchMember(from, msg)
 		}
 	}
 }
 
-func (m *Machine) takeMember(from string, msg any) {
-	if !m.believes(from, msg) {
+func (m *Machine) dispatchMember(from string, msg any) {
+	if !m.acceptsToken(from, msg) {
 		return
 	}
 	switch t := msg.(type) {
 	case Heartbeat:
-		m.onBeat(from, t)
+		m.onHeartbeat(from, t)
 	case Resign:
 		m.onResign(from, t)
 	case PreVote:
-		m.onProbe(from, t)
+		m.onPreVote(from, t)
 	case Prepare:
 		m.onPrepare(from, t)
 	case InstallState:
-		m.onCopy(from, t)
+		m.onInstallState(from, t)
 	case RecordEpoch:
-		m.onEnact(from, t)
+		m.onRecordEpoch(from, t)
 	case Append:
 		m.onAppend(from, t)
 	case Confirm:
 		m.onConfirm(from, t)
 	case PreVoteReply:
-		m.onProbed(from, t)
+		m.onPreVoteReply(from, t)
 	case Promise:
 		m.onPromise(from, t)
 	case Reject:
-		m.onRefuse(from, t)
+		m.onReject(from, t)
 	case StateInstalled:
-		m.onCopied(from, t)
+		m.onStateInstalled(from, t)
 	case EpochRecorded:
-		m.onEnacted(from, t)
+		m.onEpochRecorded(from, t)
 	case Leave:
 		m.onLeave(from, t)
 	case LeaveGranted:
-		m.free = m.free || m.notice != 0 && t.DiskID == m.d.DiskID
+		m.leaveGranted = m.leaveGranted || m.leaving != 0 && t.DiskID == m.state.DiskID
 	case Handover:
 		m.onHandover(from, t)
 	case MemberLost:
-		m.onVoid(from, t)
+		m.onMemberLost(from, t)
 	case HeartbeatReply:
-		m.onBeaten(from, t)
+		m.onHeartbeatReply(from, t)
 	case Appended:
 		m.onAppended(from, t)
 	case Confirmed:
 		m.onConfirmed(from, t)
 	case FenceNotice:
-		m.onFenced(t)
+		m.onFenceNotice(t)
 	}
 }
 
 func (m *Machine) send(to string, msg any) {
-	msg = m.shortened(to, m.stamped(msg))
-	if to == m.c.Self {
-		m.loop = append(m.loop, fsm.Send{To: to, Msg: msg})
+	msg = m.packedFor(to, m.withToken(msg))
+	if to == m.config.Self {
+		m.selfSends = append(m.selfSends, fsm.Send{To: to, Msg: msg})
 		return
 	}
 	m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: msg})
 }
 
 // durable sends once all that is known here now is on disk.
-func (m *Machine) durable(to string, msg any) {
-	m.fresh = append(m.fresh, fsm.Send{To: to, Msg: msg})
+func (m *Machine) sendAfterSave(to string, msg any) {
+	m.afterSave = append(m.afterSave, fsm.Send{To: to, Msg: msg})
 }
 
 // end closes an input: what it wrote, and what may go out at once.
-func (m *Machine) end() Out {
+func (m *Machine) finishInput() Out {
 	for {
-		for len(m.loop) > 0 {
-			s := m.loop[0]
-			m.loop = m.loop[1:]
-			m.take(m.c.Self, s.Msg)
+		for len(m.selfSends) > 0 {
+			s := m.selfSends[0]
+			m.selfSends = m.selfSends[1:]
+			m.dispatch(m.config.Self, s.Msg)
 		}
-		if (m.dirty || m.flush) && m.c.Member {
+		if (m.dirty || m.flushTokens) && m.config.Member {
 			if m.dirty {
-				m.d.Saves++
+				m.state.Saves++
 			}
 			m.seq++
-			m.writes = append(m.writes, pendingWrite{m.seq, m.now, m.d.DiskID, m.d.Saves})
-			m.noted = 0
-			m.d.Format = StateFormat
-			m.out.Write = &Write{Seq: m.seq, State: m.d}
+			m.pendingWrites = append(m.pendingWrites, pendingWrite{m.seq, m.now, m.state.DiskID, m.state.Saves})
+			m.tokensNotedAt = 0
+			m.state.Format = StateFormat
+			m.out.Write = &Write{Seq: m.seq, State: m.state}
 		}
-		m.dirty, m.flush = false, false
-		fresh := m.fresh
-		m.fresh = nil
+		m.dirty, m.flushTokens = false, false
+		fresh := m.afterSave
+		m.afterSave = nil
 		for _, s := range fresh {
 			if m.seq > m.written {
-				m.held = append(m.held, heldSend{m.seq, s})
+				m.deferred = append(m.deferred, deferredSend{m.seq, s})
 			} else {
 				m.send(s.To, s.Msg)
 			}
 		}
-		if len(m.loop) == 0 {
-			m.remember()
-			if m.d.Committed.later(m.adopted) {
-				m.adopted, m.out.Apply = m.d.Committed, m.Committed()
+		if len(m.selfSends) == 0 {
+			m.recordEpochHistory()
+			if m.state.Committed.newerThan(m.applied) {
+				m.applied, m.out.Apply = m.state.Committed, m.Committed()
 			}
 			out := m.out
 			m.out = Out{}
@@ -554,7 +554,11 @@
 }
 
 // slow says whether the disk has left a write unsynced for long.
-func (m *Machine) slow() bool { return len(m.writes) > 0 && m.now-m.writes[0].at > stall }
+func (m *Machine) diskStalled() bool {
+	return len(m.pendingWrites) > 0 && m.now-m.pendingWrites[0].at > stallTimeout
+}
 
 // seated says whether the newest record held gives this very memory a seat.
-func (m *Machine) seated() bool { return m.c.Member && m.d.Record.has(m.c.Self, m.d.DiskID) }
+func (m *Machine) isMember() bool {
+	return m.config.Member && m.state.Record.has(m.config.Self, m.state.DiskID)
+}
--- a/internal/consensus/delta.go
+++ b/internal/consensus/delta.go
@@ -17,13 +17,13 @@
 func (d Delta) size() int { return len(d.Change.Steps) + len(d.Doc.Attachment) + 64 }
 
 // head is a document as others than writers are given it, without its body.
-func (d Doc) head() Doc {
-	d = d.bare()
+func (d Doc) withoutBody() Doc {
+	d = d.withoutLedger()
 	d.Body = nil
 	return d
 }
 
-func (d Doc) with(body []byte) Doc {
+func (d Doc) withBody(body []byte) Doc {
 	d.Body = body
 	return d
 }
@@ -31,47 +31,47 @@
 // recentMost is how many bytes of differences a process keeps for those that were away, and
 // fewMost how many differences.
 const (
-	recentMost = 256 << 10
-	fewMost    = 1024
+	maxDeltaBytes = 256 << 10
+	maxDeltas     = 1024
 )
 
 // step notes what a primary changes of its document, or finds that it is no small change.
-func (m *Machine) step(old, doc Doc) {
+func (m *Machine) recordDelta(old, doc Doc) {
 	if old.Version == 0 || old.Version == doc.Version {
 		return
 	}
 	if body, ok := delta.Make(old.Body, doc.Body); ok {
-		m.keepDelta(Delta{From: old.Version, Doc: doc.head(), Change: body})
+		m.appendDelta(Delta{From: old.Version, Doc: doc.withoutBody(), Change: body})
 	}
 }
 
 // keepDelta adds a difference to those that lead to the document held; they are one chain.
-func (m *Machine) keepDelta(d Delta) {
-	if n := len(m.recent); n > 0 && m.recent[n-1].Doc.Version != d.From {
-		m.recent = nil
-	}
-	m.recent = append(slices.Clip(m.recent), d)
-	for i, size := len(m.recent)-1, 0; i >= 0; i-- {
-		if size += m.recent[i].size(); size > recentMost || len(m.recent)-i > fewMost {
-			m.recent = slices.Clone(m.recent[i+1:])
+func (m *Machine) appendDelta(d Delta) {
+	if n := len(m.recentDeltas); n > 0 && m.recentDeltas[n-1].Doc.Version != d.From {
+		m.recentDeltas = nil
+	}
+	m.recentDeltas = append(slices.Clip(m.recentDeltas), d)
+	for i, size := len(m.recentDeltas)-1, 0; i >= 0; i-- {
+		if size += m.recentDeltas[i].size(); size > maxDeltaBytes || len(m.recentDeltas)-i > maxDeltas {
+			m.recentDeltas = slices.Clone(m.recentDeltas[i+1:])
 			return
 		}
 	}
 }
 
 // since are the differences from a version on to the document held, or nil: it is to be sent whole.
-func (m *Machine) since(version uint32) []Delta {
-	kept := m.d.Committed
-	n := len(m.recent)
-	if version == 0 || n == 0 || m.recent[n-1].Doc.Version != kept.Version {
+func (m *Machine) deltasSince(version uint32) []Delta {
+	kept := m.state.Committed
+	n := len(m.recentDeltas)
+	if version == 0 || n == 0 || m.recentDeltas[n-1].Doc.Version != kept.Version {
 		return nil
 	}
-	i := slices.IndexFunc(m.recent, func(d Delta) bool { return d.From == version })
+	i := slices.IndexFunc(m.recentDeltas, func(d Delta) bool { return d.From == version })
 	if i < 0 {
 		return nil
 	}
-	all, size := slices.Clone(m.recent[i:]), 0
-	all[len(all)-1].Doc = kept.head() // it may have been amended since
+	all, size := slices.Clone(m.recentDeltas[i:]), 0
+	all[len(all)-1].Doc = kept.withoutBody() // it may have been amended since
 	for _, d := range all {
 		size += d.size()
 	}
@@ -82,38 +82,38 @@
 }
 
 // parcel is the document held for somebody that holds that version, as short as may be.
-func (m *Machine) parcel(held uint32) Push {
-	kept := m.d.Committed
-	if all := m.since(held); all != nil {
+func (m *Machine) committedPush(held uint32) Push {
+	kept := m.state.Committed
+	if all := m.deltasSince(held); all != nil {
 		return Push{Deltas: all}
 	}
-	if m.packed.Doc.Version != kept.Version || m.packed.Doc.Rev != kept.Rev {
-		m.packed = Delta{Doc: kept.head()}
+	if m.packedWhole.Doc.Version != kept.Version || m.packedWhole.Doc.Rev != kept.Rev {
+		m.packedWhole = Delta{Doc: kept.withoutBody()}
 		if body, ok := delta.Whole(kept.Body); ok {
-			m.packed.Change = body
+			m.packedWhole.Change = body
 		}
 	}
-	if m.packed.Change.Size > 0 {
-		return Push{Deltas: []Delta{m.packed}}
+	if m.packedWhole.Change.Size > 0 {
+		return Push{Deltas: []Delta{m.packedWhole}}
 	}
-	return Push{Doc: kept.bare()}
+	return Push{Doc: kept.withoutLedger()}
 }
 
 // onDeltas takes a document that came as differences. What does not fit changes nothing: who was away asks
 // for what it lacks, and for the whole document where one is damaged.
 func (m *Machine) onDeltas(from string, all []Delta) {
 	last := all[len(all)-1]
-	if !last.Doc.Supersedes(m.d.Committed) {
+	if !last.Doc.Supersedes(m.state.Committed) {
 		return
 	}
-	if kept := m.d.Committed; kept.Version == last.Doc.Version && delta.Sum(kept.Body) == last.Change.To { // amended
-		m.commit(last.Doc.with(kept.Body))
+	if kept := m.state.Committed; kept.Version == last.Doc.Version && delta.Sum(kept.Body) == last.Change.To { // amended
+		m.commit(last.Doc.withBody(kept.Body))
 		return
 	}
 	var fresh []Delta
 	damaged := false
-	body := m.d.Committed.Body
-	at := m.d.Committed.Version
+	body := m.state.Committed.Body
+	at := m.state.Committed.Version
 	for _, d := range all {
 		if d.From == 0 {
 			body, at = nil, 0
@@ -129,23 +129,23 @@
 		body, at, fresh = text, d.Doc.Version, append(fresh, d)
 	}
 	if at != last.Doc.Version || len(fresh) == 0 {
-		m.told, m.teller = max(m.told, last.Doc.Version), from
-		m.send(from, Pull{Version: m.d.Committed.Version, AcceptsDeltas: !damaged})
-		m.pulled = m.now
+		m.reportedVersion, m.reportedBy = max(m.reportedVersion, last.Doc.Version), from
+		m.send(from, Pull{Version: m.state.Committed.Version, AcceptsDeltas: !damaged})
+		m.pulledAt = m.now
 		return
 	}
-	m.commit(last.Doc.with(body))
+	m.commit(last.Doc.withBody(body))
 	for _, d := range fresh {
 		if d.From != 0 {
-			m.keepDelta(d)
+			m.appendDelta(d)
 		}
 	}
 }
 
 // before is the version that the document held was made of, if that is known; else 0.
-func (m *Machine) before(doc Doc) uint32 {
-	if n := len(m.recent); n > 0 && m.recent[n-1].Doc.Version == doc.Version {
-		return m.recent[n-1].From
+func (m *Machine) deltaBase(doc Doc) uint32 {
+	if n := len(m.recentDeltas); n > 0 && m.recentDeltas[n-1].Doc.Version == doc.Version {
+		return m.recentDeltas[n-1].From
 	}
 	return 0
 }
--- a/internal/consensus/delta_test.go
+++ b/internal/consensus/delta_test.go
@@ -125,7 +125,7 @@
 	p := w.primary()
 	w.change2(t, routes(12, 7))
 	held := n.m.Committed()
-	good := p.m.recent[len(p.m.recent)-1]
+	good := p.m.recentDeltas[len(p.m.recentDeltas)-1]
 	for i, spoil := range []func(d *Delta){
 		func(d *Delta) { d.Change.Steps = d.Change.Steps[:len(d.Change.Steps)-1] },
 		func(d *Delta) { d.Change.From++ },
@@ -168,16 +168,16 @@
 	for v := range uint32(1500) {
 		d := Delta{From: v, Doc: Doc{Version: v + 1}}
 		d.Change.Steps = make([]byte, 100)
-		m.keepDelta(d)
+		m.appendDelta(d)
 	}
 	size := 0
-	for _, d := range m.recent {
+	for _, d := range m.recentDeltas {
 		size += d.size()
 	}
-	if size > recentMost || len(m.recent) != fewMost || m.recent[len(m.recent)-1].Doc.Version != 1500 {
-		t.Errorf("%d bytes in %d", size, len(m.recent))
+	if size > maxDeltaBytes || len(m.recentDeltas) != maxDeltas || m.recentDeltas[len(m.recentDeltas)-1].Doc.Version != 1500 {
+		t.Errorf("%d bytes in %d", size, len(m.recentDeltas))
 	}
-	if m.keepDelta(Delta{From: 9, Doc: Doc{Version: 10}}); len(m.recent) != 1 {
+	if m.appendDelta(Delta{From: 9, Doc: Doc{Version: 10}}); len(m.recentDeltas) != 1 {
 		t.Error("a chain with a gap")
 	}
 }
--- a/internal/consensus/explore.go
+++ b/internal/consensus/explore.go
@@ -57,124 +57,124 @@
 // or slow. All that happens at a machine, the real one does.
 func Explore(b ModelBounds) Exploration {
 	x := newExplorer(b)
-	x.meet(x.first(), 0, move{})
-	for x.at < len(x.todo) && x.found.Violation == "" && (b.MaxStates == 0 || len(x.ways) <= b.MaxStates) {
-		var next pending
+	x.enqueue(x.initialState(), 0, transition{})
+	for x.queueHead < len(x.queue) && x.result.Violation == "" && (b.MaxStates == 0 || len(x.arrivals) <= b.MaxStates) {
+		var next queuedState
 		if b.DepthFirst {
-			next = x.todo[len(x.todo)-1]
-			x.todo = x.todo[:len(x.todo)-1]
+			next = x.queue[len(x.queue)-1]
+			x.queue = x.queue[:len(x.queue)-1]
 		} else {
-			next = x.todo[x.at]
-			x.todo[x.at] = pending{}
-			x.at++
+			next = x.queue[x.queueHead]
+			x.queue[x.queueHead] = queuedState{}
+			x.queueHead++
 		}
 		x.visit(next)
 	}
-	f := x.found
-	f.States, f.Complete, f.MachineStates = len(x.ways), x.at == len(x.todo), len(x.cells)
+	f := x.result
+	f.States, f.Complete, f.MachineStates = len(x.arrivals), x.queueHead == len(x.queue), len(x.nodes)
 	return f
 }
 
 // move is a way on from a state.
-type move struct {
-	at    uint8 // the cell
-	in    input
-	loses bool  // with the process goes all that is under way from and to it
-	link  int16 // whose first message it is; -1 - i: the i-th late one
-	fate  fate
+type transition struct {
+	node          uint8 // the cell
+	input         input
+	dropsMessages bool  // with the process goes all that is under way from and to it
+	link          int16 // whose first message it is; -1 - i: the i-th late one
+	fate          messageFate
 }
 
-type fate uint8
+type messageFate uint8
 
 const (
-	comes fate = iota
-	lost
-	late
-	twice
+	delivered messageFate = iota
+	dropped
+	delayed
+	duplicated
 )
 
 // post is a message that has left its link.
-type post struct {
+type message struct {
 	from, to uint8
 	msg      uint32
 }
 
 // state is the whole core: cells and messages by their numbers.
-type state struct {
-	cells []uint32
-	links [][]uint32 // from*n+to
-	stray []post
-	left  [11]uint8 // budgets
-	put   uint8     // how many were made
-	dead  uint8     // who has died, a bit for each
-	judge uint32
+type modelState struct {
+	nodes     []uint32
+	links     [][]uint32 // from*n+to
+	delayed   []message
+	budgets   [11]uint8 // budgets
+	nextPut   uint8     // how many were made
+	crashed   uint8     // who has died, a bit for each
+	judgement uint32
 }
 
 // budgets in state.left; those of fates in their order
 const (
-	ofReads = iota
-	ofLost
-	ofLate
-	ofDoubled
-	ofDeaths
-	ofWipes
-	ofShorts
-	ofLongs
-	ofCopies
-	ofBacks
-	ofLeaves
+	budgetReads = iota
+	budgetDropped
+	budgetDelayed
+	budgetDuplicated
+	budgetCrashes
+	budgetWipes
+	budgetShortWaits
+	budgetLongWaits
+	budgetCopies
+	budgetRollbacks
+	budgetLeaves
 )
 
 // verdicts is what the judge knows: bodies by version, the lowest epoch that acknowledged
 // each, the highest version acknowledged, and that before each read under way; and which text
 // of a number was acknowledged, and which were told to differ.
-type verdicts struct {
-	bodies map[uint32]string
-	acked  map[uint32]Ballot
-	floors map[uint64]uint32
-	top    uint32
-	texts  map[uint32]string
-	denied map[string]bool
+type judgement struct {
+	inForce      map[uint32]string
+	ackedIn      map[uint32]Ballot
+	readFloors   map[uint64]uint32
+	highestAcked uint32
+	ackedBodies  map[uint32]string
+	conflicts    map[string]bool
 }
 
-type pending struct {
-	code  string
-	depth int
+type queuedState struct {
+	encoded string
+	depth   int
 }
 
-type way struct {
-	from uint32
-	move move
+type arrivalStep struct {
+	parent     uint32
+	transition transition
 }
 
 type explorer struct {
-	b      ModelBounds
-	n      int
-	course course
-	names  []string
-
-	cells  []*cell
-	cellOf map[uint64]uint32
-	msgs   []any
-	msgOf  map[uint64]uint32
-	judges []verdicts
-	judgOf map[string]uint32
-	next   map[uint64]outcome
-	seen   map[uint64]uint32 // to its way
-	ways   []way
-	todo   []pending
-	at     int
-	buf    []byte
-	found  Exploration
-	first0 Ballot
-	read   int // answers to reads
+	bounds    ModelBounds
+	nodeCount int
+	scenario  scenario
+	addrs     []string
+
+	nodes         []*modelNode
+	nodeIDs       map[uint64]uint32
+	messages      []any
+	messageIDs    map[uint64]uint32
+	judgements    []judgement
+	judgementIDs  map[string]uint32
+	outcomes      map[uint64]outcome
+	stateIDs      map[uint64]uint32 // to its way
+	arrivals      []arrivalStep
+	queue         []queuedState
+	queueHead     int
+	buf           []byte
+	result        Exploration
+	firstBallot   Ballot
+	readsAnswered int // answers to reads
 }
 
 // outcome of an input at a cell.
 type outcome struct {
-	cell  uint32
-	posts []post
-	facts []fact
+	node     uint32
+	messages []message
+	facts    []fact
 }
 
 func newExplorer(b ModelBounds) *explorer {
@@ -184,8 +184,8 @@
 	if b.Learner {
 		b.Members++
 	}
-	x := &explorer{b: b, n: b.Members, course: course{bug: b.Bug}, cellOf: map[uint64]uint32{}, msgOf: map[uint64]uint32{},
-		judgOf: map[string]uint32{}, next: map[uint64]outcome{}, seen: map[uint64]uint32{}}
+	x := &explorer{bounds: b, nodeCount: b.Members, scenario: scenario{bug: b.Bug}, nodeIDs: map[uint64]uint32{}, messageIDs: map[uint64]uint32{},
+		judgementIDs: map[string]uint32{}, outcomes: map[uint64]outcome{}, stateIDs: map[uint64]uint32{}}
 	for i := range b.Puts {
 		v := uint32(2 + i)
 		if b.SameVersion || b.Overtaken {
@@ -194,94 +194,94 @@
 		if b.Overtaken && i == 0 {
 			v = 3
 		}
-		x.course.puts = append(x.course.puts, Doc{Version: v, Body: []byte{byte('a' + i)}})
+		x.scenario.puts = append(x.scenario.puts, Doc{Version: v, Body: []byte{byte('a' + i)}})
 	}
-	for i := range uint32(mendTicks / putEvery) { // for resumes
-		x.course.puts = append(x.course.puts, Doc{Version: 1000 + i, Body: []byte("z")})
+	for i := range uint32(recoveryTicks / putIntervalTicks) { // for resumes
+		x.scenario.puts = append(x.scenario.puts, Doc{Version: 1000 + i, Body: []byte("z")})
 	}
 	return x
 }
 
 // first founds a core, has it keep version 1, and lets all come to rest.
-func (x *explorer) first() *state {
+func (x *explorer) initialState() *modelState {
 	const begin = time.Hour
-	var cells []*cell
-	for i := range x.n {
-		x.names = append(x.names, fmt.Sprintf("n%d", i))
+	var cells []*modelNode
+	for i := range x.nodeCount {
+		x.addrs = append(x.addrs, fmt.Sprintf("n%d", i))
 	}
-	for i, name := range x.names {
+	for i, name := range x.addrs {
 		m := New(Config{Self: name, Name: name, Zone: string(rune('a' + i%3)), Member: true,
-			Genesis: !x.b.Learner || i < x.n-1, ToleratedLosses: x.b.ToleratedLosses, Seeds: x.names[:3]}, nil, begin)
-		l := &lot{of: uint64(i + 1)}
-		m.rng, m.salt, m.jitter, m.d.DiskID = rngOf(l), l.Uint64(), 0, l.Uint64()|1
-		cells = append(cells, &cell{m: m, lot: l})
+			Genesis: !x.bounds.Learner || i < x.nodeCount-1, ToleratedLosses: x.bounds.ToleratedLosses, Seeds: x.addrs[:3]}, nil, begin)
+		l := &modelRandom{stream: uint64(i + 1)}
+		m.rng, m.runID, m.jitter, m.state.DiskID = newModelRand(l), l.Uint64(), 0, l.Uint64()|1
+		cells = append(cells, &modelNode{machine: m, random: l})
 	}
-	s := &state{cells: make([]uint32, x.n), links: make([][]uint32, x.n*x.n)}
+	s := &modelState{nodes: make([]uint32, x.nodeCount), links: make([][]uint32, x.nodeCount*x.nodeCount)}
 	for i, c := range cells {
-		s.cells[i] = x.cell(c)
+		s.nodes[i] = x.nodeID(c)
 	}
-	s.judge = x.verdict(verdicts{bodies: map[uint32]string{}, acked: map[uint32]Ballot{}, floors: map[uint64]uint32{},
-		texts: map[uint32]string{}, denied: map[string]bool{}})
-	sound, puts := x.course.bug, x.course.puts
-	x.course.bug, x.course.puts = 0, append([]Doc{{Version: 1, Body: []byte("0")}}, puts...)
+	s.judgement = x.judgementID(judgement{inForce: map[uint32]string{}, ackedIn: map[uint32]Ballot{}, readFloors: map[uint64]uint32{},
+		ackedBodies: map[uint32]string{}, conflicts: map[string]bool{}})
+	sound, puts := x.scenario.bug, x.scenario.puts
+	x.scenario.bug, x.scenario.puts = 0, append([]Doc{{Version: 1, Body: []byte("0")}}, puts...)
 	lead := -1
 	for range 200 {
-		x.settle(s, steady)
-		lead = x.primary(s)
-		if x.held(s) && (x.b.DiskRollbacks == 0 || x.remembered(s, lead)) {
+		x.settleAll(s, tick)
+		lead = x.primaryNode(s)
+		if x.isSteady(s) && (x.bounds.DiskRollbacks == 0 || x.rollbackDetectable(s, lead)) {
 			break
 		}
-		if lead >= 0 && s.put == 0 {
-			s.put = 1
-			for i := range s.cells {
-				if x.b.DiskRollbacks > 0 {
-					x.step(s, move{at: uint8(i), in: input{kind: saveOff}, link: none})
+		if lead >= 0 && s.nextPut == 0 {
+			s.nextPut = 1
+			for i := range s.nodes {
+				if x.bounds.DiskRollbacks > 0 {
+					x.step(s, transition{node: uint8(i), input: input{kind: copyDisk}, link: noLink})
 				}
 			}
-			x.step(s, move{at: uint8(lead), in: input{kind: put}, link: none})
+			x.step(s, transition{node: uint8(lead), input: input{kind: put}, link: noLink})
 		}
 	}
-	if !x.held(s) || x.b.DiskRollbacks > 0 && !x.remembered(s, lead) {
+	if !x.isSteady(s) || x.bounds.DiskRollbacks > 0 && !x.rollbackDetectable(s, lead) {
 		panic("the model's core is not founded") // a bug
 	}
-	x.first0 = x.cells[s.cells[lead]].m.lead.rec.Ballot
-	for i := range s.cells { // the puts of the founding are none of the model's
-		c := x.cells[s.cells[i]].clone()
-		c.m.calls, c.m.queue = nil, nil
-		s.cells[i] = x.cell(c)
+	x.firstBallot = x.nodes[s.nodes[lead]].machine.primary.record.Ballot
+	for i := range s.nodes { // the puts of the founding are none of the model's
+		c := x.nodes[s.nodes[i]].clone()
+		c.machine.calls, c.machine.waiting = nil, nil
+		s.nodes[i] = x.nodeID(c)
 	}
-	for i := 0; (x.b.Learner || x.b.Leaves+x.b.LivenessEvery > 0) && i < 12; i++ { // the set may change, and a learner is held as one
-		x.settle(s, steady)
+	for i := 0; (x.bounds.Learner || x.bounds.Leaves+x.bounds.LivenessEvery > 0) && i < 12; i++ { // the set may change, and a learner is held as one
+		x.settleAll(s, tick)
 	}
-	x.course.bug, x.course.puts = sound, puts
-	x.next = map[uint64]outcome{}
-	if x.b.StartSilent {
-		for i := range s.cells {
+	x.scenario.bug, x.scenario.puts = sound, puts
+	x.outcomes = map[uint64]outcome{}
+	if x.bounds.StartSilent {
+		for i := range s.nodes {
 			for range 2 {
 				if i != lead {
-					x.step(s, move{at: uint8(i), in: input{kind: long}, link: none})
+					x.step(s, transition{node: uint8(i), input: input{kind: longWait}, link: noLink})
 				}
 			}
 		}
 	}
-	s.put, x.found = 0, Exploration{}
-	s.left = [11]uint8{uint8(x.b.Reads), uint8(x.b.LostMessages), uint8(x.b.LateMessages), uint8(x.b.DuplicatedMessages), uint8(x.b.Crashes),
-		uint8(x.b.DiskWipes), uint8(x.b.ShortWaits), uint8(x.b.LongWaits), uint8(x.b.DiskCopies), uint8(x.b.DiskRollbacks),
-		uint8(x.b.Leaves)}
+	s.nextPut, x.result = 0, Exploration{}
+	s.budgets = [11]uint8{uint8(x.bounds.Reads), uint8(x.bounds.LostMessages), uint8(x.bounds.LateMessages), uint8(x.bounds.DuplicatedMessages), uint8(x.bounds.Crashes),
+		uint8(x.bounds.DiskWipes), uint8(x.bounds.ShortWaits), uint8(x.bounds.LongWaits), uint8(x.bounds.DiskCopies), uint8(x.bounds.DiskRollbacks),
+		uint8(x.bounds.Leaves)}
 	return s
 }
 
-const none int16 = 1 << 14
+const noLink int16 = 1 << 14
 
 // primary is a cell that serves, or -1.
-func (x *explorer) primary(s *state) int {
-	return slices.IndexFunc(s.cells, func(id uint32) bool { return x.cells[id].m.lead != nil })
+func (x *explorer) primaryNode(s *modelState) int {
+	return slices.IndexFunc(s.nodes, func(id uint32) bool { return x.nodes[id].machine.primary != nil })
 }
 
 // held says whether all keep version 1, and serve one epoch.
-func (x *explorer) held(s *state) bool {
-	for _, id := range s.cells {
-		if m := x.cells[id].m; m.d.Committed.Version != 1 || !m.d.Record.Active || m.seq != m.written {
+func (x *explorer) isSteady(s *modelState) bool {
+	for _, id := range s.nodes {
+		if m := x.nodes[id].machine; m.state.Committed.Version != 1 || !m.state.Record.Active || m.seq != m.written {
 			return false
 		}
 	}
@@ -294,295 +294,295 @@
 }
 
 // settle lets the ordinary happen once: all messages come, all disks sync, all clocks tick.
-func (x *explorer) settle(s *state, k kind) { x.settleBut(s, k, 0) }
+func (x *explorer) settleAll(s *modelState, k inputKind) { x.settleExcept(s, k, 0) }
 
 // settleBut leaves out machines that are gone; what goes to them is lost.
-func (x *explorer) settleBut(s *state, k kind, gone uint16) {
-	for i := range s.cells {
+func (x *explorer) settleExcept(s *modelState, k inputKind, gone uint16) {
+	for i := range s.nodes {
 		if gone&(1<<i) == 0 {
-			x.step(s, move{at: uint8(i), in: input{kind: k}, link: none})
+			x.step(s, transition{node: uint8(i), input: input{kind: k}, link: noLink})
 		}
 	}
 	for again, most := true, 0; again && most < 10000; most++ {
 		again = false
 		for i, l := range s.links {
 			switch {
-			case gone&(1<<(i%x.n)) != 0:
+			case gone&(1<<(i%x.nodeCount)) != 0:
 				s.links[i] = nil
 			case len(l) > 0:
-				x.step(s, x.delivery(s, int16(i), comes))
+				x.step(s, x.delivery(s, int16(i), delivered))
 				again = true
 			}
 		}
-		for len(s.stray) > 0 {
-			x.step(s, x.delivery(s, -1, comes))
+		for len(s.delayed) > 0 {
+			x.step(s, x.delivery(s, -1, delivered))
 		}
-		for i, id := range s.cells {
-			if len(x.cells[id].cache) > 0 && gone&(1<<i) == 0 {
-				x.step(s, move{at: uint8(i), in: input{kind: sync}, link: none})
+		for i, id := range s.nodes {
+			if len(x.nodes[id].unsynced) > 0 && gone&(1<<i) == 0 {
+				x.step(s, transition{node: uint8(i), input: input{kind: sync}, link: noLink})
 				again = true
 			}
 		}
 	}
 }
 
-func (x *explorer) delivery(s *state, link int16, f fate) move {
+func (x *explorer) delivery(s *modelState, link int16, f messageFate) transition {
 	if link < 0 {
-		p := s.stray[-1-link]
-		return move{at: p.to, in: input{take, p.from, p.msg}, link: link}
+		p := s.delayed[-1-link]
+		return transition{node: p.to, input: input{receive, p.from, p.msg}, link: link}
 	}
-	return move{at: uint8(int(link) % x.n), in: input{take, uint8(int(link) / x.n), s.links[link][0]}, link: link, fate: f}
+	return transition{node: uint8(int(link) % x.nodeCount), input: input{receive, uint8(int(link) / x.nodeCount), s.links[link][0]}, link: link, fate: f}
 }
 
 // step goes a way; s is changed.
-func (x *explorer) step(s *state, v move) {
+func (x *explorer) step(s *modelState, v transition) {
 	switch {
-	case v.link == none:
+	case v.link == noLink:
 	case v.link < 0:
-		s.stray = slices.Delete(slices.Clone(s.stray), int(-1-v.link), int(-v.link))
+		s.delayed = slices.Delete(slices.Clone(s.delayed), int(-1-v.link), int(-v.link))
 	default:
-		head := post{uint8(int(v.link) / x.n), v.at, s.links[v.link][0]}
+		head := message{uint8(int(v.link) / x.nodeCount), v.node, s.links[v.link][0]}
 		s.links[v.link] = s.links[v.link][1:]
-		if v.fate == late || v.fate == twice {
-			s.stray = append(slices.Clone(s.stray), head)
-			slices.SortFunc(s.stray, func(a, b post) int {
+		if v.fate == delayed || v.fate == duplicated {
+			s.delayed = append(slices.Clone(s.delayed), head)
+			slices.SortFunc(s.delayed, func(a, b message) int {
 				return int(int64(a.msg)<<16+int64(a.from)<<8+int64(a.to)) - int(int64(b.msg)<<16+int64(b.from)<<8+int64(b.to))
 			})
 		}
-		if v.fate == lost || v.fate == late {
+		if v.fate == dropped || v.fate == delayed {
 			return
 		}
 	}
-	if v.loses {
+	if v.dropsMessages {
 		for i := range s.links {
-			if i%x.n == int(v.at) || i/x.n == int(v.at) {
+			if i%x.nodeCount == int(v.node) || i/x.nodeCount == int(v.node) {
 				s.links[i] = nil
 			}
 		}
 	}
-	o := x.outcome(s.cells[v.at], v.at, v.in)
-	s.cells[v.at] = o.cell
-	for _, p := range o.posts {
-		i := int(p.from)*x.n + int(p.to)
+	o := x.outcome(s.nodes[v.node], v.node, v.input)
+	s.nodes[v.node] = o.node
+	for _, p := range o.messages {
+		i := int(p.from)*x.nodeCount + int(p.to)
 		s.links[i] = append(slices.Clip(s.links[i]), p.msg)
 	}
-	if len(o.facts) > 0 || v.in.kind == get {
-		x.hear(s, v.in, o.facts)
+	if len(o.facts) > 0 || v.input.kind == read {
+		x.judgeFacts(s, v.input, o.facts)
 	}
-	x.rule(s, int(v.at))
+	x.checkNode(s, int(v.node))
 }
 
 // outcome is remembered: a machine does the same in the same state.
 func (x *explorer) outcome(id uint32, at uint8, in input) outcome {
 	key := uint64(id)<<32 | uint64(in.kind)<<28 | uint64(in.from)<<24 | uint64(in.arg)
-	if o, ok := x.next[key]; ok {
+	if o, ok := x.outcomes[key]; ok {
 		return o
 	}
 	var msg any
-	if in.kind == take {
-		msg = x.msgs[in.arg]
+	if in.kind == receive {
+		msg = x.messages[in.arg]
 	}
-	c, sends, facts := x.course.play(x.cells[id], x.names[in.from], msg, in)
-	o := outcome{cell: x.cell(c), facts: facts}
+	c, sends, facts := x.scenario.apply(x.nodes[id], x.addrs[in.from], msg, in)
+	o := outcome{node: x.nodeID(c), facts: facts}
 	for _, m := range sends {
-		if to := slices.Index(x.names, m.To); to >= 0 {
-			o.posts = append(o.posts, post{at, uint8(to), x.msg(m.Msg)})
+		if to := slices.Index(x.addrs, m.To); to >= 0 {
+			o.messages = append(o.messages, message{at, uint8(to), x.messageID(m.Msg)})
 		}
 	}
-	x.next[key] = o
+	x.outcomes[key] = o
 	return o
 }
 
-func (x *explorer) cell(c *cell) uint32 {
-	x.buf = c.code(x.buf[:0])
+func (x *explorer) nodeID(c *modelNode) uint32 {
+	x.buf = c.encode(x.buf[:0])
 	key := xxhash.Sum64(x.buf)
-	id, ok := x.cellOf[key]
+	id, ok := x.nodeIDs[key]
 	if !ok {
-		id = uint32(len(x.cells))
-		x.cells, x.cellOf[key] = append(x.cells, c), id
+		id = uint32(len(x.nodes))
+		x.nodes, x.nodeIDs[key] = append(x.nodes, c), id
 	}
 	return id
 }
 
-func (x *explorer) msg(msg any) uint32 {
-	x.buf = code(msg, x.buf[:0])
+func (x *explorer) messageID(msg any) uint32 {
+	x.buf = encodeMessage(msg, x.buf[:0])
 	key := xxhash.Sum64(x.buf)
-	id, ok := x.msgOf[key]
+	id, ok := x.messageIDs[key]
 	if !ok {
-		id = uint32(len(x.msgs))
-		x.msgs, x.msgOf[key] = append(x.msgs, msg), id
+		id = uint32(len(x.messages))
+		x.messages, x.messageIDs[key] = append(x.messages, msg), id
 	}
 	return id
 }
 
-func (x *explorer) verdict(v verdicts) uint32 {
+func (x *explorer) judgementID(v judgement) uint32 {
 	key := fmt.Sprint(v)
-	id, ok := x.judgOf[key]
+	id, ok := x.judgementIDs[key]
 	if !ok {
-		id = uint32(len(x.judges))
-		x.judges, x.judgOf[key] = append(x.judges, v), id
+		id = uint32(len(x.judgements))
+		x.judgements, x.judgementIDs[key] = append(x.judgements, v), id
 	}
 	return id
 }
 
 func (x *explorer) fail(form string, args ...any) {
-	if x.found.Violation == "" {
-		x.found.Violation = fmt.Sprintf(form, args...)
+	if x.result.Violation == "" {
+		x.result.Violation = fmt.Sprintf(form, args...)
 	}
 }
 
 // hear is the judge: one body for a version, and no read behind what was acknowledged.
-func (x *explorer) hear(s *state, in input, facts []fact) {
-	old := x.judges[s.judge]
-	v := verdicts{cloneMap(old.bodies), cloneMap(old.acked), cloneMap(old.floors), old.top, cloneMap(old.texts), cloneMap(old.denied)}
-	if in.kind == get {
-		v.floors[readID(in.arg)] = v.top
+func (x *explorer) judgeFacts(s *modelState, in input, facts []fact) {
+	old := x.judgements[s.judgement]
+	v := judgement{cloneMap(old.inForce), cloneMap(old.ackedIn), cloneMap(old.readFloors), old.highestAcked, cloneMap(old.ackedBodies), cloneMap(old.conflicts)}
+	if in.kind == read {
+		v.readFloors[readCallID(in.arg)] = v.highestAcked
 	}
 	for _, f := range facts {
 		switch f.kind {
-		case acks:
-			if b, ok := v.acked[f.version]; !ok || b.above(f.ballot) {
-				v.acked[f.version] = f.ballot
+		case factAccepted:
+			if b, ok := v.ackedIn[f.version]; !ok || b.higherThan(f.ballot) {
+				v.ackedIn[f.version] = f.ballot
 			}
-			v.top = max(v.top, f.version)
-			x.acks(v, f)
-		case refuses:
-			v.denied[order(f.version, f.body)] = true
-			if t, ok := v.texts[f.version]; ok && t == f.body {
+			v.highestAcked = max(v.highestAcked, f.version)
+			x.judgeAccepted(v, f)
+		case factConflict:
+			v.conflicts[requestKey(f.version, f.body)] = true
+			if t, ok := v.ackedBodies[f.version]; ok && t == f.body {
 				x.fail("version %d is %q, which was acknowledged and is told to differ", f.version, t)
 			}
-			if b, ok := v.bodies[f.version]; ok && b == f.body {
+			if b, ok := v.inForce[f.version]; ok && b == f.body {
 				x.fail("version %d is %q, which is in force and is told to differ", f.version, b)
 			}
-		case reads, adopts:
-			if b, ok := v.bodies[f.version]; ok && b != f.body {
+		case factRead, factApplied:
+			if b, ok := v.inForce[f.version]; ok && b != f.body {
 				x.fail("version %d is %q and %q", f.version, b, f.body)
 			}
-			v.bodies[f.version] = f.body
-			if t, ok := v.texts[f.version]; ok && t != f.body {
+			v.inForce[f.version] = f.body
+			if t, ok := v.ackedBodies[f.version]; ok && t != f.body {
 				x.fail("version %d is %q, and %q was acknowledged", f.version, f.body, t)
 			}
-			if f.kind == adopts {
+			if f.kind == factApplied {
 				continue
 			}
-			if floor := v.floors[f.id]; f.version < floor {
+			if floor := v.readFloors[f.id]; f.version < floor {
 				x.fail("version %d is read, and %d was acknowledged before", f.version, floor)
 			}
-			delete(v.floors, f.id)
-			x.read++
-		case readsNone:
+			delete(v.readFloors, f.id)
+			x.readsAnswered++
+		case factReadNone:
 			x.fail("nothing is read")
 		}
 	}
 	newest := uint32(0)
-	for n := range v.bodies {
+	for n := range v.inForce {
 		newest = max(newest, n)
 	}
-	if v.top > newest { // a lower one than what is kept is acknowledged and changes nothing
-		x.fail("version %d is acknowledged, and nobody has put it or a higher one in force", v.top)
+	if v.highestAcked > newest { // a lower one than what is kept is acknowledged and changes nothing
+		x.fail("version %d is acknowledged, and nobody has put it or a higher one in force", v.highestAcked)
 	}
-	x.found.Acked = max(x.found.Acked, len(v.acked)-1)
-	s.judge = x.verdict(v)
-	for i := range s.cells {
-		x.rule(s, i)
+	x.result.Acked = max(x.result.Acked, len(v.ackedIn)-1)
+	s.judgement = x.judgementID(v)
+	for i := range s.nodes {
+		x.checkNode(s, i)
 	}
 }
 
 // acks judges an acknowledgement: one text of a number, the one in force if any of them is.
-func (x *explorer) acks(v verdicts, f fact) {
-	if t, ok := v.texts[f.version]; ok && t != f.body {
+func (x *explorer) judgeAccepted(v judgement, f fact) {
+	if t, ok := v.ackedBodies[f.version]; ok && t != f.body {
 		x.fail("two texts of version %d are acknowledged, %q and %q", f.version, t, f.body)
 	}
-	if b, ok := v.bodies[f.version]; ok && b != f.body {
+	if b, ok := v.inForce[f.version]; ok && b != f.body {
 		x.fail("version %d is %q, and %q is acknowledged", f.version, b, f.body)
 	}
-	if v.denied[order(f.version, f.body)] {
+	if v.conflicts[requestKey(f.version, f.body)] {
 		x.fail("version %d %q is acknowledged, and was told to differ", f.version, f.body)
 	}
-	v.texts[f.version] = f.body
+	v.ackedBodies[f.version] = f.body
 }
 
-func order(version uint32, body string) string { return fmt.Sprint(version, " ", body) }
+func requestKey(version uint32, body string) string { return fmt.Sprint(version, " ", body) }
 
 // rule judges one machine: whoever serves an epoch has all that earlier ones acknowledged.
-func (x *explorer) rule(s *state, i int) {
-	c := x.cells[s.cells[i]]
-	if c.broken != "" {
-		x.fail("%s", c.broken)
+func (x *explorer) checkNode(s *modelState, i int) {
+	c := x.nodes[s.nodes[i]]
+	if c.violation != "" {
+		x.fail("%s", c.violation)
 	}
-	l := c.m.lead
+	l := c.machine.primary
 	if l == nil {
 		return
 	}
-	x.found.Epochs = max(x.found.Epochs, int(l.rec.Ballot.N-min(x.first0.N, l.rec.Ballot.N)))
-	for version, by := range x.judges[s.judge].acked {
-		if l.rec.Ballot.above(by) && c.m.d.Committed.Version < version {
+	x.result.Epochs = max(x.result.Epochs, int(l.record.Ballot.N-min(x.firstBallot.N, l.record.Ballot.N)))
+	for version, by := range x.judgements[s.judgement].ackedIn {
+		if l.record.Ballot.higherThan(by) && c.machine.state.Committed.Version < version {
 			x.fail("version %d was acknowledged in epoch %d, and %s serves epoch %d with version %d",
-				version, by.N, x.names[i], l.rec.Ballot.N, c.m.d.Committed.Version)
+				version, by.N, x.addrs[i], l.record.Ballot.N, c.machine.state.Committed.Version)
 		}
 	}
 }
 
 // moves are all ways on from a state.
-func (x *explorer) moves(s *state) []move {
-	var all []move
+func (x *explorer) transitions(s *modelState) []transition {
+	var all []transition
 	for i, l := range s.links {
 		if len(l) == 0 {
 			continue
 		}
-		all = append(all, x.delivery(s, int16(i), comes))
-		for f := lost; f <= twice; f++ {
-			if s.left[ofLost+int(f-lost)] > 0 {
+		all = append(all, x.delivery(s, int16(i), delivered))
+		for f := dropped; f <= duplicated; f++ {
+			if s.budgets[budgetDropped+int(f-dropped)] > 0 {
 				all = append(all, x.delivery(s, int16(i), f))
 			}
 		}
 	}
-	for i := range s.stray {
-		all = append(all, x.delivery(s, int16(-1-i), comes))
+	for i := range s.delayed {
+		all = append(all, x.delivery(s, int16(-1-i), delivered))
 	}
-	for i, id := range s.cells {
-		c, at := x.cells[id], uint8(i)
-		add := func(k kind, arg int, loses bool) {
-			all = append(all, move{at: at, in: input{kind: k, arg: uint32(arg)}, loses: loses, link: none})
+	for i, id := range s.nodes {
+		c, at := x.nodes[id], uint8(i)
+		add := func(k inputKind, arg int, loses bool) {
+			all = append(all, transition{node: at, input: input{kind: k, arg: uint32(arg)}, dropsMessages: loses, link: noLink})
 		}
-		if len(c.cache) > 0 {
+		if len(c.unsynced) > 0 {
 			add(sync, 0, false)
 		}
-		if s.left[ofShorts] > 0 {
-			add(short, 0, false)
+		if s.budgets[budgetShortWaits] > 0 {
+			add(shortWait, 0, false)
 		}
-		if s.left[ofLongs] > 0 {
-			add(long, 0, false)
+		if s.budgets[budgetLongWaits] > 0 {
+			add(longWait, 0, false)
 		}
-		if int(s.put) < x.b.Puts {
-			add(put, int(s.put), false)
+		if int(s.nextPut) < x.bounds.Puts {
+			add(put, int(s.nextPut), false)
 		}
-		if s.left[ofReads] > 0 {
-			add(get, x.b.Reads-int(s.left[ofReads]), false)
+		if s.budgets[budgetReads] > 0 {
+			add(read, x.bounds.Reads-int(s.budgets[budgetReads]), false)
 		}
-		if s.left[ofLeaves] > 0 && c.m.notice == 0 && !c.m.MayExit() {
+		if s.budgets[budgetLeaves] > 0 && c.machine.leaving == 0 && !c.machine.MayExit() {
 			n := LeaveWhenSafe
-			if x.b.ForcedLeave {
+			if x.bounds.ForcedLeave {
 				n = LeaveForced
 			}
 			add(leave, int(n), false)
 		}
-		if s.left[ofCopies] > 0 && c.old != c.synced {
-			add(saveOff, 0, false)
+		if s.budgets[budgetCopies] > 0 && c.savedState != c.synced {
+			add(copyDisk, 0, false)
 		}
-		if s.dead&(1<<at) != 0 {
+		if s.crashed&(1<<at) != 0 {
 			continue
 		}
-		if s.left[ofBacks] > 0 && x.remembered(s, i) {
-			add(putBack, 0, true)
+		if s.budgets[budgetRollbacks] > 0 && x.rollbackDetectable(s, i) {
+			add(rollbackDisk, 0, true)
 		}
 		for _, loses := range []bool{false, true} {
-			if s.left[ofDeaths] > 0 {
-				for kept := range len(c.cache) + 1 {
-					add(die, kept, loses)
+			if s.budgets[budgetCrashes] > 0 {
+				for kept := range len(c.unsynced) + 1 {
+					add(crash, kept, loses)
 				}
 			}
-			if s.left[ofWipes] > 0 {
+			if s.budgets[budgetWipes] > 0 {
 				add(wipe, 0, loses)
 			}
 		}
@@ -592,19 +592,19 @@
 
 // remembered says whether the copy of a machine's disk lacks something, and the disks of all the others that have a
 // seat beside it have the newest that it has vouched for. Where nobody has, it can't be told.
-func (x *explorer) remembered(s *state, at int) bool {
-	c := x.cells[s.cells[at]]
-	if c.old == nil || c.old.DiskID != c.m.d.DiskID || c.old.Saves >= c.m.safe || !c.m.seated() {
+func (x *explorer) rollbackDetectable(s *modelState, at int) bool {
+	c := x.nodes[s.nodes[at]]
+	if c.savedState == nil || c.savedState.DiskID != c.machine.state.DiskID || c.savedState.Saves >= c.machine.savesSynced || !c.machine.isMember() {
 		return false
 	}
-	for _, seat := range c.m.d.Record.voters() {
-		i := slices.Index(x.names, seat.Addr)
+	for _, seat := range c.machine.state.Record.votingMembers() {
+		i := slices.Index(x.addrs, seat.Addr)
 		if i == at {
 			continue
 		}
-		d := x.cells[s.cells[i]].synced
+		d := x.nodes[s.nodes[i]].synced
 		if d == nil || !slices.ContainsFunc(d.KnownTokens, func(k KnownToken) bool {
-			return k.Addr == x.names[at] && k.DiskID == c.m.d.DiskID && k.Saves >= c.m.safe
+			return k.Addr == x.addrs[at] && k.DiskID == c.machine.state.DiskID && k.Saves >= c.machine.savesSynced
 		}) {
 			return false
 		}
@@ -613,83 +613,83 @@
 }
 
 // pay takes what a move costs.
-func (s *state) pay(v move) {
+func (s *modelState) spend(v transition) {
 	switch v.fate {
-	case lost:
-		s.left[ofLost]--
-	case late:
-		s.left[ofLate]--
-	case twice:
-		s.left[ofDoubled]--
-	}
-	switch v.in.kind {
-	case short:
-		s.left[ofShorts]--
-	case long:
-		s.left[ofLongs]--
+	case dropped:
+		s.budgets[budgetDropped]--
+	case delayed:
+		s.budgets[budgetDelayed]--
+	case duplicated:
+		s.budgets[budgetDuplicated]--
+	}
+	switch v.input.kind {
+	case shortWait:
+		s.budgets[budgetShortWaits]--
+	case longWait:
+		s.budgets[budgetLongWaits]--
 	case put:
-		s.put++
-	case get:
-		s.left[ofReads]--
+		s.nextPut++
+	case read:
+		s.budgets[budgetReads]--
 	case leave:
-		s.left[ofLeaves]--
-	case die:
-		s.left[ofDeaths]--
-		s.dead |= 1 << v.at
+		s.budgets[budgetLeaves]--
+	case crash:
+		s.budgets[budgetCrashes]--
+		s.crashed |= 1 << v.node
 	case wipe:
-		s.left[ofWipes]--
-		s.dead |= 1 << v.at
-	case saveOff:
-		s.left[ofCopies]--
-	case putBack:
-		s.left[ofBacks]--
-		s.dead |= 1 << v.at
+		s.budgets[budgetWipes]--
+		s.crashed |= 1 << v.node
+	case copyDisk:
+		s.budgets[budgetCopies]--
+	case rollbackDisk:
+		s.budgets[budgetRollbacks]--
+		s.crashed |= 1 << v.node
 	}
 }
 
-func (x *explorer) visit(p pending) {
-	s := x.decode(p.code)
-	from := x.seen[xxhash.Sum64String(p.code)]
-	x.found.Depth = max(x.found.Depth, p.depth)
-	for _, v := range x.moves(s) {
+func (x *explorer) visit(p queuedState) {
+	s := x.decode(p.encoded)
+	from := x.stateIDs[xxhash.Sum64String(p.encoded)]
+	x.result.Depth = max(x.result.Depth, p.depth)
+	for _, v := range x.transitions(s) {
 		n := *s
-		n.cells, n.links = slices.Clone(s.cells), slices.Clone(s.links)
-		n.pay(v)
+		n.nodes, n.links = slices.Clone(s.nodes), slices.Clone(s.links)
+		n.spend(v)
 		x.step(&n, v)
-		x.found.Steps++
-		x.todoFrom(&n, from, v, p.depth+1)
-		if x.found.Violation != "" {
+		x.result.Steps++
+		x.enqueueFrom(&n, from, v, p.depth+1)
+		if x.result.Violation != "" {
 			return
 		}
 	}
 }
 
-func (x *explorer) meet(s *state, from uint32, v move) { x.todoFrom(s, from, v, 0) }
+func (x *explorer) enqueue(s *modelState, from uint32, v transition) { x.enqueueFrom(s, from, v, 0) }
 
-func (x *explorer) todoFrom(s *state, from uint32, v move, depth int) {
+func (x *explorer) enqueueFrom(s *modelState, from uint32, v transition, depth int) {
 	code := x.encode(s)
 	key := xxhash.Sum64(code)
-	if _, ok := x.seen[key]; ok && x.found.Violation == "" {
+	if _, ok := x.stateIDs[key]; ok && x.result.Violation == "" {
 		return
 	}
-	next := pending{string(code), depth} // what follows uses the buffer again
-	x.seen[key] = uint32(len(x.ways))
-	x.ways = append(x.ways, way{from, v})
-	if x.b.LivenessEvery > 0 && len(x.ways)%x.b.LivenessEvery == 0 && x.found.Violation == "" {
-		x.judgeResume(s, uint32(len(x.ways)-1))
+	next := queuedState{string(code), depth} // what follows uses the buffer again
+	x.stateIDs[key] = uint32(len(x.arrivals))
+	x.arrivals = append(x.arrivals, arrivalStep{from, v})
+	if x.bounds.LivenessEvery > 0 && len(x.arrivals)%x.bounds.LivenessEvery == 0 && x.result.Violation == "" {
+		x.checkLiveness(s, uint32(len(x.arrivals)-1))
 	}
-	if x.found.Violation != "" {
-		x.found.Depth = depth
-		x.found.Trace = x.trace(uint32(len(x.ways) - 1))
+	if x.result.Violation != "" {
+		x.result.Depth = depth
+		x.result.Trace = x.trace(uint32(len(x.arrivals) - 1))
 		return
 	}
-	x.todo = append(x.todo, next)
+	x.queue = append(x.queue, next)
 }
 
-func (x *explorer) encode(s *state) []byte {
+func (x *explorer) encode(s *modelState) []byte {
 	b := x.buf[:0]
 	num := func(v uint64) { b = binary.AppendUvarint(b, v) }
-	for _, c := range s.cells {
+	for _, c := range s.nodes {
 		num(uint64(c))
 	}
 	for _, l := range s.links {
@@ -698,23 +698,23 @@
 			num(uint64(m))
 		}
 	}
-	num(uint64(len(s.stray)))
-	for _, p := range s.stray {
+	num(uint64(len(s.delayed)))
+	for _, p := range s.delayed {
 		num(uint64(p.msg))
 		b = append(b, p.from, p.to)
 	}
-	b = append(append(b, s.left[:]...), s.put, s.dead)
-	num(uint64(s.judge))
+	b = append(append(b, s.budgets[:]...), s.nextPut, s.crashed)
+	num(uint64(s.judgement))
 	x.buf = b
 	return b
 }
 
-func (x *explorer) decode(code string) *state {
+func (x *explorer) decode(code string) *modelState {
 	b := []byte(code)
 	num := func() uint64 { v, n := binary.Uvarint(b); b = b[n:]; return v }
-	s := &state{cells: make([]uint32, x.n), links: make([][]uint32, x.n*x.n)}
-	for i := range s.cells {
-		s.cells[i] = uint32(num())
+	s := &modelState{nodes: make([]uint32, x.nodeCount), links: make([][]uint32, x.nodeCount*x.nodeCount)}
+	for i := range s.nodes {
+		s.nodes[i] = uint32(num())
 	}
 	for i := range s.links {
 		for range num() {
@@ -722,54 +722,54 @@
 		}
 	}
 	for range num() {
-		p := post{msg: uint32(num())}
+		p := message{msg: uint32(num())}
 		p.from, p.to = b[0], b[1]
 		b = b[2:]
-		s.stray = append(s.stray, p)
+		s.delayed = append(s.delayed, p)
 	}
-	copy(s.left[:], b)
-	n := len(s.left)
-	s.put, s.dead = b[n], b[n+1]
+	copy(s.budgets[:], b)
+	n := len(s.budgets)
+	s.nextPut, s.crashed = b[n], b[n+1]
 	b = b[n+2:]
-	s.judge = uint32(num())
+	s.judgement = uint32(num())
 	return s
 }
 
 // trace tells the way to a state.
 func (x *explorer) trace(to uint32) []string {
 	var all []string
-	for ; to != 0; to = x.ways[to].from {
-		all = append(all, x.say(x.ways[to].move))
+	for ; to != 0; to = x.arrivals[to].parent {
+		all = append(all, x.describe(x.arrivals[to].transition))
 	}
 	slices.Reverse(all)
 	return all
 }
 
-func (x *explorer) say(v move) string {
+func (x *explorer) describe(v transition) string {
 	var b strings.Builder
-	name := x.names[v.at]
-	switch v.in.kind {
-	case take:
-		fmt.Fprintf(&b, "%s>%s %T %+v", x.names[v.in.from], name, x.msgs[v.in.arg], x.msgs[v.in.arg])
+	name := x.addrs[v.node]
+	switch v.input.kind {
+	case receive:
+		fmt.Fprintf(&b, "%s>%s %T %+v", x.addrs[v.input.from], name, x.messages[v.input.arg], x.messages[v.input.arg])
 		b.WriteString([...]string{"", " is lost", " is late", " comes, and is doubled"}[v.fate])
 	case sync:
 		fmt.Fprintf(&b, "%s has synced", name)
 	case put:
-		fmt.Fprintf(&b, "%s takes the put of version %d %q", name, x.course.puts[v.in.arg].Version, x.course.puts[v.in.arg].Body)
-	case get:
+		fmt.Fprintf(&b, "%s takes the put of version %d %q", name, x.scenario.puts[v.input.arg].Version, x.scenario.puts[v.input.arg].Body)
+	case read:
 		fmt.Fprintf(&b, "%s is asked", name)
 	case leave:
 		fmt.Fprintf(&b, "%s is told to end", name)
-	case die:
-		fmt.Fprintf(&b, "%s dies, %d writes under way are on disk, its messages lost: %v", name, v.in.arg, v.loses)
-	case saveOff:
+	case crash:
+		fmt.Fprintf(&b, "%s dies, %d writes under way are on disk, its messages lost: %v", name, v.input.arg, v.dropsMessages)
+	case copyDisk:
 		fmt.Fprintf(&b, "a copy is taken of the disk of %s", name)
-	case putBack:
+	case rollbackDisk:
 		fmt.Fprintf(&b, "%s starts on the copy of its disk", name)
 	case wipe:
-		fmt.Fprintf(&b, "%s loses its disk, its messages lost: %v", name, v.loses)
+		fmt.Fprintf(&b, "%s loses its disk, its messages lost: %v", name, v.dropsMessages)
 	default:
-		fmt.Fprintf(&b, "%v pass at %s", spans[v.in.kind], name)
+		fmt.Fprintf(&b, "%v pass at %s", waitDurations[v.input.kind], name)
 	}
 	return b.String()
 }
--- a/internal/consensus/fence.go
+++ b/internal/consensus/fence.go
@@ -36,45 +36,47 @@
 
 // noteAfter is how long marks wait for a save that takes them along, before one is made for
 // them: never in a row of changes, once after it. Nothing waits for it.
-const noteAfter = 300 * time.Millisecond
+const tokenFlushDelay = 300 * time.Millisecond
 
-func (m *Machine) token() Token { return Token{Saves: m.safe, SavesAtStart: m.base, RunID: m.salt} }
+func (m *Machine) ownToken() Token {
+	return Token{Saves: m.savesSynced, SavesAtStart: m.savesAtStart, RunID: m.runID}
+}
 
 // lacks says whether a process's disk was without what the mark tells when it started.
-func (k KnownToken) lacks(t Token) bool {
+func (k KnownToken) provesRollback(t Token) bool {
 	return k.RunID != 0 && t.RunID != 0 && t.RunID != k.RunID && t.SavesAtStart < k.Saves
 }
 
 // stamped gives a message that a memory stands behind the token of what is synced now.
-func (m *Machine) stamped(msg any) any {
+func (m *Machine) withToken(msg any) any {
 	switch t := msg.(type) {
 	case Prepare:
-		t.Token = m.token()
+		t.Token = m.ownToken()
 		return t
 	case Promise:
-		t.Token, t.KnownTokens = m.token(), m.marks(m.d.Record)
+		t.Token, t.KnownTokens = m.ownToken(), m.memberTokens(m.state.Record)
 		return t
 	case StateInstalled:
-		t.Token = m.token()
+		t.Token = m.ownToken()
 		return t
 	case EpochRecorded:
-		t.Token = m.token()
+		t.Token = m.ownToken()
 		return t
 	case Appended:
-		t.Token = m.token()
+		t.Token = m.ownToken()
 		return t
 	case Confirmed:
-		t.Token = m.token()
+		t.Token = m.ownToken()
 		return t
 	case HeartbeatReply:
-		t.Token, t.TokensHash = m.token(), m.sum(m.d.Record)
+		t.Token, t.TokensHash = m.ownToken(), m.tokensHash(m.state.Record)
 		return t
 	}
 	return msg
 }
 
 // vouch is the memory that a message speaks for, and how far it has got.
-func vouch(msg any) (life uint64, t Token, ok bool) {
+func senderToken(msg any) (life uint64, t Token, ok bool) {
 	switch t := msg.(type) {
 	case Prepare:
 		return t.Ballot.DiskID, t.Token, true
@@ -96,65 +98,65 @@
 
 // believes notes what a message vouches for, or fences its sender, and then it doesn't count.
 // One that came late from a process before is taken for that as well: it is sent again.
-func (m *Machine) believes(from string, msg any) bool {
-	life, t, ok := vouch(msg)
-	if !ok || from == m.c.Self || t.RunID == 0 {
+func (m *Machine) acceptsToken(from string, msg any) bool {
+	life, t, ok := senderToken(msg)
+	if !ok || from == m.config.Self || t.RunID == 0 {
 		return true
 	}
 	k := KnownToken{from, life, t.Saves, t.RunID}
-	if old, ok := m.mark(from, life); ok && old.lacks(t) && m.bug != BugNoFencing {
+	if old, ok := m.knownToken(from, life); ok && old.provesRollback(t) && m.bug != BugNoFencing {
 		m.send(from, FenceNotice{old})
 		return false
 	}
-	m.note(k)
+	m.noteToken(k)
 	return true
 }
 
-func (m *Machine) mark(addr string, life uint64) (KnownToken, bool) {
-	i := slices.IndexFunc(m.d.KnownTokens, func(k KnownToken) bool { return k.Addr == addr && k.DiskID == life })
+func (m *Machine) knownToken(addr string, life uint64) (KnownToken, bool) {
+	i := slices.IndexFunc(m.state.KnownTokens, func(k KnownToken) bool { return k.Addr == addr && k.DiskID == life })
 	if i < 0 {
 		return KnownToken{}, false
 	}
-	return m.d.KnownTokens[i], true
+	return m.state.KnownTokens[i], true
 }
 
 // note keeps the newest mark of each seat, and of seats only: there are no more than those.
-func (m *Machine) note(k KnownToken) {
-	if k.Addr == m.c.Self || k.RunID == 0 {
+func (m *Machine) noteToken(k KnownToken) {
+	if k.Addr == m.config.Self || k.RunID == 0 {
 		return
 	}
-	seats := m.d.Record.voters()
-	old, ok := m.mark(k.Addr, k.DiskID)
-	if !has(seats, k.Addr, k.DiskID) || ok && old.Saves >= k.Saves && (old.RunID == k.RunID || old.Saves > k.Saves) {
+	seats := m.state.Record.votingMembers()
+	old, ok := m.knownToken(k.Addr, k.DiskID)
+	if !hasMember(seats, k.Addr, k.DiskID) || ok && old.Saves >= k.Saves && (old.RunID == k.RunID || old.Saves > k.Saves) {
 		return
 	}
-	marks := slices.DeleteFunc(slices.Clone(m.d.KnownTokens), func(o KnownToken) bool {
-		return o.Addr == k.Addr && o.DiskID == k.DiskID || !has(seats, o.Addr, o.DiskID)
+	marks := slices.DeleteFunc(slices.Clone(m.state.KnownTokens), func(o KnownToken) bool {
+		return o.Addr == k.Addr && o.DiskID == k.DiskID || !hasMember(seats, o.Addr, o.DiskID)
 	})
 	marks = append(marks, k)
 	slices.SortFunc(marks, func(a, b KnownToken) int { return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID)) })
-	m.d.KnownTokens = marks
-	if m.noted == 0 {
-		m.noted = m.now
+	m.state.KnownTokens = marks
+	if m.tokensNotedAt == 0 {
+		m.tokensNotedAt = m.now
 	}
 }
 
 // merge takes what others remember: of this member, and of those whose promises it counts.
-func (m *Machine) merge(marks []KnownToken) {
+func (m *Machine) mergeTokens(marks []KnownToken) {
 	for _, k := range marks {
-		if k.Addr == m.c.Self {
-			m.onFenced(FenceNotice{k})
+		if k.Addr == m.config.Self {
+			m.onFenceNotice(FenceNotice{k})
 			continue
 		}
-		m.note(k)
+		m.noteToken(k)
 	}
-	if m.bid == nil || m.bug == BugNoFencing {
+	if m.candidate == nil || m.bug == BugNoFencing {
 		return
 	}
-	for _, k := range m.d.KnownTokens {
-		if p, ok := m.bid.promises[k.Addr]; ok && p.DiskID == k.DiskID && k.lacks(p.Token) {
-			delete(m.bid.promises, k.Addr)
-			m.bid.enough = 0
+	for _, k := range m.state.KnownTokens {
+		if p, ok := m.candidate.promises[k.Addr]; ok && p.DiskID == k.DiskID && k.provesRollback(p.Token) {
+			delete(m.candidate.promises, k.Addr)
+			m.candidate.quorumAt = 0
 			m.send(k.Addr, FenceNotice{k})
 		}
 	}
@@ -162,24 +164,24 @@
 
 // onFenced makes a newcomer of a member whose disk is older than what it vouched for. What is
 // committed stays so, and is kept.
-func (m *Machine) onFenced(t FenceNotice) {
-	if t.Token.Addr != m.c.Self || t.Token.DiskID != m.d.DiskID || !t.Token.lacks(m.token()) || m.bug == BugNoFencing {
+func (m *Machine) onFenceNotice(t FenceNotice) {
+	if t.Token.Addr != m.config.Self || t.Token.DiskID != m.state.DiskID || !t.Token.provesRollback(m.ownToken()) || m.bug == BugNoFencing {
 		return
 	}
-	m.d = DurableState{DiskID: m.rng.Uint64() | 1, Committed: m.d.Committed}
-	m.lead, m.bid, m.held, m.fresh, m.loop = nil, nil, nil, nil, nil
-	m.base, m.safe, m.noted, m.dirty = 0, 0, 0, true
-	m.hello = m.now - 2*helloEvery
-	m.fenced, m.out.Fenced = m.fenced+1, true
+	m.state = DurableState{DiskID: m.rng.Uint64() | 1, Committed: m.state.Committed}
+	m.primary, m.candidate, m.deferred, m.afterSave, m.selfSends = nil, nil, nil, nil, nil
+	m.savesAtStart, m.savesSynced, m.tokensNotedAt, m.dirty = 0, 0, 0, true
+	m.joinSentAt = m.now - 2*joinInterval
+	m.fenceCount, m.out.Fenced = m.fenceCount+1, true
 }
 
 // marks are those of an epoch's seats, this member's own among them.
-func (m *Machine) marks(r EpochRecord) []KnownToken {
+func (m *Machine) memberTokens(r EpochRecord) []KnownToken {
 	var all []KnownToken
 	for _, s := range r.Members {
-		if s.is(m.c.Self, m.d.DiskID) {
-			all = append(all, KnownToken{s.Addr, s.DiskID, m.safe, m.salt})
-		} else if k, ok := m.mark(s.Addr, s.DiskID); ok {
+		if s.matches(m.config.Self, m.state.DiskID) {
+			all = append(all, KnownToken{s.Addr, s.DiskID, m.savesSynced, m.runID})
+		} else if k, ok := m.knownToken(s.Addr, s.DiskID); ok {
 			all = append(all, k)
 		}
 	}
@@ -187,10 +189,10 @@
 }
 
 // sum is the same where the marks are, so that a beat need not bring them.
-func (m *Machine) sum(r EpochRecord) uint32 {
+func (m *Machine) tokensHash(r EpochRecord) uint32 {
 	h := fnv.New32a()
 	var b []byte
-	for _, k := range m.marks(r) {
+	for _, k := range m.memberTokens(r) {
 		b = append(b[:0], k.Addr...)
 		for _, n := range []uint64{k.DiskID, k.Saves, k.RunID} {
 			b = binary.BigEndian.AppendUint64(b, n)
@@ -201,18 +203,18 @@
 }
 
 // settleMarks has marks written that no save has taken along.
-func (m *Machine) settleMarks() {
-	if m.noted != 0 && m.now-m.noted >= noteAfter && len(m.writes) == 0 {
-		m.flush = true
+func (m *Machine) flushTokensWhenDue() {
+	if m.tokensNotedAt != 0 && m.now-m.tokensNotedAt >= tokenFlushDelay && len(m.pendingWrites) == 0 {
+		m.flushTokens = true
 	}
 }
 
 // saved notes that a save is on disk.
-func (m *Machine) saved(w pendingWrite) {
-	if w.life == m.d.DiskID {
-		m.safe = max(m.safe, w.count)
+func (m *Machine) noteSaved(w pendingWrite) {
+	if w.life == m.state.DiskID {
+		m.savesSynced = max(m.savesSynced, w.count)
 	}
 }
 
 // Fences is how often this process was told that its disk is older than what it vouched for.
-func (m *Machine) FenceCount() int { return m.fenced }
+func (m *Machine) FenceCount() int { return m.fenceCount }
--- a/internal/consensus/fence_test.go
+++ b/internal/consensus/fence_test.go
@@ -16,18 +16,18 @@
 		w := calm(t, 3, 0, 1)
 		w.setBug(bug)
 		p, b, o := w.primary(), w.backup(), w.other()
-		old, life := *b.synced, b.m.d.DiskID
+		old, life := *b.synced, b.m.state.DiskID
 		w.part(p, 20*ms, func(n *node) bool { return n == o }, false)
 		w.until(t, 50*ms, p)
 		for limit := w.now + time.Second; ; w.run(ms) {
-			if k, _ := o.m.mark(b.cfg.Self, life); k.Saves > old.Saves {
+			if k, _ := o.m.knownToken(b.cfg.Self, life); k.Saves > old.Saves {
 				break
 			}
 			if w.now > limit {
 				t.Fatal("the witness is not told of tokens")
 			}
 		}
-		if o.m.d.Committed.Version == w.acked {
+		if o.m.state.Committed.Version == w.acked {
 			t.Fatal("the document came before the token")
 		}
 		w.kill(p, true)
@@ -43,8 +43,8 @@
 			}
 			continue
 		}
-		if b.m.d.DiskID == life || b.m.FenceCount() != 1 || w.primary() != nil {
-			t.Errorf("life %d after %d, %d times fenced, primary %v", b.m.d.DiskID, life, b.m.FenceCount(), w.primary())
+		if b.m.state.DiskID == life || b.m.FenceCount() != 1 || w.primary() != nil {
+			t.Errorf("life %d after %d, %d times fenced, primary %v", b.m.state.DiskID, life, b.m.FenceCount(), w.primary())
 		}
 		w.settled() // also that the seat is taken again
 		w.sane(t)
@@ -57,7 +57,7 @@
 	for i := range 3 {
 		w := calm(t, 3, 1, 1)
 		n := w.nodes[i]
-		old, life := *n.synced, n.m.d.DiskID
+		old, life := *n.synced, n.m.state.DiskID
 		for range 3 {
 			w.until(t, 100*ms, w.primary())
 		}
@@ -66,8 +66,8 @@
 		n.synced = &old
 		w.start(n)
 		w.run(3 * time.Second)
-		if n.m.d.DiskID == life || !n.m.seated() || n.m.FenceCount() != 1 {
-			t.Errorf("%s: life %d after %d, seated %v, fenced %d", n.cfg.Self, n.m.d.DiskID, life, n.m.seated(), n.m.FenceCount())
+		if n.m.state.DiskID == life || !n.m.isMember() || n.m.FenceCount() != 1 {
+			t.Errorf("%s: life %d after %d, seated %v, fenced %d", n.cfg.Self, n.m.state.DiskID, life, n.m.isMember(), n.m.FenceCount())
 		}
 		w.settled()
 		w.sane(t)
@@ -81,7 +81,7 @@
 	w := calm(t, 3, 0, 1)
 	lives := map[*node]uint64{}
 	for _, n := range w.nodes {
-		lives[n] = n.m.d.DiskID
+		lives[n] = n.m.state.DiskID
 	}
 	for i := range 30 {
 		n := w.nodes[i%3]
@@ -94,7 +94,7 @@
 	w.settled()
 	w.sane(t)
 	for n, life := range lives {
-		if n.m.d.DiskID != life || n.m.FenceCount() > 0 {
+		if n.m.state.DiskID != life || n.m.FenceCount() > 0 {
 			t.Errorf("%s is fenced for nothing", n.cfg.Self)
 		}
 	}
@@ -149,12 +149,12 @@
 	t.Parallel()
 	w := calm(t, 3, 0, 1)
 	n := w.nodes[0]
-	raw, err := cbor.Marshal(n.m.d)
+	raw, err := cbor.Marshal(n.m.state)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var older before
-	if err := cbor.Unmarshal(raw, &older); err != nil || older.Life != n.m.d.DiskID || !reflect.DeepEqual(older.Kept, n.m.d.Committed) {
+	if err := cbor.Unmarshal(raw, &older); err != nil || older.Life != n.m.state.DiskID || !reflect.DeepEqual(older.Kept, n.m.state.Committed) {
 		t.Fatalf("%v: %+v", err, older)
 	}
 	for _, n := range w.nodes { // all go back to the program before, and on to this one
@@ -177,7 +177,7 @@
 	}
 	for _, msg := range []any{HeartbeatReply{DiskID: 1}, Promise{DiskID: 1}, Appended{DiskID: 1}, StateInstalled{DiskID: 1}, EpochRecorded{DiskID: 1}, Prepare{}, Confirmed{}} {
 		raw, err := cbor.Marshal(msg) // without a token they read as before: the field is left out
-		if err != nil || w.nodes[0].m.believes("n01", msg) == false {
+		if err != nil || w.nodes[0].m.acceptsToken("n01", msg) == false {
 			t.Errorf("%T: %x, %v", msg, raw, err)
 		}
 	}
--- a/internal/consensus/format.go
+++ b/internal/consensus/format.go
@@ -22,20 +22,20 @@
 // packedMark begins a disk's record that is packed; no cbor begins so. A large document stands
 // in it twice while it is on its way, and the vault keeps the record before as well: on a small
 // disk four times 16 MiB are too much.
-const packedMark = 0xff
+const packedPrefix = 0xff
 
 const (
-	packDiskFrom = 256 << 10
-	diskMost     = 256 << 20 // that is unpacked: far more than documents come to
+	minPackedState   = 256 << 10
+	maxUnpackedState = 256 << 20 // that is unpacked: far more than documents come to
 )
 
 // Bytes is the disk as it is written.
 func (d *DurableState) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(d)
-	if err != nil || len(data) < packDiskFrom {
+	if err != nil || len(data) < minPackedState {
 		return data, err
 	}
-	if packed, ok := delta.Pack([]byte{packedMark}, data); ok {
+	if packed, ok := delta.Pack([]byte{packedPrefix}, data); ok {
 		return packed, nil
 	}
 	return data, nil
@@ -43,8 +43,8 @@
 
 // ReadDisk reads what a member must not forget. Disks from before there were formats have none.
 func DecodeState(data []byte) (*DurableState, error) {
-	if len(data) > 0 && data[0] == packedMark {
-		all, err := delta.Unpack(data[1:], diskMost)
+	if len(data) > 0 && data[0] == packedPrefix {
+		all, err := delta.Unpack(data[1:], maxUnpackedState)
 		if err != nil {
 			return nil, fmt.Errorf("packed: %w", err)
 		}
--- a/internal/consensus/found.go
+++ b/internal/consensus/found.go
@@ -11,128 +11,128 @@
 // founder is the process that the first seed names. It gives out the first record
 // once; a process that knows of any founding gives out none.
 type founder struct {
-	mine  bool
-	hello map[string]joiner
-	grown fsm.Time // when the last newcomer came
-	asked fsm.Time
-	rec   EpochRecord
+	isSelf     bool
+	joining    map[string]joinCandidate
+	lastJoinAt fsm.Time // when the last newcomer came
+	askedAt    fsm.Time
+	record     EpochRecord
 }
 
 func newFounder(c Config, now fsm.Time) founder {
-	return founder{mine: len(c.Seeds) > 0 && c.Seeds[0] == c.Self, hello: map[string]joiner{},
-		grown: now, asked: now}
+	return founder{isSelf: len(c.Seeds) > 0 && c.Seeds[0] == c.Self, joining: map[string]joinCandidate{},
+		lastJoinAt: now, askedAt: now}
 }
 
 // greet makes a member without a seat in force known.
-func (m *Machine) greet() {
-	if !m.c.Member {
-		m.inquire()
+func (m *Machine) requestJoin() {
+	if !m.config.Member {
+		m.requestView()
 		return
 	}
-	if m.seated() && m.d.Record.Active || m.notice != 0 {
+	if m.isMember() && m.state.Record.Active || m.leaving != 0 {
 		return
 	}
-	every := helloEvery
-	if !m.view.none() {
+	every := joinInterval
+	if !m.view.isZero() {
 		every *= 2
 	}
-	if m.now-m.hello < every {
+	if m.now-m.joinSentAt < every {
 		return
 	}
-	m.hello = m.now
-	h := JoinRequest{Member: Member{Addr: m.c.Self, DiskID: m.d.DiskID, Name: m.c.Name, Zone: m.c.Zone},
-		NeverMember: m.d.NeverMember}
-	if !m.d.Record.Active {
-		h.Record = m.d.Record
+	m.joinSentAt = m.now
+	h := JoinRequest{Member: Member{Addr: m.config.Self, DiskID: m.state.DiskID, Name: m.config.Name, Zone: m.config.Zone},
+		NeverMember: m.state.NeverMember}
+	if !m.state.Record.Active {
+		h.Record = m.state.Record
 	}
-	who := m.near()
-	if p := m.view.primary(); p != "" && m.now-m.primed < vacant {
+	who := m.likelyMembers()
+	if p := m.view.primary(); p != "" && m.now-m.primaryViewAt < vacancyTimeout {
 		who = []string{p}
 	}
-	if slices.Contains(m.seeds, m.c.Self) {
-		m.durable(m.c.Self, h)
+	if slices.Contains(m.seeds, m.config.Self) {
+		m.sendAfterSave(m.config.Self, h)
 	}
 	for _, to := range who {
-		m.durable(to, h)
+		m.sendAfterSave(to, h)
 	}
 }
 
-func (m *Machine) onHello(from string, t JoinRequest) {
+func (m *Machine) onJoinRequest(from string, t JoinRequest) {
 	if t.Member.Addr != from {
 		return
 	}
-	if l := m.lead; l != nil {
-		if !l.rec.has(from, t.Member.DiskID) {
-			l.joiners[from] = joiner{seat: t.Member, grow: t.NeverMember && m.never(t.Member), at: m.now}
+	if l := m.primary; l != nil {
+		if !l.record.has(from, t.Member.DiskID) {
+			l.joining[from] = joinCandidate{member: t.Member, neverMember: t.NeverMember && m.hasNoMemberAt(t.Member), heardAt: m.now}
 		}
-		m.tell(from)
+		m.sendView(from)
 		return
 	}
-	if !m.view.none() {
-		m.tell(from)
+	if !m.view.isZero() {
+		m.sendView(from)
 		return
 	}
-	if !m.founder.mine {
+	if !m.founder.isSelf {
 		return
 	}
 	f := &m.founder
-	if !t.Record.none() && f.rec.none() {
-		f.rec = t.Record
+	if !t.Record.isZero() && f.record.isZero() {
+		f.record = t.Record
 	}
-	if !f.rec.none() {
-		if t.Record.none() && f.rec.has(from, t.Member.DiskID) {
-			m.send(from, FirstEpoch{Record: f.rec})
+	if !f.record.isZero() {
+		if t.Record.isZero() && f.record.has(from, t.Member.DiskID) {
+			m.send(from, FirstEpoch{Record: f.record})
 		}
 		return
 	}
-	if old, ok := f.hello[from]; t.NeverMember && (!ok || old.seat.DiskID != t.Member.DiskID) {
-		f.grown = m.now
+	if old, ok := f.joining[from]; t.NeverMember && (!ok || old.member.DiskID != t.Member.DiskID) {
+		f.lastJoinAt = m.now
 	}
-	f.hello[from] = joiner{seat: t.Member, grow: t.NeverMember, at: m.now}
+	f.joining[from] = joinCandidate{member: t.Member, neverMember: t.NeverMember, heardAt: m.now}
 }
 
 // never says whether the address has no seat, so that one that was wiped does not count twice.
-func (m *Machine) never(s Member) bool {
-	return !slices.ContainsFunc(m.lead.rec.Members, func(o Member) bool { return o.Addr == s.Addr })
+func (m *Machine) hasNoMemberAt(s Member) bool {
+	return !slices.ContainsFunc(m.primary.record.Members, func(o Member) bool { return o.Addr == s.Addr })
 }
 
 // found gives out the first record when no more members come.
-func (m *Machine) found() {
+func (m *Machine) foundCluster() {
 	f := &m.founder
-	if !f.mine || !f.rec.none() || !m.view.none() || !m.d.Record.none() {
+	if !f.isSelf || !f.record.isZero() || !m.view.isZero() || !m.state.Record.isZero() {
 		return
 	}
-	if m.now-f.asked >= helloEvery {
-		f.asked = m.now
-		for _, to := range m.near() {
+	if m.now-f.askedAt >= joinInterval {
+		f.askedAt = m.now
+		for _, to := range m.likelyMembers() {
 			m.send(to, ViewRequest{})
 		}
 	}
 	var set []Member
-	for _, j := range f.hello {
-		if j.grow && m.now-j.at < time.Second {
-			set = append(set, j.seat)
+	for _, j := range f.joining {
+		if j.neverMember && m.now-j.heardAt < time.Second {
+			set = append(set, j.member)
 		}
 	}
-	if len(set) < 2*m.c.ToleratedLosses+1 || m.now-f.grown < settle || m.now-m.start < settle {
+	if len(set) < 2*m.config.ToleratedLosses+1 || m.now-f.lastJoinAt < quietPeriod || m.now-m.startedAt < quietPeriod {
 		return
 	}
 	slices.SortFunc(set, func(a, b Member) int { return cmp.Compare(a.Addr, b.Addr) })
-	f.rec = EpochRecord{ClusterID: m.rng.Uint64() | 1, Ballot: Ballot{N: 1}, Members: set, OldMembers: set,
-		Writers: spread(set, m.c.ToleratedLosses+1)}
+	f.record = EpochRecord{ClusterID: m.rng.Uint64() | 1, Ballot: Ballot{N: 1}, Members: set, OldMembers: set,
+		Writers: spreadOverZones(set, m.config.ToleratedLosses+1)}
 	for _, s := range set {
-		m.send(s.Addr, FirstEpoch{Record: f.rec})
+		m.send(s.Addr, FirstEpoch{Record: f.record})
 	}
 }
 
 // inquire: who has no disk and came up after the last epoch has not been told of it.
-func (m *Machine) inquire() {
-	if !m.view.none() || m.now-m.hello < inquireEvery {
+func (m *Machine) requestView() {
+	if !m.view.isZero() || m.now-m.joinSentAt < viewRequestInterval {
 		return
 	}
-	m.hello = m.now
-	if who := m.near(); len(who) > 0 {
-		m.turn++
-		m.send(who[m.turn%len(who)], ViewRequest{})
+	m.joinSentAt = m.now
+	if who := m.likelyMembers(); len(who) > 0 {
+		m.rotation++
+		m.send(who[m.rotation%len(who)], ViewRequest{})
 	}
 }
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -22,22 +22,22 @@
 )
 
 // leaver is a seat that its holder wants to give away.
-type leaver struct {
-	life   uint64
-	notice LeaveUrgency
-	at     fsm.Time
+type leavingMember struct {
+	diskID  uint64
+	urgency LeaveUrgency
+	askedAt fsm.Time
 }
 
 // Leave says that this process will end.
 func (m *Machine) Leave(now fsm.Time, n LeaveUrgency) Out {
 	m.now = max(m.now, now)
-	if m.notice < LeaveWhenSafe && n >= LeaveWhenSafe {
-		m.parted = m.now
+	if m.leaving < LeaveWhenSafe && n >= LeaveWhenSafe {
+		m.leaveWhenSafeAt = m.now
 	}
-	m.notice = max(m.notice, n)
-	m.left = 0
-	m.depart()
-	return m.end()
+	m.leaving = max(m.leaving, n)
+	m.leaveSentAt = 0
+	m.requestLeave()
+	return m.finishInput()
 }
 
 // Left reports whether the others can go on without this process: an epoch in force has no
@@ -45,76 +45,76 @@
 // be left where nobody else has a seat. Nor can who leads by the version before, which takes no Leave: it
 // is left as that version leaves.
 func (m *Machine) MayExit() bool {
-	early := m.bug == BugEarlyExit && !m.view.has(m.c.Self, m.d.DiskID)
-	if !m.c.Member || m.free || early || m.bug == BugNoLeave || m.view.none() && m.d.Record.none() {
+	early := m.bug == BugEarlyExit && !m.view.has(m.config.Self, m.state.DiskID)
+	if !m.config.Member || m.leaveGranted || early || m.bug == BugNoLeave || m.view.isZero() && m.state.Record.isZero() {
 		return true
 	}
-	if p := m.view.primary(); m.notice >= LeaveWhenSafe && p != "" && p != m.c.Self && !m.knowsLeave(p) && m.now-m.parted > stall {
+	if p := m.view.primary(); m.leaving >= LeaveWhenSafe && p != "" && p != m.config.Self && !m.supportsLeave(p) && m.now-m.leaveWhenSafeAt > stallTimeout {
 		return true
 	}
-	return len(m.view.Members) == 1 && m.view.Members[0].Addr == m.c.Self
+	return len(m.view.Members) == 1 && m.view.Members[0].Addr == m.config.Self
 }
 
 // knowsLeave says whether a process has shown that it is not of the version before: packed documents came
 // with the handing over of seats.
-func (m *Machine) knowsLeave(addr string) bool { return slices.Contains(m.readers, addr) }
+func (m *Machine) supportsLeave(addr string) bool { return slices.Contains(m.packReaders, addr) }
 
 // depart asks for that, until it is so.
-func (m *Machine) depart() {
-	if m.notice == 0 || m.bug == BugNoLeave || m.left != 0 && m.now-m.left < resendEvery || m.MayExit() {
+func (m *Machine) requestLeave() {
+	if m.leaving == 0 || m.bug == BugNoLeave || m.leaveSentAt != 0 && m.now-m.leaveSentAt < resendInterval || m.MayExit() {
 		return
 	}
-	m.left = m.now
-	if m.lead != nil {
-		m.hand()
+	m.leaveSentAt = m.now
+	if m.primary != nil {
+		m.handOver()
 		return
 	}
 	p := m.view.primary()
 	switch {
 	case p == "":
-	case p != m.c.Self:
-		m.send(p, Leave{DiskID: m.d.DiskID, WhenSafe: m.notice >= LeaveWhenSafe, Forced: m.notice == LeaveForced})
-	case m.handed != 0 && m.now-m.handed > 2*resendEvery: // whom it was handed to does not come
-		m.handed = 0
+	case p != m.config.Self:
+		m.send(p, Leave{DiskID: m.state.DiskID, WhenSafe: m.leaving >= LeaveWhenSafe, Forced: m.leaving == LeaveForced})
+	case m.handedOverAt != 0 && m.now-m.handedOverAt > 2*resendInterval: // whom it was handed to does not come
+		m.handedOverAt = 0
 		for _, s := range m.view.Members {
-			if s.Addr != m.c.Self {
+			if s.Addr != m.config.Self {
 				m.send(s.Addr, Resign{Ballot: m.view.Ballot})
 			}
 		}
 	}
-	if m.notice == LeaveForced && m.misses() {
+	if m.leaving == LeaveForced && m.missesHeartbeats() {
 		for _, s := range m.view.Members {
-			if s.Addr != m.c.Self && s.Addr != p {
-				m.send(s.Addr, Leave{DiskID: m.d.DiskID, WhenSafe: true, Forced: true, PrimarySilent: true})
+			if s.Addr != m.config.Self && s.Addr != p {
+				m.send(s.Addr, Leave{DiskID: m.state.DiskID, WhenSafe: true, Forced: true, PrimarySilent: true})
 			}
 		}
 	}
 }
 
 func (m *Machine) onLeave(from string, t Leave) {
-	l := m.lead
+	l := m.primary
 	if l == nil {
-		if t.PrimarySilent && m.misses() && m.bid == nil { // both do: there is no time for the usual patience
-			m.alive, m.aliveBy = m.now-silence, ""
+		if t.PrimarySilent && m.missesHeartbeats() && m.candidate == nil { // both do: there is no time for the usual patience
+			m.primaryHeardAt, m.primaryHeardFrom = m.now-primaryTimeout, ""
 		}
-		m.tell(from)
+		m.sendView(from)
 		return
 	}
-	if !l.rec.has(from, t.DiskID) {
-		delete(l.joiners, from)
-		if most(l.rec.Members, m.storedAt) {
+	if !l.record.has(from, t.DiskID) {
+		delete(l.joining, from)
+		if hasMajority(l.record.Members, m.recordStoredAt) {
 			m.send(from, LeaveGranted{DiskID: t.DiskID})
 		}
 		return
 	}
-	if _, ok := l.leavers[from]; !ok {
-		m.tell(from) // so that it knows who it asks
+	if _, ok := l.leaving[from]; !ok {
+		m.sendView(from) // so that it knows who it asks
 	}
-	l.leavers[from] = leaver{t.DiskID, t.notice(), m.now}
-	m.steer()
+	l.leaving[from] = leavingMember{t.DiskID, t.urgency(), m.now}
+	m.maintainEpoch()
 }
 
-func (t Leave) notice() LeaveUrgency {
+func (t Leave) urgency() LeaveUrgency {
 	switch {
 	case t.Forced:
 		return LeaveForced
@@ -125,21 +125,23 @@
 }
 
 // misses says whether two beats have not come.
-func (m *Machine) misses() bool { return m.lead == nil && m.now-m.alive > 2*beatEvery }
+func (m *Machine) missesHeartbeats() bool {
+	return m.primary == nil && m.now-m.primaryHeardAt > 2*heartbeatInterval
+}
 
 // goes says whether a seat is one that is given away.
-func (l *lead) goes(s Member, now fsm.Time) (leaver, bool) {
-	g, ok := l.leavers[s.Addr]
-	return g, ok && g.life == s.DiskID && now-g.at < settle
+func (l *primaryState) leavingMember(s Member, now fsm.Time) (leavingMember, bool) {
+	g, ok := l.leaving[s.Addr]
+	return g, ok && g.diskID == s.DiskID && now-g.askedAt < quietPeriod
 }
 
 // give puts learners in the place of those that leave; a seat that nobody wants is given up if
 // its holder is about to end, and the rest is as many as copies are wanted, and heard by most.
 // Who is ended soon has its vote for that long only: see remnant.
-func (m *Machine) give(set []Member, learners []Member) []Member {
-	l := m.lead
+func (m *Machine) replaceLeaving(set []Member, learners []Member) []Member {
+	l := m.primary
 	for _, s := range slices.Clone(set) {
-		g, ok := l.goes(s, m.now)
+		g, ok := l.leavingMember(s, m.now)
 		i := slices.Index(set, s)
 		if !ok || i < 0 {
 			continue
@@ -150,20 +152,20 @@
 		}
 		rest := slices.Delete(slices.Clone(set), i, i+1)
 		switch {
-		case g.notice >= LeaveWhenSafe && len(rest) > m.c.ToleratedLosses && most(rest, m.answers):
+		case g.urgency >= LeaveWhenSafe && len(rest) > m.config.ToleratedLosses && hasMajority(rest, m.heardInEpoch):
 			set = rest
-		case g.notice == LeaveForced && m.bug != BugNoShrinkOnForcedLeave:
-			set = m.remnant(set, rest)
+		case g.urgency == LeaveForced && m.bug != BugNoShrinkOnForcedLeave:
+			set = m.shrinkForForcedLeave(set, rest)
 		}
 	}
 	return set
 }
 
 // hasty says whether somebody has no time left for an epoch to come to rest first.
-func (m *Machine) hasty() bool {
-	return slices.ContainsFunc(m.lead.rec.Members, func(s Member) bool {
-		g, ok := m.lead.goes(s, m.now)
-		return ok && g.notice == LeaveForced
+func (m *Machine) hasForcedLeave() bool {
+	return slices.ContainsFunc(m.primary.record.Members, func(s Member) bool {
+		g, ok := m.primary.leavingMember(s, m.now)
+		return ok && g.urgency == LeaveForced
 	})
 }
 
@@ -172,117 +174,119 @@
 // Most of the set is there now for the last time, so it leaves both out; also where fewer are left than copies
 // are wanted: such an epoch takes no documents before somebody has joined. Not if who is left leaves as well:
 // then all are stopped, and come back.
-func (m *Machine) remnant(set, rest []Member) []Member {
-	left := count(rest, m.answers)
-	i := slices.IndexFunc(rest, func(s Member) bool { return s.Addr != m.c.Self && !m.answers(s) && m.now-m.lead.since > resendEvery })
+func (m *Machine) shrinkForForcedLeave(set, rest []Member) []Member {
+	left := countMembers(rest, m.heardInEpoch)
+	i := slices.IndexFunc(rest, func(s Member) bool {
+		return s.Addr != m.config.Self && !m.heardInEpoch(s) && m.now-m.primary.startedAt > resendInterval
+	})
 	if left == 0 || i < 0 || 2*left != len(rest) ||
-		count(rest, func(s Member) bool { _, goes := m.lead.goes(s, m.now); return goes && m.answers(s) }) > 0 {
+		countMembers(rest, func(s Member) bool { _, goes := m.primary.leavingMember(s, m.now); return goes && m.heardInEpoch(s) }) > 0 {
 		return set
 	}
 	return slices.Delete(rest, i, i+1)
 }
 
 // answers says whether a seat has been heard in this epoch, and lately.
-func (m *Machine) answers(s Member) bool {
-	return s.Addr == m.c.Self || m.hears(s) && m.lead.heard[s.Addr] > m.lead.since
+func (m *Machine) heardInEpoch(s Member) bool {
+	return s.Addr == m.config.Self || m.isHeard(s) && m.primary.heardAt[s.Addr] > m.primary.startedAt
 }
 
 // stores says whether the record of an epoch is on disk here, as an active one.
-func (m *Machine) stores(b Ballot) bool {
-	return m.d.Record.Active && m.d.Record.Ballot == b && m.active == 0
+func (m *Machine) recordStored(b Ballot) bool {
+	return m.state.Record.Active && m.state.Record.Ballot == b && m.activeRecordWrite == 0
 }
 
 // storedAt says it of a seat, to a primary. One of the version before doesn't tell, but that it holds the record.
-func (m *Machine) storedAt(s Member) bool {
-	if s.Addr != m.c.Self && !m.knowsLeave(s.Addr) && m.lead.known[s.Addr] && m.now-m.lead.since > stall {
+func (m *Machine) recordStoredAt(s Member) bool {
+	if s.Addr != m.config.Self && !m.supportsLeave(s.Addr) && m.primary.recordKnown[s.Addr] && m.now-m.primary.startedAt > stallTimeout {
 		return true
 	}
-	return m.lead.stored[s.Addr] || s.Addr == m.c.Self && m.stores(m.lead.rec.Ballot)
+	return m.primary.recordStored[s.Addr] || s.Addr == m.config.Self && m.recordStored(m.primary.record.Ballot)
 }
 
-func (m *Machine) hears(s Member) bool {
-	return s.Addr == m.c.Self || m.now-m.lead.heard[s.Addr] < silence
+func (m *Machine) isHeard(s Member) bool {
+	return s.Addr == m.config.Self || m.now-m.primary.heardAt[s.Addr] < primaryTimeout
 }
 
 // hand lets a backup lead at once. What is under way ends first.
-func (m *Machine) hand() {
-	l := m.lead
-	l.leavers[m.c.Self] = leaver{m.d.DiskID, m.notice, m.now}
-	if l.doc != nil && m.now-l.docAt < stall {
+func (m *Machine) handOver() {
+	l := m.primary
+	l.leaving[m.config.Self] = leavingMember{m.state.DiskID, m.leaving, m.now}
+	if l.proposal != nil && m.now-l.proposedAt < stallTimeout {
 		return
 	}
-	plan := m.plan()
-	i := slices.IndexFunc(l.rec.Members, func(s Member) bool {
-		_, goes := l.goes(s, m.now)
-		return !goes && s.Addr != m.c.Self && slices.Contains(l.rec.Writers, s.Addr) && m.answers(s) && !l.slow[s.Addr] && m.shun[s.Addr] <= m.now
+	plan := m.nextMembers()
+	i := slices.IndexFunc(l.record.Members, func(s Member) bool {
+		_, goes := l.leavingMember(s, m.now)
+		return !goes && s.Addr != m.config.Self && slices.Contains(l.record.Writers, s.Addr) && m.heardInEpoch(s) && !l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now
 	})
 	if i < 0 {
 		return
 	}
-	m.send(l.rec.Members[i].Addr, Handover{Record: l.rec, DiskID: l.rec.Members[i].DiskID, NextMembers: plan})
-	m.lead, m.handed = nil, m.now
-	m.alive, m.aliveBy = m.now, ""
+	m.send(l.record.Members[i].Addr, Handover{Record: l.record, DiskID: l.record.Members[i].DiskID, NextMembers: plan})
+	m.primary, m.handedOverAt = nil, m.now
+	m.primaryHeardAt, m.primaryHeardFrom = m.now, ""
 }
 
 // relieve says whether a backup that leaves should write no more, as others can.
-func (m *Machine) relieve() bool {
-	l := m.lead
-	if m.now-l.since < 2*helloEvery {
+func (m *Machine) replaceLeavingWriters() bool {
+	l := m.primary
+	if m.now-l.startedAt < 2*joinInterval {
 		return false
 	}
 	var going []string
 	fit := func(s Member) bool {
-		if _, ok := l.goes(s, m.now); ok {
-			if s.Addr != m.c.Self && slices.Contains(l.rec.Writers, s.Addr) {
+		if _, ok := l.leavingMember(s, m.now); ok {
+			if s.Addr != m.config.Self && slices.Contains(l.record.Writers, s.Addr) {
 				going = append(going, s.Addr)
 			}
-			return s.Addr == m.c.Self
+			return s.Addr == m.config.Self
 		}
-		return m.answers(s) && !l.slow[s.Addr] && m.shun[s.Addr] <= m.now
+		return m.heardInEpoch(s) && !l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now
 	}
-	if count(l.rec.Members, fit) <= m.c.ToleratedLosses {
+	if countMembers(l.record.Members, fit) <= m.config.ToleratedLosses {
 		return false
 	}
 	for _, a := range going {
-		m.shun[a] = m.now + 2*vacant
+		m.avoidUntil[a] = m.now + 2*vacancyTimeout
 	}
 	return len(going) > 0
 }
 
 // onHandover makes a candidate of a backup, without the patience of others.
 func (m *Machine) onHandover(from string, t Handover) {
-	if t.DiskID != m.d.DiskID || m.lead != nil || m.bid != nil && m.bid.phase != probing {
+	if t.DiskID != m.state.DiskID || m.primary != nil || m.candidate != nil && m.candidate.phase != preVoting {
 		return
 	}
-	m.learn(t.Record)
-	if !m.seated() || !m.d.Record.Active || m.d.Record.Ballot != t.Record.Ballot || m.slow() {
+	m.learnRecord(t.Record)
+	if !m.isMember() || !m.state.Record.Active || m.state.Record.Ballot != t.Record.Ballot || m.diskStalled() {
 		return
 	}
-	m.shun[from] = m.now + 2*vacant
-	m.bid = &bid{begun: m.now, base: m.d.Record, plan: t.NextMembers, planned: t.Record.Ballot, handed: true,
-		promises: map[string]Promise{}, void: map[string]bool{}}
+	m.avoidUntil[from] = m.now + 2*vacancyTimeout
+	m.candidate = &candidateState{startedAt: m.now, baseRecord: m.state.Record, nextMembers: t.NextMembers, nextMembersFor: t.Record.Ballot, handedOver: true,
+		promises: map[string]Promise{}, lost: map[string]bool{}}
 	m.prepare()
 }
 
 // excused says whether a candidate need not wait until the primary is missed: it was handed
 // the epoch that is held here, by that primary.
-func (m *Machine) excused(t Prepare) bool {
-	return t.HandedOver && !m.slow() && m.lead == nil && m.d.Record.Ballot == t.Record.Ballot
+func (m *Machine) skipsPrimaryHold(t Prepare) bool {
+	return t.HandedOver && !m.diskStalled() && m.primary == nil && m.state.Record.Ballot == t.Record.Ballot
 }
 
 // key tells seats apart.
-func (s Member) key() string { return fmt.Sprintf("%s %x", s.Addr, s.DiskID) }
+func (s Member) mapKey() string { return fmt.Sprintf("%s %x", s.Addr, s.DiskID) }
 
 // onVoid notes that a seat's memory is lost for good. The question named its life, so that
 // life is older than the answer; and an address has one life after the other.
-func (m *Machine) onVoid(from string, t MemberLost) {
-	if b := m.bid; b != nil && b.phase == preparing && b.ballot == t.Ballot {
-		b.void[Member{Addr: from, DiskID: t.DiskID}.key()] = true
-		m.tally()
+func (m *Machine) onMemberLost(from string, t MemberLost) {
+	if b := m.candidate; b != nil && b.phase == preparing && b.ballot == t.Ballot {
+		b.lost[Member{Addr: from, DiskID: t.DiskID}.mapKey()] = true
+		m.evaluatePromises()
 	}
 }
 
 // lost says of which seats the bid knows that.
-func (m *Machine) lost(s Member) bool {
-	return m.bid.void[s.key()] || m.bug == BugAssumeLost && s.Addr != m.c.Self && m.bid.promises[s.Addr].DiskID != s.DiskID
+func (m *Machine) isLost(s Member) bool {
+	return m.candidate.lost[s.mapKey()] || m.bug == BugAssumeLost && s.Addr != m.config.Self && m.candidate.promises[s.Addr].DiskID != s.DiskID
 }
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -48,10 +48,10 @@
 			n := of(w)
 			at, ended, sent := w.now, false, w.sent
 			w.leave(n, func() { ended = true })
-			for w.now < at+time.Second && w.record().has(n.cfg.Self, n.m.d.DiskID) {
+			for w.now < at+time.Second && w.record().has(n.cfg.Self, n.m.state.DiskID) {
 				w.run(ms)
 			}
-			took, most := w.now-at, beatEvery
+			took, most := w.now-at, heartbeatInterval
 			for w.now < at+time.Second && !ended {
 				w.run(ms)
 			}
@@ -63,7 +63,7 @@
 			w.run(500 * ms)
 			w.start(n)
 			at = w.now
-			for w.now < at+time.Second && !w.record().has(n.cfg.Self, n.m.d.DiskID) {
+			for w.now < at+time.Second && !w.record().has(n.cfg.Self, n.m.state.DiskID) {
 				w.run(ms)
 			}
 			t.Logf("%d members, %s: %v to its seat", s[0], kind, w.now-at)
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -1,200 +1,200 @@
 package consensus
 
 // willing says whether a candidate may have a promise: not while another one lives.
-func (m *Machine) willing(from string) bool {
-	if m.slow() {
+func (m *Machine) mayGrant(from string) bool {
+	if m.diskStalled() {
 		return false
 	}
-	if m.lead != nil {
-		return from == m.c.Self
+	if m.primary != nil {
+		return from == m.config.Self
 	}
-	return m.aliveBy == "" || m.aliveBy == from || m.now-m.alive > sticky || m.notice == LeaveForced && m.misses()
+	return m.primaryHeardFrom == "" || m.primaryHeardFrom == from || m.now-m.primaryHeardAt > primaryHold || m.leaving == LeaveForced && m.missesHeartbeats()
 }
 
-func (m *Machine) hear(from string) { m.alive, m.aliveBy = m.now, from }
+func (m *Machine) notePrimaryHeard(from string) { m.primaryHeardAt, m.primaryHeardFrom = m.now, from }
 
 // infant lets a member that holds no founding take the one of whoever has a seat for it.
-func (m *Machine) infant(r EpochRecord) {
+func (m *Machine) adoptFirstEpoch(r EpochRecord) {
 	if r.Ballot.N == 1 {
-		m.onFound(r)
+		m.onFirstEpoch(r)
 	}
 }
 
 // onFound takes a first record. A founding held is never changed for another one,
 // unless that one is in force, and so this one never was.
-func (m *Machine) onFound(r EpochRecord) {
-	if !m.c.Member || !m.d.Record.none() || !r.has(m.c.Self, m.d.DiskID) || m.d.Promised.above(r.Ballot) {
+func (m *Machine) onFirstEpoch(r EpochRecord) {
+	if !m.config.Member || !m.state.Record.isZero() || !r.has(m.config.Self, m.state.DiskID) || m.state.Promised.higherThan(r.Ballot) {
 		return
 	}
-	m.d.Record, m.d.Promised, m.d.StateBallot, m.dirty = r, r.Ballot, r.Ballot, true
-	m.alive, m.aliveBy = m.now-silence, ""
+	m.state.Record, m.state.Promised, m.state.StateBallot, m.dirty = r, r.Ballot, r.Ballot, true
+	m.primaryHeardAt, m.primaryHeardFrom = m.now-primaryTimeout, ""
 }
 
 // learn takes a record that is in force.
-func (m *Machine) learn(r EpochRecord) {
-	if !r.Active || r.none() {
+func (m *Machine) learnRecord(r EpochRecord) {
+	if !r.Active || r.isZero() {
 		return
 	}
-	if r.newer(m.view) {
+	if r.newerThan(m.view) {
 		m.view = r
 		m.redirect()
 	}
-	if m.lead != nil && r.Ballot.above(m.lead.rec.Ballot) {
-		m.lead = nil
-		m.alive, m.aliveBy = m.now, ""
+	if m.primary != nil && r.Ballot.higherThan(m.primary.record.Ballot) {
+		m.primary = nil
+		m.primaryHeardAt, m.primaryHeardFrom = m.now, ""
 	}
-	if m.bid != nil && !m.bid.ballot.above(r.Ballot) && m.bid.phase != probing {
-		m.bid = nil
+	if m.candidate != nil && !m.candidate.ballot.higherThan(r.Ballot) && m.candidate.phase != preVoting {
+		m.candidate = nil
 	}
-	m.top = max(m.top, r.Ballot.N)
-	if !m.c.Member {
+	m.highestBallot = max(m.highestBallot, r.Ballot.N)
+	if !m.config.Member {
 		return
 	}
-	other := m.foreign(r)
-	if other && (m.d.Record.Active || m.d.Record.Ballot.N > 1) || !other && !r.newer(m.d.Record) {
+	other := m.otherCluster(r)
+	if other && (m.state.Record.Active || m.state.Record.Ballot.N > 1) || !other && !r.newerThan(m.state.Record) {
 		return
 	}
-	m.d.Record, m.dirty, m.active = r, true, m.seq+1
-	m.d.NeverMember = m.d.NeverMember && !m.seated()
-	if r.Ballot.above(m.d.Promised) {
-		m.d.Promised = r.Ballot
+	m.state.Record, m.dirty, m.activeRecordWrite = r, true, m.seq+1
+	m.state.NeverMember = m.state.NeverMember && !m.isMember()
+	if r.Ballot.higherThan(m.state.Promised) {
+		m.state.Promised = r.Ballot
 	}
 }
 
 // foreign says whether a record is of another founding than the one held.
-func (m *Machine) foreign(r EpochRecord) bool {
-	return !m.d.Record.none() && m.d.Record.ClusterID != r.ClusterID
+func (m *Machine) otherCluster(r EpochRecord) bool {
+	return !m.state.Record.isZero() && m.state.Record.ClusterID != r.ClusterID
 }
 
-func (m *Machine) refuse(to string, b Ballot) {
-	m.send(to, Reject{Ballot: b, Promised: m.d.Promised, Record: m.view})
+func (m *Machine) reject(to string, b Ballot) {
+	m.send(to, Reject{Ballot: b, Promised: m.state.Promised, Record: m.view})
 }
 
-func (m *Machine) onBeat(from string, t Heartbeat) {
-	m.merge(t.KnownTokens)
-	m.heardOf(from, t.Version)
-	if m.d.Record.Ballot.above(t.Ballot) && m.d.Record.Active {
-		m.refuse(from, t.Ballot)
+func (m *Machine) onHeartbeat(from string, t Heartbeat) {
+	m.mergeTokens(t.KnownTokens)
+	m.noteReportedVersion(from, t.Version)
+	if m.state.Record.Ballot.higherThan(t.Ballot) && m.state.Record.Active {
+		m.reject(from, t.Ballot)
 		return
 	}
-	if m.lead != nil && from != m.c.Self && t.Ballot.above(m.lead.rec.Ballot) {
-		m.lead = nil
+	if m.primary != nil && from != m.config.Self && t.Ballot.higherThan(m.primary.record.Ballot) {
+		m.primary = nil
 	}
-	if m.bid != nil && m.bid.phase == probing {
-		m.bid = nil
+	if m.candidate != nil && m.candidate.phase == preVoting {
+		m.candidate = nil
 	}
-	if m.bid == nil {
-		m.hear(from)
+	if m.candidate == nil {
+		m.notePrimaryHeard(from)
 	}
-	m.send(from, HeartbeatReply{Ballot: t.Ballot, DiskID: m.d.DiskID, Promised: m.d.Promised, DiskSlow: m.hangs(), DiskTolerance: m.lag.told(m.now),
-		RecordKnown: m.d.Record.Active && m.d.Record.Ballot == t.Ballot, RecordStored: m.stores(t.Ballot)})
+	m.send(from, HeartbeatReply{Ballot: t.Ballot, DiskID: m.state.DiskID, Promised: m.state.Promised, DiskSlow: m.diskHangs(), DiskTolerance: m.diskLag.reportedTolerance(m.now),
+		RecordKnown: m.state.Record.Active && m.state.Record.Ballot == t.Ballot, RecordStored: m.recordStored(t.Ballot)})
 }
 
 func (m *Machine) onResign(from string, t Resign) {
-	if m.aliveBy == from && !m.d.Record.Ballot.above(t.Ballot) {
-		m.alive, m.aliveBy = m.now-silence, ""
+	if m.primaryHeardFrom == from && !m.state.Record.Ballot.higherThan(t.Ballot) {
+		m.primaryHeardAt, m.primaryHeardFrom = m.now-primaryTimeout, ""
 	}
 }
 
-func (m *Machine) onProbe(from string, t PreVote) {
-	m.infant(t.Record)
-	m.learn(t.Record)
-	grant := m.willing(from) && (m.booked < m.now || m.bookedBy == from)
+func (m *Machine) onPreVote(from string, t PreVote) {
+	m.adoptFirstEpoch(t.Record)
+	m.learnRecord(t.Record)
+	grant := m.mayGrant(from) && (m.preVoteReservedUntil < m.now || m.preVoteReservedFor == from)
 	if grant {
-		m.booked, m.bookedBy = m.now+booking, from
+		m.preVoteReservedUntil, m.preVoteReservedFor = m.now+preVoteReservation, from
 	}
-	m.send(from, PreVoteReply{Round: t.Round, DiskID: m.d.DiskID, Grant: grant, Record: m.d.Record,
-		Promised: m.d.Promised})
+	m.send(from, PreVoteReply{Round: t.Round, DiskID: m.state.DiskID, Grant: grant, Record: m.state.Record,
+		Promised: m.state.Promised})
 }
 
 func (m *Machine) onPrepare(from string, t Prepare) {
-	m.infant(t.Record)
-	if t.DiskID != m.d.DiskID {
-		m.durable(from, MemberLost{Ballot: t.Ballot, DiskID: t.DiskID})
+	m.adoptFirstEpoch(t.Record)
+	if t.DiskID != m.state.DiskID {
+		m.sendAfterSave(from, MemberLost{Ballot: t.Ballot, DiskID: t.DiskID})
 		return
 	}
-	if m.foreign(t.Record) {
+	if m.otherCluster(t.Record) {
 		return
 	}
-	m.top = max(m.top, t.Ballot.N)
-	above := t.Ballot.above(m.d.Promised)
-	if above && !m.willing(from) && !m.excused(t) || m.d.Promised.above(t.Ballot) && m.bug != BugNoPromise {
-		m.refuse(from, t.Ballot)
+	m.highestBallot = max(m.highestBallot, t.Ballot.N)
+	above := t.Ballot.higherThan(m.state.Promised)
+	if above && !m.mayGrant(from) && !m.skipsPrimaryHold(t) || m.state.Promised.higherThan(t.Ballot) && m.bug != BugNoPromise {
+		m.reject(from, t.Ballot)
 		return
 	}
 	if above {
-		m.d.Promised, m.dirty = t.Ballot, true
-		m.yield(t.Ballot)
-		m.hear(from)
+		m.state.Promised, m.dirty = t.Ballot, true
+		m.stepDownFor(t.Ballot)
+		m.notePrimaryHeard(from)
 	}
-	kept, next := m.d.Committed, m.d.Pending
-	if from != m.c.Self {
-		kept, next = m.named(kept, t), m.named(next, t)
+	kept, next := m.state.Committed, m.state.Pending
+	if from != m.config.Self {
+		kept, next = m.promiseDoc(kept, t), m.promiseDoc(next, t)
 	}
-	m.durable(from, Promise{Ballot: t.Ballot, DiskID: m.d.DiskID, Record: m.d.Record, StateBallot: m.d.StateBallot, Committed: kept, Pending: next})
+	m.sendAfterSave(from, Promise{Ballot: t.Ballot, DiskID: m.state.DiskID, Record: m.state.Record, StateBallot: m.state.StateBallot, Committed: kept, Pending: next})
 }
 
 // yield ends what this process does under a lower ballot.
-func (m *Machine) yield(b Ballot) {
-	if m.lead != nil && b.above(m.lead.rec.Ballot) {
-		m.lead = nil
+func (m *Machine) stepDownFor(b Ballot) {
+	if m.primary != nil && b.higherThan(m.primary.record.Ballot) {
+		m.primary = nil
 	}
-	if m.bid != nil && (m.bid.phase == probing || b.above(m.bid.ballot)) {
-		m.bid = nil
+	if m.candidate != nil && (m.candidate.phase == preVoting || b.higherThan(m.candidate.ballot)) {
+		m.candidate = nil
 	}
 }
 
 // obeys says whether a candidate's or a primary's order holds here.
-func (m *Machine) obeys(from string, b Ballot, life uint64) bool {
-	if life != m.d.DiskID {
+func (m *Machine) acceptsOrder(from string, b Ballot, life uint64) bool {
+	if life != m.state.DiskID {
 		return false
 	}
-	if m.d.Promised.above(b) && m.bug != BugNoPromise {
-		m.refuse(from, b)
+	if m.state.Promised.higherThan(b) && m.bug != BugNoPromise {
+		m.reject(from, b)
 		return false
 	}
-	if b.above(m.d.Promised) {
-		m.d.Promised, m.dirty = b, true
-		m.yield(b)
+	if b.higherThan(m.state.Promised) {
+		m.state.Promised, m.dirty = b, true
+		m.stepDownFor(b)
 	}
-	m.hear(from)
+	m.notePrimaryHeard(from)
 	return true
 }
 
-func (m *Machine) onCopy(from string, t InstallState) {
-	if !m.obeys(from, t.Ballot, t.DiskID) {
+func (m *Machine) onInstallState(from string, t InstallState) {
+	if !m.acceptsOrder(from, t.Ballot, t.DiskID) {
 		return
 	}
-	if m.d.StateBallot != t.Ballot { // a late double must not undo an append
-		m.d.StateBallot, m.d.Pending, m.dirty = t.Ballot, t.Pending, true
+	if m.state.StateBallot != t.Ballot { // a late double must not undo an append
+		m.state.StateBallot, m.state.Pending, m.dirty = t.Ballot, t.Pending, true
 		m.commit(t.Committed)
 	}
-	m.durable(from, StateInstalled{Ballot: t.Ballot, DiskID: m.d.DiskID})
+	m.sendAfterSave(from, StateInstalled{Ballot: t.Ballot, DiskID: m.state.DiskID})
 }
 
-func (m *Machine) onEnact(from string, t RecordEpoch) {
-	if m.foreign(t.Record) || !m.obeys(from, t.Record.Ballot, t.DiskID) {
+func (m *Machine) onRecordEpoch(from string, t RecordEpoch) {
+	if m.otherCluster(t.Record) || !m.acceptsOrder(from, t.Record.Ballot, t.DiskID) {
 		return
 	}
-	if m.d.Record.Ballot != t.Record.Ballot {
-		m.d.Record, m.dirty = t.Record, true
-		m.d.NeverMember = m.d.NeverMember && !m.seated()
+	if m.state.Record.Ballot != t.Record.Ballot {
+		m.state.Record, m.dirty = t.Record, true
+		m.state.NeverMember = m.state.NeverMember && !m.isMember()
 	}
-	m.durable(from, EpochRecorded{Ballot: t.Record.Ballot, DiskID: m.d.DiskID})
+	m.sendAfterSave(from, EpochRecorded{Ballot: t.Record.Ballot, DiskID: m.state.DiskID})
 }
 
 func (m *Machine) onAppend(from string, t Append) {
-	if t.Ballot != m.d.StateBallot && m.bug != BugNoPromise || !m.obeys(from, t.Ballot, t.DiskID) {
+	if t.Ballot != m.state.StateBallot && m.bug != BugNoPromise || !m.acceptsOrder(from, t.Ballot, t.DiskID) {
 		return
 	}
-	if t.Doc.Supersedes(latest(m.d.Committed, m.d.Pending)) {
-		m.d.Pending, m.dirty = t.Doc, true
+	if t.Doc.Supersedes(newestDoc(m.state.Committed, m.state.Pending)) {
+		m.state.Pending, m.dirty = t.Doc, true
 	}
-	m.durable(from, Appended{Ballot: t.Ballot, DiskID: m.d.DiskID, Version: t.Doc.Version, Rev: t.Doc.Rev, LedgerRevPlusOne: t.Doc.LedgerRev + 1})
+	m.sendAfterSave(from, Appended{Ballot: t.Ballot, DiskID: m.state.DiskID, Version: t.Doc.Version, Rev: t.Doc.Rev, LedgerRevPlusOne: t.Doc.LedgerRev + 1})
 }
 
 func (m *Machine) onConfirm(from string, t Confirm) {
-	if (t.Ballot == m.d.StateBallot || m.bug == BugNoPromise) && m.obeys(from, t.Ballot, t.DiskID) {
+	if (t.Ballot == m.state.StateBallot || m.bug == BugNoPromise) && m.acceptsOrder(from, t.Ballot, t.DiskID) {
 		m.send(from, Confirmed{Ballot: t.Ballot, DiskID: t.DiskID, Round: t.Round})
 	}
 }
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -114,7 +114,7 @@
 	DiskID    uint64 `cbor:"2,keyasint"`
 	Committed Doc    `cbor:"3,keyasint"`
 	Pending   Doc    `cbor:"4,keyasint"`
-	again     bool   // it is repeated: not on the wire
+	resent    bool   // it is repeated: not on the wire
 }
 
 // Copied says that a Copy is on disk.
@@ -142,7 +142,7 @@
 	Ballot Ballot `cbor:"1,keyasint"`
 	DiskID uint64 `cbor:"2,keyasint"`
 	Doc    Doc    `cbor:"3,keyasint"`
-	again  bool   // it is repeated: not on the wire
+	resent bool   // it is repeated: not on the wire
 }
 
 // Appended says that the document is on disk.
@@ -179,7 +179,7 @@
 	Doc         Doc    `cbor:"4,keyasint"`
 	ContactOnly bool   `cbor:"5,keyasint,omitempty"` // a Read that only wants proof; who doesn't know it answers with the document
 	ReadsPacked bool   `cbor:"6,keyasint,omitempty"` // the sender reads packed documents
-	again       bool   // it is repeated: not on the wire
+	resent      bool   // it is repeated: not on the wire
 }
 
 // Answered answers a Forward.
--- a/internal/consensus/name_test.go
+++ b/internal/consensus/name_test.go
@@ -32,15 +32,15 @@
 	w.kill(w.primary(), true)
 	w.cut = map[[2]string]bool{}
 	for _, n := range w.nodes {
-		n.m.alive, n.m.aliveBy = w.now+5*time.Second, ""
+		n.m.primaryHeardAt, n.m.primaryHeardFrom = w.now+5*time.Second, ""
 	}
-	c.m.alive = w.now - 2*silence
+	c.m.primaryHeardAt = w.now - 2*primaryTimeout
 	return w, c
 }
 
 // docBytes are those that a message's documents take.
 func docBytes(msg any) (n int) {
-	eachDoc(msg, func(d Doc) Doc {
+	mapDocs(msg, func(d Doc) Doc {
 		if n += len(d.Body); d.Packed != nil {
 			n += len(d.Packed.Steps)
 		}
--- a/internal/consensus/orders_test.go
+++ b/internal/consensus/orders_test.go
@@ -121,12 +121,12 @@
 	}
 	writers := w.record().Writers
 	for _, n := range w.nodes {
-		d := n.m.d.Committed
+		d := n.m.state.Committed
 		if writes := n.cfg.Self == writers[0] || n.cfg.Self == writers[1]; writes != (len(d.Ledger) > 0) {
 			t.Errorf("%s writes: %v, and has %d orders", n.cfg.Self, writes, d.Ledger.Len())
 		}
-		if !bytes.Equal(d.Digest, dedup.Digest(d.Body)) || n.m.d.Pending.Version > 0 {
-			t.Errorf("%s: %+v, next %+v", n.cfg.Self, d, n.m.d.Pending)
+		if !bytes.Equal(d.Digest, dedup.Digest(d.Body)) || n.m.state.Pending.Version > 0 {
+			t.Errorf("%s: %+v, next %+v", n.cfg.Self, d, n.m.state.Pending)
 		}
 	}
 }
@@ -139,8 +139,8 @@
 	w.run(100 * ms)
 	p := w.primary()
 	late := w.call(p, false, Doc{Version: 5, Body: []byte("five")})
-	if l := p.m.lead; l.doc == nil || l.doc.LedgerRev != 1 {
-		t.Fatalf("five is not to be noted: %+v", l.doc)
+	if l := p.m.primary; l.proposal == nil || l.proposal.LedgerRev != 1 {
+		t.Fatalf("five is not to be noted: %+v", l.proposal)
 	}
 	amended := *p.m.Committed()
 	amended.Rev++
@@ -175,7 +175,7 @@
 			t.Errorf("it answers %+v", a)
 		}
 	}
-	if out = p.m.Tick(w.now + 50*ms); p.m.lead != nil {
+	if out = p.m.Tick(w.now + 50*ms); p.m.primary != nil {
 		t.Errorf("it goes on: %+v", out)
 	}
 }
--- a/internal/consensus/pack.go
+++ b/internal/consensus/pack.go
@@ -13,83 +13,83 @@
 // so only to processes that have shown that they can read it, by a message of theirs.
 
 // readers are addresses. The models' documents are too short to be packed: there it has no consequences.
-type readers []string
+type packReaderList []string
 
 // packs says whether a message shows that its sender reads packed documents.
-func packs(msg any) bool {
+func showsPackReader(msg any) bool {
 	switch t := msg.(type) {
 	case View:
 		return t.ReadsPacked
 	case Forward:
 		return t.ReadsPacked
 	}
-	_, t, _ := vouch(msg)
+	_, t, _ := senderToken(msg)
 	return t.RunID != 0
 }
 
 // noteReader notes who reads packed documents.
-func (m *Machine) noteReader(from string, msg any) {
-	if from != m.c.Self && packs(msg) && !slices.Contains(m.readers, from) {
-		m.readers = append(slices.Clip(m.readers), from)
-		if len(m.readers) > mostReaders {
-			m.readers = slices.Clone(m.readers[1:])
+func (m *Machine) notePackReader(from string, msg any) {
+	if from != m.config.Self && showsPackReader(msg) && !slices.Contains(m.packReaders, from) {
+		m.packReaders = append(slices.Clip(m.packReaders), from)
+		if len(m.packReaders) > maxPackReaders {
+			m.packReaders = slices.Clone(m.packReaders[1:])
 		}
 	}
 }
 
-const mostReaders = 1024
+const maxPackReaders = 1024
 
 // shortened is a message with its documents packed, if the taker reads that. What is offered and what
 // is to be kept goes first as a difference to what is in force, which the taker mostly has too; who
 // has not that base drops it, and what is repeated goes whole.
-func (m *Machine) shortened(to string, msg any) any {
-	if m.bug == BugNoPacking || to == m.c.Self || !slices.Contains(m.readers, to) {
+func (m *Machine) packedFor(to string, msg any) any {
+	if m.bug == BugNoPacking || to == m.config.Self || !slices.Contains(m.packReaders, to) {
 		return msg
 	}
 	switch t := msg.(type) {
 	case Append:
-		if !t.again {
-			t.Doc = m.differing(t.Doc)
+		if !t.resent {
+			t.Doc = m.asDelta(t.Doc)
 			return t
 		}
 	case Forward:
-		if !t.again && !t.Read {
-			t.Doc = m.differing(t.Doc)
+		if !t.resent && !t.Read {
+			t.Doc = m.asDelta(t.Doc)
 			return t
 		}
 	case InstallState:
-		if !t.again {
-			t.Committed, t.Pending = m.toWriter(to, t.Committed), m.toWriter(to, t.Pending)
+		if !t.resent {
+			t.Committed, t.Pending = m.docForWriter(to, t.Committed), m.docForWriter(to, t.Pending)
 			return t
 		}
 	}
-	if large(msg) == 0 {
+	if packableBytes(msg) == 0 {
 		return msg
 	}
-	return eachDoc(msg, m.packDoc)
+	return mapDocs(msg, m.packWhole)
 }
 
 // differing is a document as a difference to the one in force, if that is shorter.
-func (m *Machine) differing(d Doc) Doc { return m.differingFrom(m.d.Committed.Body, d) }
+func (m *Machine) asDelta(d Doc) Doc { return m.asDeltaFrom(m.state.Committed.Body, d) }
 
-func (m *Machine) differingFrom(base []byte, d Doc) Doc {
+func (m *Machine) asDeltaFrom(base []byte, d Doc) Doc {
 	if len(base) == 0 || len(d.Body) == 0 {
-		return m.packDoc(d)
+		return m.packWhole(d)
 	}
-	p := m.parcel1(d.Body, base, func() (delta.Delta, bool) { return delta.Make(base, d.Body) })
-	if p.as == nil {
-		return m.packDoc(d)
+	p := m.packedBodyOf(d.Body, base, func() (delta.Delta, bool) { return delta.Make(base, d.Body) })
+	if p.delta == nil {
+		return m.packWhole(d)
 	}
-	d.Body, d.Packed = nil, p.as
+	d.Body, d.Packed = nil, p.delta
 	return d
 }
 
-const packFrom = 32 << 10
+const minPackedBody = 32 << 10
 
 // large is how many bytes of a message's documents are worth packing.
-func large(msg any) (n int) {
-	eachDoc(msg, func(d Doc) Doc {
-		if len(d.Body) >= packFrom {
+func packableBytes(msg any) (n int) {
+	mapDocs(msg, func(d Doc) Doc {
+		if len(d.Body) >= minPackedBody {
 			n += len(d.Body)
 		}
 		return d
@@ -98,7 +98,7 @@
 }
 
 // eachDoc is a message with another document in the place of each that goes whole.
-func eachDoc(msg any, do func(Doc) Doc) any {
+func mapDocs(msg any, do func(Doc) Doc) any {
 	switch t := msg.(type) {
 	case Promise:
 		t.Committed, t.Pending = do(t.Committed), do(t.Pending)
@@ -123,55 +123,55 @@
 }
 
 // parcelled is a body with what it packs to, or with its difference to a base.
-type parcelled struct {
+type packedBody struct {
 	body, base []byte
-	as         *delta.Delta // nil: to nothing shorter
+	delta      *delta.Delta // nil: to nothing shorter
 }
 
 // fewParcels is how many of them are kept: what is committed and what is on its way, whole and as a
 // difference.
-const fewParcels = 4
+const maxPackedBodies = 4
 
-func (m *Machine) packDoc(d Doc) Doc {
-	if len(d.Body) < packFrom {
+func (m *Machine) packWhole(d Doc) Doc {
+	if len(d.Body) < minPackedBody {
 		return d
 	}
-	if p := m.parcel1(d.Body, nil, func() (delta.Delta, bool) { return delta.Whole(d.Body) }); p.as != nil {
-		d.Body, d.Packed = nil, p.as
+	if p := m.packedBodyOf(d.Body, nil, func() (delta.Delta, bool) { return delta.Whole(d.Body) }); p.delta != nil {
+		d.Body, d.Packed = nil, p.delta
 	}
 	return d
 }
 
 // parcel1 makes one, or has it from before: the same goes to several, and again.
-func (m *Machine) parcel1(body, base []byte, make func() (delta.Delta, bool)) parcelled {
+func (m *Machine) packedBodyOf(body, base []byte, make func() (delta.Delta, bool)) packedBody {
 	one := func(a, b []byte) bool { return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0]) }
-	i := slices.IndexFunc(m.parcels, func(p parcelled) bool { return one(p.body, body) && one(p.base, base) })
+	i := slices.IndexFunc(m.packedBodies, func(p packedBody) bool { return one(p.body, body) && one(p.base, base) })
 	if i >= 0 {
-		return m.parcels[i]
+		return m.packedBodies[i]
 	}
-	p := parcelled{body: body, base: base}
+	p := packedBody{body: body, base: base}
 	if as, ok := make(); ok {
-		p.as = &as
+		p.delta = &as
 	}
-	m.parcels = append(slices.Clip(m.parcels), p)
-	if len(m.parcels) > fewParcels {
-		m.parcels = slices.Clone(m.parcels[1:])
+	m.packedBodies = append(slices.Clip(m.packedBodies), p)
+	if len(m.packedBodies) > maxPackedBodies {
+		m.packedBodies = slices.Clone(m.packedBodies[1:])
 	}
 	return p
 }
 
 // unpacked is a message as it was before it was packed; false: it is damaged, or differs from what is
 // not here, and will be repeated. In a promise that is a text which the member names and the candidate lacks.
-func (m *Machine) unpacked(msg any) (any, bool) {
+func (m *Machine) unpack(msg any) (any, bool) {
 	ok := true
 	_, promise := msg.(Promise)
-	msg = eachDoc(msg, func(d Doc) Doc {
+	msg = mapDocs(msg, func(d Doc) Doc {
 		if d.Packed == nil {
 			return d
 		}
 		var body []byte
 		err := delta.ErrBase
-		for _, base := range [][]byte{nil, m.d.Committed.Body, m.d.Pending.Body} {
+		for _, base := range [][]byte{nil, m.state.Committed.Body, m.state.Pending.Body} {
 			if errors.Is(err, delta.ErrBase) {
 				body, err = d.Packed.Apply(base)
 			}
@@ -189,13 +189,13 @@
 }
 
 // onWay is how long a document may be on a slow link, as short as it goes: until then it is not sent again.
-func (m *Machine) onWay(d Doc) time.Duration {
+func (m *Machine) docTransferTime(d Doc) time.Duration {
 	if len(d.Body) == 0 {
 		return 0
 	}
-	for _, p := range m.parcels {
-		if p.as != nil && len(p.body) == len(d.Body) && &p.body[0] == &d.Body[0] {
-			return TransferTime(len(p.as.Steps))
+	for _, p := range m.packedBodies {
+		if p.delta != nil && len(p.body) == len(d.Body) && &p.body[0] == &d.Body[0] {
+			return TransferTime(len(p.delta.Steps))
 		}
 	}
 	return TransferTime(len(d.Body))
--- a/internal/consensus/pack_test.go
+++ b/internal/consensus/pack_test.go
@@ -26,13 +26,13 @@
 	m := w.primary().m
 	d := Doc{Version: 9, Body: longText(1 << 20), Attachment: []byte("side")}
 	other := w.backup().cfg.Self
-	m.readers = nil
+	m.packReaders = nil
 	for _, msg := range []any{Promise{Committed: d, Pending: d}, InstallState{Committed: d, Pending: d}, Append{Doc: d}, Forward{Doc: d}, ForwardReply{Doc: &d}} {
-		if got := m.shortened(other, msg); !reflect.DeepEqual(got, msg) {
+		if got := m.packedFor(other, msg); !reflect.DeepEqual(got, msg) {
 			t.Errorf("%T is packed for a process that never said it reads that", msg)
 		}
-		m.readers = readers{other}
-		short := m.shortened(other, msg)
+		m.packReaders = packReaderList{other}
+		short := m.packedFor(other, msg)
 		raw, err := cbor.Marshal(short)
 		if err != nil || len(raw) > 300<<10 {
 			t.Errorf("%T: %d bytes, %v", msg, len(raw), err)
@@ -41,22 +41,22 @@
 		if err := cbor.Unmarshal(raw, back.Interface()); err != nil {
 			t.Fatal(err)
 		}
-		if got, ok := m.unpacked(back.Elem().Interface()); !ok || !reflect.DeepEqual(got, msg) {
+		if got, ok := m.unpack(back.Elem().Interface()); !ok || !reflect.DeepEqual(got, msg) {
 			t.Errorf("%T does not come out as it was: %v", msg, ok)
 		}
-		m.readers = nil
+		m.packReaders = nil
 	}
-	m.readers = readers{other}
-	short := m.shortened(other, Append{Doc: d, again: true}).(Append)
+	m.packReaders = packReaderList{other}
+	short := m.packedFor(other, Append{Doc: d, resent: true}).(Append)
 	bad := *short.Doc.Packed
 	bad.Steps = bytes.Clone(bad.Steps)
 	bad.Steps[len(bad.Steps)/2] ^= 4
 	short.Doc.Packed = &bad
-	if _, ok := m.unpacked(short); ok {
+	if _, ok := m.unpack(short); ok {
 		t.Error("a damaged document is taken")
 	}
-	if len(m.parcels) > fewParcels {
-		t.Errorf("%d parcels are kept", len(m.parcels))
+	if len(m.packedBodies) > maxPackedBodies {
+		t.Errorf("%d parcels are kept", len(m.packedBodies))
 	}
 }
 
@@ -86,28 +86,28 @@
 	t.Parallel()
 	w, _, _ := fleet(t)
 	m, other := w.primary().m, w.backup()
-	m.readers = readers{other.cfg.Self}
+	m.packReaders = packReaderList{other.cfg.Self}
 	d := routes(12, 7)
 	for _, again := range []bool{false, true} {
-		for _, msg := range []any{Append{Doc: d, again: again}, Forward{Doc: d, again: again}} {
-			raw, err := cbor.Marshal(m.shortened(other.cfg.Self, msg))
+		for _, msg := range []any{Append{Doc: d, resent: again}, Forward{Doc: d, resent: again}} {
+			raw, err := cbor.Marshal(m.packedFor(other.cfg.Self, msg))
 			if err != nil || (len(raw) < 500) == again {
 				t.Errorf("%T, repeated %v: %d bytes, %v", msg, again, len(raw), err)
 			}
 		}
 	}
-	short := m.shortened(other.cfg.Self, Append{Doc: d})
-	if got, ok := other.m.unpacked(short); !ok || string(got.(Append).Doc.Body) != string(d.Body) {
+	short := m.packedFor(other.cfg.Self, Append{Doc: d})
+	if got, ok := other.m.unpack(short); !ok || string(got.(Append).Doc.Body) != string(d.Body) {
 		t.Error("it does not come out as it was")
 	}
 	empty := New(Config{Self: "x"}, nil, 0)
-	if _, ok := empty.unpacked(short); ok {
+	if _, ok := empty.unpack(short); ok {
 		t.Error("it is taken without its base")
 	}
 	w.change(t, routes(12, 7))
 	w.change(t, routes(13, 7))
 	behind := w.nodes[5]
-	out := behind.m.Receive(w.now, other.cfg.Self, m.shortened(other.cfg.Self, Forward{ID: 9, Doc: routes(14, 8)}))
+	out := behind.m.Receive(w.now, other.cfg.Self, m.packedFor(other.cfg.Self, Forward{ID: 9, Doc: routes(14, 8)}))
 	if len(out.Send) == 0 {
 		t.Error("a caller is not told who leads")
 	}
--- a/internal/consensus/past.go
+++ b/internal/consensus/past.go
@@ -19,11 +19,11 @@
 	Role string // primary, backup, witness
 }
 
-const mostPast = 64
+const maxEpochHistory = 64
 
 // remember notes another epoch.
-func (m *Machine) remember() {
-	if n := len(m.past); m.view.none() || n > 0 && m.past[n-1].Ballot == m.view.Ballot {
+func (m *Machine) recordEpochHistory() {
+	if n := len(m.epochHistory); m.view.isZero() || n > 0 && m.epochHistory[n-1].Ballot == m.view.Ballot {
 		return
 	}
 	c := EpochChange{At: m.now, Ballot: m.view.Ballot}
@@ -38,11 +38,11 @@
 		}
 		c.Members = append(c.Members, d)
 	}
-	if len(m.past) == mostPast {
-		m.past = slices.Delete(m.past, 0, 1)
+	if len(m.epochHistory) == maxEpochHistory {
+		m.epochHistory = slices.Delete(m.epochHistory, 0, 1)
 	}
-	m.past = append(m.past, c)
+	m.epochHistory = append(m.epochHistory, c)
 }
 
 // Past is the epochs that this process has seen, the newest last.
-func (m *Machine) EpochHistory() []EpochChange { return slices.Clone(m.past) }
+func (m *Machine) EpochHistory() []EpochChange { return slices.Clone(m.epochHistory) }
--- a/internal/consensus/past_test.go
+++ b/internal/consensus/past_test.go
@@ -29,11 +29,11 @@
 	if primary(was) != lost.cfg.Self || primary(is) != w.primary().cfg.Self || is.At <= was.At || len(is.Members) != 3 {
 		t.Errorf("%+v, then %+v", was, is)
 	}
-	for range 2 * mostPast {
+	for range 2 * maxEpochHistory {
 		stays.m.view.Ballot.N++
-		stays.m.remember()
+		stays.m.recordEpochHistory()
 	}
-	if n := len(stays.m.EpochHistory()); n != mostPast {
+	if n := len(stays.m.EpochHistory()); n != maxEpochHistory {
 		t.Errorf("%d epochs are kept", n)
 	}
 }
--- a/internal/consensus/primary.go
+++ b/internal/consensus/primary.go
@@ -9,216 +9,218 @@
 )
 
 // lead is what a primary knows of its epoch. All of it may be lost.
-type lead struct {
-	rec    EpochRecord
-	since  fsm.Time
-	beat   fsm.Time
-	heard  map[string]fsm.Time
-	slow   map[string]bool
-	bears  map[string]span // what a member bears of its disk
-	rival  Ballot          // a promise above the epoch that some member gave
-	rivals fsm.Time
+type primaryState struct {
+	record          EpochRecord
+	startedAt       fsm.Time
+	heartbeatAt     fsm.Time
+	heardAt         map[string]fsm.Time
+	diskSlow        map[string]bool
+	diskTolerance   map[string]lagDuration // what a member bears of its disk
+	higherPromise   Ballot                 // a promise above the epoch that some member gave
+	higherPromiseAt fsm.Time
 
-	doc      *Doc // on its way to the writers
-	docAt    fsm.Time
-	docSent  fsm.Time
-	appended map[string]bool
+	proposal     *Doc // on its way to the writers
+	proposedAt   fsm.Time
+	appendSentAt fsm.Time
+	appended     map[string]bool
 
-	round     uint64
-	roundAt   fsm.Time
-	roundSent fsm.Time
-	confirmed map[string]uint64
+	confirmRound   uint64
+	confirmStarted fsm.Time
+	confirmSent    fsm.Time
+	confirmed      map[string]uint64
 
-	joiners map[string]joiner
-	leavers map[string]leaver
-	stored  map[string]bool   // who has the record on disk as an active one
-	known   map[string]bool   // who holds it as such, on disk or not
-	void    map[string]bool   // seats known to be lost
-	sums    map[string]uint32 // of the marks that members told last
+	joining      map[string]joinCandidate
+	leaving      map[string]leavingMember
+	recordStored map[string]bool   // who has the record on disk as an active one
+	recordKnown  map[string]bool   // who holds it as such, on disk or not
+	lost         map[string]bool   // seats known to be lost
+	tokenHashes  map[string]uint32 // of the marks that members told last
 }
 
-type joiner struct {
-	seat Member
-	grow bool
-	at   fsm.Time
+type joinCandidate struct {
+	member      Member
+	neverMember bool
+	heardAt     fsm.Time
 }
 
 // wait is a call that came to the primary.
-type wait struct {
-	from  string
-	f     Forward
-	at    fsm.Time
-	round uint64 // of confirmations that a read needs
+type waitingCall struct {
+	from         string
+	request      Forward
+	arrivedAt    fsm.Time
+	confirmRound uint64 // of confirmations that a read needs
 }
 
 // activate begins to serve: the epoch's record is where no successor can miss it.
 func (m *Machine) activate() {
-	b := m.bid
-	m.bid = nil
-	rec := b.rec
+	b := m.candidate
+	m.candidate = nil
+	rec := b.record
 	rec.Active = true
-	m.d.Record, m.dirty, m.view = rec, true, rec
-	m.lead = &lead{rec: rec, since: m.now, heard: map[string]fsm.Time{}, slow: map[string]bool{}, bears: map[string]span{},
-		confirmed: map[string]uint64{}, joiners: map[string]joiner{}, sums: map[string]uint32{}, leavers: map[string]leaver{},
-		void: b.void, stored: map[string]bool{}, known: map[string]bool{}}
-	m.active = m.seq + 1
+	m.state.Record, m.dirty, m.view = rec, true, rec
+	m.primary = &primaryState{record: rec, startedAt: m.now, heardAt: map[string]fsm.Time{}, diskSlow: map[string]bool{}, diskTolerance: map[string]lagDuration{},
+		confirmed: map[string]uint64{}, joining: map[string]joinCandidate{}, tokenHashes: map[string]uint32{}, leaving: map[string]leavingMember{},
+		lost: b.lost, recordStored: map[string]bool{}, recordKnown: map[string]bool{}}
+	m.activeRecordWrite = m.seq + 1
 	for _, s := range rec.Members {
-		m.lead.heard[s.Addr] = m.now
+		m.primary.heardAt[s.Addr] = m.now
 	}
-	for _, w := range m.queue {
-		w.round = 0
+	for _, w := range m.waiting {
+		w.confirmRound = 0
 	}
-	fresh := b.next.later(m.d.Committed)
-	m.commit(latest(b.kept, b.next))
-	for _, to := range m.everyone() {
-		m.tell(to)
+	fresh := b.pending.newerThan(m.state.Committed)
+	m.commit(newestDoc(b.committed, b.pending))
+	for _, to := range m.knownProcesses() {
+		m.sendView(to)
 	}
 	if fresh {
-		m.push(m.d.Committed)
+		m.push(m.state.Committed)
 	}
 	m.redirect()
-	m.steer()
-	m.serve()
+	m.maintainEpoch()
+	m.serveWaiting()
 }
 
 // steer keeps the epoch going, or ends it for a better one.
-func (m *Machine) steer() {
-	l := m.lead
+func (m *Machine) maintainEpoch() {
+	l := m.primary
 	if l == nil {
 		return
 	}
-	hears := m.hears
-	if m.hangs() || m.overtaken() || !decides(l.rec.Members, nil, hears, func(s Member) bool { return l.void[s.key()] }) {
+	hears := m.isHeard
+	if m.diskHangs() || m.lacksLedger() || !intersectsMajorities(l.record.Members, nil, hears, func(s Member) bool { return l.lost[s.mapKey()] }) {
 		m.resign()
 		return
 	}
-	if m.ails(hears) {
-		m.reshape(nil)
+	if m.writersFailing(hears) {
+		m.startNewEpoch(nil)
 		return
 	}
-	if plan := m.plan(); plan != nil {
-		if has(plan, m.c.Self, m.d.DiskID) {
-			m.reshape(plan)
+	if plan := m.nextMembers(); plan != nil {
+		if hasMember(plan, m.config.Self, m.state.DiskID) {
+			m.startNewEpoch(plan)
 		} else {
-			m.hand()
+			m.handOver()
 		}
-		if m.lead == nil {
+		if m.primary == nil {
 			return
 		}
 	}
-	if m.relieve() {
-		m.reshape(nil)
+	if m.replaceLeavingWriters() {
+		m.startNewEpoch(nil)
 		return
 	}
-	if m.now-l.beat >= beatEvery || l.beat == 0 {
-		l.beat = m.now
-		for _, s := range l.rec.Members {
-			if s.Addr != m.c.Self {
-				b := Heartbeat{Ballot: l.rec.Ballot, Version: m.d.Committed.Version}
-				if sum, ok := l.sums[s.Addr]; ok && sum != m.sum(l.rec) {
-					b.KnownTokens = m.marks(l.rec)
+	if m.now-l.heartbeatAt >= heartbeatInterval || l.heartbeatAt == 0 {
+		l.heartbeatAt = m.now
+		for _, s := range l.record.Members {
+			if s.Addr != m.config.Self {
+				b := Heartbeat{Ballot: l.record.Ballot, Version: m.state.Committed.Version}
+				if sum, ok := l.tokenHashes[s.Addr]; ok && sum != m.tokensHash(l.record) {
+					b.KnownTokens = m.memberTokens(l.record)
 				}
 				m.send(s.Addr, b)
 			}
 		}
 	}
-	if l.doc != nil && m.now-l.docSent >= resendEvery+m.onWay(*l.doc) {
+	if l.proposal != nil && m.now-l.appendSentAt >= resendInterval+m.docTransferTime(*l.proposal) {
 		m.append()
 	}
-	if l.roundAt != 0 && m.now-l.roundSent >= resendEvery {
+	if l.confirmStarted != 0 && m.now-l.confirmSent >= resendInterval {
 		m.confirm()
 	}
 }
 
 // ails says whether the epoch's writers cannot go on while others could.
-func (m *Machine) ails(hears func(Member) bool) bool {
-	l := m.lead
-	if l.rival.above(l.rec.Ballot) && m.now-l.rivals > resendEvery*3 {
+func (m *Machine) writersFailing(hears func(Member) bool) bool {
+	l := m.primary
+	if l.higherPromise.higherThan(l.record.Ballot) && m.now-l.higherPromiseAt > resendInterval*3 {
 		return true
 	}
 	lost := false
-	for _, s := range l.rec.Members {
-		if s.Addr == m.c.Self || !slices.Contains(l.rec.Writers, s.Addr) {
+	for _, s := range l.record.Members {
+		if s.Addr == m.config.Self || !slices.Contains(l.record.Writers, s.Addr) {
 			continue
 		}
-		late := l.doc != nil && !l.appended[s.Addr] && m.now-l.docAt > max(stall, time.Duration(l.bears[s.Addr])) ||
-			l.roundAt != 0 && l.confirmed[s.Addr] < l.round && m.now-l.roundAt > stall
-		if late || l.slow[s.Addr] {
-			m.shun[s.Addr] = m.now + 2*vacant
+		late := l.proposal != nil && !l.appended[s.Addr] && m.now-l.proposedAt > max(stallTimeout, time.Duration(l.diskTolerance[s.Addr])) ||
+			l.confirmStarted != 0 && l.confirmed[s.Addr] < l.confirmRound && m.now-l.confirmStarted > stallTimeout
+		if late || l.diskSlow[s.Addr] {
+			m.avoidUntil[s.Addr] = m.now + 2*vacancyTimeout
 		}
-		lost = lost || late || l.slow[s.Addr] || !hears(s)
+		lost = lost || late || l.diskSlow[s.Addr] || !hears(s)
 	}
-	if !m.enough() && count(l.rec.Members, m.answers) > m.c.ToleratedLosses {
+	if !m.hasAllCopies() && countMembers(l.record.Members, m.heardInEpoch) > m.config.ToleratedLosses {
 		return true
 	}
-	fit := func(s Member) bool { return hears(s) && !l.slow[s.Addr] && m.shun[s.Addr] <= m.now }
-	return lost && count(l.rec.Members, fit) > m.c.ToleratedLosses
+	fit := func(s Member) bool { return hears(s) && !l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now }
+	return lost && countMembers(l.record.Members, fit) > m.config.ToleratedLosses
 }
 
 func (m *Machine) resign() {
-	for _, s := range m.lead.rec.Members {
-		if s.Addr != m.c.Self {
-			m.send(s.Addr, Resign{Ballot: m.lead.rec.Ballot})
+	for _, s := range m.primary.record.Members {
+		if s.Addr != m.config.Self {
+			m.send(s.Addr, Resign{Ballot: m.primary.record.Ballot})
 		}
 	}
-	m.lead = nil
-	m.alive, m.aliveBy = m.now, ""
+	m.primary = nil
+	m.primaryHeardAt, m.primaryHeardFrom = m.now, ""
 }
 
 // plan is the set to come if somebody is to have a seat, or nil.
-func (m *Machine) plan() []Member {
-	l := m.lead
-	if m.now-l.since < 2*helloEvery && m.enough() && !m.hasty() {
+func (m *Machine) nextMembers() []Member {
+	l := m.primary
+	if m.now-l.startedAt < 2*joinInterval && m.hasAllCopies() && !m.hasForcedLeave() {
 		return nil
 	}
-	var who []joiner
-	for _, j := range l.joiners {
-		if m.now-j.at < settle {
+	var who []joinCandidate
+	for _, j := range l.joining {
+		if m.now-j.heardAt < quietPeriod {
 			who = append(who, j)
 		}
 	}
-	slices.SortFunc(who, func(a, b joiner) int { return cmp.Compare(a.seat.Addr, b.seat.Addr) })
-	set, changed := slices.Clone(l.rec.Members), false
-	room := max(2*m.c.ToleratedLosses+1, len(set)+l.rec.Vacancies)
+	slices.SortFunc(who, func(a, b joinCandidate) int { return cmp.Compare(a.member.Addr, b.member.Addr) })
+	set, changed := slices.Clone(l.record.Members), false
+	room := max(2*m.config.ToleratedLosses+1, len(set)+l.record.Vacancies)
 	var learners []Member
 	for _, j := range who {
-		i := slices.IndexFunc(set, func(s Member) bool { return s.Addr == j.seat.Addr })
+		i := slices.IndexFunc(set, func(s Member) bool { return s.Addr == j.member.Addr })
 		switch {
 		case i >= 0:
-		case j.grow:
-			set = append(set, j.seat)
+		case j.neverMember:
+			set = append(set, j.member)
 			changed = true
 			continue
 		default:
-			if i = m.vacancy(set, j.seat.Zone); i < 0 {
-				learners = append(learners, j.seat)
+			if i = m.vacantMember(set, j.member.Zone); i < 0 {
+				learners = append(learners, j.member)
 			}
 		}
-		if i >= 0 && set[i].Addr != m.c.Self {
-			set[i], changed = j.seat, true
+		if i >= 0 && set[i].Addr != m.config.Self {
+			set[i], changed = j.member, true
 		}
 	}
 	n := len(set)
-	set = m.give(set, learners)
-	learners = slices.DeleteFunc(learners, func(s Member) bool { return has(set, s.Addr, s.DiskID) })
+	set = m.replaceLeaving(set, learners)
+	learners = slices.DeleteFunc(learners, func(s Member) bool { return hasMember(set, s.Addr, s.DiskID) })
 	for len(learners) > 0 && n == len(set) && len(set) < room {
 		set, learners = append(set, learners[0]), learners[1:]
 	}
-	if !changed && slices.Equal(set, l.rec.Members) {
+	if !changed && slices.Equal(set, l.record.Members) {
 		return nil
 	}
 	return set
 }
 
 // enough says whether the epoch has as many copies as it is meant to.
-func (m *Machine) enough() bool { return len(m.lead.rec.Writers) > m.c.ToleratedLosses }
+func (m *Machine) hasAllCopies() bool {
+	return len(m.primary.record.Writers) > m.config.ToleratedLosses
+}
 
 // vacancy is the seat of a member silent for long, rather in that zone, or -1.
-func (m *Machine) vacancy(set []Member, zone string) int {
+func (m *Machine) vacantMember(set []Member, zone string) int {
 	best := -1
 	for i, s := range set {
-		at, ok := m.lead.heard[s.Addr]
-		if !ok || s.Addr == m.c.Self || m.now-at < vacant {
+		at, ok := m.primary.heardAt[s.Addr]
+		if !ok || s.Addr == m.config.Self || m.now-at < vacancyTimeout {
 			continue
 		}
 		if best < 0 || s.Zone == zone && set[best].Zone != zone {
@@ -228,157 +230,157 @@
 	return best
 }
 
-func (m *Machine) onBeaten(from string, t HeartbeatReply) {
-	l := m.lead
-	if l == nil || !l.rec.has(from, t.DiskID) || t.Ballot != l.rec.Ballot {
+func (m *Machine) onHeartbeatReply(from string, t HeartbeatReply) {
+	l := m.primary
+	if l == nil || !l.record.has(from, t.DiskID) || t.Ballot != l.record.Ballot {
 		return
 	}
-	l.heard[from], l.slow[from], l.bears[from] = m.now, t.DiskSlow, min(span(t.DiskTolerance), span(bearable))
-	l.stored[from], l.known[from] = t.RecordStored, t.RecordKnown
+	l.heardAt[from], l.diskSlow[from], l.diskTolerance[from] = m.now, t.DiskSlow, min(lagDuration(t.DiskTolerance), lagDuration(maxDiskTolerance))
+	l.recordStored[from], l.recordKnown[from] = t.RecordStored, t.RecordKnown
 	if t.TokensHash != 0 {
-		l.sums[from] = t.TokensHash
+		l.tokenHashes[from] = t.TokensHash
 	}
-	m.rival(t.Promised)
+	m.noteHigherPromise(t.Promised)
 	if !t.RecordKnown {
-		m.tell(from)
+		m.sendView(from)
 	}
 }
 
 // rival notes a promise above the epoch: that member can't serve it any more.
-func (m *Machine) rival(b Ballot) {
-	if l := m.lead; b.above(l.rec.Ballot) && b != l.rival {
-		if !l.rival.above(l.rec.Ballot) {
-			l.rivals = m.now
+func (m *Machine) noteHigherPromise(b Ballot) {
+	if l := m.primary; b.higherThan(l.record.Ballot) && b != l.higherPromise {
+		if !l.higherPromise.higherThan(l.record.Ballot) {
+			l.higherPromiseAt = m.now
 		}
-		l.rival = b
-		m.top = max(m.top, b.N)
+		l.higherPromise = b
+		m.highestBallot = max(m.highestBallot, b.N)
 	}
 }
 
 // serve takes up what waits: one document at a time, reads by rounds.
-func (m *Machine) serve() {
-	l := m.lead
+func (m *Machine) serveWaiting() {
+	l := m.primary
 	if l == nil {
 		return
 	}
-	var rest []*wait
+	var rest []*waitingCall
 	ask := false
 	var next *Doc
-	for _, w := range m.queue {
-		v := m.knows(w.f.Doc)
+	for _, w := range m.waiting {
+		v := m.knownResult(w.request.Doc)
 		switch {
-		case w.f.Read && m.bug == BugUnconfirmed:
-			m.read(w)
-		case w.f.Read:
-			if w.round == 0 {
-				w.round, ask = l.round+1, true
+		case w.request.Read && m.bug == BugUnconfirmed:
+			m.answerRead(w)
+		case w.request.Read:
+			if w.confirmRound == 0 {
+				w.confirmRound, ask = l.confirmRound+1, true
 			}
 			rest = append(rest, w)
 		case v != 0:
 			m.reply(w, v, nil)
 		default:
-			if next == nil && w.f.Doc.Version > m.d.Committed.Version {
-				next = &w.f.Doc
+			if next == nil && w.request.Doc.Version > m.state.Committed.Version {
+				next = &w.request.Doc
 			}
 			rest = append(rest, w)
 		}
 	}
-	m.queue = rest
-	free := l.doc == nil || l.doc.LedgerRev > 0 && next != nil // a change doesn't wait for notes: it takes them along
-	if free && (m.enough() || m.bug == BugTooFewWriters) {
-		m.offer(next)
+	m.waiting = rest
+	free := l.proposal == nil || l.proposal.LedgerRev > 0 && next != nil // a change doesn't wait for notes: it takes them along
+	if free && (m.hasAllCopies() || m.bug == BugTooFewWriters) {
+		m.propose(next)
 	}
 	if ask {
-		l.round++
-		if l.roundAt == 0 {
-			l.roundAt = m.now
+		l.confirmRound++
+		if l.confirmStarted == 0 {
+			l.confirmStarted = m.now
 		}
 		m.confirm()
 	}
 }
 
-func (m *Machine) reply(w *wait, v Result, d *Doc) {
-	m.send(w.from, ForwardReply{ID: w.f.ID, CallerID: w.f.CallerID, Result: v, Doc: d})
+func (m *Machine) reply(w *waitingCall, v Result, d *Doc) {
+	m.send(w.from, ForwardReply{ID: w.request.ID, CallerID: w.request.CallerID, Result: v, Doc: d})
 }
 
 func (m *Machine) append() {
-	l := m.lead
-	l.docSent = m.now
-	for _, s := range l.rec.Members {
-		if slices.Contains(l.rec.Writers, s.Addr) && !l.appended[s.Addr] {
-			m.send(s.Addr, Append{Ballot: l.rec.Ballot, DiskID: s.DiskID, Doc: *l.doc, again: m.now > l.docAt})
+	l := m.primary
+	l.appendSentAt = m.now
+	for _, s := range l.record.Members {
+		if slices.Contains(l.record.Writers, s.Addr) && !l.appended[s.Addr] {
+			m.send(s.Addr, Append{Ballot: l.record.Ballot, DiskID: s.DiskID, Doc: *l.proposal, resent: m.now > l.proposedAt})
 		}
 	}
 }
 
 func (m *Machine) onAppended(from string, t Appended) {
-	l := m.lead
-	if l == nil || t.Ballot != l.rec.Ballot || !l.rec.has(from, t.DiskID) || l.doc == nil ||
-		t.Version != l.doc.Version || t.Rev != l.doc.Rev || t.LedgerRevPlusOne != 0 && t.LedgerRevPlusOne != l.doc.LedgerRev+1 {
+	l := m.primary
+	if l == nil || t.Ballot != l.record.Ballot || !l.record.has(from, t.DiskID) || l.proposal == nil ||
+		t.Version != l.proposal.Version || t.Rev != l.proposal.Rev || t.LedgerRevPlusOne != 0 && t.LedgerRevPlusOne != l.proposal.LedgerRev+1 {
 		return
 	}
 	l.appended[from] = true
-	for _, w := range l.rec.Writers {
-		if !l.appended[w] && (m.bug != BugAckEarly || w == m.c.Self) {
+	for _, w := range l.record.Writers {
+		if !l.appended[w] && (m.bug != BugAckEarly || w == m.config.Self) {
 			return
 		}
 	}
-	doc := *l.doc
-	l.doc = nil
-	later := doc.later(m.d.Committed)
+	doc := *l.proposal
+	l.proposal = nil
+	later := doc.newerThan(m.state.Committed)
 	m.commit(doc)
 	if later {
 		m.push(doc)
 	} else { // none but the writers keep notes
-		for _, w := range l.rec.Writers[1:] {
+		for _, w := range l.record.Writers[1:] {
 			m.send(w, CommitAmendment{doc.Version, doc.Rev, doc.CreatedIn, doc.LedgerRev})
 		}
 	}
-	m.serve()
+	m.serveWaiting()
 }
 
 func (m *Machine) confirm() {
-	l := m.lead
-	l.roundSent = m.now
-	for _, s := range l.rec.Members {
-		if slices.Contains(l.rec.Writers, s.Addr) && l.confirmed[s.Addr] < l.round {
-			m.send(s.Addr, Confirm{Ballot: l.rec.Ballot, DiskID: s.DiskID, Round: l.round})
+	l := m.primary
+	l.confirmSent = m.now
+	for _, s := range l.record.Members {
+		if slices.Contains(l.record.Writers, s.Addr) && l.confirmed[s.Addr] < l.confirmRound {
+			m.send(s.Addr, Confirm{Ballot: l.record.Ballot, DiskID: s.DiskID, Round: l.confirmRound})
 		}
 	}
 }
 
 func (m *Machine) onConfirmed(from string, t Confirmed) {
-	l := m.lead
-	if l == nil || t.Ballot != l.rec.Ballot || !l.rec.has(from, t.DiskID) {
+	l := m.primary
+	if l == nil || t.Ballot != l.record.Ballot || !l.record.has(from, t.DiskID) {
 		return
 	}
 	l.confirmed[from] = max(l.confirmed[from], t.Round)
-	least := l.round
-	for _, w := range l.rec.Writers {
+	least := l.confirmRound
+	for _, w := range l.record.Writers {
 		least = min(least, l.confirmed[w])
 	}
-	if least == l.round {
-		l.roundAt = 0
+	if least == l.confirmRound {
+		l.confirmStarted = 0
 	}
 	m.out.ConfirmedRound = least
-	var rest []*wait
-	for _, w := range m.queue {
+	var rest []*waitingCall
+	for _, w := range m.waiting {
 		switch {
-		case !w.f.Read || w.round == 0 || w.round > least:
+		case !w.request.Read || w.confirmRound == 0 || w.confirmRound > least:
 			rest = append(rest, w)
 		default:
-			m.read(w)
+			m.answerRead(w)
 		}
 	}
-	m.queue = rest
+	m.waiting = rest
 }
 
 // read answers one that the writers have confirmed.
-func (m *Machine) read(w *wait) {
+func (m *Machine) answerRead(w *waitingCall) {
 	switch {
-	case w.f.ContactOnly:
-		m.send(w.from, ForwardReply{ID: w.f.ID, CallerID: w.f.CallerID, Result: ResultContact, Version: m.d.Committed.Version})
-	case m.d.Committed.Version == 0:
+	case w.request.ContactOnly:
+		m.send(w.from, ForwardReply{ID: w.request.ID, CallerID: w.request.CallerID, Result: ResultContact, Version: m.state.Committed.Version})
+	case m.state.Committed.Version == 0:
 		m.reply(w, ResultNone, nil)
 	default:
 		m.reply(w, ResultRead, m.Committed())
@@ -387,23 +389,23 @@
 
 // onForward takes a call in, or says who is thought to be the primary.
 func (m *Machine) onForward(from string, f Forward) {
-	if m.lead == nil && (m.bid == nil || m.bid.phase == probing) {
-		m.tell(from)
+	if m.primary == nil && (m.candidate == nil || m.candidate.phase == preVoting) {
+		m.sendView(from)
 		return
 	}
-	for _, w := range m.queue {
-		if w.from == from && w.f.ID == f.ID && w.f.CallerID == f.CallerID {
+	for _, w := range m.waiting {
+		if w.from == from && w.request.ID == f.ID && w.request.CallerID == f.CallerID {
 			return
 		}
 	}
 	if !f.Read {
-		f.Doc = f.Doc.summed()
+		f.Doc = f.Doc.withDigest()
 	}
-	m.queue = append(m.queue, &wait{from: from, f: f, at: m.now})
-	m.serve()
+	m.waiting = append(m.waiting, &waitingCall{from: from, request: f, arrivedAt: m.now})
+	m.serveWaiting()
 }
 
 // lapse forgets calls whose callers have gone elsewhere.
-func (m *Machine) lapse() {
-	m.queue = slices.DeleteFunc(m.queue, func(w *wait) bool { return m.now-w.at > time.Second })
+func (m *Machine) dropExpired() {
+	m.waiting = slices.DeleteFunc(m.waiting, func(w *waitingCall) bool { return m.now-w.arrivedAt > time.Second })
 }
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -16,7 +16,7 @@
 	return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.By, o.By), cmp.Compare(b.DiskID, o.DiskID))
 }
 
-func (b Ballot) above(o Ballot) bool { return b.compare(o) > 0 }
+func (b Ballot) higherThan(o Ballot) bool { return b.compare(o) > 0 }
 
 // Seat is a member with one memory: a wiped disk makes another seat of it.
 type Member struct {
@@ -26,7 +26,7 @@
 	Zone   string `cbor:"4,keyasint,omitempty"`
 }
 
-func (s Member) is(addr string, life uint64) bool { return s.Addr == addr && s.DiskID == life }
+func (s Member) matches(addr string, life uint64) bool { return s.Addr == addr && s.DiskID == life }
 
 // Record is an epoch. Until it is active, the set it came from has a say as well.
 type EpochRecord struct {
@@ -41,7 +41,7 @@
 	OldSetAgreed bool `cbor:"8,keyasint,omitempty"`
 }
 
-func (r EpochRecord) none() bool { return r.ClusterID == 0 }
+func (r EpochRecord) isZero() bool { return r.ClusterID == 0 }
 
 func (r EpochRecord) primary() string {
 	if len(r.Writers) == 0 || !r.Active {
@@ -51,17 +51,17 @@
 }
 
 // newer says whether r tells more than o.
-func (r EpochRecord) newer(o EpochRecord) bool {
+func (r EpochRecord) newerThan(o EpochRecord) bool {
 	c := r.Ballot.compare(o.Ballot)
-	return !r.none() && (o.none() || c > 0 || c == 0 && (r.Active && !o.Active || r.OldSetAgreed && !o.OldSetAgreed && !o.Active))
+	return !r.isZero() && (o.isZero() || c > 0 || c == 0 && (r.Active && !o.Active || r.OldSetAgreed && !o.OldSetAgreed && !o.Active))
 }
 
 // single says whether the set alone decides what follows.
-func (r EpochRecord) single() bool { return r.Active || r.OldSetAgreed }
+func (r EpochRecord) membersDecide() bool { return r.Active || r.OldSetAgreed }
 
 // voters are all whose promises or records can matter.
-func (r EpochRecord) voters() []Member {
-	if r.single() {
+func (r EpochRecord) votingMembers() []Member {
+	if r.membersDecide() {
 		return r.Members
 	}
 	return union(r.Members, r.OldMembers)
@@ -69,26 +69,28 @@
 
 // carried says whether those who agreed can decide what follows this epoch. What
 // follows a founding needs all but the losses: then too few are left to found again.
-func (r EpochRecord) carried(losses int, agreed, lost func(Member) bool) bool {
+func (r EpochRecord) hasQuorum(losses int, agreed, lost func(Member) bool) bool {
 	if !r.Active && r.Ballot.N == 1 {
-		return len(r.Members) > 0 && count(r.Members, agreed) >= len(r.Members)-losses
+		return len(r.Members) > 0 && countMembers(r.Members, agreed) >= len(r.Members)-losses
 	}
-	if r.single() {
-		return decides(r.Members, nil, agreed, lost)
+	if r.membersDecide() {
+		return intersectsMajorities(r.Members, nil, agreed, lost)
 	}
-	return decides(r.OldMembers, r.Members, agreed, lost) && (decides(r.Members, nil, agreed, lost) || blocks(r.Members, agreed))
+	return intersectsMajorities(r.OldMembers, r.Members, agreed, lost) && (intersectsMajorities(r.Members, nil, agreed, lost) || blocksMajority(r.Members, agreed))
 }
 
 // blocks says whether no majority of a set is without one of those who agreed. That is enough to
 // know what it has decided, and, unlike decides, not to decide.
-func blocks(set []Member, agreed func(Member) bool) bool { return 2*count(set, agreed) >= len(set) }
+func blocksMajority(set []Member, agreed func(Member) bool) bool {
+	return 2*countMembers(set, agreed) >= len(set)
+}
 
 // decides says whether those of a set who agreed meet every majority of it that ever was or
 // will be. Most do; so do all that are left, if the lost ones were no majority by themselves.
 // Seats that another memory at the same address has taken in the set after it were lost before
 // that was begun. Where it needed the promise of all others, no majority since has one of them.
-func decides(set, after []Member, agreed, lost func(Member) bool) bool {
-	if most(set, agreed) {
+func intersectsMajorities(set, after []Member, agreed, lost func(Member) bool) bool {
+	if hasMajority(set, agreed) {
 		return true
 	}
 	need, gone, taken := len(set)/2+1, 0, 0
@@ -106,16 +108,16 @@
 	if len(set)-taken != need {
 		gone += taken
 	}
-	return gone < need && count(set, agreed) > 0
+	return gone < need && countMembers(set, agreed) > 0
 }
 
-func (r EpochRecord) has(addr string, life uint64) bool { return has(r.Members, addr, life) }
+func (r EpochRecord) has(addr string, life uint64) bool { return hasMember(r.Members, addr, life) }
 
-func has(set []Member, addr string, life uint64) bool {
-	return slices.ContainsFunc(set, func(s Member) bool { return s.is(addr, life) })
+func hasMember(set []Member, addr string, life uint64) bool {
+	return slices.ContainsFunc(set, func(s Member) bool { return s.matches(addr, life) })
 }
 
-func count(set []Member, agreed func(Member) bool) int {
+func countMembers(set []Member, agreed func(Member) bool) int {
 	n := 0
 	for _, s := range set {
 		if agreed(s) {
@@ -125,14 +127,14 @@
 	return n
 }
 
-func most(set []Member, agreed func(Member) bool) bool {
-	return len(set) > 0 && count(set, agreed) > len(set)/2
+func hasMajority(set []Member, agreed func(Member) bool) bool {
+	return len(set) > 0 && countMembers(set, agreed) > len(set)/2
 }
 
 func union(a, b []Member) []Member {
 	all := slices.Clone(a)
 	for _, s := range b {
-		if !has(all, s.Addr, s.DiskID) {
+		if !hasMember(all, s.Addr, s.DiskID) {
 			all = append(all, s)
 		}
 	}
@@ -140,15 +142,15 @@
 }
 
 // spread picks n seats, in other zones as far as there are some; the first stays first.
-func spread(seats []Member, n int) []string {
+func spreadOverZones(seats []Member, n int) []string {
 	var picked []Member
 	for len(picked) < n && len(picked) < len(seats) {
 		best, least := -1, 0
 		for i, s := range seats {
-			if has(picked, s.Addr, s.DiskID) {
+			if hasMember(picked, s.Addr, s.DiskID) {
 				continue
 			}
-			same := count(picked, func(p Member) bool { return p.Zone == s.Zone })
+			same := countMembers(picked, func(p Member) bool { return p.Zone == s.Zone })
 			if best < 0 || same < least {
 				best, least = i, same
 			}
--- a/internal/consensus/record_test.go
+++ b/internal/consensus/record_test.go
@@ -18,9 +18,9 @@
 		for agreed := range 1 << n {
 			without := false
 			for other := range 1 << n {
-				without = without || other&agreed == 0 && most(set, of(other))
+				without = without || other&agreed == 0 && hasMajority(set, of(other))
 			}
-			if blocks(set, of(agreed)) == without {
+			if blocksMajority(set, of(agreed)) == without {
 				t.Errorf("%d seats, %b agreed: %v", n, agreed, !without)
 			}
 		}
@@ -33,7 +33,7 @@
 	a, b, c := Member{Addr: "a", DiskID: 1}, Member{Addr: "b", DiskID: 2}, Member{Addr: "c", DiskID: 3}
 	r := EpochRecord{ClusterID: 1, Ballot: Ballot{N: 5}, Members: []Member{b, c}, OldMembers: []Member{a, b, c}}
 	is := func(all ...Member) func(Member) bool {
-		return func(s Member) bool { return has(all, s.Addr, s.DiskID) }
+		return func(s Member) bool { return hasMember(all, s.Addr, s.DiskID) }
 	}
 	for i, k := range []struct {
 		settled      bool
@@ -50,7 +50,7 @@
 		{true, []Member{b, c}, nil, true},
 	} {
 		r.OldSetAgreed = k.settled
-		if got := r.carried(1, is(k.agreed...), is(k.lost...)); got != k.want {
+		if got := r.hasQuorum(1, is(k.agreed...), is(k.lost...)); got != k.want {
 			t.Errorf("%d: %+v: %v", i, k, got)
 		}
 	}
--- a/internal/consensus/scenario_test.go
+++ b/internal/consensus/scenario_test.go
@@ -175,7 +175,7 @@
 		r := w.add(true, false)
 		w.start(r)
 		w.run(4 * time.Second)
-		if !r.m.seated() || len(w.record().Members) != 3 {
+		if !r.m.isMember() || len(w.record().Members) != 3 {
 			t.Fatalf("%s was not seated: %+v", r.cfg.Self, w.record())
 		}
 	}
@@ -232,9 +232,9 @@
 		w.settled()
 		w.sane(t)
 		for _, n := range w.members() {
-			if f := w.record().ClusterID; n.m.d.Record.ClusterID != f || !n.m.seated() {
+			if f := w.record().ClusterID; n.m.state.Record.ClusterID != f || !n.m.isMember() {
 				t.Fatalf("killed at %v: %s has founding %d, not %d; seated %v", at, n.cfg.Self,
-					n.m.d.Record.ClusterID, f, n.m.seated())
+					n.m.state.Record.ClusterID, f, n.m.isMember())
 			}
 		}
 	}
@@ -275,12 +275,12 @@
 		}
 	}
 	w := calm(t, 3, 1, 1)
-	raw, err := cbor.Marshal(w.primary().m.d)
+	raw, err := cbor.Marshal(w.primary().m.state)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var d DurableState
-	if err := cbor.Unmarshal(raw, &d); err != nil || !reflect.DeepEqual(d, w.primary().m.d) {
+	if err := cbor.Unmarshal(raw, &d); err != nil || !reflect.DeepEqual(d, w.primary().m.state) {
 		t.Errorf("disk: %v, %+v", err, d)
 	}
 }
--- a/internal/consensus/spread_test.go
+++ b/internal/consensus/spread_test.go
@@ -56,7 +56,7 @@
 		for i := range body {
 			body[i] = byte(i * i >> 7 * 31) // packs badly
 		}
-		m.d.Committed = Doc{Version: 3, Body: bytes.Clone(body)}
+		m.state.Committed = Doc{Version: 3, Body: bytes.Clone(body)}
 		now, sent := time.Hour, 0
 		for range 9 {
 			for _, s := range m.Receive(now, "b:1", Pull{AcceptsDeltas: c.deltas}).Send {
--- a/internal/consensus/walk.go
+++ b/internal/consensus/walk.go
@@ -33,84 +33,84 @@
 func Walk(b ModelBounds, pair PairFault, from uint64, count, steps int) RandomWalks {
 	var sum RandomWalks
 	var x *explorer
-	var begin *state
+	var begin *modelState
 	for seed := from; seed < from+uint64(count) && sum.Violation == ""; seed++ {
-		if x == nil || len(x.cells) > 30000 {
+		if x == nil || len(x.nodes) > 30000 {
 			x = newExplorer(b)
-			begin = x.first()
+			begin = x.initialState()
 		}
-		x.found = Exploration{}
+		x.result = Exploration{}
 		sum.Count++
-		w := &walk{x: x, s: begin.clone(), rng: rand.New(rand.NewPCG(seed, 0xa9)), pair: pair}
+		w := &randomWalk{explorer: x, state: begin.clone(), rng: rand.New(rand.NewPCG(seed, 0xa9)), pairFault: pair}
 		w.run(steps)
-		sum.Steps += len(w.went)
-		sum.Acked += x.found.Acked
-		sum.Epochs += min(x.found.Epochs, 1)
-		sum.DiskRollbacks += w.backs
-		if sum.Violation = x.found.Violation; sum.Violation != "" {
+		sum.Steps += len(w.history)
+		sum.Acked += x.result.Acked
+		sum.Epochs += min(x.result.Epochs, 1)
+		sum.DiskRollbacks += w.diskRollbacks
+		if sum.Violation = x.result.Violation; sum.Violation != "" {
 			sum.Seed = seed
-			for _, v := range w.went {
-				sum.Trace = append(sum.Trace, x.say(v))
+			for _, v := range w.history {
+				sum.Trace = append(sum.Trace, x.describe(v))
 			}
 		}
 	}
 	return sum
 }
 
-type walk struct {
-	x       *explorer
-	s       *state
-	rng     *rand.Rand
-	pair    PairFault
-	out     uint16 // machines that don't run
-	cut     map[int16]bool
-	stalled uint16 // disks that sync nothing
-	went    []move
-	backs   int
+type randomWalk struct {
+	explorer      *explorer
+	state         *modelState
+	rng           *rand.Rand
+	pairFault     PairFault
+	stopped       uint16 // machines that don't run
+	cutLinks      map[int16]bool
+	stalled       uint16 // disks that sync nothing
+	history       []transition
+	diskRollbacks int
 }
 
-func (s *state) clone() *state {
+func (s *modelState) clone() *modelState {
 	n := *s
-	n.cells, n.links, n.stray = slices.Clone(s.cells), slices.Clone(s.links), slices.Clone(s.stray)
+	n.nodes, n.links, n.delayed = slices.Clone(s.nodes), slices.Clone(s.links), slices.Clone(s.delayed)
 	return &n
 }
 
-func (w *walk) run(steps int) {
+func (w *randomWalk) run(steps int) {
 	at := steps/8 + w.rng.IntN(steps/2)
-	for i := 0; i < steps && w.x.found.Violation == ""; i++ {
+	for i := 0; i < steps && w.explorer.result.Violation == ""; i++ {
 		switch {
-		case w.pair == OneRolledBack && i == at/2:
-			w.saveOff()
-		case w.pair == OneRolledBack && i >= at && w.backs == 0:
-			w.putBack()
-		case i == at && w.pair != NoPair && w.pair != OneRolledBack:
-			w.lose()
+		case w.pairFault == OneRolledBack && i == at/2:
+			w.copyDisks()
+		case w.pairFault == OneRolledBack && i >= at && w.diskRollbacks == 0:
+			w.rollbackOneDisk()
+		case i == at && w.pairFault != NoPair && w.pairFault != OneRolledBack:
+			w.losePair()
 		}
 		if w.rng.IntN(30) == 0 {
-			w.part()
+			w.partition()
 		}
-		if v, ok := w.draw(); ok {
-			w.goes(v)
+		if v, ok := w.drawTransition(); ok {
+			w.spendAndApply(v)
 		}
 	}
-	w.out = 0
-	w.mended()
+	w.stopped = 0
+	w.checkRecovery()
 }
 
 // draw picks what goes on by itself, or now and then what an operator, time or a fault brings.
-func (w *walk) draw() (move, bool) {
-	var kinds [5][]move
-	for _, v := range w.x.moves(w.s) {
-		switch k := v.in.kind; {
-		case w.out&(1<<v.at) != 0 || w.cut[v.link]:
-		case k == sync && w.stalled&(1<<v.at) != 0:
-		case v.fate != comes || k == die || k == wipe || k == saveOff || k == putBack:
+func (w *randomWalk) drawTransition() (transition, bool) {
+	var kinds [5][]transition
+	for _, v := range w.explorer.transitions(w.state) {
+		switch k := v.input.kind; {
+		case w.stopped&(1<<v.node) != 0 || w.cutLinks[v.link]:
+		case k == sync && w.stalled&(1<<v.node) != 0:
+		case v.fate != delivered || k == crash || k == wipe || k == copyDisk || k == rollbackDisk:
 			kinds[4] = append(kinds[4], v)
-		case k == take || k == sync:
+		case k == receive || k == sync:
 			kinds[0] = append(kinds[0], v)
 		case k == put:
 			kinds[1] = append(kinds[1], v)
-		case k == get:
+		case k == read:
 			kinds[2] = append(kinds[2], v)
 		default:
 			kinds[3] = append(kinds[3], v)
@@ -121,23 +121,23 @@
 		from = kinds[[]int{1, 1, 2, 3, 3, 3, 3, 4}[w.rng.IntN(8)]]
 	}
 	if len(from) == 0 {
-		return move{}, false
+		return transition{}, false
 	}
 	return from[w.rng.IntN(len(from))], true
 }
 
-func (w *walk) goes(v move) {
-	w.went = append(w.went, v)
-	w.s.pay(v)
-	w.x.step(w.s, v)
+func (w *randomWalk) spendAndApply(v transition) {
+	w.history = append(w.history, v)
+	w.state.spend(v)
+	w.explorer.step(w.state, v)
 }
 
 // part cuts some machines off from the others for a while, both ways or one, and lets disks stall; or ends that.
-func (w *walk) part() {
-	w.cut, w.stalled = map[int16]bool{}, uint16(w.rng.Uint32()&w.rng.Uint32())
-	way, n := w.rng.IntN(3), w.x.n
+func (w *randomWalk) partition() {
+	w.cutLinks, w.stalled = map[int16]bool{}, uint16(w.rng.Uint32()&w.rng.Uint32())
+	way, n := w.rng.IntN(3), w.explorer.nodeCount
 	side := w.rng.Uint32()
-	if lead := w.x.primary(w.s); lead >= 0 && w.rng.IntN(2) == 0 {
+	if lead := w.explorer.primaryNode(w.state); lead >= 0 && w.rng.IntN(2) == 0 {
 		side = 1 << lead
 	}
 	if w.rng.IntN(4) == 0 {
@@ -145,86 +145,86 @@
 	}
 	for i := range n * n {
 		if a, b := side>>(i/n)&1, side>>(i%n)&1; a != b {
-			w.cut[int16(i)] = way == 0 || uint32(way) == 1+a
+			w.cutLinks[int16(i)] = way == 0 || uint32(way) == 1+a
 		}
 	}
 }
 
 // lose takes two machines away at once.
-func (w *walk) lose() {
-	a := w.rng.IntN(w.x.n)
-	b := (a + 1 + w.rng.IntN(w.x.n-1)) % w.x.n
+func (w *randomWalk) losePair() {
+	a := w.rng.IntN(w.explorer.nodeCount)
+	b := (a + 1 + w.rng.IntN(w.explorer.nodeCount-1)) % w.explorer.nodeCount
 	for i, at := range []int{a, b} {
-		in := input{kind: die}
-		if w.pair == BothWiped || w.pair == OneWiped && i == 0 {
+		in := input{kind: crash}
+		if w.pairFault == BothWiped || w.pairFault == OneWiped && i == 0 {
 			in.kind = wipe
 		} else {
-			in.arg = uint32(w.rng.IntN(len(w.x.cells[w.s.cells[at]].cache) + 1))
+			in.arg = uint32(w.rng.IntN(len(w.explorer.nodes[w.state.nodes[at]].unsynced) + 1))
 		}
-		if w.rng.IntN(2) == 0 || w.pair == BothKilled {
-			w.out |= 1 << at // comes back when all is mended
+		if w.rng.IntN(2) == 0 || w.pairFault == BothKilled {
+			w.stopped |= 1 << at // comes back when all is mended
 		}
-		v := move{at: uint8(at), in: in, loses: true, link: none}
-		w.went = append(w.went, v)
-		w.x.step(w.s, v)
+		v := transition{node: uint8(at), input: in, dropsMessages: true, link: noLink}
+		w.history = append(w.history, v)
+		w.explorer.step(w.state, v)
 	}
 }
 
 // saveOff takes a copy of each disk.
-func (w *walk) saveOff() {
-	for i := range w.s.cells {
-		w.goesFree(move{at: uint8(i), in: input{kind: saveOff}, link: none})
+func (w *randomWalk) copyDisks() {
+	for i := range w.state.nodes {
+		w.applyFree(transition{node: uint8(i), input: input{kind: copyDisk}, link: noLink})
 	}
 }
 
 // putBack lets the first machine of which all others remember enough start on its copy, and kills another one.
-func (w *walk) putBack() {
-	first := w.rng.IntN(w.x.n)
-	for i := range w.x.n {
-		a := (first + i) % w.x.n
-		if w.out&(1<<a) != 0 || !w.x.remembered(w.s, a) {
+func (w *randomWalk) rollbackOneDisk() {
+	first := w.rng.IntN(w.explorer.nodeCount)
+	for i := range w.explorer.nodeCount {
+		a := (first + i) % w.explorer.nodeCount
+		if w.stopped&(1<<a) != 0 || !w.explorer.rollbackDetectable(w.state, a) {
 			continue
 		}
-		b := w.x.primary(w.s)
+		b := w.explorer.primaryNode(w.state)
 		if b < 0 || b == a || w.rng.IntN(4) == 0 {
-			b = (a + 1 + w.rng.IntN(w.x.n-1)) % w.x.n
+			b = (a + 1 + w.rng.IntN(w.explorer.nodeCount-1)) % w.explorer.nodeCount
 		}
-		w.backs++
-		w.goesFree(move{at: uint8(a), in: input{kind: putBack}, loses: true, link: none})
-		w.out |= 1 << b
-		w.goesFree(move{at: uint8(b), in: input{kind: die}, loses: true, link: none})
+		w.diskRollbacks++
+		w.applyFree(transition{node: uint8(a), input: input{kind: rollbackDisk}, dropsMessages: true, link: noLink})
+		w.stopped |= 1 << b
+		w.applyFree(transition{node: uint8(b), input: input{kind: crash}, dropsMessages: true, link: noLink})
 		return
 	}
 }
 
 // goesFree goes a way that is none of the bounds'.
-func (w *walk) goesFree(v move) {
-	w.went = append(w.went, v)
-	w.x.step(w.s, v)
+func (w *randomWalk) applyFree(v transition) {
+	w.history = append(w.history, v)
+	w.explorer.step(w.state, v)
 }
 
-const mendTicks = 240 // of 50 ms
+const recoveryTicks = 240 // of 50 ms
 
 // mended lets the ordinary happen until the machines answer a read.
-func (w *walk) mended() {
-	x, s := w.x, w.s
-	for i, id := range s.cells { // without jitter two candidates could meet again and again
-		c := x.cells[id].clone()
-		c.lot.mixed = true
-		s.cells[i] = x.cell(c)
+func (w *randomWalk) checkRecovery() {
+	x, s := w.explorer, w.state
+	for i, id := range s.nodes { // without jitter two candidates could meet again and again
+		c := x.nodes[id].clone()
+		c.random.mixed = true
+		s.nodes[i] = x.nodeID(c)
 	}
-	for i := range mendTicks {
-		if x.found.Violation != "" {
+	for i := range recoveryTicks {
+		if x.result.Violation != "" {
 			return
 		}
 		if i%20 == 10 {
-			x.read = 0
-			for c := range s.cells {
-				x.step(s, move{at: uint8(c), in: input{kind: get, arg: uint32(100 + i)}, link: none})
+			x.readsAnswered = 0
+			for c := range s.nodes {
+				x.step(s, transition{node: uint8(c), input: input{kind: read, arg: uint32(100 + i)}, link: noLink})
 			}
 		}
-		x.settle(s, steady)
-		if x.read == x.n {
+		x.settleAll(s, tick)
+		if x.readsAnswered == x.nodeCount {
 			return
 		}
 	}
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -150,7 +150,7 @@
 	old := n.m
 	n.m = New(n.cfg, d, w.now)
 	if w.amnesia && d == nil && old != nil {
-		n.m.d.DiskID = old.d.DiskID
+		n.m.state.DiskID = old.state.DiskID
 	}
 	n.m.bug = w.bug
 	w.tick(n, n.life)
@@ -332,7 +332,7 @@
 		if t, ok := w.texts[o.doc.Version]; ok && t != string(o.doc.Body) {
 			w.fail("%s acknowledges %q as %d, which is %q", n.cfg.Self, o.doc.Body, o.doc.Version, t)
 		}
-		if w.denied[order(o.doc.Version, string(o.doc.Body))] {
+		if w.denied[requestKey(o.doc.Version, string(o.doc.Body))] {
 			w.fail("%s acknowledges %q as %d, which was told to differ", n.cfg.Self, o.doc.Body, o.doc.Version)
 		}
 		w.texts[o.doc.Version] = string(o.doc.Body)
@@ -343,7 +343,7 @@
 			w.fail("version %d is acknowledged and nobody has it", o.doc.Version)
 		}
 	case ResultConflict:
-		w.denied[order(o.doc.Version, string(o.doc.Body))] = true
+		w.denied[requestKey(o.doc.Version, string(o.doc.Body))] = true
 		if t := w.texts[o.doc.Version]; t == string(o.doc.Body) {
 			w.fail("%s refuses %q as %d, which was acknowledged", n.cfg.Self, t, o.doc.Version)
 		}
@@ -390,7 +390,7 @@
 func (w *world) record() EpochRecord {
 	var r EpochRecord
 	for _, n := range w.nodes {
-		if n.m != nil && n.m.view.newer(r) {
+		if n.m != nil && n.m.view.newerThan(r) {
 			r = n.m.view
 		}
 	}
@@ -401,32 +401,32 @@
 func (w *world) missing() int {
 	r := w.record()
 	for _, n := range w.nodes {
-		if n.m != nil && n.m.d.Record.newer(r) {
-			r = n.m.d.Record
+		if n.m != nil && n.m.state.Record.newerThan(r) {
+			r = n.m.state.Record
 		}
-		if n.synced != nil && n.synced.Record.newer(r) {
+		if n.synced != nil && n.synced.Record.newerThan(r) {
 			r = n.synced.Record
 		}
 	}
-	r.Active = most(r.Members, func(s Member) bool { // until a majority knows, the old set is needed
+	r.Active = hasMajority(r.Members, func(s Member) bool { // until a majority knows, the old set is needed
 		n := w.byAddr[s.Addr]
 		return n.synced != nil && n.synced.Record.Ballot == r.Ballot && n.synced.Record.Active
 	})
-	return len(w.lost(r.voters()))
+	return len(w.lost(r.votingMembers()))
 }
 
 func (w *world) lost(of []Member) []Member {
 	return slices.DeleteFunc(slices.Clone(of), func(s Member) bool {
 		n := w.byAddr[s.Addr]
-		return !n.gone && n.m != nil && n.m.d.DiskID == s.DiskID && n.synced != nil && n.synced.DiskID == s.DiskID
+		return !n.gone && n.m != nil && n.m.state.DiskID == s.DiskID && n.synced != nil && n.synced.DiskID == s.DiskID
 	})
 }
 
 func (w *world) primary() *node {
 	var p *node
 	for _, n := range w.nodes {
-		if n.up && n.frozen <= w.now && n.m.lead != nil &&
-			(p == nil || n.m.lead.rec.Ballot.above(p.m.lead.rec.Ballot)) {
+		if n.up && n.frozen <= w.now && n.m.primary != nil &&
+			(p == nil || n.m.primary.record.Ballot.higherThan(p.m.primary.record.Ballot)) {
 			p = n
 		}
 	}
