--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -57,8 +57,8 @@
 type Epoch struct {
 	Epoch uint64
 	At    time.Time // it became known here
-	Seats []Seat
+	Seats []CoreMember
 }
 
 // Seat is a machine of the core.
-type Seat struct{ Name, Zone, Addr, Does string }
+type CoreMember struct{ Name, Zone, Addr, Does string }
--- a/internal/adminapi/frames.go
+++ b/internal/adminapi/frames.go
@@ -7,8 +7,8 @@
 	Ready       bool
 	Version     uint32 // in force
 	Up, Serving int    // processes and servers seen
-	Kinds       map[string]Kind
+	Kinds       map[string]MessageCounts
 }
 
 // Kind counts the frames of one message.
-type Kind struct{ Sent, BytesOut, Got, BytesIn int64 }
+type MessageCounts struct{ Sent, BytesOut, Got, BytesIn int64 }
--- a/internal/adminapi/quotas.go
+++ b/internal/adminapi/quotas.go
@@ -10,13 +10,13 @@
 	SharesFor     int    // gateways that a tenant's even share is made for
 	InTouch       int    // of these, in sight
 	UnansweredMs  int64  // since the oldest read without an answer
-	Decided       []Decision
+	Decided       []QuotaDecisions
 	BehindUnits   float64 // by which a holder's level was above what the gateway reckoned with, at the most
 	BehindAnswers uint64  // that were a unit or more above it
 }
 
 // Decision counts requests that were decided on one basis.
-type Decision struct {
+type QuotaDecisions struct {
 	Basis           string // first_holder, second_holder, unread, own_share
 	Passed, Refused uint64
 }
--- a/internal/adminclient/show.go
+++ b/internal/adminclient/show.go
@@ -181,14 +181,14 @@
 }
 
 func does(e adminapi.Epoch, what string) string {
-	names := lo.FilterMap(e.Seats, func(s adminapi.Seat, _ int) (string, bool) { return s.Name, s.Does == what })
+	names := lo.FilterMap(e.Seats, func(s adminapi.CoreMember, _ int) (string, bool) { return s.Name, s.Does == what })
 	return cmp.Or(strings.Join(names, " "), "-")
 }
 
 // changed tells in words what one epoch has otherwise than the one before.
 func changed(was, is adminapi.Epoch) string {
-	duty := func(e adminapi.Epoch) map[string]adminapi.Seat {
-		return lo.KeyBy(e.Seats, func(s adminapi.Seat) string { return s.Addr })
+	duty := func(e adminapi.Epoch) map[string]adminapi.CoreMember {
+		return lo.KeyBy(e.Seats, func(s adminapi.CoreMember) string { return s.Addr })
 	}
 	old, now := duty(was), duty(is)
 	var words []string
--- a/internal/bench/callerframes.go
+++ b/internal/bench/callerframes.go
@@ -47,11 +47,11 @@
 func frameText(life string, call uint64) string { return fmt.Sprintf("%s/%d", life, call) }
 
 // frameKind is a message's byte on the wire.
-func frameKind(msg any) byte { return daemon.Frames.Encode(&daemon.Frame{From: "x", Msg: msg})[5] }
+func frameKind(msg any) byte { return daemon.FrameCodec.Encode(&daemon.Frame{From: "x", Msg: msg})[5] }
 
 // formerAnswer is the frame that answers a call of the asker's earlier life.
 func formerAnswer(from string, call uint64) []byte {
-	return daemon.Frames.Encode(&daemon.Frame{From: from, Msg: consensus.Answered{ID: call, Salt: 7, Verdict: consensus.Kept,
+	return daemon.FrameCodec.Encode(&daemon.Frame{From: from, Msg: consensus.Answered{ID: call, Salt: 7, Verdict: consensus.Kept,
 		Doc: &consensus.Doc{Version: uint32(call), Body: []byte(frameText("former", call))}}})
 }
 
@@ -73,7 +73,7 @@
 	}
 	defer there.Close()
 	listen := func(proxy *faultproxy.FrameProxy, handle func(*daemon.Frame)) *mesh.Mesh[*daemon.Frame] {
-		m := mesh.New(mesh.Options[*daemon.Frame]{Codec: daemon.Frames, Most: 100, Handle: func(_ *mesh.Pipe[*daemon.Frame], f *daemon.Frame) { handle(f) }})
+		m := mesh.New(mesh.Options[*daemon.Frame]{Codec: daemon.FrameCodec, MaxInbound: 100, Handle: func(_ *mesh.Conn[*daemon.Frame], f *daemon.Frame) { handle(f) }})
 		if err := m.Listen(host + ":0"); err != nil {
 			p.err = err
 			return m
@@ -88,7 +88,7 @@
 		ready.Wait()
 		if q, ok := f.Msg.(consensus.Forward); ok {
 			doc := q.Doc
-			answerer.To(f.From).Send(&daemon.Frame{From: there.Addr, Msg: consensus.Answered{ID: q.ID, Salt: q.Salt, Verdict: consensus.Kept, Doc: &doc}})
+			answerer.ConnTo(f.From).Send(&daemon.Frame{From: there.Addr, Msg: consensus.Answered{ID: q.ID, Salt: q.Salt, Verdict: consensus.Kept, Doc: &doc}})
 		}
 	})
 	ready.Done()
@@ -111,7 +111,7 @@
 	a.SetBug(bug)
 	took := func(out consensus.Out) {
 		for _, s := range out.Send {
-			m.To(s.To).Send(&daemon.Frame{From: here.Addr, Msg: s.Msg})
+			m.ConnTo(s.To).Send(&daemon.Frame{From: here.Addr, Msg: s.Msg})
 		}
 		for _, an := range out.Answers {
 			text := "busy"
--- a/internal/bench/callers.go
+++ b/internal/bench/callers.go
@@ -116,9 +116,9 @@
 		return method == "GET" && body == "" || method == "POST" && body == sentBody(name, path)
 	}
 	start := time.Now()
-	g.plane = dataplane.New(dataplane.Options{Zone: "a", Now: func() time.Duration { return time.Hour + time.Since(start) }, Sockets: 100, Seed: 1,
-		Pass:    func(string, float64) (bool, time.Duration) { return true, 0 },
-		Leaving: func() bool { return false }, RetryRatio: 1, RetrySlack: 1000, Bug: bug})
+	g.plane = dataplane.New(dataplane.Options{Zone: "a", Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1,
+		TakeQuota: func(string, float64) (bool, time.Duration) { return true, 0 },
+		Leaving:   func() bool { return false }, RetryRatio: 1, RetryAllowance: 1000, Bug: bug})
 	g.plane.Adopt(table)
 	host, list := callerHost(), []dataplane.Server(nil)
 	for range servers {
@@ -133,7 +133,7 @@
 		g.servers, g.proxies = append(g.servers, s), append(g.proxies, p)
 		list = append(list, dataplane.Server{ID: s.ID, Addr: p.Addr, Service: "toy", Zone: "a", Capacity: 50, State: choice.Up})
 	}
-	g.plane.Serve(list)
+	g.plane.SetServers(list)
 	if g.clients, err = transport.Listen(nil, host+":0", 100); err != nil {
 		return nil, err
 	}
@@ -145,8 +145,8 @@
 
 func (g *callerStage) close() {
 	g.clients.Close()
-	g.plane.Serve(nil) // ends the connections' actors
-	g.plane.Open()
+	g.plane.SetServers(nil) // ends the connections' actors
+	g.plane.OpenRequests()
 	g.plane.Stop()
 	for i := range g.servers {
 		g.proxies[i].Close()
--- a/internal/bench/hollow.go
+++ b/internal/bench/hollow.go
@@ -79,13 +79,13 @@
 	if err := json.Unmarshal(lines.Bytes(), &h.spec); err != nil {
 		return fmt.Errorf("the first line: %w", err)
 	}
-	readings := &controlplane.Readings{}
+	readings := &controlplane.ParseCache{}
 	for _, path := range h.spec.Settings {
 		set, err := sysconfig.ReadSettings(path)
 		if err != nil {
 			return err
 		}
-		p, err := daemon.NewShared(path, set, daemon.Shared{Log: io.Discard, Bare: h.spec.Bare, Readings: readings, Link: h.link(fmt.Sprintf("%s:%d", set.IpAddr, set.PortRange[0]))})
+		p, err := daemon.NewShared(path, set, daemon.SharedOptions{Log: io.Discard, ControlOnly: h.spec.Bare, ParseCache: readings, Link: h.link(fmt.Sprintf("%s:%d", set.IpAddr, set.PortRange[0]))})
 		if err != nil {
 			return err
 		}
@@ -147,7 +147,7 @@
 	runtime.ReadMemStats(&mem)
 	w := hollowWord{Heap: mem.HeapInuse, Spent: h.spent.Load(), Short: h.short.Load(), Count: []adminapi.Frames{}}
 	for _, p := range h.all {
-		w.Count = append(w.Count, p.Frames())
+		w.Count = append(w.Count, p.FrameCounts())
 	}
 	h.say(w)
 }
@@ -165,7 +165,7 @@
 		owed += rate * now.Sub(last).Seconds()
 		for last = now; owed >= 1; owed-- {
 			for _, p := range h.all {
-				if p.Spend(scaleTenant(tenants.next(rng))) {
+				if p.TakeQuota(scaleTenant(tenants.next(rng))) {
 					h.spent.Add(1)
 				} else {
 					h.short.Add(1)
--- a/internal/bench/stages.go
+++ b/internal/bench/stages.go
@@ -47,7 +47,7 @@
 	}
 	var mu sync.Mutex
 	all := staged{Requests: map[string][protocol.Stages]int64{}}
-	p, err := daemon.Timed(settings, set, func(id string, t *protocol.Times) {
+	p, err := daemon.NewTimed(settings, set, func(id string, t *protocol.Times) {
 		mu.Lock()
 		defer mu.Unlock()
 		all.Requests[id] = t.At()
--- a/internal/bench/texts_test.go
+++ b/internal/bench/texts_test.go
@@ -22,11 +22,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	difference, _ := delta.Make(one, two)
-	whole, _ := delta.Whole(two)
+	difference, _ := delta.New(one, two)
+	whole, _ := delta.NewFull(two)
 	disk := consensus.Disk{Life: 1, Kept: consensus.Doc{Version: 1, Body: one}, Next: consensus.Doc{Version: 2, Body: two}}
 	packed, _ := disk.Bytes()
-	b.Logf("%d bytes; a difference of %d, %d packed, %d on disk", len(two), len(difference.Steps), len(whole.Steps), len(packed))
+	b.Logf("%d bytes; a difference of %d, %d packed, %d on disk", len(two), len(difference.Ops), len(whole.Ops), len(packed))
 	for _, s := range []struct {
 		name string
 		do   func()
@@ -35,10 +35,10 @@
 		{"table", func() { c.Table() }},
 		{"rollout", func() { sysconfig.RolloutOf(two) }},
 		{"digest", func() { digest.Digest(two) }},
-		{"sum", func() { delta.Sum(two) }},
-		{"difference", func() { delta.Make(one, two) }},
+		{"sum", func() { delta.Checksum(two) }},
+		{"difference", func() { delta.New(one, two) }},
 		{"apply", func() { _, _ = difference.Apply(one) }},
-		{"pack", func() { delta.Whole(two) }},
+		{"pack", func() { delta.NewFull(two) }},
 		{"unpack", func() { _, _ = whole.Apply(nil) }},
 		{"disk", func() { _, _ = disk.Bytes() }},
 		{"compare", func() { sysconfig.Diff(c, c) }},
--- a/internal/cluster/frame.go
+++ b/internal/cluster/frame.go
@@ -44,15 +44,15 @@
 )
 
 // Connections that a frame came by.
-type pipe = mesh.Pipe[*Frame]
+type pipe = mesh.Conn[*Frame]
 
-var errStrange, errSpoilt = mesh.ErrStrange, mesh.ErrSpoilt
+var errStrange, errSpoilt = mesh.ErrForeignFrame, mesh.ErrDamagedFrame
 
 // codec is a cluster's.
 func codec(cluster uint64) mesh.Codec[*Frame] {
 	return mesh.Codec[*Frame]{
 		Encode: func(f *Frame) []byte { return f.encode(cluster) },
-		Read: func(in *bufio.Reader) (*Frame, int, error) {
+		Decode: func(in *bufio.Reader) (*Frame, int, error) {
 			f, err := readFrame(in, cluster)
 			if err != nil {
 				return nil, 0, err
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -83,7 +83,7 @@
 	n := &Node{cfg: cfg, world: world, now: now, log: log, gateway: g, id: world.Random() | 1, hbox: mailbox.NewBox[any](world),
 		vbox: mailbox.NewBox[any](world), members: map[uint64]*reached{}, met: map[uint64]*pipe{}}
 	n.holder = policy.NewHolder(cfg.Terms(), cfg.Name, cfg.Zone, digest)
-	n.mesh = mesh.New(mesh.Options[*Frame]{World: world, Codec: codec(clusterNumber(cfg.Cluster)), Handle: n.handle, Most: cfg.Connections})
+	n.mesh = mesh.New(mesh.Options[*Frame]{Host: world, Codec: codec(clusterNumber(cfg.Cluster)), Handle: n.handle, MaxInbound: cfg.Connections})
 	for _, v := range cfg.seeds() {
 		n.peers = append(n.peers, Peer{Name: v.Name, Address: v.Address})
 	}
@@ -142,7 +142,7 @@
 // handle takes a frame, on its connection's goroutine.
 func (n *Node) handle(p *pipe, f *Frame) {
 	if f.To != 0 && f.To != n.id && f.To != n.voterID {
-		n.mesh.Counts.Old.Add(1)
+		n.mesh.Counts.Stale.Add(1)
 		return
 	}
 	switch f.Kind {
@@ -155,7 +155,7 @@
 	case KindGrant:
 		var h Heard
 		if err := json.Unmarshal(f.Body, &h); err != nil {
-			n.mesh.Counts.Spoilt.Add(1)
+			n.mesh.Counts.Damaged.Add(1)
 			return
 		}
 		n.hbox.Put(&h)
@@ -249,7 +249,7 @@
 		n.target = ""
 		return
 	}
-	n.mesh.To(n.cfg.Reach(n.target, n.peers[i].Address)).Send(f)
+	n.mesh.ConnTo(n.cfg.Reach(n.target, n.peers[i].Address)).Send(f)
 }
 
 // The voter's side.
@@ -319,7 +319,7 @@
 	case KindRaft:
 		m := &raftpb.Message{}
 		if err := proto.Unmarshal(f.Body, m); err != nil || m.GetFrom() != f.From {
-			n.mesh.Counts.Spoilt.Add(1)
+			n.mesh.Counts.Damaged.Add(1)
 			return
 		}
 		n.met[f.From] = a.p
@@ -327,7 +327,7 @@
 	case KindRenew:
 		var r policy.Renew
 		if err := json.Unmarshal(f.Body, &r); err != nil {
-			n.mesh.Counts.Spoilt.Add(1)
+			n.mesh.Counts.Damaged.Add(1)
 			return
 		}
 		if m := n.members[f.From]; m == nil {
@@ -486,7 +486,7 @@
 		f := &Frame{Kind: KindRaft, From: n.voterID, To: m.GetTo(), FromName: n.cfg.Name, Body: body}
 		if i := slices.IndexFunc(peers, func(p Peer) bool { return p.ID == m.GetTo() }); i >= 0 {
 			f.ToName = peers[i].Name
-			n.mesh.To(n.cfg.Reach(peers[i].Name, peers[i].Address)).Send(f)
+			n.mesh.ConnTo(n.cfg.Reach(peers[i].Name, peers[i].Address)).Send(f)
 		} else if p := n.met[m.GetTo()]; p != nil { // one that is made a voter has no list of them yet
 			p.Send(f)
 		}
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -49,10 +49,10 @@
 	Rev     uint32 `cbor:"3,keyasint,omitempty"`
 	Side    []byte `cbor:"4,keyasint,omitempty"`
 
-	Sum    []byte       `cbor:"5,keyasint,omitempty"` // digest of Body
-	By     Ballot       `cbor:"6,keyasint,omitzero"`  // the epoch that made it
-	Orders dedup.Ledger `cbor:"7,keyasint,omitempty"` // accepted up to this one
-	Notes  uint32       `cbor:"8,keyasint,omitempty"` // how often others were added to them since
+	Sum    []byte        `cbor:"5,keyasint,omitempty"` // digest of Body
+	By     Ballot        `cbor:"6,keyasint,omitzero"`  // the epoch that made it
+	Orders dedup.History `cbor:"7,keyasint,omitempty"` // accepted up to this one
+	Notes  uint32        `cbor:"8,keyasint,omitempty"` // how often others were added to them since
 	// Past is of the versions before this one: it stays while the version does, amended or not.
 	Past []byte `cbor:"9,keyasint,omitempty"`
 
--- a/internal/consensus/delta.go
+++ b/internal/consensus/delta.go
@@ -14,7 +14,7 @@
 	Body delta.Delta `cbor:"3,keyasint"`
 }
 
-func (d Delta) size() int { return len(d.Body.Steps) + len(d.Head.Side) + 64 }
+func (d Delta) size() int { return len(d.Body.Ops) + len(d.Head.Side) + 64 }
 
 // head is a document as others than writers are given it, without its body.
 func (d Doc) head() Doc {
@@ -40,7 +40,7 @@
 	if old.Version == 0 || old.Version == doc.Version {
 		return
 	}
-	if body, ok := delta.Make(old.Body, doc.Body); ok {
+	if body, ok := delta.New(old.Body, doc.Body); ok {
 		m.keepDelta(Delta{From: old.Version, Head: doc.head(), Body: body})
 	}
 }
@@ -89,7 +89,7 @@
 	}
 	if m.packed.Head.Version != kept.Version || m.packed.Head.Rev != kept.Rev {
 		m.packed = Delta{Head: kept.head()}
-		if body, ok := delta.Whole(kept.Body); ok {
+		if body, ok := delta.NewFull(kept.Body); ok {
 			m.packed.Body = body
 		}
 	}
@@ -106,7 +106,7 @@
 	if !last.Head.Above(m.d.Kept) {
 		return
 	}
-	if kept := m.d.Kept; kept.Version == last.Head.Version && delta.Sum(kept.Body) == last.Body.To { // amended
+	if kept := m.d.Kept; kept.Version == last.Head.Version && delta.Checksum(kept.Body) == last.Body.ResultSum { // amended
 		m.commit(last.Head.with(kept.Body))
 		return
 	}
--- a/internal/consensus/delta_test.go
+++ b/internal/consensus/delta_test.go
@@ -127,9 +127,9 @@
 	held := n.m.Held()
 	good := p.m.recent[len(p.m.recent)-1]
 	for i, spoil := range []func(d *Delta){
-		func(d *Delta) { d.Body.Steps = d.Body.Steps[:len(d.Body.Steps)-1] },
-		func(d *Delta) { d.Body.From++ },
-		func(d *Delta) { d.Body.To++ },
+		func(d *Delta) { d.Body.Ops = d.Body.Ops[:len(d.Body.Ops)-1] },
+		func(d *Delta) { d.Body.BaseSum++ },
+		func(d *Delta) { d.Body.ResultSum++ },
 		func(d *Delta) { d.From++ },
 	} {
 		d := good
@@ -167,7 +167,7 @@
 	m := New(Config{Self: "a"}, nil, 0)
 	for v := range uint32(1500) {
 		d := Delta{From: v, Head: Doc{Version: v + 1}}
-		d.Body.Steps = make([]byte, 100)
+		d.Body.Ops = make([]byte, 100)
 		m.keepDelta(d)
 	}
 	size := 0
--- a/internal/consensus/format.go
+++ b/internal/consensus/format.go
@@ -35,7 +35,7 @@
 	if err != nil || len(data) < packDiskFrom {
 		return data, err
 	}
-	if packed, ok := delta.Pack([]byte{packedMark}, data); ok {
+	if packed, ok := delta.Compress([]byte{packedMark}, data); ok {
 		return packed, nil
 	}
 	return data, nil
@@ -44,7 +44,7 @@
 // ReadDisk reads what a member must not forget. Disks from before there were formats have none.
 func ReadDisk(data []byte) (*Disk, error) {
 	if len(data) > 0 && data[0] == packedMark {
-		all, err := delta.Unpack(data[1:], diskMost)
+		all, err := delta.Decompress(data[1:], diskMost)
 		if err != nil {
 			return nil, fmt.Errorf("packed: %w", err)
 		}
--- a/internal/consensus/name.go
+++ b/internal/consensus/name.go
@@ -31,7 +31,7 @@
 
 // nameOnly is a document without its text: the difference of that text to itself.
 func (d Doc) nameOnly() Doc {
-	d.Packed = delta.Same(d.Body)
+	d.Packed = delta.Identity(d.Body)
 	d.Body = nil
 	return d
 }
--- a/internal/consensus/name_test.go
+++ b/internal/consensus/name_test.go
@@ -42,7 +42,7 @@
 func docBytes(msg any) (n int) {
 	eachDoc(msg, func(d Doc) Doc {
 		if n += len(d.Body); d.Packed != nil {
-			n += len(d.Packed.Steps)
+			n += len(d.Packed.Ops)
 		}
 		return d
 	})
--- a/internal/consensus/orders.go
+++ b/internal/consensus/orders.go
@@ -31,7 +31,7 @@
 func (d Doc) full() Doc {
 	if len(d.Orders) == 0 && d.Version > 0 {
 		d = d.summed()
-		d.Orders = dedup.Since(d.Version, d.Body)
+		d.Orders = dedup.NewFromLast(d.Version, d.Body)
 	}
 	return d
 }
@@ -75,10 +75,10 @@
 	case m.bug == BugAnyText:
 		return Kept
 	}
-	switch m.d.Kept.Orders.Of(d.Version, d.Sum) {
+	switch m.d.Kept.Orders.Lookup(d.Version, d.Sum) {
 	case dedup.Unused: // overtaken before it was accepted: its text is noted first
 		return 0
-	case dedup.Other:
+	case dedup.Conflicting:
 		return Differs
 	case dedup.Unknown: // it may have been accepted long ago, with this text or another: neither is said
 		return Busy
--- a/internal/consensus/pack.go
+++ b/internal/consensus/pack.go
@@ -76,7 +76,7 @@
 	if len(base) == 0 || len(d.Body) == 0 {
 		return m.packDoc(d)
 	}
-	p := m.parcel1(d.Body, base, func() (delta.Delta, bool) { return delta.Make(base, d.Body) })
+	p := m.parcel1(d.Body, base, func() (delta.Delta, bool) { return delta.New(base, d.Body) })
 	if p.as == nil {
 		return m.packDoc(d)
 	}
@@ -136,7 +136,7 @@
 	if len(d.Body) < packFrom {
 		return d
 	}
-	if p := m.parcel1(d.Body, nil, func() (delta.Delta, bool) { return delta.Whole(d.Body) }); p.as != nil {
+	if p := m.parcel1(d.Body, nil, func() (delta.Delta, bool) { return delta.NewFull(d.Body) }); p.as != nil {
 		d.Body, d.Packed = nil, p.as
 	}
 	return d
@@ -170,13 +170,13 @@
 			return d
 		}
 		var body []byte
-		err := delta.ErrBase
+		err := delta.ErrWrongBase
 		for _, base := range [][]byte{nil, m.d.Kept.Body, m.d.Next.Body} {
-			if errors.Is(err, delta.ErrBase) {
+			if errors.Is(err, delta.ErrWrongBase) {
 				body, err = d.Packed.Apply(base)
 			}
 		}
-		if promise && errors.Is(err, delta.ErrBase) {
+		if promise && errors.Is(err, delta.ErrWrongBase) {
 			return d
 		}
 		if err != nil {
@@ -195,7 +195,7 @@
 	}
 	for _, p := range m.parcels {
 		if p.as != nil && len(p.body) == len(d.Body) && &p.body[0] == &d.Body[0] {
-			return Way(len(p.as.Steps))
+			return Way(len(p.as.Ops))
 		}
 	}
 	return Way(len(d.Body))
--- a/internal/consensus/pack_test.go
+++ b/internal/consensus/pack_test.go
@@ -49,8 +49,8 @@
 	m.readers = readers{other}
 	short := m.shortened(other, Append{Doc: d, again: true}).(Append)
 	bad := *short.Doc.Packed
-	bad.Steps = bytes.Clone(bad.Steps)
-	bad.Steps[len(bad.Steps)/2] ^= 4
+	bad.Ops = bytes.Clone(bad.Ops)
+	bad.Ops[len(bad.Ops)/2] ^= 4
 	short.Doc.Packed = &bad
 	if _, ok := m.unpacked(short); ok {
 		t.Error("a damaged document is taken")
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -17,7 +17,7 @@
 type world struct {
 	rng     *rand.Rand
 	now     time.Duration
-	queue   fsm.Events
+	queue   fsm.EventQueue
 	order   uint64
 	nodes   []*node
 	byAddr  map[string]*node
@@ -98,7 +98,7 @@
 
 func (w *world) after(d time.Duration, do func()) {
 	w.order++
-	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.order, Do: do})
+	heap.Push(&w.queue, fsm.Event{At: w.now + d, Sequence: w.order, Run: do})
 }
 
 func (w *world) run(d time.Duration) {
@@ -109,7 +109,7 @@
 		if w.moment--; w.moment == 0 {
 			w.fault()
 		}
-		e.Do()
+		e.Run()
 	}
 	w.now = end
 }
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -35,37 +35,37 @@
 
 // Bugs switches guards of the machines off, for tests.
 type Bugs struct {
-	Pact  consensus.Bug
-	Bane  faultrules.Bug
-	Lore  registry.Bug
-	Cede  drainpermit.Bug
-	Unmet bool // ready without contact
+	Consensus           consensus.Bug
+	FaultRules          faultrules.Bug
+	Registry            registry.Bug
+	Drain               drainpermit.Bug
+	ReadyWithoutContact bool // ready without contact
 }
 
 // Prove asks for a proof of contact with most of the core that is as young as the call. Its
 // Reply is a consensus.Answer: Proved, or Busy.
-func (k *Knot) Prove(now fsm.Time, call uint64) Out {
+func (k *Machine) ProveContact(now fsm.Time, call uint64) Output {
 	k.contact.asked[call] = now
 	k.agreed(now, k.pact.Prove(now, call))
 	return k.end()
 }
 
 // Contact is how long ago there was contact for certain; false: not in this life.
-func (k *Knot) Contact(now fsm.Time) (time.Duration, bool) {
+func (k *Machine) LastContact(now fsm.Time) (time.Duration, bool) {
 	return now - k.contact.at, k.contact.at != 0
 }
 
 // met tells whether this life has been in touch, and holds what was kept then.
-func (k *Knot) met() bool {
+func (k *Machine) met() bool {
 	held := uint32(0)
 	if d := k.pact.Held(); d != nil {
 		held = d.Version
 	}
-	return k.bugs.Unmet || k.contact.at != 0 && held >= k.contact.need
+	return k.bugs.ReadyWithoutContact || k.contact.at != 0 && held >= k.contact.need
 }
 
 // meet asks until there is a first proof, at once where another leads.
-func (k *Knot) meet(now fsm.Time) {
+func (k *Machine) meet(now fsm.Time) {
 	c := &k.contact
 	if p := k.pact.Primary(); p != c.primary {
 		c.primary, c.next, c.pause = p, now, proveAgain
@@ -79,7 +79,7 @@
 }
 
 // proof takes the answer of a call that may be one, and says whether a caller waits for it.
-func (k *Knot) proof(now fsm.Time, a consensus.Answer) bool {
+func (k *Machine) proof(now fsm.Time, a consensus.Answer) bool {
 	c := &k.contact
 	asked, ok := c.asked[a.ID]
 	if !ok {
@@ -100,7 +100,7 @@
 }
 
 // seats tells the list of servers who has a say in agreement.
-func (k *Knot) seats() {
+func (k *Machine) seats() {
 	b, set := k.pact.Seats()
 	if b == k.seated && k.seatsTold {
 		return
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -23,18 +23,18 @@
 
 // Config is what a process knows about itself.
 type Config struct {
-	Self       string // mesh address
-	Name, Zone string
-	Control    string // where it takes calls
-	Member     bool   // has a disk
-	Genesis    bool   // the disk is empty because nothing was ever there
-	Losses     int
-	Heartbeat  time.Duration // the pace of the servers' beats
-	Seeds      []string
-	Life, Seed uint64
-	Faults     Faults
-	Check      func(text []byte) error // whether a configuration that can be read can be taken; nil: it can
-	Bugs       Bugs
+	Self              string // mesh address
+	Name, Zone        string
+	ControlAddr       string // where it takes calls
+	Member            bool   // has a disk
+	Genesis           bool   // the disk is empty because nothing was ever there
+	ToleratedLosses   int
+	HeartbeatInterval time.Duration // the pace of the servers' beats
+	Seeds             []string
+	Incarnation, Seed uint64
+	FaultRules        FaultRulesConfig
+	CheckConfig       func(text []byte) error // whether a configuration that can be read can be taken; nil: it can
+	Bugs              Bugs
 }
 
 // Meter is what a Knot tells a *quotas.Meter. Requests are metered beside the loop, so
@@ -49,35 +49,35 @@
 
 // Reply ends a call: a registry.Answer or a consensus.Answer.
 type Reply struct {
-	Call  uint64
-	Value any
+	CallID uint64
+	Value  any
 }
 
 // Gateways is how many share the traffic, and which one this is (-1: none).
-type Gateways struct{ N, Index int }
+type Gateways struct{ Count, Index int }
 
 // Out is what follows from an input.
-type Out struct {
-	Send    []fsm.Send // some may be for this process itself
-	Write   *consensus.Write
-	Replies []Reply
-	Adopt   *sysconfig.Table  // to be in force here
-	Text    *Text             // to be read beside the loop, then tell Read
-	Refused error             // a configuration that is kept and can't be in force here
-	Doc     *consensus.Doc    // the text of either
-	Gate    bool              // Gate has changed
-	Serve   bool              // Servers has changed,
-	Changes []registry.Server // by these
-	Members bool              // View has changed, and
-	Shares  Gateways          // this with it
-	Rules   *faultrules.Write // of fault rules
-	News    string            // of them, for the log
-	Fenced  bool              // the disk had been put back to an older state
-	Drains  bool              // Draining has changed; the next tick tells it
+type Output struct {
+	Send            []fsm.Send // some may be for this process itself
+	Write           *consensus.Write
+	Replies         []Reply
+	Adopt           *sysconfig.Table  // to be in force here
+	Parse           *ConfigText       // to be read beside the loop, then tell Read
+	AdoptError      error             // a configuration that is kept and can't be in force here
+	Doc             *consensus.Doc    // the text of either
+	GateChanged     bool              // Gate has changed
+	ServersChanged  bool              // Servers has changed,
+	ServerChanges   []registry.Server // by these
+	MembersChanged  bool              // View has changed, and
+	Gateways        Gateways          // this with it
+	FaultRulesWrite *faultrules.Write // of fault rules
+	FaultRulesLog   string            // of them, for the log
+	Fenced          bool              // the disk had been put back to an older state
+	DrainChanged    bool              // Draining has changed; the next tick tells it
 }
 
 // Knot is one process's machines.
-type Knot struct {
+type Machine struct {
 	self    string
 	bond    *memberlist.Machine
 	lore    *registry.Machine
@@ -104,35 +104,35 @@
 	bugs      Bugs
 
 	reader  reader
-	taken   *Reading // while it is put in force
+	taken   *ParsedConfig // while it is put in force
 	judge   func(text []byte) error
 	version uint32
 	leaving bool
 	ready   bool
-	out     Out
+	out     Output
 }
 
 // New starts a process. A nil disk is an empty one, or none.
-func New(c Config, meter Meter, disk *consensus.Disk, now fsm.Time) *Knot {
-	k := &Knot{
-		self: c.Self, meter: meter, bane: c.faults(now), counter: quotas.NewCounter(c.Self, c.Life), round: map[string]*detour{},
-		bond: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.Control, Member: c.Member,
-			Life: c.Life}, c.Seeds, c.Seed, now),
-		lore:   registry.New(c.Self, c.Zone, c.Heartbeat, c.Seed, now),
-		accord: rollout.New(rollout.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), judge: c.Check,
-		cede: drainpermit.New(c.Self, cedeSalt(c), c.Bugs.Cede),
+func New(c Config, meter Meter, disk *consensus.Disk, now fsm.Time) *Machine {
+	k := &Machine{
+		self: c.Self, meter: meter, bane: c.faults(now), counter: quotas.NewCounter(c.Self, c.Incarnation), round: map[string]*detour{},
+		bond: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.ControlAddr, Member: c.Member,
+			Life: c.Incarnation}, c.Seeds, c.Seed, now),
+		lore:   registry.New(c.Self, c.Zone, c.HeartbeatInterval, c.Seed, now),
+		accord: rollout.New(rollout.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), judge: c.CheckConfig,
+		cede: drainpermit.New(c.Self, cedeSalt(c), c.Bugs.Drain),
 		bugs: c.Bugs, contact: contact{asked: map[uint64]fsm.Time{}, pause: proveAgain},
 	}
 	k.pact = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
-		Losses: c.Losses, Seeds: c.Seeds, Seed: c.Seed, Enter: k.accord.Enter}, disk, now)
-	k.pact.SetBug(c.Bugs.Pact)
-	k.lore.SetBug(c.Bugs.Lore)
+		Losses: c.ToleratedLosses, Seeds: c.Seeds, Seed: c.Seed, Enter: k.accord.Enter}, disk, now)
+	k.pact.SetBug(c.Bugs.Consensus)
+	k.lore.SetBug(c.Bugs.Registry)
 	k.seats()
 	return k
 }
 
 // Take takes a message of a process, this one among them.
-func (k *Knot) Take(now fsm.Time, from string, msg any) Out {
+func (k *Machine) Receive(now fsm.Time, from string, msg any) Output {
 	switch of, ok := owners[reflect.TypeOf(msg)]; {
 	case !ok:
 	case of == ofBond:
@@ -146,7 +146,7 @@
 	case of == ofAccord:
 		k.together(now, k.accord.Take(now, from, msg))
 	case of == ofKnot:
-		k.via(now, from, msg.(Via))
+		k.via(now, from, msg.(Relay))
 	case of == ofToll:
 		if a, ok := msg.(quotas.Answer); ok && !a.Ask {
 			if d := k.round[from]; d != nil {
@@ -160,7 +160,7 @@
 }
 
 // Tick lets time pass.
-func (k *Knot) Tick(now fsm.Time) Out {
+func (k *Machine) Tick(now fsm.Time) Output {
 	k.swift = 0
 	k.stood = k.seen > fewer && now-k.tickAt > standstill
 	k.tickAt = now
@@ -186,40 +186,40 @@
 }
 
 // Strain tells the counter here how long, lately, an add had to wait among many others.
-func (k *Knot) Strain(now fsm.Time, waited time.Duration) { k.counter.Strain(now, waited) }
+func (k *Machine) ReportAddDelay(now fsm.Time, waited time.Duration) { k.counter.Strain(now, waited) }
 
 // Count sends the adds that should not wait for the tick.
-func (k *Knot) Count(now fsm.Time) Out {
+func (k *Machine) FlushAdds(now fsm.Time) Output {
 	k.count(now)
 	return k.end()
 }
 
 // Beat takes a server's call.
-func (k *Knot) Beat(now fsm.Time, call uint64, b registry.Beat) Out {
+func (k *Machine) ServerHeartbeat(now fsm.Time, call uint64, b registry.Beat) Output {
 	k.learnt(k.lore.Beat(now, call, b))
 	return k.end()
 }
 
 // Delete takes a server's last call.
-func (k *Knot) Delete(now fsm.Time, call uint64, id string) Out {
+func (k *Machine) RemoveServer(now fsm.Time, call uint64, id string) Output {
 	k.learnt(k.lore.Delete(now, call, id))
 	return k.end()
 }
 
 // Put takes an operator's configuration, which has been checked.
-func (k *Knot) Put(now fsm.Time, call uint64, doc consensus.Doc) Out {
+func (k *Machine) PutConfig(now fsm.Time, call uint64, doc consensus.Doc) Output {
 	k.agreed(now, k.pact.Put(now, call, doc))
 	return k.end()
 }
 
 // Get reads the newest configuration.
-func (k *Knot) Get(now fsm.Time, call uint64) Out {
+func (k *Machine) GetConfig(now fsm.Time, call uint64) Output {
 	k.agreed(now, k.pact.Get(now, call))
 	return k.end()
 }
 
 // Written says that a write, and all before it, are synced.
-func (k *Knot) Written(now fsm.Time, seq uint64) Out {
+func (k *Machine) Written(now fsm.Time, seq uint64) Output {
 	k.agreed(now, k.pact.Written(now, seq))
 	if k.prepare != 0 && seq >= k.prepare {
 		k.prepare = 0
@@ -229,7 +229,7 @@
 }
 
 // Leave says that this process will end.
-func (k *Knot) Leave(now fsm.Time) Out {
+func (k *Machine) Leave(now fsm.Time) Output {
 	k.leaving, k.ready = true, false
 	k.cede.Fit(false, true)
 	k.bonded(now, k.bond.Leave(now))
@@ -238,54 +238,54 @@
 }
 
 // Depart says that this process ends as soon as the others can go on without it, or soon in any case.
-func (k *Knot) Depart(now fsm.Time, n consensus.Notice) Out {
+func (k *Machine) AnnounceExit(now fsm.Time, n consensus.Notice) Output {
 	k.agreed(now, k.pact.Leave(now, n))
 	return k.end()
 }
 
 // Left reports whether they can.
-func (k *Knot) Left() bool { return k.pact.Left() }
+func (k *Machine) CanExit() bool { return k.pact.Left() }
 
 // Seeds replaces the addresses to turn to.
-func (k *Knot) Seeds(now fsm.Time, seeds []string) {
+func (k *Machine) SetSeeds(now fsm.Time, seeds []string) {
 	k.bond.Seeds(now, seeds)
 	k.pact.Seeds(now, seeds)
 }
 
 // Ready reports whether requests can be served here.
-func (k *Knot) Ready() bool { return k.ready }
+func (k *Machine) Ready() bool { return k.ready }
 
 // Alone reports whether nobody else is seen.
-func (k *Knot) Alone() bool { return k.bond.Alone() }
+func (k *Machine) Alone() bool { return k.bond.Alone() }
 
 // Version is that of the configuration in force here.
-func (k *Knot) Version() uint32 { return k.version }
+func (k *Machine) ConfigVersion() uint32 { return k.version }
 
 // View is every process known.
-func (k *Knot) View() []memberlist.Node { return k.bond.View() }
+func (k *Machine) Nodes() []memberlist.Node { return k.bond.View() }
 
 // Servers is every server known.
-func (k *Knot) Servers() []registry.Server { return k.lore.Servers() }
+func (k *Machine) Servers() []registry.Server { return k.lore.Servers() }
 
 // Gateways is every process with what is known of it here.
-func (k *Knot) Gateways(now fsm.Time) []memberlist.Sight { return k.bond.Sights(now) }
+func (k *Machine) GatewaySights(now fsm.Time) []memberlist.Sight { return k.bond.Sights(now) }
 
 // Services is every server with what is known of it here.
-func (k *Knot) Services(now fsm.Time) []registry.Sight { return k.lore.Sights(now) }
+func (k *Machine) ServerSights(now fsm.Time) []registry.Sight { return k.lore.Sights(now) }
 
 // Epochs are those that this process has seen, the newest last.
-func (k *Knot) Epochs() []consensus.Change { return k.pact.Past() }
+func (k *Machine) Epochs() []consensus.Change { return k.pact.Past() }
 
 // Pact tells how agreement stands.
-func (k *Knot) Pact() consensus.Status { return k.pact.Status() }
+func (k *Machine) ConsensusStatus() consensus.Status { return k.pact.Status() }
 
-func (k *Knot) end() Out {
+func (k *Machine) end() Output {
 	out := k.out
-	k.out = Out{}
+	k.out = Output{}
 	return out
 }
 
-func (k *Knot) send(out []fsm.Send) { k.out.Send = append(k.out.Send, out...) }
+func (k *Machine) send(out []fsm.Send) { k.out.Send = append(k.out.Send, out...) }
 
 // mostSwift is how many changes of membership are taken in at once between two ticks;
 // more of them, as where all start, go together. Each is a look at all nodes.
@@ -298,7 +298,7 @@
 )
 
 // bonded carries out what membership wants.
-func (k *Knot) bonded(now fsm.Time, out memberlist.Out) {
+func (k *Machine) bonded(now fsm.Time, out memberlist.Out) {
 	k.send(out.Send)
 	for _, h := range out.Holds {
 		k.pact.Holds(h.Addr, h.Held)
@@ -321,11 +321,11 @@
 		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
 	}))
 	k.peers(view)
-	k.out.Members = true
+	k.out.MembersChanged = true
 	k.bane.Nodes(lo.FilterMap(view, func(n memberlist.Node, _ int) (faultrules.Node, bool) {
 		return faultrules.Node{Addr: n.Addr, Life: n.Life}, n.State != memberlist.Gone
 	}))
-	k.out.Shares = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == k.self })}
+	k.out.Gateways = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == k.self })}
 	holders := inOrder(up)
 	k.counter.Nodes(holders)
 	k.meter.Nodes(now, len(up), holders)
@@ -347,7 +347,7 @@
 }
 
 // agreed carries out what agreement wants.
-func (k *Knot) agreed(now fsm.Time, out consensus.Out) {
+func (k *Machine) agreed(now fsm.Time, out consensus.Out) {
 	if out.Write != nil {
 		k.out.Write = out.Write
 	}
@@ -366,11 +366,11 @@
 }
 
 // learnt carries out what the list of servers wants.
-func (k *Knot) learnt(out registry.Out) {
+func (k *Machine) learnt(out registry.Out) {
 	k.send(out.Send)
 	for _, a := range out.Answers {
 		k.out.Replies = append(k.out.Replies, Reply{a.Call, a})
 	}
-	k.out.Serve = k.out.Serve || len(out.Changes) > 0
-	k.out.Changes = append(k.out.Changes, out.Changes...)
+	k.out.ServersChanged = k.out.ServersChanged || len(out.Changes) > 0
+	k.out.ServerChanges = append(k.out.ServerChanges, out.Changes...)
 }
--- a/internal/controlplane/drain.go
+++ b/internal/controlplane/drain.go
@@ -12,23 +12,23 @@
 
 // Drain takes an operator's call that clients go elsewhere, or come again, to be answered within
 // a time by a drainpermit.Answer.
-func (k *Knot) Drain(now fsm.Time, call uint64, op drainpermit.Op, within time.Duration) Out {
+func (k *Machine) Drain(now fsm.Time, call uint64, op drainpermit.Op, within time.Duration) Output {
 	k.cede.Fit(k.fit(), k.leaving)
 	k.ceded(k.cede.Call(now, call, op, within))
 	return k.end()
 }
 
 // Draining tells whether clients should go elsewhere.
-func (k *Knot) Draining() bool { return k.cede.Draining() }
+func (k *Machine) Draining() bool { return k.cede.Draining() }
 
 // fit tells whether requests can be served here, whether clients are wanted or not.
-func (k *Knot) fit() bool {
+func (k *Machine) fit() bool {
 	return !k.leaving && k.version > 0 && k.lore.Filled() && k.met()
 }
 
 // peers tells whom a drain may count on. One that was seen lately and is not may be on the other
 // side of a cut, or has not been seen again yet: nothing is refused for good for want of it.
-func (k *Knot) peers(view []memberlist.Node) {
+func (k *Machine) peers(view []memberlist.Node) {
 	var up []drainpermit.Peer
 	missing := false
 	for _, n := range view {
@@ -41,20 +41,20 @@
 }
 
 // ceded carries out what drains want.
-func (k *Knot) ceded(out drainpermit.Out) {
+func (k *Machine) ceded(out drainpermit.Out) {
 	for _, s := range out.Send {
 		w := s.Msg.(drainpermit.Word)
-		k.send([]fsm.Send{{To: s.To, Msg: Via{From: k.self, To: s.To, Drain: &w}}})
+		k.send([]fsm.Send{{To: s.To, Msg: Relay{From: k.self, To: s.To, Drain: &w}}})
 	}
 	for _, r := range out.Replies {
 		k.out.Replies = append(k.out.Replies, Reply{r.Call, r.Answer})
 	}
-	k.out.Drains = k.out.Drains || out.Turned
+	k.out.DrainChanged = k.out.DrainChanged || out.Turned
 }
 
 // cedeSalt is a number that no other start has.
 func cedeSalt(c Config) uint64 {
 	h := fnv.New64a()
-	fmt.Fprint(h, c.Self, " ", c.Seed, " ", c.Life)
+	fmt.Fprint(h, c.Self, " ", c.Seed, " ", c.Incarnation)
 	return h.Sum64()
 }
--- a/internal/controlplane/keep.go
+++ b/internal/controlplane/keep.go
@@ -7,7 +7,7 @@
 
 // Keep is the list of servers as it is worth keeping on disk; nil while it can't be
 // relied on.
-func (k *Knot) Keep() []registry.Row {
+func (k *Machine) ServersToStore() []registry.Row {
 	if !k.lore.Filled() {
 		return nil
 	}
@@ -15,7 +15,7 @@
 }
 
 // Restore takes what was kept.
-func (k *Knot) Restore(now fsm.Time, rows []registry.Row) Out {
+func (k *Machine) RestoreServers(now fsm.Time, rows []registry.Row) Output {
 	k.learnt(k.lore.Restore(now, rows))
 	return k.end()
 }
--- a/internal/controlplane/life_test.go
+++ b/internal/controlplane/life_test.go
@@ -14,17 +14,17 @@
 // pair is two processes: one with a disk, and one that has calls made at it.
 type pair struct {
 	now   fsm.Time
-	knots map[string]*Knot
+	knots map[string]*Machine
 	held  map[string][]any // for a process, that it does not get; nil: it gets all
 	says  []Reply
 }
 
 func (p *pair) start(addr string, life uint64) {
-	p.knots[addr] = New(Config{Self: addr, Name: addr, Zone: "z", Control: addr, Member: addr == "disk", Genesis: true, Heartbeat: time.Second,
-		Seeds: []string{"disk", "calls"}, Life: life, Seed: life}, quotas.NewMeter(addr, life, life), nil, p.now)
+	p.knots[addr] = New(Config{Self: addr, Name: addr, Zone: "z", ControlAddr: addr, Member: addr == "disk", Genesis: true, HeartbeatInterval: time.Second,
+		Seeds: []string{"disk", "calls"}, Incarnation: life, Seed: life}, quotas.NewMeter(addr, life, life), nil, p.now)
 }
 
-func (p *pair) carry(from string, out Out) {
+func (p *pair) carry(from string, out Output) {
 	if from == "calls" {
 		p.says = append(p.says, out.Replies...)
 	}
@@ -32,7 +32,7 @@
 		if held, on := p.held[s.To]; on && s.To != from {
 			p.held[s.To] = append(held, s.Msg)
 		} else if k := p.knots[s.To]; k != nil {
-			p.carry(s.To, k.Take(p.now, from, s.Msg))
+			p.carry(s.To, k.Receive(p.now, from, s.Msg))
 		}
 	}
 	if out.Write != nil {
@@ -52,17 +52,17 @@
 // call makes calls by the numbers 1 to 4, as each life does.
 func (p *pair) call(life string) {
 	k := p.knots["calls"]
-	p.carry("calls", k.Put(p.now, 1, consensus.Doc{Version: 7, Body: []byte(life)}))
-	p.carry("calls", k.Get(p.now, 2))
-	p.carry("calls", k.Beat(p.now, 3, registry.Beat{ID: life + "-1", Addr: life + "1:1", Service: "s", Zone: "z", Seq: 2, Quiescing: true}))
-	p.carry("calls", k.Delete(p.now, 4, life+"-2"))
+	p.carry("calls", k.PutConfig(p.now, 1, consensus.Doc{Version: 7, Body: []byte(life)}))
+	p.carry("calls", k.GetConfig(p.now, 2))
+	p.carry("calls", k.ServerHeartbeat(p.now, 3, registry.Beat{ID: life + "-1", Addr: life + "1:1", Service: "s", Zone: "z", Seq: 2, Quiescing: true}))
+	p.carry("calls", k.RemoveServer(p.now, 4, life+"-2"))
 	p.carry("calls", k.Tick(p.now))
 }
 
 // A process that has restarted under its address takes no answer to a call of its former life
 // for one to its own call of the same number.
 func TestFormerLife(t *testing.T) {
-	p := &pair{now: time.Hour, knots: map[string]*Knot{}, held: map[string][]any{}}
+	p := &pair{now: time.Hour, knots: map[string]*Machine{}, held: map[string][]any{}}
 	p.start("disk", 1)
 	p.start("calls", 2)
 	p.wait(5 * time.Second)
@@ -86,7 +86,7 @@
 		t.Fatalf("answered by itself: %v", p.says)
 	}
 	for _, m := range former {
-		p.carry("calls", p.knots["calls"].Take(p.now, "disk", m))
+		p.carry("calls", p.knots["calls"].Receive(p.now, "disk", m))
 	}
 	if len(p.says) != 0 {
 		t.Errorf("answers to the former life's calls count: %+v", p.says)
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -13,7 +13,7 @@
 
 // Messages lists what each machine takes; the wire numbers them by their places here.
 func Messages() [][]any {
-	return [][]any{memberlist.Messages(), registry.Messages(), consensus.Messages(), quotas.Messages(), {Via{}}, faultrules.Messages(), rollout.Messages()}
+	return [][]any{memberlist.Messages(), registry.Messages(), consensus.Messages(), quotas.Messages(), {Relay{}}, faultrules.Messages(), rollout.Messages()}
 }
 
 // messageNames are the names of the messages in the answer of GET /api/frames, in the order of
--- a/internal/controlplane/message_test.go
+++ b/internal/controlplane/message_test.go
@@ -76,7 +76,7 @@
 		{quotas.Answer{}, "toll.Answer"},
 	},
 	{
-		{Via{}, "knot.Via"},
+		{Relay{}, "knot.Via"},
 	},
 	{
 		{faultrules.Claim{}, "bane.Claim"},
--- a/internal/controlplane/text.go
+++ b/internal/controlplane/text.go
@@ -14,15 +14,15 @@
 // newest of each kind is kept. What was read to be checked is kept until it is in force, or another one is prepared.
 
 // Text is one to be read.
-type Text struct {
+type ConfigText struct {
 	Doc   consensus.Doc
 	check bool // whether it can be taken, not to be in force yet
 	judge func(text []byte) error
 }
 
 // Reading is what a text says.
-type Reading struct {
-	text    Text
+type ParsedConfig struct {
+	text    ConfigText
 	table   *sysconfig.Table // nil: it can't be in force here
 	roster  *quotas.Roster
 	rollout sysconfig.Rollout
@@ -30,8 +30,8 @@
 }
 
 // Read reads it. It needs no machine, and takes long.
-func (t *Text) Read() *Reading {
-	r := &Reading{text: *t}
+func (t *ConfigText) Parse() *ParsedConfig {
+	r := &ParsedConfig{text: *t}
 	c, err := sysconfig.Parse(t.Doc.Body)
 	if err == nil && t.check && t.judge != nil {
 		err = t.judge(t.Doc.Body)
@@ -54,19 +54,19 @@
 	return r
 }
 
-func (r *Reading) of(d consensus.Doc) bool {
+func (r *ParsedConfig) of(d consensus.Doc) bool {
 	return r.text.Doc.Version == d.Version && bytes.Equal(r.text.Doc.Body, d.Body)
 }
 
 // reader is what is read beside the loop.
 type reader struct {
 	busy         bool
-	adopt, check *Text
-	checked      *Reading // what is prepared
+	adopt, check *ConfigText
+	checked      *ParsedConfig // what is prepared
 }
 
 // read has the next text read.
-func (k *Knot) read() {
+func (k *Machine) read() {
 	next := &k.reader.adopt
 	if *next == nil {
 		next = &k.reader.check
@@ -74,11 +74,11 @@
 	if k.reader.busy || *next == nil {
 		return
 	}
-	k.out.Text, *next, k.reader.busy = *next, nil, true
+	k.out.Parse, *next, k.reader.busy = *next, nil, true
 }
 
 // Read takes what came of a text.
-func (k *Knot) Read(now fsm.Time, r *Reading) Out {
+func (k *Machine) ConfigParsed(now fsm.Time, r *ParsedConfig) Output {
 	k.reader.busy = false
 	d := r.text.Doc
 	if r.text.check {
@@ -99,21 +99,21 @@
 }
 
 // adopt puts a configuration in force here. It has been read, but for one that was missed while others had it prepared.
-func (k *Knot) adopt(now fsm.Time, doc *consensus.Doc) {
+func (k *Machine) adopt(now fsm.Time, doc *consensus.Doc) {
 	r := k.taken
 	switch c := k.reader.checked; {
 	case r != nil && r.of(*doc):
 	case c != nil && c.of(*doc):
 		r = c
 	default:
-		r = (&Text{Doc: *doc}).Read()
+		r = (&ConfigText{Doc: *doc}).Parse()
 	}
 	if c := k.reader.checked; c != nil && c.text.Doc.Version <= doc.Version {
 		k.reader.checked = nil
 	}
 	k.out.Doc = doc
 	if r.err != nil {
-		k.out.Refused = r.err
+		k.out.AdoptError = r.err
 		k.accord.Unable()
 		return
 	}
--- a/internal/controlplane/text_test.go
+++ b/internal/controlplane/text_test.go
@@ -19,7 +19,7 @@
 // core is three processes that keep a configuration, with their reading beside them.
 type core struct {
 	now     fsm.Time
-	knots   []*controlplane.Knot
+	knots   []*controlplane.Machine
 	names   []string
 	texts   []func() // to be read
 	most    int      // under way at one process
@@ -40,7 +40,7 @@
 	return time.Duration(t.Nano())
 }
 
-func (c *core) step(i int, what any, do func() controlplane.Out) {
+func (c *core) step(i int, what any, do func() controlplane.Output) {
 	var before, after runtime.MemStats
 	if c.counts {
 		runtime.ReadMemStats(&before)
@@ -60,16 +60,16 @@
 	}
 	if out.Write != nil {
 		c.queue = append(c.queue, func() {
-			c.step(i, "written", func() controlplane.Out { return c.knots[i].Written(c.now, out.Write.Seq) })
+			c.step(i, "written", func() controlplane.Output { return c.knots[i].Written(c.now, out.Write.Seq) })
 		})
 	}
-	if t := out.Text; t != nil {
+	if t := out.Parse; t != nil {
 		c.waiting[i]++
 		c.most = max(c.most, c.waiting[i])
 		c.texts = append(c.texts, func() {
-			r := t.Read()
+			r := t.Parse()
 			c.waiting[i]--
-			c.step(i, "read", func() controlplane.Out { return c.knots[i].Read(c.now, r) })
+			c.step(i, "read", func() controlplane.Output { return c.knots[i].ConfigParsed(c.now, r) })
 		})
 	}
 	if out.Adopt != nil {
@@ -83,7 +83,9 @@
 	for _, s := range out.Send {
 		for j, name := range c.names {
 			if name == s.To {
-				c.queue = append(c.queue, func() { c.step(j, s.Msg, func() controlplane.Out { return c.knots[j].Take(c.now, c.names[i], s.Msg) }) })
+				c.queue = append(c.queue, func() {
+					c.step(j, s.Msg, func() controlplane.Output { return c.knots[j].Receive(c.now, c.names[i], s.Msg) })
+				})
 			}
 		}
 	}
@@ -93,7 +95,7 @@
 func (c *core) run(d time.Duration, reads bool) {
 	for end := c.now + d; c.now < end; c.now += 50 * time.Millisecond {
 		for i, k := range c.knots {
-			c.step(i, "tick", func() controlplane.Out { return k.Tick(c.now) })
+			c.step(i, "tick", func() controlplane.Output { return k.Tick(c.now) })
 		}
 		for len(c.queue) > 0 {
 			next := c.queue[0]
@@ -111,8 +113,8 @@
 func newCore() *core {
 	c := &core{now: time.Hour, names: []string{"a", "b", "c"}, waiting: map[int]int{}, adopted: map[int][]uint32{}}
 	for i, name := range c.names {
-		c.knots = append(c.knots, controlplane.New(controlplane.Config{Self: name, Name: name, Zone: name, Control: name, Member: true, Genesis: true, Losses: 1,
-			Heartbeat: time.Second, Seeds: c.names, Life: uint64(i + 1), Seed: uint64(i + 1)}, quotas.NewMeter(name, 1, 1), nil, c.now))
+		c.knots = append(c.knots, controlplane.New(controlplane.Config{Self: name, Name: name, Zone: name, ControlAddr: name, Member: true, Genesis: true, ToleratedLosses: 1,
+			HeartbeatInterval: time.Second, Seeds: c.names, Incarnation: uint64(i + 1), Seed: uint64(i + 1)}, quotas.NewMeter(name, 1, 1), nil, c.now))
 	}
 	c.run(5*time.Second, true)
 	return c
@@ -124,8 +126,8 @@
 	text := bytes.Replace(body, []byte(`"Epoch":"00000001"`), fmt.Appendf(nil, `"Epoch":"%08x"`, version), 1)
 	at := bytes.Index(text, []byte(`"RatePerS":20`)) + 11
 	copy(text[at:], fmt.Append(nil, 20+version))
-	c.step(2, "put", func() controlplane.Out {
-		return c.knots[2].Put(c.now, uint64(version), consensus.Doc{Version: version, Body: text})
+	c.step(2, "put", func() controlplane.Output {
+		return c.knots[2].PutConfig(c.now, uint64(version), consensus.Doc{Version: version, Body: text})
 	})
 	c.run(300*time.Millisecond, false)
 	if len(c.said) != 1 || c.said[0].Verdict != consensus.Kept {
--- a/internal/controlplane/together.go
+++ b/internal/controlplane/together.go
@@ -7,7 +7,7 @@
 )
 
 // roll tells the taking up of configurations what agreement has come to.
-func (k *Knot) roll(now fsm.Time, out consensus.Out) {
+func (k *Machine) roll(now fsm.Time, out consensus.Out) {
 	k.accord.Primary(k.pact.Primary())
 	epoch, leads := k.pact.Leads()
 	if !leads {
@@ -28,9 +28,9 @@
 }
 
 // together carries out what the taking up wants.
-func (k *Knot) together(now fsm.Time, out rollout.Out) {
+func (k *Machine) together(now fsm.Time, out rollout.Out) {
 	k.send(out.Send)
-	k.out.Gate = k.out.Gate || out.Gate
+	k.out.GateChanged = k.out.GateChanged || out.Gate
 	for _, t := range out.Told {
 		k.out.Replies = append(k.out.Replies, Reply{t.Call, t})
 	}
@@ -38,10 +38,10 @@
 		k.adopt(now, out.Adopt)
 	}
 	if out.Read != nil {
-		k.reader.adopt = &Text{Doc: *out.Read}
+		k.reader.adopt = &ConfigText{Doc: *out.Read}
 	}
 	if out.Check != nil {
-		k.reader.check = &Text{Doc: *out.Check, check: true, judge: k.judge}
+		k.reader.check = &ConfigText{Doc: *out.Check, check: true, judge: k.judge}
 	}
 	k.read()
 	if out.Amend != nil {
@@ -59,16 +59,16 @@
 }
 
 // Gate is by what a request may be decided here.
-func (k *Knot) Gate() rollout.Gate { return k.accord.Gate() }
+func (k *Machine) Gate() rollout.Gate { return k.accord.Gate() }
 
 // Rollout tells how the taking up stands.
-func (k *Knot) Rollout(now fsm.Time) rollout.Status { return k.accord.Status(now) }
+func (k *Machine) RolloutStatus(now fsm.Time) rollout.Status { return k.accord.Status(now) }
 
 // Withdraw asks that a version which is not live yet never be.
-func (k *Knot) Withdraw(now fsm.Time, call uint64, version uint32, by string) Out {
+func (k *Machine) Withdraw(now fsm.Time, call uint64, version uint32, by string) Output {
 	k.together(now, k.accord.Withdraw(now, call, version, by))
 	return k.end()
 }
 
 // Accord is the machine itself, for tests that switch its guards off.
-func (k *Knot) Accord() *rollout.Machine { return k.accord }
+func (k *Machine) RolloutMachine() *rollout.Machine { return k.accord }
--- a/internal/controlplane/via.go
+++ b/internal/controlplane/via.go
@@ -16,14 +16,14 @@
 // through a process that both reach. Without it a gateway that is cut off from the
 // holders alone passes its even share on top of all that the others pass. A holder's
 // question for a sign of life goes the same way.
-type Via struct {
-	From   string            `cbor:"1,keyasint"`
-	To     string            `cbor:"2,keyasint"`
-	By     string            `cbor:"3,keyasint,omitempty"`
-	Add    *quotas.Add       `cbor:"4,keyasint,omitempty"`
-	Answer *quotas.Answer    `cbor:"5,keyasint,omitempty"`
-	Ask    bool              `cbor:"6,keyasint,omitempty"`
-	Drain  *drainpermit.Word `cbor:"7,keyasint,omitempty"` // straight; a program of the version before takes no notice
+type Relay struct {
+	From            string            `cbor:"1,keyasint"`
+	To              string            `cbor:"2,keyasint"`
+	RelayedBy       string            `cbor:"3,keyasint,omitempty"`
+	Add             *quotas.Add       `cbor:"4,keyasint,omitempty"`
+	Answer          *quotas.Answer    `cbor:"5,keyasint,omitempty"`
+	LivenessRequest bool              `cbor:"6,keyasint,omitempty"`
+	Drain           *drainpermit.Word `cbor:"7,keyasint,omitempty"` // straight; a program of the version before takes no notice
 }
 
 // detour is a way round to one holder.
@@ -73,7 +73,7 @@
 // gets an add twice counts it once. Of a large fleet only a question goes round until a way is known: where
 // the holder can't keep up, each of hundreds would carry its whole add by two ways else, and there is no way then
 // that is quicker. The next add takes the way that was found.
-func (k *Knot) count(now fsm.Time) {
+func (k *Machine) count(now fsm.Time) {
 	adds := k.meter.Tick(now)
 	k.send(adds)
 	for _, s := range adds {
@@ -83,20 +83,20 @@
 		}
 		d := k.detour(s.To)
 		if d.till > now {
-			k.send([]fsm.Send{{To: d.by, Msg: Via{From: k.self, To: s.To, Add: &add}}})
+			k.send([]fsm.Send{{To: d.by, Msg: Relay{From: k.self, To: s.To, Add: &add}}})
 		}
 		// A way that is open is no reason not to look for another: whom it goes by may be gone.
 		if !k.stood && k.meter.Mute(now, s.To) && d.may(now, k.seen) {
 			if k.seen > fewer {
 				add = add.Question()
 			}
-			k.around(s.To, Via{From: k.self, To: s.To, Add: &add})
+			k.around(s.To, Relay{From: k.self, To: s.To, Add: &add})
 		}
 	}
 }
 
 // detour is what is known of ways round to a holder.
-func (k *Knot) detour(holder string) *detour {
+func (k *Machine) detour(holder string) *detour {
 	d := k.round[holder]
 	if d == nil {
 		d = &detour{}
@@ -108,7 +108,7 @@
 // look asks for the signs of life that the counter wants, and round where they stay out. Where more stay out than a
 // part of a large fleet, it is rather this process that is late, or the links: then some are asked round, in turn,
 // and none by one that stood still itself. Else each late answer would cost two messages more, in ever larger numbers.
-func (k *Knot) look(now fsm.Time, asks []fsm.Send) {
+func (k *Machine) look(now fsm.Time, asks []fsm.Send) {
 	k.send(asks)
 	if k.stood {
 		return
@@ -120,19 +120,19 @@
 		blind = append(blind[at:], blind[:at]...)[:mostBlind]
 	}
 	for _, s := range blind {
-		k.around(s.To, Via{From: k.self, To: s.To, Ask: true})
+		k.around(s.To, Relay{From: k.self, To: s.To, LivenessRequest: true})
 	}
 }
 
 // around sends by all of a few ways.
-func (k *Knot) around(to string, v Via) {
+func (k *Machine) around(to string, v Relay) {
 	for _, by := range k.ways(to) {
 		k.send([]fsm.Send{{To: by, Msg: v}})
 	}
 }
 
 // ways are a few processes in turn that may reach a holder.
-func (k *Knot) ways(holder string) (by []string) {
+func (k *Machine) ways(holder string) (by []string) {
 	up := lo.FilterMap(k.bond.Up(), func(n memberlist.Node, _ int) (string, bool) {
 		return n.Addr, n.Addr != k.self && n.Addr != holder
 	})
@@ -144,11 +144,11 @@
 }
 
 // via takes a message that goes round, or passes it on.
-func (k *Knot) via(now fsm.Time, from string, v Via) {
+func (k *Machine) via(now fsm.Time, from string, v Relay) {
 	switch {
 	case v.To != k.self:
-		if v.By == "" { // one step only
-			v.By = k.self
+		if v.RelayedBy == "" { // one step only
+			v.RelayedBy = k.self
 			k.send([]fsm.Send{{To: v.To, Msg: v}})
 		}
 	case v.Drain != nil:
@@ -157,18 +157,18 @@
 	case v.Add != nil:
 		for _, s := range k.counter.Take(now, v.From, *v.Add) {
 			if a, ok := s.Msg.(quotas.Answer); ok && s.To == v.From {
-				s = fsm.Send{To: v.By, Msg: Via{From: k.self, To: v.From, Answer: &a}}
+				s = fsm.Send{To: v.RelayedBy, Msg: Relay{From: k.self, To: v.From, Answer: &a}}
 			}
 			k.send([]fsm.Send{s})
 		}
-	case v.Ask:
+	case v.LivenessRequest:
 		for _, s := range k.meter.Take(now, v.From, quotas.Answer{Ask: true}) {
 			if a, ok := s.Msg.(quotas.Add); ok {
-				k.send([]fsm.Send{{To: v.By, Msg: Via{From: k.self, To: v.From, Add: &a}}})
+				k.send([]fsm.Send{{To: v.RelayedBy, Msg: Relay{From: k.self, To: v.From, Add: &a}}})
 			}
 		}
 	case v.Answer != nil:
-		k.detour(v.From).open(now, v.By, *v.Answer)
+		k.detour(v.From).open(now, v.RelayedBy, *v.Answer)
 		k.send(k.meter.Take(now, v.From, *v.Answer))
 	}
 }
--- a/internal/controlplane/via_test.go
+++ b/internal/controlplane/via_test.go
@@ -50,14 +50,14 @@
 		looks bool
 	}{{11, 50 * time.Millisecond, true}, {11, 300 * time.Millisecond, true}, {490, 50 * time.Millisecond, true}, {490, 300 * time.Millisecond, false}} {
 		now := time.Hour
-		k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Life: 1}, unheard{}, nil, now)
+		k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Incarnation: 1}, unheard{}, nil, now)
 		k.bond.Take(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Life: 1}})
 		k.Tick(now)
 		k.seen = c.known
 		k.round["h:1"] = &detour{}
 		looked := false
 		for _, s := range k.Tick(now + c.gap).Send {
-			if v, is := s.Msg.(Via); is && v.Add != nil {
+			if v, is := s.Msg.(Relay); is && v.Add != nil {
 				looked = true
 			}
 		}
@@ -86,18 +86,18 @@
 		for _, back := range []bool{true, false} { // the holder answers straight again
 			m := &seldom{late: true}
 			now := time.Hour
-			k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Life: 1}, m, nil, now)
+			k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Incarnation: 1}, m, nil, now)
 			k.bond.Take(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Life: 1}})
 			ways := 0
 			for i := range 40 {
 				now += 50 * time.Millisecond
 				var adds []quotas.Add
-				var round []Via
+				var round []Relay
 				for _, s := range k.Tick(now).Send {
 					switch v := s.Msg.(type) {
 					case quotas.Add:
 						adds = append(adds, v)
-					case Via:
+					case Relay:
 						if v.Add != nil {
 							round = append(round, v)
 						}
@@ -115,12 +115,12 @@
 				}
 				if back && i > 0 {
 					for _, a := range adds {
-						k.Take(now+2*time.Millisecond, "h:1", answer(a))
+						k.Receive(now+2*time.Millisecond, "h:1", answer(a))
 					}
 				}
 				for _, v := range round {
 					a := answer(*v.Add)
-					k.Take(now+4*time.Millisecond, "w:1", Via{From: "h:1", To: "g:1", By: "w:1", Answer: &a})
+					k.Receive(now+4*time.Millisecond, "w:1", Relay{From: "h:1", To: "g:1", RelayedBy: "w:1", Answer: &a})
 				}
 			}
 			if back && ways > 2 || !back && ways < 30 {
@@ -139,7 +139,7 @@
 		most   int
 	}{{8, false, 8}, {99, false, 99}, {489, false, mostBlind}, {489, true, 0}} {
 		now := time.Hour
-		k := New(Config{Self: "h:1", Name: "h", Zone: "z", Life: 1}, unheard{}, nil, now)
+		k := New(Config{Self: "h:1", Name: "h", Zone: "z", Incarnation: 1}, unheard{}, nil, now)
 		for _, w := range []string{"w:1", "w:2", "w:3"} {
 			k.bond.Take(now, w, memberlist.Hello{Node: memberlist.Node{Addr: w, Name: w, Zone: "z", Life: 1}})
 		}
@@ -160,7 +160,7 @@
 			k.look(now, k.counter.Tick(now))
 			round := map[string]bool{}
 			for _, s := range k.end().Send {
-				if v, is := s.Msg.(Via); is && v.Ask {
+				if v, is := s.Msg.(Relay); is && v.LivenessRequest {
 					round[v.To], all[v.To] = true, true
 				}
 			}
@@ -186,7 +186,7 @@
 func TestOnlyAQuestionGoesRound(t *testing.T) {
 	for known, first := range map[int]int{11: 909, 91: 909, 490: 0} {
 		now := time.Hour
-		k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Life: 1}, wordy{}, nil, now)
+		k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Incarnation: 1}, wordy{}, nil, now)
 		k.bond.Take(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Life: 1}})
 		k.Tick(now)
 		k.seen = known
@@ -195,7 +195,7 @@
 		for range 2 {
 			now += 50 * time.Millisecond
 			for _, s := range k.Tick(now).Send {
-				v, is := s.Msg.(Via)
+				v, is := s.Msg.(Relay)
 				if !is || v.Add == nil {
 					continue
 				}
@@ -203,7 +203,7 @@
 				if v.Add.Life != 1 || v.Add.List != 7 || !v.Add.Read && !v.Add.Echo {
 					t.Errorf("%d gateways: %+v is answered by nobody", known, *v.Add)
 				}
-				k.Take(now, "w:1", Via{From: "h:1", To: "g:1", By: "w:1", Answer: &quotas.Answer{Life: 1, Stamp: v.Add.Stamp}})
+				k.Receive(now, "w:1", Relay{From: "h:1", To: "g:1", RelayedBy: "w:1", Answer: &quotas.Answer{Life: 1, Stamp: v.Add.Stamp}})
 			}
 		}
 		if len(sizes) != 2 || sizes[0] != first || sizes[1] != 909 {
@@ -218,7 +218,7 @@
 func TestDeadWayIsReplaced(t *testing.T) {
 	now := time.Hour
 	meter := &seldom{}
-	k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Life: 1}, meter, nil, now)
+	k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Incarnation: 1}, meter, nil, now)
 	for _, other := range []string{"w:1", "x:1"} {
 		k.bond.Take(now, other, memberlist.Hello{Node: memberlist.Node{Addr: other, Name: other, Zone: "z", Life: 1}})
 	}
@@ -228,7 +228,7 @@
 		for range 6 {
 			now += 50 * time.Millisecond
 			for _, s := range k.Tick(now).Send {
-				if v, is := s.Msg.(Via); is && v.Add != nil {
+				if v, is := s.Msg.(Relay); is && v.Add != nil {
 					ways[s.To] = true
 				}
 			}
--- a/internal/daemon/contact.go
+++ b/internal/daemon/contact.go
@@ -26,7 +26,7 @@
 // contactS is how long ago there was contact for certain, in seconds; -1: not in this life.
 func (p *Process) contactS() *float64 {
 	s := -1.0
-	if d, ok := p.knot.Contact(p.now()); ok {
+	if d, ok := p.knot.LastContact(p.now()); ok {
 		s = d.Seconds()
 	}
 	return &s
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,7 +47,7 @@
 	box   *mailbox.Box[any]
 	adds  adds // of gateways, to the counters here
 
-	knot  *controlplane.Knot // the machines, which the loop's goroutine owns
+	knot  *controlplane.Machine // the machines, which the loop's goroutine owns
 	meter *meter
 
 	mesh      *mesh.Mesh[*frame]
@@ -60,9 +60,9 @@
 	up, known atomic.Int64   // processes and servers, for who counts them often
 	vault     *storage.Vault // nil: no disk
 	disk      *mailbox.Box[*consensus.Write]
-	texts     *mailbox.Box[*controlplane.Text] // to be read: one at a time
-	readings  *controlplane.Readings           // nil: nobody shares them
-	rows      *mailbox.Box[[]registry.Row]     // the servers, to be kept
+	texts     *mailbox.Box[*controlplane.ConfigText] // to be read: one at a time
+	readings  *controlplane.ParseCache               // nil: nobody shares them
+	rows      *mailbox.Box[[]registry.Row]           // the servers, to be kept
 	rules     *mailbox.Box[*faultrules.Write]
 	judge     *faultrules.Judge
 	ban       *ban // nil: no fault rules
@@ -122,26 +122,26 @@
 }
 
 // New puts a process together, and begins to listen.
-func New(path string, set *sysconfig.Settings) (*Process, error) { return Timed(path, set, nil) }
+func New(path string, set *sysconfig.Settings) (*Process, error) { return NewTimed(path, set, nil) }
 
 // Timed is New, of a process whose requests' stages somebody measures.
-func Timed(path string, set *sysconfig.Settings, times func(id string, t *protocol.Times)) (*Process, error) {
+func NewTimed(path string, set *sysconfig.Settings, times func(id string, t *protocol.Times)) (*Process, error) {
 	runtime.GOMAXPROCS(max(1, int(set.BoundsReq.CpuCount)))
 	debug.SetGCPercent(frugal)
 	limit := int64(set.BoundsReq.MemMb) << 20 * 6 / 10
 	debug.SetMemoryLimit(limit)
-	p, err := assemble(path, set, Shared{Log: os.Stderr, Times: times})
+	p, err := assemble(path, set, SharedOptions{Log: os.Stderr, OnRequestTimes: times})
 	if err == nil {
 		p.heapLimit, p.growth = limit, frugal
 	}
 	return p, err
 }
 
-func assemble(path string, set *sysconfig.Settings, shared Shared) (*Process, error) {
-	p := &Process{path: path, set: set, link: shared.Link, bare: shared.Bare, readings: shared.Readings, serving: map[string]bool{}, start: time.Now(), box: mailbox.NewBox[any](nil), disk: mailbox.NewBox[*consensus.Write](nil), texts: mailbox.NewBox[*controlplane.Text](nil), rows: mailbox.NewBox[[]registry.Row](nil),
+func assemble(path string, set *sysconfig.Settings, shared SharedOptions) (*Process, error) {
+	p := &Process{path: path, set: set, link: shared.Link, bare: shared.ControlOnly, readings: shared.ParseCache, serving: map[string]bool{}, start: time.Now(), box: mailbox.NewBox[any](nil), disk: mailbox.NewBox[*consensus.Write](nil), texts: mailbox.NewBox[*controlplane.ConfigText](nil), rows: mailbox.NewBox[[]registry.Row](nil),
 		rules: mailbox.NewBox[*faultrules.Write](nil), judge: faultrules.NewJudge(), tape: &tape{},
 		self: meshAddr(set.IpAddr, set)}
-	p.ring = logring.NewRing(shared.Log, set.NodeName, 256, log.InfoLevel)
+	p.ring = logring.New(shared.Log, set.NodeName, 256, log.InfoLevel)
 	p.say = &log.Logger{Handler: p.ring, Level: log.DebugLevel}
 	now, seed := p.now(), hostenv.Real.Random()
 	member := set.QuorumMember && set.StateDir != ""
@@ -155,15 +155,15 @@
 		}
 	}
 	p.meter = &meter{m: quotas.NewMeter(p.self, life, seed)}
-	p.knot = controlplane.New(controlplane.Config{Self: p.self, Name: set.NodeName, Zone: set.Zone, Control: set.Bind.ControlPlane,
-		Member: member, Genesis: set.Genesis && sound, Losses: set.FaultBudget.MachineLosses,
-		Heartbeat: time.Duration(set.HeartbeatMs) * time.Millisecond, Seeds: p.seeds(), Life: life, Seed: seed,
-		Faults: controlplane.Faults{Longest: p.longest(), Judge: p.judge, Disk: p.keptRules(sound)}},
+	p.knot = controlplane.New(controlplane.Config{Self: p.self, Name: set.NodeName, Zone: set.Zone, ControlAddr: set.Bind.ControlPlane,
+		Member: member, Genesis: set.Genesis && sound, ToleratedLosses: set.FaultBudget.MachineLosses,
+		HeartbeatInterval: time.Duration(set.HeartbeatMs) * time.Millisecond, Seeds: p.seeds(), Incarnation: life, Seed: seed,
+		FaultRules: controlplane.FaultRulesConfig{MaxLifetime: p.longest(), Judge: p.judge, Disk: p.keptRules(sound)}},
 		p.meter, kept, now)
-	p.plane = dataplane.New(dataplane.Options{Zone: set.Zone, Now: p.now, Sockets: set.BoundsReq.FdLimit / 3, Seed: seed, Pass: p.pass,
-		Leaving: p.away, Closing: p.closing.Load, RetryRatio: set.Bounds.RetryRatio, RetrySlack: set.Bounds.RetrySlack, ColdFor: 3 * time.Second, Faults: p.faults(life), Times: shared.Times})
-	p.mesh = mesh.New(mesh.Options[*frame]{Codec: p.frames.codec(p.adds.full), Most: 1000, Tune: tune, Buffer: 2 << 10,
-		Handle: func(_ *mesh.Pipe[*frame], f *frame) {
+	p.plane = dataplane.New(dataplane.Options{Zone: set.Zone, Now: p.now, MaxServerConns: set.BoundsReq.FdLimit / 3, Seed: seed, TakeQuota: p.pass,
+		Leaving: p.away, Closing: p.closing.Load, RetryRatio: set.Bounds.RetryRatio, RetryAllowance: set.Bounds.RetrySlack, WarmupTime: 3 * time.Second, FaultInjector: p.faults(life), OnRequestTimes: shared.OnRequestTimes})
+	p.mesh = mesh.New(mesh.Options[*frame]{Codec: p.frames.codec(p.adds.full), MaxInbound: 1000, ConfigureConn: tune, ReadBufferSize: 2 << 10,
+		Handle: func(_ *mesh.Conn[*frame], f *frame) {
 			if f != nil {
 				p.over(f.From, false, func() { p.hand(f) })
 			}
@@ -172,7 +172,7 @@
 		return nil, fmt.Errorf("mesh: %w", err)
 	}
 	go p.read()
-	p.carry(p.knot.Restore(now, p.restore()))
+	p.carry(p.knot.RestoreServers(now, p.restore()))
 	return p, p.serve()
 }
 
@@ -273,37 +273,37 @@
 	now := p.now()
 	switch m := m.(type) {
 	case *frame:
-		p.carry(p.knot.Take(now, m.From, m.Msg))
+		p.carry(p.knot.Receive(now, m.From, m.Msg))
 	case beaten:
-		p.carry(p.knot.Beat(now, m.call, m.beat))
+		p.carry(p.knot.ServerHeartbeat(now, m.call, m.beat))
 	case deleted:
-		p.carry(p.knot.Delete(now, m.call, m.id))
+		p.carry(p.knot.RemoveServer(now, m.call, m.id))
 	case proposed:
-		p.carry(p.knot.Put(now, m.call, m.doc))
+		p.carry(p.knot.PutConfig(now, m.call, m.doc))
 	case withdrawn:
 		p.carry(p.knot.Withdraw(now, m.call, m.version, m.by))
 	case fetched:
-		p.carry(p.knot.Get(now, m.call))
+		p.carry(p.knot.GetConfig(now, m.call))
 	case proving:
-		p.carry(p.knot.Prove(now, m.call))
+		p.carry(p.knot.ProveContact(now, m.call))
 	case shown:
 		p.reply(m.call, m.show(p))
 	case drained:
 		p.carry(p.knot.Drain(now, m.call, m.op, m.within))
-	case *controlplane.Reading:
-		p.carry(p.knot.Read(now, m))
+	case *controlplane.ParsedConfig:
+		p.carry(p.knot.ConfigParsed(now, m))
 	case written:
 		p.carry(p.knot.Written(now, m.seq))
 	case ruled:
-		p.carry(p.knot.Rule(now, m.call, m.op, m.doc))
+		p.carry(p.knot.CallFaultRules(now, m.call, m.op, m.doc))
 	case rulesWritten:
-		p.carry(p.knot.Ruled(now, m.seq))
+		p.carry(p.knot.FaultRulesWritten(now, m.seq))
 	case short:
 		p.short.Store(false)
-		p.carry(p.knot.Short(now))
+		p.carry(p.knot.RequestStrikes(now))
 	case nudge:
 		p.nudged.Store(false)
-		p.carry(p.knot.Count(now))
+		p.carry(p.knot.FlushAdds(now))
 	case changed:
 		p.reread()
 	case told:
@@ -318,14 +318,14 @@
 }
 
 func (p *Process) tick() {
-	p.knot.Strain(p.now(), p.adds.waited)
+	p.knot.ReportAddDelay(p.now(), p.adds.waited)
 	p.adds.waited = 0
 	p.carry(p.knot.Tick(p.now()))
 	if ready := p.knot.Ready(); ready != p.ready.Load() {
 		p.ready.Store(ready)
 		p.say.WithField("ready", ready).Info("readiness")
 	}
-	p.role.Store(duty(p.knot.Pact(), p.self))
+	p.role.Store(duty(p.knot.ConsensusStatus(), p.self))
 	p.keepList(time.Now())
 	p.idle(time.Now())
 	if at := time.Now(); at.Sub(p.totals) >= totalsEvery {
@@ -346,33 +346,33 @@
 func (p *Process) read() {
 	for {
 		for _, t := range p.texts.Take(-1) {
-			p.box.Put(p.readings.Read(t))
+			p.box.Put(p.readings.Parse(t))
 		}
 	}
 }
 
 // carry carries out what the machines want.
-func (p *Process) carry(out controlplane.Out) {
+func (p *Process) carry(out controlplane.Output) {
 	if out.Write != nil {
 		p.disk.Put(out.Write)
 	}
-	if out.Rules != nil {
-		p.rules.Put(out.Rules)
+	if out.FaultRulesWrite != nil {
+		p.rules.Put(out.FaultRulesWrite)
 	}
-	if out.Text != nil {
-		p.texts.Put(out.Text)
+	if out.Parse != nil {
+		p.texts.Put(out.Parse)
 	}
-	if out.News != "" {
-		p.say.Info(out.News)
+	if out.FaultRulesLog != "" {
+		p.say.Info(out.FaultRulesLog)
 	}
 	if out.Fenced {
 		p.say.Error("state is older than what was vouched for on it: joins anew")
 	}
-	if out.Members {
-		p.say.WithField("up", out.Shares.N).Debug("membership")
-		p.up.Store(int64(out.Shares.N))
+	if out.MembersChanged {
+		p.say.WithField("up", out.Gateways.Count).Debug("membership")
+		p.up.Store(int64(out.Gateways.Count))
 		if !p.bare {
-			p.plane.Gateways(out.Shares.N, out.Shares.Index)
+			p.plane.SetGateways(out.Gateways.Count, out.Gateways.Index)
 		}
 	}
 	if out.Adopt != nil {
@@ -383,22 +383,22 @@
 		p.version.Store(out.Doc.Version)
 		p.say.WithField("version", fmt.Sprintf("%08x", out.Doc.Version)).Info("configuration in force")
 	}
-	if out.Gate || out.Adopt != nil {
-		p.plane.Gate(p.knot.Gate())
+	if out.GateChanged || out.Adopt != nil {
+		p.plane.SetGate(p.knot.Gate())
 	}
-	if out.Refused != nil {
-		p.say.WithError(out.Refused).WithField("version", out.Doc.Version).Error("kept, but not valid here")
+	if out.AdoptError != nil {
+		p.say.WithError(out.AdoptError).WithField("version", out.Doc.Version).Error("kept, but not valid here")
 	}
-	if out.Serve {
+	if out.ServersChanged {
 		p.dirty = true
-		p.listed(out.Changes)
+		p.listed(out.ServerChanges)
 	}
 	p.send(out.Send)
-	if out.Drains {
+	if out.DrainChanged {
 		p.drains()
 	}
 	for _, r := range out.Replies {
-		p.reply(r.Call, r.Value)
+		p.reply(r.CallID, r.Value)
 	}
 }
 
@@ -406,14 +406,14 @@
 
 // tell logs what each lane has done so far.
 func (p *Process) tell() {
-	for name, t := range p.plane.Totals() {
+	for name, t := range p.plane.ServiceStats() {
 		p.say.WithFields(log.Fields{"service": name, "requests": t.Requests, "served": t.Served, "refused": t.Refused,
 			"failed": t.Failed, "gone": t.Gone, "attempts": t.Attempts, "ends": t.Outcomes, "why": t.Module.Refused,
 			"limit": fmt.Sprintf("%.1f", t.Module.Limit), "out": fmt.Sprintf("%.1f", t.Module.Out)}).Info("totals")
 	}
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	p.say.WithFields(log.Fields{"limited": p.plane.Limited(), "adds_dropped": p.adds.dropped.Load(), "mesh_in_kb": p.mesh.Counts.BytesIn.Load() >> 10, "mesh_out_kb": p.mesh.Counts.BytesOut.Load() >> 10, "heap_kb": mem.HeapInuse >> 10, "idle_kb": (mem.HeapIdle - mem.HeapReleased) >> 10,
+	p.say.WithFields(log.Fields{"limited": p.plane.QuotaRefusals(), "adds_dropped": p.adds.dropped.Load(), "mesh_in_kb": p.mesh.Counts.BytesIn.Load() >> 10, "mesh_out_kb": p.mesh.Counts.BytesOut.Load() >> 10, "heap_kb": mem.HeapInuse >> 10, "idle_kb": (mem.HeapIdle - mem.HeapReleased) >> 10,
 		"stack_kb": mem.StackInuse >> 10, "other_kb": (mem.MSpanSys + mem.MCacheSys + mem.BuckHashSys + mem.GCSys + mem.OtherSys) >> 10,
 		"next_kb": mem.NextGC >> 10, "collections": mem.NumGC, "goroutines": runtime.NumGoroutine()}).Info("totals")
 }
@@ -426,7 +426,7 @@
 			p.hand(f)
 			continue
 		}
-		p.over(s.To, true, func() { p.mesh.To(s.To).Send(f) })
+		p.over(s.To, true, func() { p.mesh.ConnTo(s.To).Send(f) })
 	}
 }
 
@@ -465,5 +465,5 @@
 		return
 	}
 	p.set.Bootstrap = set.Bootstrap
-	p.knot.Seeds(p.now(), p.seeds())
+	p.knot.SetSeeds(p.now(), p.seeds())
 }
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -116,7 +116,7 @@
 	if p.vault == nil || !p.dirty || now.Sub(p.keptAt) < listEvery {
 		return
 	}
-	if rows := p.knot.Keep(); rows != nil {
+	if rows := p.knot.ServersToStore(); rows != nil {
 		p.dirty, p.keptAt = false, now
 		p.rows.Put(rows)
 	}
@@ -124,22 +124,22 @@
 
 // Status is what an operator sees of a process.
 type Status struct {
-	Name, Mesh string
-	ContactS   *float64 // since there was contact with most of the core for certain; -1: not in this life
-	Ready      bool
-	Leaving    bool
-	Draining   bool
-	Version    string
-	Pact       consensus.Status
-	Rollout    rollout.Status
-	Turns      dataplane.Turns
-	Nodes      []memberlist.Node
-	Servers    []registry.Server
-	Mesh_      map[string]int64 `json:"Frames"`
+	Name, Mesh  string
+	ContactS    *float64 // since there was contact with most of the core for certain; -1: not in this life
+	Ready       bool
+	Leaving     bool
+	Draining    bool
+	Version     string
+	Pact        consensus.Status
+	Rollout     rollout.Status
+	Turns       dataplane.GateStats
+	Nodes       []memberlist.Node
+	Servers     []registry.Server
+	FrameCounts map[string]int64 `json:"Frames"`
 }
 
 func (p *Process) examine() Status {
 	return Status{Name: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Ready: p.ready.Load(), Leaving: p.leaving.Load(), Draining: p.draining.Load(),
-		Version: fmt.Sprintf("%08x", p.plane.Version()), Pact: p.knot.Pact(), Rollout: p.knot.Rollout(p.now()), Turns: p.plane.Turns(),
-		Nodes: p.knot.View(), Servers: p.knot.Servers(), Mesh_: p.mesh.Counts.All()}
+		Version: fmt.Sprintf("%08x", p.plane.Version()), Pact: p.knot.ConsensusStatus(), Rollout: p.knot.RolloutStatus(p.now()), Turns: p.plane.GateStats(),
+		Nodes: p.knot.Nodes(), Servers: p.knot.Servers(), FrameCounts: p.mesh.Counts.All()}
 }
--- a/internal/daemon/frame.go
+++ b/internal/daemon/frame.go
@@ -44,9 +44,9 @@
 type Frame = frame
 
 // Frames is what frames are on the wire.
-var Frames = codec
+var FrameCodec = codec
 
-var codec = mesh.Codec[*frame]{Encode: encode, Read: read}
+var codec = mesh.Codec[*frame]{Encode: encode, Decode: read}
 
 func encode(f *frame) []byte {
 	body, err := cbor.Marshal(f.Msg)
@@ -72,7 +72,7 @@
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size < 3 || size > mostFrame {
-		return nil, 0, fmt.Errorf("%w: %d bytes", mesh.ErrStrange, size)
+		return nil, 0, fmt.Errorf("%w: %d bytes", mesh.ErrForeignFrame, size)
 	}
 	b := make([]byte, size)
 	if _, err := io.ReadFull(in, b); err != nil {
@@ -80,14 +80,14 @@
 	}
 	kind, from := int(b[1]), 3+int(b[2])
 	if b[0] != frameVersion || kind/32 >= len(machines) || kind%32 >= len(machines[kind/32]) || from > len(b) {
-		return nil, 0, fmt.Errorf("%w: version %d, kind %d", mesh.ErrStrange, b[0], kind)
+		return nil, 0, fmt.Errorf("%w: version %d, kind %d", mesh.ErrForeignFrame, b[0], kind)
 	}
 	if skip(b[1]) {
 		return nil, int(size) + 4, nil
 	}
 	msg := reflect.New(reflect.TypeOf(machines[kind/32][kind%32]))
 	if err := cbor.Unmarshal(b[from:], msg.Interface()); err != nil {
-		return nil, 0, fmt.Errorf("%w: %w", mesh.ErrSpoilt, err)
+		return nil, 0, fmt.Errorf("%w: %w", mesh.ErrDamagedFrame, err)
 	}
 	return &frame{From: string(b[3:from]), Msg: msg.Elem().Interface()}, int(size) + 4, nil
 }
--- a/internal/daemon/frames.go
+++ b/internal/daemon/frames.go
@@ -35,7 +35,7 @@
 			c.bytesOut.Add(int64(len(b)))
 			return b
 		},
-		Read: func(in *bufio.Reader) (*frame, int, error) {
+		Decode: func(in *bufio.Reader) (*frame, int, error) {
 			f, size, err := readUnless(in, skip)
 			if f != nil && err == nil {
 				c := &t[numbers[reflect.TypeOf(f.Msg)]]
@@ -48,12 +48,12 @@
 }
 
 // kinds are the counts by message.
-func (t *tally) kinds() map[string]adminapi.Kind {
-	all := map[string]adminapi.Kind{}
+func (t *tally) kinds() map[string]adminapi.MessageCounts {
+	all := map[string]adminapi.MessageCounts{}
 	for _, n := range numbers {
 		c := &t[n]
-		k := adminapi.Kind{Sent: c.sent.Load(), BytesOut: c.bytesOut.Load(), Got: c.got.Load(), BytesIn: c.bytesIn.Load()}
-		if k != (adminapi.Kind{}) {
+		k := adminapi.MessageCounts{Sent: c.sent.Load(), BytesOut: c.bytesOut.Load(), Got: c.got.Load(), BytesIn: c.bytesIn.Load()}
+		if k != (adminapi.MessageCounts{}) {
 			all[controlplane.MessageName(int(n/32), int(n%32))] = k
 		}
 	}
@@ -72,14 +72,14 @@
 }
 
 // Frames is what has gone between this process and others. It does not wait for the loop.
-func (p *Process) Frames() adminapi.Frames {
+func (p *Process) FrameCounts() adminapi.Frames {
 	role, _ := p.role.Load().(string)
 	return adminapi.Frames{Name: p.set.NodeName, Role: role, Ready: p.ready.Load(), Version: p.version.Load(),
 		Up: int(p.up.Load()), Serving: int(p.known.Load()), Kinds: p.frames.kinds()}
 }
 
 func (p *Process) counted(ctx *fasthttp.RequestCtx, _ string) {
-	body, err := json.Marshal(p.Frames())
+	body, err := json.Marshal(p.FrameCounts())
 	if err != nil {
 		ctx.Error(err.Error()+"\n", http.StatusInternalServerError)
 		return
--- a/internal/daemon/frames_test.go
+++ b/internal/daemon/frames_test.go
@@ -19,18 +19,18 @@
 	all := int64(wire.Len())
 	r := bufio.NewReader(&wire)
 	for range 3 {
-		if _, _, err := in.codec(func() bool { return false }).Read(r); err != nil {
+		if _, _, err := in.codec(func() bool { return false }).Decode(r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, _, err := in.codec(func() bool { return false }).Read(r); err == nil {
+	if _, _, err := in.codec(func() bool { return false }).Decode(r); err == nil {
 		t.Error("read beyond the end")
 	}
 	sent, got := out.kinds(), in.kinds()
 	if len(sent) != 2 || sent["pact.Ask"].Sent != 2 || sent["pact.Pull"].Sent != 1 || sent["pact.Ask"].BytesOut+sent["pact.Pull"].BytesOut != all {
 		t.Errorf("sent %v, %d bytes", sent, all)
 	}
-	if k := got["pact.Ask"]; k != (adminapi.Kind{Got: 2, BytesIn: sent["pact.Ask"].BytesOut}) || len(got) != 2 {
+	if k := got["pact.Ask"]; k != (adminapi.MessageCounts{Got: 2, BytesIn: sent["pact.Ask"].BytesOut}) || len(got) != 2 {
 		t.Errorf("got %v", got)
 	}
 }
--- a/internal/daemon/quotas.go
+++ b/internal/daemon/quotas.go
@@ -21,12 +21,12 @@
 // quotas shows operators what this gateway's decisions about quotas went by.
 func (p *Process) quotas(ctx *fasthttp.RequestCtx, _ string) {
 	p.show(ctx, func(p *Process) any {
-		a, name := p.meter.account(p.now()), named(p.knot.Gateways(p.now()))
+		a, name := p.meter.account(p.now()), named(p.knot.GatewaySights(p.now()))
 		return adminapi.Quotas{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Holder: cmp.Or(name(a.Holder), a.Holder),
 			HolderChanges: a.Changes, SharesFor: a.Gateways, InTouch: a.InTouch, UnansweredMs: a.UnheardMS,
 			BehindUnits: a.Behind, BehindAnswers: a.Answers,
-			Decided: lo.Map(quotas.Bases(), func(b quotas.Basis, _ int) adminapi.Decision {
-				return adminapi.Decision{Basis: b.String(), Passed: a.Decided[b].Passed, Refused: a.Decided[b].Refused}
+			Decided: lo.Map(quotas.Bases(), func(b quotas.Basis, _ int) adminapi.QuotaDecisions {
+				return adminapi.QuotaDecisions{Basis: b.String(), Passed: a.Decided[b].Passed, Refused: a.Decided[b].Refused}
 			})}
 	})
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -90,11 +90,11 @@
 	if step == reply {
 		p.plane.Close()
 	}
-	idle := open == 0 && p.plane.Open() == 0
+	idle := open == 0 && p.plane.OpenRequests() == 0
 	if n := p.leave.notice(gone, p.set.Bounds.Grace, idle); n != 0 {
-		p.carry(p.knot.Depart(p.now(), n))
+		p.carry(p.knot.AnnounceExit(p.now(), n))
 	}
-	return p.leave.ends(step, idle, p.knot.Left())
+	return p.leave.ends(step, idle, p.knot.CanExit())
 }
 
 // listed tells the data plane of servers that are otherwise than before.
@@ -112,7 +112,7 @@
 	}
 	p.known.Store(int64(len(p.serving)))
 	if !p.bare {
-		p.plane.Change(list, gone)
+		p.plane.UpdateServers(list, gone)
 	}
 }
 
@@ -141,5 +141,5 @@
 	case registry.Silent:
 		state = choice.Down
 	}
-	return dataplane.Server{ID: s.ID, Addr: s.Addr, Service: s.Service, Zone: s.Zone, Capacity: s.Capacity, Warm: s.Warm, State: state}
+	return dataplane.Server{ID: s.ID, Addr: s.Addr, Service: s.Service, Zone: s.Zone, Capacity: s.Capacity, WarmUntil: s.Warm, State: state}
 }
--- a/internal/daemon/shared.go
+++ b/internal/daemon/shared.go
@@ -13,19 +13,19 @@
 
 // Shared is what a process of the system is told that shares one of the operating
 // system's with others: many of them stand for a fleet in a measurement.
-type Shared struct {
-	Log  io.Writer
-	Link Link // nil: as the network is
-	Bare bool // the data plane is told nothing, so that what is left is control
+type SharedOptions struct {
+	Log         io.Writer
+	Link        Link // nil: as the network is
+	ControlOnly bool // the data plane is told nothing, so that what is left is control
 
-	Readings *controlplane.Readings // of texts; nil: each process reads its own
+	ParseCache *controlplane.ParseCache // of texts; nil: each process reads its own
 
-	Times func(id string, t *protocol.Times) // hears of each request's stages; nil: nobody measures
+	OnRequestTimes func(id string, t *protocol.Times) // hears of each request's stages; nil: nobody measures
 }
 
 // NewShared puts a process together like New, and leaves the runtime's bounds alone:
 // they are for all that share it.
-func NewShared(path string, set *sysconfig.Settings, shared Shared) (*Process, error) {
+func NewShared(path string, set *sysconfig.Settings, shared SharedOptions) (*Process, error) {
 	return assemble(path, set, shared)
 }
 
@@ -37,7 +37,7 @@
 func (p *Process) Version() uint32 { return p.version.Load() }
 
 // Spend takes a unit of a tenant's quota as a request would.
-func (p *Process) Spend(tenant string) bool {
+func (p *Process) TakeQuota(tenant string) bool {
 	ok, _ := p.pass(tenant, 1)
 	return ok
 }
--- a/internal/daemon/shed.go
+++ b/internal/daemon/shed.go
@@ -49,7 +49,7 @@
 	switch m := f.Msg.(type) {
 	case quotas.Add:
 		return true
-	case controlplane.Via:
+	case controlplane.Relay:
 		return m.Add != nil || m.Answer != nil
 	}
 	return false
--- a/internal/daemon/shed_test.go
+++ b/internal/daemon/shed_test.go
@@ -71,10 +71,10 @@
 	}
 	r := bufio.NewReader(&wire)
 	codec := in.codec(func() bool { return true })
-	if f, size, err := codec.Read(r); f != nil || size == 0 || err != nil {
+	if f, size, err := codec.Decode(r); f != nil || size == 0 || err != nil {
 		t.Errorf("%+v, %d, %v", f, size, err)
 	}
-	if f, _, err := codec.Read(r); err != nil || f.Msg != (memberlist.Ping{}) {
+	if f, _, err := codec.Decode(r); err != nil || f.Msg != (memberlist.Ping{}) {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -46,7 +46,7 @@
 
 func (p *Process) members(ctx *fasthttp.RequestCtx, _ string) {
 	p.show(ctx, func(p *Process) any {
-		all := p.knot.Gateways(p.now())
+		all := p.knot.GatewaySights(p.now())
 		name := named(all)
 		return adminapi.Members{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Draining: p.draining.Load(),
 			Gateways: lo.Map(all, func(s memberlist.Sight, _ int) adminapi.Gateway {
@@ -66,10 +66,10 @@
 
 func (p *Process) services(ctx *fasthttp.RequestCtx, _ string) {
 	p.show(ctx, func(p *Process) any {
-		all := p.knot.Gateways(p.now())
+		all := p.knot.GatewaySights(p.now())
 		name, at := named(all), lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Control })
 		return adminapi.Services{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(),
-			Servers: lo.Map(p.knot.Services(p.now()), func(s registry.Sight, _ int) adminapi.Server {
+			Servers: lo.Map(p.knot.ServerSights(p.now()), func(s registry.Sight, _ int) adminapi.Server {
 				v := adminapi.Server{ID: s.ID, Service: s.Service, Endpoint: s.Addr, Zone: s.Zone, Epoch: s.Epoch, Capacity: s.Capacity,
 					Phase: s.Phase.String(), WarmLeftS: s.WarmLeft.Seconds(), Home: name(s.Home), HomeAt: at[s.Home]}
 				if s.Beat >= 0 {
@@ -83,10 +83,10 @@
 func (p *Process) epochs(ctx *fasthttp.RequestCtx, _ string) {
 	p.show(ctx, func(p *Process) any {
 		now, today := p.now(), time.Now()
-		return adminapi.Epochs{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Role: p.knot.Pact().Role,
+		return adminapi.Epochs{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Role: p.knot.ConsensusStatus().Role,
 			Epochs: lo.Map(p.knot.Epochs(), func(c consensus.Change, _ int) adminapi.Epoch {
-				return adminapi.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Seats, func(d consensus.Duty, _ int) adminapi.Seat {
-					return adminapi.Seat{Name: cmp.Or(d.Name, d.Addr), Zone: d.Zone, Addr: d.Addr, Does: d.Does}
+				return adminapi.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Seats, func(d consensus.Duty, _ int) adminapi.CoreMember {
+					return adminapi.CoreMember{Name: cmp.Or(d.Name, d.Addr), Zone: d.Zone, Addr: d.Addr, Does: d.Does}
 				})}
 			})}
 	})
--- a/internal/daemon/strikes.go
+++ b/internal/daemon/strikes.go
@@ -42,7 +42,7 @@
 	partLook    = 5 * time.Millisecond
 )
 
-func (p *Process) faults(life uint64) dataplane.Faults {
+func (p *Process) faults(life uint64) dataplane.FaultInjector {
 	if p.longest() == 0 {
 		return nil
 	}
@@ -51,7 +51,7 @@
 }
 
 // On reports whether there are rules.
-func (b *ban) On() bool { return b.p.judge.On() }
+func (b *ban) Active() bool { return b.p.judge.On() }
 
 // hurry lets the loop know that requests wait for strikes, or for the record.
 func (b *ban) hurry() {
@@ -61,7 +61,7 @@
 }
 
 // Strike judges a request, and waits where it was drawn and no strike is here yet.
-func (b *ban) Strike(q faultrules.Request, left time.Duration) (faultrules.Strike, bool) {
+func (b *ban) Select(q faultrules.Request, left time.Duration) (faultrules.Strike, bool) {
 	p := b.p
 	at := time.Now()
 	q.At = at.UnixMilli()
@@ -87,7 +87,7 @@
 }
 
 // Made waits until the strike is on record.
-func (b *ban) Made(s faultrules.Strike, left time.Duration) bool {
+func (b *ban) AwaitRecorded(s faultrules.Strike, left time.Duration) bool {
 	p := b.p
 	for end := p.now() + min(partWait, left/2); ; time.Sleep(partLook) {
 		switch v := p.judge.Made(p.now(), s); {
@@ -106,13 +106,13 @@
 }
 
 // Struck records what became of a strike.
-func (b *ban) Struck(q faultrules.Request, s faultrules.Strike, outcome string) {
+func (b *ban) RecordOutcome(q faultrules.Request, s faultrules.Strike, outcome string) {
 	b.p.judge.Struck(s, q, outcome)
 	b.came(q, s, outcome)
 }
 
 // Unmade records a strike that was not made, and gives it back.
-func (b *ban) Unmade(q faultrules.Request, s faultrules.Strike, outcome string) {
+func (b *ban) RecordUnused(q faultrules.Request, s faultrules.Strike, outcome string) {
 	b.p.judge.Unmade(s, q, outcome)
 	b.came(q, s, outcome)
 }
--- a/internal/dataplane/change_test.go
+++ b/internal/dataplane/change_test.go
@@ -16,7 +16,7 @@
 // What changes bring about, one after the other, is what the whole list would.
 func TestChange(t *testing.T) {
 	plane := func() *Plane {
-		return New(Options{Now: func() time.Duration { return time.Hour }, Sockets: 10, Seed: 1})
+		return New(Options{Now: func() time.Duration { return time.Hour }, MaxServerConns: 10, Seed: 1})
 	}
 	rng := rand.New(rand.NewPCG(34, 1))
 	p, all := plane(), map[string]Server{}
@@ -37,17 +37,17 @@
 			list = append(list, s)
 			all[id] = s
 		}
-		p.Change(list, gone)
+		p.UpdateServers(list, gone)
 		whole := plane()
-		whole.Serve(slices.Collect(maps.Values(all)))
+		whole.SetServers(slices.Collect(maps.Values(all)))
 		if d := cmp.Diff(whole.servers, p.servers) + cmp.Diff(whole.places, p.places); d != "" {
 			t.Fatalf("step %d: %s", step, d)
 		}
 		if step%100 == 0 { // a list that takes the place of all
-			p.Serve(slices.Collect(maps.Values(all)))
+			p.SetServers(slices.Collect(maps.Values(all)))
 		}
 	}
-	p.Serve(nil)
+	p.SetServers(nil)
 	if len(p.servers)+len(p.places) > 0 {
 		t.Error(p.servers, p.places)
 	}
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -25,26 +25,26 @@
 	ID, Addr, Service, Zone string
 	State                   choice.State
 	Capacity                int
-	Warm                    time.Duration // of the plane's clock: slow until then
+	WarmUntil               time.Duration // of the plane's clock: slow until then
 }
 
 // Options are what a plane is told.
 type Options struct {
-	World   hostenv.Seam
-	Zone    string
-	Now     func() time.Duration // the plane's clock, above 0
-	Sockets int                  // connections to servers
-	Seed    uint64
+	Host           hostenv.Seam
+	Zone           string
+	Now            func() time.Duration // the plane's clock, above 0
+	MaxServerConns int                  // connections to servers
+	Seed           uint64
 	// Pass takes units of a tenant's quota, or says when there will be some.
-	Pass       func(tenant string, units float64) (ok bool, after time.Duration)
-	Leaving    func() bool
-	Closing    func() bool // it has left for long: what comes now may not be finished in time; nil: never
-	RetryRatio float64     // of requests may be repeats, over all gateways
-	RetrySlack float64     // and so many besides
-	ColdFor    time.Duration
-	Faults     Faults // nil: none
-	Bug        transport.Bug
-	Times      func(id string, t *protocol.Times) // takes when each request came to each stage; nil: nobody measures
+	TakeQuota      func(tenant string, units float64) (ok bool, after time.Duration)
+	Leaving        func() bool
+	Closing        func() bool // it has left for long: what comes now may not be finished in time; nil: never
+	RetryRatio     float64     // of requests may be repeats, over all gateways
+	RetryAllowance float64     // and so many besides
+	WarmupTime     time.Duration
+	FaultInjector  FaultInjector // nil: none
+	Bug            transport.Bug
+	OnRequestTimes func(id string, t *protocol.Times) // takes when each request came to each stage; nil: nobody measures
 }
 
 // Plane carries traffic.
@@ -68,11 +68,11 @@
 
 // New returns a plane without a configuration: it refuses everything.
 func New(o Options) *Plane {
-	o.World = hostenv.Or(o.World)
+	o.Host = hostenv.Or(o.Host)
 	p := &Plane{opt: o, ids: protocol.NewIDs(), servers: map[string][]Server{}, places: map[string]string{}, gates: 1}
-	p.peers = transport.PeerOptions{World: o.World, Connect: connectWithin, Sockets: transport.NewSockets(o.Sockets),
+	p.peers = transport.PeerOptions{World: o.Host, Connect: connectWithin, Sockets: transport.NewSockets(o.MaxServerConns),
 		Keep: transport.NewKeep(keepIdle), Strict: true, Bug: o.Bug}
-	if o.Times != nil {
+	if o.OnRequestTimes != nil {
 		p.peers.Wrote = protocol.MarkWritten
 	}
 	p.lanes.Store(&map[string]*lane{})
@@ -118,7 +118,7 @@
 func (p *Plane) Table() *sysconfig.Table { return p.table.Load() }
 
 // Gateways tells how many share the traffic, and which of them this one is.
-func (p *Plane) Gateways(n, index int) {
+func (p *Plane) SetGateways(n, index int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n == p.gates && index == p.index {
@@ -133,7 +133,7 @@
 }
 
 // Serve takes the whole list of servers.
-func (p *Plane) Serve(list []Server) {
+func (p *Plane) SetServers(list []Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var gone []string
@@ -151,7 +151,7 @@
 
 // Change takes those servers that are otherwise than before, and the IDs of those that have
 // ended. The work grows with the services that are touched, not with all servers.
-func (p *Plane) Change(list []Server, gone []string) {
+func (p *Plane) UpdateServers(list []Server, gone []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.change(list, gone)
@@ -223,7 +223,7 @@
 }
 
 // Open is the number of requests under way.
-func (p *Plane) Open() (open int) {
+func (p *Plane) OpenRequests() (open int) {
 	for _, l := range *p.lanes.Load() {
 		open += l.core.Stats().Open
 	}
@@ -231,7 +231,7 @@
 }
 
 // Totals are a lane's, for the log.
-func (p *Plane) Totals() map[string]routing.Stats {
+func (p *Plane) ServiceStats() map[string]routing.Stats {
 	all := map[string]routing.Stats{}
 	for name, l := range *p.lanes.Load() {
 		all[name] = l.core.Stats()
@@ -240,4 +240,4 @@
 }
 
 // Limited is how many requests were beyond their tenant's quota.
-func (p *Plane) Limited() int64 { return p.refused.Load() }
+func (p *Plane) QuotaRefusals() int64 { return p.refused.Load() }
--- a/internal/dataplane/fault.go
+++ b/internal/dataplane/fault.go
@@ -15,15 +15,15 @@
 // Faults are the fault rules. A request of the one tenant that a rule names is held on the
 // goroutine of its own connection, before it has a place in a lane or after it gave it back:
 // nobody else waits for it.
-type Faults interface {
-	On() bool
+type FaultInjector interface {
+	Active() bool
 	// Strike judges a request. It may wait a little for a strike of the budget.
-	Strike(q faultrules.Request, left time.Duration) (faultrules.Strike, bool)
+	Select(q faultrules.Request, left time.Duration) (faultrules.Strike, bool)
 	// Made waits until the strike is on record, and reports whether it may be made now.
-	Made(s faultrules.Strike, left time.Duration) bool
+	AwaitRecorded(s faultrules.Strike, left time.Duration) bool
 	// Struck records what became of one that was made, Unmade of one that never was and won't be.
-	Struck(q faultrules.Request, s faultrules.Strike, outcome string)
-	Unmade(q faultrules.Request, s faultrules.Strike, outcome string)
+	RecordOutcome(q faultrules.Request, s faultrules.Strike, outcome string)
+	RecordUnused(q faultrules.Request, s faultrules.Strike, outcome string)
 }
 
 const (
@@ -57,8 +57,8 @@
 
 // struck deals with a request if a rule strikes it, and reports whether one did.
 func (p *Plane) struck(ctx *fasthttp.RequestCtx, l *lane, id, route string, r *routing.Request, whole time.Duration) bool {
-	f := p.opt.Faults
-	if f == nil || r.Customer == "" || !f.On() {
+	f := p.opt.FaultInjector
+	if f == nil || r.Customer == "" || !f.Active() {
 		return false
 	}
 	if p.held.Add(1) > p.mayHold() {
@@ -70,7 +70,7 @@
 	b.stay()
 	defer b.leave()
 	var hit bool
-	if b.s, hit = f.Strike(b.q, r.Deadline-p.opt.Now()); !hit {
+	if b.s, hit = f.Select(b.q, r.Deadline-p.opt.Now()); !hit {
 		return false
 	}
 	b.from = p.opt.Now()
@@ -78,8 +78,8 @@
 		b.double()
 		return true
 	}
-	if !f.Made(b.s, r.Deadline-b.from) {
-		f.Unmade(b.q, b.s, "not made: not on record in time")
+	if !f.AwaitRecorded(b.s, r.Deadline-b.from) {
+		f.RecordUnused(b.q, b.s, "not made: not on record in time")
 		return false
 	}
 	switch b.s.Kind {
@@ -95,15 +95,15 @@
 
 // mayHold is how many struck requests may be here at one time: clients of others need places, too.
 func (p *Plane) mayHold() int64 {
-	if p.opt.Sockets <= 0 { // nobody has set a bound
+	if p.opt.MaxServerConns <= 0 { // nobody has set a bound
 		return mostHeld
 	}
-	return int64(min(mostHeld, max(1, p.opt.Sockets/heldPart)))
+	return int64(min(mostHeld, max(1, p.opt.MaxServerConns/heldPart)))
 }
 
 func (b *blow) await() protocol.Final { return protocol.Await(b.ctx, b.l.core, b.p.ids, b.id, b.r) }
 
-func (b *blow) record(outcome string) { b.p.opt.Faults.Struck(b.q, b.s, outcome) }
+func (b *blow) record(outcome string) { b.p.opt.FaultInjector.RecordOutcome(b.q, b.s, outcome) }
 
 // ran tells what is known of a request that has ended, whose answer nobody will read.
 func ran(a protocol.Final) string {
@@ -128,13 +128,13 @@
 	}
 	c, ok := b.ctx.Conn().(*transport.ClientConn)
 	if !ok {
-		b.p.opt.World.Sleep(left)
+		b.p.opt.Host.Sleep(left)
 		return true
 	}
 	b.stay()
-	b.p.opt.World.Go(func() {
+	b.p.opt.Host.Go(func() {
 		defer b.leave()
-		b.p.opt.World.Sleep(left + time.Millisecond)
+		b.p.opt.Host.Sleep(left + time.Millisecond)
 		c.Bell().Ring()
 	})
 	return c.Await(over)
@@ -177,7 +177,7 @@
 		b.p.copies.Add(int64(-c.Held()))
 		b.leave()
 		if unmade != "" {
-			b.p.opt.Faults.Unmade(b.q, b.s, unmade)
+			b.p.opt.FaultInjector.RecordUnused(b.q, b.s, unmade)
 		}
 	}
 	switch {
@@ -186,11 +186,11 @@
 	case again == nil:
 		end("not doubled: its body is too long to be kept")
 	default:
-		b.p.opt.World.Go(func() {
+		b.p.opt.Host.Go(func() {
 			switch {
 			case !b.quota():
 				end("not doubled: beyond its quota")
-			case !b.p.opt.Faults.Made(b.s, b.whole):
+			case !b.p.opt.FaultInjector.AwaitRecorded(b.s, b.whole):
 				end("not made: not on record in time")
 			default:
 				b.l.core.Submit(&routing.Request{Class: b.r.Class, Plan: b.r.Plan, Customer: b.r.Customer, Deadline: b.p.opt.Now() + b.whole,
@@ -215,7 +215,7 @@
 	if t == nil || t.Rate <= 0 {
 		return t != nil
 	}
-	ok, _ := b.p.opt.Pass(b.r.Customer, 1)
+	ok, _ := b.p.opt.TakeQuota(b.r.Customer, 1)
 	return ok
 }
 
@@ -243,7 +243,7 @@
 func (u unheard) Unfit(error) { u.Refused(0, routing.Untried) }
 
 func (u unheard) over(outcome string) {
-	u.b.p.opt.World.Go(func() {
+	u.b.p.opt.Host.Go(func() {
 		u.end("")
 		u.b.record(outcome)
 	})
--- a/internal/dataplane/fault_test.go
+++ b/internal/dataplane/fault_test.go
@@ -70,13 +70,17 @@
 	never  atomic.Bool // nothing gets on record
 }
 
-func (a *always) On() bool { return true }
-func (a *always) Strike(q faultrules.Request, _ time.Duration) (faultrules.Strike, bool) {
+func (a *always) Active() bool { return true }
+func (a *always) Select(q faultrules.Request, _ time.Duration) (faultrules.Strike, bool) {
 	return a.strike, q.Tenant == "ship-1"
 }
-func (a *always) Made(faultrules.Strike, time.Duration) bool                    { return !a.never.Load() }
-func (a *always) Unmade(q faultrules.Request, s faultrules.Strike, what string) { a.Struck(q, s, what) }
-func (a *always) Struck(_ faultrules.Request, _ faultrules.Strike, what string) { a.told <- what }
+func (a *always) AwaitRecorded(faultrules.Strike, time.Duration) bool { return !a.never.Load() }
+func (a *always) RecordUnused(q faultrules.Request, s faultrules.Strike, what string) {
+	a.RecordOutcome(q, s, what)
+}
+func (a *always) RecordOutcome(_ faultrules.Request, _ faultrules.Strike, what string) {
+	a.told <- what
+}
 
 // pause is the machine's world, but for requests that a rule holds: as long as it is locked, their time
 // doesn't end. So what is answered meanwhile has waited for none of them, however busy the machine is.
@@ -114,9 +118,9 @@
 	back := httptest.NewServer(g.toy)
 	t.Cleanup(back.Close)
 	start := time.Now()
-	o := Options{Zone: "a", Now: func() time.Duration { return time.Hour + time.Since(start) }, Sockets: 100, Seed: 1,
-		Pass:    func(tenant string, _ float64) (bool, time.Duration) { return g.quota(tenant), time.Second },
-		Leaving: func() bool { return false }, Closing: g.late.Load, RetryRatio: 0.2, RetrySlack: 10, ColdFor: time.Second, Faults: g.f, World: g.pause}
+	o := Options{Zone: "a", Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1,
+		TakeQuota: func(tenant string, _ float64) (bool, time.Duration) { return g.quota(tenant), time.Second },
+		Leaving:   func() bool { return false }, Closing: g.late.Load, RetryRatio: 0.2, RetryAllowance: 10, WarmupTime: time.Second, FaultInjector: g.f, Host: g.pause}
 	for _, f := range more {
 		f(&o)
 	}
@@ -125,7 +129,7 @@
 	g.plane = p
 	p.Adopt(c.Table())
 	g.servers = []Server{{ID: "s-1", Addr: back.Listener.Addr().String(), Service: "toy", Zone: "a", Capacity: 50, State: choice.Up}}
-	p.Serve(g.servers)
+	p.SetServers(g.servers)
 	ln, err := transport.Listen(nil, "127.0.0.1:0", 100)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/front.go
+++ b/internal/dataplane/front.go
@@ -29,7 +29,7 @@
 
 func (p *Plane) handle(ctx *fasthttp.RequestCtx) {
 	var times *protocol.Times
-	if p.opt.Times != nil {
+	if p.opt.OnRequestTimes != nil {
 		times = &protocol.Times{Clock: func() int64 { return time.Now().UnixNano() }}
 		times.Mark(protocol.Begun)
 	}
@@ -96,7 +96,7 @@
 				refuse(ctx, fasthttp.StatusServiceUnavailable, untilReady)
 				return
 			}
-			if ok, after := p.opt.Pass(tenant.Name, 1); !ok {
+			if ok, after := p.opt.TakeQuota(tenant.Name, 1); !ok {
 				p.refused.Add(1)
 				refuse(ctx, fasthttp.StatusTooManyRequests, after)
 				return
@@ -123,7 +123,7 @@
 	p.answer(ctx, final)
 	if times != nil {
 		times.Mark(protocol.Ended)
-		p.opt.Times(id, times)
+		p.opt.OnRequestTimes(id, times)
 	}
 }
 
--- a/internal/dataplane/front_test.go
+++ b/internal/dataplane/front_test.go
@@ -28,13 +28,13 @@
 	g := newStage(t, faultrules.Strike{})
 	counted := 0
 	g.quota = func(string) bool { counted++; return counted <= 1 }
-	g.plane.Serve(nil)
+	g.plane.SetServers(nil)
 	for _, id := range []string{"a", "b", "c"} {
 		if status, _, _ := g.ask(t, http.DefaultClient, "k10", id, "x"); status != http.StatusServiceUnavailable || counted > 0 {
 			t.Errorf("%s, without a server: %d, %d counted", id, status, counted)
 		}
 	}
-	g.plane.Serve(g.servers)
+	g.plane.SetServers(g.servers)
 	for i, want := range []int{http.StatusOK, http.StatusTooManyRequests} {
 		if status, _, _ := g.ask(t, http.DefaultClient, "k10", strconv.Itoa(i), "x"); status != want || counted != i+1 {
 			t.Errorf("request %d with a server: %d, %d counted", i, status, counted)
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -20,7 +20,7 @@
 var errTurned = errors.New("the rules have changed, or are not confirmed")
 
 // Turns counts what waited at the gate or was refused there, since the start.
-type Turns struct {
+type GateStats struct {
 	Held       int64   // requests that waited in a turn
 	HeldMostMs float64 // the longest of those
 	InTurn     int64   // refused, as a turn took too long
@@ -37,9 +37,9 @@
 }
 
 // Turns tells them.
-func (p *Plane) Turns() Turns {
+func (p *Plane) GateStats() GateStats {
 	t := &p.turns
-	return Turns{t.held.Load(), time.Duration(t.most.Load()).Seconds() * 1e3, t.inTurn.Load(), t.unleased.Load()}
+	return GateStats{t.held.Load(), time.Duration(t.most.Load()).Seconds() * 1e3, t.inTurn.Load(), t.unleased.Load()}
 }
 
 // gate is by what effectful requests may be decided.
@@ -49,7 +49,7 @@
 }
 
 // Gate takes it over. The configuration that it is for has been adopted.
-func (p *Plane) Gate(g rollout.Gate) {
+func (p *Plane) SetGate(g rollout.Gate) {
 	if was := p.gate.Swap(&gate{g, make(chan struct{})}); was != nil {
 		close(was.changed)
 	}
--- a/internal/dataplane/gate_test.go
+++ b/internal/dataplane/gate_test.go
@@ -29,7 +29,7 @@
 		{"run out", rollout.Gate{Version: 1, Together: true, Reads: true, Lease: policy.Lease{Version: 1, Until: time.Minute}}, 503, 503},
 		{"in a turn that does not end", rollout.Gate{Version: 1, Together: true, Reads: true, Soon: true}, 503, 503},
 	} {
-		g.plane.Gate(c.gate)
+		g.plane.SetGate(c.gate)
 		for url, want := range map[string]int{write: c.write, read: c.read} {
 			g.url = url
 			id := c.name + url[len(url)-4:]
@@ -39,12 +39,12 @@
 			}
 		}
 	}
-	if n := g.plane.Turns(); n.InTurn != 2 || n.Unleased != 5 || n.Held != 0 {
+	if n := g.plane.GateStats(); n.InTurn != 2 || n.Unleased != 5 || n.Held != 0 {
 		t.Errorf("%+v", n)
 	}
 	// What waits in a turn goes on once it is over.
-	g.plane.Gate(rollout.Gate{Version: 1, Together: true, Soon: true})
-	go g.plane.Gate(rollout.Gate{Version: 1, Together: true, Lease: lease})
+	g.plane.SetGate(rollout.Gate{Version: 1, Together: true, Soon: true})
+	go g.plane.SetGate(rollout.Gate{Version: 1, Together: true, Lease: lease})
 	g.url = write
 	if status, _, _ := g.ask(t, http.DefaultClient, "k10", "waits", "x"); status != http.StatusOK {
 		t.Errorf("after the turn: %d", status)
--- a/internal/dataplane/idle_test.go
+++ b/internal/dataplane/idle_test.go
@@ -35,13 +35,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		var wakes atomic.Int64
 		start := time.Now()
-		p := New(Options{World: counting{hostenv.Real, &wakes}, Now: func() time.Duration { return time.Hour + time.Since(start) }, Sockets: 100, Seed: 1})
+		p := New(Options{Host: counting{hostenv.Real, &wakes}, Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1})
 		p.Adopt(grown(t, 1))
 		var all []Server
 		for i := range 5200 {
 			all = append(all, Server{ID: fmt.Sprint("srv-", i), Addr: fmt.Sprint("a-", i), Service: fmt.Sprint("s-", i%180), Capacity: 50, State: choice.Up})
 		}
-		p.Serve(all)
+		p.SetServers(all)
 		time.Sleep(3 * time.Second)
 		for _, what := range []string{"after the start", "after a change of servers"} {
 			was := wakes.Load()
@@ -52,10 +52,10 @@
 				t.Errorf("%s: %.1f wakes a second of 180 lanes", what, got)
 			}
 			all[0].Capacity++
-			p.Serve(all)
+			p.SetServers(all)
 			time.Sleep(2 * time.Second)
 		}
-		p.Serve(nil) // the servers' connections end
+		p.SetServers(nil) // the servers' connections end
 		time.Sleep(time.Second)
 		p.Stop()
 		synctest.Wait()
--- a/internal/dataplane/lane.go
+++ b/internal/dataplane/lane.go
@@ -38,17 +38,17 @@
 )
 
 func newLane(p *Plane, name string, set choice.Settings) (*lane, error) {
-	l := &lane{now: p.opt.Now, cold: p.opt.ColdFor, known: map[string]uint32{}, set: set}
+	l := &lane{now: p.opt.Now, cold: p.opt.WarmupTime, known: map[string]uint32{}, set: set}
 	l.fleet = protocol.NewFleet(p.peers, false)
 	l.fleet.Dialect = speech
 	var err error
 	l.core, err = routing.New(set, p.opt.Seed^xxhash.Sum64String(name), p.opt.Now,
-		routing.Hands{World: p.opt.World, Fleet: l.fleet, Watcher: silent{}, Drop: protocol.Drop})
+		routing.Hands{World: p.opt.Host, Fleet: l.fleet, Watcher: silent{}, Drop: protocol.Drop})
 	if err != nil {
 		return nil, err
 	}
 	l.fleet.Ends = l.core
-	p.opt.World.Go(l.core.Run)
+	p.opt.Host.Go(l.core.Run)
 	return l, nil
 }
 
@@ -88,7 +88,7 @@
 		if m.State == choice.Down {
 			m.State = choice.Up
 		}
-		if left := s.Warm - l.now(); left > 0 {
+		if left := s.WarmUntil - l.now(); left > 0 {
 			m.Started = l.now() - max(0, l.cold-left)
 		}
 		news.Members = append(news.Members, routing.Member{Member: m, Addr: s.Addr, Name: s.ID})
@@ -104,8 +104,8 @@
 // to it and each rank that its requests may have.
 func (p *Plane) settings(t *sysconfig.Table, service string) choice.Settings {
 	set := choice.Settings{Doors: p.gates, Index: p.index, Zone: p.opt.Zone, MaxTries: 1, Shuts: true, Spare: spare, SecondCopies: true, Cancels: true,
-		RetryAfter: true, ConnectTimeout: connectWithin, Weighted: true, Turns: turns, ColdFrom: 0.5, ColdFor: p.opt.ColdFor,
-		CrossZone: crossZone, RetryShare: p.opt.RetryRatio * budgetUsed, RetryMost: max(1, p.opt.RetrySlack*budgetUsed/float64(p.gates)),
+		RetryAfter: true, ConnectTimeout: connectWithin, Weighted: true, Turns: turns, ColdFrom: 0.5, ColdFor: p.opt.WarmupTime,
+		CrossZone: crossZone, RetryShare: p.opt.RetryRatio * budgetUsed, RetryMost: max(1, p.opt.RetryAllowance*budgetUsed/float64(p.gates)),
 		Plans: []choice.Plan{{Name: plan, ValueFactor: 1, OverrunCost: 1}}}
 	if list := p.servers[service]; len(list) > 0 {
 		set.Slots = lo.SumBy(list, func(s Server) float64 { return float64(s.Capacity) }) / float64(len(list))
--- a/internal/dataplane/plane_test.go
+++ b/internal/dataplane/plane_test.go
@@ -36,36 +36,36 @@
 // BenchmarkAdopt is a configuration of that size, and a gateway more, at the data plane.
 func BenchmarkAdopt(b *testing.B) {
 	start := time.Now()
-	p := New(Options{Now: func() time.Duration { return time.Hour + time.Since(start) }, Pass: func(string, float64) (bool, time.Duration) { return true, 0 },
-		Leaving: func() bool { return false }, Sockets: 100, Seed: 1})
+	p := New(Options{Now: func() time.Duration { return time.Hour + time.Since(start) }, TakeQuota: func(string, float64) (bool, time.Duration) { return true, 0 },
+		Leaving: func() bool { return false }, MaxServerConns: 100, Seed: 1})
 	defer p.Stop()
 	tables := []*sysconfig.Table{grown(b, 1), grown(b, 2)}
 	for n := 0; b.Loop(); n++ {
 		p.Adopt(tables[n%2])
-		p.Gateways(490+n%2, 7)
+		p.SetGateways(490+n%2, 7)
 	}
 }
 
 // BenchmarkChange is one server of 5,200 that is otherwise than before.
 func BenchmarkChange(b *testing.B) {
 	start := time.Now()
-	p := New(Options{Now: func() time.Duration { return time.Hour + time.Since(start) }, Sockets: 100, Seed: 1})
+	p := New(Options{Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1})
 	defer p.Stop()
 	p.Adopt(grown(b, 1))
 	var all []Server
 	for i := range 5200 {
 		all = append(all, Server{ID: fmt.Sprint("srv-", i), Addr: fmt.Sprint("a-", i), Service: fmt.Sprint("s-", i%180), Capacity: 50})
 	}
-	p.Serve(all)
+	p.SetServers(all)
 	for _, whole := range []bool{true, false} {
 		b.Run(fmt.Sprint("whole=", whole), func(b *testing.B) {
 			for n := 0; b.Loop(); n++ {
 				one := &all[n%len(all)]
 				one.Capacity = 51 - one.Capacity%2
 				if whole {
-					p.Serve(all)
+					p.SetServers(all)
 				} else {
-					p.Change([]Server{*one}, nil)
+					p.UpdateServers([]Server{*one}, nil)
 				}
 			}
 		})
--- a/internal/dataplane/size_test.go
+++ b/internal/dataplane/size_test.go
@@ -23,11 +23,11 @@
 			Service: fmt.Sprint("s-", i%180), Zone: fmt.Sprint("zone-", i/180%10), Capacity: 6})
 	}
 	for b.Loop() {
-		p := New(Options{Now: func() time.Duration { return time.Hour + time.Since(start) }, Sockets: 100, Seed: 1, Zone: "zone-0"})
+		p := New(Options{Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1, Zone: "zone-0"})
 		p.Adopt(table)
 		time.Sleep(200 * time.Millisecond)
 		before := heap()
-		p.Serve(all)
+		p.SetServers(all)
 		time.Sleep(500 * time.Millisecond) // the lanes take it up
 		b.ReportMetric((heap()-before)/float64(len(all)), "bytes/server")
 		p.Stop()
--- a/internal/dataplane/times_test.go
+++ b/internal/dataplane/times_test.go
@@ -13,8 +13,8 @@
 func TestTimes(t *testing.T) {
 	got := make(chan [protocol.Stages]int64, 1)
 	g := newStage(t, faultrules.Strike{}, func(o *Options) {
-		o.Faults = nil // what a fault rule strikes goes another way
-		o.Times = func(id string, times *protocol.Times) {
+		o.FaultInjector = nil // what a fault rule strikes goes another way
+		o.OnRequestTimes = func(id string, times *protocol.Times) {
 			if id == "one" {
 				got <- times.At()
 			}
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -19,24 +19,24 @@
 
 // Errors of Apply. The base is unchanged after any.
 var (
-	ErrBase   = errors.New("the difference is to another text")
-	ErrSpoilt = errors.New("the difference is damaged")
+	ErrWrongBase = errors.New("the difference is to another text")
+	ErrDamaged   = errors.New("the difference is damaged")
 )
 
 // Most is how long a text that comes out of a difference may be.
-const Most = 16 << 20
+const MaxTextSize = 16 << 20
 
 // Delta makes one text of another. The base of a whole text is the empty one.
 type Delta struct {
-	From  uint64 `cbor:"1,keyasint"` // sum of the base
-	To    uint64 `cbor:"2,keyasint"` // of the text that comes out
-	Size  int    `cbor:"3,keyasint"` // its length
-	Steps []byte `cbor:"4,keyasint"`
-	Flate bool   `cbor:"5,keyasint,omitempty"` // the steps are packed
+	BaseSum    uint64 `cbor:"1,keyasint"` // sum of the base
+	ResultSum  uint64 `cbor:"2,keyasint"` // of the text that comes out
+	Size       int    `cbor:"3,keyasint"` // its length
+	Ops        []byte `cbor:"4,keyasint"`
+	Compressed bool   `cbor:"5,keyasint,omitempty"` // the steps are packed
 }
 
 // Sum tells texts apart. It finds faults, not forgers.
-func Sum(text []byte) uint64 { return xxhash.Sum64(text) }
+func Checksum(text []byte) uint64 { return xxhash.Sum64(text) }
 
 const (
 	block    = 32       // of the base, by whose contents it is found again
@@ -49,47 +49,47 @@
 
 // Make is the difference between two texts; false: it is not less than half of the new one,
 // packed.
-func Make(base, text []byte) (Delta, bool) {
-	if len(text) < least || len(text) > Most {
+func New(base, text []byte) (Delta, bool) {
+	if len(text) < least || len(text) > MaxTextSize {
 		return Delta{}, false
 	}
 	steps, ok := diff(base, text)
 	if !ok {
 		return Delta{}, false
 	}
-	d := Delta{From: Sum(base), To: Sum(text), Size: len(text), Steps: steps}
+	d := Delta{BaseSum: Checksum(base), ResultSum: Checksum(text), Size: len(text), Ops: steps}
 	d.pack()
-	return d, len(d.Steps) < len(text)/2
+	return d, len(d.Ops) < len(text)/2
 }
 
 // Whole is a text as a difference to none: for who has nothing near. A short one is as well sent
 // as it is: to pack it takes a megabyte for a moment.
-func Whole(text []byte) (Delta, bool) {
+func NewFull(text []byte) (Delta, bool) {
 	if len(text) < sizeable {
 		return Delta{}, false
 	}
-	d := Delta{From: Sum(nil), To: Sum(text), Size: len(text), Steps: own(nil, text)}
+	d := Delta{BaseSum: Checksum(nil), ResultSum: Checksum(text), Size: len(text), Ops: own(nil, text)}
 	d.pack()
-	return d, d.Flate && len(text) <= Most && len(d.Steps) < len(text)/2
+	return d, d.Compressed && len(text) <= MaxTextSize && len(d.Ops) < len(text)/2
 }
 
 // Same is the difference of a text to itself: it names that text to who has it.
-func Same(text []byte) *Delta {
-	sum := Sum(text)
-	return &Delta{From: sum, To: sum, Size: len(text), Steps: again(nil, 0, len(text))}
+func Identity(text []byte) *Delta {
+	sum := Checksum(text)
+	return &Delta{BaseSum: sum, ResultSum: sum, Size: len(text), Ops: again(nil, 0, len(text))}
 }
 
 func (d *Delta) pack() {
-	if len(d.Steps) < long {
+	if len(d.Ops) < long {
 		return
 	}
-	if packed, ok := Pack(nil, d.Steps); ok {
-		d.Steps, d.Flate = packed, true
+	if packed, ok := Compress(nil, d.Ops); ok {
+		d.Ops, d.Compressed = packed, true
 	}
 }
 
 // Pack packs data behind what is in front; false: it gets no shorter.
-func Pack(front, data []byte) ([]byte, bool) {
+func Compress(front, data []byte) ([]byte, bool) {
 	b := bytes.NewBuffer(append(make([]byte, 0, len(front)+len(data)/4), front...))
 	w, err := flate.NewWriter(b, flate.BestSpeed)
 	if err != nil {
@@ -103,13 +103,13 @@
 }
 
 // Unpack is what was packed, if it is no longer than most.
-func Unpack(packed []byte, most int) ([]byte, error) {
+func Decompress(packed []byte, most int) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), int64(most)+1))
 	if err == nil && len(data) > most {
 		err = errors.New("it unpacks to more than it may")
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSpoilt, err)
+		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	return data, nil
 }
@@ -187,16 +187,16 @@
 
 // Apply makes the text of its base.
 func (d Delta) Apply(base []byte) ([]byte, error) {
-	if d.Size < 0 || d.Size > Most {
-		return nil, fmt.Errorf("%w: %d bytes", ErrSpoilt, d.Size)
+	if d.Size < 0 || d.Size > MaxTextSize {
+		return nil, fmt.Errorf("%w: %d bytes", ErrDamaged, d.Size)
 	}
-	if Sum(base) != d.From {
-		return nil, ErrBase
+	if Checksum(base) != d.BaseSum {
+		return nil, ErrWrongBase
 	}
-	steps := d.Steps
-	if d.Flate {
+	steps := d.Ops
+	if d.Compressed {
 		var err error
-		if steps, err = Unpack(steps, 2*d.Size+1024); err != nil { // steps are hardly longer than the text that they make
+		if steps, err = Decompress(steps, 2*d.Size+1024); err != nil { // steps are hardly longer than the text that they make
 			return nil, err
 		}
 	}
@@ -204,25 +204,25 @@
 	for len(steps) > 0 {
 		x, k := binary.Uvarint(steps)
 		if k <= 0 || x>>1 > uint64(d.Size-len(text)) {
-			return nil, fmt.Errorf("%w: a length", ErrSpoilt)
+			return nil, fmt.Errorf("%w: a length", ErrDamaged)
 		}
 		n := int(x >> 1)
 		steps = steps[k:]
 		if x&1 == 1 {
 			if n > len(steps) {
-				return nil, fmt.Errorf("%w: bytes are missing", ErrSpoilt)
+				return nil, fmt.Errorf("%w: bytes are missing", ErrDamaged)
 			}
 			text, steps = append(text, steps[:n]...), steps[n:]
 			continue
 		}
 		at, k := binary.Uvarint(steps)
 		if k <= 0 || at > uint64(len(base)) || uint64(n) > uint64(len(base))-at {
-			return nil, fmt.Errorf("%w: a place", ErrSpoilt)
+			return nil, fmt.Errorf("%w: a place", ErrDamaged)
 		}
 		text, steps = append(text, base[at:int(at)+n]...), steps[k:]
 	}
-	if len(text) != d.Size || Sum(text) != d.To {
-		return nil, fmt.Errorf("%w: another text comes out", ErrSpoilt)
+	if len(text) != d.Size || Checksum(text) != d.ResultSum {
+		return nil, fmt.Errorf("%w: another text comes out", ErrDamaged)
 	}
 	return text, nil
 }
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -29,9 +29,9 @@
 func TestFew(t *testing.T) {
 	base := config(7, 4800)
 	for _, text := range [][]byte{config(8, 4800), config(8, 4800, 0), config(9, 4800, 17, 2400, 4799), config(16, 4801), config(8, 4799)} {
-		d, ok := Make(base, text)
-		if !ok || len(d.Steps) > 500 {
-			t.Errorf("%v, %d bytes for a change of %d", ok, len(d.Steps), len(text))
+		d, ok := New(base, text)
+		if !ok || len(d.Ops) > 500 {
+			t.Errorf("%v, %d bytes for a change of %d", ok, len(d.Ops), len(text))
 		}
 		if got, err := d.Apply(base); err != nil || !bytes.Equal(got, text) {
 			t.Error(err)
@@ -62,7 +62,7 @@
 				}
 			}
 		}
-		if d, ok := Make(base, text); ok {
+		if d, ok := New(base, text); ok {
 			made++
 			if got, err := d.Apply(base); err != nil || !bytes.Equal(got, text) {
 				t.Fatal(err)
@@ -75,11 +75,11 @@
 }
 
 func TestWhole(t *testing.T) {
-	if _, ok := Whole(config(1, 100)); ok {
+	if _, ok := NewFull(config(1, 100)); ok {
 		t.Error("a short text is packed")
 	}
 	text := config(1, 1000)
-	d, ok := Whole(text)
+	d, ok := NewFull(text)
 	if got, err := d.Apply(nil); !ok || err != nil || !bytes.Equal(got, text) {
 		t.Error(ok, err)
 	}
@@ -90,10 +90,10 @@
 	for i := range noise {
 		noise[i] = byte(rand.Uint32())
 	}
-	if _, ok := Make(config(1, 100), noise); ok {
+	if _, ok := New(config(1, 100), noise); ok {
 		t.Error("noise has a short difference")
 	}
-	if _, ok := Whole(noise); ok {
+	if _, ok := NewFull(noise); ok {
 		t.Error("noise is packed")
 	}
 }
@@ -103,29 +103,29 @@
 func TestSpoilt(t *testing.T) {
 	base := config(1, 200)
 	text := config(2, 200, 3, 100)
-	d, _ := Make(base, text)
-	if _, err := d.Apply(text); !errors.Is(err, ErrBase) {
+	d, _ := New(base, text)
+	if _, err := d.Apply(text); !errors.Is(err, ErrWrongBase) {
 		t.Error(err)
 	}
-	for i := range d.Steps {
+	for i := range d.Ops {
 		for _, x := range []byte{1, 0x80, 0xff} {
 			s := d
-			s.Steps = bytes.Clone(d.Steps)
-			s.Steps[i] ^= x
+			s.Ops = bytes.Clone(d.Ops)
+			s.Ops[i] ^= x
 			if got, err := s.Apply(base); err == nil && !bytes.Equal(got, text) {
 				t.Fatalf("byte %d", i)
 			}
 		}
 		s := d
-		s.Steps = d.Steps[:i]
+		s.Ops = d.Ops[:i]
 		if got, err := s.Apply(base); err == nil && !bytes.Equal(got, text) {
 			t.Fatalf("cut at %d", i)
 		}
 	}
-	for _, size := range []int{-1, 0, Most + 1} {
+	for _, size := range []int{-1, 0, MaxTextSize + 1} {
 		s := d
 		s.Size = size
-		if _, err := s.Apply(base); !errors.Is(err, ErrSpoilt) {
+		if _, err := s.Apply(base); !errors.Is(err, ErrDamaged) {
 			t.Error(size, err)
 		}
 	}
@@ -135,13 +135,13 @@
 	base, text := config(7, 16800), config(8, 16800, 8000)
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
-		Make(base, text)
+		New(base, text)
 	}
 }
 
 func BenchmarkApply(b *testing.B) {
 	base, text := config(7, 16800), config(8, 16800, 8000)
-	d, _ := Make(base, text)
+	d, _ := New(base, text)
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
 		_, _ = d.Apply(base)
--- a/internal/faultrules/lead.go
+++ b/internal/faultrules/lead.go
@@ -318,10 +318,10 @@
 		}
 	case OpPut:
 		digest := dedup.Digest(f.Doc.Body)
-		known := r.sets().Of(f.Doc.Version, digest)
+		known := r.sets().Lookup(f.Doc.Version, digest)
 		switch {
 		case m.bug == Refuses && f.Doc.Version <= r.Doc.Version:
-			known = dedup.Other
+			known = dedup.Conflicting
 		case m.bug == Confuses && f.Doc.Version == r.Doc.Version:
 			known = dedup.Same
 		}
@@ -330,7 +330,7 @@
 			return Done, true
 		case known == dedup.Unknown: // it may have been accepted long ago
 			return Busy, true
-		case known == dedup.Other || f.Doc.Version <= r.Doc.Version:
+		case known == dedup.Conflicting || f.Doc.Version <= r.Doc.Version:
 			return Below, true
 		}
 	default:
--- a/internal/faultrules/record.go
+++ b/internal/faultrules/record.go
@@ -48,16 +48,16 @@
 	Stopped bool            `cbor:"5,keyasint,omitempty"`
 	Left    []time.Duration `cbor:"6,keyasint,omitempty"` // of each rule, when this was written
 	Parts   []Part          `cbor:"7,keyasint,omitempty"`
-	Sets    dedup.Ledger    `cbor:"8,keyasint,omitempty"` // accepted ones
+	Sets    dedup.History   `cbor:"8,keyasint,omitempty"` // accepted ones
 }
 
 // sets are the accepted ones, gathered where the version before has kept none.
-func (r Record) sets() dedup.Ledger {
+func (r Record) sets() dedup.History {
 	switch {
 	case len(r.Sets) > 0:
 		return r.Sets
 	case r.Doc.Version > 0:
-		return dedup.Since(r.Doc.Version, r.Doc.Body)
+		return dedup.NewFromLast(r.Doc.Version, r.Doc.Body)
 	}
 	return dedup.New()
 }
--- a/internal/faultrules/world/world.go
+++ b/internal/faultrules/world/world.go
@@ -28,7 +28,7 @@
 type World struct {
 	rng   *rand.Rand
 	now   time.Duration
-	queue fsm.Events
+	queue fsm.EventQueue
 	order uint64
 	bug   faultrules.Bug
 
@@ -94,7 +94,7 @@
 
 func (w *World) after(d time.Duration, do func()) {
 	w.order++
-	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.order, Do: do})
+	heap.Push(&w.queue, fsm.Event{At: w.now + d, Sequence: w.order, Run: do})
 }
 
 func (w *World) every(d time.Duration, do func()) {
@@ -107,7 +107,7 @@
 	for len(w.queue) > 0 && w.queue[0].At <= end && w.Broken == "" {
 		e := heap.Pop(&w.queue).(fsm.Event)
 		w.now = e.At
-		e.Do()
+		e.Run()
 	}
 	w.now = end
 }
--- a/internal/fsm/event.go
+++ b/internal/fsm/event.go
@@ -2,24 +2,24 @@
 
 // Event is what happens at a moment of simulated time.
 type Event struct {
-	At    Time
-	Order uint64 // of coming, for those of one moment
-	Do    func()
+	At       Time
+	Sequence uint64 // of coming, for those of one moment
+	Run      func()
 }
 
 // Events are a heap for container/heap, the earliest first.
-type Events []Event
+type EventQueue []Event
 
-func (e Events) Len() int { return len(e) }
-func (e Events) Less(i, j int) bool {
-	return e[i].At < e[j].At || e[i].At == e[j].At && e[i].Order < e[j].Order
+func (e EventQueue) Len() int { return len(e) }
+func (e EventQueue) Less(i, j int) bool {
+	return e[i].At < e[j].At || e[i].At == e[j].At && e[i].Sequence < e[j].Sequence
 }
-func (e Events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e EventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push and Pop are for container/heap alone.
-func (e *Events) Push(x any) { *e = append(*e, x.(Event)) }
+func (e *EventQueue) Push(x any) { *e = append(*e, x.(Event)) }
 
-func (e *Events) Pop() any {
+func (e *EventQueue) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
@@ -27,7 +27,7 @@
 
 // Add and Next do what heap.Push and heap.Pop would, without two allocations for each
 // event: a played day is mostly these.
-func (e *Events) Add(ev Event) {
+func (e *EventQueue) Insert(ev Event) {
 	*e = append(*e, ev)
 	all := *e
 	for i := len(all) - 1; i > 0; {
@@ -41,7 +41,7 @@
 }
 
 // Next takes the earliest away; there must be one.
-func (e *Events) Next() Event {
+func (e *EventQueue) RemoveFirst() Event {
 	all := *e
 	first, end := all[0], len(all)-1
 	all[0], all[end] = all[end], Event{}
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -30,7 +30,7 @@
 }
 
 // NewRing returns one that keeps so many lines.
-func NewRing(out io.Writer, name string, keep int, level log.Level) *Ring {
+func New(out io.Writer, name string, keep int, level log.Level) *Ring {
 	return &Ring{out: out, name: name, level: level, lines: make([]entry, keep), start: time.Now()}
 }
 
--- a/internal/logring/logring_test.go
+++ b/internal/logring/logring_test.go
@@ -13,7 +13,7 @@
 // out those that were not, once.
 func TestRing(t *testing.T) {
 	var out bytes.Buffer
-	r := NewRing(&out, "n", 4, log.InfoLevel)
+	r := New(&out, "n", 4, log.InfoLevel)
 	say := &log.Logger{Handler: r, Level: log.DebugLevel}
 	bare := func(text string) string { return regexp.MustCompile(` +[0-9.]+ n `).ReplaceAllString(text, "") }
 	say.Debug("a")
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -19,25 +19,25 @@
 // Codec is what frames are on the wire.
 type Codec[F any] struct {
 	Encode func(F) []byte
-	Read   func(*bufio.Reader) (f F, size int, err error) // size: what is counted for it
+	Decode func(*bufio.Reader) (f F, size int, err error) // size: what is counted for it
 }
 
 // Errors of a Codec that are counted; after any, the connection ends.
 var (
-	ErrStrange = errors.New("not a frame of this mesh")
-	ErrSpoilt  = errors.New("a damaged frame")
+	ErrForeignFrame = errors.New("not a frame of this mesh")
+	ErrDamagedFrame = errors.New("a damaged frame")
 )
 
 // Options of a mesh.
 type Options[F any] struct {
-	World  hostenv.Seam // nil: the real one
-	Codec  Codec[F]
-	Handle func(p *Pipe[F], f F) // on the goroutine of the connection it came by
-	Most   int                   // connections that come in
-	Tune   func(net.Conn)        // nil: as they come
-	Dial   time.Duration         // 0: 500 ms
-	Silent time.Duration         // connections that come in end after it; 0: 30 s
-	Buffer int                   // of a reader; 0: 8 KiB
+	Host           hostenv.Seam // nil: the real one
+	Codec          Codec[F]
+	Handle         func(p *Conn[F], f F) // on the goroutine of the connection it came by
+	MaxInbound     int                   // connections that come in
+	ConfigureConn  func(net.Conn)        // nil: as they come
+	DialTimeout    time.Duration         // 0: 500 ms
+	IdleTimeout    time.Duration         // connections that come in end after it; 0: 30 s
+	ReadBufferSize int                   // of a reader; 0: 8 KiB
 }
 
 // Mesh is one process's part of it. Answers may go back on the connection that a
@@ -46,8 +46,8 @@
 	Options[F]
 
 	mu     sync.Mutex
-	out    map[string]*Pipe[F]
-	in     map[*Pipe[F]]bool
+	out    map[string]*Conn[F]
+	in     map[*Conn[F]]bool
 	closed bool
 	ln     net.Listener
 
@@ -56,19 +56,19 @@
 
 // Counts are frames since the start.
 type Counts struct {
-	Sent, Got, BytesOut, BytesIn atomic.Int64
-	Dropped                      atomic.Int64 // the queue to a slow peer was full
-	Strange, Spoilt, Old         atomic.Int64 // of another cluster; damaged; for or from an earlier incarnation
+	Sent, Received, BytesOut, BytesIn atomic.Int64
+	Dropped                           atomic.Int64 // the queue to a slow peer was full
+	Foreign, Damaged, Stale           atomic.Int64 // of another cluster; damaged; for or from an earlier incarnation
 }
 
 // All are the counts by name.
 func (c *Counts) All() map[string]int64 {
-	return map[string]int64{"sent": c.Sent.Load(), "got": c.Got.Load(), "bytes_out": c.BytesOut.Load(), "bytes_in": c.BytesIn.Load(),
-		"dropped": c.Dropped.Load(), "strange": c.Strange.Load(), "spoilt": c.Spoilt.Load(), "old": c.Old.Load()}
+	return map[string]int64{"sent": c.Sent.Load(), "got": c.Received.Load(), "bytes_out": c.BytesOut.Load(), "bytes_in": c.BytesIn.Load(),
+		"dropped": c.Dropped.Load(), "strange": c.Foreign.Load(), "spoilt": c.Damaged.Load(), "old": c.Stale.Load()}
 }
 
 // Pipe is one connection with its queue.
-type Pipe[F any] struct {
+type Conn[F any] struct {
 	m      *Mesh[F]
 	addr   string // that it leads to; "": it came in
 	box    *mailbox.Box[[]byte]
@@ -87,18 +87,18 @@
 
 // New returns a mesh without connections.
 func New[F any](o Options[F]) *Mesh[F] {
-	o.World, o.Dial, o.Silent, o.Buffer = hostenv.Or(o.World), cmp.Or(o.Dial, 500*time.Millisecond), cmp.Or(o.Silent, 2*idleFor), cmp.Or(o.Buffer, 8<<10)
-	return &Mesh[F]{Options: o, out: map[string]*Pipe[F]{}, in: map[*Pipe[F]]bool{}}
+	o.Host, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.Or(o.Host), cmp.Or(o.DialTimeout, 500*time.Millisecond), cmp.Or(o.IdleTimeout, 2*idleFor), cmp.Or(o.ReadBufferSize, 8<<10)
+	return &Mesh[F]{Options: o, out: map[string]*Conn[F]{}, in: map[*Conn[F]]bool{}}
 }
 
 // Listen opens the mesh's port.
 func (m *Mesh[F]) Listen(addr string) error {
-	ln, err := m.World.Listen(addr)
+	ln, err := m.Host.Listen(addr)
 	if err != nil {
 		return err
 	}
 	m.ln = ln
-	m.World.Go(func() {
+	m.Host.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -108,15 +108,15 @@
 				if closed || errors.Is(err, net.ErrClosed) {
 					return
 				}
-				m.World.Sleep(20 * time.Millisecond) // descriptors may be short for a moment
+				m.Host.Sleep(20 * time.Millisecond) // descriptors may be short for a moment
 				continue
 			}
-			if m.Tune != nil {
-				m.Tune(c)
+			if m.ConfigureConn != nil {
+				m.ConfigureConn(c)
 			}
-			p := &Pipe[F]{m: m, box: mailbox.NewBox[[]byte](m.World), conn: c}
+			p := &Conn[F]{m: m, box: mailbox.NewBox[[]byte](m.Host), conn: c}
 			m.mu.Lock()
-			full := m.closed || len(m.in) >= m.Most
+			full := m.closed || len(m.in) >= m.MaxInbound
 			if !full {
 				m.in[p] = true
 			}
@@ -125,8 +125,8 @@
 				c.Close()
 				continue
 			}
-			m.World.Go(func() { p.read(c) })
-			m.World.Go(p.write)
+			m.Host.Go(func() { p.read(c) })
+			m.Host.Go(p.write)
 		}
 	})
 	return nil
@@ -136,17 +136,17 @@
 func (m *Mesh[F]) Addr() string { return m.ln.Addr().String() }
 
 // To is the pipe to an address.
-func (m *Mesh[F]) To(addr string) *Pipe[F] {
+func (m *Mesh[F]) ConnTo(addr string) *Conn[F] {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.out[addr]
 	if p == nil {
-		p = &Pipe[F]{m: m, addr: addr, box: mailbox.NewBox[[]byte](m.World)}
+		p = &Conn[F]{m: m, addr: addr, box: mailbox.NewBox[[]byte](m.Host)}
 		if m.out[addr] = p; m.closed {
 			p.ended = true
 			return p
 		}
-		m.World.Go(p.write)
+		m.Host.Go(p.write)
 	}
 	return p
 }
@@ -155,7 +155,7 @@
 func (m *Mesh[F]) Close() {
 	m.mu.Lock()
 	m.closed = true
-	var all []*Pipe[F]
+	var all []*Conn[F]
 	for _, p := range m.out {
 		all = append(all, p)
 	}
@@ -172,7 +172,7 @@
 }
 
 // Send queues a frame. A full queue drops it: what sends here sends again.
-func (p *Pipe[F]) Send(f F) {
+func (p *Conn[F]) Send(f F) {
 	if p.queued.Load() >= mostQueued {
 		p.m.Counts.Dropped.Add(1)
 		return
@@ -181,7 +181,7 @@
 	p.box.Put(p.m.Codec.Encode(f))
 }
 
-func (p *Pipe[F]) end() {
+func (p *Conn[F]) end() {
 	p.mu.Lock()
 	p.ended = true
 	if p.conn != nil {
@@ -193,7 +193,7 @@
 
 // write sends what is queued. A pipe out dials as it needs to; what is queued
 // meanwhile is lost if it can't.
-func (p *Pipe[F]) write() {
+func (p *Conn[F]) write() {
 	defer p.forget()
 	var conn net.Conn
 	if p.addr == "" {
@@ -213,13 +213,13 @@
 		}
 		if p.addr != "" && (conn == nil || conn != now) {
 			var err error
-			if conn, err = p.m.World.Dial(p.addr, p.m.Dial); err != nil {
+			if conn, err = p.m.Host.Dial(p.addr, p.m.DialTimeout); err != nil {
 				conn = nil
-				p.m.World.Sleep(dialPause)
+				p.m.Host.Sleep(dialPause)
 				continue
 			}
-			if p.m.Tune != nil {
-				p.m.Tune(conn)
+			if p.m.ConfigureConn != nil {
+				p.m.ConfigureConn(conn)
 			}
 			p.mu.Lock()
 			p.conn, ended = conn, p.ended
@@ -229,13 +229,13 @@
 				return
 			}
 			c := conn
-			p.m.World.Go(func() { p.read(c) })
+			p.m.Host.Go(func() { p.read(c) })
 		}
 		var all []byte
 		for _, f := range frames {
 			all = append(all, f...)
 		}
-		conn.SetWriteDeadline(p.m.World.Now().Add(writeWithin))
+		conn.SetWriteDeadline(p.m.Host.Now().Add(writeWithin))
 		if _, err := conn.Write(all); err != nil {
 			conn.Close()
 			if p.addr == "" {
@@ -250,7 +250,7 @@
 }
 
 // forget ends a pipe for good; whoever sends to its address next makes another.
-func (p *Pipe[F]) forget() {
+func (p *Conn[F]) forget() {
 	p.m.mu.Lock()
 	if p.addr != "" && p.m.out[p.addr] == p {
 		delete(p.m.out, p.addr)
@@ -265,23 +265,23 @@
 	p.mu.Unlock()
 }
 
-func (p *Pipe[F]) read(c net.Conn) {
-	in := bufio.NewReaderSize(c, p.m.Buffer)
+func (p *Conn[F]) read(c net.Conn) {
+	in := bufio.NewReaderSize(c, p.m.ReadBufferSize)
 	for {
 		if p.addr == "" {
-			c.SetReadDeadline(p.m.World.Now().Add(p.m.Silent))
+			c.SetReadDeadline(p.m.Host.Now().Add(p.m.IdleTimeout))
 		}
-		f, size, err := p.m.Codec.Read(in)
+		f, size, err := p.m.Codec.Decode(in)
 		if err != nil {
 			switch {
-			case errors.Is(err, ErrStrange):
-				p.m.Counts.Strange.Add(1)
-			case errors.Is(err, ErrSpoilt):
-				p.m.Counts.Spoilt.Add(1)
+			case errors.Is(err, ErrForeignFrame):
+				p.m.Counts.Foreign.Add(1)
+			case errors.Is(err, ErrDamagedFrame):
+				p.m.Counts.Damaged.Add(1)
 			}
 			break
 		}
-		p.m.Counts.Got.Add(1)
+		p.m.Counts.Received.Add(1)
 		p.m.Counts.BytesIn.Add(int64(size))
 		p.m.Handle(p, f)
 	}
--- a/internal/rollout/world/cutoff.go
+++ b/internal/rollout/world/cutoff.go
@@ -135,7 +135,7 @@
 }
 
 func (w *World) allHold() bool {
-	return !slices.ContainsFunc(w.nodes, func(n *Proc) bool { v, _ := n.k.Accord().Kept(); return v != w.maxFate() })
+	return !slices.ContainsFunc(w.nodes, func(n *Proc) bool { v, _ := n.k.RolloutMachine().Kept(); return v != w.maxFate() })
 }
 
 func (w *World) without(those ...*Proc) []*Proc {
--- a/internal/rollout/world/cutoff_test.go
+++ b/internal/rollout/world/cutoff_test.go
@@ -54,7 +54,7 @@
 		w := open(t, Options{Seed: seed}, 0, 0)
 		p, from := w.primary(), w.now
 		alone(w, p)
-		for p.k.Rollout(p.clock()).Leads && w.now < from+5*time.Second {
+		for p.k.RolloutStatus(p.clock()).Leads && w.now < from+5*time.Second {
 			w.Run(10 * ms)
 		}
 		worst = max(worst, w.now-from)
--- a/internal/rollout/world/judge.go
+++ b/internal/rollout/world/judge.go
@@ -118,7 +118,7 @@
 		if t.Checked == 0 || t.Refusal != "" {
 			return
 		}
-		if v := p.k.Pact().Version; uint64(v) < t.Checked {
+		if v := p.k.ConsensusStatus().Version; uint64(v) < t.Checked {
 			w.breaks("HELD", "%s confirms %d and holds %d", p.name, t.Checked, v)
 		} else if p.core && uint64(kept(p.disk)) < t.Checked {
 			w.breaks("HELD", "%s confirms %d and has %d on disk", p.name, t.Checked, kept(p.disk))
@@ -195,7 +195,7 @@
 }
 
 // live is the text in force at a process.
-func (w *World) live(p *Proc) []byte { return p.k.Accord().Text() }
+func (w *World) live(p *Proc) []byte { return p.k.RolloutMachine().Text() }
 
 func kept(disk []byte) uint32 {
 	if disk == nil {
--- a/internal/rollout/world/orders.go
+++ b/internal/rollout/world/orders.go
@@ -11,7 +11,7 @@
 // on it has come back.
 func (w *World) holds() {
 	for end := w.now + time.Second; w.now < end; w.Run(50 * time.Microsecond) {
-		if p := w.primary(); p.k.Rollout(p.clock()).Stage == "holding" {
+		if p := w.primary(); p.k.RolloutStatus(p.clock()).Stage == "holding" {
 			return
 		}
 	}
@@ -105,10 +105,10 @@
 	w.Run(time.Second)
 	for _, wish := range copies {
 		p := w.primary()
-		p.input(func() controlplane.Out { return p.k.Take(p.clock(), asker.addr, wish) })
+		p.input(func() controlplane.Output { return p.k.Receive(p.clock(), asker.addr, wish) })
 	}
 	w.Run(time.Second)
-	if p := w.primary(); len(copies) == 0 || p.k.Rollout(p.clock()).Fate == rollout.Withdrawn.String() {
+	if p := w.primary(); len(copies) == 0 || p.k.RolloutStatus(p.clock()).Fate == rollout.Withdrawn.String() {
 		w.breaks("LATE", "version 3 is withdrawn by %d copies of a wish from before it came", len(copies))
 	}
 	w.heal()
--- a/internal/rollout/world/play.go
+++ b/internal/rollout/world/play.go
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, p := range w.nodes {
-		switch v, fate := p.k.Accord().Kept(); {
+		switch v, fate := p.k.RolloutMachine().Kept(); {
 		case p.frozen():
 		case fate == rollout.Prepared:
 			w.breaks("STUCK", "%s has %d as prepared", p.name, v)
--- a/internal/rollout/world/proc.go
+++ b/internal/rollout/world/proc.go
@@ -24,7 +24,7 @@
 	core             bool
 	rate             float64 // of its clock
 	base             time.Duration
-	k                *controlplane.Knot
+	k                *controlplane.Machine
 	up               bool
 	life             int
 	thaws            time.Duration
@@ -61,11 +61,11 @@
 		}
 	}
 	seed := w.rng.Uint64()
-	p.k = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core, Genesis: !p.started,
-		Losses: 1, Heartbeat: time.Second, Seeds: []string{w.nodes[0].addr, w.nodes[1].addr, w.nodes[2].addr},
-		Life: uint64(1e12) + uint64(w.now), Seed: seed, Check: p.check}, quotas.NewMeter(p.addr, uint64(p.life), seed), kept, p.clock())
+	p.k = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, ControlAddr: p.addr + "0", Member: p.core, Genesis: !p.started,
+		ToleratedLosses: 1, HeartbeatInterval: time.Second, Seeds: []string{w.nodes[0].addr, w.nodes[1].addr, w.nodes[2].addr},
+		Incarnation: uint64(1e12) + uint64(w.now), Seed: seed, CheckConfig: p.check}, quotas.NewMeter(p.addr, uint64(p.life), seed), kept, p.clock())
 	p.started = true
-	p.k.Accord().SetBug(w.opt.Bug)
+	p.k.RolloutMachine().SetBug(w.opt.Bug)
 	w.note("%s starts", p.name)
 	p.tick(p.life)
 	w.after(w.upTo(w.opt.Every), func() { p.clients(p.life) })
@@ -110,7 +110,7 @@
 	})
 }
 
-func (p *Proc) input(do func() controlplane.Out) {
+func (p *Proc) input(do func() controlplane.Output) {
 	switch {
 	case !p.up:
 	case p.frozen():
@@ -124,7 +124,7 @@
 	if !p.up || p.life != life {
 		return
 	}
-	p.input(func() controlplane.Out { return p.k.Tick(p.clock()) })
+	p.input(func() controlplane.Output { return p.k.Tick(p.clock()) })
 	next := 50 * ms
 	if p.frozen() {
 		next = p.thaws - p.w.now
@@ -132,7 +132,7 @@
 	p.w.after(next, func() { p.tick(life) })
 }
 
-func (p *Proc) carry(out controlplane.Out) {
+func (p *Proc) carry(out controlplane.Output) {
 	w := p.w
 	if out.Write != nil {
 		data, err := cbor.Marshal(out.Write.Disk)
@@ -144,30 +144,30 @@
 		w.after(p.synced-w.now, func() {
 			if p.up && p.life == life {
 				p.disk = data
-				p.input(func() controlplane.Out { return p.k.Written(p.clock(), seq) })
+				p.input(func() controlplane.Output { return p.k.Written(p.clock(), seq) })
 			}
 		})
 	}
-	if t := out.Text; t != nil {
+	if t := out.Parse; t != nil {
 		life := p.life
 		w.after(w.upTo(20*ms), func() {
 			if p.life == life {
-				p.input(func() controlplane.Out { return p.k.Read(p.clock(), t.Read()) })
+				p.input(func() controlplane.Output { return p.k.ConfigParsed(p.clock(), t.Parse()) })
 			}
 		})
 	}
-	if out.Gate || out.Adopt != nil {
+	if out.GateChanged || out.Adopt != nil {
 		p.open()
 	}
-	if v, fate := p.k.Accord().Kept(); v != 0 {
+	if v, fate := p.k.RolloutMachine().Kept(); v != 0 {
 		w.fate(p, v, fate)
 	}
 	for _, r := range out.Replies {
 		switch t := r.Value.(type) {
 		case rollout.Withdrew:
-			w.told(p, p.wishes[r.Call], t.Outcome)
+			w.told(p, p.wishes[r.CallID], t.Outcome)
 		case consensus.Answer:
-			switch version := p.puts[r.Call]; t.Verdict {
+			switch version := p.puts[r.CallID]; t.Verdict {
 			case consensus.Kept:
 				w.acked(p, version)
 			case consensus.Busy: // no clear answer
@@ -262,9 +262,9 @@
 		life, sent := p.life, w.now
 		w.after(0, func() {
 			if p.life == life {
-				p.input(func() controlplane.Out {
+				p.input(func() controlplane.Output {
 					w.takes(p.addr, p, s.Msg, sent)
-					return p.k.Take(p.clock(), p.addr, s.Msg)
+					return p.k.Receive(p.clock(), p.addr, s.Msg)
 				})
 			}
 		})
@@ -293,9 +293,9 @@
 		w.after(d, func() {
 			if to.life == life && !w.cuts[[2]string{from, to.addr}] {
 				w.came(from, to, s.Msg)
-				to.input(func() controlplane.Out {
+				to.input(func() controlplane.Output {
 					w.takes(from, to, s.Msg, sent)
-					return to.k.Take(to.clock(), from, s.Msg)
+					return to.k.Receive(to.clock(), from, s.Msg)
 				})
 			}
 		})
@@ -336,7 +336,7 @@
 // primary is the process that leads, as it sees it itself; nil: none.
 func (w *World) primary() *Proc {
 	for _, p := range w.nodes {
-		if p.up && p.k.Pact().Role == "primary" {
+		if p.up && p.k.ConsensusStatus().Role == "primary" {
 			return p
 		}
 	}
@@ -386,8 +386,8 @@
 		w.texts[version] = body
 	}
 	w.other[version] = w.other[version] || !bytes.Equal(w.texts[version], body)
-	p.input(func() controlplane.Out {
-		return p.k.Put(p.clock(), id, consensus.Doc{Version: version, Body: body})
+	p.input(func() controlplane.Output {
+		return p.k.PutConfig(p.clock(), id, consensus.Doc{Version: version, Body: body})
 	})
 }
 
@@ -399,6 +399,6 @@
 		id := p.calls
 		_, known := w.fates[version]
 		p.wishes[id] = wished{version, known}
-		p.input(func() controlplane.Out { return p.k.Withdraw(p.clock(), id, version, "ops") })
+		p.input(func() controlplane.Output { return p.k.Withdraw(p.clock(), id, version, "ops") })
 	}
 }
--- a/internal/rollout/world/scenario_test.go
+++ b/internal/rollout/world/scenario_test.go
@@ -134,7 +134,7 @@
 	if w.newest != 2 || w.fates[3] != rollout.Prepared {
 		t.Fatalf("goes by %d, 3 is %v", w.newest, w.fates[3])
 	}
-	s := w.primary().k.Rollout(w.primary().clock())
+	s := w.primary().k.RolloutStatus(w.primary().clock())
 	if s.Enough || len(s.Prepared) != 10 || s.Newest != 3 || s.Live != 2 {
 		t.Errorf("%+v", s)
 	}
--- a/internal/rollout/world/world.go
+++ b/internal/rollout/world/world.go
@@ -82,7 +82,7 @@
 	opt    Options
 	rng    *rand.Rand
 	now    time.Duration
-	queue  fsm.Events
+	queue  fsm.EventQueue
 	order  uint64
 	nodes  []*Proc
 	byAddr map[string]*Proc
@@ -132,7 +132,7 @@
 
 func (w *World) after(d time.Duration, do func()) {
 	w.order++
-	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.order, Do: do})
+	heap.Push(&w.queue, fsm.Event{At: w.now + d, Sequence: w.order, Run: do})
 }
 
 // Run lets time pass; it ends early once a rule broke.
@@ -141,7 +141,7 @@
 	for len(w.queue) > 0 && w.queue[0].At <= end && len(w.res.Broken) == 0 {
 		e := heap.Pop(&w.queue).(fsm.Event)
 		w.now = e.At
-		e.Do()
+		e.Run()
 	}
 	w.now = end
 }
--- a/internal/systemsim/bug.go
+++ b/internal/systemsim/bug.go
@@ -47,33 +47,33 @@
 func (b Bug) guards() controlplane.Bugs {
 	switch b {
 	case OldDisk:
-		return controlplane.Bugs{Pact: consensus.BugOldDisk}
+		return controlplane.Bugs{Consensus: consensus.BugOldDisk}
 	case Deaf:
-		return controlplane.Bugs{Pact: consensus.BugDeaf}
+		return controlplane.Bugs{Consensus: consensus.BugDeaf}
 	case Unheard:
-		return controlplane.Bugs{Pact: consensus.BugNoLearner}
+		return controlplane.Bugs{Consensus: consensus.BugNoLearner}
 	case Remnant:
-		return controlplane.Bugs{Pact: consensus.BugRemnant}
+		return controlplane.Bugs{Consensus: consensus.BugRemnant}
 	case Whole:
-		return controlplane.Bugs{Pact: consensus.BugWhole}
+		return controlplane.Bugs{Consensus: consensus.BugWhole}
 	case Unread:
-		return controlplane.Bugs{Pact: consensus.BugUnconfirmed}
+		return controlplane.Bugs{Consensus: consensus.BugUnconfirmed}
 	case Unvouched:
-		return controlplane.Bugs{Lore: registry.Unvouched}
+		return controlplane.Bugs{Registry: registry.Unvouched}
 	case Straight:
-		return controlplane.Bugs{Lore: registry.Straight}
+		return controlplane.Bugs{Registry: registry.Straight}
 	case Unmet:
-		return controlplane.Bugs{Unmet: true}
+		return controlplane.Bugs{ReadyWithoutContact: true}
 	case Unasked:
-		return controlplane.Bugs{Bane: faultrules.Unconfirmed}
+		return controlplane.Bugs{FaultRules: faultrules.Unconfirmed}
 	case Numberless:
-		return controlplane.Bugs{Bane: faultrules.Numberless}
+		return controlplane.Bugs{FaultRules: faultrules.Numberless}
 	case Uncalled:
-		return controlplane.Bugs{Cede: drainpermit.Hasty}
+		return controlplane.Bugs{Drain: drainpermit.Hasty}
 	case Outdated:
-		return controlplane.Bugs{Cede: drainpermit.Stale}
+		return controlplane.Bugs{Drain: drainpermit.Stale}
 	case Unfenced:
-		return controlplane.Bugs{Bane: faultrules.Unfenced}
+		return controlplane.Bugs{FaultRules: faultrules.Unfenced}
 	}
 	return controlplane.Bugs{}
 }
--- a/internal/systemsim/callers.go
+++ b/internal/systemsim/callers.go
@@ -116,14 +116,14 @@
 }
 
 // try calls once. The call or its answer may be lost on the way.
-func (c *caller) try(do func(p *proc, id uint64) controlplane.Out, done func(p *proc, a consensus.Answer, ok bool)) {
+func (c *caller) try(do func(p *proc, id uint64) controlplane.Output, done func(p *proc, a consensus.Answer, ok bool)) {
 	w, p := c.w, c.at()
 	if c.rng.Float64() < c.lost/3 {
 		w.after(patience, func() { done(p, consensus.Answer{}, false) })
 		return
 	}
 	deaf := c.rng.Float64() < c.lost
-	w.call(p, far, func(id uint64) controlplane.Out { return do(p, id) }, func(v any) {
+	w.call(p, far, func(id uint64) controlplane.Output { return do(p, id) }, func(v any) {
 		a, ok := v.(consensus.Answer)
 		done(p, a, ok && !deaf)
 	})
@@ -145,7 +145,7 @@
 		then()
 	}
 	try = func() {
-		c.try(func(p *proc, id uint64) controlplane.Out { return p.k.Put(p.clock(), id, doc) }, func(p *proc, a consensus.Answer, ok bool) {
+		c.try(func(p *proc, id uint64) controlplane.Output { return p.k.PutConfig(p.clock(), id, doc) }, func(p *proc, a consensus.Answer, ok bool) {
 			switch {
 			case ok && a.Verdict == consensus.Kept:
 				c.w.kept(s.o, p)
@@ -168,7 +168,7 @@
 func (c *caller) read(then func()) {
 	w, from := c.w, c.w.now
 	floor := w.acked
-	c.try(func(p *proc, id uint64) controlplane.Out { return p.k.Get(p.clock(), id) }, func(p *proc, a consensus.Answer, ok bool) {
+	c.try(func(p *proc, id uint64) controlplane.Output { return p.k.GetConfig(p.clock(), id) }, func(p *proc, a consensus.Answer, ok bool) {
 		if ok && a.Verdict == consensus.Read {
 			w.seen(p, "reads", a.Doc)
 			if a.Doc.Version < floor {
--- a/internal/systemsim/catchup.go
+++ b/internal/systemsim/catchup.go
@@ -129,8 +129,8 @@
 // look notes when the machine has its seat, and the newest.
 func (b *Back) look(w *world, p *proc, at time.Duration) {
 	if l := w.leader(); l != nil {
-		s := p.k.Pact()
-		seated := b.Edge || s.Epoch == l.k.Pact().Epoch && s.Role != "follower"
+		s := p.k.ConsensusStatus()
+		seated := b.Edge || s.Epoch == l.k.ConsensusStatus().Epoch && s.Role != "follower"
 		switch {
 		case !seated: // also one that was seated and is fenced
 			b.Seat = 0
@@ -149,7 +149,7 @@
 	if a.Edge || l == nil {
 		return w.procs[4]
 	}
-	s := l.k.Pact()
+	s := l.k.ConsensusStatus()
 	for _, p := range w.core() {
 		writes := len(s.Writers) > 1 && s.Writers[1] == p.addr
 		switch {
--- a/internal/systemsim/disk.go
+++ b/internal/systemsim/disk.go
@@ -59,7 +59,7 @@
 
 func (d *disk) written(seq uint64, spins int) {
 	if d.spins == spins {
-		d.p.input(func() controlplane.Out { return d.p.k.Written(d.p.clock(), seq) })
+		d.p.input(func() controlplane.Output { return d.p.k.Written(d.p.clock(), seq) })
 	}
 }
 
--- a/internal/systemsim/drain.go
+++ b/internal/systemsim/drain.go
@@ -7,7 +7,7 @@
 
 // drain calls one gateway to send clients elsewhere, or to take them again.
 func (w *world) drain(p *proc, op drainpermit.Op) {
-	w.call(p, far, func(id uint64) controlplane.Out { return p.k.Drain(p.clock(), id, op, drainWithin) }, func(v any) {
+	w.call(p, far, func(id uint64) controlplane.Output { return p.k.Drain(p.clock(), id, op, drainWithin) }, func(v any) {
 		a, ok := v.(drainpermit.Answer)
 		w.note("%s is told %v, %d of its drain, and drains: %v", p.name, ok, a, p.k.Draining())
 		if ok && a == drainpermit.Done {
--- a/internal/systemsim/faults.go
+++ b/internal/systemsim/faults.go
@@ -39,7 +39,7 @@
 	w.after(p.rules.till-w.now, func() {
 		if p.up && p.life == life {
 			p.rules.synced = data
-			p.input(func() controlplane.Out { return p.k.Ruled(p.clock(), wr.Seq) })
+			p.input(func() controlplane.Output { return p.k.FaultRulesWritten(p.clock(), wr.Seq) })
 		}
 	})
 }
@@ -58,7 +58,7 @@
 			Effect: faultrules.VanishBefore, EndsS: 300, Budget: 1000}}})
 	}
 	floor := w.ruling.told
-	w.call(p, far, func(id uint64) controlplane.Out { return p.k.Rule(p.clock(), id, op, doc) }, func(v any) {
+	w.call(p, far, func(id uint64) controlplane.Output { return p.k.CallFaultRules(p.clock(), id, op, doc) }, func(v any) {
 		a, _ := v.(faultrules.Answer)
 		switch a.Outcome {
 		case faultrules.Busy:
@@ -96,7 +96,7 @@
 // prove asks a process for proof of contact, on which drains and refusals stand.
 func (w *world) prove(p *proc) {
 	since, floor := w.now, w.acked
-	w.call(p, far, func(id uint64) controlplane.Out { return p.k.Prove(p.clock(), id) }, func(v any) {
+	w.call(p, far, func(id uint64) controlplane.Output { return p.k.ProveContact(p.clock(), id) }, func(v any) {
 		version, ok := proved(v)
 		if !ok {
 			return
--- a/internal/systemsim/gauge.go
+++ b/internal/systemsim/gauge.go
@@ -76,7 +76,7 @@
 }
 
 // step measures a process's step.
-func (g *gauge) step(p *proc, do func() controlplane.Out) controlplane.Out {
+func (g *gauge) step(p *proc, do func() controlplane.Output) controlplane.Output {
 	if g == nil {
 		return do()
 	}
--- a/internal/systemsim/loss.go
+++ b/internal/systemsim/loss.go
@@ -78,7 +78,7 @@
 	}
 	w.must("run 1s ; put 1 ; expect everywhere 1 within 9s ; run 3s")
 	if p := w.leader(); p != nil {
-		r.epoch = p.k.Pact().Epoch
+		r.epoch = p.k.ConsensusStatus().Epoch
 	}
 	w.must("slow core 8 ; put 2 ; expect acked 2 within 4s")
 	r.lose()
@@ -153,11 +153,11 @@
 // agreed: everybody has the primary of a later epoch, and a wiped machine its seat.
 func (r *recoverer) agreed() bool {
 	lead := r.w.leader()
-	if lead == nil || lead.k.Pact().Epoch <= r.epoch {
+	if lead == nil || lead.k.ConsensusStatus().Epoch <= r.epoch {
 		return false
 	}
 	return r.all(func(p *proc) bool {
-		s := p.k.Pact()
+		s := p.k.ConsensusStatus()
 		return s.Primary == lead.addr && (p != r.one || s.Role != "follower")
 	})
 }
--- a/internal/systemsim/net.go
+++ b/internal/systemsim/net.go
@@ -29,7 +29,7 @@
 			life := p.life
 			w.after(0, func() {
 				if p.life == life {
-					p.input(func() controlplane.Out { return p.k.Take(p.clock(), p.addr, msg) })
+					p.input(func() controlplane.Output { return p.k.Receive(p.clock(), p.addr, msg) })
 				}
 			})
 			continue
@@ -56,7 +56,7 @@
 		from, life, sent := p.addr, to.life, w.now
 		arrives := func() {
 			if to.life == life && w.torn[link{from, to.addr}] <= sent && !w.severed(from, to.addr) {
-				to.input(func() controlplane.Out { return to.k.Take(to.clock(), from, msg) })
+				to.input(func() controlplane.Output { return to.k.Receive(to.clock(), from, msg) })
 			}
 		}
 		if cost > 0 {
--- a/internal/systemsim/operator.go
+++ b/internal/systemsim/operator.go
@@ -88,13 +88,13 @@
 		}
 		p = all[w.rng.IntN(len(all))]
 	}
-	w.call(p, far, func(id uint64) controlplane.Out {
+	w.call(p, far, func(id uint64) controlplane.Output {
 		c, err := sysconfig.Parse(o.body)
 		if err != nil {
 			w.note("%s refuses version %d: %v", p.name, o.version, err)
-			return controlplane.Out{}
+			return controlplane.Output{}
 		}
-		return p.k.Put(p.clock(), id, consensus.Doc{Version: c.Version(), Body: o.body})
+		return p.k.PutConfig(p.clock(), id, consensus.Doc{Version: c.Version(), Body: o.body})
 	}, func(v any) {
 		if a, ok := v.(consensus.Answer); ok && a.Verdict == consensus.Kept {
 			w.kept(o, p)
@@ -150,7 +150,7 @@
 // read asks one process for the newest configuration, and judges it.
 func (w *world) read(p *proc) {
 	floor := w.acked
-	w.call(p, far, func(id uint64) controlplane.Out { return p.k.Get(p.clock(), id) }, func(v any) {
+	w.call(p, far, func(id uint64) controlplane.Output { return p.k.GetConfig(p.clock(), id) }, func(v any) {
 		a, ok := v.(consensus.Answer)
 		switch {
 		case !ok || a.Verdict == consensus.Busy || a.Verdict == consensus.Kept:
--- a/internal/systemsim/proc.go
+++ b/internal/systemsim/proc.go
@@ -23,7 +23,7 @@
 	rules            ruleDisk
 	met              time.Duration // when it last had a way to most of the core
 
-	k       *controlplane.Knot
+	k       *controlplane.Machine
 	meter   *quotas.Meter
 	start   time.Duration
 	life    int           // counts starts
@@ -88,9 +88,9 @@
 		kept = p.disk.open()
 	}
 	p.meter = quotas.NewMeter(p.addr, life, seed)
-	p.k = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core,
-		Genesis: p.genesis, Losses: w.losses, Heartbeat: heartbeat, Seeds: w.seeds, Life: life, Seed: seed,
-		Faults: controlplane.Faults{Longest: longestRules, Disk: p.openRules()}, Bugs: w.bug.guards()},
+	p.k = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, ControlAddr: p.addr + "0", Member: p.core,
+		Genesis: p.genesis, ToleratedLosses: w.losses, HeartbeatInterval: heartbeat, Seeds: w.seeds, Incarnation: life, Seed: seed,
+		FaultRules: controlplane.FaultRulesConfig{MaxLifetime: longestRules, Disk: p.openRules()}, Bugs: w.bug.guards()},
 		p.meter, kept, p.clock())
 	w.note("%s starts, life %d", p.name, p.life)
 	p.tick(p.life)
@@ -116,7 +116,7 @@
 	if !p.up || p.life != life {
 		return
 	}
-	p.input(func() controlplane.Out { return p.k.Tick(p.clock()) })
+	p.input(func() controlplane.Output { return p.k.Tick(p.clock()) })
 	next := tick
 	if p.frozen() {
 		next = p.thaws - p.w.now
@@ -125,7 +125,7 @@
 }
 
 // input gives something to the process, when it has thawed if it is frozen.
-func (p *proc) input(do func() controlplane.Out) {
+func (p *proc) input(do func() controlplane.Output) {
 	switch {
 	case !p.up:
 	case p.frozen():
@@ -148,19 +148,19 @@
 }
 
 // carry is the rim.
-func (p *proc) carry(out controlplane.Out) {
+func (p *proc) carry(out controlplane.Output) {
 	w := p.w
 	if out.Write != nil {
 		p.disk.put(out.Write)
 	}
-	if t := out.Text; t != nil {
+	if t := out.Parse; t != nil {
 		life, readings := p.life, w.readings
 		if w.gauge != nil { // what a process spends is its own
 			readings = nil
 		}
 		w.after(time.Duration(len(t.Doc.Body))*readByte, func() {
 			if p.life == life {
-				p.input(func() controlplane.Out { return p.k.Read(p.clock(), readings.Read(t)) })
+				p.input(func() controlplane.Output { return p.k.ConfigParsed(p.clock(), readings.Parse(t)) })
 			}
 		})
 	}
@@ -168,28 +168,28 @@
 		w.stats.Fences++
 		w.note("%s is fenced", p.name)
 	}
-	if out.Rules != nil {
-		p.keepRules(out.Rules)
+	if out.FaultRulesWrite != nil {
+		p.keepRules(out.FaultRulesWrite)
 	}
 	if out.Adopt != nil {
 		w.adopted(p, out.Adopt, out.Doc)
 	}
-	if out.Refused != nil {
-		w.breaks("CONFIG", "%s keeps version %d, which is not valid: %v", p.name, out.Doc.Version, out.Refused)
+	if out.AdoptError != nil {
+		w.breaks("CONFIG", "%s keeps version %d, which is not valid: %v", p.name, out.Doc.Version, out.AdoptError)
 	}
-	if out.Serve {
-		p.list(out.Changes)
+	if out.ServersChanged {
+		p.list(out.ServerChanges)
 		w.gauge.listed(p)
 	}
-	if out.Drains {
+	if out.DrainChanged {
 		w.stayed()
 	}
 	for _, s := range out.Send {
 		w.carry(p, s)
 	}
 	for _, r := range out.Replies {
-		if done := p.calls[r.Call]; done != nil {
-			delete(p.calls, r.Call)
+		if done := p.calls[r.CallID]; done != nil {
+			delete(p.calls, r.CallID)
 			done(r.Value)
 		}
 	}
@@ -213,7 +213,7 @@
 
 // call is one of a server's or an operator's, from a distance. done gets nil when the
 // caller sees a failure; it comes once, after patience at the latest.
-func (w *world) call(p *proc, far time.Duration, do func(id uint64) controlplane.Out, done func(any)) {
+func (w *world) call(p *proc, far time.Duration, do func(id uint64) controlplane.Output, done func(any)) {
 	over := false
 	finish := func(v any) {
 		if !over {
@@ -237,7 +237,7 @@
 				w.after(far, func() { finish(v) })
 			}
 		}
-		p.input(func() controlplane.Out { return do(id) })
+		p.input(func() controlplane.Output { return do(id) })
 	})
 }
 
@@ -250,7 +250,7 @@
 		p.w.after(0, func() {
 			if p.life == life {
 				p.due = false
-				p.input(func() controlplane.Out { return p.k.Count(p.clock()) })
+				p.input(func() controlplane.Output { return p.k.FlushAdds(p.clock()) })
 			}
 		})
 	}
--- a/internal/systemsim/rules.go
+++ b/internal/systemsim/rules.go
@@ -126,10 +126,10 @@
 func (w *world) countLeads() {
 	r := &w.rules
 	p := w.leader()
-	if p == nil || p.k.Pact().Epoch <= r.epoch {
+	if p == nil || p.k.ConsensusStatus().Epoch <= r.epoch {
 		return
 	}
-	if v := p.k.Pact().Version; v < w.acked {
+	if v := p.k.ConsensusStatus().Version; v < w.acked {
 		w.breaks("LED", "%s leads with version %d, and %d was acknowledged", p.name, v, w.acked)
 	}
 	if r.serves != nil {
@@ -138,7 +138,7 @@
 			w.stats.Changes++
 		}
 	}
-	r.epoch, r.serves = p.k.Pact().Epoch, p
+	r.epoch, r.serves = p.k.ConsensusStatus().Epoch, p
 }
 
 // checkLead measures takeovers.
@@ -154,7 +154,7 @@
 	if p == nil || p.frozen() || !w.most(p) {
 		return
 	}
-	if p.k.Pact().Epoch > w.rules.lostEpoch {
+	if p.k.ConsensusStatus().Epoch > w.rules.lostEpoch {
 		w.note("%s has taken over", p.name)
 		w.stats.Takeovers.add(w.now - w.rules.lostLead)
 	}
--- a/internal/systemsim/script.go
+++ b/internal/systemsim/script.go
@@ -241,7 +241,7 @@
 	if lead == nil {
 		return nil
 	}
-	s := lead.k.Pact()
+	s := lead.k.ConsensusStatus()
 	for _, addr := range s.Members {
 		if p := w.byAddr[addr]; addr != lead.addr && p != nil && slices.Contains(s.Writers, addr) == (duty == "backup") {
 			return p
@@ -291,7 +291,7 @@
 		}
 	}
 	if 2*stay > len(core) {
-		w.rules.lostLead, w.rules.lostEpoch = w.now, lead.k.Pact().Epoch
+		w.rules.lostLead, w.rules.lostEpoch = w.now, lead.k.ConsensusStatus().Epoch
 	}
 }
 
@@ -727,14 +727,14 @@
 	if p.core {
 		w.watchHandover(p, life)
 	}
-	p.input(func() controlplane.Out { return p.k.Leave(p.clock()) })
+	p.input(func() controlplane.Output { return p.k.Leave(p.clock()) })
 	var ends func()
 	ends = func() {
 		switch {
 		case p.life != life || !p.up:
 		case p.frozen():
 			w.after(p.thaws-w.now, ends)
-		case !p.k.Left() && w.now-told < grace-lastWord:
+		case !p.k.CanExit() && w.now-told < grace-lastWord:
 			w.after(tick, ends)
 		default:
 			if p.core {
@@ -746,7 +746,7 @@
 	}
 	depart := func(n consensus.Notice) {
 		if p.life == life && p.up {
-			p.input(func() controlplane.Out { return p.k.Depart(p.clock(), n) })
+			p.input(func() controlplane.Output { return p.k.AnnounceExit(p.clock(), n) })
 		}
 	}
 	w.after(grace-departs, func() { depart(consensus.Ends) })
@@ -803,7 +803,7 @@
 		life := p.life
 		w.after(w.upTo(time.Second), func() {
 			if p.up && p.life == life {
-				p.input(func() controlplane.Out { p.k.Seeds(p.clock(), w.seeds); return controlplane.Out{} })
+				p.input(func() controlplane.Output { p.k.SetSeeds(p.clock(), w.seeds); return controlplane.Output{} })
 			}
 		})
 	}
@@ -905,9 +905,9 @@
 		holds = func() bool { p := w.leader(); return p != nil && p.name == name }
 	case "ruled": // the set held; unruled: none, or one that is stopped
 		v := a.version()
-		holds = all(func(p *proc) bool { _, held, stopped := p.k.Ruling(); return held == v && !stopped })
+		holds = all(func(p *proc) bool { _, held, stopped := p.k.HeldFaultRules(); return held == v && !stopped })
 	case "unruled":
-		holds = all(func(p *proc) bool { _, held, stopped := p.k.Ruling(); return held == 0 || stopped })
+		holds = all(func(p *proc) bool { _, held, stopped := p.k.HeldFaultRules(); return held == 0 || stopped })
 	case "ready":
 		holds = all(func(p *proc) bool { return p.k.Ready() })
 	case "listed":
--- a/internal/systemsim/seats.go
+++ b/internal/systemsim/seats.go
@@ -16,7 +16,7 @@
 		lead := w.leader()
 		switch {
 		case !p.up || p.life != life || p.leaving || w.now-from > recovery:
-		case lead != nil && p.k.Pact().Role != "follower" && slices.Contains(lead.k.Pact().Members, p.addr):
+		case lead != nil && p.k.ConsensusStatus().Role != "follower" && slices.Contains(lead.k.ConsensusStatus().Members, p.addr):
 			w.stats.Restored.add(w.now - from)
 		default:
 			w.after(20*ms, look)
@@ -33,7 +33,7 @@
 		lead := w.leader()
 		switch {
 		case p.life != life || !p.up:
-		case lead != nil && lead != p && !slices.Contains(lead.k.Pact().Writers, p.addr):
+		case lead != nil && lead != p && !slices.Contains(lead.k.ConsensusStatus().Writers, p.addr):
 			w.stats.Handovers.add(w.now - from)
 		default:
 			w.after(10*ms, look)
--- a/internal/systemsim/server.go
+++ b/internal/systemsim/server.go
@@ -64,10 +64,10 @@
 	b := registry.Beat{ID: s.id, Addr: s.addr, Service: s.service, Zone: s.zone, Epoch: "v1", Capacity: 4, Quiescing: s.leaving}
 	s.seq++
 	b.Seq = s.seq
-	s.ask(tries, func(p *proc, id uint64) controlplane.Out { return p.k.Beat(p.clock(), id, b) }, done)
+	s.ask(tries, func(p *proc, id uint64) controlplane.Output { return p.k.ServerHeartbeat(p.clock(), id, b) }, done)
 }
 
-func (s *server) ask(tries int, do func(p *proc, id uint64) controlplane.Out, done func(by *proc)) {
+func (s *server) ask(tries int, do func(p *proc, id uint64) controlplane.Output, done func(by *proc)) {
 	w := s.w
 	if !s.up || tries == 0 {
 		return
@@ -81,7 +81,7 @@
 		all := w.listed()
 		p = all[w.rng.IntN(len(all))]
 	}
-	w.call(p, 200*time.Microsecond+w.upTo(time.Millisecond), func(id uint64) controlplane.Out { return do(p, id) }, func(v any) {
+	w.call(p, 200*time.Microsecond+w.upTo(time.Millisecond), func(id uint64) controlplane.Output { return do(p, id) }, func(v any) {
 		a, ok := v.(registry.Answer)
 		if !ok || !a.OK {
 			s.target = nil
@@ -125,7 +125,7 @@
 		w.gauge.leaves(s)
 		w.stats.Leaves.add(w.now - s.leaves)
 		w.after(drainTime+300*ms, func() {
-			s.ask(5, func(p *proc, id uint64) controlplane.Out { return p.k.Delete(p.clock(), id, s.id) }, func(*proc) { s.end() })
+			s.ask(5, func(p *proc, id uint64) controlplane.Output { return p.k.RemoveServer(p.clock(), id, s.id) }, func(*proc) { s.end() })
 			w.after(2*time.Second, s.end)
 		})
 	})
--- a/internal/systemsim/world.go
+++ b/internal/systemsim/world.go
@@ -17,18 +17,18 @@
 type world struct {
 	rng   *rand.Rand
 	now   time.Duration
-	queue fsm.Events
+	queue fsm.EventQueue
 	order uint64
 	bug   Bug
 	wire  bool // messages are encoded and decoded on their way
 	trace func(string)
 	gauge *gauge // nil: nothing is measured
 
-	processor *processor             // nil: all is done at once
-	lore      map[*proc]*[4]int      // news and Acks sent, frames of them taken, bytes sent; nil: not counted
-	pad       int                    // bytes that configurations are made up to
-	readings  *controlplane.Readings // that all share
-	still     bool                   // clients send nothing
+	processor *processor               // nil: all is done at once
+	lore      map[*proc]*[4]int        // news and Acks sent, frames of them taken, bytes sent; nil: not counted
+	pad       int                      // bytes that configurations are made up to
+	readings  *controlplane.ParseCache // that all share
+	still     bool                     // clients send nothing
 	sum       *xxhash.Digest
 
 	procs  []*proc // in order of their first start
@@ -67,7 +67,7 @@
 }
 
 func newWorld(seed uint64, bug Bug, trace func(string)) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 0x7a21)), readings: &controlplane.Readings{}, bug: bug, wire: seed%8 == 0, pace: 5 * ms, trace: trace, sum: xxhash.New(),
+	w := &world{rng: rand.New(rand.NewPCG(seed, 0x7a21)), readings: &controlplane.ParseCache{}, bug: bug, wire: seed%8 == 0, pace: 5 * ms, trace: trace, sum: xxhash.New(),
 		byAddr: map[string]*proc{}, byName: map[string]*proc{}, cuts: map[link][]*cut{}, holds: map[link]*holding{}, torn: map[link]time.Duration{},
 		ruling: ruling{sent: map[uint32]bool{}},
 		orders: map[uint32]*order{}, byID: map[string]*server{}}
@@ -77,7 +77,7 @@
 
 func (w *world) after(d time.Duration, do func()) {
 	w.order++
-	w.queue.Add(fsm.Event{At: w.now + d, Order: w.order, Do: do})
+	w.queue.Insert(fsm.Event{At: w.now + d, Sequence: w.order, Run: do})
 }
 
 func (w *world) every(d time.Duration, do func()) {
@@ -88,10 +88,10 @@
 func (w *world) run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].At <= end && w.stats.Broken == "" {
-		e := w.queue.Next()
+		e := w.queue.RemoveFirst()
 		w.now = e.At
 		w.stats.Events++
-		e.Do()
+		e.Run()
 	}
 	w.now = end
 }
@@ -157,7 +157,7 @@
 	top := uint64(0)
 	for _, p := range w.procs {
 		if p.up && p.core {
-			if s := p.k.Pact(); s.Role == "primary" && s.Epoch > top {
+			if s := p.k.ConsensusStatus(); s.Role == "primary" && s.Epoch > top {
 				best, top = p, s.Epoch
 			}
 		}
