--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -10,105 +10,108 @@
 	"asterwell/internal/registry"
 )
 
-// contact is what this life of the process has of proofs that it was in touch with the core.
-// A start proves nothing: what the disk holds may be old, and membership counts whoever
-// answers. So a process calls itself ready only after a first proof, and with what was kept
-// then. One that has had it goes on through a cut: it serves by what was in force.
+// contact records the proofs that this process has been in contact with a majority of the core since its
+// start. A start proves nothing: the state on disk may be old, and membership counts any node that
+// answers. So a process reports ready only after its first proof, and once it holds the configuration that
+// was current then. A process that has had a proof continues to serve its configuration through a
+// partition.
 type contact struct {
-	at      fsm.Time            // the newest was asked for then; 0: there was none
-	need    uint32              // what was kept at the first, at least
-	asked   map[uint64]fsm.Time // calls under way
-	own     uint64              // the last of our own, and whether it is under way
-	waits   bool
-	next    fsm.Time // when to ask again
-	pause   time.Duration
-	primary string // who was asked
+	provenAt        fsm.Time            // when the newest proof was requested; 0: there is none yet
+	requiredVersion uint32              // version of the configuration at the first proof
+	askedAt         map[uint64]fsm.Time // when each pending call was made
+	lastOwnCall     uint64              // the last internal call, and whether it is pending
+	pending         bool
+	nextAttempt     fsm.Time // earliest time of the next attempt
+	retryPause      time.Duration
+	primary         string // the primary at the last attempt
 }
 
-// ownCalls are numbers of calls that no caller waits for.
-const ownCalls = 1 << 63
+// ownCallFlag marks the IDs of internal calls, which no client waits for.
+const ownCallFlag = 1 << 63
 
 const (
-	proveAgain = 100 * time.Millisecond
-	provePause = 2 * time.Second // at the longest: a core that is down is not stormed
+	minProvePause = 100 * time.Millisecond
+	maxProvePause = 2 * time.Second // upper bound of the backoff, so that a failed core isn't flooded
 )
 
-// Bugs switches guards of the machines off, for tests.
+// Bugs disables safeguards of the machines, for tests.
 type Bugs struct {
 	Consensus           consensus.Bug
 	FaultRules          faultrules.Bug
 	Registry            registry.Bug
 	Drain               drainpermit.Bug
-	ReadyWithoutContact bool // ready without contact
+	ReadyWithoutContact bool // report ready without contact with the core
 }
 
-// Prove asks for a proof of contact with most of the core that is as young as the call. Its
-// Reply is a consensus.Answer: Proved, or Busy.
-func (k *Machine) ProveContact(now fsm.Time, call uint64) Output {
-	k.contact.asked[call] = now
-	k.agreed(now, k.pact.Prove(now, call))
-	return k.end()
+// ProveContact requests a proof of contact with a majority of the core that is no older than the call. Its
+// Reply is a consensus.Answer: Proved or Busy.
+func (m *Machine) ProveContact(now fsm.Time, call uint64) Output {
+	m.contact.askedAt[call] = now
+	m.applyConsensus(now, m.consensus.Prove(now, call))
+	return m.takeOutput()
 }
 
-// Contact is how long ago there was contact for certain; false: not in this life.
-func (k *Machine) LastContact(now fsm.Time) (time.Duration, bool) {
-	return now - k.contact.at, k.contact.at != 0
+// LastContact returns the time since the last proven contact; false: none since the start.
+func (m *Machine) LastContact(now fsm.Time) (time.Duration, bool) {
+	return now - m.contact.provenAt, m.contact.provenAt != 0
 }
 
-// met tells whether this life has been in touch, and holds what was kept then.
-func (k *Machine) met() bool {
+// hasContact reports whether this process has been in contact since its start, and holds at least the
+// configuration that was current then.
+func (m *Machine) hasContact() bool {
 	held := uint32(0)
-	if d := k.pact.Held(); d != nil {
+	if d := m.consensus.Held(); d != nil {
 		held = d.Version
 	}
-	return k.bugs.ReadyWithoutContact || k.contact.at != 0 && held >= k.contact.need
+	return m.bugs.ReadyWithoutContact || m.contact.provenAt != 0 && held >= m.contact.requiredVersion
 }
 
-// meet asks until there is a first proof, at once where another leads.
-func (k *Machine) meet(now fsm.Time) {
-	c := &k.contact
-	if p := k.pact.Primary(); p != c.primary {
-		c.primary, c.next, c.pause = p, now, proveAgain
+// seekContact requests a proof until there is a first one, at once when the primary changes.
+func (m *Machine) seekContact(now fsm.Time) {
+	c := &m.contact
+	if primary := m.consensus.Primary(); primary != c.primary {
+		c.primary, c.nextAttempt, c.retryPause = primary, now, minProvePause
 	}
-	if c.at != 0 || c.waits || now < c.next {
+	if c.provenAt != 0 || c.pending || now < c.nextAttempt {
 		return
 	}
-	c.own, c.waits = c.own+1, true
-	c.asked[ownCalls|c.own] = now
-	k.agreed(now, k.pact.Prove(now, ownCalls|c.own))
+	c.lastOwnCall, c.pending = c.lastOwnCall+1, true
+	c.askedAt[ownCallFlag|c.lastOwnCall] = now
+	m.applyConsensus(now, m.consensus.Prove(now, ownCallFlag|c.lastOwnCall))
 }
 
-// proof takes the answer of a call that may be one, and says whether a caller waits for it.
-func (k *Machine) proof(now fsm.Time, a consensus.Answer) bool {
-	c := &k.contact
-	asked, ok := c.asked[a.ID]
+// takeProof records the answer if it belongs to a contact proof. It reports whether a client waits for the
+// answer.
+func (m *Machine) takeProof(now fsm.Time, answer consensus.Answer) bool {
+	c := &m.contact
+	askedAt, ok := c.askedAt[answer.ID]
 	if !ok {
 		return true
 	}
-	delete(c.asked, a.ID)
-	if a.Verdict == consensus.Proved {
-		if c.at == 0 {
-			c.need = a.Version
+	delete(c.askedAt, answer.ID)
+	if answer.Verdict == consensus.Proved {
+		if c.provenAt == 0 {
+			c.requiredVersion = answer.Version
 		}
-		c.at = max(c.at, asked)
+		c.provenAt = max(c.provenAt, askedAt)
 	}
-	if a.ID&ownCalls == 0 {
+	if answer.ID&ownCallFlag == 0 {
 		return true
 	}
-	c.waits, c.next, c.pause = false, now+c.pause, min(max(2*c.pause, proveAgain), provePause)
+	c.pending, c.nextAttempt, c.retryPause = false, now+c.retryPause, min(max(2*c.retryPause, minProvePause), maxProvePause)
 	return false
 }
 
-// seats tells the list of servers who has a say in agreement.
-func (k *Machine) seats() {
-	b, set := k.pact.Seats()
-	if b == k.seated && k.seatsTold {
+// updateCore tells the registry which processes are members of the core.
+func (m *Machine) updateCore() {
+	ballot, members := m.consensus.Seats()
+	if ballot == m.coreBallot && m.coreKnown {
 		return
 	}
-	addrs := make([]string, 0, len(set))
-	for _, s := range set {
+	addrs := make([]string, 0, len(members))
+	for _, s := range members {
 		addrs = append(addrs, s.Addr)
 	}
-	k.seated, k.seatsTold = b, true
-	k.lore.Core(addrs)
+	m.coreBallot, m.coreKnown = ballot, true
+	m.registry.Core(addrs)
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -1,6 +1,6 @@
-// Package controlplane ties the machines of one process together: what membership learns goes
-// to the list, to agreement and to the counters; what is agreed goes to the meter. It
-// is a machine itself: sockets, disk, clock and the data plane are at its user's rim.
+// Package controlplane connects the state machines of one process: changes of membership go to the
+// registry, to consensus and to the quota counters; agreed configurations go to the meter. It is a state
+// machine itself: its caller owns the sockets, the disk, the clock and the data plane.
 package controlplane
 
 import (
@@ -21,320 +21,325 @@
 	"asterwell/internal/sysconfig"
 )
 
-// Config is what a process knows about itself.
+// Config is the static configuration of a process.
 type Config struct {
 	Self              string // mesh address
 	Name, Zone        string
-	ControlAddr       string // where it takes calls
-	Member            bool   // has a disk
-	Genesis           bool   // the disk is empty because nothing was ever there
+	ControlAddr       string // address of its HTTP API
+	Member            bool   // has a disk, and may be a member of the core
+	Genesis           bool   // the empty disk belongs to a new cluster: no state was lost
 	ToleratedLosses   int
-	HeartbeatInterval time.Duration // the pace of the servers' beats
+	HeartbeatInterval time.Duration // interval of the servers' heartbeats
 	Seeds             []string
 	Incarnation, Seed uint64
 	FaultRules        FaultRulesConfig
-	CheckConfig       func(text []byte) error // whether a configuration that can be read can be taken; nil: it can
+	CheckConfig       func(text []byte) error // validates a configuration that parses; nil: accepts all
 	Bugs              Bugs
 }
 
-// Meter is what a Knot tells a *quotas.Meter. Requests are metered beside the loop, so
-// that the user may have put a lock round it.
+// Meter is the part of *quotas.Meter that a Machine uses. Requests are metered concurrently with the
+// control loop, so an implementation may guard it by a lock.
 type Meter interface {
 	Nodes(now fsm.Time, gateways int, holders []string)
 	Enter(now fsm.Time, r *quotas.Roster)
 	Take(now fsm.Time, from string, msg any) []fsm.Send
 	Tick(now fsm.Time) []fsm.Send
-	Mute(now fsm.Time, holder string) bool // it leaves adds unanswered
+	Mute(now fsm.Time, holder string) bool // the holder doesn't answer adds
 }
 
-// Reply ends a call: a registry.Answer or a consensus.Answer.
+// Reply completes a call. Value is the answer type of the machine that handled it, such as registry.Answer
+// or consensus.Answer.
 type Reply struct {
 	CallID uint64
 	Value  any
 }
 
-// Gateways is how many share the traffic, and which one this is (-1: none).
+// Gateways is the number of gateways that share the traffic, and the index of this one (-1: it is none of
+// them).
 type Gateways struct{ Count, Index int }
 
-// Out is what follows from an input.
+// Output is what the caller has to do after an input.
 type Output struct {
-	Send            []fsm.Send // some may be for this process itself
+	Send            []fsm.Send // may include messages to this process itself
 	Write           *consensus.Write
 	Replies         []Reply
-	Adopt           *sysconfig.Table  // to be in force here
-	Parse           *ConfigText       // to be read beside the loop, then tell Read
-	AdoptError      error             // a configuration that is kept and can't be in force here
-	Doc             *consensus.Doc    // the text of either
-	GateChanged     bool              // Gate has changed
-	ServersChanged  bool              // Servers has changed,
-	ServerChanges   []registry.Server // by these
-	MembersChanged  bool              // View has changed, and
-	Gateways        Gateways          // this with it
-	FaultRulesWrite *faultrules.Write // of fault rules
-	FaultRulesLog   string            // of them, for the log
-	Fenced          bool              // the disk had been put back to an older state
-	DrainChanged    bool              // Draining has changed; the next tick tells it
+	Adopt           *sysconfig.Table // the configuration to put in force here
+	Parse           *ConfigText      // to be parsed outside the control loop; the result goes to ConfigParsed
+	AdoptError      error            // why a stored configuration can't be put in force here
+	Doc             *consensus.Doc   // the document of Adopt or AdoptError
+	GateChanged     bool
+	ServersChanged  bool
+	ServerChanges   []registry.Server
+	MembersChanged  bool
+	Gateways        Gateways // valid if MembersChanged
+	FaultRulesWrite *faultrules.Write
+	FaultRulesLog   string // log message about fault rules; empty: none
+	Fenced          bool   // the disk was restored to an older state than this process has confirmed
+	DrainChanged    bool   // Draining has changed; the next tick announces it
 }
 
-// Knot is one process's machines.
+// Machine combines the state machines of one process.
 type Machine struct {
-	self    string
-	bond    *memberlist.Machine
-	lore    *registry.Machine
-	pact    *consensus.Machine
-	accord  *rollout.Machine
-	prepare uint64 // what is prepared is on disk with that write; 0: it is
-	meter   Meter
-	counter *quotas.Counter
-	bane    *faultrules.Machine
-	cede    *drainpermit.Machine
-	round   map[string]*detour // to holders
-	turn    int                // where to go on among ways,
-	asking  int                // and among those that leave questions unanswered
-	swift   int                // changes of membership taken in since the tick
-	late    bool               // there are more
-	looked  fsm.Time           // when they were last taken in, and how many processes there were
-	seen    int
-	tickAt  fsm.Time
-	stood   bool // this process stood still before the tick: it is not others that are late
-
-	contact   contact
-	seated    consensus.Ballot // whose seats the list of servers knows
-	seatsTold bool
-	bugs      Bugs
-
-	reader  reader
-	taken   *ParsedConfig // while it is put in force
-	judge   func(text []byte) error
-	version uint32
-	leaving bool
-	ready   bool
-	out     Output
+	self              string
+	members           *memberlist.Machine
+	registry          *registry.Machine
+	consensus         *consensus.Machine
+	rollout           *rollout.Machine
+	prepareWrite      uint64 // sequence number of the write that stores the prepared configuration; 0: stored
+	meter             Meter
+	counter           *quotas.Counter
+	faultRules        *faultrules.Machine
+	drain             *drainpermit.Machine
+	detours           map[string]*detour // by address of the counter's holder
+	nextRelay         int                // next candidate in relays
+	nextAsked         int                // next gateway to ask for a sign of life, of those that don't answer
+	membershipRuns    int                // membership changes applied since the last tick
+	membershipPending bool               // a membership change waits to be applied
+	membershipAt      fsm.Time           // when membership was last applied, and the number of nodes then
+	nodeCount         int
+	lastTick          fsm.Time
+	stalled           bool // the process was stalled before this tick: silence is its own fault, not the others'
+
+	contact    contact
+	coreBallot consensus.Ballot // ballot of the core members that the registry was told of
+	coreKnown  bool
+	bugs       Bugs
+
+	parser      parser
+	adopting    *ParsedConfig // while it is being put in force
+	checkConfig func(text []byte) error
+	version     uint32
+	leaving     bool
+	ready       bool
+	out         Output
 }
 
-// New starts a process. A nil disk is an empty one, or none.
+// New starts the machines of a process. A nil disk stands for an empty disk, or for none.
 func New(c Config, meter Meter, disk *consensus.Disk, now fsm.Time) *Machine {
-	k := &Machine{
-		self: c.Self, meter: meter, bane: c.faults(now), counter: quotas.NewCounter(c.Self, c.Incarnation), round: map[string]*detour{},
-		bond: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.ControlAddr, Member: c.Member,
+	m := &Machine{
+		self: c.Self, meter: meter, faultRules: c.newFaultRules(now), counter: quotas.NewCounter(c.Self, c.Incarnation), detours: map[string]*detour{},
+		members: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.ControlAddr, Member: c.Member,
 			Life: c.Incarnation}, c.Seeds, c.Seed, now),
-		lore:   registry.New(c.Self, c.Zone, c.HeartbeatInterval, c.Seed, now),
-		accord: rollout.New(rollout.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), judge: c.CheckConfig,
-		cede: drainpermit.New(c.Self, cedeSalt(c), c.Bugs.Drain),
-		bugs: c.Bugs, contact: contact{asked: map[uint64]fsm.Time{}, pause: proveAgain},
+		registry: registry.New(c.Self, c.Zone, c.HeartbeatInterval, c.Seed, now),
+		rollout:  rollout.New(rollout.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), checkConfig: c.CheckConfig,
+		drain: drainpermit.New(c.Self, startID(c), c.Bugs.Drain),
+		bugs:  c.Bugs, contact: contact{askedAt: map[uint64]fsm.Time{}, retryPause: minProvePause},
 	}
-	k.pact = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
-		Losses: c.ToleratedLosses, Seeds: c.Seeds, Seed: c.Seed, Enter: k.accord.Enter}, disk, now)
-	k.pact.SetBug(c.Bugs.Consensus)
-	k.lore.SetBug(c.Bugs.Registry)
-	k.seats()
-	return k
+	m.consensus = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
+		Losses: c.ToleratedLosses, Seeds: c.Seeds, Seed: c.Seed, Enter: m.rollout.Enter}, disk, now)
+	m.consensus.SetBug(c.Bugs.Consensus)
+	m.registry.SetBug(c.Bugs.Registry)
+	m.updateCore()
+	return m
 }
 
-// Take takes a message of a process, this one among them.
-func (k *Machine) Receive(now fsm.Time, from string, msg any) Output {
-	switch of, ok := owners[reflect.TypeOf(msg)]; {
+// Receive handles a message from a process, possibly from this one.
+func (m *Machine) Receive(now fsm.Time, from string, msg any) Output {
+	switch group, ok := messageGroups[reflect.TypeOf(msg)]; {
 	case !ok:
-	case of == ofBond:
-		k.bonded(now, k.bond.Take(now, from, msg))
-	case of == ofLore:
-		k.learnt(k.lore.Take(now, from, msg))
-	case of == ofPact:
-		k.agreed(now, k.pact.Take(now, from, msg))
-	case of == ofBane:
-		k.ruled(func() faultrules.Out { return k.bane.Take(now, from, msg) })
-	case of == ofAccord:
-		k.together(now, k.accord.Take(now, from, msg))
-	case of == ofKnot:
-		k.via(now, from, msg.(Relay))
-	case of == ofToll:
+	case group == memberlistMessages:
+		m.applyMembership(now, m.members.Take(now, from, msg))
+	case group == registryMessages:
+		m.applyRegistry(m.registry.Take(now, from, msg))
+	case group == consensusMessages:
+		m.applyConsensus(now, m.consensus.Take(now, from, msg))
+	case group == faultRuleMessages:
+		m.applyFaultRules(func() faultrules.Out { return m.faultRules.Take(now, from, msg) })
+	case group == rolloutMessages:
+		m.applyRollout(now, m.rollout.Take(now, from, msg))
+	case group == relayMessages:
+		m.receiveRelay(now, from, msg.(Relay))
+	case group == quotaMessages:
 		if a, ok := msg.(quotas.Answer); ok && !a.Ask {
-			if d := k.round[from]; d != nil {
-				d.straight(a)
+			if d := m.detours[from]; d != nil {
+				d.answeredDirectly(a)
 			}
 		}
-		k.send(k.counter.Take(now, from, msg))
-		k.send(k.meter.Take(now, from, msg))
+		m.send(m.counter.Take(now, from, msg))
+		m.send(m.meter.Take(now, from, msg))
 	}
-	return k.end()
+	return m.takeOutput()
 }
 
-// Tick lets time pass.
-func (k *Machine) Tick(now fsm.Time) Output {
-	k.swift = 0
-	k.stood = k.seen > fewer && now-k.tickAt > standstill
-	k.tickAt = now
-	out := k.bond.Tick(now)
-	out.Changed = out.Changed || k.late
-	k.bonded(now, out)
-	k.learnt(k.lore.Tick(now))
-	k.agreed(now, k.pact.Tick(now))
-	k.together(now, k.accord.Tick(now))
-	k.look(now, k.counter.Tick(now))
-	k.count(now)
-	k.meet(now)
-	if k.bane.Awake() {
-		k.ruled(func() faultrules.Out { return k.bane.Tick(now) })
+// Tick advances the time.
+func (m *Machine) Tick(now fsm.Time) Output {
+	m.membershipRuns = 0
+	m.stalled = m.nodeCount > largeFleet && now-m.lastTick > stallThreshold
+	m.lastTick = now
+	out := m.members.Tick(now)
+	out.Changed = out.Changed || m.membershipPending
+	m.applyMembership(now, out)
+	m.applyRegistry(m.registry.Tick(now))
+	m.applyConsensus(now, m.consensus.Tick(now))
+	m.applyRollout(now, m.rollout.Tick(now))
+	m.sendLivenessRequests(now, m.counter.Tick(now))
+	m.sendAdds(now)
+	m.seekContact(now)
+	if m.faultRules.Awake() {
+		m.applyFaultRules(func() faultrules.Out { return m.faultRules.Tick(now) })
 	}
-	k.cede.Fit(k.fit(), k.leaving)
-	k.ceded(k.cede.Tick(now))
-	if ready := k.fit() && !k.cede.Draining(); ready != k.ready {
-		k.ready = ready
-		k.bond.SetReady(ready)
+	m.drain.Fit(m.servable(), m.leaving)
+	m.applyDrain(m.drain.Tick(now))
+	if ready := m.servable() && !m.drain.Draining(); ready != m.ready {
+		m.ready = ready
+		m.members.SetReady(ready)
 	}
-	return k.end()
+	return m.takeOutput()
 }
 
-// Strain tells the counter here how long, lately, an add had to wait among many others.
-func (k *Machine) ReportAddDelay(now fsm.Time, waited time.Duration) { k.counter.Strain(now, waited) }
+// ReportAddDelay tells the quota counter here how long an add lately waited in the process's queue behind
+// many others.
+func (m *Machine) ReportAddDelay(now fsm.Time, waited time.Duration) { m.counter.Strain(now, waited) }
 
-// Count sends the adds that should not wait for the tick.
-func (k *Machine) FlushAdds(now fsm.Time) Output {
-	k.count(now)
-	return k.end()
+// FlushAdds sends the adds that should not wait for the next tick.
+func (m *Machine) FlushAdds(now fsm.Time) Output {
+	m.sendAdds(now)
+	return m.takeOutput()
 }
 
-// Beat takes a server's call.
-func (k *Machine) ServerHeartbeat(now fsm.Time, call uint64, b registry.Beat) Output {
-	k.learnt(k.lore.Beat(now, call, b))
-	return k.end()
+// ServerHeartbeat handles a heartbeat call of a server.
+func (m *Machine) ServerHeartbeat(now fsm.Time, call uint64, b registry.Beat) Output {
+	m.applyRegistry(m.registry.Beat(now, call, b))
+	return m.takeOutput()
 }
 
-// Delete takes a server's last call.
-func (k *Machine) RemoveServer(now fsm.Time, call uint64, id string) Output {
-	k.learnt(k.lore.Delete(now, call, id))
-	return k.end()
+// RemoveServer handles a server's call that it has ended.
+func (m *Machine) RemoveServer(now fsm.Time, call uint64, id string) Output {
+	m.applyRegistry(m.registry.Delete(now, call, id))
+	return m.takeOutput()
 }
 
-// Put takes an operator's configuration, which has been checked.
-func (k *Machine) PutConfig(now fsm.Time, call uint64, doc consensus.Doc) Output {
-	k.agreed(now, k.pact.Put(now, call, doc))
-	return k.end()
+// PutConfig proposes an operator's configuration, which the caller has validated.
+func (m *Machine) PutConfig(now fsm.Time, call uint64, doc consensus.Doc) Output {
+	m.applyConsensus(now, m.consensus.Put(now, call, doc))
+	return m.takeOutput()
 }
 
-// Get reads the newest configuration.
-func (k *Machine) GetConfig(now fsm.Time, call uint64) Output {
-	k.agreed(now, k.pact.Get(now, call))
-	return k.end()
+// GetConfig reads the newest configuration.
+func (m *Machine) GetConfig(now fsm.Time, call uint64) Output {
+	m.applyConsensus(now, m.consensus.Get(now, call))
+	return m.takeOutput()
 }
 
-// Written says that a write, and all before it, are synced.
-func (k *Machine) Written(now fsm.Time, seq uint64) Output {
-	k.agreed(now, k.pact.Written(now, seq))
-	if k.prepare != 0 && seq >= k.prepare {
-		k.prepare = 0
-		k.together(now, k.accord.Synced(now))
+// Written reports that the write with this sequence number, and all before it, are synced to disk.
+func (m *Machine) Written(now fsm.Time, seq uint64) Output {
+	m.applyConsensus(now, m.consensus.Written(now, seq))
+	if m.prepareWrite != 0 && seq >= m.prepareWrite {
+		m.prepareWrite = 0
+		m.applyRollout(now, m.rollout.Synced(now))
 	}
-	return k.end()
+	return m.takeOutput()
 }
 
-// Leave says that this process will end.
-func (k *Machine) Leave(now fsm.Time) Output {
-	k.leaving, k.ready = true, false
-	k.cede.Fit(false, true)
-	k.bonded(now, k.bond.Leave(now))
-	k.agreed(now, k.pact.Leave(now, consensus.Leaves))
-	return k.end()
+// Leave announces that this process will end.
+func (m *Machine) Leave(now fsm.Time) Output {
+	m.leaving, m.ready = true, false
+	m.drain.Fit(false, true)
+	m.applyMembership(now, m.members.Leave(now))
+	m.applyConsensus(now, m.consensus.Leave(now, consensus.Leaves))
+	return m.takeOutput()
 }
 
-// Depart says that this process ends as soon as the others can go on without it, or soon in any case.
-func (k *Machine) AnnounceExit(now fsm.Time, n consensus.Notice) Output {
-	k.agreed(now, k.pact.Leave(now, n))
-	return k.end()
+// AnnounceExit tells the core that this process ends as soon as the others can do without it, or soon in
+// any case.
+func (m *Machine) AnnounceExit(now fsm.Time, n consensus.Notice) Output {
+	m.applyConsensus(now, m.consensus.Leave(now, n))
+	return m.takeOutput()
 }
 
-// Left reports whether they can.
-func (k *Machine) CanExit() bool { return k.pact.Left() }
+// CanExit reports whether the others can do without this process.
+func (m *Machine) CanExit() bool { return m.consensus.Left() }
 
-// Seeds replaces the addresses to turn to.
-func (k *Machine) SetSeeds(now fsm.Time, seeds []string) {
-	k.bond.Seeds(now, seeds)
-	k.pact.Seeds(now, seeds)
+// SetSeeds replaces the seed addresses.
+func (m *Machine) SetSeeds(now fsm.Time, seeds []string) {
+	m.members.Seeds(now, seeds)
+	m.consensus.Seeds(now, seeds)
 }
 
-// Ready reports whether requests can be served here.
-func (k *Machine) Ready() bool { return k.ready }
+// Ready reports whether this process should get requests.
+func (m *Machine) Ready() bool { return m.ready }
 
-// Alone reports whether nobody else is seen.
-func (k *Machine) Alone() bool { return k.bond.Alone() }
+// Alone reports whether no other process is up as far as this one knows.
+func (m *Machine) Alone() bool { return m.members.Alone() }
 
-// Version is that of the configuration in force here.
-func (k *Machine) ConfigVersion() uint32 { return k.version }
+// ConfigVersion returns the version of the configuration in force here; 0: none.
+func (m *Machine) ConfigVersion() uint32 { return m.version }
 
-// View is every process known.
-func (k *Machine) Nodes() []memberlist.Node { return k.bond.View() }
+// Nodes returns every known process.
+func (m *Machine) Nodes() []memberlist.Node { return m.members.View() }
 
-// Servers is every server known.
-func (k *Machine) Servers() []registry.Server { return k.lore.Servers() }
+// Servers returns every known server.
+func (m *Machine) Servers() []registry.Server { return m.registry.Servers() }
 
-// Gateways is every process with what is known of it here.
-func (k *Machine) GatewaySights(now fsm.Time) []memberlist.Sight { return k.bond.Sights(now) }
+// GatewaySights returns every known process with the details that operators are shown.
+func (m *Machine) GatewaySights(now fsm.Time) []memberlist.Sight { return m.members.Sights(now) }
 
-// Services is every server with what is known of it here.
-func (k *Machine) ServerSights(now fsm.Time) []registry.Sight { return k.lore.Sights(now) }
+// ServerSights returns every known server with the details that operators are shown.
+func (m *Machine) ServerSights(now fsm.Time) []registry.Sight { return m.registry.Sights(now) }
 
-// Epochs are those that this process has seen, the newest last.
-func (k *Machine) Epochs() []consensus.Change { return k.pact.Past() }
+// Epochs returns the consensus epochs seen by this process, the newest last.
+func (m *Machine) Epochs() []consensus.Change { return m.consensus.Past() }
 
-// Pact tells how agreement stands.
-func (k *Machine) ConsensusStatus() consensus.Status { return k.pact.Status() }
+// ConsensusStatus returns the state of consensus.
+func (m *Machine) ConsensusStatus() consensus.Status { return m.consensus.Status() }
 
-func (k *Machine) end() Output {
-	out := k.out
-	k.out = Output{}
+func (m *Machine) takeOutput() Output {
+	out := m.out
+	m.out = Output{}
 	return out
 }
 
-func (k *Machine) send(out []fsm.Send) { k.out.Send = append(k.out.Send, out...) }
+func (m *Machine) send(out []fsm.Send) { m.out.Send = append(m.out.Send, out...) }
 
-// mostSwift is how many changes of membership are taken in at once between two ticks;
-// more of them, as where all start, go together. Each is a look at all nodes.
+// Each application of a membership change looks at all nodes. So no more than maxMembershipRuns are made
+// between two ticks, and beyond largeFleet nodes there is a pause between two; changes that come
+// meanwhile, as when all processes start, are applied together.
 const (
-	mostSwift = 2
-	lookFor   = 500 * time.Microsecond // between two, for each process known beyond
-	fewer     = 100                    // so many
+	maxMembershipRuns      = 2
+	membershipPausePerNode = 500 * time.Microsecond // for each node above largeFleet
+	largeFleet             = 100                    // nodes
 
-	standstill = 100 * time.Millisecond // between two ticks, where there are more: each that is late looks for ways otherwise
+	stallThreshold = 100 * time.Millisecond // between two ticks; in a large fleet each stalled process would otherwise search for relays
 )
 
-// bonded carries out what membership wants.
-func (k *Machine) bonded(now fsm.Time, out memberlist.Out) {
-	k.send(out.Send)
-	for _, h := range out.Holds {
-		k.pact.Holds(h.Addr, h.Held)
+// applyMembership carries out the output of membership.
+func (m *Machine) applyMembership(now fsm.Time, out memberlist.Out) {
+	m.send(out.Send)
+	for _, held := range out.Holds {
+		m.consensus.Holds(held.Addr, held.Held)
 	}
 	if !out.Changed {
 		return
 	}
-	if k.swift++; k.swift > mostSwift || now-k.looked < time.Duration(max(0, k.seen-fewer))*lookFor {
-		k.late = true
+	if m.membershipRuns++; m.membershipRuns > maxMembershipRuns || now-m.membershipAt < time.Duration(max(0, m.nodeCount-largeFleet))*membershipPausePerNode {
+		m.membershipPending = true
 		return
 	}
-	view := k.bond.View()
-	k.late, k.looked, k.seen = false, now, len(view)
+	view := m.members.View()
+	m.membershipPending, m.membershipAt, m.nodeCount = false, now, len(view)
 	up := lo.Filter(view, func(n memberlist.Node, _ int) bool { return n.State == memberlist.Up })
-	k.learnt(k.lore.Nodes(now, view)) // who leaves still serves, and must hear of servers
-	k.pact.Peers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
+	m.applyRegistry(m.registry.Nodes(now, view)) // a leaving process still serves, and needs to know the servers
+	m.consensus.Peers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
 		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Held: n.Held}
 	}))
-	k.accord.Nodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
+	m.rollout.Nodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
 		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
 	}))
-	k.peers(view)
-	k.out.MembersChanged = true
-	k.bane.Nodes(lo.FilterMap(view, func(n memberlist.Node, _ int) (faultrules.Node, bool) {
+	m.updateDrainPeers(view)
+	m.out.MembersChanged = true
+	m.faultRules.Nodes(lo.FilterMap(view, func(n memberlist.Node, _ int) (faultrules.Node, bool) {
 		return faultrules.Node{Addr: n.Addr, Life: n.Life}, n.State != memberlist.Gone
 	}))
-	k.out.Gateways = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == k.self })}
-	holders := inOrder(up)
-	k.counter.Nodes(holders)
-	k.meter.Nodes(now, len(up), holders)
+	m.out.Gateways = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == m.self })}
+	holders := dutyOrder(up)
+	m.counter.Nodes(holders)
+	m.meter.Nodes(now, len(up), holders)
 }
 
-// inOrder is the agreed order for duties that one process does, of processes by their
-// addresses: those with a disk first, since they have more of a processor and are the
-// last to be taken away.
-func inOrder(up []memberlist.Node) []string {
+// dutyOrder returns the addresses of the processes in the order in which duties that one process does are
+// assigned. Processes with a disk come first: they have more processor time, and are the last to be
+// removed.
+func dutyOrder(up []memberlist.Node) []string {
 	all := make([]string, 0, len(up))
 	for _, members := range []bool{true, false} {
 		for i := range up {
@@ -346,31 +351,31 @@
 	return all
 }
 
-// agreed carries out what agreement wants.
-func (k *Machine) agreed(now fsm.Time, out consensus.Out) {
+// applyConsensus carries out the output of consensus.
+func (m *Machine) applyConsensus(now fsm.Time, out consensus.Out) {
 	if out.Write != nil {
-		k.out.Write = out.Write
+		m.out.Write = out.Write
 	}
 	if out.Fenced {
-		k.out.Fenced = true
-		k.bane.Forget()
+		m.out.Fenced = true
+		m.faultRules.Forget()
 	}
-	k.send(out.Send)
+	m.send(out.Send)
 	for _, a := range out.Answers {
-		if k.proof(now, a) {
-			k.out.Replies = append(k.out.Replies, Reply{a.ID, a})
+		if m.takeProof(now, a) {
+			m.out.Replies = append(m.out.Replies, Reply{a.ID, a})
 		}
 	}
-	k.seats()
-	k.roll(now, out)
+	m.updateCore()
+	m.feedRollout(now, out)
 }
 
-// learnt carries out what the list of servers wants.
-func (k *Machine) learnt(out registry.Out) {
-	k.send(out.Send)
+// applyRegistry carries out the output of the registry.
+func (m *Machine) applyRegistry(out registry.Out) {
+	m.send(out.Send)
 	for _, a := range out.Answers {
-		k.out.Replies = append(k.out.Replies, Reply{a.Call, a})
+		m.out.Replies = append(m.out.Replies, Reply{a.Call, a})
 	}
-	k.out.ServersChanged = k.out.ServersChanged || len(out.Changes) > 0
-	k.out.ServerChanges = append(k.out.ServerChanges, out.Changes...)
+	m.out.ServersChanged = m.out.ServersChanged || len(out.Changes) > 0
+	m.out.ServerChanges = append(m.out.ServerChanges, out.Changes...)
 }
--- a/internal/controlplane/drain.go
+++ b/internal/controlplane/drain.go
@@ -10,50 +10,51 @@
 	"asterwell/internal/memberlist"
 )
 
-// Drain takes an operator's call that clients go elsewhere, or come again, to be answered within
-// a time by a drainpermit.Answer.
-func (k *Machine) Drain(now fsm.Time, call uint64, op drainpermit.Op, within time.Duration) Output {
-	k.cede.Fit(k.fit(), k.leaving)
-	k.ceded(k.cede.Call(now, call, op, within))
-	return k.end()
+// Drain handles an operator's call that starts or stops a drain. It is answered by a drainpermit.Answer
+// within the given time.
+func (m *Machine) Drain(now fsm.Time, call uint64, op drainpermit.Op, within time.Duration) Output {
+	m.drain.Fit(m.servable(), m.leaving)
+	m.applyDrain(m.drain.Call(now, call, op, within))
+	return m.takeOutput()
 }
 
-// Draining tells whether clients should go elsewhere.
-func (k *Machine) Draining() bool { return k.cede.Draining() }
+// Draining reports whether clients should use other gateways.
+func (m *Machine) Draining() bool { return m.drain.Draining() }
 
-// fit tells whether requests can be served here, whether clients are wanted or not.
-func (k *Machine) fit() bool {
-	return !k.leaving && k.version > 0 && k.lore.Filled() && k.met()
+// servable reports whether requests can be served here, regardless of a drain.
+func (m *Machine) servable() bool {
+	return !m.leaving && m.version > 0 && m.registry.Filled() && m.hasContact()
 }
 
-// peers tells whom a drain may count on. One that was seen lately and is not may be on the other
-// side of a cut, or has not been seen again yet: nothing is refused for good for want of it.
-func (k *Machine) peers(view []memberlist.Node) {
+// updateDrainPeers tells the drain permit which gateways could take over. A node that was seen lately and
+// is missing now may be on the other side of a partition, or not be rediscovered yet; so a drain isn't
+// refused for good while nodes are missing.
+func (m *Machine) updateDrainPeers(view []memberlist.Node) {
 	var up []drainpermit.Peer
 	missing := false
 	for _, n := range view {
 		missing = missing || n.State == memberlist.Gone
-		if n.State == memberlist.Up && n.Addr != k.self {
+		if n.State == memberlist.Up && n.Addr != m.self {
 			up = append(up, drainpermit.Peer{Addr: n.Addr, Ready: n.Ready})
 		}
 	}
-	k.cede.Peers(up, missing)
+	m.drain.Peers(up, missing)
 }
 
-// ceded carries out what drains want.
-func (k *Machine) ceded(out drainpermit.Out) {
+// applyDrain carries out the output of the drain permit.
+func (m *Machine) applyDrain(out drainpermit.Out) {
 	for _, s := range out.Send {
 		w := s.Msg.(drainpermit.Word)
-		k.send([]fsm.Send{{To: s.To, Msg: Relay{From: k.self, To: s.To, Drain: &w}}})
+		m.send([]fsm.Send{{To: s.To, Msg: Relay{From: m.self, To: s.To, Drain: &w}}})
 	}
 	for _, r := range out.Replies {
-		k.out.Replies = append(k.out.Replies, Reply{r.Call, r.Answer})
+		m.out.Replies = append(m.out.Replies, Reply{r.Call, r.Answer})
 	}
-	k.out.DrainChanged = k.out.DrainChanged || out.Turned
+	m.out.DrainChanged = m.out.DrainChanged || out.Turned
 }
 
-// cedeSalt is a number that no other start has.
-func cedeSalt(c Config) uint64 {
+// startID returns a number that identifies this start of the process.
+func startID(c Config) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, c.Self, " ", c.Seed, " ", c.Incarnation)
 	return h.Sum64()
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -11,13 +11,14 @@
 	"asterwell/internal/rollout"
 )
 
-// Messages lists what each machine takes; the wire numbers them by their places here.
+// Messages lists the message types of each machine. A type's number on the wire follows from its position
+// here.
 func Messages() [][]any {
 	return [][]any{memberlist.Messages(), registry.Messages(), consensus.Messages(), quotas.Messages(), {Relay{}}, faultrules.Messages(), rollout.Messages()}
 }
 
-// messageNames are the names of the messages in the answer of GET /api/frames, in the order of
-// Messages. They stay when a package or a type is renamed.
+// messageNames are the names of the messages in the answer of GET /api/frames, in the order of Messages.
+// They stay the same when a package or a type is renamed.
 var messageNames = [][]string{
 	{
 		"bond.Beat", "bond.Hello", "bond.Rumour", "bond.Index", "bond.Diff", "bond.Ping", "bond.Probe",
@@ -43,21 +44,22 @@
 	{"accord.Ask", "accord.Grant", "accord.Withdraw", "accord.Withdrew"},
 }
 
-// MessageName is the name that operators see of a message: the j-th of machine i in Messages.
+// MessageName returns the name shown to operators of the j-th message of machine i in Messages.
 func MessageName(i, j int) string { return messageNames[i][j] }
 
-// The machines' places in Messages.
+// Indexes of the machines in Messages.
 const (
-	ofBond = iota
-	ofLore
-	ofPact
-	ofToll
-	ofKnot
-	ofBane
-	ofAccord
+	memberlistMessages = iota
+	registryMessages
+	consensusMessages
+	quotaMessages
+	relayMessages
+	faultRuleMessages
+	rolloutMessages
 )
 
-var owners = func() map[reflect.Type]int {
+// messageGroups maps each message type to the index of its machine.
+var messageGroups = func() map[reflect.Type]int {
 	o := map[reflect.Type]int{}
 	for i, all := range Messages() {
 		for _, m := range all {
--- a/internal/controlplane/message_test.go
+++ b/internal/controlplane/message_test.go
@@ -12,7 +12,7 @@
 	"asterwell/internal/rollout"
 )
 
-// The kinds in the answer of GET /api/frames, with the message that each one counts.
+// outerNames pairs each message type with its name in the answer of GET /api/frames.
 var outerNames = [][]struct {
 	msg  any
 	name string
@@ -99,7 +99,7 @@
 	},
 }
 
-// Operators' tools read the names of messages, which stay as they are whatever the Go types are called.
+// Operators' tools match these names, so they must not follow the names of the Go types.
 func TestMessageNames(t *testing.T) {
 	all := Messages()
 	if len(all) != len(outerNames) || len(messageNames) != len(all) {
--- /dev/null
+++ b/internal/controlplane/rollout.go
@@ -0,0 +1,74 @@
+package controlplane
+
+import (
+	"asterwell/internal/consensus"
+	"asterwell/internal/fsm"
+	"asterwell/internal/rollout"
+)
+
+// feedRollout passes the progress of consensus on to the rollout.
+func (m *Machine) feedRollout(now fsm.Time, out consensus.Out) {
+	m.rollout.Primary(m.consensus.Primary())
+	epoch, leads := m.consensus.Leads()
+	if !leads {
+		m.applyRollout(now, m.rollout.Leads(now, epoch, false))
+	}
+	if out.Adopt != nil {
+		if m.prepareWrite = 0; out.Write != nil { // a configuration isn't confirmed before it is on disk
+			m.prepareWrite = out.Write.Seq
+		}
+		m.applyRollout(now, m.rollout.Doc(now, *out.Adopt, out.Write == nil))
+	}
+	if leads {
+		m.applyRollout(now, m.rollout.Leads(now, epoch, true))
+		if out.Affirmed != 0 {
+			m.applyRollout(now, m.rollout.Affirmed(now, out.Affirmed))
+		}
+	}
+}
+
+// applyRollout carries out the output of the rollout.
+func (m *Machine) applyRollout(now fsm.Time, out rollout.Out) {
+	m.send(out.Send)
+	m.out.GateChanged = m.out.GateChanged || out.Gate
+	for _, t := range out.Told {
+		m.out.Replies = append(m.out.Replies, Reply{t.Call, t})
+	}
+	if out.Adopt != nil {
+		m.adopt(now, out.Adopt)
+	}
+	if out.Read != nil {
+		m.parser.adopt = &ConfigText{Doc: *out.Read}
+	}
+	if out.Check != nil {
+		m.parser.check = &ConfigText{Doc: *out.Check, checkOnly: true, checkConfig: m.checkConfig}
+	}
+	m.startParse()
+	if out.Amend != nil {
+		ok, then := m.consensus.Amend(now, *out.Amend)
+		m.applyConsensus(now, then)
+		if !ok {
+			m.applyRollout(now, m.rollout.Dropped(now, *out.Amend))
+		}
+	}
+	if out.Affirm {
+		round, then := m.consensus.Affirm(now)
+		m.rollout.Affirming(round)
+		m.applyConsensus(now, then)
+	}
+}
+
+// Gate returns the gate that decides which requests may be served.
+func (m *Machine) Gate() rollout.Gate { return m.rollout.Gate() }
+
+// RolloutStatus returns the state of the rollout.
+func (m *Machine) RolloutStatus(now fsm.Time) rollout.Status { return m.rollout.Status(now) }
+
+// Withdraw requests that a version which isn't live yet never becomes live.
+func (m *Machine) Withdraw(now fsm.Time, call uint64, version uint32, by string) Output {
+	m.applyRollout(now, m.rollout.Withdraw(now, call, version, by))
+	return m.takeOutput()
+}
+
+// RolloutMachine gives tests access to the rollout, to disable its safeguards.
+func (m *Machine) RolloutMachine() *rollout.Machine { return m.rollout }
