--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -49,10 +49,10 @@
 	Rev        uint32 `cbor:"3,keyasint,omitempty"`
 	Attachment []byte `cbor:"4,keyasint,omitempty"`
 
-	Digest    []byte       `cbor:"5,keyasint,omitempty"` // digest of Body
-	CreatedIn Ballot       `cbor:"6,keyasint,omitzero"`  // the epoch that made it
-	Ledger    dedup.Ledger `cbor:"7,keyasint,omitempty"` // accepted up to this one
-	LedgerRev uint32       `cbor:"8,keyasint,omitempty"` // how often others were added to them since
+	Digest    []byte        `cbor:"5,keyasint,omitempty"` // digest of Body
+	CreatedIn Ballot        `cbor:"6,keyasint,omitzero"`  // the epoch that made it
+	Ledger    dedup.History `cbor:"7,keyasint,omitempty"` // accepted up to this one
+	LedgerRev uint32        `cbor:"8,keyasint,omitempty"` // how often others were added to them since
 	// Past is of the versions before this one: it stays while the version does, amended or not.
 	History []byte `cbor:"9,keyasint,omitempty"`
 
--- a/internal/consensus/delta.go
+++ b/internal/consensus/delta.go
@@ -14,7 +14,7 @@
 	Change delta.Delta `cbor:"3,keyasint"`
 }
 
-func (d Delta) size() int { return len(d.Change.Steps) + len(d.Doc.Attachment) + 64 }
+func (d Delta) size() int { return len(d.Change.Ops) + len(d.Doc.Attachment) + 64 }
 
 // head is a document as others than writers are given it, without its body.
 func (d Doc) withoutBody() Doc {
@@ -40,7 +40,7 @@
 	if old.Version == 0 || old.Version == doc.Version {
 		return
 	}
-	if body, ok := delta.Make(old.Body, doc.Body); ok {
+	if body, ok := delta.New(old.Body, doc.Body); ok {
 		m.appendDelta(Delta{From: old.Version, Doc: doc.withoutBody(), Change: body})
 	}
 }
@@ -89,7 +89,7 @@
 	}
 	if m.packedWhole.Doc.Version != kept.Version || m.packedWhole.Doc.Rev != kept.Rev {
 		m.packedWhole = Delta{Doc: kept.withoutBody()}
-		if body, ok := delta.Whole(kept.Body); ok {
+		if body, ok := delta.NewFull(kept.Body); ok {
 			m.packedWhole.Change = body
 		}
 	}
@@ -106,7 +106,7 @@
 	if !last.Doc.Supersedes(m.state.Committed) {
 		return
 	}
-	if kept := m.state.Committed; kept.Version == last.Doc.Version && delta.Sum(kept.Body) == last.Change.To { // amended
+	if kept := m.state.Committed; kept.Version == last.Doc.Version && delta.Checksum(kept.Body) == last.Change.ResultSum { // amended
 		m.commit(last.Doc.withBody(kept.Body))
 		return
 	}
