--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -117,7 +117,7 @@
 	k := &Knot{
 		self: c.Self, meter: meter, bane: c.faults(now), counter: quotas.NewCounter(c.Self, c.Life), round: map[string]*detour{},
 		bond: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.Control, Member: c.Member,
-			Life: c.Life}, c.Seeds, c.Seed, now),
+			Incarnation: c.Life}, c.Seeds, c.Seed, now),
 		lore:   registry.New(c.Self, c.Zone, c.Heartbeat, c.Seed, now),
 		accord: rollout.New(rollout.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), judge: c.Check,
 		cede: drainpermit.New(c.Self, cedeSalt(c), c.Bugs.Cede),
@@ -136,7 +136,7 @@
 	switch of, ok := owners[reflect.TypeOf(msg)]; {
 	case !ok:
 	case of == ofBond:
-		k.bonded(now, k.bond.Take(now, from, msg))
+		k.bonded(now, k.bond.Receive(now, from, msg))
 	case of == ofLore:
 		k.learnt(k.lore.Take(now, from, msg))
 	case of == ofPact:
@@ -248,7 +248,7 @@
 
 // Seeds replaces the addresses to turn to.
 func (k *Knot) Seeds(now fsm.Time, seeds []string) {
-	k.bond.Seeds(now, seeds)
+	k.bond.SetSeeds(now, seeds)
 	k.pact.Seeds(now, seeds)
 }
 
@@ -268,7 +268,7 @@
 func (k *Knot) Servers() []registry.Server { return k.lore.Servers() }
 
 // Gateways is every process with what is known of it here.
-func (k *Knot) Gateways(now fsm.Time) []memberlist.Sight { return k.bond.Sights(now) }
+func (k *Knot) Gateways(now fsm.Time) []memberlist.NodeStatus { return k.bond.NodeStatuses(now) }
 
 // Services is every server with what is known of it here.
 func (k *Knot) Services(now fsm.Time) []registry.Sight { return k.lore.Sights(now) }
@@ -300,8 +300,8 @@
 // bonded carries out what membership wants.
 func (k *Knot) bonded(now fsm.Time, out memberlist.Out) {
 	k.send(out.Send)
-	for _, h := range out.Holds {
-		k.pact.Holds(h.Addr, h.Held)
+	for _, h := range out.HeldVersions {
+		k.pact.Holds(h.Addr, h.Version)
 	}
 	if !out.Changed {
 		return
@@ -315,7 +315,7 @@
 	up := lo.Filter(view, func(n memberlist.Node, _ int) bool { return n.State == memberlist.Up })
 	k.learnt(k.lore.Nodes(now, view)) // who leaves still serves, and must hear of servers
 	k.pact.Peers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
-		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Held: n.Held}
+		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Held: n.ConfigVersion}
 	}))
 	k.accord.Nodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
 		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
@@ -323,7 +323,7 @@
 	k.peers(view)
 	k.out.Members = true
 	k.bane.Nodes(lo.FilterMap(view, func(n memberlist.Node, _ int) (faultrules.Node, bool) {
-		return faultrules.Node{Addr: n.Addr, Life: n.Life}, n.State != memberlist.Gone
+		return faultrules.Node{Addr: n.Addr, Life: n.Incarnation}, n.State != memberlist.Gone
 	}))
 	k.out.Shares = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == k.self })}
 	holders := inOrder(up)
--- a/internal/controlplane/message_test.go
+++ b/internal/controlplane/message_test.go
@@ -18,15 +18,15 @@
 	name string
 }{
 	{
-		{memberlist.Beat{}, "bond.Beat"},
+		{memberlist.Heartbeat{}, "bond.Beat"},
 		{memberlist.Hello{}, "bond.Hello"},
-		{memberlist.Rumour{}, "bond.Rumour"},
+		{memberlist.Gossip{}, "bond.Rumour"},
 		{memberlist.Index{}, "bond.Index"},
 		{memberlist.Diff{}, "bond.Diff"},
 		{memberlist.Ping{}, "bond.Ping"},
-		{memberlist.Probe{}, "bond.Probe"},
-		{memberlist.Pong{}, "bond.Pong"},
-		{memberlist.Doubt{}, "bond.Doubt"},
+		{memberlist.IndirectPing{}, "bond.Probe"},
+		{memberlist.IndirectAck{}, "bond.Pong"},
+		{memberlist.Suspect{}, "bond.Doubt"},
 	},
 	{
 		{registry.News{}, "lore.News"},
--- a/internal/controlplane/text.go
+++ b/internal/controlplane/text.go
@@ -119,6 +119,6 @@
 	}
 	k.meter.Enter(now, r.roster)
 	k.counter.Enter(r.roster)
-	k.bond.SetHeld(doc.Version)
+	k.bond.SetConfigVersion(doc.Version)
 	k.version, k.out.Adopt = doc.Version, r.table
 }
--- a/internal/controlplane/via.go
+++ b/internal/controlplane/via.go
@@ -133,7 +133,7 @@
 
 // ways are a few processes in turn that may reach a holder.
 func (k *Knot) ways(holder string) (by []string) {
-	up := lo.FilterMap(k.bond.Up(), func(n memberlist.Node, _ int) (string, bool) {
+	up := lo.FilterMap(k.bond.UpNodes(), func(n memberlist.Node, _ int) (string, bool) {
 		return n.Addr, n.Addr != k.self && n.Addr != holder
 	})
 	for range min(detours, len(up)) {
--- a/internal/controlplane/via_test.go
+++ b/internal/controlplane/via_test.go
@@ -51,7 +51,7 @@
 	}{{11, 50 * time.Millisecond, true}, {11, 300 * time.Millisecond, true}, {490, 50 * time.Millisecond, true}, {490, 300 * time.Millisecond, false}} {
 		now := time.Hour
 		k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Life: 1}, unheard{}, nil, now)
-		k.bond.Take(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Life: 1}})
+		k.bond.Receive(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Incarnation: 1}})
 		k.Tick(now)
 		k.seen = c.known
 		k.round["h:1"] = &detour{}
@@ -87,7 +87,7 @@
 			m := &seldom{late: true}
 			now := time.Hour
 			k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Life: 1}, m, nil, now)
-			k.bond.Take(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Life: 1}})
+			k.bond.Receive(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Incarnation: 1}})
 			ways := 0
 			for i := range 40 {
 				now += 50 * time.Millisecond
@@ -141,7 +141,7 @@
 		now := time.Hour
 		k := New(Config{Self: "h:1", Name: "h", Zone: "z", Life: 1}, unheard{}, nil, now)
 		for _, w := range []string{"w:1", "w:2", "w:3"} {
-			k.bond.Take(now, w, memberlist.Hello{Node: memberlist.Node{Addr: w, Name: w, Zone: "z", Life: 1}})
+			k.bond.Receive(now, w, memberlist.Hello{Node: memberlist.Node{Addr: w, Name: w, Zone: "z", Incarnation: 1}})
 		}
 		nodes := []string{"h:1"}
 		for i := range c.silent {
@@ -187,7 +187,7 @@
 	for known, first := range map[int]int{11: 909, 91: 909, 490: 0} {
 		now := time.Hour
 		k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Life: 1}, wordy{}, nil, now)
-		k.bond.Take(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Life: 1}})
+		k.bond.Receive(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Incarnation: 1}})
 		k.Tick(now)
 		k.seen = known
 		k.round["h:1"] = &detour{}
@@ -220,7 +220,7 @@
 	meter := &seldom{}
 	k := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Life: 1}, meter, nil, now)
 	for _, other := range []string{"w:1", "x:1"} {
-		k.bond.Take(now, other, memberlist.Hello{Node: memberlist.Node{Addr: other, Name: other, Zone: "z", Life: 1}})
+		k.bond.Receive(now, other, memberlist.Hello{Node: memberlist.Node{Addr: other, Name: other, Zone: "z", Incarnation: 1}})
 	}
 	k.detour("h:1").open(now, "w:1", quotas.Answer{Stamp: now})
 	by := func() map[string]bool {
--- a/internal/daemon/shed_test.go
+++ b/internal/daemon/shed_test.go
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	if a.put(&frame{Msg: memberlist.Beat{}}, start) {
+	if a.put(&frame{Msg: memberlist.Heartbeat{}}, start) {
 		t.Fatal("a sign of life waits among adds")
 	}
 	taken := func(now time.Time) (got []int) {
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -49,25 +49,25 @@
 		all := p.knot.Gateways(p.now())
 		name := named(all)
 		return adminapi.Members{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Draining: p.draining.Load(),
-			Gateways: lo.Map(all, func(s memberlist.Sight, _ int) adminapi.Gateway {
+			Gateways: lo.Map(all, func(s memberlist.NodeStatus, _ int) adminapi.Gateway {
 				return adminapi.Gateway{Name: s.Name, Zone: s.Zone, Addr: s.Addr, Control: s.Control, Core: s.Member, State: s.State.String(),
-					ForS: s.For.Seconds(), Ready: s.Ready, Started: time.UnixMilli(int64(s.Life)).UTC(), NewsS: s.News.Seconds(),
-					Watched: s.Here, Watchers: lo.Map(s.Watchers, func(a string, _ int) string { return name(a) }),
-					Holds: fmt.Sprintf("%08x", s.Held)}
+					ForS: s.InState.Seconds(), Ready: s.Ready, Started: time.UnixMilli(int64(s.Incarnation)).UTC(), NewsS: s.SinceHeard.Seconds(),
+					Watched: s.WatchedHere, Watchers: lo.Map(s.Watchers, func(a string, _ int) string { return name(a) }),
+					Holds: fmt.Sprintf("%08x", s.ConfigVersion)}
 			})}
 	})
 }
 
 // named finds the names of addresses.
-func named(all []memberlist.Sight) func(addr string) string {
-	names := lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Name })
+func named(all []memberlist.NodeStatus) func(addr string) string {
+	names := lo.SliceToMap(all, func(s memberlist.NodeStatus) (string, string) { return s.Addr, s.Name })
 	return func(addr string) string { return cmp.Or(names[addr], addr) }
 }
 
 func (p *Process) services(ctx *fasthttp.RequestCtx, _ string) {
 	p.show(ctx, func(p *Process) any {
 		all := p.knot.Gateways(p.now())
-		name, at := named(all), lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Control })
+		name, at := named(all), lo.SliceToMap(all, func(s memberlist.NodeStatus) (string, string) { return s.Addr, s.Control })
 		return adminapi.Services{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(),
 			Servers: lo.Map(p.knot.Services(p.now()), func(s registry.Sight, _ int) adminapi.Server {
 				v := adminapi.Server{ID: s.ID, Service: s.Service, Endpoint: s.Addr, Zone: s.Zone, Epoch: s.Epoch, Capacity: s.Capacity,
--- a/internal/memberlist/index.go
+++ b/internal/memberlist/index.go
@@ -36,13 +36,13 @@
 
 // differ answers digests with what is in the parts that differ.
 func (m *Machine) differ(from string, x Index) {
-	n := len(x.Sums) / 4
+	n := len(x.PartDigests) / 4
 	if n > mostParts || n&(n-1) != 0 || n == 0 {
 		return
 	}
 	ours, only := m.sums(n), make([]byte, (n+7)/8)
 	for i := range n {
-		if !slices.Equal(ours[4*i:4*i+4], x.Sums[4*i:4*i+4]) {
+		if !slices.Equal(ours[4*i:4*i+4], x.PartDigests[4*i:4*i+4]) {
 			only[i/8] |= 1 << (i % 8)
 		}
 	}
@@ -53,7 +53,7 @@
 		}
 	}
 	if slices.Max(only) > 0 {
-		m.send(from, Index{Rows: m.index(func(e *entry) bool { return within(only, n, e) }), Only: append(only, byte(bits.Len(uint(n)))), Form: formPacked})
+		m.send(from, Index{Rows: m.index(func(e *entry) bool { return within(only, n, e) }), Parts: append(only, byte(bits.Len(uint(n)))), Encoding: formPacked})
 	}
 }
 
@@ -90,10 +90,10 @@
 	for rows := x.Rows; len(rows) >= 8; rows = rows[8:] {
 		theirs[binary.BigEndian.Uint32(rows)] = binary.BigEndian.Uint32(rows[4:])
 	}
-	all, n := len(x.Only) < 2, 0
+	all, n := len(x.Parts) < 2, 0
 	if !all {
-		n = 1 << (x.Only[len(x.Only)-1] - 1) & (2*mostParts - 1)
-		if n == 0 || (n+7)/8 != len(x.Only)-1 {
+		n = 1 << (x.Parts[len(x.Parts)-1] - 1) & (2*mostParts - 1)
+		if n == 0 || (n+7)/8 != len(x.Parts)-1 {
 			return
 		}
 	}
@@ -101,7 +101,7 @@
 	var nodes []Node
 	var want []uint32
 	for _, e := range m.all {
-		if !all && !within(x.Only, n, e) {
+		if !all && !within(x.Parts, n, e) {
 			continue
 		}
 		key := e.short()
@@ -125,7 +125,7 @@
 	slices.Sort(want)
 	m.given -= float64(len(nodes))
 	if len(nodes)+len(want) > 0 {
-		m.send(from, m.diff(nodes, want, x.Form))
+		m.send(from, m.diff(nodes, want, x.Encoding))
 	}
 }
 
@@ -143,5 +143,5 @@
 	for i, n := range nodes {
 		all[i] = packed{n, n.State == Gone}
 	}
-	return Diff{Pack: pack(all), Want: want, Form: formPacked}
+	return Diff{Packed: pack(all), Want: want, Encoding: formPacked}
 }
--- a/internal/memberlist/links/links.go
+++ b/internal/memberlist/links/links.go
@@ -17,7 +17,7 @@
 // Actor is a process.
 type Actor interface {
 	Tick(now fsm.Time) []fsm.Send
-	Take(now fsm.Time, from string, msg any) []fsm.Send
+	Receive(now fsm.Time, from string, msg any) []fsm.Send
 }
 
 const (
@@ -42,17 +42,17 @@
 }
 
 // Net is all links.
-type Net struct {
-	Now    fsm.Time
-	Delay  time.Duration
-	Jitter time.Duration
-	Loss   float64
-	Cut    func(from, to string) bool
-	Fail   func(err error)
-	Bytes  map[string]int                      // sent, by process
-	Late   func(from, to string) time.Duration // beyond Delay; nil: none
-	Cost   func(bytes int) time.Duration       // of a message, 0 bytes for a tick, on a machine that all share; nil: none
-	Got    map[string]int                      // bytes that came, by process
+type Network struct {
+	Now            fsm.Time
+	Delay          time.Duration
+	Jitter         time.Duration
+	Loss           float64
+	Blocked        func(from, to string) bool
+	OnError        func(err error)
+	BytesSent      map[string]int                      // sent, by process
+	ExtraDelay     func(from, to string) time.Duration // beyond Delay; nil: none
+	ProcessingTime func(bytes int) time.Duration       // of a message, 0 bytes for a tick, on a machine that all share; nil: none
+	BytesReceived  map[string]int                      // bytes that came, by process
 
 	rand   *rand.Rand
 	hosts  map[string]*host
@@ -63,15 +63,15 @@
 }
 
 // New is a net without processes.
-func New(seed uint64, fail func(error)) *Net {
-	return &Net{Delay: time.Millisecond, Jitter: time.Millisecond, Fail: fail, Bytes: map[string]int{}, Got: map[string]int{},
-		Cut:  func(string, string) bool { return false },
-		rand: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*host{}, kinds: map[string]int{},
+func New(seed uint64, fail func(error)) *Network {
+	return &Network{Delay: time.Millisecond, Jitter: time.Millisecond, OnError: fail, BytesSent: map[string]int{}, BytesReceived: map[string]int{},
+		Blocked: func(string, string) bool { return false },
+		rand:    rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*host{}, kinds: map[string]int{},
 		length: map[string]int{}}
 }
 
 // Start runs a process, in place of an earlier one at the address.
-func (n *Net) Start(addr string, a Actor) {
+func (n *Network) Start(addr string, a Actor) {
 	life := 1
 	if h := n.hosts[addr]; h != nil {
 		life = h.life + 1
@@ -81,13 +81,13 @@
 }
 
 // Kill ends a process.
-func (n *Net) Kill(addr string) { n.hosts[addr].actor = nil }
+func (n *Network) Kill(addr string) { n.hosts[addr].actor = nil }
 
 // Freeze stops a process; what comes for it waits.
-func (n *Net) Freeze(addr string) { n.hosts[addr].frozen = true }
+func (n *Network) Pause(addr string) { n.hosts[addr].frozen = true }
 
 // Thaw lets it go on.
-func (n *Net) Thaw(addr string) {
+func (n *Network) Resume(addr string) {
 	h := n.hosts[addr]
 	h.frozen = false
 	for _, e := range h.held {
@@ -98,41 +98,41 @@
 }
 
 // Post sends what an actor returned.
-func (n *Net) Post(from string, sends []fsm.Send) {
+func (n *Network) Send(from string, sends []fsm.Send) {
 	for _, s := range sends {
 		b, err := cbor.Marshal(s.Msg)
 		if err != nil {
-			n.Fail(err)
+			n.OnError(err)
 			return
 		}
 		copied := reflect.New(reflect.TypeOf(s.Msg))
 		if err := cbor.Unmarshal(b, copied.Interface()); err != nil {
-			n.Fail(err)
+			n.OnError(err)
 			return
 		}
-		n.Bytes[from] += len(b) + frame
+		n.BytesSent[from] += len(b) + frame
 		n.kinds[reflect.TypeOf(s.Msg).String()]++
 		n.length[reflect.TypeOf(s.Msg).String()] += len(b) + frame
-		if n.Cut(from, s.To) || n.rand.Float64() < n.Loss {
+		if n.Blocked(from, s.To) || n.rand.Float64() < n.Loss {
 			continue
 		}
 		at := n.Now + n.Delay + time.Duration(n.rand.Int64N(int64(n.Jitter)+1))
-		if n.Late != nil {
-			at += n.Late(from, s.To)
+		if n.ExtraDelay != nil {
+			at += n.ExtraDelay(from, s.To)
 		}
 		n.add(event{at: at, from: from, to: s.To, msg: copied.Elem().Interface(), size: len(b) + frame})
 	}
 }
 
 // Kinds is how many messages and bytes of each type were sent; it starts anew.
-func (n *Net) Kinds() (count, length map[string]int) {
+func (n *Network) TakeMessageCounts() (count, length map[string]int) {
 	count, length = n.kinds, n.length
 	n.kinds, n.length = map[string]int{}, map[string]int{}
 	return count, length
 }
 
 // Run lets time pass.
-func (n *Net) Run(d time.Duration) {
+func (n *Network) Run(d time.Duration) {
 	end := n.Now + d
 	for len(n.queue) > 0 && n.queue[0].at <= end {
 		e := heap.Pop(&n.queue).(event)
@@ -142,25 +142,25 @@
 	n.Now = max(n.Now, end)
 }
 
-func (n *Net) step(e event) {
+func (n *Network) step(e event) {
 	h := n.hosts[e.to]
-	if n.Cost != nil {
-		n.Now += n.Cost(e.size)
+	if n.ProcessingTime != nil {
+		n.Now += n.ProcessingTime(e.size)
 	}
 	switch {
 	case h == nil || h.actor == nil || e.msg == nil && e.life != h.life:
 	case h.frozen:
 		h.held = append(h.held, e)
 	case e.msg == nil:
-		n.Post(e.to, h.actor.Tick(n.Now))
+		n.Send(e.to, h.actor.Tick(n.Now))
 		n.add(event{at: n.Now + pace, to: e.to, life: h.life})
 	default:
-		n.Got[e.to] += e.size
-		n.Post(e.to, h.actor.Take(n.Now, e.from, e.msg))
+		n.BytesReceived[e.to] += e.size
+		n.Send(e.to, h.actor.Receive(n.Now, e.from, e.msg))
 	}
 }
 
-func (n *Net) add(e event) {
+func (n *Network) add(e event) {
 	n.no++
 	e.no = n.no
 	heap.Push(&n.queue, e)
--- a/internal/memberlist/machine.go
+++ b/internal/memberlist/machine.go
@@ -120,7 +120,7 @@
 // New starts with nothing but seeds. A start's Life should be higher than those before
 // it; where it isn't, the others' memory of the old one mends that.
 func New(self Node, seeds []string, seed uint64, now fsm.Time) *Machine {
-	self.State, self.Seq, self.Form = Up, max(self.Seq, 1), formPacked
+	self.State, self.Seq, self.Encoding = Up, max(self.Seq, 1), formPacked
 	m := &Machine{
 		self: self, rand: rand.New(rand.NewPCG(seed, 0xb0d)),
 		known: map[string]bool{}, nodes: map[string]*entry{}, doubt: map[string]doubt{},
@@ -131,18 +131,18 @@
 	m.me = m.enter(self.Addr)
 	m.me.since = now
 	m.put(m.me, self)
-	m.Seeds(now, seeds)
+	m.SetSeeds(now, seeds)
 	return m
 }
 
 // Seeds replaces the seeds.
-func (m *Machine) Seeds(now fsm.Time, seeds []string) {
+func (m *Machine) SetSeeds(now fsm.Time, seeds []string) {
 	m.seeds = slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == m.self.Addr || a == "" })
 	m.hello, m.try = now, now
 }
 
 // Know adds addresses remembered from an earlier life.
-func (m *Machine) Know(_ fsm.Time, addrs []string) {
+func (m *Machine) AddKnownAddresses(_ fsm.Time, addrs []string) {
 	for _, a := range addrs {
 		m.remember(a)
 	}
@@ -176,7 +176,7 @@
 // SetHeld notes the configuration's version held here. The watchers hear it with the
 // next tick's beat, so that one who lacks it has whom to ask; all others only need it
 // for people, and are told seldom: else each version costs each node a rumour of each.
-func (m *Machine) SetHeld(v uint32) {
+func (m *Machine) SetConfigVersion(v uint32) {
 	if m.me.held != v {
 		m.me.held, m.heldAt, m.beat = v, m.now, m.now
 	}
@@ -184,7 +184,7 @@
 
 // lag tells all what is held here, once it has been for a while.
 func (m *Machine) lag() {
-	if m.me.held != m.self.Held && (m.now-m.heldAt >= m.each(heldFor, heldForOne) || m.now-m.saidAt >= m.each(heldLate, 5*heldForOne)) {
+	if m.me.held != m.self.ConfigVersion && (m.now-m.heldAt >= m.each(heldFor, heldForOne) || m.now-m.saidAt >= m.each(heldLate, 5*heldForOne)) {
 		m.say()
 	}
 }
@@ -208,11 +208,11 @@
 func (m *Machine) say() {
 	m.self.Seq++
 	me := m.me
-	m.self.Held, m.saidAt = me.held, m.now
+	m.self.ConfigVersion, m.saidAt = me.held, m.now
 	if me.node.State != m.self.State {
 		me.since = m.now
 	}
-	brief := me.node.Life == m.self.Life
+	brief := me.node.Incarnation == m.self.Incarnation
 	m.put(me, m.self)
 	m.later(m.self.Addr, brief, "")
 }
@@ -274,7 +274,7 @@
 	v := make([]Node, 0, len(m.all))
 	for _, e := range m.all {
 		n := e.node
-		n.Held = max(n.Held, e.held)
+		n.ConfigVersion = max(n.ConfigVersion, e.held)
 		if e.lost {
 			n.State = Gone
 		}
@@ -297,7 +297,7 @@
 }
 
 // Up is the nodes that are up and not leaving, sorted by address.
-func (m *Machine) Up() []Node {
+func (m *Machine) UpNodes() []Node {
 	return slices.DeleteFunc(m.View(), func(n Node) bool { return n.State != Up })
 }
 
@@ -366,8 +366,8 @@
 // quiet is the same of all.
 func (m *Machine) quiet() time.Duration { return m.now - m.heard - (m.stood - m.stoodAt) }
 
-func (m *Machine) sign() Beat {
-	return Beat{m.self.Life, m.self.Seq, m.hash(), m.me.held}
+func (m *Machine) sign() Heartbeat {
+	return Heartbeat{m.self.Incarnation, m.self.Seq, m.hash(), m.me.held}
 }
 
 // hash covers all nodes not gone. What is lost to us alone counts as it was.
--- a/internal/memberlist/machine_test.go
+++ b/internal/memberlist/machine_test.go
@@ -13,14 +13,14 @@
 const ms = time.Millisecond
 
 func node(i int) Node {
-	return Node{Addr: fmt.Sprintf("10.0.0.%d:7", i), Name: fmt.Sprint("n", i), Life: 1, Seq: 1}
+	return Node{Addr: fmt.Sprintf("10.0.0.%d:7", i), Name: fmt.Sprint("n", i), Incarnation: 1, Seq: 1}
 }
 
 // amid is a machine that knows others, all of them just heard.
 func amid(others int) *Machine {
 	m := New(node(0), nil, 1, 0)
 	for i := 1; i <= others; i++ {
-		m.Take(0, node(i).Addr, Hello{Node: node(i)})
+		m.Receive(0, node(i).Addr, Hello{Node: node(i)})
 	}
 	m.Tick(0)
 	return m
@@ -48,11 +48,11 @@
 func TestRumourOnce(t *testing.T) {
 	m := amid(20)
 	n := node(5)
-	n.Seq, n.Held = 2, 9
-	if o := m.Take(ms, node(6).Addr, Rumour{Nodes: []Node{n}}); len(sent[Rumour](o)) < 3 || len(sent[Rumour](o)) > 5 {
-		t.Fatalf("passed on %d times", len(sent[Rumour](o)))
+	n.Seq, n.ConfigVersion = 2, 9
+	if o := m.Receive(ms, node(6).Addr, Gossip{Nodes: []Node{n}}); len(sent[Gossip](o)) < 3 || len(sent[Gossip](o)) > 5 {
+		t.Fatalf("passed on %d times", len(sent[Gossip](o)))
 	}
-	if o := m.Take(2*ms, node(7).Addr, Rumour{Nodes: []Node{n}}); len(o.Send) != 0 || o.Changed {
+	if o := m.Receive(2*ms, node(7).Addr, Gossip{Nodes: []Node{n}}); len(o.Send) != 0 || o.Changed {
 		t.Fatalf("%+v", o)
 	}
 }
@@ -63,14 +63,14 @@
 		m := amid(8)
 		n := node(5)
 		n.State = Gone
-		o := m.Take(ms, node(6).Addr, Diff{Nodes: []Node{n}})
-		if len(sent[Doubt](o)) != 1 || state(m, 5) != Up {
+		o := m.Receive(ms, node(6).Addr, Diff{Nodes: []Node{n}})
+		if len(sent[Suspect](o)) != 1 || state(m, 5) != Up {
 			t.Fatalf("%+v", o)
 		}
 		for now := 50 * ms; now < 700*ms; now += 50 * ms {
 			for i := 1; i <= 8; i++ {
 				if i != 5 || lives {
-					m.Take(now, node(i).Addr, Beat{Life: 1, Seq: 1})
+					m.Receive(now, node(i).Addr, Heartbeat{Incarnation: 1, Seq: 1})
 				}
 			}
 			m.Tick(now)
@@ -90,16 +90,16 @@
 		life uint64
 		seq  uint64
 	}{
-		{"an earlier life with a later number", Rumour{Nodes: []Node{{Addr: node(0).Addr, Life: 40, Seq: 3}}}, 9 * ms, 41, 2},
-		{"the same number, changed more often", Rumour{Nodes: []Node{{Addr: node(0).Addr, Life: 1, Seq: 3}}}, 9 * ms, 2, 2},
-		{"gone, before we can have been missed", Doubt{Life: 1, Seq: 1}, 9 * ms, 2, 2},
-		{"gone, in this life", Doubt{Life: 1, Seq: 1}, 9000 * ms, 1, 2},
-		{"gone, long taken back", Doubt{Life: 1, Seq: 0}, 9000 * ms, 1, 1},
+		{"an earlier life with a later number", Gossip{Nodes: []Node{{Addr: node(0).Addr, Incarnation: 40, Seq: 3}}}, 9 * ms, 41, 2},
+		{"the same number, changed more often", Gossip{Nodes: []Node{{Addr: node(0).Addr, Incarnation: 1, Seq: 3}}}, 9 * ms, 2, 2},
+		{"gone, before we can have been missed", Suspect{Incarnation: 1, Seq: 1}, 9 * ms, 2, 2},
+		{"gone, in this life", Suspect{Incarnation: 1, Seq: 1}, 9000 * ms, 1, 2},
+		{"gone, long taken back", Suspect{Incarnation: 1, Seq: 0}, 9000 * ms, 1, 1},
 	} {
 		m := amid(3)
-		m.Take(c.at, node(1).Addr, c.msg)
-		if m.self.Life != c.life || m.self.Seq != c.seq {
-			t.Errorf("%s: life %d, change %d", c.name, m.self.Life, m.self.Seq)
+		m.Receive(c.at, node(1).Addr, c.msg)
+		if m.self.Incarnation != c.life || m.self.Seq != c.seq {
+			t.Errorf("%s: life %d, change %d", c.name, m.self.Incarnation, m.self.Seq)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		var words []Node
 		for range 8 {
 			n := node(1)
-			n.Life, n.Seq, n.State = uint64(r.IntN(3)), uint64(r.IntN(3)), State(r.IntN(2)*2)
+			n.Incarnation, n.Seq, n.State = uint64(r.IntN(3)), uint64(r.IntN(3)), State(r.IntN(2)*2)
 			words = append(words, n)
 		}
 		want := ""
@@ -134,8 +134,8 @@
 
 func (a actor) Tick(now fsm.Time) []fsm.Send { return a.Machine.Tick(now).Send }
 
-func (a actor) Take(now fsm.Time, from string, msg any) []fsm.Send {
-	return a.Machine.Take(now, from, msg).Send
+func (a actor) Receive(now fsm.Time, from string, msg any) []fsm.Send {
+	return a.Machine.Receive(now, from, msg).Send
 }
 
 // News reaches a hundred within a few hops, over links that lose some of it.
@@ -151,15 +151,15 @@
 		}
 		net.Run(5 * time.Second)
 		net.Loss = loss
-		machines[40].SetHeld(7)
+		machines[40].SetConfigVersion(7)
 		net.Run(150 * ms)
 		know := 0
 		for _, m := range machines {
-			if len(m.Up()) != all {
-				t.Fatalf("%d up", len(m.Up()))
+			if len(m.UpNodes()) != all {
+				t.Fatalf("%d up", len(m.UpNodes()))
 			}
 			for _, n := range m.View() {
-				if n.Addr == node(40).Addr && n.Held == 7 {
+				if n.Addr == node(40).Addr && n.ConfigVersion == 7 {
 					know++
 				}
 			}
@@ -175,27 +175,27 @@
 	m := amid(8)
 	var v uint32
 	rumours, last := 0, uint32(0)
-	tick := func(now fsm.Time) (beats []Beat) {
+	tick := func(now fsm.Time) (beats []Heartbeat) {
 		for i := 1; i <= 8; i++ {
-			m.Take(now, node(i).Addr, Beat{Life: 1, Seq: 1})
+			m.Receive(now, node(i).Addr, Heartbeat{Incarnation: 1, Seq: 1})
 		}
 		o := m.Tick(now)
-		for _, r := range sent[Rumour](o) {
+		for _, r := range sent[Gossip](o) {
 			for _, n := range r.Nodes {
 				if n.Addr == node(0).Addr {
-					rumours, last = rumours+1, n.Held
+					rumours, last = rumours+1, n.ConfigVersion
 				}
 			}
 		}
-		return sent[Beat](o)
+		return sent[Heartbeat](o)
 	}
 	now := 10 * time.Second
 	for range 40 {
 		v++
-		m.SetHeld(v)
+		m.SetConfigVersion(v)
 		for range 5 {
 			now += 50 * ms
-			if b := tick(now); v != m.View()[0].Held || len(b) > 0 && b[0].Held != v {
+			if b := tick(now); v != m.View()[0].ConfigVersion || len(b) > 0 && b[0].ConfigVersion != v {
 				t.Fatalf("%d is held, and said is %+v", v, b)
 			} else if now%(250*ms) == 50*ms && len(b) != 3 {
 				t.Fatalf("%d beats when another version is held", len(b))
@@ -212,11 +212,11 @@
 	if last != v {
 		t.Errorf("all were told of %d, %d is held", last, v)
 	}
-	o := m.Take(now, node(3).Addr, Beat{Life: 1, Seq: 1, Held: 9})
-	if len(o.Holds) != 1 || o.Holds[0].Held != 9 || o.Changed {
+	o := m.Receive(now, node(3).Addr, Heartbeat{Incarnation: 1, Seq: 1, ConfigVersion: 9})
+	if len(o.HeldVersions) != 1 || o.HeldVersions[0].Version != 9 || o.Changed {
 		t.Errorf("%+v", o)
 	}
-	if o = m.Take(now, node(3).Addr, Beat{Life: 1, Seq: 1, Held: 8}); len(o.Holds) != 0 {
+	if o = m.Receive(now, node(3).Addr, Heartbeat{Incarnation: 1, Seq: 1, ConfigVersion: 8}); len(o.HeldVersions) != 0 {
 		t.Errorf("%+v", o)
 	}
 }
--- a/internal/memberlist/node.go
+++ b/internal/memberlist/node.go
@@ -27,32 +27,32 @@
 // Node is what a process says of itself. Its mesh address is its identity; Life
 // grows at each start, and Seq with each change in a life.
 type Node struct {
-	Addr    string `cbor:"1,keyasint"`
-	Name    string `cbor:"2,keyasint,omitempty"`
-	Zone    string `cbor:"3,keyasint,omitempty"`
-	Control string `cbor:"4,keyasint,omitempty"`
-	Member  bool   `cbor:"5,keyasint,omitempty"`
-	Life    uint64 `cbor:"6,keyasint"`
-	Seq     uint64 `cbor:"7,keyasint"`
-	State   State  `cbor:"8,keyasint,omitempty"`
-	Ready   bool   `cbor:"9,keyasint,omitempty"`
-	Held    uint32 `cbor:"10,keyasint,omitempty"`
-	Form    uint8  `cbor:"11,keyasint,omitempty"` // formPacked: it reads packs and sums of parts
+	Addr          string `cbor:"1,keyasint"`
+	Name          string `cbor:"2,keyasint,omitempty"`
+	Zone          string `cbor:"3,keyasint,omitempty"`
+	Control       string `cbor:"4,keyasint,omitempty"`
+	Member        bool   `cbor:"5,keyasint,omitempty"`
+	Incarnation   uint64 `cbor:"6,keyasint" json:"Life"`
+	Seq           uint64 `cbor:"7,keyasint"`
+	State         State  `cbor:"8,keyasint,omitempty"`
+	Ready         bool   `cbor:"9,keyasint,omitempty"`
+	ConfigVersion uint32 `cbor:"10,keyasint,omitempty" json:"Held"`
+	Encoding      uint8  `cbor:"11,keyasint,omitempty" json:"Form"` // formPacked: it reads packs and sums of parts
 }
 
 const formPacked = 1
 
 // Hold is a configuration's version that a node holds.
-type Hold struct {
-	Addr string
-	Held uint32
+type HeldVersion struct {
+	Addr    string
+	Version uint32
 }
 
 // newer is the order in which words about a node override each other: "gone" beats
 // what it was said of, and the node's next word beats "gone".
 func (n Node) newer(o Node) bool {
-	if n.Life != o.Life {
-		return n.Life > o.Life
+	if n.Incarnation != o.Incarnation {
+		return n.Incarnation > o.Incarnation
 	}
 	if n.Seq != o.Seq {
 		return n.Seq > o.Seq
@@ -62,7 +62,7 @@
 
 // like: it differs from another word of the same life only in what people look at.
 func (n Node) like(o Node) bool {
-	n.Seq, n.Held, n.Ready, n.Form = o.Seq, o.Held, o.Ready, o.Form
+	n.Seq, n.ConfigVersion, n.Ready, n.Encoding = o.Seq, o.ConfigVersion, o.Ready, o.Encoding
 	return n == o
 }
 
@@ -70,7 +70,7 @@
 func (n Node) mark() uint64 {
 	b := make([]byte, 0, 64)
 	b = append(b, n.Addr...)
-	b = binary.BigEndian.AppendUint64(b, n.Life)
+	b = binary.BigEndian.AppendUint64(b, n.Incarnation)
 	b = binary.BigEndian.AppendUint64(b, n.Seq)
 	b = append(b, byte(n.State))
 	return xxhash.Sum64(b)
@@ -80,69 +80,69 @@
 type (
 	// Beat says that its sender lives, which version of itself it stands at, what its
 	// table hashes to, and which configuration it holds. It answers a Hello and a Ping too.
-	Beat struct {
-		Life uint64 `cbor:"1,keyasint"`
-		Seq  uint64 `cbor:"2,keyasint"`
-		Hash uint64 `cbor:"3,keyasint"`
-		Held uint32 `cbor:"4,keyasint,omitempty"`
+	Heartbeat struct {
+		Incarnation   uint64 `cbor:"1,keyasint"`
+		Seq           uint64 `cbor:"2,keyasint"`
+		TableHash     uint64 `cbor:"3,keyasint"`
+		ConfigVersion uint32 `cbor:"4,keyasint,omitempty"`
 	}
 	// Hello is a beat to a process that may not know the sender.
 	Hello struct {
 		Node Node `cbor:"1,keyasint"`
 	}
 	// Rumour is news, passed on once by everyone to whom it is news.
-	Rumour struct {
-		Nodes []Node `cbor:"1,keyasint"`
-		Pack  []byte `cbor:"2,keyasint,omitempty"` // instead, for whoever reads it
+	Gossip struct {
+		Nodes  []Node `cbor:"1,keyasint"`
+		Packed []byte `cbor:"2,keyasint,omitempty"` // instead, for whoever reads it
 	}
 	// Index lists a table: for each node four bytes of its address's hash and four of
 	// its version's. Where the table is large, first the digests of its parts go, and the
 	// answer lists those that differ.
 	Index struct {
-		Rows []byte `cbor:"1,keyasint"`
-		Sums []byte `cbor:"2,keyasint,omitempty"` // four bytes for each part
-		Only []byte `cbor:"3,keyasint,omitempty"` // a bit for each part that Rows cover, and the length of the parts' number in bits; none: all
-		Form uint8  `cbor:"4,keyasint,omitempty"` // of its sender
+		Rows        []byte `cbor:"1,keyasint"`
+		PartDigests []byte `cbor:"2,keyasint,omitempty"` // four bytes for each part
+		Parts       []byte `cbor:"3,keyasint,omitempty"` // a bit for each part that Rows cover, and the length of the parts' number in bits; none: all
+		Encoding    uint8  `cbor:"4,keyasint,omitempty"` // of its sender
 	}
 	// Diff has the entries that an Index lacks, and asks for those that it has newer.
 	Diff struct {
-		Nodes []Node   `cbor:"1,keyasint,omitempty"`
-		Want  []uint32 `cbor:"2,keyasint,omitempty"`
-		Pack  []byte   `cbor:"3,keyasint,omitempty"` // instead of Nodes, for whoever reads it
-		Form  uint8    `cbor:"4,keyasint,omitempty"`
+		Nodes    []Node   `cbor:"1,keyasint,omitempty"`
+		Want     []uint32 `cbor:"2,keyasint,omitempty"`
+		Packed   []byte   `cbor:"3,keyasint,omitempty"` // instead of Nodes, for whoever reads it
+		Encoding uint8    `cbor:"4,keyasint,omitempty"`
 	}
 	// Ping asks for a Beat, or, for another watcher, for a Pong that the asked one
 	// hands on: links between two processes may be cut while both live.
 	Ping struct {
-		For string `cbor:"1,keyasint,omitempty"`
+		Watcher string `cbor:"1,keyasint,omitempty"`
 	}
 	// Probe asks another process to ping one that its watcher misses.
-	Probe struct {
+	IndirectPing struct {
 		Addr string `cbor:"1,keyasint"`
 	}
 	// Pong travels from the pinged to the prober and on to the watcher.
-	Pong struct {
-		Addr string `cbor:"1,keyasint"`
-		For  string `cbor:"2,keyasint"`
-		Life uint64 `cbor:"3,keyasint"`
-		Seq  uint64 `cbor:"4,keyasint"`
+	IndirectAck struct {
+		Addr        string `cbor:"1,keyasint"`
+		Watcher     string `cbor:"2,keyasint"`
+		Incarnation uint64 `cbor:"3,keyasint"`
+		Seq         uint64 `cbor:"4,keyasint"`
 	}
 	// Doubt tells a process that somebody holds it for gone at this version.
-	Doubt struct {
-		Life uint64 `cbor:"1,keyasint"`
-		Seq  uint64 `cbor:"2,keyasint"`
+	Suspect struct {
+		Incarnation uint64 `cbor:"1,keyasint"`
+		Seq         uint64 `cbor:"2,keyasint"`
 	}
 )
 
 // Messages lists what a Machine takes; the order stays.
 func Messages() []any {
-	return []any{Beat{}, Hello{}, Rumour{}, Index{}, Diff{}, Ping{}, Probe{}, Pong{}, Doubt{}}
+	return []any{Heartbeat{}, Hello{}, Gossip{}, Index{}, Diff{}, Ping{}, IndirectPing{}, IndirectAck{}, Suspect{}}
 }
 
 // Out is what follows from an input.
 type Out struct {
-	Send    []fsm.Send
-	Changed bool     // View is another, in more than what nodes hold and whether they are ready
-	Silent  []string // addresses newly gone
-	Holds   []Hold   // which is told apart, as each configuration has all nodes hold another
+	Send         []fsm.Send
+	Changed      bool          // View is another, in more than what nodes hold and whether they are ready
+	Failed       []string      // addresses newly gone
+	HeldVersions []HeldVersion // which is told apart, as each configuration has all nodes hold another
 }
--- a/internal/memberlist/pack.go
+++ b/internal/memberlist/pack.go
@@ -36,12 +36,12 @@
 	var last Node
 	for _, n := range nodes {
 		flags := byte(min(n.State, Gone))
-		flags |= flagIf(n.Member, flagMember) | flagIf(n.Ready, flagReady) | flagIf(n.brief, flagBrief) | flagIf(n.Form > 0, flagPacked)
+		flags |= flagIf(n.Member, flagMember) | flagIf(n.Ready, flagReady) | flagIf(n.brief, flagBrief) | flagIf(n.Encoding > 0, flagPacked)
 		b = append(b, flags)
 		b = putText(b, last.Addr, n.Addr)
-		b = binary.AppendVarint(b, int64(n.Life-last.Life))
+		b = binary.AppendVarint(b, int64(n.Incarnation-last.Incarnation))
 		b = binary.AppendUvarint(b, n.Seq)
-		b = binary.AppendVarint(b, int64(n.Held)-int64(last.Held))
+		b = binary.AppendVarint(b, int64(n.ConfigVersion)-int64(last.ConfigVersion))
 		if n.brief {
 			n.Name, n.Zone = last.Name, last.Zone
 		} else {
@@ -62,12 +62,12 @@
 		n := packed{brief: flags&flagBrief != 0}
 		n.State, n.Member, n.Ready = State(flags&3), flags&flagMember != 0, flags&flagReady != 0
 		if flags&flagPacked != 0 {
-			n.Form = formPacked
+			n.Encoding = formPacked
 		}
 		n.Addr = r.text(last.Addr)
-		n.Life = last.Life + uint64(r.varint())
+		n.Incarnation = last.Incarnation + uint64(r.varint())
 		n.Seq = r.uvarint()
-		n.Held = uint32(int64(last.Held) + r.varint())
+		n.ConfigVersion = uint32(int64(last.ConfigVersion) + r.varint())
 		if n.brief {
 			n.Name, n.Zone = last.Name, last.Zone
 		} else {
--- a/internal/memberlist/pack_test.go
+++ b/internal/memberlist/pack_test.go
@@ -13,7 +13,7 @@
 		var all []packed
 		for i := range r.IntN(6) {
 			n := fleetNode(r.IntN(490))
-			n.Life, n.Seq, n.Held, n.State, n.Form = r.Uint64()>>r.IntN(64), r.Uint64()>>r.IntN(64), r.Uint32()>>r.IntN(32), State(r.IntN(3)), uint8(r.IntN(2))
+			n.Incarnation, n.Seq, n.ConfigVersion, n.State, n.Encoding = r.Uint64()>>r.IntN(64), r.Uint64()>>r.IntN(64), r.Uint32()>>r.IntN(32), State(r.IntN(3)), uint8(r.IntN(2))
 			n.Member, n.Ready = r.IntN(2) == 0, r.IntN(2) == 0
 			if i == 3 {
 				n.Control, n.Zone, n.Name = "", "", "aaaa"
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		for i, n := range got {
-			if o := all[i]; !n.brief || n.Addr != o.Addr || n.Life != o.Life || n.Seq != o.Seq || n.Held != o.Held || n.State != o.State || n.Ready != o.Ready {
+			if o := all[i]; !n.brief || n.Addr != o.Addr || n.Incarnation != o.Incarnation || n.Seq != o.Seq || n.ConfigVersion != o.ConfigVersion || n.State != o.State || n.Ready != o.Ready {
 				t.Fatalf("%v\n%v", n, o)
 			}
 		}
--- a/internal/memberlist/ring.go
+++ b/internal/memberlist/ring.go
@@ -124,7 +124,7 @@
 				via = append(via, e.via)
 			}
 			for _, o := range via {
-				m.send(o, Probe{Addr: a})
+				m.send(o, IndirectPing{Addr: a})
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 		m.setLost(e, true)
 		e.ended, e.since = m.now, m.now
 		m.stale, m.out.Changed = true, true
-		m.out.Silent = append(m.out.Silent, addr)
+		m.out.Failed = append(m.out.Failed, addr)
 	}
 }
 
--- a/internal/memberlist/storm_test.go
+++ b/internal/memberlist/storm_test.go
@@ -13,7 +13,7 @@
 
 // fleet is n machines on simulated time, in ten zones of three regions.
 type fleet struct {
-	*links.Net
+	*links.Network
 	t     *testing.T
 	rand  *rand.Rand
 	all   []*member
@@ -37,14 +37,14 @@
 
 func (m *member) Tick(now fsm.Time) []fsm.Send {
 	if now-m.born > time.Second {
-		m.SetHeld(m.held)
+		m.SetConfigVersion(m.held)
 	}
 	m.SetReady(now-m.born > 1500*ms)
 	return m.Machine.Tick(now).Send
 }
 
-func (m *member) Take(now fsm.Time, from string, msg any) []fsm.Send {
-	return m.Machine.Take(now, from, msg).Send
+func (m *member) Receive(now fsm.Time, from string, msg any) []fsm.Send {
+	return m.Machine.Receive(now, from, msg).Send
 }
 
 func fleetNode(i int) Node {
@@ -53,14 +53,14 @@
 }
 
 func newFleet(t *testing.T, n int, seed uint64) *fleet {
-	f := &fleet{Net: links.New(seed, func(err error) { t.Fatal(err) }), t: t, rand: rand.New(rand.NewPCG(seed, 7)),
+	f := &fleet{Network: links.New(seed, func(err error) { t.Fatal(err) }), t: t, rand: rand.New(rand.NewPCG(seed, 7)),
 		all: make([]*member, n), life: 1790000000000}
 	f.start = f.begin
 	region := map[string]int{}
 	for i := range n {
 		region[fleetNode(i).Addr] = i % 10 * 3 / 10
 	}
-	f.Late = func(from, to string) time.Duration {
+	f.ExtraDelay = func(from, to string) time.Duration {
 		if region[from] != region[to] {
 			return 55 * ms
 		}
@@ -72,7 +72,7 @@
 func (f *fleet) begin(i int) {
 	f.life += uint64(f.rand.IntN(1000))
 	n := fleetNode(i)
-	n.Life = f.life
+	n.Incarnation = f.life
 	f.all[i] = &member{New(n, []string{fleetNode(0).Addr, fleetNode(1).Addr, fleetNode(2).Addr}, f.rand.Uint64(), f.Now), f.Now, 1}
 	f.Start(n.Addr, f.all[i])
 }
@@ -96,10 +96,10 @@
 		for i := range f.stops {
 			if s := &f.stops[i]; f.Now >= s.at && f.Now < s.till && !s.now {
 				s.now = true
-				f.Freeze(fleetNode(s.who).Addr)
+				f.Pause(fleetNode(s.who).Addr)
 			} else if f.Now >= s.till && s.now {
 				s.now = false
-				f.Thaw(fleetNode(s.who).Addr)
+				f.Resume(fleetNode(s.who).Addr)
 			}
 		}
 	}
@@ -149,9 +149,9 @@
 }
 
 func (f *fleet) anew() {
-	clear(f.Bytes)
-	clear(f.Got)
-	f.Kinds()
+	clear(f.BytesSent)
+	clear(f.BytesReceived)
+	f.TakeMessageCounts()
 }
 
 // more counts what went before, too.
@@ -160,11 +160,11 @@
 	live := 0
 	for i, m := range f.all {
 		if m != nil {
-			b := f.Bytes[fleetNode(i).Addr] + f.Got[fleetNode(i).Addr]
+			b := f.BytesSent[fleetNode(i).Addr] + f.BytesReceived[fleetNode(i).Addr]
 			live, mean, most = live+1, mean+b, max(most, b)
 		}
 	}
-	count, length := f.Kinds()
+	count, length := f.TakeMessageCounts()
 	messages, bytes := 0, 0
 	for kind := range count {
 		messages, bytes = messages+count[kind], bytes+length[kind]
@@ -191,7 +191,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 490, 1)
-			f.Cost = cost
+			f.ProcessingTime = cost
 			for range 40 {
 				at := fsm.Time(f.rand.Int64N(int64(6 * time.Second)))
 				f.stops = append(f.stops, stop{at: at, till: at + 2*time.Second, who: f.rand.IntN(490)})
@@ -291,16 +291,16 @@
 	bare := func(nodes []Node) []Node {
 		nodes = slices.Clone(nodes)
 		for i := range nodes {
-			nodes[i].Form = 0
+			nodes[i].Encoding = 0
 		}
 		return nodes
 	}
 	switch x := msg.(type) {
 	case Hello:
-		x.Node.Form = 0
+		x.Node.Encoding = 0
 		return x
-	case Rumour:
-		return Rumour{Nodes: bare(x.Nodes)}
+	case Gossip:
+		return Gossip{Nodes: bare(x.Nodes)}
 	case Index:
 		return Index{Rows: x.Rows}
 	case Diff:
@@ -311,8 +311,8 @@
 
 func (e elder) Tick(now fsm.Time) []fsm.Send { return e.strip(e.member.Tick(now)) }
 
-func (e elder) Take(now fsm.Time, from string, msg any) []fsm.Send {
-	return e.strip(e.member.Take(now, from, e.older(msg)))
+func (e elder) Receive(now fsm.Time, from string, msg any) []fsm.Send {
+	return e.strip(e.member.Receive(now, from, e.older(msg)))
 }
 
 // Every second one is of the version before: all know all as soon, also what is lost and back.
@@ -357,10 +357,10 @@
 		for now := c.gap; now < 10*time.Second && gone == 0; now += c.gap {
 			for j := 1; j <= 8; j++ {
 				if node(j).Addr != silent {
-					m.Take(now, node(j).Addr, Beat{Life: 1, Seq: 1})
+					m.Receive(now, node(j).Addr, Heartbeat{Incarnation: 1, Seq: 1})
 				}
 			}
-			for _, r := range sent[Rumour](m.Tick(now)) {
+			for _, r := range sent[Gossip](m.Tick(now)) {
 				for _, n := range r.Nodes {
 					if n.Addr == silent && n.State == Gone {
 						gone = now
--- a/internal/memberlist/word.go
+++ b/internal/memberlist/word.go
@@ -9,7 +9,7 @@
 )
 
 // Take hears a message.
-func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
+func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
 	m.now = now
 	if now-m.ticked > ownGap {
 		m.thaw() // what was read first after a freeze
@@ -26,22 +26,22 @@
 		}
 	}
 	switch x := msg.(type) {
-	case Beat:
-		m.face(from, x.Life, x.Seq)
-		m.holds(from, x.Life, x.Held)
-		m.compare(from, x.Hash)
+	case Heartbeat:
+		m.face(from, x.Incarnation, x.Seq)
+		m.holds(from, x.Incarnation, x.ConfigVersion)
+		m.compare(from, x.TableHash)
 	case Hello:
 		if x.Node.Addr == from {
 			m.learn(x.Node, from)
-			m.face(from, x.Node.Life, x.Node.Seq)
+			m.face(from, x.Node.Incarnation, x.Node.Seq)
 		}
 		m.send(from, m.sign()) // it compares: of many that answer, it asks one
-	case Rumour:
-		for _, n := range m.open(x.Nodes, x.Pack) {
+	case Gossip:
+		for _, n := range m.open(x.Nodes, x.Packed) {
 			m.learn(n, from)
 		}
 	case Index:
-		if len(x.Sums) > 0 {
+		if len(x.PartDigests) > 0 {
 			m.differ(from, x)
 		} else {
 			m.answer(from, x)
@@ -49,22 +49,22 @@
 	case Diff:
 		m.fill(from, x)
 	case Ping:
-		if x.For == "" {
+		if x.Watcher == "" {
 			m.send(from, m.sign())
 		} else {
-			m.send(from, Pong{Addr: m.self.Addr, For: x.For, Life: m.self.Life, Seq: m.self.Seq})
+			m.send(from, IndirectAck{Addr: m.self.Addr, Watcher: x.Watcher, Incarnation: m.self.Incarnation, Seq: m.self.Seq})
 		}
-	case Probe:
-		m.send(x.Addr, Ping{For: from})
-	case Pong:
-		if x.For != m.self.Addr {
-			m.send(x.For, x)
-		} else if e := m.nodes[x.Addr]; e != nil && x.Life == e.node.Life {
+	case IndirectPing:
+		m.send(x.Addr, Ping{Watcher: from})
+	case IndirectAck:
+		if x.Watcher != m.self.Addr {
+			m.send(x.Watcher, x)
+		} else if e := m.nodes[x.Addr]; e != nil && x.Incarnation == e.node.Incarnation {
 			m.hear(e, now)
 			e.via = from
 		}
-	case Doubt:
-		m.own(Node{Addr: m.self.Addr, Life: x.Life, Seq: x.Seq, State: Gone})
+	case Suspect:
+		m.own(Node{Addr: m.self.Addr, Incarnation: x.Incarnation, Seq: x.Seq, State: Gone})
 	}
 	if m.swift > 0 && len(m.late) > 0 {
 		m.swift--
@@ -85,20 +85,20 @@
 // is held for gone, to take it back.
 func (m *Machine) face(from string, life, seq uint64) {
 	e := m.nodes[from]
-	if e == nil || e.node.State != Gone || life != e.node.Life || seq > e.node.Seq {
+	if e == nil || e.node.State != Gone || life != e.node.Incarnation || seq > e.node.Seq {
 		return
 	}
 	if t, ok := m.told[from]; !ok || m.now-t >= swapEvery {
 		m.told[from] = m.now
-		m.send(from, Doubt{Life: e.node.Life, Seq: e.node.Seq})
+		m.send(from, Suspect{Incarnation: e.node.Incarnation, Seq: e.node.Seq})
 	}
 }
 
 // holds takes a node's word of what it holds.
 func (m *Machine) holds(addr string, life uint64, held uint32) {
-	if e := m.nodes[addr]; e != nil && e.node.Life == life && held > max(e.held, e.node.Held) {
+	if e := m.nodes[addr]; e != nil && e.node.Incarnation == life && held > max(e.held, e.node.ConfigVersion) {
 		e.held = held
-		m.out.Holds = append(m.out.Holds, Hold{addr, held})
+		m.out.HeldVersions = append(m.out.HeldVersions, HeldVersion{addr, held})
 	}
 }
 
@@ -119,7 +119,7 @@
 // met: an entry's life was known here before, so most others know it.
 func (m *Machine) met(n Node) bool {
 	e := m.nodes[n.Addr]
-	return e != nil && e.node.Life == n.Life
+	return e != nil && e.node.Incarnation == n.Incarnation
 }
 
 // news is what waits to be told of a node.
@@ -151,7 +151,7 @@
 	for _, n := range all {
 		e := m.nodes[n.Addr]
 		if n.brief && n.State != Gone && n.Addr != m.self.Addr {
-			if e == nil || e.node.Life != n.Life {
+			if e == nil || e.node.Incarnation != n.Incarnation {
 				continue
 			}
 			n.Name, n.Zone, n.Control, n.Member = e.node.Name, e.node.Zone, e.node.Control, e.node.Member
@@ -166,10 +166,10 @@
 func (m *Machine) own(n Node) {
 	young := n.State == Gone && m.now-m.born < goneAfter
 	switch {
-	case n.Life > m.self.Life || n.Life == m.self.Life && (n.Seq > m.self.Seq || young):
-		m.self.Life = n.Life + 1
+	case n.Incarnation > m.self.Incarnation || n.Incarnation == m.self.Incarnation && (n.Seq > m.self.Seq || young):
+		m.self.Incarnation = n.Incarnation + 1
 		m.renew()
-	case n.Life == m.self.Life && n.Seq == m.self.Seq && n.State == Gone:
+	case n.Incarnation == m.self.Incarnation && n.Seq == m.self.Seq && n.State == Gone:
 		m.renew()
 	}
 }
@@ -196,18 +196,18 @@
 	}
 	if n.State == Gone {
 		if e.live() {
-			m.out.Silent = append(m.out.Silent, n.Addr)
+			m.out.Failed = append(m.out.Failed, n.Addr)
 		}
 		n2 := e.node // the word "gone" may come with less than we know
-		n2.Life, n2.Seq, n2.State = n.Life, n.Seq, Gone
+		n2.Incarnation, n2.Seq, n2.State = n.Incarnation, n.Seq, Gone
 		n = n2
 		e.ended = m.now
 	}
-	if e.lost || e.node.State != n.State || e.node.Life != n.Life {
+	if e.lost || e.node.State != n.State || e.node.Incarnation != n.Incarnation {
 		e.since = m.now
 	}
-	m.holds(n.Addr, n.Life, n.Held)
-	if n.Life != e.node.Life {
+	m.holds(n.Addr, n.Incarnation, n.ConfigVersion)
+	if n.Incarnation != e.node.Incarnation {
 		e.held = 0
 	}
 	if e.lost || !n.like(e.node) {
@@ -240,15 +240,15 @@
 		some := slices.DeleteFunc(slices.Clone(all), func(n packed) bool { return slices.Contains(m.late[n.Addr].from, a) })
 		switch {
 		case len(some) == 0:
-		case m.nodes[a].node.Form < formPacked:
-			m.send(a, Rumour{Nodes: plain(some)})
+		case m.nodes[a].node.Encoding < formPacked:
+			m.send(a, Gossip{Nodes: plain(some)})
 		case len(some) < len(all):
-			m.send(a, Rumour{Pack: pack(some)})
+			m.send(a, Gossip{Packed: pack(some)})
 		default:
 			if whole == nil {
 				whole = pack(all)
 			}
-			m.send(a, Rumour{Pack: whole})
+			m.send(a, Gossip{Packed: whole})
 		}
 	}
 	clear(m.late)
@@ -280,23 +280,23 @@
 	}
 	m.swapped = m.now
 	m.pause = swapEvery + time.Duration(m.rand.Int64N(int64(min(2*m.pause, most)-swapEvery)+1))
-	if e, n := m.nodes[from], m.split(); n > 1 && m.lost == 0 && e != nil && e.node.Form >= formPacked {
-		m.send(from, Index{Sums: m.sums(n), Form: formPacked})
+	if e, n := m.nodes[from], m.split(); n > 1 && m.lost == 0 && e != nil && e.node.Encoding >= formPacked {
+		m.send(from, Index{PartDigests: m.sums(n), Encoding: formPacked})
 		return
 	}
-	m.send(from, Index{Rows: m.index(nil), Form: formPacked})
+	m.send(from, Index{Rows: m.index(nil), Encoding: formPacked})
 }
 
 // fill takes the entries of an exchange. A "gone" from here may be old, of a time
 // when the teller was cut off: the node is asked first.
 func (m *Machine) fill(from string, d Diff) {
 	fresh, news := len(m.ring) < 2, 0
-	for _, n := range m.open(d.Nodes, d.Pack) {
+	for _, n := range m.open(d.Nodes, d.Packed) {
 		e := m.nodes[n.Addr]
 		if n.State == Gone && e != nil && n.Addr != m.self.Addr && e.node.State != Gone && n.newer(e.node) {
 			if _, asked := m.doubt[n.Addr]; !asked {
 				m.doubt[n.Addr] = doubt{n, m.now + doubtFor}
-				m.send(n.Addr, Doubt{Life: n.Life, Seq: n.Seq})
+				m.send(n.Addr, Suspect{Incarnation: n.Incarnation, Seq: n.Seq})
 			}
 			continue
 		}
@@ -319,7 +319,7 @@
 	}
 	m.given -= float64(len(give))
 	if len(give) > 0 {
-		m.send(from, m.diff(give, nil, d.Form))
+		m.send(from, m.diff(give, nil, d.Encoding))
 	}
 }
 
--- a/internal/registry/home.go
+++ b/internal/registry/home.go
@@ -117,7 +117,7 @@
 		}
 		before = before[1:]
 		if o := m.nodes[n.Addr]; !alike(*o, *n) {
-			if moved[n.Addr] = true; o.Life != n.Life {
+			if moved[n.Addr] = true; o.Incarnation != n.Incarnation {
 				came = append(came, n.Addr)
 			}
 			m.nodes[n.Addr] = lo.ToPtr(*n)
@@ -147,7 +147,7 @@
 }
 
 func alike(a, b memberlist.Node) bool {
-	return a.Addr == b.Addr && a.Zone == b.Zone && a.Control == b.Control && a.State == b.State && a.Life == b.Life
+	return a.Addr == b.Addr && a.Zone == b.Zone && a.Control == b.Control && a.State == b.State && a.Incarnation == b.Incarnation
 }
 
 // rehome finds homes anew where a process that is otherwise than before was the home, or may
--- a/internal/registry/returns.go
+++ b/internal/registry/returns.go
@@ -39,12 +39,12 @@
 	if r.gone == nil {
 		r.gone = map[string]absent{}
 	}
-	r.gone[n.Addr] = absent{n.Life, now}
+	r.gone[n.Addr] = absent{n.Incarnation, now}
 }
 
 func (r *returns) comes(now fsm.Time, n *memberlist.Node, wait time.Duration) {
 	was, known := r.gone[n.Addr]
-	if delete(r.gone, n.Addr); !known || was.life != n.Life || now-was.at < wait {
+	if delete(r.gone, n.Addr); !known || was.life != n.Incarnation || now-was.at < wait {
 		return
 	}
 	if r.n++; r.n == 1 || now-r.last > returnWithin {
--- a/internal/registry/returns_test.go
+++ b/internal/registry/returns_test.go
@@ -49,7 +49,7 @@
 		set := func(state memberlist.State, life uint64) {
 			for i := range c.away {
 				n := &p.nodes[len(p.nodes)-1-i]
-				n.State, n.Life = state, life
+				n.State, n.Incarnation = state, life
 				if i%20 == 19 || i == c.away-1 { // not all at once
 					p.now += 10 * time.Millisecond
 					p.m.Nodes(p.now, p.nodes)
--- a/internal/registry/script_test.go
+++ b/internal/registry/script_test.go
@@ -33,7 +33,7 @@
 }
 
 func (g *gate) member(now fsm.Time, o memberlist.Out) []fsm.Send {
-	g.silly += len(o.Silent)
+	g.silly += len(o.Failed)
 	sends := o.Send
 	if o.Changed {
 		sends = append(sends, g.table(g.lore.Nodes(now, g.bond.View()))...)
@@ -55,9 +55,9 @@
 	return append(g.member(now, g.bond.Tick(now)), g.table(g.lore.Tick(now))...)
 }
 
-func (g *gate) Take(now fsm.Time, from string, msg any) []fsm.Send {
+func (g *gate) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	if strings.HasPrefix(fmt.Sprintf("%T", msg), "memberlist.") {
-		return g.member(now, g.bond.Take(now, from, msg))
+		return g.member(now, g.bond.Receive(now, from, msg))
 	}
 	return g.table(g.lore.Take(now, from, msg))
 }
@@ -72,7 +72,7 @@
 
 type world struct {
 	t       *testing.T
-	net     *links.Net
+	net     *links.Network
 	gates   []*gate
 	rand    *rand.Rand
 	up      map[int]bool // running, not frozen
@@ -92,7 +92,7 @@
 func (w *world) boot(no int) {
 	g := &gate{w: w, no: no, addr: address(no)}
 	self := memberlist.Node{Addr: g.addr, Name: fmt.Sprintf("edge-%d", no), Zone: fmt.Sprintf("z%d", no%3),
-		Control: fmt.Sprintf("10.%d.0.%d:8042", no%3, no), Member: no < 3, Life: 1}
+		Control: fmt.Sprintf("10.%d.0.%d:8042", no%3, no), Member: no < 3, Incarnation: 1}
 	g.bond = memberlist.New(self, w.seeds, w.rand.Uint64(), w.net.Now)
 	g.lore = New(g.addr, self.Zone, heartbeat, w.rand.Uint64(), w.net.Now)
 	if no < len(w.gates) {
@@ -158,7 +158,7 @@
 		w.calls[w.call] = "-" + s.ID
 	}
 	g := w.gates[s.gate]
-	w.net.Post(g.addr, g.table(g.lore.Beat(w.net.Now, w.call, s.Beat)))
+	w.net.Send(g.addr, g.table(g.lore.Beat(w.net.Now, w.call, s.Beat)))
 }
 
 func (w *world) run(d time.Duration) {
@@ -239,7 +239,7 @@
 		for _, no := range numbers(f[1]) {
 			w.up[no] = f[0] == "thaw"
 			trouble(no)
-			map[string]func(string){"kill": w.net.Kill, "freeze": w.net.Freeze, "thaw": w.net.Thaw}[f[0]](address(no))
+			map[string]func(string){"kill": w.net.Kill, "freeze": w.net.Pause, "thaw": w.net.Resume}[f[0]](address(no))
 		}
 	case "cut": // cut 0-2 3-10: both ways; cut 0-2 > 3-10: what the first say doesn't arrive
 		one := f[2] == ">"
@@ -263,9 +263,9 @@
 		w.run(span(1))
 	case "leave":
 		g := w.gates[numbers(f[1])[0]]
-		w.net.Post(g.addr, g.member(w.net.Now, g.bond.Leave(w.net.Now)))
+		w.net.Send(g.addr, g.member(w.net.Now, g.bond.Leave(w.net.Now)))
 	case "held":
-		w.gates[numbers(f[1])[0]].bond.SetHeld(uint32(numbers(f[2])[0]))
+		w.gates[numbers(f[1])[0]].bond.SetConfigVersion(uint32(numbers(f[2])[0]))
 	case "server": // server ID service zone addr gate
 		w.servers[f[1]] = &server{gate: numbers(f[5])[0], next: w.net.Now, Beat: Beat{ID: f[1],
 			Service: f[2], Zone: f[3], Addr: f[4], Epoch: "v1", Capacity: 4, WarmMs: 2000}}
@@ -291,20 +291,20 @@
 			s.over = true
 		}
 		g := w.gates[numbers(f[2])[0]]
-		w.net.Post(g.addr, g.table(g.lore.Delete(w.net.Now, w.call, f[1])))
+		w.net.Send(g.addr, g.table(g.lore.Delete(w.net.Now, w.call, f[1])))
 	case "late": // late ID seq gate: an old beat arrives
 		s := *w.servers[f[1]]
 		s.Quiescing, s.Seq = false, uint64(numbers(f[2])[0])
 		g := w.gates[numbers(f[3])[0]]
-		w.net.Post(g.addr, g.table(g.lore.Beat(w.net.Now, 0, s.Beat)))
+		w.net.Send(g.addr, g.table(g.lore.Beat(w.net.Now, 0, s.Beat)))
 	case "release": // release N D: N of the servers replaced in D
 		w.release(numbers(f[1])[0], span(2))
 	case "spent": // spent MOST: bytes that one process has sent since last asked
 		most := 0
-		for _, b := range w.net.Bytes {
+		for _, b := range w.net.BytesSent {
 			most = max(most, b)
 		}
-		clear(w.net.Bytes)
+		clear(w.net.BytesSent)
 		w.t.Logf("%s: at most %d bytes by one process", line, most)
 		if most > numbers(f[1])[0] {
 			w.t.Errorf("%s: %d", line, most)
@@ -322,8 +322,8 @@
 }
 
 func (w *world) release(n int, d time.Duration) {
-	clear(w.net.Bytes)
-	w.net.Kinds()
+	clear(w.net.BytesSent)
+	w.net.TakeMessageCounts()
 	each := d / time.Duration(n)
 	for i := range n {
 		old := w.servers[fmt.Sprintf("s%d", i)]
@@ -334,7 +334,7 @@
 		w.do(fmt.Sprintf("delete %s %d", old.ID, old.gate))
 	}
 	most := 0
-	for _, b := range w.net.Bytes {
+	for _, b := range w.net.BytesSent {
 		most = max(most, b)
 	}
 	rate := float64(most) / d.Seconds()
@@ -394,18 +394,18 @@
 }
 
 func (w *world) kinds() {
-	count, length := w.net.Kinds()
+	count, length := w.net.TakeMessageCounts()
 	for _, k := range slices.Sorted(maps.Keys(count)) {
 		w.t.Logf("  %-12s %6d of %4d bytes", k, count[k], length[k]/count[k])
 	}
 }
 
 func (w *world) rest(line string, d time.Duration, most int) {
-	clear(w.net.Bytes)
-	w.net.Kinds()
+	clear(w.net.BytesSent)
+	w.net.TakeMessageCounts()
 	w.run(d)
 	sum, top := 0, 0
-	for _, b := range w.net.Bytes {
+	for _, b := range w.net.BytesSent {
 		sum += b
 		top = max(top, b)
 	}
@@ -441,7 +441,7 @@
 		holds = func() string {
 			return w.eachUp(func(g *gate) string {
 				var got []string
-				for _, n := range g.bond.Up() {
+				for _, n := range g.bond.UpNodes() {
 					got = append(got, n.Addr)
 				}
 				if slices.Contains(among, g.no) && !slices.Equal(got, want) {
@@ -454,7 +454,7 @@
 		holds = func() string {
 			return w.eachUp(func(g *gate) string {
 				for _, n := range g.bond.View() {
-					got := map[string]string{"life": fmt.Sprint(n.Life), "held": fmt.Sprint(n.Held)}[f[3]]
+					got := map[string]string{"life": fmt.Sprint(n.Incarnation), "held": fmt.Sprint(n.ConfigVersion)}[f[3]]
 					if n.Addr == address(numbers(f[2])[0]) && got != f[4] {
 						return "sees " + got
 					}
@@ -562,7 +562,7 @@
 				servers: map[string]*server{}, calls: map[uint64]string{}, ok: map[string]fsm.Time{},
 				said: map[string]int{}}
 			w.net = links.New(seed, func(err error) { t.Error(err) })
-			w.net.Cut = func(from, to string) bool {
+			w.net.Blocked = func(from, to string) bool {
 				var a, b, x int
 				fmt.Sscanf(from, "10.%d.0.%d:", &x, &a)
 				fmt.Sscanf(to, "10.%d.0.%d:", &x, &b)
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -28,7 +28,7 @@
 	p := &plan{now: time.Hour}
 	for i := range gateways {
 		p.nodes = append(p.nodes, memberlist.Node{Addr: fmt.Sprintf("10.%d.%03d.1:7100", i%10, i/10), Zone: fmt.Sprint("zone-", i%10),
-			Control: fmt.Sprintf("10.%d.%d.1:8042", i%10, i/10), Life: 1, Member: i < 8})
+			Control: fmt.Sprintf("10.%d.%d.1:8042", i%10, i/10), Incarnation: 1, Member: i < 8})
 	}
 	p.m = New(p.nodes[0].Addr, "zone-0", 1500*time.Millisecond, 1, p.now)
 	p.m.Core([]string{p.nodes[1].Addr, p.nodes[2].Addr, p.nodes[3].Addr})
