--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -110,5 +110,5 @@
 		addrs = append(addrs, s.Addr)
 	}
 	k.seated, k.seatsTold = b, true
-	k.lore.Core(addrs)
+	k.lore.SetVoters(addrs)
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -138,7 +138,7 @@
 	case of == ofBond:
 		k.bonded(now, k.bond.Receive(now, from, msg))
 	case of == ofLore:
-		k.learnt(k.lore.Take(now, from, msg))
+		k.learnt(k.lore.Receive(now, from, msg))
 	case of == ofPact:
 		k.agreed(now, k.pact.Take(now, from, msg))
 	case of == ofBane:
@@ -195,14 +195,14 @@
 }
 
 // Beat takes a server's call.
-func (k *Knot) Beat(now fsm.Time, call uint64, b registry.Beat) Out {
-	k.learnt(k.lore.Beat(now, call, b))
+func (k *Knot) Beat(now fsm.Time, call uint64, b registry.Heartbeat) Out {
+	k.learnt(k.lore.Heartbeat(now, call, b))
 	return k.end()
 }
 
 // Delete takes a server's last call.
 func (k *Knot) Delete(now fsm.Time, call uint64, id string) Out {
-	k.learnt(k.lore.Delete(now, call, id))
+	k.learnt(k.lore.Deregister(now, call, id))
 	return k.end()
 }
 
@@ -271,7 +271,7 @@
 func (k *Knot) Gateways(now fsm.Time) []memberlist.NodeStatus { return k.bond.NodeStatuses(now) }
 
 // Services is every server with what is known of it here.
-func (k *Knot) Services(now fsm.Time) []registry.Sight { return k.lore.Sights(now) }
+func (k *Knot) Services(now fsm.Time) []registry.ServerStatus { return k.lore.ServerStatuses(now) }
 
 // Epochs are those that this process has seen, the newest last.
 func (k *Knot) Epochs() []consensus.Change { return k.pact.Past() }
@@ -313,7 +313,7 @@
 	view := k.bond.View()
 	k.late, k.looked, k.seen = false, now, len(view)
 	up := lo.Filter(view, func(n memberlist.Node, _ int) bool { return n.State == memberlist.Up })
-	k.learnt(k.lore.Nodes(now, view)) // who leaves still serves, and must hear of servers
+	k.learnt(k.lore.SetNodes(now, view)) // who leaves still serves, and must hear of servers
 	k.pact.Peers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
 		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Held: n.ConfigVersion}
 	}))
--- a/internal/controlplane/drain.go
+++ b/internal/controlplane/drain.go
@@ -23,7 +23,7 @@
 
 // fit tells whether requests can be served here, whether clients are wanted or not.
 func (k *Knot) fit() bool {
-	return !k.leaving && k.version > 0 && k.lore.Filled() && k.met()
+	return !k.leaving && k.version > 0 && k.lore.Complete() && k.met()
 }
 
 // peers tells whom a drain may count on. One that was seen lately and is not may be on the other
--- a/internal/controlplane/keep.go
+++ b/internal/controlplane/keep.go
@@ -8,10 +8,10 @@
 // Keep is the list of servers as it is worth keeping on disk; nil while it can't be
 // relied on.
 func (k *Knot) Keep() []registry.Row {
-	if !k.lore.Filled() {
+	if !k.lore.Complete() {
 		return nil
 	}
-	return k.lore.Keep()
+	return k.lore.Snapshot()
 }
 
 // Restore takes what was kept.
--- a/internal/controlplane/life_test.go
+++ b/internal/controlplane/life_test.go
@@ -54,7 +54,7 @@
 	k := p.knots["calls"]
 	p.carry("calls", k.Put(p.now, 1, consensus.Doc{Version: 7, Body: []byte(life)}))
 	p.carry("calls", k.Get(p.now, 2))
-	p.carry("calls", k.Beat(p.now, 3, registry.Beat{ID: life + "-1", Addr: life + "1:1", Service: "s", Zone: "z", Seq: 2, Quiescing: true}))
+	p.carry("calls", k.Beat(p.now, 3, registry.Heartbeat{ID: life + "-1", Addr: life + "1:1", Service: "s", Zone: "z", Seq: 2, Quiescing: true}))
 	p.carry("calls", k.Delete(p.now, 4, life+"-2"))
 	p.carry("calls", k.Tick(p.now))
 }
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -99,7 +99,7 @@
 		ctx.Error(err.Error()+"\n", http.StatusBadRequest)
 		return
 	}
-	b := registry.Beat{ID: id, Addr: r.Endpoint, Service: r.SelfInfo.Backend, Zone: r.SelfInfo.Zone, Epoch: r.SelfInfo.Epoch,
+	b := registry.Heartbeat{ID: id, Addr: r.Endpoint, Service: r.SelfInfo.Backend, Zone: r.SelfInfo.Zone, Epoch: r.SelfInfo.Epoch,
 		Capacity: r.SelfInfo.Capacity, Quiescing: r.HealthState.Phase == "quiescing", Seq: r.HealthState.Sequence,
 		WarmMs: int(r.HealthState.WarmupLeftMs)}
 	p.member(ctx, func(call uint64) { p.box.Put(beaten{call, b}) })
--- a/internal/daemon/cost_test.go
+++ b/internal/daemon/cost_test.go
@@ -25,13 +25,13 @@
 			got := make(chan bool)
 			one := mesh.New(mesh.Options[*frame]{Codec: codec, Most: 100, Buffer: 2 << 10, Tune: tune, Handle: func(*mesh.Pipe[*frame], *frame) { got <- true }})
 			other := mesh.New(mesh.Options[*frame]{Codec: codec, Most: 100, Buffer: 2 << 10, Tune: tune, Handle: func(p *mesh.Pipe[*frame], f *frame) {
-				p.Send(&frame{From: "127.0.0.1:2", Msg: registry.Ack{No: 7}})
+				p.Send(&frame{From: "127.0.0.1:2", Msg: registry.Ack{Number: 7}})
 			}})
 			if err := other.Listen("127.0.0.1:0"); err != nil {
 				b.Fatal(err)
 			}
 			defer other.Close()
-			news := &frame{From: "127.0.0.1:1", Msg: registry.News{No: 7, Rows: []registry.Row{{ID: "i-7f3a91c2", Addr: "10.128.0.9:8080", Service: "huvo11a", Zone: "muc-nord", Phase: registry.Quiescing, Seq: 412}}}}
+			news := &frame{From: "127.0.0.1:1", Msg: registry.Update{Number: 7, Rows: []registry.Row{{ID: "i-7f3a91c2", Addr: "10.128.0.9:8080", Service: "huvo11a", Zone: "muc-nord", Phase: registry.Quiescing, Seq: 412}}}}
 			began := used()
 			for b.Loop() {
 				one.To(other.Addr()).Send(news)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -221,7 +221,7 @@
 type (
 	beaten struct {
 		call uint64
-		beat registry.Beat
+		beat registry.Heartbeat
 	}
 	deleted struct {
 		call uint64
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -141,5 +141,5 @@
 	case registry.Silent:
 		state = choice.Down
 	}
-	return dataplane.Server{ID: s.ID, Addr: s.Addr, Service: s.Service, Zone: s.Zone, Capacity: s.Capacity, Warm: s.Warm, State: state}
+	return dataplane.Server{ID: s.ID, Addr: s.Addr, Service: s.Service, Zone: s.Zone, Capacity: s.Capacity, Warm: s.WarmUntil, State: state}
 }
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -69,11 +69,11 @@
 		all := p.knot.Gateways(p.now())
 		name, at := named(all), lo.SliceToMap(all, func(s memberlist.NodeStatus) (string, string) { return s.Addr, s.Control })
 		return adminapi.Services{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(),
-			Servers: lo.Map(p.knot.Services(p.now()), func(s registry.Sight, _ int) adminapi.Server {
+			Servers: lo.Map(p.knot.Services(p.now()), func(s registry.ServerStatus, _ int) adminapi.Server {
 				v := adminapi.Server{ID: s.ID, Service: s.Service, Endpoint: s.Addr, Zone: s.Zone, Epoch: s.Epoch, Capacity: s.Capacity,
 					Phase: s.Phase.String(), WarmLeftS: s.WarmLeft.Seconds(), Home: name(s.Home), HomeAt: at[s.Home]}
-				if s.Beat >= 0 {
-					v.BeatS = lo.ToPtr(s.Beat.Seconds())
+				if s.SinceHeartbeat >= 0 {
+					v.BeatS = lo.ToPtr(s.SinceHeartbeat.Seconds())
 				}
 				return v
 			})}
--- a/internal/registry/home.go
+++ b/internal/registry/home.go
@@ -85,7 +85,7 @@
 }
 
 // Nodes takes the membership as it is now, sorted by address.
-func (m *Machine) Nodes(now fsm.Time, all []memberlist.Node) Out {
+func (m *Machine) SetNodes(now fsm.Time, all []memberlist.Node) Out {
 	m.begins(now)
 	moved := map[string]bool{} // otherwise than before, as far as homes and news depend on it
 	var came []string          // up again, or new, or another life
@@ -199,7 +199,7 @@
 	}
 	for _, a := range came {
 		if m.filled && m.rand.Float64()*float64(len(m.peers)) < 3 {
-			m.send(a, Sum{Hash: m.sum})
+			m.send(a, TableDigest{Hash: m.sum})
 		}
 	}
 }
--- a/internal/registry/keep.go
+++ b/internal/registry/keep.go
@@ -4,7 +4,7 @@
 
 // Keep is the table as it is worth keeping on disk: for a start at which nobody
 // remembers, since the servers' next beats fill it only over their whole pace.
-func (m *Machine) Keep() (rows []Row) {
+func (m *Machine) Snapshot() (rows []Row) {
 	for _, it := range m.all {
 		if it.Phase != Ended {
 			rows = append(rows, m.brief(it.Server))
--- a/internal/registry/keep_test.go
+++ b/internal/registry/keep_test.go
@@ -17,12 +17,12 @@
 	var carry func(from string, now fsm.Time, out Out)
 	carry = func(from string, now fsm.Time, out Out) {
 		for _, s := range out.Send {
-			carry(s.To, now, by[s.To].Take(now, from, s.Msg))
+			carry(s.To, now, by[s.To].Receive(now, from, s.Msg))
 		}
 	}
 	carry("a", time.Second, a.Restore(time.Second, kept))
 	for name, m := range by {
-		carry(name, time.Second, m.Nodes(time.Second, nodes))
+		carry(name, time.Second, m.SetNodes(time.Second, nodes))
 	}
 	return a, b, func(now fsm.Time) {
 		carry("a", now, a.Tick(now))
@@ -40,8 +40,8 @@
 		step(now)
 	}
 	for name, m := range map[string]*Machine{"a": a, "b": b} {
-		if s := m.Servers(); !m.Filled() || len(s) != 1 || s[0].ID != "i-1" {
-			t.Errorf("%s: filled %v, servers %v", name, m.Filled(), s)
+		if s := m.Servers(); !m.Complete() || len(s) != 1 || s[0].ID != "i-1" {
+			t.Errorf("%s: filled %v, servers %v", name, m.Complete(), s)
 		}
 	}
 }
@@ -51,13 +51,13 @@
 func TestKeptListGivesWay(t *testing.T) {
 	a, b, step := pair(t, kept)
 	b.filled = true // it has been there all the time
-	b.Beat(time.Second, 1, Beat{ID: "i-2", Addr: "10.1.0.2:80", Service: "s", Zone: "z", Seq: 1})
+	b.Heartbeat(time.Second, 1, Heartbeat{ID: "i-2", Addr: "10.1.0.2:80", Service: "s", Zone: "z", Seq: 1})
 	for now := time.Second; now <= 1400*time.Millisecond; now += 50 * time.Millisecond {
 		step(now)
 	}
 	for name, m := range map[string]*Machine{"a": a, "b": b} {
-		if s := m.Servers(); !m.Filled() || len(s) != 1 || s[0].ID != "i-2" {
-			t.Errorf("%s: filled %v, servers %v", name, m.Filled(), s)
+		if s := m.Servers(); !m.Complete() || len(s) != 1 || s[0].ID != "i-2" {
+			t.Errorf("%s: filled %v, servers %v", name, m.Complete(), s)
 		}
 	}
 }
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -104,7 +104,7 @@
 }
 
 // Beat takes a server's call.
-func (m *Machine) Beat(now fsm.Time, call uint64, b Beat) Out {
+func (m *Machine) Heartbeat(now fsm.Time, call uint64, b Heartbeat) Out {
 	m.begins(now)
 	s := b.server(now)
 	it := m.items[b.ID]
@@ -119,7 +119,7 @@
 	if m.hear(s) {
 		m.tell(b.ID)
 	} else if home := m.home(s); home != m.self {
-		m.send(home, Pass{Row: s.row(now)})
+		m.send(home, ForwardedHeartbeat{Row: s.row(now)})
 	}
 	if s.Phase == Quiescing {
 		m.assure(call, b.ID)
@@ -167,7 +167,7 @@
 }
 
 // Delete takes a server's last call.
-func (m *Machine) Delete(now fsm.Time, call uint64, id string) Out {
+func (m *Machine) Deregister(now fsm.Time, call uint64, id string) Out {
 	m.begins(now)
 	it := m.items[id]
 	if it != nil && it.Phase == Quiescing && m.unused(id) {
@@ -229,7 +229,7 @@
 	it.old = false
 	if !s.newer(it.Server) {
 		if !m.filled && s.Phase == Serving && it.same(s) {
-			s.Warm = it.Warm
+			s.WarmUntil = it.WarmUntil
 			m.set(it, s) // it was no news
 			delete(m.queue, r.ID)
 		}
@@ -333,13 +333,13 @@
 	Serving, Silent, Quiescing, Ended int
 
 	Unconfirmed int // news messages that some process hasn't confirmed
-	Filled      bool
+	Complete    bool
 	Hash        uint64
 }
 
 // Status counts.
 func (m *Machine) Status() Status {
-	st := Status{Unconfirmed: len(m.posts), Filled: m.filled, Hash: m.sum}
+	st := Status{Unconfirmed: len(m.posts), Complete: m.filled, Hash: m.sum}
 	for _, it := range m.all {
 		*[]*int{&st.Serving, &st.Silent, &st.Quiescing, &st.Ended}[it.Phase]++
 	}
--- a/internal/registry/mend.go
+++ b/internal/registry/mend.go
@@ -13,7 +13,7 @@
 
 // Filled says whether the table can be relied on: one that is filled has given us
 // its own, or there is nobody, or nobody has had one since all started.
-func (m *Machine) Filled() bool { return m.filled }
+func (m *Machine) Complete() bool { return m.filled }
 
 const (
 	fetchIn  = 300 * time.Millisecond
@@ -67,52 +67,52 @@
 		return // the whole table is under way
 	}
 	for _, a := range m.some(n) {
-		m.send(a, Sum{Hash: m.sum})
+		m.send(a, TableDigest{Hash: m.sum})
 	}
 }
 
 // Take hears a message.
-func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
+func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
 	m.begins(now)
 	if m.stale() && exchange(msg) {
 		return m.take()
 	}
 	switch x := msg.(type) {
-	case News:
+	case Update:
 		for _, r := range x.Rows {
 			if m.merge(r) {
 				m.learnt = m.now
 			}
 		}
 		switch {
-		case x.To != "" && x.To != m.self:
-			m.send(x.To, News{No: x.No, Rows: x.Rows, For: from})
-		case len(x.On) > 0:
+		case x.RelayTo != "" && x.RelayTo != m.self:
+			m.send(x.RelayTo, Update{Number: x.Number, Rows: x.Rows, Origin: from})
+		case len(x.ForwardTo) > 0:
 			m.passOn(from, x)
-		case x.No != 0:
-			m.send(from, Ack{No: x.No, For: x.For})
+		case x.Number != 0:
+			m.send(from, Ack{Number: x.Number, Origin: x.Origin})
 		}
 	case Ack:
 		switch {
-		case x.For != "" && x.For != m.self:
+		case x.Origin != "" && x.Origin != m.self:
 			m.passBack(from, x)
-		case x.Of != "":
-			m.confirm(x.No, x.Of)
+		case x.Confirmer != "":
+			m.confirm(x.Number, x.Confirmer)
 		default:
-			m.confirm(x.No, append(x.By, from)...)
+			m.confirm(x.Number, append(x.ConfirmedBy, from)...)
 		}
-	case Pass:
+	case ForwardedHeartbeat:
 		s := x.Row.server(now)
 		if it := m.items[s.ID]; it == nil || it.Phase != Ended && s.Seq > it.stand() {
 			if m.hear(s) {
 				m.tell(s.ID)
 			}
 		}
-	case Sum:
+	case TableDigest:
 		if x.Hash != m.sum && m.filled && m.compares() {
-			m.send(from, Parts{Rows: m.parts()})
+			m.send(from, ServiceDigests{Rows: m.parts()})
 		}
-	case Parts:
+	case ServiceDigests:
 		if x := m.differing(x.Rows); len(x.Services) > 0 {
 			m.send(from, x)
 		}
@@ -121,14 +121,14 @@
 	case Diff:
 		m.patch(from, x)
 	case Fetch:
-		w := Whole{Filled: m.filled && !m.stale()}
+		w := FullTable{Complete: m.filled && !m.stale()}
 		for _, it := range m.all {
 			if !it.old && !m.stale() && (m.filled || !m.queue[it.ID]) {
 				w.Rows = append(w.Rows, m.brief(it.Server))
 			}
 		}
 		m.send(from, w)
-	case Whole:
+	case FullTable:
 		m.whole(x)
 	}
 	return m.take()
@@ -140,13 +140,13 @@
 
 func exchange(msg any) bool {
 	switch msg.(type) {
-	case Sum, Parts, Index, Diff:
+	case TableDigest, ServiceDigests, Index, Diff:
 		return true
 	}
 	return false
 }
 
-func (m *Machine) whole(w Whole) {
+func (m *Machine) whole(w FullTable) {
 	for _, r := range w.Rows {
 		m.merge(r)
 	}
@@ -154,7 +154,7 @@
 		return
 	}
 	m.partly = true
-	if !w.Filled {
+	if !w.Complete {
 		return
 	}
 	m.filled = true
--- a/internal/registry/merge_test.go
+++ b/internal/registry/merge_test.go
@@ -57,9 +57,9 @@
 // that calls after it at once.
 func TestRepeatedLeaving(t *testing.T) {
 	m := New("a:1", "z", time.Second, 1, 0)
-	m.Nodes(0, []memberlist.Node{{Addr: "a:1", Control: "a:2"}, {Addr: "b:1", Control: "b:2"}})
+	m.SetNodes(0, []memberlist.Node{{Addr: "a:1", Control: "a:2"}, {Addr: "b:1", Control: "b:2"}})
 	say := func(now fsm.Time, call, seq uint64) Out {
-		return m.Beat(now, call, Beat{ID: "s", Addr: "s:1", Service: "x", Zone: "z", Quiescing: true, Seq: seq})
+		return m.Heartbeat(now, call, Heartbeat{ID: "s", Addr: "s:1", Service: "x", Zone: "z", Quiescing: true, Seq: seq})
 	}
 	first := say(10, 1, 1)
 	if len(first.Answers) != 0 || len(first.Send) == 0 {
@@ -70,14 +70,14 @@
 	}
 	var no uint64
 	for _, s := range first.Send {
-		if n, ok := s.Msg.(News); ok {
-			no = n.No
+		if n, ok := s.Msg.(Update); ok {
+			no = n.Number
 		}
 	}
-	if o := m.Take(30, "c:1", Ack{No: no}); len(o.Answers) != 0 {
+	if o := m.Receive(30, "c:1", Ack{Number: no}); len(o.Answers) != 0 {
 		t.Fatalf("another's confirmation counted: %+v", o)
 	}
-	if o := m.Take(30, "b:1", Ack{No: no}); len(o.Answers) != 2 {
+	if o := m.Receive(30, "b:1", Ack{Number: no}); len(o.Answers) != 2 {
 		t.Fatalf("%+v", o)
 	}
 	if o := say(40, 3, 3); len(o.Answers) != 1 {
@@ -89,12 +89,12 @@
 // other is no sign of life.
 func TestOneAddress(t *testing.T) {
 	m := New("a:1", "z", time.Second, 1, 0)
-	m.Take(0, "b:1", News{Rows: []Row{{ID: "old", Addr: "s:1", Seq: 5}, {ID: "new", Addr: "s:1", Seq: 1}}})
-	m.Beat(10, 1, Beat{ID: "old", Addr: "s:1", Seq: 4})
+	m.Receive(0, "b:1", Update{Rows: []Row{{ID: "old", Addr: "s:1", Seq: 5}, {ID: "new", Addr: "s:1", Seq: 1}}})
+	m.Heartbeat(10, 1, Heartbeat{ID: "old", Addr: "s:1", Seq: 4})
 	if m.items["new"].Phase != Serving {
 		t.Fatal("a late beat ended its successor")
 	}
-	m.Beat(20, 2, Beat{ID: "new", Addr: "s:1", Seq: 2})
+	m.Heartbeat(20, 2, Heartbeat{ID: "new", Addr: "s:1", Seq: 2})
 	if m.items["old"].Phase != Ended || m.items["new"].Phase != Serving {
 		t.Fatalf("%+v", m.Servers())
 	}
@@ -105,10 +105,10 @@
 func TestHomeMoves(t *testing.T) {
 	nodes := []memberlist.Node{{Addr: "a:1", Zone: "z", Control: "a:2"}, {Addr: "b:1", Zone: "z", Control: "b:2"}}
 	m, now := New("a:1", "z", time.Second, 1, 0), fsm.Time(0)
-	m.Nodes(now, nodes[:1])
+	m.SetNodes(now, nodes[:1])
 	m.filled = true
 	for i := range 20 {
-		m.Beat(now, uint64(i), Beat{ID: fmt.Sprint("s", i), Addr: fmt.Sprint("s:", i), Service: fmt.Sprint("x", i), Zone: "z", Seq: 1})
+		m.Heartbeat(now, uint64(i), Heartbeat{ID: fmt.Sprint("s", i), Addr: fmt.Sprint("s:", i), Service: fmt.Sprint("x", i), Zone: "z", Seq: 1})
 	}
 	count := func() (silent, mine int) {
 		for end := now + 10*time.Second; now < end; now += 50 * time.Millisecond {
@@ -124,11 +124,11 @@
 		}
 		return silent, mine
 	}
-	m.Nodes(now, nodes)
+	m.SetNodes(now, nodes)
 	if silent, mine := count(); silent != mine || mine == 0 || mine == 20 {
 		t.Fatalf("%d silent, %d at home here", silent, mine)
 	}
-	m.Nodes(now, nodes[:1])
+	m.SetNodes(now, nodes[:1])
 	if silent, mine := count(); silent != 20 || mine != 20 {
 		t.Fatalf("%d silent, %d at home here", silent, mine)
 	}
--- a/internal/registry/pace_test.go
+++ b/internal/registry/pace_test.go
@@ -22,10 +22,10 @@
 			if c.news {
 				row.Seq++
 				row.Capacity = 6 + i%2
-				p.m.Take(p.now, from, News{Rows: []Row{row}})
+				p.m.Receive(p.now, from, Update{Rows: []Row{row}})
 			}
-			for _, s := range p.m.Take(p.now, from, Sum{Hash: p.m.sum + 1}).Send {
-				if _, ok := s.Msg.(Parts); ok && s.To == from {
+			for _, s := range p.m.Receive(p.now, from, TableDigest{Hash: p.m.sum + 1}).Send {
+				if _, ok := s.Msg.(ServiceDigests); ok && s.To == from {
 					begun++
 				}
 			}
--- a/internal/registry/relay.go
+++ b/internal/registry/relay.go
@@ -52,31 +52,31 @@
 }
 
 // passOn is a relay's part.
-func (m *Machine) passOn(from string, x News) {
-	for _, a := range x.On {
-		on := News{No: x.No, Rows: x.Rows}
-		if x.No != 0 {
-			on.For = from
+func (m *Machine) passOn(from string, x Update) {
+	for _, a := range x.ForwardTo {
+		on := Update{Number: x.Number, Rows: x.Rows}
+		if x.Number != 0 {
+			on.Origin = from
 		}
 		m.send(a, on)
 	}
-	if x.No == 0 {
+	if x.Number == 0 {
 		return
 	}
 	r := &relay{left: map[string]bool{}, since: m.now}
-	for _, a := range x.On {
+	for _, a := range x.ForwardTo {
 		r.left[a] = true
 	}
-	m.relays[passage{from, x.No}] = r
+	m.relays[passage{from, x.Number}] = r
 }
 
 // passBack takes an Ack that is for another.
 func (m *Machine) passBack(from string, x Ack) {
-	to := passage{x.For, x.No}
+	to := passage{x.Origin, x.Number}
 	r := m.relays[to]
 	switch {
 	case r == nil || !r.left[from]:
-		m.send(x.For, Ack{No: x.No, Of: from})
+		m.send(x.Origin, Ack{Number: x.Number, Confirmer: from})
 		return
 	case len(r.left) > 1:
 		delete(r.left, from)
@@ -84,7 +84,7 @@
 		return
 	}
 	delete(m.relays, to)
-	m.send(x.For, Ack{No: x.No, By: append(r.by, from)})
+	m.send(x.Origin, Ack{Number: x.Number, ConfirmedBy: append(r.by, from)})
 }
 
 // relayed ends the wait of relays: what comes later is passed back by itself.
@@ -97,7 +97,7 @@
 	}
 	slices.SortFunc(over, func(a, b passage) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.no, b.no)) })
 	for _, to := range over {
-		m.send(to.from, Ack{No: to.no, By: m.relays[to].by})
+		m.send(to.from, Ack{Number: to.no, ConfirmedBy: m.relays[to].by})
 		delete(m.relays, to)
 	}
 }
--- a/internal/registry/returns_test.go
+++ b/internal/registry/returns_test.go
@@ -36,10 +36,10 @@
 					}
 				}
 				for _, s := range o.Send {
-					if n, ok := s.Msg.(News); ok {
+					if n, ok := s.Msg.(Update); ok {
 						for _, r := range n.Rows {
 							if r.Seq > 1 && r.Phase == Serving {
-								told[r.ID] += 1 + len(n.On)
+								told[r.ID] += 1 + len(n.ForwardTo)
 							}
 						}
 					}
@@ -52,7 +52,7 @@
 				n.State, n.Incarnation = state, life
 				if i%20 == 19 || i == c.away-1 { // not all at once
 					p.now += 10 * time.Millisecond
-					p.m.Nodes(p.now, p.nodes)
+					p.m.SetNodes(p.now, p.nodes)
 				}
 			}
 		}
--- a/internal/registry/script_test.go
+++ b/internal/registry/script_test.go
@@ -36,7 +36,7 @@
 	g.silly += len(o.Failed)
 	sends := o.Send
 	if o.Changed {
-		sends = append(sends, g.table(g.lore.Nodes(now, g.bond.View()))...)
+		sends = append(sends, g.table(g.lore.SetNodes(now, g.bond.View()))...)
 	}
 	return sends
 }
@@ -59,12 +59,12 @@
 	if strings.HasPrefix(fmt.Sprintf("%T", msg), "memberlist.") {
 		return g.member(now, g.bond.Receive(now, from, msg))
 	}
-	return g.table(g.lore.Take(now, from, msg))
+	return g.table(g.lore.Receive(now, from, msg))
 }
 
 // server beats like one: it goes where it was told, and elsewhere if that fails.
 type server struct {
-	Beat
+	Heartbeat
 	gate int
 	next fsm.Time
 	over bool
@@ -158,7 +158,7 @@
 		w.calls[w.call] = "-" + s.ID
 	}
 	g := w.gates[s.gate]
-	w.net.Send(g.addr, g.table(g.lore.Beat(w.net.Now, w.call, s.Beat)))
+	w.net.Send(g.addr, g.table(g.lore.Heartbeat(w.net.Now, w.call, s.Heartbeat)))
 }
 
 func (w *world) run(d time.Duration) {
@@ -267,7 +267,7 @@
 	case "held":
 		w.gates[numbers(f[1])[0]].bond.SetConfigVersion(uint32(numbers(f[2])[0]))
 	case "server": // server ID service zone addr gate
-		w.servers[f[1]] = &server{gate: numbers(f[5])[0], next: w.net.Now, Beat: Beat{ID: f[1],
+		w.servers[f[1]] = &server{gate: numbers(f[5])[0], next: w.net.Now, Heartbeat: Heartbeat{ID: f[1],
 			Service: f[2], Zone: f[3], Addr: f[4], Epoch: "v1", Capacity: 4, WarmMs: 2000}}
 	case "servers": // servers N: of nine services, over the zones
 		n, _ := strconv.Atoi(f[1])
@@ -291,12 +291,12 @@
 			s.over = true
 		}
 		g := w.gates[numbers(f[2])[0]]
-		w.net.Send(g.addr, g.table(g.lore.Delete(w.net.Now, w.call, f[1])))
+		w.net.Send(g.addr, g.table(g.lore.Deregister(w.net.Now, w.call, f[1])))
 	case "late": // late ID seq gate: an old beat arrives
 		s := *w.servers[f[1]]
 		s.Quiescing, s.Seq = false, uint64(numbers(f[2])[0])
 		g := w.gates[numbers(f[3])[0]]
-		w.net.Send(g.addr, g.table(g.lore.Beat(w.net.Now, 0, s.Beat)))
+		w.net.Send(g.addr, g.table(g.lore.Heartbeat(w.net.Now, 0, s.Heartbeat)))
 	case "release": // release N D: N of the servers replaced in D
 		w.release(numbers(f[1])[0], span(2))
 	case "spent": // spent MOST: bytes that one process has sent since last asked
@@ -496,7 +496,7 @@
 				if first {
 					want, first = g.lore.sum, false
 				}
-				if !g.lore.Filled() {
+				if !g.lore.Complete() {
 					return "isn't filled"
 				}
 				if g.lore.sum != want {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -31,10 +31,10 @@
 type Server struct {
 	ID, Addr, Service, Zone, Epoch string
 
-	Capacity int
-	Phase    Phase
-	Seq      uint64
-	Warm     fsm.Time // it is slow until then, by this process's clock
+	Capacity  int
+	Phase     Phase
+	Seq       uint64
+	WarmUntil fsm.Time `json:"Warm"` // it is slow until then, by this process's clock
 }
 
 // newer is the order in which words about a server override each other. A server that
@@ -55,7 +55,7 @@
 
 // same: a beat with these words tells nothing new.
 func (s Server) same(o Server) bool {
-	s.Seq, s.Warm = o.Seq, o.Warm
+	s.Seq, s.WarmUntil = o.Seq, o.WarmUntil
 	return s == o
 }
 
@@ -85,14 +85,14 @@
 
 func (s Server) row(now fsm.Time) Row {
 	return Row{s.ID, s.Addr, s.Service, s.Zone, s.Epoch, s.Capacity, s.Phase, s.Seq,
-		int(max(0, s.Warm-now) / time.Millisecond)}
+		int(max(0, s.WarmUntil-now) / time.Millisecond)}
 }
 
 func (r Row) server(now fsm.Time) Server {
 	s := Server{ID: r.ID, Addr: r.Addr, Service: r.Service, Zone: r.Zone, Epoch: r.Epoch,
 		Capacity: r.Capacity, Phase: r.Phase, Seq: r.Seq}
 	if r.WarmMs > 0 {
-		s.Warm = now + time.Duration(r.WarmMs)*time.Millisecond
+		s.WarmUntil = now + time.Duration(r.WarmMs)*time.Millisecond
 	}
 	return s
 }
@@ -103,32 +103,32 @@
 	// One that goes round a cut is To a third process, which the taker passes it on to, and
 	// then For the one that it came from. With On, the taker passes it on to those, and its
 	// Ack tells who has confirmed; a program that knows no On confirms for itself alone.
-	News struct {
-		No   uint64 `cbor:"1,keyasint,omitempty"`
-		Rows []Row  `cbor:"2,keyasint"`
-		To   string `cbor:"3,keyasint,omitempty"`
-		For  string `cbor:"4,keyasint,omitempty"`
+	Update struct {
+		Number  uint64 `cbor:"1,keyasint,omitempty"`
+		Rows    []Row  `cbor:"2,keyasint"`
+		RelayTo string `cbor:"3,keyasint,omitempty"`
+		Origin  string `cbor:"4,keyasint,omitempty"`
 
-		On []string `cbor:"5,keyasint,omitempty"`
+		ForwardTo []string `cbor:"5,keyasint,omitempty"`
 	}
 	// Ack confirms a News; For whom, and Of which process, where it goes round, and By whom
 	// else.
 	Ack struct {
-		No  uint64   `cbor:"1,keyasint"`
-		For string   `cbor:"2,keyasint,omitempty"`
-		Of  string   `cbor:"3,keyasint,omitempty"`
-		By  []string `cbor:"4,keyasint,omitempty"`
+		Number      uint64   `cbor:"1,keyasint"`
+		Origin      string   `cbor:"2,keyasint,omitempty"`
+		Confirmer   string   `cbor:"3,keyasint,omitempty"`
+		ConfirmedBy []string `cbor:"4,keyasint,omitempty"`
 	}
 	// Pass hands a beat on to the server's home.
-	Pass struct {
+	ForwardedHeartbeat struct {
 		Row Row `cbor:"1,keyasint"`
 	}
 	// Sum is what a table hashes to; it is answered where the tables differ.
-	Sum struct {
+	TableDigest struct {
 		Hash uint64 `cbor:"1,keyasint"`
 	}
 	// Parts is a table's hashes by service: 12 bytes each.
-	Parts struct {
+	ServiceDigests struct {
 		Rows []byte `cbor:"1,keyasint"`
 	}
 	// Index lists the servers of the services that differ, 8 bytes each.
@@ -144,15 +144,15 @@
 	// Fetch asks for a whole table.
 	Fetch struct{}
 	// Whole is one. Filled: the sender had one itself.
-	Whole struct {
-		Filled bool  `cbor:"1,keyasint,omitempty"`
-		Rows   []Row `cbor:"2,keyasint"`
+	FullTable struct {
+		Complete bool  `cbor:"1,keyasint,omitempty"`
+		Rows     []Row `cbor:"2,keyasint"`
 	}
 )
 
 // Messages lists what a Machine takes; the order stays.
 func Messages() []any {
-	return []any{News{}, Ack{}, Pass{}, Sum{}, Parts{}, Index{}, Diff{}, Fetch{}, Whole{}}
+	return []any{Update{}, Ack{}, ForwardedHeartbeat{}, TableDigest{}, ServiceDigests{}, Index{}, Diff{}, Fetch{}, FullTable{}}
 }
 
 // Answer to a server's call.
@@ -170,7 +170,7 @@
 }
 
 // Beat is a server's word about itself.
-type Beat struct {
+type Heartbeat struct {
 	ID, Addr, Service, Zone, Epoch string
 
 	Capacity  int
@@ -179,14 +179,14 @@
 	WarmMs    int
 }
 
-func (b Beat) server(now fsm.Time) Server {
+func (b Heartbeat) server(now fsm.Time) Server {
 	s := Server{ID: b.ID, Addr: b.Addr, Service: b.Service, Zone: b.Zone, Epoch: b.Epoch,
 		Capacity: b.Capacity, Seq: b.Seq, Phase: Serving}
 	if b.Quiescing {
 		s.Phase = Quiescing
 	}
 	if b.WarmMs > 0 {
-		s.Warm = now + time.Duration(b.WarmMs)*time.Millisecond
+		s.WarmUntil = now + time.Duration(b.WarmMs)*time.Millisecond
 	}
 	return s
 }
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -31,19 +31,19 @@
 			Control: fmt.Sprintf("10.%d.%d.1:8042", i%10, i/10), Incarnation: 1, Member: i < 8})
 	}
 	p.m = New(p.nodes[0].Addr, "zone-0", 1500*time.Millisecond, 1, p.now)
-	p.m.Core([]string{p.nodes[1].Addr, p.nodes[2].Addr, p.nodes[3].Addr})
-	p.m.Nodes(p.now, p.nodes)
+	p.m.SetVoters([]string{p.nodes[1].Addr, p.nodes[2].Addr, p.nodes[3].Addr})
+	p.m.SetNodes(p.now, p.nodes)
 	for i := range servers {
 		p.rows = append(p.rows, Row{ID: fmt.Sprintf("i-%08x", i*2654435761), Addr: fmt.Sprintf("10.1%02d.%d.%d:8080", i%10, i/200, i%200),
 			Service: fmt.Sprint("service-", i%services), Zone: fmt.Sprint("zone-", (i/services)%10), Epoch: "v1", Capacity: 6, Seq: 1})
 	}
-	p.m.Take(p.now, p.nodes[1].Addr, Whole{Filled: true, Rows: p.rows})
+	p.m.Receive(p.now, p.nodes[1].Addr, FullTable{Complete: true, Rows: p.rows})
 	for _, r := range p.rows {
 		if p.m.mine(p.m.items[r.ID]) {
 			p.mine = append(p.mine, r)
 		}
 	}
-	if !p.m.Filled() || len(p.mine) == 0 {
+	if !p.m.Complete() || len(p.mine) == 0 {
 		tb.Fatal(len(p.mine), "at home")
 	}
 	return p
@@ -56,7 +56,7 @@
 
 func (p *plan) beat(r Row, seq uint64) Out {
 	p.call++
-	return p.m.Beat(p.now, p.call, Beat{ID: r.ID, Addr: r.Addr, Service: r.Service, Zone: r.Zone, Epoch: r.Epoch, Capacity: r.Capacity, Seq: seq})
+	return p.m.Heartbeat(p.now, p.call, Heartbeat{ID: r.ID, Addr: r.Addr, Service: r.Service, Zone: r.Zone, Epoch: r.Epoch, Capacity: r.Capacity, Seq: seq})
 }
 
 // fresh is a message as it comes off the wire: none of its texts is shared.
@@ -82,13 +82,13 @@
 	}
 	for b.Loop() {
 		m := New(p.m.self, "zone-0", 1500*time.Millisecond, 1, p.now)
-		m.Nodes(p.now, p.nodes)
+		m.SetNodes(p.now, p.nodes)
 		before := heap()
-		m.Take(p.now, p.nodes[1].Addr, fresh(b, Whole{Filled: true, Rows: p.rows}))
+		m.Receive(p.now, p.nodes[1].Addr, fresh(b, FullTable{Complete: true, Rows: p.rows}))
 		for _, r := range p.rows {
 			r.Seq++
 			r.Phase = Silent
-			m.Take(p.now, p.nodes[1].Addr, fresh(b, News{Rows: []Row{r}}))
+			m.Receive(p.now, p.nodes[1].Addr, fresh(b, Update{Rows: []Row{r}}))
 		}
 		b.ReportMetric((heap()-before)/float64(len(p.rows)), "bytes/server")
 		runtime.KeepAlive(m)
@@ -126,18 +126,18 @@
 			for i := range b.N {
 				r := p.rows[i%len(p.rows)]
 				r.Seq, r.Phase = uint64(i+2), Phase(i/len(p.rows)%2)
-				p.m.Take(p.now, p.nodes[1].Addr, News{Rows: []Row{r}})
+				p.m.Receive(p.now, p.nodes[1].Addr, Update{Rows: []Row{r}})
 			}
 		})
 		run("differ", func(b *testing.B, p *plan) {
 			for range b.N {
-				p.m.Take(p.now, p.nodes[1].Addr, Sum{Hash: 1})
+				p.m.Receive(p.now, p.nodes[1].Addr, TableDigest{Hash: 1})
 			}
 		})
 		run("gateway", func(b *testing.B, p *plan) { // one goes, or comes back
 			for i := range b.N {
 				p.nodes[17].State = []memberlist.State{memberlist.Gone, memberlist.Up}[i%2]
-				p.m.Nodes(p.now, p.nodes)
+				p.m.SetNodes(p.now, p.nodes)
 			}
 		})
 	}
@@ -151,8 +151,8 @@
 		t.Helper()
 		to := 0
 		for _, s := range o.Send {
-			if n, ok := s.Msg.(News); ok {
-				if to, no = to+1+len(n.On), n.No; len(n.Rows) != servers {
+			if n, ok := s.Msg.(Update); ok {
+				if to, no = to+1+len(n.ForwardTo), n.Number; len(n.Rows) != servers {
 					t.Errorf("%d rows, not %d", len(n.Rows), servers)
 				}
 			}
@@ -167,19 +167,19 @@
 	news(p.beat(r, 1), 1)
 	p.pass(50 * time.Millisecond)
 	leaves := p.mine[1]
-	o := p.m.Beat(p.now, 7, Beat{ID: leaves.ID, Addr: leaves.Addr, Service: leaves.Service, Zone: leaves.Zone, Quiescing: true, Seq: 9})
+	o := p.m.Heartbeat(p.now, 7, Heartbeat{ID: leaves.ID, Addr: leaves.Addr, Service: leaves.Service, Zone: leaves.Zone, Quiescing: true, Seq: 9})
 	no := news(o, 1)
 	var answers []Answer
 	for _, s := range o.Send {
 		if len(answers) > 0 {
 			t.Fatal("told yes before all know")
 		}
-		answers = p.m.Take(p.now, s.To, Ack{No: no, By: s.Msg.(News).On}).Answers
+		answers = p.m.Receive(p.now, s.To, Ack{Number: no, ConfirmedBy: s.Msg.(Update).ForwardTo}).Answers
 	}
 	if len(answers) != 1 || !answers[0].OK {
 		t.Fatal(answers)
 	}
-	if o := p.m.Delete(p.now, 8, leaves.ID); len(o.Send) > 0 || len(o.Answers) != 1 {
+	if o := p.m.Deregister(p.now, 8, leaves.ID); len(o.Send) > 0 || len(o.Answers) != 1 {
 		t.Errorf("%d frames, %d answers", len(o.Send), len(o.Answers))
 	}
 	r.ID, r.Addr = "newer", "10.200.0.2:8080"
--- a/internal/registry/spread.go
+++ b/internal/registry/spread.go
@@ -60,7 +60,7 @@
 	slices.Sort(leaving)
 	if rows := m.rows(plain); len(rows) > 0 {
 		for _, g := range m.grouped() {
-			m.send(g[0], News{Rows: rows, On: g[1:]})
+			m.send(g[0], Update{Rows: rows, ForwardTo: g[1:]})
 		}
 	}
 	m.mail(m.grouped(), leaving)
@@ -121,7 +121,7 @@
 		for _, a := range g {
 			p.left[a] = true
 		}
-		m.send(g[0], News{No: m.no, Rows: rows, On: g[1:]})
+		m.send(g[0], Update{Number: m.no, Rows: rows, ForwardTo: g[1:]})
 	}
 }
 
@@ -197,7 +197,7 @@
 		for _, a := range slices.Sorted(maps.Keys(p.left)) {
 			if again {
 				p.sent = m.now
-				m.send(a, News{No: no, Rows: rows})
+				m.send(a, Update{Number: no, Rows: rows})
 			}
 			if round {
 				p.round = true
--- a/internal/registry/vouch.go
+++ b/internal/registry/vouch.go
@@ -12,15 +12,15 @@
 
 // The bugs.
 const (
-	Unvouched Bug = iota + 1 // a leaving server is told yes whoever has heard of it
-	Straight                 // news never goes round a cut
+	BugNoQuorumConfirmation Bug = iota + 1 // a leaving server is told yes whoever has heard of it
+	BugNoIndirectDelivery                  // news never goes round a cut
 )
 
 // SetBug switches a guard off.
 func (m *Machine) SetBug(b Bug) { m.bug = b }
 
 // Core takes the seats of agreement. Without any no server is let go.
-func (m *Machine) Core(seats []string) { m.core = append([]string{}, seats...) }
+func (m *Machine) SetVoters(seats []string) { m.core = append([]string{}, seats...) }
 
 // vouched tells whether most of the core has confirmed the news.
 func (m *Machine) vouched(sp *spread) bool {
@@ -33,7 +33,7 @@
 }
 
 func (m *Machine) most(has func(addr string) bool) bool {
-	if m.core == nil || m.bug == Unvouched {
+	if m.core == nil || m.bug == BugNoQuorumConfirmation {
 		return true
 	}
 	n := 0
@@ -50,7 +50,7 @@
 // around sends news that is not confirmed through processes that have confirmed theirs: the
 // link to its taker may be cut alone. Those of the core come first, all in touch reach them.
 func (m *Machine) around(no uint64, p *post, to string) {
-	if m.bug == Straight || len(p.ids) == 0 || m.spreads[p.ids[0]] == nil {
+	if m.bug == BugNoIndirectDelivery || len(p.ids) == 0 || m.spreads[p.ids[0]] == nil {
 		return
 	}
 	var by []string
@@ -62,7 +62,7 @@
 	m.rand.Shuffle(len(by), func(i, j int) { by[i], by[j] = by[j], by[i] })
 	slices.SortStableFunc(by, func(a, b string) int { return m.seat(b) - m.seat(a) })
 	for _, a := range by[:min(rounds, len(by))] {
-		m.send(a, News{No: no, Rows: m.rows(p.ids), To: to})
+		m.send(a, Update{Number: no, Rows: m.rows(p.ids), RelayTo: to})
 	}
 }
 
--- a/internal/systemsim/bug.go
+++ b/internal/systemsim/bug.go
@@ -59,9 +59,9 @@
 	case Unread:
 		return controlplane.Bugs{Pact: consensus.BugUnconfirmed}
 	case Unvouched:
-		return controlplane.Bugs{Lore: registry.Unvouched}
+		return controlplane.Bugs{Lore: registry.BugNoQuorumConfirmation}
 	case Straight:
-		return controlplane.Bugs{Lore: registry.Straight}
+		return controlplane.Bugs{Lore: registry.BugNoIndirectDelivery}
 	case Unmet:
 		return controlplane.Bugs{Unmet: true}
 	case Unasked:
@@ -108,13 +108,13 @@
 			t.Kept, t.Next = t.Kept.Forgetful(), t.Next.Forgetful()
 		}
 		return []any{t}
-	case registry.News:
+	case registry.Update:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
 	case registry.Diff:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
-	case registry.Whole:
+	case registry.FullTable:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
 	}
--- a/internal/systemsim/processor.go
+++ b/internal/systemsim/processor.go
@@ -111,7 +111,7 @@
 func (w *world) spread(p, to *proc, msg any) time.Duration {
 	kind := 0
 	switch msg.(type) {
-	case registry.News:
+	case registry.Update:
 	case registry.Ack:
 		kind = 1
 	default:
--- a/internal/systemsim/server.go
+++ b/internal/systemsim/server.go
@@ -61,7 +61,7 @@
 
 // report sends the server's word to one process after another until one takes it.
 func (s *server) report(tries int, done func(by *proc)) {
-	b := registry.Beat{ID: s.id, Addr: s.addr, Service: s.service, Zone: s.zone, Epoch: "v1", Capacity: 4, Quiescing: s.leaving}
+	b := registry.Heartbeat{ID: s.id, Addr: s.addr, Service: s.service, Zone: s.zone, Epoch: "v1", Capacity: 4, Quiescing: s.leaving}
 	s.seq++
 	b.Seq = s.seq
 	s.ask(tries, func(p *proc, id uint64) controlplane.Out { return p.k.Beat(p.clock(), id, b) }, done)
