--- a/internal/bench/controlorders.go
+++ b/internal/bench/controlorders.go
@@ -177,10 +177,10 @@
 		})
 	}
 	for _, b := range []drainpermit.Bounds{{Procs: 2, Starts: 3, Stops: 1, Repeats: 2, States: 50_000}, {Procs: 3, Starts: 3, States: 50_000}} {
-		met(fmt.Sprintf("drains, %+v", b), noneStays, drainpermit.Explore(b).Broken)
+		met(fmt.Sprintf("drains, %+v", b), noneStays, drainpermit.Explore(b).Violation)
 	}
 	drains := func(bug drainpermit.Bug) bool {
-		return drainpermit.Explore(drainpermit.Bounds{Procs: 2, Starts: 3, Stops: 1, Repeats: 2, Bug: bug}).Broken != ""
+		return drainpermit.Explore(drainpermit.Bounds{Procs: 2, Starts: 3, Stops: 1, Repeats: 2, Bug: bug}).Violation != ""
 	}
 	mutants := []func(seed uint64) bool{
 		func(s uint64) bool {
@@ -189,9 +189,9 @@
 		func(s uint64) bool {
 			return systemsim.Run(scripts["drains"], s, systemsim.Uncalled, nil).Broken == "STAYED"
 		},
-		func(uint64) bool { return drains(drainpermit.Hasty) },
-		func(uint64) bool { return drains(drainpermit.Stale) },
-		func(uint64) bool { return drains(drainpermit.Both) },
+		func(uint64) bool { return drains(drainpermit.BugNoPermission) },
+		func(uint64) bool { return drains(drainpermit.BugStalePermission) },
+		func(uint64) bool { return drains(drainpermit.BugGrantWhileRequesting) },
 		func(s uint64) bool { key, _ := ordersDay(s, systemsim.Confirms); return key != "" },
 		func(s uint64) bool { key, _ := ordersDay(s, systemsim.Forgets); return key != "" },
 		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Refuses); return key != "" },
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -176,7 +176,7 @@
 	if k.bane.Awake() {
 		k.ruled(func() faultrules.Out { return k.bane.Tick(now) })
 	}
-	k.cede.Fit(k.fit(), k.leaving)
+	k.cede.SetReady(k.fit(), k.leaving)
 	k.ceded(k.cede.Tick(now))
 	if ready := k.fit() && !k.cede.Draining(); ready != k.ready {
 		k.ready = ready
@@ -231,7 +231,7 @@
 // Leave says that this process will end.
 func (k *Knot) Leave(now fsm.Time) Out {
 	k.leaving, k.ready = true, false
-	k.cede.Fit(false, true)
+	k.cede.SetReady(false, true)
 	k.bonded(now, k.bond.Leave(now))
 	k.agreed(now, k.pact.Leave(now, consensus.Leaves))
 	return k.end()
--- a/internal/controlplane/drain.go
+++ b/internal/controlplane/drain.go
@@ -13,7 +13,7 @@
 // Drain takes an operator's call that clients go elsewhere, or come again, to be answered within
 // a time by a drainpermit.Answer.
 func (k *Knot) Drain(now fsm.Time, call uint64, op drainpermit.Op, within time.Duration) Out {
-	k.cede.Fit(k.fit(), k.leaving)
+	k.cede.SetReady(k.fit(), k.leaving)
 	k.ceded(k.cede.Call(now, call, op, within))
 	return k.end()
 }
@@ -37,19 +37,19 @@
 			up = append(up, drainpermit.Peer{Addr: n.Addr, Ready: n.Ready})
 		}
 	}
-	k.cede.Peers(up, missing)
+	k.cede.SetPeers(up, missing)
 }
 
 // ceded carries out what drains want.
 func (k *Knot) ceded(out drainpermit.Out) {
 	for _, s := range out.Send {
-		w := s.Msg.(drainpermit.Word)
+		w := s.Msg.(drainpermit.Message)
 		k.send([]fsm.Send{{To: s.To, Msg: Via{From: k.self, To: s.To, Drain: &w}}})
 	}
 	for _, r := range out.Replies {
 		k.out.Replies = append(k.out.Replies, Reply{r.Call, r.Answer})
 	}
-	k.out.Drains = k.out.Drains || out.Turned
+	k.out.Drains = k.out.Drains || out.DrainingChanged
 }
 
 // cedeSalt is a number that no other start has.
--- a/internal/controlplane/via.go
+++ b/internal/controlplane/via.go
@@ -17,13 +17,13 @@
 // holders alone passes its even share on top of all that the others pass. A holder's
 // question for a sign of life goes the same way.
 type Via struct {
-	From   string            `cbor:"1,keyasint"`
-	To     string            `cbor:"2,keyasint"`
-	By     string            `cbor:"3,keyasint,omitempty"`
-	Add    *quotas.Add       `cbor:"4,keyasint,omitempty"`
-	Answer *quotas.Answer    `cbor:"5,keyasint,omitempty"`
-	Ask    bool              `cbor:"6,keyasint,omitempty"`
-	Drain  *drainpermit.Word `cbor:"7,keyasint,omitempty"` // straight; a program of the version before takes no notice
+	From   string               `cbor:"1,keyasint"`
+	To     string               `cbor:"2,keyasint"`
+	By     string               `cbor:"3,keyasint,omitempty"`
+	Add    *quotas.Add          `cbor:"4,keyasint,omitempty"`
+	Answer *quotas.Answer       `cbor:"5,keyasint,omitempty"`
+	Ask    bool                 `cbor:"6,keyasint,omitempty"`
+	Drain  *drainpermit.Message `cbor:"7,keyasint,omitempty"` // straight; a program of the version before takes no notice
 }
 
 // detour is a way round to one holder.
@@ -152,8 +152,8 @@
 			k.send([]fsm.Send{{To: v.To, Msg: v}})
 		}
 	case v.Drain != nil:
-		k.cede.Fit(k.fit(), k.leaving)
-		k.ceded(k.cede.Take(now, v.From, *v.Drain))
+		k.cede.SetReady(k.fit(), k.leaving)
+		k.ceded(k.cede.Receive(now, v.From, *v.Drain))
 	case v.Add != nil:
 		for _, s := range k.counter.Take(now, v.From, *v.Add) {
 			if a, ok := s.Msg.(quotas.Answer); ok && s.To == v.From {
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -20,9 +20,9 @@
 
 // Why a drain is refused.
 var drainNoes = map[drainpermit.Answer]string{
-	drainpermit.Alone: "no other gateway is ready: clients would have nowhere to go",
-	drainpermit.Ends:  "this process is ending",
-	drainpermit.Other: "another order has come since",
+	drainpermit.NoOtherReady: "no other gateway is ready: clients would have nowhere to go",
+	drainpermit.ProcessEnding:  "this process is ending",
+	drainpermit.Superseded: "another order has come since",
 }
 
 // drain is an operator's: the platform and clients go elsewhere, and what still comes is
@@ -46,7 +46,7 @@
 	case a == drainpermit.Done:
 		ctx.SetContentType("application/json")
 		ctx.SetBodyString("{}")
-	case !answered || a == drainpermit.Lost:
+	case !answered || a == drainpermit.NoPermission:
 		p.busy(ctx)
 	default:
 		ctx.Error(drainNoes[a]+"\n", http.StatusConflict)
--- a/internal/drainpermit/drainpermit.go
+++ b/internal/drainpermit/drainpermit.go
@@ -13,14 +13,14 @@
 
 // The kinds. Waits: the sender asks itself, and its address is the lower one.
 const (
-	Ask Kind = iota + 1
-	Stays
-	Drains
-	Waits
+	Request Kind = iota + 1
+	Granted
+	Denied
+	Deferred
 )
 
 // Word is a message: an ask, or an answer to one.
-type Word struct {
+type Message struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	ID   uint64 `cbor:"2,keyasint"` // of the ask, which no other start has
 }
@@ -30,11 +30,11 @@
 
 // The answers.
 const (
-	Lost  Answer = iota // nobody has said that it stays: this one goes on
-	Done                // it holds
-	Alone               // no other gateway is ready
-	Ends                // the process is ending
-	Other               // another order has come since
+	NoPermission  Answer = iota // nobody has said that it stays: this one goes on
+	Done                        // it holds
+	NoOtherReady                // no other gateway is ready
+	ProcessEnding               // the process is ending
+	Superseded                  // another order has come since
 )
 
 // Op is what an operator wants.
@@ -61,9 +61,9 @@
 
 // Out is what a machine wants done.
 type Out struct {
-	Send    []fsm.Send // of Words
-	Replies []Reply
-	Turned  bool // Draining has changed
+	Send            []fsm.Send // of Words
+	Replies         []Reply
+	DrainingChanged bool // Draining has changed
 }
 
 // Bug is a guard taken out, to show that the tests find it.
@@ -71,10 +71,10 @@
 
 // The bugs.
 const (
-	Sound Bug = iota
-	Hasty     // a drain needs nobody's word
-	Stale     // a word counts for any ask
-	Both      // who asks says that it stays, and asks on
+	NoBug                   Bug = iota
+	BugNoPermission             // a drain needs nobody's word
+	BugStalePermission          // a word counts for any ask
+	BugGrantWhileRequesting     // who asks says that it stays, and asks on
 )
 
 const (
@@ -111,12 +111,12 @@
 func (m *Machine) Draining() bool { return m.drains }
 
 // Peers takes membership's view.
-func (m *Machine) Peers(peers []Peer, missing bool) {
+func (m *Machine) SetPeers(peers []Peer, missing bool) {
 	m.peers, m.missing = slices.Clone(peers), missing
 }
 
 // Fit takes whether this process is ready but for a drain, and whether it leaves.
-func (m *Machine) Fit(ready, leaves bool) { m.fit, m.leaves = ready && !leaves, leaves }
+func (m *Machine) SetReady(ready, leaves bool) { m.fit, m.leaves = ready && !leaves, leaves }
 
 // Call takes an operator's call, that is answered within a time. A second copy changes nothing.
 func (m *Machine) Call(now fsm.Time, call uint64, op Op, within time.Duration) Out {
@@ -125,9 +125,9 @@
 	case op == Stop && !m.drains && !asks, op != Stop && m.drains:
 		m.reply(call, Done)
 	case m.leaves:
-		m.reply(call, Ends)
-	case op != Start || m.bug == Hasty:
-		m.over(Other)
+		m.reply(call, ProcessEnding)
+	case op != Start || m.bug == BugNoPermission:
+		m.over(Superseded)
 		m.turn(op != Stop)
 		m.reply(call, Done)
 	default:
@@ -145,9 +145,9 @@
 	if len(m.calls) > 0 {
 		switch {
 		case m.leaves:
-			m.over(Ends)
+			m.over(ProcessEnding)
 		case now >= m.till:
-			m.over(Lost)
+			m.over(NoPermission)
 		case now-m.sent >= againEvery:
 			m.ask(now)
 		}
@@ -157,16 +157,16 @@
 }
 
 // Take takes a word.
-func (m *Machine) Take(now fsm.Time, from string, w Word) Out {
+func (m *Machine) Receive(now fsm.Time, from string, w Message) Out {
 	asks := len(m.calls) > 0
 	switch {
-	case w.Kind == Ask:
+	case w.Kind == Request:
 		m.answer(now, from, w.ID)
-	case !asks, w.ID != m.id && m.bug != Stale:
-	case w.Kind == Stays:
+	case !asks, w.ID != m.id && m.bug != BugStalePermission:
+	case w.Kind == Granted:
 		m.turn(true)
 		m.over(Done)
-	case w.Kind == Drains:
+	case w.Kind == Denied:
 		m.noes[from] = true
 		m.settle()
 	default:
@@ -178,18 +178,18 @@
 // answer says whether this one stays. Of two that ask each other the one of the lower address
 // goes first: the other gives its ask up, and begins a new one.
 func (m *Machine) answer(now fsm.Time, from string, id uint64) {
-	kind := Stays
+	kind := Granted
 	switch asks := len(m.calls) > 0; {
 	case m.drains || !m.fit:
-		kind = Drains
-	case asks && m.bug == Both:
+		kind = Denied
+	case asks && m.bug == BugGrantWhileRequesting:
 	case asks && m.self < from:
-		kind = Waits
+		kind = Deferred
 	case asks:
 		m.renew()
 		m.sent = now
 	}
-	m.send(from, Word{kind, id})
+	m.send(from, Message{kind, id})
 }
 
 // ask sends the ask: to a few that call themselves ready, and if that was in vain to all.
@@ -200,7 +200,7 @@
 		for _, p := range m.peers {
 			if p.Ready == ready && (m.rounds > 0 || n < first) {
 				n++
-				m.send(p.Addr, Word{Ask, m.id})
+				m.send(p.Addr, Message{Request, m.id})
 			}
 		}
 	}
@@ -213,9 +213,9 @@
 		return
 	}
 	if m.missing {
-		m.over(Lost)
+		m.over(NoPermission)
 	} else {
-		m.over(Alone)
+		m.over(NoOtherReady)
 	}
 }
 
@@ -234,13 +234,13 @@
 }
 
 func (m *Machine) turn(on bool) {
-	m.out.Turned = m.out.Turned || m.drains != on
+	m.out.DrainingChanged = m.out.DrainingChanged || m.drains != on
 	m.drains = on
 }
 
 func (m *Machine) reply(call uint64, a Answer) { m.out.Replies = append(m.out.Replies, Reply{call, a}) }
 
-func (m *Machine) send(to string, w Word) {
+func (m *Machine) send(to string, w Message) {
 	m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: w})
 }
 
--- a/internal/drainpermit/drainpermit_test.go
+++ b/internal/drainpermit/drainpermit_test.go
@@ -17,19 +17,19 @@
 		{Procs: 3, Starts: 3, Stops: 1, Restarts: 1, Repeats: 1, States: 50_000},
 	} {
 		got := Explore(b)
-		t.Logf("%+v: %d states, whole: %v", b, got.States, got.Whole)
-		if got.Broken != "" {
-			t.Errorf("%+v: %s: %q", b, got.Broken, got.Trace)
+		t.Logf("%+v: %d states, whole: %v", b, got.States, got.Complete)
+		if got.Violation != "" {
+			t.Errorf("%+v: %s: %q", b, got.Violation, got.Trace)
 		}
 	}
 }
 
 // TestGuards: each guard taken out is met.
 func TestGuards(t *testing.T) {
-	for _, bug := range []Bug{Hasty, Stale, Both} {
+	for _, bug := range []Bug{BugNoPermission, BugStalePermission, BugGrantWhileRequesting} {
 		got := Explore(Bounds{Procs: 2, Starts: 3, Stops: 1, Repeats: 2, Bug: bug})
-		t.Logf("bug %d: %s after %d states: %q", bug, got.Broken, got.States, got.Trace)
-		if got.Broken == "" {
+		t.Logf("bug %d: %s after %d states: %q", bug, got.Violation, got.States, got.Trace)
+		if got.Violation == "" {
 			t.Errorf("bug %d is not met in %d states", bug, got.States)
 		}
 	}
@@ -48,15 +48,15 @@
 func newNet(late fsm.Time, names ...string) *net {
 	n := &net{all: map[string]*Machine{}, late: late, told: map[uint64]Answer{}}
 	for i, name := range names {
-		m := New(name, uint64(i+1)<<32, Sound)
+		m := New(name, uint64(i+1)<<32, NoBug)
 		var peers []Peer
 		for _, o := range names {
 			if o != name {
 				peers = append(peers, Peer{o, true})
 			}
 		}
-		m.Peers(peers, false)
-		m.Fit(true, false)
+		m.SetPeers(peers, false)
+		m.SetReady(true, false)
 		n.all[name] = m
 	}
 	return n
@@ -65,7 +65,7 @@
 func (n *net) carry(from string, o Out) {
 	for _, s := range o.Send {
 		n.at = append(n.at, n.now+n.late)
-		n.due = append(n.due, func() { n.carry(s.To, n.all[s.To].Take(n.now, from, s.Msg.(Word))) })
+		n.due = append(n.due, func() { n.carry(s.To, n.all[s.To].Receive(n.now, from, s.Msg.(Message))) })
 	}
 	for _, r := range o.Replies {
 		n.told[r.Call] = r.Answer
@@ -101,7 +101,7 @@
 		n.call("b", 2, Start)
 		n.run(time.Second)
 		a, b := n.told[1], n.told[2]
-		if late < 60*time.Millisecond && (a != Done || b != Alone) || a == Done && b == Done {
+		if late < 60*time.Millisecond && (a != Done || b != NoOtherReady) || a == Done && b == Done {
 			t.Errorf("late by %v: the answers are %d and %d", late, a, b)
 		}
 		if n.run(time.Minute); n.all["a"].Draining() != (n.told[1] == Done) || n.all["b"].Draining() != (n.told[2] == Done) {
@@ -117,21 +117,21 @@
 		who  string
 		op   Op
 		want Answer
-	}{{"b", Start, Done}, {"b", Start, Done}, {"a", Start, Done}, {"c", Start, Alone}, {"c", StartAlone, Done}, {"c", StartAlone, Done},
-		{"b", Stop, Done}, {"b", Stop, Done}, {"b", Start, Alone}, {"c", Stop, Done}, {"b", Start, Done}} {
+	}{{"b", Start, Done}, {"b", Start, Done}, {"a", Start, Done}, {"c", Start, NoOtherReady}, {"c", StartAlone, Done}, {"c", StartAlone, Done},
+		{"b", Stop, Done}, {"b", Stop, Done}, {"b", Start, NoOtherReady}, {"c", Stop, Done}, {"b", Start, Done}} {
 		n.call(c.who, uint64(i+1), c.op)
 		if n.run(time.Second); n.told[uint64(i+1)] != c.want {
 			t.Errorf("call %d, %+v: %d", i+1, c, n.told[uint64(i+1)])
 		}
 	}
 	n = newNet(time.Millisecond, "a", "b")
-	n.all["b"].Fit(false, false)
+	n.all["b"].SetReady(false, false)
 	n.call("a", 1, Start)
 	n.run(time.Second)
-	n.all["a"].Peers([]Peer{{"b", false}}, true)
+	n.all["a"].SetPeers([]Peer{{"b", false}}, true)
 	n.call("a", 2, Start)
 	n.run(time.Second)
-	n.all["b"].Fit(true, true)
+	n.all["b"].SetReady(true, true)
 	n.call("b", 3, Start)
 	n.late = time.Minute
 	n.call("a", 4, Start)
@@ -139,7 +139,7 @@
 	n.run(500 * time.Millisecond)
 	n.call("a", 6, Stop)
 	n.run(time.Second)
-	for call, want := range map[uint64]Answer{1: Alone, 2: Lost, 3: Ends, 4: Other, 5: Other, 6: Done} {
+	for call, want := range map[uint64]Answer{1: NoOtherReady, 2: NoPermission, 3: ProcessEnding, 4: Superseded, 5: Superseded, 6: Done} {
 		if got, ok := n.told[call]; !ok || got != want {
 			t.Errorf("call %d is told %d, %v", call, got, ok)
 		}
--- a/internal/drainpermit/explore.go
+++ b/internal/drainpermit/explore.go
@@ -21,16 +21,16 @@
 }
 
 // Explored is what a model came to.
-type Explored struct {
-	States int
-	Whole  bool
-	Broken string
-	Trace  []string
+type Exploration struct {
+	States    int
+	Complete  bool
+	Violation string
+	Trace     []string
 }
 
 type sent struct {
 	from, to int
-	word     Word
+	word     Message
 }
 
 type state struct {
@@ -78,7 +78,7 @@
 }
 
 // Explore visits a model from its begin on, and stops where all processes drain.
-func Explore(b Bounds) Explored {
+func Explore(b Bounds) Exploration {
 	name := func(i int) string { return string(rune('a' + i)) }
 	boot := func(i, life int) *Machine {
 		m := New(name(i), uint64(i+1)*1_000_000+uint64(life)*1000, b.Bug)
@@ -88,8 +88,8 @@
 				peers = append(peers, Peer{name(j), true})
 			}
 		}
-		m.Peers(peers, false)
-		m.Fit(true, false)
+		m.SetPeers(peers, false)
+		m.SetReady(true, false)
 		return m
 	}
 	first := &state{lives: make([]int, b.Procs)}
@@ -97,21 +97,21 @@
 		first.all = append(first.all, boot(i, 0))
 	}
 	seen, queue := map[string]bool{first.key(): true}, []*state{first}
-	out := Explored{Whole: true}
+	out := Exploration{Complete: true}
 	for len(queue) > 0 {
 		s := queue[0]
 		queue = queue[1:]
 		out.States++
 		if b.States > 0 && out.States >= b.States {
-			out.Whole = false
+			out.Complete = false
 			return out
 		}
 		take := func(c *state, i int, o Out) {
 			for _, m := range o.Send {
-				c.net = append(c.net, sent{i, int(m.To[0] - 'a'), m.Msg.(Word)})
+				c.net = append(c.net, sent{i, int(m.To[0] - 'a'), m.Msg.(Message)})
 			}
 			if !slices.ContainsFunc(c.all, func(m *Machine) bool { return !m.drains }) {
-				out.Broken = "all drain"
+				out.Violation = "all drain"
 				for at := c; at.last != nil; at = at.last {
 					out.Trace = append([]string{fmt.Sprintf(at.form, at.args...)}, out.Trace...)
 				}
@@ -159,10 +159,10 @@
 				} else {
 					c.net = slices.Delete(c.net, k, k+1)
 				}
-				take(c, m.to, c.all[m.to].Take(0, name(m.from), m.word))
+				take(c, m.to, c.all[m.to].Receive(0, name(m.from), m.word))
 			}
 		}
-		if out.Broken != "" {
+		if out.Violation != "" {
 			return out
 		}
 	}
--- a/internal/systemsim/bug.go
+++ b/internal/systemsim/bug.go
@@ -69,9 +69,9 @@
 	case Numberless:
 		return controlplane.Bugs{Bane: faultrules.Numberless}
 	case Uncalled:
-		return controlplane.Bugs{Cede: drainpermit.Hasty}
+		return controlplane.Bugs{Cede: drainpermit.BugNoPermission}
 	case Outdated:
-		return controlplane.Bugs{Cede: drainpermit.Stale}
+		return controlplane.Bugs{Cede: drainpermit.BugStalePermission}
 	case Unfenced:
 		return controlplane.Bugs{Bane: faultrules.Unfenced}
 	}
