--- a/internal/bench/srv.go
+++ b/internal/bench/srv.go
@@ -459,13 +459,13 @@
 // changes of the list.
 func applyCost() (apply, change time.Duration, mb float64, err error) {
 	var targets []serverset.Target
-	var listed []serverset.Listed
+	var listed []serverset.ListEntry
 	for i := range 5000 {
 		targets = append(targets, serverset.Target{Name: fmt.Sprintf("s%d.example.org.", i), Port: 80, Weight: 1,
 			Addrs: []string{fmt.Sprintf("127.1.%d.%d:80", i/250, i%250)}})
 	}
 	for i := range 1000 {
-		listed = append(listed, serverset.Listed{Name: fmt.Sprint("n", i), Addr: targets[i].Addrs[0],
+		listed = append(listed, serverset.ListEntry{Name: fmt.Sprint("n", i), Addr: targets[i].Addrs[0],
 			Member: choice.Member{Weight: 1, Zone: "a"}})
 	}
 	fleet := protocol.NewFleet(transport.PeerOptions{Connect: time.Second, Keep: transport.NewKeep(time.Second),
@@ -480,12 +480,12 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go core.Run()
-	m := serverset.New(serverset.Options{RemovedHold: time.Minute, DrainFor: time.Minute, Keep: time.Minute, JoinBelow: 0.7,
-		LeaveAbove: 0.9, LeaveHold: time.Minute, DeadAfter: 3})
+	m := serverset.New(serverset.Options{RemovedHold: time.Minute, DrainFor: time.Minute, TrustFor: time.Minute, TierJoinBelow: 0.7,
+		TierLeaveAbove: 0.9, TierLeaveHold: time.Minute, DeadAfterFailures: 3})
 	pass := func() time.Duration { // until the core has taken the changes
 		began := time.Now()
 		var n routing.News
-		for _, c := range m.Take(now()) {
+		for _, c := range m.TakeChanges(now()) {
 			n.Members = append(n.Members, routing.Member{Member: c.Member, Addr: c.Addr, Name: c.Name})
 		}
 		core.News(n)
@@ -496,8 +496,8 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	began := time.Now()
-	m.List(now(), listed, true, false)
-	m.Answer(now(), srvName, targets, false)
+	m.ApplyList(now(), listed, true, false)
+	m.ApplySRV(now(), srvName, targets, false)
 	pass()
 	apply = time.Since(began)
 	runtime.GC()
@@ -508,7 +508,7 @@
 	for i := range changes {
 		l := listed[i]
 		l.State = choice.Draining
-		m.List(now(), []serverset.Listed{l}, false, false)
+		m.ApplyList(now(), []serverset.ListEntry{l}, false, false)
 		pass()
 	}
 	return apply, time.Since(began) / changes, mb, nil
--- a/internal/program/members.go
+++ b/internal/program/members.go
@@ -24,7 +24,7 @@
 	now      func() time.Duration
 	box      *mailbox.Box[any]
 	resolver *dns.Resolver
-	is       *serverset.Membership
+	is       *serverset.Set
 	tell     func(routing.News)
 	told     bool // the core knows that a source has spoken
 	begun    bool // the core has heard anything
@@ -111,7 +111,7 @@
 	defer m.resolver.Stop()
 	for {
 		wait := time.Second
-		if at, ok := m.is.Next(); ok {
+		if at, ok := m.is.NextTick(); ok {
 			wait = max(0, min(wait, at-m.now()))
 		}
 		for _, msg := range m.box.Take(wait) {
@@ -132,22 +132,22 @@
 		switch {
 		case !m.conf.List:
 		case e.Broken:
-			m.is.ListBroken(now)
+			m.is.ListUnreachable(now)
 			m.tell(e)
 		default:
-			nodes := make([]serverset.Listed, len(e.Members))
+			nodes := make([]serverset.ListEntry, len(e.Members))
 			for i, s := range e.Members {
-				nodes[i] = serverset.Listed{Name: s.Name, Addr: s.Addr, Member: s.Member}
+				nodes[i] = serverset.ListEntry{Name: s.Name, Addr: s.Addr, Member: s.Member}
 			}
-			m.is.List(now, nodes, e.Whole, e.Saved)
+			m.is.ApplyList(now, nodes, e.Whole, e.Saved)
 		}
 	case listOK:
-		m.is.ListHeard(now)
+		m.is.ListReachable(now)
 	case dns.Event:
 		m.event(now, e)
 	case outcome:
 		ok := e.status == choice.OK || e.status == choice.Error || e.status == choice.Full
-		if m.is.Outcome(now, e.server, ok, e.status == choice.ConnectFailed) {
+		if m.is.RecordOutcome(now, e.server, ok, e.status == choice.ConnectFailed) {
 			m.resolver.Hurry()
 		}
 	case srvConf:
@@ -160,13 +160,13 @@
 	case dns.Answered:
 		targets := m.targets(e.Targets)
 		log.Printf("event=srv name=%s targets=%d none=%v", e.Name, len(targets), e.None)
-		m.is.Answer(now, e.Name, targets, e.None)
+		m.is.ApplySRV(now, e.Name, targets, e.None)
 	case dns.Stale:
-		m.is.Stale(now, e.Name)
+		m.is.SourceStale(now, e.Name)
 	case dns.Lost:
-		m.is.Lost(now, e.Name)
+		m.is.SourceLost(now, e.Name)
 	case dns.Dropped:
-		m.is.Drop(now, e.Name)
+		m.is.DropSource(now, e.Name)
 	}
 }
 
@@ -212,8 +212,8 @@
 // pass tells the core what has changed.
 func (m *members) pass(now time.Duration) {
 	m.trust.Store(m.is.Trusted(now))
-	changes := m.is.Take(now)
-	saved := m.is.Saved()
+	changes := m.is.TakeChanges(now)
+	saved := m.is.OnlySavedList()
 	if len(changes) == 0 && m.begun && m.told == !saved {
 		return
 	}
@@ -238,6 +238,6 @@
 		c.Truncated.Load(), c.CutShort.Load(), c.Forged.Load(), c.Malformed.Load(), c.Failed.Load(), c.Silent.Load(),
 		c.Unsent.Load(), c.Merged.Load(), c.Shrinks.Load(), c.Refuted.Load(), c.Stale.Load(), c.Lost.Load())
 	log.Printf("event=members nodes=%d offered=%d dead=%d removed=%d tiers=%d offered_tiers=%d joins=%d leaves=%d moved=%d "+
-		"blocked=%d doubles=%d trusted=%v", s.Nodes, s.Offered, s.Dead, s.Tombs, s.Tiers, s.OfferedTiers, s.Joins, s.Leaves,
-		s.Moved, s.Blocked, s.Doubles, m.trusted())
+		"blocked=%d doubles=%d trusted=%v", s.Nodes, s.Offered, s.Dead, s.Tombstones, s.Tiers, s.OfferedTiers, s.Joins, s.Leaves,
+		s.Moved, s.Blocked, s.Duplicates, m.trusted())
 }
--- a/internal/program/srv.go
+++ b/internal/program/srv.go
@@ -231,9 +231,9 @@
 
 // membership are the figures of the rule.
 func (s *SRV) membership() serverset.Options {
-	return serverset.Options{RemovedHold: ms(s.RemovedHoldMs), DrainFor: ms(s.DrainMs), Keep: ms(s.KeepMs),
-		KeepListed: s.WithdrawnListed == withdrawnKeep, OnlySilent: s.SRVOnly == srvOnlySilent, NoList: !s.List, JoinBelow: s.JoinBelow,
-		LeaveAbove: s.LeaveAbove, LeaveHold: ms(s.LeaveHoldMs), DeadAfter: s.DeadAfter, ListPriority: s.ListPriority}
+	return serverset.Options{RemovedHold: ms(s.RemovedHoldMs), DrainFor: ms(s.DrainMs), TrustFor: ms(s.KeepMs),
+		ListOverridesSRV: s.WithdrawnListed == withdrawnKeep, SRVOnlyWhileListSilent: s.SRVOnly == srvOnlySilent, NoList: !s.List, TierJoinBelow: s.JoinBelow,
+		TierLeaveAbove: s.LeaveAbove, TierLeaveHold: ms(s.LeaveHoldMs), DeadAfterFailures: s.DeadAfter, ListPriority: s.ListPriority}
 }
 
 // zone is the one of a target.
--- a/internal/serverset/random_test.go
+++ b/internal/serverset/random_test.go
@@ -82,7 +82,7 @@
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opt := options
-		opt.OnlySilent = rapid.Bool().Draw(t, "only while the list is silent")
+		opt.SRVOnlyWhileListSilent = rapid.Bool().Draw(t, "only while the list is silent")
 		w := newWorld(opt)
 		o := &oracle{list: map[string]string{}, drains: map[string]bool{}, removed: map[string]bool{},
 			without: map[string]time.Duration{}, targets: map[string][]string{}}
@@ -104,10 +104,10 @@
 					list = append(list, Target{Name: name, Port: 1, Weight: 1, Addrs: ways,
 						Priority: rapid.Uint16Range(0, 2).Draw(t, "priority")})
 				}
-				w.Answer(w.now, "x", list, len(list) == 0 && rapid.Bool().Draw(t, "none"))
+				w.ApplySRV(w.now, "x", list, len(list) == 0 && rapid.Bool().Draw(t, "none"))
 			case "list", "whole":
 				whole := rapid.Bool().Draw(t, "whole")
-				var nodes []Listed
+				var nodes []ListEntry
 				was := map[string]bool{}
 				for _, a := range o.list {
 					was[a] = true
@@ -122,8 +122,8 @@
 					if !rapid.Bool().Draw(t, id) {
 						continue
 					}
-					l := Listed{Name: id, Addr: rapid.SampledFrom(addrs).Draw(t, "addr"), Member: choice.Member{Weight: 1}}
-					if used := slices.ContainsFunc(nodes, func(x Listed) bool { return x.Addr == l.Addr && x.State != choice.Down }); used {
+					l := ListEntry{Name: id, Addr: rapid.SampledFrom(addrs).Draw(t, "addr"), Member: choice.Member{Weight: 1}}
+					if used := slices.ContainsFunc(nodes, func(x ListEntry) bool { return x.Addr == l.Addr && x.State != choice.Down }); used {
 						continue
 					}
 					for other, a := range next { // lists don't name an address twice
@@ -149,7 +149,7 @@
 						o.removed[a] = true
 					}
 				}
-				w.List(w.now, nodes, whole, false)
+				w.ApplyList(w.now, nodes, whole, false)
 			case "outcome":
 				if len(w.core) > 0 {
 					ids := make([]uint32, 0, len(w.core))
@@ -160,16 +160,16 @@
 					id := rapid.SampledFrom(ids).Draw(t, "server")
 					ok := rapid.Bool().Draw(t, "ok")
 					for range rapid.IntRange(1, 4).Draw(t, "times") {
-						w.Outcome(w.now, id, ok, rapid.Bool().Draw(t, "refused"))
+						w.RecordOutcome(w.now, id, ok, rapid.Bool().Draw(t, "refused"))
 					}
 					dead[id] = !ok
 				}
 			case "wait":
 				w.pass(time.Duration(rapid.IntRange(0, 90).Draw(t, "seconds")) * time.Second)
 			case "stale":
-				w.Stale(w.now, "x")
+				w.SourceStale(w.now, "x")
 			case "broken":
-				w.ListBroken(w.now)
+				w.ListUnreachable(w.now)
 			}
 			for _, a := range addrs { // how long SRV has been without what was removed
 				if o.names(a) || !o.removed[a] {
@@ -182,7 +182,7 @@
 				}
 			}
 			o.spread()
-			before := map[uint32]Member{}
+			before := map[uint32]Change{}
 			for id, c := range w.core {
 				before[id] = c
 			}
@@ -205,7 +205,7 @@
 					t.Fatalf("%s is used, though the list drains it", c.Addr)
 				case !any && o.removed[c.Addr]:
 					t.Fatalf("%s is used, though the list has removed it", c.Addr)
-				case !any && opt.OnlySilent && w.speaks():
+				case !any && opt.SRVOnlyWhileListSilent && w.speaks():
 					t.Fatalf("%s is used, though the list is heard and does not name it", c.Addr)
 				case !any && !o.names(c.Addr):
 					t.Fatalf("%s is used, though nobody names it", c.Addr)
@@ -222,20 +222,20 @@
 				}
 			}
 		}
-		if most := int((w.now-began)/options.LeaveHold) + 1; w.stats.Leaves > most {
+		if most := int((w.now-began)/options.TierLeaveHold) + 1; w.stats.Leaves > most {
 			t.Fatalf("%d tiers have left in %v", w.stats.Leaves, w.now-began)
 		}
-		if opt.OnlySilent { // a repeat ends a silence, which changes much
+		if opt.SRVOnlyWhileListSilent { // a repeat ends a silence, which changes much
 			return
 		}
 		// Repeats change nothing.
 		w.pass(time.Hour)
 		view := fmt.Sprint(w.view())
-		var nodes []Listed
+		var nodes []ListEntry
 		for id, a := range o.list {
-			nodes = append(nodes, Listed{Name: id, Addr: a, Member: choice.Member{Weight: 1, State: map[bool]choice.State{true: choice.Draining}[o.drains[id]]}})
+			nodes = append(nodes, ListEntry{Name: id, Addr: a, Member: choice.Member{Weight: 1, State: map[bool]choice.State{true: choice.Draining}[o.drains[id]]}})
 		}
-		w.List(w.now, nodes, true, false)
+		w.ApplyList(w.now, nodes, true, false)
 		if w.pass(time.Hour); w.view() != view {
 			t.Fatalf("%s, after a repeat %s", view, w.view())
 		}
@@ -251,7 +251,7 @@
 		for i := range 20 {
 			list = append(list, Target{Name: fmt.Sprint(i), Port: 1, Priority: uint16(i / 10), Addrs: []string{fmt.Sprint(i)}})
 		}
-		w.Answer(w.now, "x", list, false)
+		w.ApplySRV(w.now, "x", list, false)
 		w.take()
 		began := w.now
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
@@ -261,7 +261,7 @@
 			for id, c := range w.core {
 				for range 3 {
 					if c.Addr == addr {
-						w.Outcome(w.now, id, ok, false)
+						w.RecordOutcome(w.now, id, ok, false)
 					}
 				}
 			}
@@ -277,7 +277,7 @@
 			}
 		}
 		s := w.Stats()
-		if most := int((w.now-began)/options.LeaveHold) + 1; s.Joins > most || s.Leaves > most {
+		if most := int((w.now-began)/options.TierLeaveHold) + 1; s.Joins > most || s.Leaves > most {
 			t.Fatalf("%d joins and %d leaves in %v", s.Joins, s.Leaves, w.now-began)
 		}
 	})
@@ -286,40 +286,40 @@
 // 5,000 SRV targets and 1,000 servers of the list.
 func BenchmarkApply(b *testing.B) {
 	var list []Target
-	var nodes []Listed
+	var nodes []ListEntry
 	for i := range 5000 {
 		list = append(list, Target{Name: fmt.Sprint(i, "."), Port: 1, Weight: 1, Addrs: []string{fmt.Sprint("10.0.", i/250, ".", i%250, ":1")}})
 	}
 	for i := range 1000 {
-		nodes = append(nodes, Listed{Name: fmt.Sprint("s", i), Addr: list[i].Addrs[0], Member: choice.Member{Weight: 1}})
+		nodes = append(nodes, ListEntry{Name: fmt.Sprint("s", i), Addr: list[i].Addrs[0], Member: choice.Member{Weight: 1}})
 	}
 	b.Run("whole", func(b *testing.B) {
 		for b.Loop() {
 			m := New(options)
-			m.List(0, nodes, true, false)
-			m.Answer(0, "a", list, false)
-			m.Take(0)
+			m.ApplyList(0, nodes, true, false)
+			m.ApplySRV(0, "a", list, false)
+			m.TakeChanges(0)
 		}
 	})
 	b.Run("repeat", func(b *testing.B) {
 		m := New(options)
-		m.List(0, nodes, true, false)
+		m.ApplyList(0, nodes, true, false)
 		for b.Loop() {
-			m.Answer(0, "a", list, false)
-			m.Take(0)
+			m.ApplySRV(0, "a", list, false)
+			m.TakeChanges(0)
 		}
 	})
 	b.Run("change", func(b *testing.B) {
 		m := New(options)
-		m.List(0, nodes, true, false)
-		m.Answer(0, "a", list, false)
-		m.Take(0)
+		m.ApplyList(0, nodes, true, false)
+		m.ApplySRV(0, "a", list, false)
+		m.TakeChanges(0)
 		i := 0
 		for b.Loop() {
 			n := nodes[i%1000]
 			n.State = choice.State(i / 1000 % 2)
-			m.List(0, []Listed{n}, false, false)
-			m.Take(0)
+			m.ApplyList(0, []ListEntry{n}, false, false)
+			m.TakeChanges(0)
 			i++
 		}
 	})
--- a/internal/serverset/serverset.go
+++ b/internal/serverset/serverset.go
@@ -57,21 +57,21 @@
 
 // Options are the figures of the rule.
 type Options struct {
-	RemovedHold  time.Duration // see the rule
-	DrainFor     time.Duration // what drains is forgotten after that
-	Keep         time.Duration // both sources silent for so long: no longer Trusted
-	KeepListed   bool          // SRV can't take back what the list names
-	OnlySilent   bool          // what only SRV names is used only while the list is silent
-	NoList       bool          // there is no list; its silence counts for nothing
-	JoinBelow    float64       // share of the first tier
-	LeaveAbove   float64       // share of the first tier, at least JoinBelow
-	LeaveHold    time.Duration
-	DeadAfter    int    // failures in a row without an answer
-	ListPriority uint16 // of servers that only the list names
+	RemovedHold            time.Duration // see the rule
+	DrainFor               time.Duration // what drains is forgotten after that
+	TrustFor               time.Duration // both sources silent for so long: no longer Trusted
+	ListOverridesSRV       bool          // SRV can't take back what the list names
+	SRVOnlyWhileListSilent bool          // what only SRV names is used only while the list is silent
+	NoList                 bool          // there is no list; its silence counts for nothing
+	TierJoinBelow          float64       // share of the first tier
+	TierLeaveAbove         float64       // share of the first tier, at least JoinBelow
+	TierLeaveHold          time.Duration
+	DeadAfterFailures      int    // failures in a row without an answer
+	ListPriority           uint16 // of servers that only the list names
 }
 
 // Listed is a server as the list has it. Member.ID is not used.
-type Listed struct {
+type ListEntry struct {
 	Name string // the list's id
 	Addr string
 	choice.Member
@@ -88,7 +88,7 @@
 }
 
 // Member is a change for the core.
-type Member struct {
+type Change struct {
 	Addr string
 	Name string // the list's id, or one made of the target's name
 	choice.Member
@@ -96,16 +96,16 @@
 
 // Stats are totals since the start, and what is now.
 type Stats struct {
-	Nodes, Offered, Dead, Tombs int
-	Tiers, OfferedTiers         int
-	Joins, Leaves               int // of tiers
-	Moved                       int // servers that changed the address used
-	Blocked                     int // targets that the list has removed
-	Doubles                     int // targets with an address of another target
+	Nodes, Offered, Dead, Tombstones int
+	Tiers, OfferedTiers              int
+	Joins, Leaves                    int // of tiers
+	Moved                            int // servers that changed the address used
+	Blocked                          int // targets that the list has removed
+	Duplicates                       int // targets with an address of another target
 }
 
 // Membership is the merged state. It is not safe for concurrent use.
-type Membership struct {
+type Set struct {
 	opt  Options
 	hash func(string) uint64
 
@@ -160,7 +160,7 @@
 	name    string
 	num     uint32
 	addr    string
-	list    *Listed
+	list    *ListEntry
 	srv     map[*target]bool
 	named   bool // SRV has named it, so that it may take it back
 	own     bool // only SRV names it
@@ -174,7 +174,7 @@
 	dead           bool
 
 	out      choice.State // as the core has it; Down: not at all
-	told     Member
+	told     Change
 	forgetAt time.Duration
 	tier     *tier
 	live     bool // as counted in the tier
@@ -189,8 +189,8 @@
 const never = time.Duration(math.MaxInt64)
 
 // New returns a membership without servers.
-func New(opt Options) *Membership {
-	return &Membership{opt: opt, hash: xxhash.Sum64String, listed: map[string]*node{}, byNum: map[uint32]*node{},
+func New(opt Options) *Set {
+	return &Set{opt: opt, hash: xxhash.Sum64String, listed: map[string]*node{}, byNum: map[uint32]*node{},
 		byAddr: map[string]*node{}, targets: map[targetKey]*target{}, at: map[string][]*target{},
 		ids: map[string]targetKey{}, tombs: map[string]time.Duration{}, leaving: map[*node]bool{},
 		sources: map[string]*source{}, tiers: map[uint16]*tier{}, dirtyT: map[*target]bool{},
@@ -198,7 +198,7 @@
 }
 
 // Configure changes the figures. What has been decided stands until something new is heard.
-func (m *Membership) Configure(now time.Duration, opt Options) {
+func (m *Set) Configure(now time.Duration, opt Options) {
 	m.opt = opt
 	for _, n := range m.byNum {
 		m.dirtyN[n] = true
@@ -207,7 +207,7 @@
 }
 
 // List takes news of the list. whole: what is left out of it has been removed.
-func (m *Membership) List(now time.Duration, nodes []Listed, whole, saved bool) {
+func (m *Set) ApplyList(now time.Duration, nodes []ListEntry, whole, saved bool) {
 	if saved && m.heard {
 		return
 	}
@@ -261,18 +261,18 @@
 }
 
 // ListBroken tells that the list can't be reached.
-func (m *Membership) ListBroken(now time.Duration) {
+func (m *Set) ListUnreachable(now time.Duration) {
 	before := m.speaks()
 	m.broken = min(m.broken, now)
 	m.turn(now, before)
 }
 
 // speaks reports whether the list can be heard.
-func (m *Membership) speaks() bool { return m.heard && m.broken == never && !m.opt.NoList }
+func (m *Set) speaks() bool { return m.heard && m.broken == never && !m.opt.NoList }
 
 // turn decides anew on what only SRV names, if that depends on the list's silence.
-func (m *Membership) turn(now time.Duration, before bool) {
-	if !m.opt.OnlySilent || m.speaks() == before {
+func (m *Set) turn(now time.Duration, before bool) {
+	if !m.opt.SRVOnlyWhileListSilent || m.speaks() == before {
 		return
 	}
 	for _, n := range m.byNum {
@@ -284,7 +284,7 @@
 }
 
 // ListHeard tells that the list has been reached, if with nothing new.
-func (m *Membership) ListHeard(now time.Duration) {
+func (m *Set) ListReachable(now time.Duration) {
 	before := m.speaks()
 	m.broken = never
 	m.turn(now, before)
@@ -292,14 +292,14 @@
 }
 
 // Lost tells that a name's answer has been stale for too long.
-func (m *Membership) Lost(now time.Duration, name string) {
-	m.Stale(now, name)
+func (m *Set) SourceLost(now time.Duration, name string) {
+	m.SourceStale(now, name)
 	m.sources[name].lost = true
 	m.dropLost(now)
 }
 
 // dropLost gives up what only lost names have said, if there is a list to go by.
-func (m *Membership) dropLost(now time.Duration) {
+func (m *Set) dropLost(now time.Duration) {
 	if m.opt.NoList || !m.heard || m.broken != never {
 		return
 	}
@@ -312,7 +312,7 @@
 
 // adopt gives a new server of the list the number of the one that SRV alone named
 // at its address: it is the same server.
-func (m *Membership) adopt(n *node, addr string) {
+func (m *Set) adopt(n *node, addr string) {
 	for _, t := range m.together(addr) {
 		for _, o := range t.nodes {
 			if !o.own || n.num != 0 {
@@ -333,14 +333,14 @@
 	}
 }
 
-func (m *Membership) number(n *node) {
+func (m *Set) number(n *node) {
 	m.last++
 	n.num = m.last
 	m.byNum[n.num] = n
 }
 
 // release gives up the address that a server of the list has had.
-func (m *Membership) release(now time.Duration, n *node) {
+func (m *Set) release(now time.Duration, n *node) {
 	if m.byAddr[n.addr] == n {
 		delete(m.byAddr, n.addr)
 		for _, o := range m.listed { // an older entry may have the address as well
@@ -357,7 +357,7 @@
 	m.touch(n.addr)
 }
 
-func (m *Membership) unlist(now time.Duration, n *node) {
+func (m *Set) unlist(now time.Duration, n *node) {
 	delete(m.listed, n.name)
 	n.gone, n.removed = true, true
 	m.release(now, n)
@@ -365,7 +365,7 @@
 }
 
 // tomb keeps SRV from bringing back what the list has removed.
-func (m *Membership) tomb(now time.Duration, addr string) {
+func (m *Set) tomb(now time.Duration, addr string) {
 	m.tombs[addr] = never
 	if len(m.at[addr]) == 0 {
 		m.tombs[addr] = now + m.opt.RemovedHold
@@ -375,7 +375,7 @@
 
 // together are the targets that share addresses with each other, beginning at some:
 // whatever their names, they lead to one server.
-func (m *Membership) together(addrs ...string) (ts []*target) {
+func (m *Set) together(addrs ...string) (ts []*target) {
 	if len(addrs) == 1 && len(m.at[addrs[0]]) == 1 && len(m.at[addrs[0]][0].now.Addrs) == 1 {
 		return m.at[addrs[0]] // nearly always
 	}
@@ -398,7 +398,7 @@
 }
 
 // touch marks all targets that lead to an address as to be placed anew.
-func (m *Membership) touch(addr string) {
+func (m *Set) touch(addr string) {
 	for _, t := range m.together(addr) {
 		m.dirtyT[t] = true
 	}
@@ -406,7 +406,7 @@
 
 // Answer takes a whole answer of one SRV name. none: there is decidedly no
 // service, and not only no target.
-func (m *Membership) Answer(now time.Duration, name string, targets []Target, none bool) {
+func (m *Set) ApplySRV(now time.Duration, name string, targets []Target, none bool) {
 	s := m.sources[name]
 	if s == nil {
 		s = &source{}
@@ -427,14 +427,14 @@
 
 // Drop forgets a name that is no longer asked for. What it named drains; the
 // list's servers stay.
-func (m *Membership) Drop(now time.Duration, name string) {
+func (m *Set) DropSource(now time.Duration, name string) {
 	if s := m.sources[name]; s != nil {
 		delete(m.sources, name)
 		m.replace(now, name, s, nil, false, true)
 	}
 }
 
-func (m *Membership) replace(now time.Duration, name string, s *source, has map[targetKey]Target, first, none bool) {
+func (m *Set) replace(now time.Duration, name string, s *source, has map[targetKey]Target, first, none bool) {
 	var changed []targetKey
 	for k, old := range s.has {
 		if t, ok := has[k]; !ok || !same(t, old) {
@@ -473,7 +473,7 @@
 }
 
 // Stale tells that a name's answer has outlived its time and can't be renewed.
-func (m *Membership) Stale(now time.Duration, name string) {
+func (m *Set) SourceStale(now time.Duration, name string) {
 	s := m.sources[name]
 	if s == nil {
 		s = &source{stale: never}
@@ -484,7 +484,7 @@
 
 // merge makes one target of what the sources say of it: the best priority counts,
 // and the addresses of all.
-func (m *Membership) merge(now time.Duration, t *target, none bool) {
+func (m *Set) merge(now time.Duration, t *target, none bool) {
 	old := t.now.Addrs
 	t.now = Target{Name: t.key.name, Port: t.key.port}
 	for i, name := range slices.Sorted(maps.Keys(t.said)) {
@@ -534,7 +534,7 @@
 	delete(m.targets, t.key)
 }
 
-func (m *Membership) detach(n *node, t *target) {
+func (m *Set) detach(n *node, t *target) {
 	delete(n.srv, t)
 	if n.own {
 		if n.gone = true; !n.moved {
@@ -546,7 +546,7 @@
 
 // settle places the targets that have changed, and decides anew on the servers
 // that this touches.
-func (m *Membership) settle(now time.Duration) {
+func (m *Set) settle(now time.Duration) {
 	for len(m.dirtyT) > 0 {
 		todo := slices.SortedFunc(maps.Keys(m.dirtyT), func(a, b *target) int { return a.key.compare(b.key) })
 		clear(m.dirtyT)
@@ -561,7 +561,7 @@
 }
 
 // place finds the servers that a target stands for.
-func (m *Membership) place(now time.Duration, t *target) {
+func (m *Set) place(now time.Duration, t *target) {
 	var claimed []*node
 	blocked, double := false, false
 	for _, o := range m.together(t.now.Addrs...) {
@@ -593,7 +593,7 @@
 		m.attach(t, nil)
 	case double || len(t.now.Addrs) == 0:
 		if double {
-			m.stats.Doubles++
+			m.stats.Duplicates++
 		}
 		m.attach(t, nil)
 	default:
@@ -602,7 +602,7 @@
 }
 
 // own is the server of a target that only SRV names.
-func (m *Membership) own(now time.Duration, t *target) *node {
+func (m *Set) own(now time.Duration, t *target) *node {
 	for _, n := range t.nodes {
 		if !n.own {
 			continue
@@ -632,7 +632,7 @@
 
 // id names a server that only SRV names: equal at all gateways, and after a
 // restart. Of two targets with one hash the later name carries itself as well.
-func (m *Membership) id(k targetKey) string {
+func (m *Set) id(k targetKey) string {
 	text := fmt.Sprintf("%s:%d", k.name, k.port)
 	id := fmt.Sprintf("srv-%016x", m.hash(text))
 	if other, ok := m.ids[id]; ok && other != k {
@@ -641,7 +641,7 @@
 	return id
 }
 
-func (m *Membership) attach(t *target, nodes []*node) {
+func (m *Set) attach(t *target, nodes []*node) {
 	for _, n := range t.nodes {
 		if !slices.Contains(nodes, n) {
 			m.detach(n, t)
@@ -655,18 +655,18 @@
 }
 
 // usable tells whether all who have named a server still do.
-func (m *Membership) usable(n *node) bool {
+func (m *Set) usable(n *node) bool {
 	if n.gone {
 		return false
 	}
 	if n.own {
-		return !m.opt.OnlySilent || !m.speaks()
+		return !m.opt.SRVOnlyWhileListSilent || !m.speaks()
 	}
 	return n.list.State == choice.Up && m.byAddr[n.addr] == n &&
-		(len(n.srv) > 0 || !n.named || m.opt.KeepListed)
+		(len(n.srv) > 0 || !n.named || m.opt.ListOverridesSRV)
 }
 
-func (m *Membership) priority(n *node) uint16 {
+func (m *Set) priority(n *node) uint16 {
 	if n.own {
 		return n.meta.Priority
 	}
@@ -680,9 +680,9 @@
 }
 
 // count puts a server into its tier, and notes whether it lives.
-func (m *Membership) count(n *node) {
+func (m *Set) count(n *node) {
 	p := m.priority(n)
-	in := !n.gone && (n.own && m.usable(n) || !n.own && (len(n.srv) > 0 || !n.named || m.opt.KeepListed))
+	in := !n.gone && (n.own && m.usable(n) || !n.own && (len(n.srv) > 0 || !n.named || m.opt.ListOverridesSRV))
 	if n.tier != nil && (!in || n.tier.priority != p) {
 		m.leaveTier(n)
 	}
@@ -708,7 +708,7 @@
 	}
 }
 
-func (m *Membership) leaveTier(n *node) {
+func (m *Set) leaveTier(n *node) {
 	t := n.tier
 	if t == nil {
 		return
@@ -724,7 +724,7 @@
 }
 
 // reach is the last tier needed so that a share of the first one's size lives.
-func (m *Membership) reach(order []uint16, share float64) uint16 {
+func (m *Set) reach(order []uint16, share float64) uint16 {
 	need, live := share*float64(m.tiers[order[0]].size), 0
 	for _, p := range order {
 		if live += m.tiers[p].live; float64(live) >= need-1e-9 {
@@ -735,14 +735,14 @@
 }
 
 // offer decides which tiers take part.
-func (m *Membership) offer(now time.Duration) {
+func (m *Set) offer(now time.Duration) {
 	before, had := m.upTo, m.any
 	if len(m.tiers) == 0 {
 		m.any, m.leaveAt = false, 0
 	} else {
 		order := slices.Sorted(maps.Keys(m.tiers))
-		join := m.reach(order, m.opt.JoinBelow)
-		stay := max(join, m.reach(order, max(m.opt.LeaveAbove, m.opt.JoinBelow)))
+		join := m.reach(order, m.opt.TierJoinBelow)
+		stay := max(join, m.reach(order, max(m.opt.TierLeaveAbove, m.opt.TierJoinBelow)))
 		switch {
 		case !m.any || join > m.upTo:
 			if m.any {
@@ -753,7 +753,7 @@
 			m.leaveAt = 0
 			m.upTo = max(stay, order[0])
 		case m.leaveAt == 0:
-			m.leaveAt = now + m.opt.LeaveHold
+			m.leaveAt = now + m.opt.TierLeaveHold
 			m.wake = min(m.wake, m.leaveAt)
 		case now >= m.leaveAt:
 			m.upTo, m.leaveAt = stay, 0
@@ -778,7 +778,7 @@
 }
 
 // tierAbove counts the tiers that are offered and not needed.
-func (m *Membership) tierAbove(order []uint16, stay uint16) (n int) {
+func (m *Set) tierAbove(order []uint16, stay uint16) (n int) {
 	for _, p := range order {
 		if p > stay && p <= m.upTo {
 			n++
@@ -789,7 +789,7 @@
 
 // Outcome tells whether a server has answered an attempt or a probe. refused: no
 // connection came up. died: the sources should be asked anew.
-func (m *Membership) Outcome(now time.Duration, num uint32, ok, refused bool) (died bool) {
+func (m *Set) RecordOutcome(now time.Duration, num uint32, ok, refused bool) (died bool) {
 	n := m.byNum[num]
 	if n == nil || n.gone {
 		return false
@@ -812,7 +812,7 @@
 		m.stats.Moved++
 		m.dirtyN[n] = true
 	}
-	if n.fails >= m.opt.DeadAfter && !n.dead {
+	if n.fails >= m.opt.DeadAfterFailures && !n.dead {
 		n.dead, died = true, true
 		m.dirtyN[n] = true
 	}
@@ -823,7 +823,7 @@
 }
 
 // Tick does what is due. Next tells when that will be.
-func (m *Membership) Tick(now time.Duration) {
+func (m *Set) Tick(now time.Duration) {
 	if now < m.wake {
 		return
 	}
@@ -848,15 +848,15 @@
 }
 
 // Next is when Tick has something to do; false: nothing is to come.
-func (m *Membership) Next() (time.Duration, bool) { return m.wake, m.wake != never }
+func (m *Set) NextTick() (time.Duration, bool) { return m.wake, m.wake != never }
 
 // Take returns what has changed for the core since the last call, in order of
 // number.
-func (m *Membership) Take(now time.Duration) []Member {
+func (m *Set) TakeChanges(now time.Duration) []Change {
 	if len(m.dirtyN) == 0 {
 		return nil
 	}
-	var out []Member
+	var out []Change
 	for _, n := range slices.SortedFunc(maps.Keys(m.dirtyN), func(a, b *node) int { return cmp.Compare(a.num, b.num) }) {
 		if c, ok := m.decide(now, n); ok {
 			out = append(out, c)
@@ -867,7 +867,7 @@
 }
 
 // decide is what the core has to be told of a server.
-func (m *Membership) decide(now time.Duration, n *node) (Member, bool) {
+func (m *Set) decide(now time.Duration, n *node) (Change, bool) {
 	want := choice.Down
 	switch {
 	case m.usable(n) && n.tier != nil && n.tier.priority <= m.upTo:
@@ -895,7 +895,7 @@
 			delete(m.byNum, n.num)
 		}
 		if was == choice.Down {
-			return Member{}, false
+			return Change{}, false
 		}
 	}
 	c := m.member(n)
@@ -906,8 +906,8 @@
 	return c, true
 }
 
-func (m *Membership) member(n *node) Member {
-	c := Member{Addr: n.addr, Name: n.name}
+func (m *Set) member(n *node) Change {
+	c := Change{Addr: n.addr, Name: n.name}
 	if n.list != nil {
 		c.Member = n.list.Member
 		c.Started = max(c.Started, n.started)
@@ -919,7 +919,7 @@
 }
 
 // Saved reports whether nobody has spoken since the start.
-func (m *Membership) Saved() bool {
+func (m *Set) OnlySavedList() bool {
 	for _, s := range m.sources {
 		if s.answered {
 			return false
@@ -929,7 +929,7 @@
 }
 
 // Trusted reports whether a source has been heard within Keep.
-func (m *Membership) Trusted(now time.Duration) bool {
+func (m *Set) Trusted(now time.Duration) bool {
 	silent := m.broken
 	if m.opt.NoList {
 		silent = 0
@@ -937,13 +937,13 @@
 	for _, s := range m.sources {
 		silent = max(silent, s.stale)
 	}
-	return silent == never || now < silent+m.opt.Keep
+	return silent == never || now < silent+m.opt.TrustFor
 }
 
 // Stats tells the totals.
-func (m *Membership) Stats() Stats {
+func (m *Set) Stats() Stats {
 	s := m.stats
-	s.Nodes, s.Tombs, s.Tiers = len(m.byNum), len(m.tombs), len(m.tiers)
+	s.Nodes, s.Tombstones, s.Tiers = len(m.byNum), len(m.tombs), len(m.tiers)
 	for _, n := range m.byNum {
 		if n.out == choice.Up {
 			s.Offered++
--- a/internal/serverset/serverset_test.go
+++ b/internal/serverset/serverset_test.go
@@ -12,24 +12,24 @@
 	"asterwell/choice"
 )
 
-var options = Options{RemovedHold: time.Minute, DrainFor: 10 * time.Second, Keep: 5 * time.Minute, JoinBelow: 0.7,
-	LeaveAbove: 0.9, LeaveHold: 10 * time.Second, DeadAfter: 3}
+var options = Options{RemovedHold: time.Minute, DrainFor: 10 * time.Second, TrustFor: 5 * time.Minute, TierJoinBelow: 0.7,
+	TierLeaveAbove: 0.9, TierLeaveHold: 10 * time.Second, DeadAfterFailures: 3}
 
 // world is a membership and the core's view of it.
 type world struct {
-	*Membership
+	*Set
 	now  time.Duration
-	core map[uint32]Member
+	core map[uint32]Change
 }
 
 func newWorld(opt Options) *world {
-	return &world{Membership: New(opt), now: 1000 * time.Second, core: map[uint32]Member{}}
+	return &world{Set: New(opt), now: 1000 * time.Second, core: map[uint32]Change{}}
 }
 
 // pass lets time go on, and brings the core up to date.
 func (w *world) pass(d time.Duration) {
 	for end := w.now + d; ; {
-		at, ok := w.Next()
+		at, ok := w.NextTick()
 		if !ok || at > end {
 			w.now = end
 			break
@@ -42,7 +42,7 @@
 }
 
 func (w *world) take() {
-	for _, c := range w.Take(w.now) {
+	for _, c := range w.TakeChanges(w.now) {
 		if c.State == choice.Down {
 			delete(w.core, c.ID)
 		} else {
@@ -93,12 +93,12 @@
 		for _, a := range args {
 			list = append(list, said(a))
 		}
-		w.Answer(w.now, name, list, verb == "none")
+		w.ApplySRV(w.now, name, list, verb == "none")
 	case "list", "news", "saved": // id=addr, with ~ for draining, - for removed
-		var nodes []Listed
+		var nodes []ListEntry
 		for _, a := range args {
 			id, addr, _ := strings.Cut(a, "=")
-			l := Listed{Name: id, Addr: strings.TrimRight(addr, "~-"), Member: choice.Member{Weight: 1, Zone: "z"}}
+			l := ListEntry{Name: id, Addr: strings.TrimRight(addr, "~-"), Member: choice.Member{Weight: 1, Zone: "z"}}
 			if strings.HasSuffix(a, "~") {
 				l.State = choice.Draining
 			} else if strings.HasSuffix(a, "-") {
@@ -106,7 +106,7 @@
 			}
 			nodes = append(nodes, l)
 		}
-		w.List(w.now, nodes, verb != "news", verb == "saved")
+		w.ApplyList(w.now, nodes, verb != "news", verb == "saved")
 	case "fail", "refuse", "ok": // address, times
 		n := 1
 		if len(args) > 1 {
@@ -115,21 +115,21 @@
 		for range n {
 			for _, c := range w.core {
 				if c.Addr == args[0] {
-					w.Outcome(w.now, c.ID, verb == "ok", verb == "refuse")
+					w.RecordOutcome(w.now, c.ID, verb == "ok", verb == "refuse")
 				}
 			}
 			w.take()
 		}
 	case "stale":
-		w.Stale(w.now, "a.")
+		w.SourceStale(w.now, "a.")
 	case "lost":
-		w.Lost(w.now, "a.")
+		w.SourceLost(w.now, "a.")
 	case "drop":
-		w.Drop(w.now, "a.")
+		w.DropSource(w.now, "a.")
 	case "broken":
-		w.ListBroken(w.now)
+		w.ListUnreachable(w.now)
 	case "heard":
-		w.ListHeard(w.now)
+		w.ListReachable(w.now)
 	case "wait":
 		d, err := time.ParseDuration(args[0])
 		if err != nil {
@@ -224,8 +224,8 @@
 	}
 }
 
-func byAddr(w *world) map[string]Member {
-	m := map[string]Member{}
+func byAddr(w *world) map[string]Change {
+	m := map[string]Change{}
 	for _, c := range w.core {
 		m[c.Addr] = c
 	}
@@ -275,9 +275,9 @@
 		"one after the other":  {options, "list s=1;srv a=1;broken;wait 6m;stale;wait 4m", true},
 		"and heard again":      {options, "list s=1;srv a=1;broken;stale;wait 6m;heard", true},
 		"and answered again":   {options, "list s=1;srv a=1;broken;stale;wait 6m;srv a=1", true},
-		"no list, SRV stale":   {Options{NoList: true, Keep: time.Minute}, "srv a=1;stale;wait 2m", false},
-		"no list, nothing yet": {Options{NoList: true, Keep: time.Minute}, "wait 1s", false},
-		"no list, SRV fresh":   {Options{NoList: true, Keep: time.Minute}, "srv a=1;wait 1h", true},
+		"no list, SRV stale":   {Options{NoList: true, TrustFor: time.Minute}, "srv a=1;stale;wait 2m", false},
+		"no list, nothing yet": {Options{NoList: true, TrustFor: time.Minute}, "wait 1s", false},
+		"no list, SRV fresh":   {Options{NoList: true, TrustFor: time.Minute}, "srv a=1;wait 1h", true},
 	} {
 		w := newWorld(c.opt)
 		for _, l := range strings.Split(c.script, ";") {
@@ -291,7 +291,7 @@
 
 func TestKeepListed(t *testing.T) {
 	opt := options
-	opt.KeepListed = true
+	opt.ListOverridesSRV = true
 	w := newWorld(opt)
 	for _, l := range []string{"list s=1", "srv a=1 b=2", "srv b=2"} {
 		w.step(l)
@@ -309,7 +309,7 @@
 // DNS, where the list decides; while the list is silent DNS is better than nothing.
 func TestOnlySilent(t *testing.T) {
 	opt := options
-	opt.OnlySilent = true
+	opt.SRVOnlyWhileListSilent = true
 	w := newWorld(opt)
 	for _, c := range [][2]string{{"srv a=1 b=2", "1 2"}, {"list s=1", "1 2~"}, {"wait 11s", "1"}, {"srv a=1 b=2 c=3", "1"},
 		{"broken", "1 2 3!"}, {"heard", "1 2~ 3~"}, {"news t=2", "1 2 3~"}, {"wait 11s", "1 2"}} {
@@ -323,9 +323,9 @@
 func TestSaved(t *testing.T) {
 	w := newWorld(options)
 	w.step("saved s=1")
-	before := w.Saved()
+	before := w.OnlySavedList()
 	w.step("srv a=1")
-	if !before || w.Saved() {
-		t.Error(before, w.Saved())
+	if !before || w.OnlySavedList() {
+		t.Error(before, w.OnlySavedList())
 	}
 }
