--- a/internal/memberlist/index.go
+++ b/internal/memberlist/index.go
@@ -6,25 +6,25 @@
 	"slices"
 )
 
-// Anti-entropy: tables that differ are compared by digests of their parts, and of the parts that
-// differ by the versions in them. A part has some sixteen entries.
+// Anti-entropy: two tables that differ are first compared by the digests of their parts, and then,
+// for the parts that differ, by the versions of their entries.
 const (
-	mostParts = 64 // a power of two
-	partOf    = 16
+	maxParts       = 64 // a power of two
+	entriesPerPart = 16
 )
 
-// part is where an entry belongs, of n parts.
-func part(e *entry, n int) int { return int(e.spot>>32) & (n - 1) }
+// partOf returns which of n parts an entry belongs to; n is a power of two.
+func partOf(e *entry, n int) int { return int(e.ringPosition>>32) & (n - 1) }
 
-// split is into how many parts our table goes.
-func (m *Machine) split() int {
-	return min(mostParts, 1<<bits.Len(uint(len(m.all)/partOf)))
+// partCount returns the number of parts that the table is divided into.
+func (m *Machine) partCount() int {
+	return min(maxParts, 1<<bits.Len(uint(len(m.sorted)/entriesPerPart)))
 }
 
-// sums are the digests of n parts.
-func (m *Machine) sums(n int) []byte {
+// partDigests returns the digests of n parts, four bytes each.
+func (m *Machine) partDigests(n int) []byte {
 	sums := make([]uint32, n)
-	for i, s := range m.parts {
+	for i, s := range m.partSums {
 		sums[i&(n-1)] ^= s
 	}
 	var b []byte
@@ -34,83 +34,87 @@
 	return b
 }
 
-// differ answers digests with what is in the parts that differ.
-func (m *Machine) differ(from string, x Index) {
+// answerPartDigests answers part digests with an index of the parts that differ, or that hold an
+// entry which only this process regards as gone.
+func (m *Machine) answerPartDigests(from string, x Index) {
 	n := len(x.PartDigests) / 4
-	if n > mostParts || n&(n-1) != 0 || n == 0 {
+	if n > maxParts || n&(n-1) != 0 || n == 0 {
 		return
 	}
-	ours, only := m.sums(n), make([]byte, (n+7)/8)
+	ours, only := m.partDigests(n), make([]byte, (n+7)/8)
 	for i := range n {
 		if !slices.Equal(ours[4*i:4*i+4], x.PartDigests[4*i:4*i+4]) {
 			only[i/8] |= 1 << (i % 8)
 		}
 	}
-	for k := 0; m.lost > 0 && k < len(m.all); k++ {
-		e := m.all[k]
-		if i := part(e, n); e.lost {
+	for k := 0; m.lostCount > 0 && k < len(m.sorted); k++ {
+		e := m.sorted[k]
+		if i := partOf(e, n); e.lostHere {
 			only[i/8] |= 1 << (i % 8)
 		}
 	}
 	if slices.Max(only) > 0 {
-		m.send(from, Index{Rows: m.index(func(e *entry) bool { return within(only, n, e) }), Parts: append(only, byte(bits.Len(uint(n)))), Encoding: formPacked})
+		m.send(from, Index{Rows: m.encodeIndex(func(e *entry) bool { return inParts(only, n, e) }), Parts: append(only, byte(bits.Len(uint(n)))), Encoding: encodingPacked})
 	}
 }
 
-func within(only []byte, n int, e *entry) bool {
-	i := part(e, n)
+// inParts reports whether an entry belongs to one of the parts in the bit set.
+func inParts(only []byte, n int, e *entry) bool {
+	i := partOf(e, n)
 	return only[i/8]&(1<<(i%8)) != 0
 }
 
-func (e *entry) short() uint32 { return uint32(e.spot) }
+// addrHash identifies the entry in an index.
+func (e *entry) addrHash() uint32 { return uint32(e.ringPosition) }
 
-// version of an entry in an index; 0 asks for whatever the other has.
-func (e *entry) version() uint32 {
-	if e.lost {
+// indexVersion is the entry's version in an index; 0 asks for whatever version the other has.
+func (e *entry) indexVersion() uint32 {
+	if e.lostHere {
 		return 0
 	}
-	return uint32(e.mark) | 1
+	return uint32(e.digest) | 1
 }
 
-// index lists the entries that are asked for; nil: all.
-func (m *Machine) index(of func(*entry) bool) []byte {
-	b := make([]byte, 0, 8*len(m.all))
-	for _, e := range m.all {
+// encodeIndex encodes the entries that the filter selects; a nil filter selects all.
+func (m *Machine) encodeIndex(of func(*entry) bool) []byte {
+	b := make([]byte, 0, 8*len(m.sorted))
+	for _, e := range m.sorted {
 		if of == nil || of(e) {
-			b = binary.BigEndian.AppendUint32(b, e.short())
-			b = binary.BigEndian.AppendUint32(b, e.version())
+			b = binary.BigEndian.AppendUint32(b, e.addrHash())
+			b = binary.BigEndian.AppendUint32(b, e.indexVersion())
 		}
 	}
 	return b
 }
 
-// answer gives what an index lacks or has otherwise, and asks for the same.
-func (m *Machine) answer(from string, x Index) {
+// answerIndex sends the entries that an index lacks or has in another version, and asks for those
+// that the other process has in another version.
+func (m *Machine) answerIndex(from string, x Index) {
 	theirs := map[uint32]uint32{}
 	for rows := x.Rows; len(rows) >= 8; rows = rows[8:] {
 		theirs[binary.BigEndian.Uint32(rows)] = binary.BigEndian.Uint32(rows[4:])
 	}
 	all, n := len(x.Parts) < 2, 0
 	if !all {
-		n = 1 << (x.Parts[len(x.Parts)-1] - 1) & (2*mostParts - 1)
+		n = 1 << (x.Parts[len(x.Parts)-1] - 1) & (2*maxParts - 1)
 		if n == 0 || (n+7)/8 != len(x.Parts)-1 {
 			return
 		}
 	}
-	most := m.may()
+	most := m.entryAllowance()
 	var nodes []Node
 	var want []uint32
-	for _, e := range m.all {
-		if !all && !within(x.Parts, n, e) {
+	for _, e := range m.sorted {
+		if !all && !inParts(x.Parts, n, e) {
 			continue
 		}
-		key := e.short()
+		key := e.addrHash()
 		v, has := theirs[key]
 		delete(theirs, key)
-		if has && v == e.version() {
+		if has && v == e.indexVersion() {
 			continue
 		}
-		if !e.lost && (has || e.node.State != Gone) && len(nodes) < most {
+		if !e.lostHere && (has || e.node.State != Gone) && len(nodes) < most {
 			nodes = append(nodes, e.node)
 		}
 		if has && v != 0 {
@@ -123,25 +127,26 @@
 		}
 	}
 	slices.Sort(want)
-	m.given -= float64(len(nodes))
+	m.entryBudget -= float64(len(nodes))
 	if len(nodes)+len(want) > 0 {
-		m.send(from, m.diff(nodes, want, x.Encoding))
+		m.send(from, m.newDiff(nodes, want, x.Encoding))
 	}
 }
 
-// may is how many entries one message may have: many that come at once, and turn to the same few
-// seeds, are given a part, and get the rest of those that they meet by it.
-func (m *Machine) may() int { return max(leastGiven, int(m.given)) }
+// entryAllowance returns how many entries one message may carry. When many processes start at once
+// and turn to the same few seeds, each gets part of the table and fetches the rest from the
+// processes that it learns of.
+func (m *Machine) entryAllowance() int { return max(minEntriesPerMessage, int(m.entryBudget)) }
 
-// diff is an exchange's message for one that reads a form. What a life never changes goes along:
-// nobody knows what the other has met.
-func (m *Machine) diff(nodes []Node, want []uint32, form uint8) Diff {
-	if form < formPacked {
+// newDiff builds a Diff in an encoding that the receiver reads. Packed nodes keep the fields that
+// are constant within an incarnation, since it is not known what the receiver has.
+func (m *Machine) newDiff(nodes []Node, want []uint32, form uint8) Diff {
+	if form < encodingPacked {
 		return Diff{Nodes: nodes, Want: want}
 	}
-	all := make([]packed, len(nodes))
+	all := make([]packedNode, len(nodes))
 	for i, n := range nodes {
-		all[i] = packed{n, n.State == Gone}
+		all[i] = packedNode{n, n.State == Gone}
 	}
-	return Diff{Packed: pack(all), Want: want, Encoding: formPacked}
+	return Diff{Packed: pack(all), Want: want, Encoding: encodingPacked}
 }
--- a/internal/memberlist/links/links.go
+++ b/internal/memberlist/links/links.go
@@ -1,5 +1,5 @@
-// Package links is a net of processes on simulated time, for tests: messages are
-// encoded as on the wire, take their time, and are lost or held as a test wants.
+// Package links simulates the network between processes on simulated time, for tests. Messages are
+// encoded as on the wire, and can be delayed, lost or blocked.
 package links
 
 import (
@@ -14,34 +14,34 @@
 	"asterwell/internal/fsm"
 )
 
-// Actor is a process.
+// Actor is a process on the network.
 type Actor interface {
 	Tick(now fsm.Time) []fsm.Send
 	Receive(now fsm.Time, from string, msg any) []fsm.Send
 }
 
 const (
-	pace  = 50 * time.Millisecond
-	frame = 24 // bytes around each message
+	tickInterval  = 50 * time.Millisecond
+	frameOverhead = 24 // bytes added to each message
 )
 
 type event struct {
-	at       fsm.Time
-	from, to string
-	msg      any // nil: a tick
-	size     int
-	life     int
-	no       int
+	at          fsm.Time
+	from, to    string
+	msg         any // nil for a tick
+	size        int
+	incarnation int
+	order       int
 }
 
 type host struct {
-	actor  Actor
-	life   int
-	frozen bool
-	held   []event
+	actor       Actor
+	incarnation int
+	paused      bool
+	queued      []event
 }
 
-// Net is all links.
+// Network connects the processes.
 type Network struct {
 	Now            fsm.Time
 	Delay          time.Duration
@@ -49,55 +49,55 @@
 	Loss           float64
 	Blocked        func(from, to string) bool
 	OnError        func(err error)
-	BytesSent      map[string]int                      // sent, by process
-	ExtraDelay     func(from, to string) time.Duration // beyond Delay; nil: none
-	ProcessingTime func(bytes int) time.Duration       // of a message, 0 bytes for a tick, on a machine that all share; nil: none
-	BytesReceived  map[string]int                      // bytes that came, by process
-
-	rand   *rand.Rand
-	hosts  map[string]*host
-	queue  queue
-	no     int
-	kinds  map[string]int
-	length map[string]int
+	BytesSent      map[string]int                      // by process
+	ExtraDelay     func(from, to string) time.Duration // added to Delay; nil: none
+	ProcessingTime func(bytes int) time.Duration       // of a message, or of a tick with 0 bytes, on a machine shared by all processes; nil: none
+	BytesReceived  map[string]int                      // by process
+
+	rand          *rand.Rand
+	hosts         map[string]*host
+	queue         queue
+	nextOrder     int
+	messageCounts map[string]int
+	messageBytes  map[string]int
 }
 
-// New is a net without processes.
+// New returns a network without processes.
 func New(seed uint64, fail func(error)) *Network {
 	return &Network{Delay: time.Millisecond, Jitter: time.Millisecond, OnError: fail, BytesSent: map[string]int{}, BytesReceived: map[string]int{},
 		Blocked: func(string, string) bool { return false },
-		rand:    rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*host{}, kinds: map[string]int{},
-		length: map[string]int{}}
+		rand:    rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*host{}, messageCounts: map[string]int{},
+		messageBytes: map[string]int{}}
 }
 
 // Start runs a process, in place of an earlier one at the address.
 func (n *Network) Start(addr string, a Actor) {
 	life := 1
 	if h := n.hosts[addr]; h != nil {
-		life = h.life + 1
+		life = h.incarnation + 1
 	}
-	n.hosts[addr] = &host{actor: a, life: life}
-	n.add(event{at: n.Now + time.Duration(n.rand.Int64N(int64(pace))), to: addr, life: life})
+	n.hosts[addr] = &host{actor: a, incarnation: life}
+	n.add(event{at: n.Now + time.Duration(n.rand.Int64N(int64(tickInterval))), to: addr, incarnation: life})
 }
 
 // Kill ends a process.
 func (n *Network) Kill(addr string) { n.hosts[addr].actor = nil }
 
-// Freeze stops a process; what comes for it waits.
-func (n *Network) Pause(addr string) { n.hosts[addr].frozen = true }
+// Pause stops a process; messages to it are queued.
+func (n *Network) Pause(addr string) { n.hosts[addr].paused = true }
 
-// Thaw lets it go on.
+// Resume lets a paused process go on.
 func (n *Network) Resume(addr string) {
 	h := n.hosts[addr]
-	h.frozen = false
-	for _, e := range h.held {
+	h.paused = false
+	for _, e := range h.queued {
 		e.at = n.Now
 		n.add(e)
 	}
-	h.held = nil
+	h.queued = nil
 }
 
-// Post sends what an actor returned.
+// Send transmits the messages that an actor returned.
 func (n *Network) Send(from string, sends []fsm.Send) {
 	for _, s := range sends {
 		b, err := cbor.Marshal(s.Msg)
@@ -110,9 +110,9 @@
 			n.OnError(err)
 			return
 		}
-		n.BytesSent[from] += len(b) + frame
-		n.kinds[reflect.TypeOf(s.Msg).String()]++
-		n.length[reflect.TypeOf(s.Msg).String()] += len(b) + frame
+		n.BytesSent[from] += len(b) + frameOverhead
+		n.messageCounts[reflect.TypeOf(s.Msg).String()]++
+		n.messageBytes[reflect.TypeOf(s.Msg).String()] += len(b) + frameOverhead
 		if n.Blocked(from, s.To) || n.rand.Float64() < n.Loss {
 			continue
 		}
@@ -120,18 +120,19 @@
 		if n.ExtraDelay != nil {
 			at += n.ExtraDelay(from, s.To)
 		}
-		n.add(event{at: at, from: from, to: s.To, msg: copied.Elem().Interface(), size: len(b) + frame})
+		n.add(event{at: at, from: from, to: s.To, msg: copied.Elem().Interface(), size: len(b) + frameOverhead})
 	}
 }
 
-// Kinds is how many messages and bytes of each type were sent; it starts anew.
+// TakeMessageCounts returns how many messages and bytes of each type were sent since the last
+// call.
 func (n *Network) TakeMessageCounts() (count, length map[string]int) {
-	count, length = n.kinds, n.length
-	n.kinds, n.length = map[string]int{}, map[string]int{}
+	count, length = n.messageCounts, n.messageBytes
+	n.messageCounts, n.messageBytes = map[string]int{}, map[string]int{}
 	return count, length
 }
 
-// Run lets time pass.
+// Run advances the time.
 func (n *Network) Run(d time.Duration) {
 	end := n.Now + d
 	for len(n.queue) > 0 && n.queue[0].at <= end {
@@ -148,12 +149,12 @@
 		n.Now += n.ProcessingTime(e.size)
 	}
 	switch {
-	case h == nil || h.actor == nil || e.msg == nil && e.life != h.life:
-	case h.frozen:
-		h.held = append(h.held, e)
+	case h == nil || h.actor == nil || e.msg == nil && e.incarnation != h.incarnation:
+	case h.paused:
+		h.queued = append(h.queued, e)
 	case e.msg == nil:
 		n.Send(e.to, h.actor.Tick(n.Now))
-		n.add(event{at: n.Now + pace, to: e.to, life: h.life})
+		n.add(event{at: n.Now + tickInterval, to: e.to, incarnation: h.incarnation})
 	default:
 		n.BytesReceived[e.to] += e.size
 		n.Send(e.to, h.actor.Receive(n.Now, e.from, e.msg))
@@ -161,12 +162,12 @@
 }
 
 func (n *Network) add(e event) {
-	n.no++
-	e.no = n.no
+	n.nextOrder++
+	e.order = n.nextOrder
 	heap.Push(&n.queue, e)
 }
 
-// queue is ordered by time, and by when it was added.
+// queue is a heap ordered by time, then by insertion.
 type queue []event
 
 func (q queue) Len() int      { return len(q) }
@@ -174,7 +175,7 @@
 func (q *queue) Push(e any)   { *q = append(*q, e.(event)) }
 
 func (q queue) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].no, q[j].no)) < 0
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].order, q[j].order)) < 0
 }
 
 func (q *queue) Pop() any {
--- a/internal/memberlist/machine.go
+++ b/internal/memberlist/machine.go
@@ -13,269 +13,276 @@
 )
 
 const (
-	beatEvery  = 400 * time.Millisecond
-	askAfter   = 800 * time.Millisecond // a silent node is asked, straight and through others
-	askAgain   = 200 * time.Millisecond
-	relays     = 4
-	goneAfter  = 1300 * time.Millisecond // and then held for gone
-	ownGap     = 400 * time.Millisecond  // between our ticks: it was we who stood still
-	helloAlone = 300 * time.Millisecond
-	helloLost  = 500 * time.Millisecond
-	forget     = 30 * time.Second
-	wipeEvery  = time.Second
-	doubtFor   = 500 * time.Millisecond
-	swapEvery  = 100 * time.Millisecond
-	mostKnown  = 256
-	mostTries  = 16
-	mostSwift  = 8                      // rumours passed on at once between two rounds; the rest go together
-	others     = 2                      // random ones beside the watchers that a rumour goes to
-	drawEvery  = 10 * time.Millisecond  // and how long they stay the same, for each process known
-	heldFor    = time.Second            // a version held so long is told to all,
-	heldLate   = 5 * time.Second        // and one where nothing was told for so long
-	tick       = 50 * time.Millisecond  // at which Tick is called
-	lateAfter  = 100 * time.Millisecond // a tick that comes so late stops the detector's clock
-	mostGiven  = 2048                   // entries given to others at once, and a quarter as many a second;
-	leastGiven = 24                     // so many always, from which the way to others is found
-	enough     = 3                      // who told us the same; then the others know it too
+	heartbeatInterval    = 400 * time.Millisecond
+	pingAfter            = 800 * time.Millisecond // a silent node is pinged, directly and through others
+	pingInterval         = 200 * time.Millisecond
+	relayCount           = 4
+	goneAfter            = 1300 * time.Millisecond // a node silent for so long is gone
+	maxTickGap           = 400 * time.Millisecond  // a longer gap between ticks means that this process itself was stopped
+	helloIntervalAlone   = 300 * time.Millisecond
+	helloIntervalAbsent  = 500 * time.Millisecond
+	forgetAfter          = 30 * time.Second
+	expireInterval       = time.Second
+	suspicionTimeout     = 500 * time.Millisecond
+	minSyncInterval      = 100 * time.Millisecond
+	maxKnownAddrs        = 256
+	maxHelloTargets      = 16
+	maxImmediateGossips  = 8                      // gossip messages sent at once between two rounds; further entries wait for the round
+	extraGossipTargets   = 2                      // random nodes that get gossip in addition to the watchers
+	targetRedrawPerNode  = 10 * time.Millisecond  // how long those stay the same, for each known process
+	versionSettleTime    = time.Second            // a version held for so long is gossiped,
+	versionMaxDelay      = 5 * time.Second        // and also one when nothing was gossiped about this node for so long
+	tickInterval         = 50 * time.Millisecond  // interval of the calls of Tick
+	lateTickThreshold    = 100 * time.Millisecond // a tick later than this pauses the clock of the failure detector
+	maxEntryBudget       = 2048                   // entries sent in exchanges at once; a quarter of it is refilled each second
+	minEntriesPerMessage = 24                     // sent even without budget, so that the receiver learns of nodes to ask
+	sourcesToSkip        = 3                      // an entry heard from so many nodes is not forwarded: the others know it as well
 )
 
-// What follows the size of the fleet, for each process known. At a hundred little of it is felt.
+// Durations that grow with the fleet, for each known process. With a hundred processes they are short.
 const (
-	roundFor   = 350 * time.Microsecond // between two rounds of news, less the pace of ticks
-	settleFor  = 500 * time.Microsecond // news is under way: tables that differ are left alone
-	pauseFor   = 5 * time.Millisecond   // the longest between two exchanges of tables
-	heldForOne = 10 * time.Millisecond  // held so long
-	newWatch   = time.Millisecond       // more time for the first sign of one newly watched, beyond
-	fewer      = 100                    // so many, with which also less news goes at once
+	gossipIntervalPerNode    = 350 * time.Microsecond // between two gossip rounds, less a tick interval
+	settleTimePerNode        = 500 * time.Microsecond // gossip is under way for so long: tables that differ are not exchanged
+	maxSyncPausePerNode      = 5 * time.Millisecond   // longest pause between two table exchanges
+	versionSettlePerNode     = 10 * time.Millisecond  // see versionSettleTime
+	newlyWatchedGracePerNode = time.Millisecond       // extra time for the first heartbeat of a newly watched node, above referenceFleetSize
+	referenceFleetSize       = 100                    // in larger fleets each node also sends less at once
 )
 
-// entry is a node with what is known of it here alone.
+// entry is a node with what this process alone knows of it.
 type entry struct {
-	node  Node
-	lost  bool          // held for gone because we ourselves are cut off: not told to anyone
-	heard fsm.Time      // of a watched one: the last sign, or the start of the wait
-	stood time.Duration // Machine.stood then
-	asked int           // times since then
-	via   string        // who last reached it when we couldn't
-	ended fsm.Time      // since when it is gone
-	held  uint32        // the newest version that it has said it holds, in this life
-	mark  uint64        // of node
-	spot  uint64        // its place on the ring
-	since fsm.Time      // since when it is in its state, for people
+	node          Node
+	lostHere      bool          // regarded as gone only because this process is cut off: not told to others
+	lastHeard     fsm.Time      // of a watched node: its last message, or when the wait for it began
+	pausedAtHeard time.Duration // Machine.clockPaused at that time
+	pings         int           // sent since lastHeard
+	relay         string        // last process that reached it when this one could not
+	goneSince     fsm.Time
+	heldVersion   uint32 // newest configuration version that it has reported in this incarnation
+	digest        uint64 // of node
+	ringPosition  uint64
+	stateSince    fsm.Time // for operators
 }
 
-func (e *entry) live() bool { return e.node.State != Gone && !e.lost }
+func (e *entry) live() bool { return e.node.State != Gone && !e.lostHere }
 
-type doubt struct {
-	node Node
-	till fsm.Time
+// suspicion is a report from an exchange that a node is gone, which the node may still refute.
+type suspicion struct {
+	node     Node
+	deadline fsm.Time
 }
 
-// Machine is one process's part.
+// Machine is the state machine of one process's membership.
 type Machine struct {
-	self  Node
-	rand  *rand.Rand
-	seeds []string
-	known map[string]bool // addresses from disk, and of forgotten nodes
-	nodes map[string]*entry
-	all   []*entry          // the same by address,
-	round []*entry          // and by their places on the ring
-	parts [mostParts]uint32 // sum, by parts
-	sum   uint64            // the marks of those not gone
-	lost  int               // how many are held for gone here alone
-	me    *entry            // self's
-	doubt map[string]doubt
-
-	ring    []string // live ones by their hash, self among them
-	stale   bool
-	watched []string // by the ring
-	after   []string // our watchers
-
-	drew  []string // others that news goes to,
-	drawn fsm.Time // since then
-
-	born    fsm.Time
-	now     fsm.Time
-	ticked  fsm.Time
-	heard   fsm.Time      // last message of anyone
-	stood   time.Duration // how long the detector's clock has stood still because we were late
-	stoodAt time.Duration // the same at heard
-	beat    fsm.Time      // next ones
-	hello   fsm.Time
-	try     fsm.Time
-	swapped fsm.Time
-	pause   time.Duration // from then to the next exchange
-	altered fsm.Time      // when the table last changed
-	given   float64       // entries that may be given now
-	wipe    fsm.Time
-	told    map[string]fsm.Time // when it was last told that it is held for gone
-	swift   int
-	late    map[string]*news // by address, what waits to be told
-	rumour  fsm.Time         // when news was last told together
-	heldAt  fsm.Time         // since when our version is held
-	saidAt  fsm.Time         // when all were last told of our entry
-	out     Out
-}
-
-// New starts with nothing but seeds. A start's Life should be higher than those before
-// it; where it isn't, the others' memory of the old one mends that.
+	self       Node
+	rand       *rand.Rand
+	seeds      []string
+	knownAddrs map[string]bool // from disk, and of forgotten nodes
+	nodes      map[string]*entry
+	sorted     []*entry         // the values of nodes by address
+	byPosition []*entry         // and by ring position
+	partSums   [maxParts]uint32 // liveHash by parts
+	liveHash   uint64           // XOR of the digests of the nodes that are not gone
+	lostCount  int              // number of entries with lostHere
+	selfEntry  *entry
+	suspicions map[string]suspicion
+
+	ring         []string // addresses of live nodes by ring position, with self
+	ringStale    bool
+	watched      []string // nodes that this process watches
+	selfWatchers []string // nodes that watch this process
+
+	gossipTargets  []string // extra targets of gossip
+	targetsDrawnAt fsm.Time
+
+	startedAt        fsm.Time
+	now              fsm.Time
+	lastTick         fsm.Time
+	lastHeard        fsm.Time      // last message from any node
+	clockPaused      time.Duration // how long the failure detector's clock has been paused by late ticks
+	pausedAtHeard    time.Duration // clockPaused at lastHeard
+	nextHeartbeat    fsm.Time
+	nextHello        fsm.Time
+	nextRetry        fsm.Time
+	lastSync         fsm.Time
+	syncPause        time.Duration // from lastSync to the next exchange
+	tableChangedAt   fsm.Time
+	entryBudget      float64 // entries that may be sent in exchanges now
+	nextExpiry       fsm.Time
+	suspectSentAt    map[string]fsm.Time // when a node was last sent a Suspect
+	immediateGossips int
+	pending          map[string]*pendingUpdate // entries to be gossiped, by address
+	lastGossip       fsm.Time                  // last gossip round
+	versionSetAt     fsm.Time                  // when this process's configuration version changed
+	selfAnnouncedAt  fsm.Time                  // when the entry of this process was last gossiped
+	out              Out
+}
+
+// New returns a machine that knows only the seeds. The incarnation should be higher than that of
+// earlier starts; where it isn't, it is raised once others report the old one.
 func New(self Node, seeds []string, seed uint64, now fsm.Time) *Machine {
-	self.State, self.Seq, self.Encoding = Up, max(self.Seq, 1), formPacked
+	self.State, self.Seq, self.Encoding = Up, max(self.Seq, 1), encodingPacked
 	m := &Machine{
 		self: self, rand: rand.New(rand.NewPCG(seed, 0xb0d)),
-		known: map[string]bool{}, nodes: map[string]*entry{}, doubt: map[string]doubt{},
-		told: map[string]fsm.Time{}, late: map[string]*news{},
-		born: now, now: now, ticked: now, heard: now, swapped: now - swapEvery, pause: swapEvery, stale: true, swift: mostSwift, given: mostGiven,
+		knownAddrs: map[string]bool{}, nodes: map[string]*entry{}, suspicions: map[string]suspicion{},
+		suspectSentAt: map[string]fsm.Time{}, pending: map[string]*pendingUpdate{},
+		startedAt: now, now: now, lastTick: now, lastHeard: now, lastSync: now - minSyncInterval, syncPause: minSyncInterval, ringStale: true, immediateGossips: maxImmediateGossips, entryBudget: maxEntryBudget,
 	}
-	m.beat, m.hello, m.try = now, now, now
-	m.me = m.enter(self.Addr)
-	m.me.since = now
-	m.put(m.me, self)
+	m.nextHeartbeat, m.nextHello, m.nextRetry = now, now, now
+	m.selfEntry = m.addEntry(self.Addr)
+	m.selfEntry.stateSince = now
+	m.setNode(m.selfEntry, self)
 	m.SetSeeds(now, seeds)
 	return m
 }
 
-// Seeds replaces the seeds.
+// SetSeeds replaces the seeds.
 func (m *Machine) SetSeeds(now fsm.Time, seeds []string) {
 	m.seeds = slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == m.self.Addr || a == "" })
-	m.hello, m.try = now, now
+	m.nextHello, m.nextRetry = now, now
 }
 
-// Know adds addresses remembered from an earlier life.
+// AddKnownAddresses adds addresses that were stored before a restart.
 func (m *Machine) AddKnownAddresses(_ fsm.Time, addrs []string) {
 	for _, a := range addrs {
-		m.remember(a)
+		m.rememberAddr(a)
 	}
 }
 
-func (m *Machine) remember(addr string) {
-	if addr != m.self.Addr && addr != "" && len(m.known) < mostKnown {
-		m.known[addr] = true
+func (m *Machine) rememberAddr(addr string) {
+	if addr != m.self.Addr && addr != "" && len(m.knownAddrs) < maxKnownAddrs {
+		m.knownAddrs[addr] = true
 	}
 }
 
-// Leave says that this process will end; it goes on beating until then.
+// Leave announces that this process will end. It goes on sending heartbeats until then.
 func (m *Machine) Leave(now fsm.Time) Out {
 	m.now = now
 	if m.self.State == Up {
 		m.self.State = Leaving
-		m.renew()
-		m.tell()
+		m.announceChange()
+		m.sendGossip()
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
-// share is what one does of a work that the fleet shares, where one of a hundred does so much.
-func (m *Machine) share(of float64) float64 { return of * fewer / float64(max(fewer, len(m.ring))) }
+// fleetShare returns this process's share of an amount of work that the fleet divides; the whole
+// amount is what each process does in a fleet of referenceFleetSize.
+func (m *Machine) fleetShare(of float64) float64 {
+	return of * referenceFleetSize / float64(max(referenceFleetSize, len(m.ring)))
+}
 
-// each is a span that grows with the fleet, from a least one on.
-func (m *Machine) each(least, one time.Duration) time.Duration {
+// perNode returns a duration that grows with the fleet, and is at least the given one.
+func (m *Machine) perNode(least, one time.Duration) time.Duration {
 	return max(least, time.Duration(len(m.ring))*one)
 }
 
-// SetHeld notes the configuration's version held here. The watchers hear it with the
-// next tick's beat, so that one who lacks it has whom to ask; all others only need it
-// for people, and are told seldom: else each version costs each node a rumour of each.
+// SetConfigVersion sets the configuration version that this process holds. The watchers receive it
+// with a heartbeat at the next tick, so that a process without it finds one to ask. The others
+// need
+// it only for display and are told rarely: otherwise each version would cost each node a gossip
+// message about every other node.
 func (m *Machine) SetConfigVersion(v uint32) {
-	if m.me.held != v {
-		m.me.held, m.heldAt, m.beat = v, m.now, m.now
+	if m.selfEntry.heldVersion != v {
+		m.selfEntry.heldVersion, m.versionSetAt, m.nextHeartbeat = v, m.now, m.now
 	}
 }
 
-// lag tells all what is held here, once it has been for a while.
-func (m *Machine) lag() {
-	if m.me.held != m.self.ConfigVersion && (m.now-m.heldAt >= m.each(heldFor, heldForOne) || m.now-m.saidAt >= m.each(heldLate, 5*heldForOne)) {
-		m.say()
+// announceVersion gossips the held configuration version once it has been held for a while.
+func (m *Machine) announceVersion() {
+	if m.selfEntry.heldVersion != m.self.ConfigVersion && (m.now-m.versionSetAt >= m.perNode(versionSettleTime, versionSettlePerNode) || m.now-m.selfAnnouncedAt >= m.perNode(versionMaxDelay, 5*versionSettlePerNode)) {
+		m.announceSelf()
 	}
 }
 
-// SetReady notes whether this process calls itself ready.
+// SetReady sets whether this process reports itself ready.
 func (m *Machine) SetReady(ready bool) {
 	if m.self.Ready != ready {
 		m.self.Ready = ready
-		m.say()
+		m.announceSelf()
 	}
 }
 
-// renew is for when our entry is another.
-func (m *Machine) renew() {
-	m.say()
+// announceChange announces an entry of this process that differs in more than version or
+// readiness.
+func (m *Machine) announceChange() {
+	m.announceSelf()
 	m.out.Changed = true
-	m.stale = true
+	m.ringStale = true
 }
 
-// say gives our own entry its next version, and leaves it to be told.
-func (m *Machine) say() {
+// announceSelf gives the entry of this process its next sequence number and queues it for gossip.
+func (m *Machine) announceSelf() {
 	m.self.Seq++
-	me := m.me
-	m.self.ConfigVersion, m.saidAt = me.held, m.now
+	me := m.selfEntry
+	m.self.ConfigVersion, m.selfAnnouncedAt = me.heldVersion, m.now
 	if me.node.State != m.self.State {
-		me.since = m.now
+		me.stateSince = m.now
 	}
 	brief := me.node.Incarnation == m.self.Incarnation
-	m.put(me, m.self)
-	m.later(m.self.Addr, brief, "")
+	m.setNode(me, m.self)
+	m.queueUpdate(m.self.Addr, brief, "")
 }
 
-// enter makes an entry for an address that has none.
-func (m *Machine) enter(addr string) *entry {
-	e := &entry{node: Node{Addr: addr, State: Gone}, spot: xxhash.Sum64String(addr)}
-	i, _ := slices.BinarySearchFunc(m.all, addr, byAddr)
-	j, _ := slices.BinarySearchFunc(m.round, e, bySpot)
-	m.nodes[addr], m.all, m.round = e, slices.Insert(m.all, i, e), slices.Insert(m.round, j, e)
+// addEntry adds an entry for an address that has none.
+func (m *Machine) addEntry(addr string) *entry {
+	e := &entry{node: Node{Addr: addr, State: Gone}, ringPosition: xxhash.Sum64String(addr)}
+	i, _ := slices.BinarySearchFunc(m.sorted, addr, compareAddr)
+	j, _ := slices.BinarySearchFunc(m.byPosition, e, comparePosition)
+	m.nodes[addr], m.sorted, m.byPosition = e, slices.Insert(m.sorted, i, e), slices.Insert(m.byPosition, j, e)
 	return e
 }
 
-// put takes a word into an entry.
-func (m *Machine) put(e *entry, n Node) {
-	m.flip(e)
-	e.node, e.mark = n, n.mark()
-	m.flip(e)
-	m.altered = m.now
+// setNode replaces the node of an entry.
+func (m *Machine) setNode(e *entry, n Node) {
+	m.toggleDigest(e)
+	e.node, e.digest = n, n.digest()
+	m.toggleDigest(e)
+	m.tableChangedAt = m.now
 }
 
-// flip takes an entry into the sums, or out of them.
-func (m *Machine) flip(e *entry) {
+// toggleDigest adds an entry to the table's digests, or removes it.
+func (m *Machine) toggleDigest(e *entry) {
 	if e.node.State != Gone {
-		m.sum ^= e.mark
-		m.parts[part(e, mostParts)] ^= uint32(e.mark)
+		m.liveHash ^= e.digest
+		m.partSums[partOf(e, maxParts)] ^= uint32(e.digest)
 	}
 }
 
-// setLost notes whether an entry is held for gone here alone, which no digest shows.
+// setLost sets whether an entry is regarded as gone by this process alone, which no digest shows.
 func (m *Machine) setLost(e *entry, lost bool) {
-	if e.lost != lost {
-		if e.lost = lost; lost {
-			m.lost++
+	if e.lostHere != lost {
+		if e.lostHere = lost; lost {
+			m.lostCount++
 		} else {
-			m.lost--
+			m.lostCount--
 		}
 	}
 }
 
-// remove forgets an entry that is gone or lost.
-func (m *Machine) remove(e *entry) {
-	m.flip(e)
+// removeEntry removes an entry that is gone or lost.
+func (m *Machine) removeEntry(e *entry) {
+	m.toggleDigest(e)
 	m.setLost(e, false)
-	i, _ := slices.BinarySearchFunc(m.all, e.node.Addr, byAddr)
-	j, _ := slices.BinarySearchFunc(m.round, e, bySpot)
-	m.all, m.round = slices.Delete(m.all, i, i+1), slices.Delete(m.round, j, j+1)
+	i, _ := slices.BinarySearchFunc(m.sorted, e.node.Addr, compareAddr)
+	j, _ := slices.BinarySearchFunc(m.byPosition, e, comparePosition)
+	m.sorted, m.byPosition = slices.Delete(m.sorted, i, i+1), slices.Delete(m.byPosition, j, j+1)
 	delete(m.nodes, e.node.Addr)
 }
 
-func byAddr(e *entry, addr string) int { return strings.Compare(e.node.Addr, addr) }
+func compareAddr(e *entry, addr string) int { return strings.Compare(e.node.Addr, addr) }
 
-func bySpot(a, b *entry) int {
-	return cmp.Or(cmp.Compare(a.spot, b.spot), cmp.Compare(a.node.Addr, b.node.Addr))
+func comparePosition(a, b *entry) int {
+	return cmp.Or(cmp.Compare(a.ringPosition, b.ringPosition), cmp.Compare(a.node.Addr, b.node.Addr))
 }
 
-// View is every node, the gone ones too until they are forgotten, sorted by address.
+// View returns all nodes sorted by address, including those that are gone but not yet forgotten.
 func (m *Machine) View() []Node {
-	v := make([]Node, 0, len(m.all))
-	for _, e := range m.all {
+	v := make([]Node, 0, len(m.sorted))
+	for _, e := range m.sorted {
 		n := e.node
-		n.ConfigVersion = max(n.ConfigVersion, e.held)
-		if e.lost {
+		n.ConfigVersion = max(n.ConfigVersion, e.heldVersion)
+		if e.lostHere {
 			n.State = Gone
 		}
 		v = append(v, n)
@@ -283,11 +290,11 @@
 	return v
 }
 
-// Alone reports whether no more than one is up.
+// Alone reports whether at most one node is up.
 func (m *Machine) Alone() bool {
 	up := 0
-	for _, e := range m.all {
-		if !e.lost && e.node.State == Up {
+	for _, e := range m.sorted {
+		if !e.lostHere && e.node.State == Up {
 			if up++; up > 1 {
 				return false
 			}
@@ -296,13 +303,13 @@
 	return true
 }
 
-// Up is the nodes that are up and not leaving, sorted by address.
+// UpNodes returns the nodes that are up and not leaving, sorted by address.
 func (m *Machine) UpNodes() []Node {
 	return slices.DeleteFunc(m.View(), func(n Node) bool { return n.State != Up })
 }
 
-// take hands over what has gathered.
-func (m *Machine) take() Out {
+// takeOutput returns the collected output and clears it.
+func (m *Machine) takeOutput() Out {
 	o := m.out
 	m.out = Out{}
 	return o
@@ -314,61 +321,68 @@
 	}
 }
 
-// Tick beats, watches, tries those that may be there, and tells what waited.
+// Tick sends heartbeats, checks the watched nodes, contacts absent ones and sends queued gossip.
 func (m *Machine) Tick(now fsm.Time) Out {
 	m.now = now
-	if now-m.ticked > ownGap {
-		m.thaw()
+	if now-m.lastTick > maxTickGap {
+		m.resetTimeouts()
 	}
-	m.stood += max(0, now-m.ticked-lateAfter)
-	m.given = min(m.share(mostGiven), m.given+(now-m.ticked).Seconds()*m.share(mostGiven)/4)
-	m.ticked = now
-	m.settle()
-	m.watch()
-	m.resolve()
-	m.lag()
-	if now-m.rumour >= m.each(0, roundFor)-tick {
-		m.rumour = now
-		m.swift = min(mostSwift, m.swift+max(1, int(m.share(mostSwift))))
-		m.tell()
+	m.clockPaused += max(0, now-m.lastTick-lateTickThreshold)
+	m.entryBudget = min(m.fleetShare(maxEntryBudget), m.entryBudget+(now-m.lastTick).Seconds()*m.fleetShare(maxEntryBudget)/4)
+	m.lastTick = now
+	m.refreshRing()
+	m.checkWatched()
+	m.resolveSuspicions()
+	m.announceVersion()
+	if now-m.lastGossip >= m.perNode(0, gossipIntervalPerNode)-tickInterval {
+		m.lastGossip = now
+		m.immediateGossips = min(maxImmediateGossips, m.immediateGossips+max(1, int(m.fleetShare(maxImmediateGossips))))
+		m.sendGossip()
 	}
-	if now >= m.beat {
-		m.beat = now + beatEvery
+	if now >= m.nextHeartbeat {
+		m.nextHeartbeat = now + heartbeatInterval
 		for _, w := range m.watchers() {
-			m.send(w, m.sign())
+			m.send(w, m.heartbeat())
 		}
 	}
-	m.seek()
+	m.contactAbsent()
 	m.expire()
-	return m.take()
+	return m.takeOutput()
 }
 
-// thaw: the silence was ours, so every wait begins again.
-func (m *Machine) thaw() {
-	m.heard, m.stoodAt = m.now, m.stood
-	for _, e := range m.all {
-		m.hear(e, m.now)
+// resetTimeouts restarts all waits after this process itself was stopped.
+func (m *Machine) resetTimeouts() {
+	m.lastHeard, m.pausedAtHeard = m.now, m.clockPaused
+	for _, e := range m.sorted {
+		m.markHeard(e, m.now)
 	}
-	for a, d := range m.doubt {
-		d.till = m.now + doubtFor
-		m.doubt[a] = d
+	for a, d := range m.suspicions {
+		d.deadline = m.now + suspicionTimeout
+		m.suspicions[a] = d
 	}
-	m.beat, m.hello, m.try = m.now, m.now, m.now
+	m.nextHeartbeat, m.nextHello, m.nextRetry = m.now, m.now, m.now
 }
 
-// hear begins a node's wait anew.
-func (m *Machine) hear(e *entry, at fsm.Time) { e.heard, e.stood, e.asked = at, m.stood, 0 }
+// markHeard restarts the wait for a node.
+func (m *Machine) markHeard(e *entry, at fsm.Time) {
+	e.lastHeard, e.pausedAtHeard, e.pings = at, m.clockPaused, 0
+}
 
-// silent is for how long a node has said nothing, by the detector's clock: it stands still while we
-// are late, as what came meanwhile may wait to be read.
-func (m *Machine) silent(e *entry) time.Duration { return m.now - e.heard - (m.stood - e.stood) }
+// silenceOf returns how long a node has been silent by the failure detector's clock. That clock is
+// paused while this process is late, since messages that came meanwhile may be waiting to be read.
+func (m *Machine) silenceOf(e *entry) time.Duration {
+	return m.now - e.lastHeard - (m.clockPaused - e.pausedAtHeard)
+}
 
-// quiet is the same of all.
-func (m *Machine) quiet() time.Duration { return m.now - m.heard - (m.stood - m.stoodAt) }
+// overallSilence returns how long all nodes have been silent, by the same clock.
+func (m *Machine) overallSilence() time.Duration {
+	return m.now - m.lastHeard - (m.clockPaused - m.pausedAtHeard)
+}
 
-func (m *Machine) sign() Heartbeat {
-	return Heartbeat{m.self.Incarnation, m.self.Seq, m.hash(), m.me.held}
+func (m *Machine) heartbeat() Heartbeat {
+	return Heartbeat{m.self.Incarnation, m.self.Seq, m.hash(), m.selfEntry.heldVersion}
 }
 
-// hash covers all nodes not gone. What is lost to us alone counts as it was.
-func (m *Machine) hash() uint64 { return m.sum }
+// hash covers all nodes that are not gone. Nodes lost to this process alone count with their last
+// state.
+func (m *Machine) hash() uint64 { return m.liveHash }
--- a/internal/memberlist/machine_test.go
+++ b/internal/memberlist/machine_test.go
@@ -17,7 +17,7 @@
 }
 
 // amid is a machine that knows others, all of them just heard.
-func amid(others int) *Machine {
+func machineAmong(others int) *Machine {
 	m := New(node(0), nil, 1, 0)
 	for i := 1; i <= others; i++ {
 		m.Receive(0, node(i).Addr, Hello{Node: node(i)})
@@ -45,8 +45,8 @@
 }
 
 // A rumour is passed on by whom it is news to, and only then.
-func TestRumourOnce(t *testing.T) {
-	m := amid(20)
+func TestGossipOnce(t *testing.T) {
+	m := machineAmong(20)
 	n := node(5)
 	n.Seq, n.ConfigVersion = 2, 9
 	if o := m.Receive(ms, node(6).Addr, Gossip{Nodes: []Node{n}}); len(sent[Gossip](o)) < 3 || len(sent[Gossip](o)) > 5 {
@@ -58,9 +58,9 @@
 }
 
 // A "gone" out of a table may be old: the node is asked, and is gone if it is silent.
-func TestGoneInTableIsDoubted(t *testing.T) {
+func TestGoneInDiffIsVerified(t *testing.T) {
 	for _, lives := range []bool{true, false} {
-		m := amid(8)
+		m := machineAmong(8)
 		n := node(5)
 		n.State = Gone
 		o := m.Receive(ms, node(6).Addr, Diff{Nodes: []Node{n}})
@@ -82,7 +82,7 @@
 }
 
 // What others remember of an earlier life is outdone, whatever our clock says.
-func TestLife(t *testing.T) {
+func TestIncarnationConflict(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		msg  any
@@ -96,7 +96,7 @@
 		{"gone, in this life", Suspect{Incarnation: 1, Seq: 1}, 9000 * ms, 1, 2},
 		{"gone, long taken back", Suspect{Incarnation: 1, Seq: 0}, 9000 * ms, 1, 1},
 	} {
-		m := amid(3)
+		m := machineAmong(3)
 		m.Receive(c.at, node(1).Addr, c.msg)
 		if m.self.Incarnation != c.life || m.self.Seq != c.seq {
 			t.Errorf("%s: life %d, change %d", c.name, m.self.Incarnation, m.self.Seq)
@@ -105,7 +105,7 @@
 }
 
 // Words about a node give the same table in any order.
-func TestOrder(t *testing.T) {
+func TestMergeOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 3))
 	for range 300 {
 		var words []Node
@@ -139,7 +139,7 @@
 }
 
 // News reaches a hundred within a few hops, over links that lose some of it.
-func TestNewsInFewHops(t *testing.T) {
+func TestGossipReachesAll(t *testing.T) {
 	const all = 100
 	for _, loss := range []float64{0, 0.1} {
 		net := links.New(5, func(err error) { t.Error(err) })
@@ -171,10 +171,10 @@
 }
 
 // Versions that follow fast are said to the watchers at once, and to all seldom.
-func TestHeld(t *testing.T) {
-	m := amid(8)
+func TestConfigVersionGossip(t *testing.T) {
+	m := machineAmong(8)
 	var v uint32
-	rumours, last := 0, uint32(0)
+	gossips, last := 0, uint32(0)
 	tick := func(now fsm.Time) (beats []Heartbeat) {
 		for i := 1; i <= 8; i++ {
 			m.Receive(now, node(i).Addr, Heartbeat{Incarnation: 1, Seq: 1})
@@ -183,7 +183,7 @@
 		for _, r := range sent[Gossip](o) {
 			for _, n := range r.Nodes {
 				if n.Addr == node(0).Addr {
-					rumours, last = rumours+1, n.ConfigVersion
+					gossips, last = gossips+1, n.ConfigVersion
 				}
 			}
 		}
@@ -202,8 +202,8 @@
 			}
 		}
 	}
-	if rumours > 3*5 || last >= v {
-		t.Errorf("%d rumours within ten seconds, the last of %d", rumours, last)
+	if gossips > 3*5 || last >= v {
+		t.Errorf("%d rumours within ten seconds, the last of %d", gossips, last)
 	}
 	for range 21 {
 		now += 50 * ms
--- a/internal/memberlist/node.go
+++ b/internal/memberlist/node.go
@@ -1,7 +1,8 @@
-// Package memberlist knows which processes of the system there are. Each one sends
-// heartbeats to a few watchers that its place on a ring names (a failure detector); a
-// watcher that misses them spreads the word (gossip), and whoever lives takes it back with
-// its next incarnation. Tables that differ are mended by anti-entropy.
+// Package memberlist maintains the list of the gateway processes in the system. Each process sends
+// heartbeats to a few watchers, which its position on a hash ring determines (the failure
+// detector). A watcher that misses them spreads by gossip that the process is gone; a process that
+// is alive refutes this with its next sequence number. Tables that differ are reconciled by
+// anti-entropy.
 package memberlist
 
 import (
@@ -12,10 +13,10 @@
 	"asterwell/internal/fsm"
 )
 
-// State of a process.
+// State is the state of a process.
 type State uint8
 
-// The states. Leaving ones still serve, but take on no duty.
+// The states of a process. A leaving process still serves, but takes on no new roles.
 const (
 	Up State = iota
 	Leaving
@@ -24,8 +25,8 @@
 
 func (s State) String() string { return [...]string{"up", "leaving", "gone"}[min(s, Gone)] }
 
-// Node is what a process says of itself. Its mesh address is its identity; Life
-// grows at each start, and Seq with each change in a life.
+// Node is what a process announces about itself. Its mesh address identifies it. Incarnation
+// grows with each start, and Seq with each change within an incarnation.
 type Node struct {
 	Addr          string `cbor:"1,keyasint"`
 	Name          string `cbor:"2,keyasint,omitempty"`
@@ -37,20 +38,21 @@
 	State         State  `cbor:"8,keyasint,omitempty"`
 	Ready         bool   `cbor:"9,keyasint,omitempty"`
 	ConfigVersion uint32 `cbor:"10,keyasint,omitempty" json:"Held"`
-	Encoding      uint8  `cbor:"11,keyasint,omitempty" json:"Form"` // formPacked: it reads packs and sums of parts
+	Encoding      uint8  `cbor:"11,keyasint,omitempty" json:"Form"` // encodingPacked: the process reads packed nodes and part digests
 }
 
-const formPacked = 1
+const encodingPacked = 1
 
-// Hold is a configuration's version that a node holds.
+// HeldVersion is the configuration version that a node holds.
 type HeldVersion struct {
 	Addr    string
 	Version uint32
 }
 
-// newer is the order in which words about a node override each other: "gone" beats
-// what it was said of, and the node's next word beats "gone".
-func (n Node) newer(o Node) bool {
+// supersedes reports whether n overrides o: the later incarnation wins, then the higher sequence
+// number, and Gone wins over another state of the same version. The node refutes it with its next
+// sequence number.
+func (n Node) supersedes(o Node) bool {
 	if n.Incarnation != o.Incarnation {
 		return n.Incarnation > o.Incarnation
 	}
@@ -60,14 +62,15 @@
 	return n.State == Gone && o.State != Gone
 }
 
-// like: it differs from another word of the same life only in what people look at.
-func (n Node) like(o Node) bool {
+// equalForPeers reports whether two entries of the same incarnation differ at most in fields that
+// are only shown to operators.
+func (n Node) equalForPeers(o Node) bool {
 	n.Seq, n.ConfigVersion, n.Ready, n.Encoding = o.Seq, o.ConfigVersion, o.Ready, o.Encoding
 	return n == o
 }
 
-// mark is a hash of the entry's version.
-func (n Node) mark() uint64 {
+// digest is a hash of the entry's version.
+func (n Node) digest() uint64 {
 	b := make([]byte, 0, 64)
 	b = append(b, n.Addr...)
 	b = binary.BigEndian.AppendUint64(b, n.Incarnation)
@@ -76,73 +79,75 @@
 	return xxhash.Sum64(b)
 }
 
-// The messages.
+// The messages between the processes.
 type (
-	// Beat says that its sender lives, which version of itself it stands at, what its
-	// table hashes to, and which configuration it holds. It answers a Hello and a Ping too.
+	// Heartbeat says that its sender is alive, and carries the sender's version, the hash of its
+	// table
+	// and the configuration version that it holds. It also answers a Hello and a Ping.
 	Heartbeat struct {
 		Incarnation   uint64 `cbor:"1,keyasint"`
 		Seq           uint64 `cbor:"2,keyasint"`
 		TableHash     uint64 `cbor:"3,keyasint"`
 		ConfigVersion uint32 `cbor:"4,keyasint,omitempty"`
 	}
-	// Hello is a beat to a process that may not know the sender.
+	// Hello is a heartbeat to a process that may not know the sender.
 	Hello struct {
 		Node Node `cbor:"1,keyasint"`
 	}
-	// Rumour is news, passed on once by everyone to whom it is news.
+	// Gossip carries changed entries. Each process that they are new to forwards them once.
 	Gossip struct {
 		Nodes  []Node `cbor:"1,keyasint"`
-		Packed []byte `cbor:"2,keyasint,omitempty"` // instead, for whoever reads it
+		Packed []byte `cbor:"2,keyasint,omitempty"` // in place of Nodes, if the receiver reads packed nodes
 	}
-	// Index lists a table: for each node four bytes of its address's hash and four of
-	// its version's. Where the table is large, first the digests of its parts go, and the
-	// answer lists those that differ.
+	// Index lists a table: for each node four bytes of the hash of its address and four of its
+	// version. For a large table the digests of its parts are sent first, and the answer lists the
+	// parts that differ.
 	Index struct {
 		Rows        []byte `cbor:"1,keyasint"`
 		PartDigests []byte `cbor:"2,keyasint,omitempty"` // four bytes for each part
-		Parts       []byte `cbor:"3,keyasint,omitempty"` // a bit for each part that Rows cover, and the length of the parts' number in bits; none: all
-		Encoding    uint8  `cbor:"4,keyasint,omitempty"` // of its sender
+		Parts       []byte `cbor:"3,keyasint,omitempty"` // a bit for each part that Rows covers, then a byte with the bit length of the number of parts; empty: all parts
+		Encoding    uint8  `cbor:"4,keyasint,omitempty"` // of the sender
 	}
-	// Diff has the entries that an Index lacks, and asks for those that it has newer.
+	// Diff has the entries that an Index lacks, and requests those that the Index has in another
+	// version.
 	Diff struct {
 		Nodes    []Node   `cbor:"1,keyasint,omitempty"`
 		Want     []uint32 `cbor:"2,keyasint,omitempty"`
-		Packed   []byte   `cbor:"3,keyasint,omitempty"` // instead of Nodes, for whoever reads it
+		Packed   []byte   `cbor:"3,keyasint,omitempty"` // in place of Nodes, if the receiver reads packed nodes
 		Encoding uint8    `cbor:"4,keyasint,omitempty"`
 	}
-	// Ping asks for a Beat, or, for another watcher, for a Pong that the asked one
-	// hands on: links between two processes may be cut while both live.
+	// Ping asks for a Heartbeat or, on behalf of another watcher, for an IndirectAck, which the
+	// prober forwards: the link between two processes may be cut while both are alive.
 	Ping struct {
 		Watcher string `cbor:"1,keyasint,omitempty"`
 	}
-	// Probe asks another process to ping one that its watcher misses.
+	// IndirectPing asks another process to ping one whose heartbeats its watcher misses.
 	IndirectPing struct {
 		Addr string `cbor:"1,keyasint"`
 	}
-	// Pong travels from the pinged to the prober and on to the watcher.
+	// IndirectAck goes from the pinged process to the prober and on to the watcher.
 	IndirectAck struct {
 		Addr        string `cbor:"1,keyasint"`
 		Watcher     string `cbor:"2,keyasint"`
 		Incarnation uint64 `cbor:"3,keyasint"`
 		Seq         uint64 `cbor:"4,keyasint"`
 	}
-	// Doubt tells a process that somebody holds it for gone at this version.
+	// Suspect tells a process that another one regards it as gone at this version.
 	Suspect struct {
 		Incarnation uint64 `cbor:"1,keyasint"`
 		Seq         uint64 `cbor:"2,keyasint"`
 	}
 )
 
-// Messages lists what a Machine takes; the order stays.
+// Messages lists the messages that a Machine receives. Their order is part of the wire format.
 func Messages() []any {
 	return []any{Heartbeat{}, Hello{}, Gossip{}, Index{}, Diff{}, Ping{}, IndirectPing{}, IndirectAck{}, Suspect{}}
 }
 
-// Out is what follows from an input.
+// Out is the result of one input.
 type Out struct {
 	Send         []fsm.Send
-	Changed      bool          // View is another, in more than what nodes hold and whether they are ready
-	Failed       []string      // addresses newly gone
-	HeldVersions []HeldVersion // which is told apart, as each configuration has all nodes hold another
+	Changed      bool          // View has changed in more than configuration versions and readiness
+	Failed       []string      // addresses of nodes that are now gone
+	HeldVersions []HeldVersion // apart from Changed, since each new configuration changes the version of every node
 }
--- a/internal/memberlist/pack.go
+++ b/internal/memberlist/pack.go
@@ -5,10 +5,10 @@
 	"errors"
 )
 
-// A pack is entries by front coding: of each string only what differs from the one before, of
-// numbers the difference. An entry takes a quarter of what it takes in cbor where many travel
-// together, and less where it is brief: without what a life never changes, for those who have
-// met that life.
+// Packed nodes are delta-encoded: of each string only the part that differs from the previous
+// node's, and of each number the difference. Where many nodes are sent together, one takes a
+// quarter of its size in CBOR. A brief node is smaller still: it leaves out the fields that are
+// constant within an incarnation, for receivers that know the incarnation.
 const (
 	flagMember = 1 << (2 + iota)
 	flagReady
@@ -16,7 +16,7 @@
 	flagPacked // Node.Form
 )
 
-var errPack = errors.New("a damaged pack of nodes")
+var errDamagedPack = errors.New("packed nodes are damaged")
 
 func flagIf(is bool, flag byte) byte {
 	if is {
@@ -25,44 +25,46 @@
 	return 0
 }
 
-// packed is a node in a pack.
-type packed struct {
+// packedNode is a node to be packed, or one that was unpacked.
+type packedNode struct {
 	Node
 	brief bool
 }
 
-func pack(nodes []packed) []byte {
+// pack encodes nodes.
+func pack(nodes []packedNode) []byte {
 	var b []byte
 	var last Node
 	for _, n := range nodes {
 		flags := byte(min(n.State, Gone))
 		flags |= flagIf(n.Member, flagMember) | flagIf(n.Ready, flagReady) | flagIf(n.brief, flagBrief) | flagIf(n.Encoding > 0, flagPacked)
 		b = append(b, flags)
-		b = putText(b, last.Addr, n.Addr)
+		b = appendText(b, last.Addr, n.Addr)
 		b = binary.AppendVarint(b, int64(n.Incarnation-last.Incarnation))
 		b = binary.AppendUvarint(b, n.Seq)
 		b = binary.AppendVarint(b, int64(n.ConfigVersion)-int64(last.ConfigVersion))
 		if n.brief {
 			n.Name, n.Zone = last.Name, last.Zone
 		} else {
-			b = putText(b, last.Name, n.Name)
-			b = putText(b, last.Zone, n.Zone)
-			b = putText(b, n.Addr, n.Control)
+			b = appendText(b, last.Name, n.Name)
+			b = appendText(b, last.Zone, n.Zone)
+			b = appendText(b, n.Addr, n.Control)
 		}
 		last = n.Node
 	}
 	return b
 }
 
-func unpack(b []byte) (nodes []packed, err error) {
+// unpack decodes nodes. On an error it returns those before the damage.
+func unpack(b []byte) (nodes []packedNode, err error) {
 	r := reader{b: b}
 	var last Node
 	for len(r.b) > 0 && r.err == nil {
 		flags := r.byte()
-		n := packed{brief: flags&flagBrief != 0}
+		n := packedNode{brief: flags&flagBrief != 0}
 		n.State, n.Member, n.Ready = State(flags&3), flags&flagMember != 0, flags&flagReady != 0
 		if flags&flagPacked != 0 {
-			n.Encoding = formPacked
+			n.Encoding = encodingPacked
 		}
 		n.Addr = r.text(last.Addr)
 		n.Incarnation = last.Incarnation + uint64(r.varint())
@@ -81,8 +83,9 @@
 	return nodes, r.err
 }
 
-// putText adds how much the text has in common with another at its start and its end, and the rest.
-func putText(b []byte, with, s string) []byte {
+// appendText appends the lengths of the prefix and the suffix that s shares with the given text,
+// and the bytes of s between them.
+func appendText(b []byte, with, s string) []byte {
 	head, tail := 0, 0
 	for most := min(len(with), len(s), 255); head < most && with[head] == s[head]; {
 		head++
@@ -96,6 +99,7 @@
 	return append(b, s[head:len(s)-tail]...)
 }
 
+// reader decodes packed nodes and keeps the first error.
 type reader struct {
 	b   []byte
 	err error
@@ -103,7 +107,7 @@
 
 func (r *reader) byte() byte {
 	if len(r.b) == 0 {
-		r.err = errPack
+		r.err = errDamagedPack
 		return 0
 	}
 	c := r.b[0]
@@ -114,7 +118,7 @@
 func (r *reader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 {
-		r.b, r.err = nil, errPack
+		r.b, r.err = nil, errDamagedPack
 		return 0
 	}
 	r.b = r.b[n:]
@@ -124,7 +128,7 @@
 func (r *reader) varint() int64 {
 	v, n := binary.Varint(r.b)
 	if n <= 0 {
-		r.b, r.err = nil, errPack
+		r.b, r.err = nil, errDamagedPack
 		return 0
 	}
 	r.b = r.b[n:]
@@ -134,7 +138,7 @@
 func (r *reader) text(with string) string {
 	head, tail, size := r.uvarint(), r.uvarint(), r.uvarint()
 	if r.err != nil || head > uint64(len(with)) || tail > uint64(len(with))-head || size > uint64(len(r.b)) {
-		r.b, r.err = nil, errPack
+		r.b, r.err = nil, errDamagedPack
 		return ""
 	}
 	s := with[:head] + string(r.b[:size]) + with[uint64(len(with))-tail:]
--- a/internal/memberlist/pack_test.go
+++ b/internal/memberlist/pack_test.go
@@ -10,7 +10,7 @@
 func TestPack(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		var all []packed
+		var all []packedNode
 		for i := range r.IntN(6) {
 			n := fleetNode(r.IntN(490))
 			n.Incarnation, n.Seq, n.ConfigVersion, n.State, n.Encoding = r.Uint64()>>r.IntN(64), r.Uint64()>>r.IntN(64), r.Uint32()>>r.IntN(32), State(r.IntN(3)), uint8(r.IntN(2))
@@ -18,7 +18,7 @@
 			if i == 3 {
 				n.Control, n.Zone, n.Name = "", "", "aaaa"
 			}
-			all = append(all, packed{n, false})
+			all = append(all, packedNode{n, false})
 		}
 		b := pack(all)
 		if got, err := unpack(b); err != nil || !reflect.DeepEqual(got, all) {
--- a/internal/memberlist/ring.go
+++ b/internal/memberlist/ring.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// offsets on the ring at which a node's watchers stand.
+// offsets are the distances on the ring from a node to its watchers.
 var offsets = [...]int{1, 2, 4}
 
-// settle puts the ring in order after changes, and finds whom we watch now.
-func (m *Machine) settle() {
-	if !m.stale {
+// refreshRing rebuilds the ring after changes, and determines which nodes to watch.
+func (m *Machine) refreshRing() {
+	if !m.ringStale {
 		return
 	}
-	m.stale = false
+	m.ringStale = false
 	m.ring = m.ring[:0]
-	for _, e := range m.round {
+	for _, e := range m.byPosition {
 		if e.live() {
 			m.ring = append(m.ring, e.node.Addr)
 		}
 	}
 	before := m.watched
-	m.after, m.watched = m.around(1), m.around(-1)
-	slices.SortFunc(m.watched, func(a, b string) int { return bySpot(m.nodes[a], m.nodes[b]) })
+	m.selfWatchers, m.watched = m.neighbors(1), m.neighbors(-1)
+	slices.SortFunc(m.watched, func(a, b string) int { return comparePosition(m.nodes[a], m.nodes[b]) })
 	for _, a := range m.watched {
 		if !slices.Contains(before, a) {
-			e := m.nodes[a] // others may have missed it already: it is asked soon
-			m.hear(e, max(e.heard, m.now-askAfter+m.extra()))
+			e := m.nodes[a] // others may have missed its heartbeats already: ping it soon
+			m.markHeard(e, max(e.lastHeard, m.now-pingAfter+m.newlyWatchedGrace()))
 		}
 	}
 }
 
-// extra is the time that one newly watched has beyond that. In a large fleet somebody is newly
-// watched all the time, and a question that is answered late must not be a loss each time.
-func (m *Machine) extra() time.Duration {
-	return min(askAfter, time.Duration(max(0, len(m.ring)-fewer))*newWatch)
+// newlyWatchedGrace is extra time for a newly watched node before it is pinged. In a large fleet
+// some node is newly watched all the time, and a late answer must not count as a loss each time.
+func (m *Machine) newlyWatchedGrace() time.Duration {
+	return min(pingAfter, time.Duration(max(0, len(m.ring)-referenceFleetSize))*newlyWatchedGracePerNode)
 }
 
-// around is the nodes at the offsets after (1) or before (-1) us.
-func (m *Machine) around(way int) []string { return m.beside(m.self.Addr, way) }
+// neighbors returns the nodes at the offsets after (1) or before (-1) this process.
+func (m *Machine) neighbors(way int) []string { return m.neighborsOf(m.self.Addr, way) }
 
-// beside is the same for any live node.
-func (m *Machine) beside(node string, way int) []string {
+// neighborsOf returns the same for any live node.
+func (m *Machine) neighborsOf(node string, way int) []string {
 	n := len(m.ring)
-	at, _ := slices.BinarySearchFunc(m.ring, m.nodes[node], func(a string, e *entry) int { return bySpot(m.nodes[a], e) })
+	at, _ := slices.BinarySearchFunc(m.ring, m.nodes[node], func(a string, e *entry) int { return comparePosition(m.nodes[a], e) })
 	var found []string
 	for _, o := range offsets {
 		a := m.ring[((at+way*o)%n+n)%n]
@@ -55,13 +55,13 @@
 }
 
 func (m *Machine) watchers() []string {
-	m.settle()
-	return slices.Clip(m.after)
+	m.refreshRing()
+	return slices.Clip(m.selfWatchers)
 }
 
-// some picks up to n random live others that are not in but.
-func (m *Machine) some(n int, but []string) []string {
-	m.settle()
+// randomPeers returns up to n random live nodes other than this one and those in but.
+func (m *Machine) randomPeers(n int, but []string) []string {
+	m.refreshRing()
 	var found []string
 	if few := 2 * (n + len(but) + 1); len(m.ring) > 2*few {
 		for range few {
@@ -79,121 +79,124 @@
 	return found
 }
 
-// beyond is the others that news goes to beside the watchers. They are drawn anew now and then and
-// not each time: each time would be a connection to each in turn.
-func (m *Machine) beyond(but []string) []string {
+// extraTargets returns the nodes that get gossip in addition to the watchers. They are redrawn now
+// and then rather than for each message, which would open a connection to every node in turn.
+func (m *Machine) extraTargets(but []string) []string {
 	bad := func(a string) bool {
 		e := m.nodes[a]
 		return e == nil || !e.live() || slices.Contains(but, a)
 	}
-	if m.now-m.drawn >= m.each(0, drawEvery) || len(m.drew) < others || slices.ContainsFunc(m.drew, bad) {
-		m.drawn, m.drew = m.now, m.some(others, but)
+	if m.now-m.targetsDrawnAt >= m.perNode(0, targetRedrawPerNode) || len(m.gossipTargets) < extraGossipTargets || slices.ContainsFunc(m.gossipTargets, bad) {
+		m.targetsDrawnAt, m.gossipTargets = m.now, m.randomPeers(extraGossipTargets, but)
 	}
-	return m.drew
+	return m.gossipTargets
 }
 
-// watch asks those who are silent, and gives up those who stay so. Where nobody at
-// all is heard it is rather we who are cut off: then nothing is told, and while it
-// may be so we wait.
-func (m *Machine) watch() {
-	cut := m.quiet() > goneAfter
+// checkWatched pings silent nodes and declares those gone that stay silent. If no node at all is
+// heard, this process is likely cut off itself: then nothing is gossiped, and as long as that is
+// possible nobody is declared gone.
+func (m *Machine) checkWatched() {
+	cut := m.overallSilence() > goneAfter
 	if cut {
 		for _, a := range m.ring {
 			if a != m.self.Addr {
-				m.lose(a)
+				m.markLost(a)
 			}
 		}
 		return
 	}
 	for _, a := range m.watched {
 		e := m.nodes[a]
-		switch silent := m.silent(e); {
-		case silent > goneAfter && m.quiet() < askAfter:
+		switch silent := m.silenceOf(e); {
+		case silent > goneAfter && m.overallSilence() < pingAfter:
 			n := e.node
 			n.State = Gone
 			m.merge(n)
-			m.later(a, true, "")
-		case silent > askAfter+time.Duration(e.asked)*askAgain:
-			e.asked++
+			m.queueUpdate(a, true, "")
+		case silent > pingAfter+time.Duration(e.pings)*pingInterval:
+			e.pings++
 			m.send(a, Ping{})
-			if e.asked == 1 {
+			if e.pings == 1 {
 				continue
 			}
-			via := m.relays(a, e.via)
-			if r := m.nodes[e.via]; r != nil && r.live() {
-				via = append(via, e.via)
+			via := m.relaysFor(a, e.relay)
+			if r := m.nodes[e.relay]; r != nil && r.live() {
+				via = append(via, e.relay)
 			}
 			for _, o := range via {
 				m.send(o, IndirectPing{Addr: a})
 			}
 		}
 	}
-	m.settle()
+	m.refreshRing()
 }
 
-// relays is a few that may reach a node we can't: of each zone some, as whole zones
-// may be cut from each other.
-func (m *Machine) relays(node, via string) []string {
+// relaysFor returns a few nodes that may reach one that this process can't: some of each zone, as
+// whole zones may be cut off from each other.
+func (m *Machine) relaysFor(node, via string) []string {
 	zones := map[string]int{}
 	var found, rest []string
-	for _, a := range m.some(len(m.ring), []string{node, via}) {
-		if z := m.nodes[a].node.Zone; zones[z] < 2 && len(found) < 2*relays {
+	for _, a := range m.randomPeers(len(m.ring), []string{node, via}) {
+		if z := m.nodes[a].node.Zone; zones[z] < 2 && len(found) < 2*relayCount {
 			zones[z]++
 			found = append(found, a)
 		} else {
 			rest = append(rest, a)
 		}
 	}
-	return append(found, rest[:min(len(rest), max(0, relays-len(found)))]...)
+	return append(found, rest[:min(len(rest), max(0, relayCount-len(found)))]...)
 }
 
-func (m *Machine) lose(addr string) {
+// markLost regards a node as gone in this process alone.
+func (m *Machine) markLost(addr string) {
 	e := m.nodes[addr]
-	if !e.lost && e.node.State != Gone {
+	if !e.lostHere && e.node.State != Gone {
 		m.setLost(e, true)
-		e.ended, e.since = m.now, m.now
-		m.stale, m.out.Changed = true, true
+		e.goneSince, e.stateSince = m.now, m.now
+		m.ringStale, m.out.Changed = true, true
 		m.out.Failed = append(m.out.Failed, addr)
 	}
 }
 
-// seek tries addresses at which somebody may be: all the time where we are alone, and
-// now and then, by turns with the other nodes, those that are gone or never came.
-func (m *Machine) seek() {
-	m.settle()
+// contactAbsent sends Hello to addresses where a process may run: frequently while this process is
+// alone; otherwise only now and then, as all nodes share this, to nodes that are gone or never
+// came.
+func (m *Machine) contactAbsent() {
+	m.refreshRing()
 	if len(m.ring) == 1 {
-		if m.now >= m.hello {
-			m.hello = m.now + helloAlone
-			for _, a := range m.absent(m.seeds) {
-				m.greet(a)
+		if m.now >= m.nextHello {
+			m.nextHello = m.now + helloIntervalAlone
+			for _, a := range m.withoutLive(m.seeds) {
+				m.sendHello(a)
 			}
-			rest := m.absent(m.elsewhere())
+			rest := m.withoutLive(m.formerAddrs())
 			m.rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-			for _, a := range rest[:min(len(rest), mostTries)] {
-				m.greet(a)
+			for _, a := range rest[:min(len(rest), maxHelloTargets)] {
+				m.sendHello(a)
 			}
 		}
 		return
 	}
-	if m.now < m.try {
+	if m.now < m.nextRetry {
 		return
 	}
-	m.try = m.now + helloLost
+	m.nextRetry = m.now + helloIntervalAbsent
 	turn := 3 / float64(len(m.ring))
-	rest := m.absent(append(slices.Clone(m.seeds), m.elsewhere()...))
+	rest := m.withoutLive(append(slices.Clone(m.seeds), m.formerAddrs()...))
 	m.rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 	for _, a := range rest[:min(len(rest), 3)] {
 		if m.rand.Float64() < turn {
-			m.greet(a)
+			m.sendHello(a)
 		}
 	}
 }
 
-func (m *Machine) greet(addr string) { m.send(addr, Hello{Node: m.self}) }
+func (m *Machine) sendHello(addr string) { m.send(addr, Hello{Node: m.self}) }
 
-func (m *Machine) gone() []string {
+// notLive returns the addresses of the entries that are gone or lost.
+func (m *Machine) notLive() []string {
 	var found []string
-	for _, e := range m.all {
+	for _, e := range m.sorted {
 		if !e.live() {
 			found = append(found, e.node.Addr)
 		}
@@ -201,18 +204,18 @@
 	return found
 }
 
-// elsewhere is the addresses known from before, and of those gone.
-func (m *Machine) elsewhere() []string {
-	found := m.gone()
-	for a := range m.known {
+// formerAddrs returns stored addresses and those of entries that are not live.
+func (m *Machine) formerAddrs() []string {
+	found := m.notLive()
+	for a := range m.knownAddrs {
 		found = append(found, a)
 	}
 	slices.Sort(found)
 	return slices.Compact(found)
 }
 
-// absent leaves those that are not live.
-func (m *Machine) absent(addrs []string) []string {
+// withoutLive returns the addresses that belong to no live node.
+func (m *Machine) withoutLive(addrs []string) []string {
 	var found []string
 	for _, a := range addrs {
 		if e := m.nodes[a]; (e == nil || !e.live()) && !slices.Contains(found, a) {
@@ -222,22 +225,22 @@
 	return found
 }
 
-// expire forgets the gone.
+// expire forgets nodes that have been gone for long enough.
 func (m *Machine) expire() {
-	if m.now < m.wipe {
+	if m.now < m.nextExpiry {
 		return
 	}
-	m.wipe = m.now + wipeEvery
-	for _, a := range m.gone() {
-		if m.now-m.nodes[a].ended > forget {
-			m.remove(m.nodes[a])
-			m.remember(a)
+	m.nextExpiry = m.now + expireInterval
+	for _, a := range m.notLive() {
+		if m.now-m.nodes[a].goneSince > forgetAfter {
+			m.removeEntry(m.nodes[a])
+			m.rememberAddr(a)
 			m.out.Changed = true
 		}
 	}
-	for a, t := range m.told {
-		if m.now-t > forget {
-			delete(m.told, a)
+	for a, t := range m.suspectSentAt {
+		if m.now-t > forgetAfter {
+			delete(m.suspectSentAt, a)
 		}
 	}
 }
--- a/internal/memberlist/status.go
+++ b/internal/memberlist/status.go
@@ -7,30 +7,30 @@
 	"asterwell/internal/fsm"
 )
 
-// Sight is a node as people are shown it.
+// NodeStatus is a node as shown to operators.
 type NodeStatus struct {
 	Node
-	InState     time.Duration // it is in its state, as seen here
-	SinceHeard  time.Duration // since it was last heard of; without any change only watchers hear of it
-	Watchers    []string      // addresses of those it beats to
-	WatchedHere bool          // we are one of them
+	InState     time.Duration // how long this process has seen it in its state
+	SinceHeard  time.Duration // without changes only its watchers hear from it
+	Watchers    []string      // addresses of the nodes that it sends heartbeats to
+	WatchedHere bool          // this process is one of the watchers
 }
 
-// Sights is every node with what is known of it, sorted by address.
+// NodeStatuses returns the status of every node, sorted by address.
 func (m *Machine) NodeStatuses(now fsm.Time) []NodeStatus {
-	all := make([]NodeStatus, 0, len(m.all))
-	for _, e := range m.all {
+	all := make([]NodeStatus, 0, len(m.sorted))
+	for _, e := range m.sorted {
 		addr := e.node.Addr
-		s := NodeStatus{Node: e.node, InState: max(0, now-e.since), SinceHeard: max(0, now-e.heard)}
-		s.ConfigVersion = max(s.ConfigVersion, e.held)
-		if e.lost {
+		s := NodeStatus{Node: e.node, InState: max(0, now-e.stateSince), SinceHeard: max(0, now-e.lastHeard)}
+		s.ConfigVersion = max(s.ConfigVersion, e.heldVersion)
+		if e.lostHere {
 			s.State = Gone
 		}
 		if addr == m.self.Addr {
 			s.SinceHeard = 0
 		}
-		if e.live() && slices.Contains(m.ring, addr) { // the ring is put in order at the next tick
-			s.Watchers = m.beside(addr, 1)
+		if e.live() && slices.Contains(m.ring, addr) { // the ring is only refreshed at the next tick
+			s.Watchers = m.neighborsOf(addr, 1)
 			s.WatchedHere = slices.Contains(s.Watchers, m.self.Addr)
 		}
 		all = append(all, s)
--- a/internal/memberlist/storm_test.go
+++ b/internal/memberlist/storm_test.go
@@ -14,36 +14,36 @@
 // fleet is n machines on simulated time, in ten zones of three regions.
 type fleet struct {
 	*links.Network
-	t     *testing.T
-	rand  *rand.Rand
-	all   []*member
-	life  uint64
-	stops []stop
-	start func(i int)
+	t               *testing.T
+	rand            *rand.Rand
+	members         []*fleetMember
+	nextIncarnation uint64
+	pauses          []pauseSpan
+	startMember     func(i int)
 }
 
 // member holds a configuration a second after its start, and is ready after another half.
-type member struct {
+type fleetMember struct {
 	*Machine
-	born fsm.Time
-	held uint32
+	startedAt     fsm.Time
+	configVersion uint32
 }
 
-type stop struct {
-	at, till fsm.Time
-	who      int
-	now      bool
+type pauseSpan struct {
+	from, until fsm.Time
+	member      int
+	paused      bool
 }
 
-func (m *member) Tick(now fsm.Time) []fsm.Send {
-	if now-m.born > time.Second {
-		m.SetConfigVersion(m.held)
+func (m *fleetMember) Tick(now fsm.Time) []fsm.Send {
+	if now-m.startedAt > time.Second {
+		m.SetConfigVersion(m.configVersion)
 	}
-	m.SetReady(now-m.born > 1500*ms)
+	m.SetReady(now-m.startedAt > 1500*ms)
 	return m.Machine.Tick(now).Send
 }
 
-func (m *member) Receive(now fsm.Time, from string, msg any) []fsm.Send {
+func (m *fleetMember) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	return m.Machine.Receive(now, from, msg).Send
 }
 
@@ -54,8 +54,8 @@
 
 func newFleet(t *testing.T, n int, seed uint64) *fleet {
 	f := &fleet{Network: links.New(seed, func(err error) { t.Fatal(err) }), t: t, rand: rand.New(rand.NewPCG(seed, 7)),
-		all: make([]*member, n), life: 1790000000000}
-	f.start = f.begin
+		members: make([]*fleetMember, n), nextIncarnation: 1790000000000}
+	f.startMember = f.startNode
 	region := map[string]int{}
 	for i := range n {
 		region[fleetNode(i).Addr] = i % 10 * 3 / 10
@@ -69,46 +69,46 @@
 	return f
 }
 
-func (f *fleet) begin(i int) {
-	f.life += uint64(f.rand.IntN(1000))
+func (f *fleet) startNode(i int) {
+	f.nextIncarnation += uint64(f.rand.IntN(1000))
 	n := fleetNode(i)
-	n.Incarnation = f.life
-	f.all[i] = &member{New(n, []string{fleetNode(0).Addr, fleetNode(1).Addr, fleetNode(2).Addr}, f.rand.Uint64(), f.Now), f.Now, 1}
-	f.Start(n.Addr, f.all[i])
+	n.Incarnation = f.nextIncarnation
+	f.members[i] = &fleetMember{New(n, []string{fleetNode(0).Addr, fleetNode(1).Addr, fleetNode(2).Addr}, f.rand.Uint64(), f.Now), f.Now, 1}
+	f.Start(n.Addr, f.members[i])
 }
 
 // startAll starts all within 0.3 s.
 func (f *fleet) startAll() {
-	for i := range f.all {
-		f.start(i)
-		f.Run(300 * ms / time.Duration(len(f.all)))
+	for i := range f.members {
+		f.startMember(i)
+		f.Run(300 * ms / time.Duration(len(f.members)))
 	}
 }
 
 func (f *fleet) kill(i int) {
 	f.Kill(fleetNode(i).Addr)
-	f.all[i] = nil
+	f.members[i] = nil
 }
 
 // pass lets time pass, with processes standing still where they shall.
-func (f *fleet) pass(d time.Duration) {
+func (f *fleet) advance(d time.Duration) {
 	for end := f.Now + d; f.Now < end; f.Run(50 * ms) {
-		for i := range f.stops {
-			if s := &f.stops[i]; f.Now >= s.at && f.Now < s.till && !s.now {
-				s.now = true
-				f.Pause(fleetNode(s.who).Addr)
-			} else if f.Now >= s.till && s.now {
-				s.now = false
-				f.Resume(fleetNode(s.who).Addr)
+		for i := range f.pauses {
+			if s := &f.pauses[i]; f.Now >= s.from && f.Now < s.until && !s.paused {
+				s.paused = true
+				f.Pause(fleetNode(s.member).Addr)
+			} else if f.Now >= s.until && s.paused {
+				s.paused = false
+				f.Resume(fleetNode(s.member).Addr)
 			}
 		}
 	}
 }
 
 // ups is the length of Up.
-func ups(m *Machine) (n int) {
-	for _, e := range m.all {
-		if !e.lost && e.node.State == Up {
+func countUp(m *Machine) (n int) {
+	for _, e := range m.sorted {
+		if !e.lostHere && e.node.State == Up {
 			n++
 		}
 	}
@@ -116,49 +116,49 @@
 }
 
 // know is how many know all that live, and nobody else.
-func (f *fleet) know() (know, live int) {
-	for _, m := range f.all {
+func (f *fleet) countInformed() (countInformed, live int) {
+	for _, m := range f.members {
 		if m != nil {
 			live++
 		}
 	}
-	for _, m := range f.all {
-		if m != nil && ups(m.Machine) == live {
-			know++
+	for _, m := range f.members {
+		if m != nil && countUp(m.Machine) == live {
+			countInformed++
 		}
 	}
-	return know, live
+	return countInformed, live
 }
 
 // until lets time pass until all know all, and returns how long that took.
-func (f *fleet) until(within time.Duration) (time.Duration, bool) {
+func (f *fleet) waitInformed(within time.Duration) (time.Duration, bool) {
 	began := f.Now
 	for f.Now-began <= within {
-		if know, live := f.know(); know == live {
+		if know, live := f.countInformed(); know == live {
 			return f.Now - began, true
 		}
-		f.pass(100 * ms)
+		f.advance(100 * ms)
 	}
 	return f.Now - began, false
 }
 
 // span lets time pass, and returns what one process sent and got in it: on average, and at most.
-func (f *fleet) span(what string, d time.Duration) (mean, most int) {
-	f.anew()
-	return f.more(what, d)
+func (f *fleet) measure(what string, d time.Duration) (mean, most int) {
+	f.resetCounts()
+	return f.measureSinceReset(what, d)
 }
 
-func (f *fleet) anew() {
+func (f *fleet) resetCounts() {
 	clear(f.BytesSent)
 	clear(f.BytesReceived)
 	f.TakeMessageCounts()
 }
 
 // more counts what went before, too.
-func (f *fleet) more(what string, d time.Duration) (mean, most int) {
-	f.pass(d)
+func (f *fleet) measureSinceReset(what string, d time.Duration) (mean, most int) {
+	f.advance(d)
 	live := 0
-	for i, m := range f.all {
+	for i, m := range f.members {
 		if m != nil {
 			b := f.BytesSent[fleetNode(i).Addr] + f.BytesReceived[fleetNode(i).Addr]
 			live, mean, most = live+1, mean+b, max(most, b)
@@ -169,7 +169,7 @@
 	for kind := range count {
 		messages, bytes = messages+count[kind], bytes+length[kind]
 	}
-	know, _ := f.know()
+	know, _ := f.countInformed()
 	f.t.Logf("%s, to %v: %d of %d know; %.1f MB in %d messages; sent and got by one %d, at most %d; %v, %v",
 		what, f.Now.Round(ms), know, live, float64(bytes)/1e6, messages, mean/live, most, count, length)
 	return mean / live, most
@@ -177,7 +177,7 @@
 
 // shared is a machine of twelve processors that all share, by what the run of 490 hollow
 // gateways cost there: half a microsecond a byte of news, 300 a tick.
-func shared(bytes int) time.Duration {
+func sharedMachineCost(bytes int) time.Duration {
 	if bytes == 0 {
 		return 25 * time.Microsecond
 	}
@@ -187,19 +187,19 @@
 // 490 start within 0.3 s, forty stand still for two seconds each within the first six. All know
 // all within ten seconds, and then nothing is said but that they live.
 func TestStormStart(t *testing.T) {
-	for name, cost := range map[string]func(int) time.Duration{"free": nil, "shared": shared} {
+	for name, cost := range map[string]func(int) time.Duration{"free": nil, "shared": sharedMachineCost} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 490, 1)
 			f.ProcessingTime = cost
 			for range 40 {
 				at := fsm.Time(f.rand.Int64N(int64(6 * time.Second)))
-				f.stops = append(f.stops, stop{at: at, till: at + 2*time.Second, who: f.rand.IntN(490)})
+				f.pauses = append(f.pauses, pauseSpan{from: at, until: at + 2*time.Second, member: f.rand.IntN(490)})
 			}
 			f.startAll()
-			_, most := f.more("start", 8200*ms)
-			if took, ok := f.until(1500 * ms); !ok {
-				know, _ := f.know()
+			_, most := f.measureSinceReset("start", 8200*ms)
+			if took, ok := f.waitInformed(1500 * ms); !ok {
+				know, _ := f.countInformed()
 				t.Errorf("%d know all %v later", know, took)
 			} else if f.Now > 10*time.Second {
 				t.Errorf("all know all at %v", f.Now)
@@ -207,8 +207,8 @@
 			if most > 2e6 {
 				t.Errorf("one sent and got %d bytes", most)
 			}
-			f.pass(3 * time.Second)
-			if mean, most := f.span("rest", 10*time.Second); mean > 8500 || most > 10000 {
+			f.advance(3 * time.Second)
+			if mean, most := f.measure("rest", 10*time.Second); mean > 8500 || most > 10000 {
 				t.Errorf("at rest: %d bytes, at most %d", mean, most)
 			}
 		})
@@ -222,7 +222,7 @@
 	const n = 490
 	f := newFleet(t, n, 2)
 	f.startAll()
-	f.pass(15 * time.Second)
+	f.advance(15 * time.Second)
 	rack := make([]int, 10)
 	for i := range rack {
 		rack[i] = 9 + 10*i // of one zone
@@ -232,8 +232,8 @@
 		zone = append(zone, i)
 	}
 	all := func(what string, within time.Duration) {
-		if took, ok := f.until(within); !ok {
-			know, _ := f.know()
+		if took, ok := f.waitInformed(within); !ok {
+			know, _ := f.countInformed()
 			t.Errorf("%s: %d know all after %v", what, know, within)
 		} else {
 			t.Logf("%s: all know after %v", what, took)
@@ -245,28 +245,28 @@
 	}{
 		{"restarts", func() {
 			f.kill(7)
-			f.start(7)
-			f.pass(5 * time.Second)
+			f.startMember(7)
+			f.advance(5 * time.Second)
 			f.kill(300)
-			f.start(300)
+			f.startMember(300)
 		}},
 		{"rack lost", func() { each(rack, f.kill) }},
-		{"rack back", func() { each(rack, f.start) }},
+		{"rack back", func() { each(rack, f.startMember) }},
 		{"zone lost", func() { each(zone, f.kill) }},
-		{"zone back", func() { each(zone, f.start) }},
+		{"zone back", func() { each(zone, f.startMember) }},
 		{"configuration", func() {
-			for _, m := range f.all {
-				m.held = 2
+			for _, m := range f.members {
+				m.configVersion = 2
 			}
 		}},
 	} {
-		f.anew()
+		f.resetCounts()
 		c.do()
 		all(c.what, 5*time.Second)
-		if _, most := f.more(c.what, 10*time.Second); most > 110000 {
+		if _, most := f.measureSinceReset(c.what, 10*time.Second); most > 110000 {
 			t.Errorf("%s: %d bytes of one in ten seconds", c.what, most)
 		}
-		f.pass(2 * time.Second)
+		f.advance(2 * time.Second)
 	}
 }
 
@@ -278,16 +278,16 @@
 
 // elder is a machine as one of the version before sees and says things: without packs, digests of
 // parts and forms.
-type elder struct{ *member }
+type previousVersion struct{ *fleetMember }
 
-func (e elder) strip(out []fsm.Send) []fsm.Send {
+func (e previousVersion) downgradeAll(out []fsm.Send) []fsm.Send {
 	for i := range out {
-		out[i].Msg = e.older(out[i].Msg)
+		out[i].Msg = e.downgrade(out[i].Msg)
 	}
 	return out
 }
 
-func (e elder) older(msg any) any {
+func (e previousVersion) downgrade(msg any) any {
 	bare := func(nodes []Node) []Node {
 		nodes = slices.Clone(nodes)
 		for i := range nodes {
@@ -309,20 +309,22 @@
 	return msg
 }
 
-func (e elder) Tick(now fsm.Time) []fsm.Send { return e.strip(e.member.Tick(now)) }
+func (e previousVersion) Tick(now fsm.Time) []fsm.Send {
+	return e.downgradeAll(e.fleetMember.Tick(now))
+}
 
-func (e elder) Receive(now fsm.Time, from string, msg any) []fsm.Send {
-	return e.strip(e.member.Receive(now, from, e.older(msg)))
+func (e previousVersion) Receive(now fsm.Time, from string, msg any) []fsm.Send {
+	return e.downgradeAll(e.fleetMember.Receive(now, from, e.downgrade(msg)))
 }
 
 // Every second one is of the version before: all know all as soon, also what is lost and back.
 func TestStormMixed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 120, 3)
-	f.start = func(i int) {
-		f.begin(i)
+	f.startMember = func(i int) {
+		f.startNode(i)
 		if i%2 == 1 {
-			f.Start(fleetNode(i).Addr, elder{f.all[i]})
+			f.Start(fleetNode(i).Addr, previousVersion{f.members[i]})
 		}
 	}
 	f.startAll()
@@ -330,15 +332,15 @@
 	for _, c := range []struct {
 		what string
 		do   func()
-	}{{"start", func() {}}, {"lost", func() { each(lost, f.kill) }}, {"back", func() { each(lost, f.start) }}} {
+	}{{"start", func() {}}, {"lost", func() { each(lost, f.kill) }}, {"back", func() { each(lost, f.startMember) }}} {
 		c.do()
-		if took, ok := f.until(4 * time.Second); !ok {
-			know, live := f.know()
+		if took, ok := f.waitInformed(4 * time.Second); !ok {
+			know, live := f.countInformed()
 			t.Errorf("%s: %d of %d know all after %v", c.what, know, live, took)
 		}
-		f.pass(6 * time.Second)
-		for _, m := range f.all {
-			if m != nil && m.hash() != f.all[0].hash() {
+		f.advance(6 * time.Second)
+		for _, m := range f.members {
+			if m != nil && m.hash() != f.members[0].hash() {
 				t.Fatalf("%s: tables differ", c.what)
 			}
 		}
@@ -351,9 +353,9 @@
 		gap  time.Duration
 		gone fsm.Time // after this, and before a half more
 	}{{50 * ms, 1300 * ms}, {200 * ms, 2600 * ms}, {350 * ms, 4500 * ms}} {
-		m := amid(8)
-		i := slices.IndexFunc(m.all, func(e *entry) bool { return e.node.Addr == m.watched[0] })
-		silent, gone := m.all[i].node.Addr, fsm.Time(0)
+		m := machineAmong(8)
+		i := slices.IndexFunc(m.sorted, func(e *entry) bool { return e.node.Addr == m.watched[0] })
+		silent, gone := m.sorted[i].node.Addr, fsm.Time(0)
 		for now := c.gap; now < 10*time.Second && gone == 0; now += c.gap {
 			for j := 1; j <= 8; j++ {
 				if node(j).Addr != silent {
