--- a/internal/controlplane/configtext.go
+++ b/internal/controlplane/configtext.go
@@ -123,6 +123,6 @@
 	}
 	m.meter.Enter(now, parsed.roster)
 	m.counter.Enter(parsed.roster)
-	m.members.SetHeld(doc.Version)
+	m.members.SetConfigVersion(doc.Version)
 	m.version, m.out.Adopt = doc.Version, parsed.table
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -119,7 +119,7 @@
 	m := &Machine{
 		self: c.Self, meter: meter, faultRules: c.newFaultRules(now), counter: quotas.NewCounter(c.Self, c.Incarnation), detours: map[string]*detour{},
 		members: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.ControlAddr, Member: c.Member,
-			Life: c.Incarnation}, c.Seeds, c.Seed, now),
+			Incarnation: c.Incarnation}, c.Seeds, c.Seed, now),
 		registry: registry.New(c.Self, c.Zone, c.HeartbeatInterval, c.Seed, now),
 		rollout:  rollout.New(rollout.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), checkConfig: c.CheckConfig,
 		drain: drainpermit.New(c.Self, startID(c), c.Bugs.Drain),
@@ -138,9 +138,9 @@
 	switch group, ok := messageGroups[reflect.TypeOf(msg)]; {
 	case !ok:
 	case group == memberlistMessages:
-		m.applyMembership(now, m.members.Take(now, from, msg))
+		m.applyMembership(now, m.members.Receive(now, from, msg))
 	case group == registryMessages:
-		m.applyRegistry(m.registry.Take(now, from, msg))
+		m.applyRegistry(m.registry.Receive(now, from, msg))
 	case group == consensusMessages:
 		m.applyConsensus(now, m.consensus.Receive(now, from, msg))
 	case group == faultRuleMessages:
@@ -178,7 +178,7 @@
 	if m.faultRules.Awake() {
 		m.applyFaultRules(func() faultrules.Out { return m.faultRules.Tick(now) })
 	}
-	m.drain.Fit(m.servable(), m.leaving)
+	m.drain.SetReady(m.servable(), m.leaving)
 	m.applyDrain(m.drain.Tick(now))
 	if ready := m.servable() && !m.drain.Draining(); ready != m.ready {
 		m.ready = ready
@@ -198,14 +198,14 @@
 }
 
 // ServerHeartbeat handles a heartbeat call of a server.
-func (m *Machine) ServerHeartbeat(now fsm.Time, call uint64, b registry.Beat) Output {
-	m.applyRegistry(m.registry.Beat(now, call, b))
+func (m *Machine) ServerHeartbeat(now fsm.Time, call uint64, b registry.Heartbeat) Output {
+	m.applyRegistry(m.registry.Heartbeat(now, call, b))
 	return m.takeOutput()
 }
 
 // RemoveServer handles a server's call that it has ended.
 func (m *Machine) RemoveServer(now fsm.Time, call uint64, id string) Output {
-	m.applyRegistry(m.registry.Delete(now, call, id))
+	m.applyRegistry(m.registry.Deregister(now, call, id))
 	return m.takeOutput()
 }
 
@@ -234,7 +234,7 @@
 // Leave announces that this process will end.
 func (m *Machine) Leave(now fsm.Time) Output {
 	m.leaving, m.ready = true, false
-	m.drain.Fit(false, true)
+	m.drain.SetReady(false, true)
 	m.applyMembership(now, m.members.Leave(now))
 	m.applyConsensus(now, m.consensus.Leave(now, consensus.LeaveEventually))
 	return m.takeOutput()
@@ -252,7 +252,7 @@
 
 // SetSeeds replaces the seed addresses.
 func (m *Machine) SetSeeds(now fsm.Time, seeds []string) {
-	m.members.Seeds(now, seeds)
+	m.members.SetSeeds(now, seeds)
 	m.consensus.SetSeeds(now, seeds)
 }
 
@@ -272,10 +272,14 @@
 func (m *Machine) Servers() []registry.Server { return m.registry.Servers() }
 
 // GatewaySights returns every known process with the details that operators are shown.
-func (m *Machine) GatewaySights(now fsm.Time) []memberlist.Sight { return m.members.Sights(now) }
+func (m *Machine) GatewaySights(now fsm.Time) []memberlist.NodeStatus {
+	return m.members.NodeStatuses(now)
+}
 
 // ServerSights returns every known server with the details that operators are shown.
-func (m *Machine) ServerSights(now fsm.Time) []registry.Sight { return m.registry.Sights(now) }
+func (m *Machine) ServerSights(now fsm.Time) []registry.ServerStatus {
+	return m.registry.ServerStatuses(now)
+}
 
 // Epochs returns the consensus epochs seen by this process, the newest last.
 func (m *Machine) Epochs() []consensus.EpochChange { return m.consensus.EpochHistory() }
@@ -305,8 +309,8 @@
 // applyMembership carries out the output of membership.
 func (m *Machine) applyMembership(now fsm.Time, out memberlist.Out) {
 	m.send(out.Send)
-	for _, held := range out.Holds {
-		m.consensus.NotePeerVersion(held.Addr, held.Held)
+	for _, held := range out.HeldVersions {
+		m.consensus.NotePeerVersion(held.Addr, held.Version)
 	}
 	if !out.Changed {
 		return
@@ -318,9 +322,9 @@
 	view := m.members.View()
 	m.membershipPending, m.membershipAt, m.nodeCount = false, now, len(view)
 	up := lo.Filter(view, func(n memberlist.Node, _ int) bool { return n.State == memberlist.Up })
-	m.applyRegistry(m.registry.Nodes(now, view)) // a leaving process still serves, and needs to know the servers
+	m.applyRegistry(m.registry.SetNodes(now, view)) // a leaving process still serves, and needs to know the servers
 	m.consensus.SetPeers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
-		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Version: n.Held}
+		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Version: n.ConfigVersion}
 	}))
 	m.rollout.Nodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
 		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
@@ -328,7 +332,7 @@
 	m.updateDrainPeers(view)
 	m.out.MembersChanged = true
 	m.faultRules.Nodes(lo.FilterMap(view, func(n memberlist.Node, _ int) (faultrules.Node, bool) {
-		return faultrules.Node{Addr: n.Addr, Life: n.Life}, n.State != memberlist.Gone
+		return faultrules.Node{Addr: n.Addr, Life: n.Incarnation}, n.State != memberlist.Gone
 	}))
 	m.out.Gateways = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == m.self })}
 	holders := dutyOrder(up)
--- a/internal/controlplane/drain.go
+++ b/internal/controlplane/drain.go
@@ -13,7 +13,7 @@
 // Drain handles an operator's call that starts or stops a drain. It is answered by a drainpermit.Answer
 // within the given time.
 func (m *Machine) Drain(now fsm.Time, call uint64, op drainpermit.Op, within time.Duration) Output {
-	m.drain.Fit(m.servable(), m.leaving)
+	m.drain.SetReady(m.servable(), m.leaving)
 	m.applyDrain(m.drain.Call(now, call, op, within))
 	return m.takeOutput()
 }
@@ -23,7 +23,7 @@
 
 // servable reports whether requests can be served here, regardless of a drain.
 func (m *Machine) servable() bool {
-	return !m.leaving && m.version > 0 && m.registry.Filled() && m.hasContact()
+	return !m.leaving && m.version > 0 && m.registry.Complete() && m.hasContact()
 }
 
 // updateDrainPeers tells the drain permit which gateways could take over. A node that was seen lately and
@@ -38,19 +38,19 @@
 			up = append(up, drainpermit.Peer{Addr: n.Addr, Ready: n.Ready})
 		}
 	}
-	m.drain.Peers(up, missing)
+	m.drain.SetPeers(up, missing)
 }
 
 // applyDrain carries out the output of the drain permit.
 func (m *Machine) applyDrain(out drainpermit.Out) {
 	for _, s := range out.Send {
-		w := s.Msg.(drainpermit.Word)
+		w := s.Msg.(drainpermit.Message)
 		m.send([]fsm.Send{{To: s.To, Msg: Relay{From: m.self, To: s.To, Drain: &w}}})
 	}
 	for _, r := range out.Replies {
 		m.out.Replies = append(m.out.Replies, Reply{r.Call, r.Answer})
 	}
-	m.out.DrainChanged = m.out.DrainChanged || out.Turned
+	m.out.DrainChanged = m.out.DrainChanged || out.DrainingChanged
 }
 
 // startID returns a number that identifies this start of the process.
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -17,13 +17,13 @@
 // share in addition to what the others admit. A holder's requests for signs of life are relayed in the
 // same way.
 type Relay struct {
-	From            string            `cbor:"1,keyasint"`
-	To              string            `cbor:"2,keyasint"`
-	RelayedBy       string            `cbor:"3,keyasint,omitempty"`
-	Add             *quotas.Add       `cbor:"4,keyasint,omitempty"`
-	Answer          *quotas.Answer    `cbor:"5,keyasint,omitempty"`
-	LivenessRequest bool              `cbor:"6,keyasint,omitempty"`
-	Drain           *drainpermit.Word `cbor:"7,keyasint,omitempty"` // sent directly; the previous version ignores it
+	From            string               `cbor:"1,keyasint"`
+	To              string               `cbor:"2,keyasint"`
+	RelayedBy       string               `cbor:"3,keyasint,omitempty"`
+	Add             *quotas.Add          `cbor:"4,keyasint,omitempty"`
+	Answer          *quotas.Answer       `cbor:"5,keyasint,omitempty"`
+	LivenessRequest bool                 `cbor:"6,keyasint,omitempty"`
+	Drain           *drainpermit.Message `cbor:"7,keyasint,omitempty"` // sent directly; the previous version ignores it
 }
 
 // detour is the state of the relayed path to one holder.
@@ -135,7 +135,7 @@
 
 // relays returns a few processes, in turn, that may be able to reach the holder.
 func (m *Machine) relays(holder string) (relays []string) {
-	candidates := lo.FilterMap(m.members.Up(), func(n memberlist.Node, _ int) (string, bool) {
+	candidates := lo.FilterMap(m.members.UpNodes(), func(n memberlist.Node, _ int) (string, bool) {
 		return n.Addr, n.Addr != m.self && n.Addr != holder
 	})
 	for range min(relaysPerSearch, len(candidates)) {
@@ -154,8 +154,8 @@
 			m.send([]fsm.Send{{To: relay.To, Msg: relay}})
 		}
 	case relay.Drain != nil:
-		m.drain.Fit(m.servable(), m.leaving)
-		m.applyDrain(m.drain.Take(now, relay.From, *relay.Drain))
+		m.drain.SetReady(m.servable(), m.leaving)
+		m.applyDrain(m.drain.Receive(now, relay.From, *relay.Drain))
 	case relay.Add != nil:
 		for _, s := range m.counter.Take(now, relay.From, *relay.Add) {
 			if a, ok := s.Msg.(quotas.Answer); ok && s.To == relay.From {
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -51,7 +51,7 @@
 	}{{11, 50 * time.Millisecond, true}, {11, 300 * time.Millisecond, true}, {490, 50 * time.Millisecond, true}, {490, 300 * time.Millisecond, false}} {
 		now := time.Hour
 		machine := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Incarnation: 1}, silentMeter{}, nil, now)
-		machine.members.Take(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Life: 1}})
+		machine.members.Receive(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Incarnation: 1}})
 		machine.Tick(now)
 		machine.nodeCount = c.nodes
 		machine.detours["h:1"] = &detour{}
@@ -87,7 +87,7 @@
 			meter := &lateMeter{late: true}
 			now := time.Hour
 			machine := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Incarnation: 1}, meter, nil, now)
-			machine.members.Take(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Life: 1}})
+			machine.members.Receive(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Incarnation: 1}})
 			relayed := 0
 			for i := range 40 {
 				now += 50 * time.Millisecond
@@ -142,7 +142,7 @@
 		now := time.Hour
 		machine := New(Config{Self: "h:1", Name: "h", Zone: "z", Incarnation: 1}, silentMeter{}, nil, now)
 		for _, w := range []string{"w:1", "w:2", "w:3"} {
-			machine.members.Take(now, w, memberlist.Hello{Node: memberlist.Node{Addr: w, Name: w, Zone: "z", Life: 1}})
+			machine.members.Receive(now, w, memberlist.Hello{Node: memberlist.Node{Addr: w, Name: w, Zone: "z", Incarnation: 1}})
 		}
 		nodes := []string{"h:1"}
 		for i := range c.silent {
@@ -189,7 +189,7 @@
 	for nodes, first := range map[int]int{11: 909, 91: 909, 490: 0} {
 		now := time.Hour
 		machine := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Incarnation: 1}, bulkyMeter{}, nil, now)
-		machine.members.Take(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Life: 1}})
+		machine.members.Receive(now, "w:1", memberlist.Hello{Node: memberlist.Node{Addr: "w:1", Name: "w", Zone: "z", Incarnation: 1}})
 		machine.Tick(now)
 		machine.nodeCount = nodes
 		machine.detours["h:1"] = &detour{}
@@ -223,7 +223,7 @@
 	meter := &lateMeter{}
 	machine := New(Config{Self: "g:1", Name: "g", Zone: "z", Seeds: []string{"h:1"}, Incarnation: 1}, meter, nil, now)
 	for _, other := range []string{"w:1", "x:1"} {
-		machine.members.Take(now, other, memberlist.Hello{Node: memberlist.Node{Addr: other, Name: other, Zone: "z", Life: 1}})
+		machine.members.Receive(now, other, memberlist.Hello{Node: memberlist.Node{Addr: other, Name: other, Zone: "z", Incarnation: 1}})
 	}
 	machine.detourTo("h:1").answeredVia(now, "w:1", quotas.Answer{Stamp: now})
 	usedRelays := func() map[string]bool {
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -54,7 +54,7 @@
 	m := p.machines["calls"]
 	p.deliver("calls", m.PutConfig(p.now, 1, consensus.Doc{Version: 7, Body: []byte(run)}))
 	p.deliver("calls", m.GetConfig(p.now, 2))
-	p.deliver("calls", m.ServerHeartbeat(p.now, 3, registry.Beat{ID: run + "-1", Addr: run + "1:1", Service: "s", Zone: "z", Seq: 2, Quiescing: true}))
+	p.deliver("calls", m.ServerHeartbeat(p.now, 3, registry.Heartbeat{ID: run + "-1", Addr: run + "1:1", Service: "s", Zone: "z", Seq: 2, Quiescing: true}))
 	p.deliver("calls", m.RemoveServer(p.now, 4, run+"-2"))
 	p.deliver("calls", m.Tick(p.now))
 }
--- a/internal/systemsim/bug.go
+++ b/internal/systemsim/bug.go
@@ -59,9 +59,9 @@
 	case Unread:
 		return controlplane.Bugs{Consensus: consensus.BugUnconfirmed}
 	case Unvouched:
-		return controlplane.Bugs{Registry: registry.Unvouched}
+		return controlplane.Bugs{Registry: registry.BugNoQuorumConfirmation}
 	case Straight:
-		return controlplane.Bugs{Registry: registry.Straight}
+		return controlplane.Bugs{Registry: registry.BugNoIndirectDelivery}
 	case Unmet:
 		return controlplane.Bugs{ReadyWithoutContact: true}
 	case Unasked:
@@ -69,9 +69,9 @@
 	case Numberless:
 		return controlplane.Bugs{FaultRules: faultrules.Numberless}
 	case Uncalled:
-		return controlplane.Bugs{Drain: drainpermit.Hasty}
+		return controlplane.Bugs{Drain: drainpermit.BugNoPermission}
 	case Outdated:
-		return controlplane.Bugs{Drain: drainpermit.Stale}
+		return controlplane.Bugs{Drain: drainpermit.BugStalePermission}
 	case Unfenced:
 		return controlplane.Bugs{FaultRules: faultrules.Unfenced}
 	}
@@ -108,13 +108,13 @@
 			t.Committed, t.Pending = t.Committed.ResetLedger(), t.Pending.ResetLedger()
 		}
 		return []any{t}
-	case registry.News:
+	case registry.Update:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
 	case registry.Diff:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
-	case registry.Whole:
+	case registry.FullTable:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
 	}
