--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -40,11 +40,11 @@
 // Meter is what a Knot tells a *quotas.Meter. Requests are metered beside the loop, so
 // that the user may have put a lock round it.
 type Meter interface {
-	Nodes(now fsm.Time, gateways int, holders []string)
-	Enter(now fsm.Time, r *quotas.Roster)
-	Take(now fsm.Time, from string, msg any) []fsm.Send
+	SetGateways(now fsm.Time, gateways int, holders []string)
+	SetRoster(now fsm.Time, r *quotas.Roster)
+	Receive(now fsm.Time, from string, msg any) []fsm.Send
 	Tick(now fsm.Time) []fsm.Send
-	Mute(now fsm.Time, holder string) bool // it leaves adds unanswered
+	ReadOverdue(now fsm.Time, holder string) bool // it leaves adds unanswered
 }
 
 // Reply ends a call: a registry.Answer or a consensus.Answer.
@@ -148,13 +148,13 @@
 	case of == ofKnot:
 		k.via(now, from, msg.(Via))
 	case of == ofToll:
-		if a, ok := msg.(quotas.Answer); ok && !a.Ask {
+		if a, ok := msg.(quotas.Answer); ok && !a.Probe {
 			if d := k.round[from]; d != nil {
 				d.straight(a)
 			}
 		}
-		k.send(k.counter.Take(now, from, msg))
-		k.send(k.meter.Take(now, from, msg))
+		k.send(k.counter.Receive(now, from, msg))
+		k.send(k.meter.Receive(now, from, msg))
 	}
 	return k.end()
 }
@@ -186,7 +186,7 @@
 }
 
 // Strain tells the counter here how long, lately, an add had to wait among many others.
-func (k *Knot) Strain(now fsm.Time, waited time.Duration) { k.counter.Strain(now, waited) }
+func (k *Knot) Strain(now fsm.Time, waited time.Duration) { k.counter.ReportQueueDelay(now, waited) }
 
 // Count sends the adds that should not wait for the tick.
 func (k *Knot) Count(now fsm.Time) Out {
@@ -327,8 +327,8 @@
 	}))
 	k.out.Shares = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == k.self })}
 	holders := inOrder(up)
-	k.counter.Nodes(holders)
-	k.meter.Nodes(now, len(up), holders)
+	k.counter.SetGateways(holders)
+	k.meter.SetGateways(now, len(up), holders)
 }
 
 // inOrder is the agreed order for duties that one process does, of processes by their
--- a/internal/controlplane/text.go
+++ b/internal/controlplane/text.go
@@ -117,8 +117,8 @@
 		k.accord.Unable()
 		return
 	}
-	k.meter.Enter(now, r.roster)
-	k.counter.Enter(r.roster)
+	k.meter.SetRoster(now, r.roster)
+	k.counter.SetRoster(r.roster)
 	k.bond.SetHeld(doc.Version)
 	k.version, k.out.Adopt = doc.Version, r.table
 }
--- a/internal/controlplane/via.go
+++ b/internal/controlplane/via.go
@@ -48,7 +48,7 @@
 // straight ends a way round: its end has answered by itself.
 func (d *detour) straight(a quotas.Answer) {
 	d.by, d.till = "", 0
-	if stamp, ok := a.Stamped(); ok {
+	if stamp, ok := a.RequestTimestamp(); ok {
 		d.answered = max(d.answered, stamp)
 	}
 }
@@ -56,7 +56,7 @@
 // open takes a way that an answer has come by, if that add, or a later one, wasn't answered straight too: else each way
 // would keep itself open, since while there is one each add goes both ways.
 func (d *detour) open(now fsm.Time, by string, a quotas.Answer) {
-	if stamp, ok := a.Stamped(); ok && stamp > d.answered {
+	if stamp, ok := a.RequestTimestamp(); ok && stamp > d.answered {
 		d.by, d.till = by, now+detourFor
 	}
 }
@@ -86,9 +86,9 @@
 			k.send([]fsm.Send{{To: d.by, Msg: Via{From: k.self, To: s.To, Add: &add}}})
 		}
 		// A way that is open is no reason not to look for another: whom it goes by may be gone.
-		if !k.stood && k.meter.Mute(now, s.To) && d.may(now, k.seen) {
+		if !k.stood && k.meter.ReadOverdue(now, s.To) && d.may(now, k.seen) {
 			if k.seen > fewer {
-				add = add.Question()
+				add = add.WithoutItems()
 			}
 			k.around(s.To, Via{From: k.self, To: s.To, Add: &add})
 		}
@@ -113,7 +113,7 @@
 	if k.stood {
 		return
 	}
-	blind := lo.Filter(asks, func(s fsm.Send, _ int) bool { return k.counter.Blind(now, s.To) })
+	blind := lo.Filter(asks, func(s fsm.Send, _ int) bool { return k.counter.ProbeOverdue(now, s.To) })
 	if n := len(blind); n > mostBlind {
 		at := k.asking % n
 		k.asking += mostBlind
@@ -155,20 +155,20 @@
 		k.cede.Fit(k.fit(), k.leaving)
 		k.ceded(k.cede.Take(now, v.From, *v.Drain))
 	case v.Add != nil:
-		for _, s := range k.counter.Take(now, v.From, *v.Add) {
+		for _, s := range k.counter.Receive(now, v.From, *v.Add) {
 			if a, ok := s.Msg.(quotas.Answer); ok && s.To == v.From {
 				s = fsm.Send{To: v.By, Msg: Via{From: k.self, To: v.From, Answer: &a}}
 			}
 			k.send([]fsm.Send{s})
 		}
 	case v.Ask:
-		for _, s := range k.meter.Take(now, v.From, quotas.Answer{Ask: true}) {
+		for _, s := range k.meter.Receive(now, v.From, quotas.Answer{Probe: true}) {
 			if a, ok := s.Msg.(quotas.Add); ok {
 				k.send([]fsm.Send{{To: v.By, Msg: Via{From: k.self, To: v.From, Add: &a}}})
 			}
 		}
 	case v.Answer != nil:
 		k.detour(v.From).open(now, v.By, *v.Answer)
-		k.send(k.meter.Take(now, v.From, *v.Answer))
+		k.send(k.meter.Receive(now, v.From, *v.Answer))
 	}
 }
--- a/internal/controlplane/via_test.go
+++ b/internal/controlplane/via_test.go
@@ -33,12 +33,12 @@
 // unheard is a meter whose holder never answers.
 type unheard struct{}
 
-func (unheard) Nodes(fsm.Time, int, []string)         {}
-func (unheard) Enter(fsm.Time, *quotas.Roster)        {}
-func (unheard) Take(fsm.Time, string, any) []fsm.Send { return nil }
-func (unheard) Mute(fsm.Time, string) bool            { return true }
+func (unheard) SetGateways(fsm.Time, int, []string)      {}
+func (unheard) SetRoster(fsm.Time, *quotas.Roster)       {}
+func (unheard) Receive(fsm.Time, string, any) []fsm.Send { return nil }
+func (unheard) ReadOverdue(fsm.Time, string) bool        { return true }
 func (unheard) Tick(fsm.Time) []fsm.Send {
-	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Life: 1}}}
+	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Incarnation: 1}}}
 }
 
 // TestStood: of a large fleet who stood still itself looks for no way round, since it is not the holder that is late; in a
@@ -73,9 +73,9 @@
 	late bool
 }
 
-func (s *seldom) Mute(fsm.Time, string) bool { return s.late }
+func (s *seldom) ReadOverdue(fsm.Time, string) bool { return s.late }
 func (s *seldom) Tick(now fsm.Time) []fsm.Send {
-	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Life: 1, Stamp: now}}}
+	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Incarnation: 1, Timestamp: now}}}
 }
 
 // TestWayCloses: a holder that was late once and answers again isn't told round for good. While a way is open
@@ -109,9 +109,9 @@
 				}
 				answer := func(a quotas.Add) quotas.Answer {
 					if brief { // flags, the life in four bytes, the period, the stamp
-						return quotas.Answer{Brief: binary.AppendUvarint([]byte{0, 0, 0, 0, 1, 7}, uint64(a.Stamp))}
+						return quotas.Answer{Compact: binary.AppendUvarint([]byte{0, 0, 0, 0, 1, 7}, uint64(a.Timestamp))}
 					}
-					return quotas.Answer{Life: 1, Stamp: a.Stamp}
+					return quotas.Answer{Incarnation: 1, Timestamp: a.Timestamp}
 				}
 				if back && i > 0 {
 					for _, a := range adds {
@@ -147,15 +147,15 @@
 		for i := range c.silent {
 			nodes = append(nodes, fmt.Sprintf("g%03d:1", i))
 		}
-		k.counter.Nodes(nodes)
+		k.counter.SetGateways(nodes)
 		k.counter.Tick(now)
 		for _, n := range nodes[1:] {
-			k.counter.Take(now, n, quotas.Add{Life: 1, Signs: true, Near: true})
+			k.counter.Receive(now, n, quotas.Add{Incarnation: 1, AnswersProbes: true, NearLimit: true})
 		}
 		all := map[string]bool{}
 		for range 100 {
 			now += 50 * time.Millisecond
-			k.counter.Take(now, "w:1", quotas.Add{Life: 1, Near: true})
+			k.counter.Receive(now, "w:1", quotas.Add{Incarnation: 1, NearLimit: true})
 			k.stood = c.stood
 			k.look(now, k.counter.Tick(now))
 			round := map[string]bool{}
@@ -178,7 +178,7 @@
 type wordy struct{ unheard }
 
 func (wordy) Tick(now fsm.Time) []fsm.Send {
-	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Life: 1, Stamp: now, Read: true, List: 7, Packed: make([]byte, 900), Items: make([]quotas.Item, 9)}}}
+	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Incarnation: 1, Timestamp: now, Read: true, RosterHash: 7, Packed: make([]byte, 900), Items: make([]quotas.Item, 9)}}}
 }
 
 // TestOnlyAQuestionGoesRound: of a large fleet what looks for a way round carries no items, and the add after an answer that
@@ -200,10 +200,10 @@
 					continue
 				}
 				sizes = append(sizes, len(v.Add.Packed)+len(v.Add.Items))
-				if v.Add.Life != 1 || v.Add.List != 7 || !v.Add.Read && !v.Add.Echo {
+				if v.Add.Incarnation != 1 || v.Add.RosterHash != 7 || !v.Add.Read && !v.Add.Ping {
 					t.Errorf("%d gateways: %+v is answered by nobody", known, *v.Add)
 				}
-				k.Take(now, "w:1", Via{From: "h:1", To: "g:1", By: "w:1", Answer: &quotas.Answer{Life: 1, Stamp: v.Add.Stamp}})
+				k.Take(now, "w:1", Via{From: "h:1", To: "g:1", By: "w:1", Answer: &quotas.Answer{Incarnation: 1, Timestamp: v.Add.Timestamp}})
 			}
 		}
 		if len(sizes) != 2 || sizes[0] != first || sizes[1] != 909 {
@@ -222,7 +222,7 @@
 	for _, other := range []string{"w:1", "x:1"} {
 		k.bond.Take(now, other, memberlist.Hello{Node: memberlist.Node{Addr: other, Name: other, Zone: "z", Life: 1}})
 	}
-	k.detour("h:1").open(now, "w:1", quotas.Answer{Stamp: now})
+	k.detour("h:1").open(now, "w:1", quotas.Answer{Timestamp: now})
 	by := func() map[string]bool {
 		ways := map[string]bool{}
 		for range 6 {
--- a/internal/daemon/meter.go
+++ b/internal/daemon/meter.go
@@ -18,27 +18,27 @@
 func (l *meter) pass(now fsm.Time, tenant string, units float64) (ok bool, after time.Duration, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ok, after = l.m.Pass(now, tenant, units)
+	ok, after = l.m.Allow(now, tenant, units)
 	return ok, after, l.m.Due(now)
 }
 
 // Nodes, Enter, Take and Tick are what the knot tells it.
-func (l *meter) Nodes(now fsm.Time, gateways int, holders []string) {
+func (l *meter) SetGateways(now fsm.Time, gateways int, holders []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.m.Nodes(now, gateways, holders)
+	l.m.SetGateways(now, gateways, holders)
 }
 
-func (l *meter) Enter(now fsm.Time, r *quotas.Roster) {
+func (l *meter) SetRoster(now fsm.Time, r *quotas.Roster) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.m.Enter(now, r)
+	l.m.SetRoster(now, r)
 }
 
-func (l *meter) Take(now fsm.Time, from string, msg any) []fsm.Send {
+func (l *meter) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.m.Take(now, from, msg)
+	return l.m.Receive(now, from, msg)
 }
 
 func (l *meter) Tick(now fsm.Time) []fsm.Send {
@@ -47,8 +47,8 @@
 	return l.m.Tick(now)
 }
 
-func (l *meter) Mute(now fsm.Time, holder string) bool {
+func (l *meter) ReadOverdue(now fsm.Time, holder string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.m.Mute(now, holder)
+	return l.m.ReadOverdue(now, holder)
 }
--- a/internal/daemon/quotas.go
+++ b/internal/daemon/quotas.go
@@ -12,10 +12,10 @@
 )
 
 // account is what the meter's decisions went by.
-func (l *meter) account(now fsm.Time) quotas.Account {
+func (l *meter) account(now fsm.Time) quotas.Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.m.Account(now)
+	return l.m.Stats(now)
 }
 
 // quotas shows operators what this gateway's decisions about quotas went by.
@@ -23,8 +23,8 @@
 	p.show(ctx, func(p *Process) any {
 		a, name := p.meter.account(p.now()), named(p.knot.Gateways(p.now()))
 		return adminapi.Quotas{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Holder: cmp.Or(name(a.Holder), a.Holder),
-			HolderChanges: a.Changes, SharesFor: a.Gateways, InTouch: a.InTouch, UnansweredMs: a.UnheardMS,
-			BehindUnits: a.Behind, BehindAnswers: a.Answers,
+			HolderChanges: a.HolderChanges, SharesFor: a.Gateways, InTouch: a.Reachable, UnansweredMs: a.UnansweredMS,
+			BehindUnits: a.MaxBehind, BehindAnswers: a.AnswersBehind,
 			Decided: lo.Map(quotas.Bases(), func(b quotas.Basis, _ int) adminapi.Decision {
 				return adminapi.Decision{Basis: b.String(), Passed: a.Decided[b].Passed, Refused: a.Decided[b].Refused}
 			})}
--- a/internal/daemon/shed_test.go
+++ b/internal/daemon/shed_test.go
@@ -10,7 +10,9 @@
 	"asterwell/internal/quotas"
 )
 
-func add(n int) *frame { return &frame{From: "g", Msg: quotas.Add{Life: 1, Stamp: time.Duration(n)}} }
+func add(n int) *frame {
+	return &frame{From: "g", Msg: quotas.Add{Incarnation: 1, Timestamp: time.Duration(n)}}
+}
 
 // TestShed: few adds wait for as long as it takes; of many, those too old to be of use are dropped, and the newer ones are counted in order.
 func TestShed(t *testing.T) {
@@ -30,7 +32,7 @@
 	}
 	taken := func(now time.Time) (got []int) {
 		for f := a.next(now); f != nil; f = a.next(now) {
-			got = append(got, int(f.Msg.(quotas.Add).Stamp))
+			got = append(got, int(f.Msg.(quotas.Add).Timestamp))
 		}
 		return got
 	}
@@ -66,7 +68,7 @@
 func TestSkip(t *testing.T) {
 	var out, in tally
 	var wire bytes.Buffer
-	for _, msg := range []any{quotas.Add{Life: 7}, memberlist.Ping{}} {
+	for _, msg := range []any{quotas.Add{Incarnation: 7}, memberlist.Ping{}} {
 		wire.Write(out.codec(nil).Encode(&frame{From: "127.0.0.1:1", Msg: msg}))
 	}
 	r := bufio.NewReader(&wire)
--- a/internal/quotas/active_test.go
+++ b/internal/quotas/active_test.go
@@ -62,8 +62,8 @@
 			limits["t999"] = Limit{7, 7}
 			limits["t004"] = Limit{9, 9}
 			for _, b := range f.boxes {
-				b.meter.Limits(f.now, limits)
-				b.counter.Limits(limits)
+				b.meter.SetLimits(f.now, limits)
+				b.counter.SetLimits(limits)
 			}
 			to(50)
 			sums[i] = hash.Sum64()
@@ -90,21 +90,21 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	zipf := rand.NewZipf(rng, 1.01, 1, tenants-1)
 	m, c := NewMeter("a", 1, 1), NewCounter("h", 1)
-	m.Limits(0, limits)
-	m.Nodes(0, 23, []string{"h", "i"})
+	m.SetLimits(0, limits)
+	m.SetGateways(0, 23, []string{"h", "i"})
 	now := time.Second
 	step := func() {
 		for range 10 {
 			now += 5 * time.Millisecond
 			for range 13 {
-				m.Pass(now, names[zipf.Uint64()], 1)
+				m.Allow(now, names[zipf.Uint64()], 1)
 			}
 			for _, s := range m.Tick(now) {
 				if s.To != "h" {
 					continue
 				}
-				for _, back := range c.Take(now, "a", s.Msg) {
-					m.Take(now+time.Millisecond, "h", back.Msg)
+				for _, back := range c.Receive(now, "a", s.Msg) {
+					m.Receive(now+time.Millisecond, "h", back.Msg)
 				}
 			}
 		}
--- a/internal/quotas/back_test.go
+++ b/internal/quotas/back_test.go
@@ -10,24 +10,24 @@
 // the others passed under that is drained long since.
 func TestBack(t *testing.T) {
 	m := NewMeter("a", 1, 1)
-	m.Nodes(0, 10, []string{"a", "b"})
-	m.Limits(0, map[string]Limit{"t": {100, 100}})
+	m.SetGateways(0, 10, []string{"a", "b"})
+	m.SetLimits(0, map[string]Limit{"t": {100, 100}})
 	now, e := time.Minute, m.entries["t"]
 	hear := func(period uint64, totals ...Total) {
 		now += 50 * time.Millisecond
 		m.tickAt, m.companyAt = now, now
-		m.Take(now, "a", Answer{Life: 1, Period: period, Stamp: now, Totals: totals})
+		m.Receive(now, "a", Answer{Incarnation: 1, Period: period, Timestamp: now, Totals: totals})
 	}
 	hear(1)
-	hear(1, Total{Tenant: "t", Period: 1, Others: 500000, Sure: true})
-	hear(1, Total{Tenant: "t", Period: 1, Others: 500000, Sure: true})
+	hear(1, Total{Tenant: "t", Period: 1, Others: 500000, LevelKnown: true})
+	hear(1, Total{Tenant: "t", Period: 1, Others: 500000, LevelKnown: true})
 	if !e.seen {
 		t.Fatal("unseen")
 	}
 	hear(2) // told by the others' adds
 	m.touch(now, e)
 	hear(3)
-	hear(3, Total{Tenant: "t", Period: 3, Sure: true}, Total{Tenant: "t", Period: 2, Others: 300000})
+	hear(3, Total{Tenant: "t", Period: 3, LevelKnown: true}, Total{Tenant: "t", Period: 2, Others: 300000})
 	if room := e.room(now); room < 50 {
 		t.Errorf("room %.0f of 100 after 300 units of long ago", room)
 	}
--- a/internal/quotas/basis.go
+++ b/internal/quotas/basis.go
@@ -6,10 +6,10 @@
 type Basis uint8
 
 const (
-	ByFirst  Basis = iota // the first holder's sums
-	BySecond              // the second holder's, since the first doesn't answer
-	Unread                // it hasn't read the tenant yet: a start allowance
-	ByShare               // no holder answers: its even share
+	FirstHolder  Basis = iota // the first holder's sums
+	SecondHolder              // the second holder's, since the first doesn't answer
+	Unread                    // it hasn't read the tenant yet: a start allowance
+	OwnShare                  // no holder answers: its even share
 	bases
 )
 
@@ -19,47 +19,47 @@
 }
 
 // Bases are all there are.
-func Bases() []Basis { return []Basis{ByFirst, BySecond, Unread, ByShare} }
+func Bases() []Basis { return []Basis{FirstHolder, SecondHolder, Unread, OwnShare} }
 
 // basis is what the next decision about a tenant goes by.
 func (m *Meter) basis(now fsm.Time, e *entry) Basis {
 	switch {
 	case e.mute || m.reader < 0 && m.silent(now):
-		return ByShare
+		return OwnShare
 	case !e.seen:
 		return Unread
 	case m.reader == 1:
-		return BySecond
+		return SecondHolder
 	}
-	return ByFirst
+	return FirstHolder
 }
 
-// Tally counts the requests decided by one basis since the start.
-type Tally struct{ Passed, Refused uint64 }
+// Decisions counts the requests decided by one basis since the start.
+type Decisions struct{ Passed, Refused uint64 }
 
-// Account is what a meter shows of its quotas: which basis its decisions had, and what it knows of the fleet.
-type Account struct {
-	Decided   [bases]Tally
-	Holder    string // the one that is read; "": none answers
-	Changes   uint64 // of the holder that is read, since the start
-	Gateways  int    // that shares are made for,
-	InTouch   int    // of these, in sight
-	UnheardMS int64  // since the oldest read that is not answered
+// Stats is what a meter shows of its quotas: which basis its decisions had, and what it knows of the fleet.
+type Stats struct {
+	Decided       [bases]Decisions
+	Holder        string // the one that is read; "": none answers
+	HolderChanges uint64 // of the holder that is read, since the start
+	Gateways      int    // that shares are made for,
+	Reachable     int    // of these, in sight
+	UnansweredMS  int64  // since the oldest read that is not answered
 
 	// Behind is by how many units a holder's level was above what this gateway reckoned with, at the most in
 	// one answer; Answers is how many answers were a unit or more above it.
-	Behind  float64
-	Answers uint64
+	MaxBehind     float64
+	AnswersBehind uint64
 }
 
-// Account tells them.
-func (m *Meter) Account(now fsm.Time) Account {
-	a := Account{Decided: m.decided, Changes: m.changes, Behind: m.behind, Answers: m.behindAnswers, Gateways: m.even(now), InTouch: m.present()}
+// Stats tells them.
+func (m *Meter) Stats(now fsm.Time) Stats {
+	a := Stats{Decided: m.decided, HolderChanges: m.changes, MaxBehind: m.behind, AnswersBehind: m.behindAnswers, Gateways: m.even(now), Reachable: m.present()}
 	if m.reader >= 0 {
 		s := &m.slots[m.reader]
 		a.Holder = s.addr
 		if s.pending != 0 {
-			a.UnheardMS = (now - s.pending).Milliseconds()
+			a.UnansweredMS = (now - s.pending).Milliseconds()
 		}
 	}
 	return a
@@ -76,7 +76,7 @@
 
 // compare notes by how much a holder's level is above what is reckoned with here.
 func (m *Meter) compare(e *entry, t Total, stamp fsm.Time) {
-	if !e.seen || !t.Sure {
+	if !e.seen || !t.LevelKnown {
 		return
 	}
 	behind := float64(t.Level)/milli + e.unheard() - float64(e.tat-stamp)/e.gap
--- a/internal/quotas/brief_test.go
+++ b/internal/quotas/brief_test.go
@@ -18,15 +18,15 @@
 	coin := func() bool { return rng.IntN(2) == 0 }
 	for range 2000 {
 		life := rng.Uint64() >> rng.IntN(60)
-		a := Add{Life: life, Period: rng.Uint64() >> rng.IntN(64), Stamp: fsm.Time(rng.Int64() >> rng.IntN(63)), Read: coin(), Echo: coin(),
-			Near: coin(), Signs: coin(), List: rng.Uint32(), Packed: []byte("items")}
+		a := Add{Incarnation: life, Period: rng.Uint64() >> rng.IntN(64), Timestamp: fsm.Time(rng.Int64() >> rng.IntN(63)), Read: coin(), Ping: coin(),
+			NearLimit: coin(), AnswersProbes: coin(), RosterHash: rng.Uint32(), Packed: []byte("items")}
 		short := a.shorten()
-		if got, ok := short.Lengthen(life); !ok || cmp.Diff(a, got) != "" {
+		if got, ok := short.Expand(life); !ok || cmp.Diff(a, got) != "" {
 			t.Fatal(ok, cmp.Diff(a, got))
 		}
-		w := Answer{Life: life, Period: a.Period, Stamp: a.Stamp, Company: coin(), Taken: coin(), Briefs: true, Packed: []byte("totals")}
+		w := Answer{Incarnation: life, Period: a.Period, Timestamp: a.Timestamp, HeardOthers: coin(), PackedAccepted: coin(), ReadsCompact: true, Packed: []byte("totals")}
 		if coin() {
-			w.Missing, w.List, w.Pace = rng.Uint32(), rng.Uint32(), uint8(rng.IntN(256))
+			w.Missing, w.RosterHash, w.SendInterval = rng.Uint32(), rng.Uint32(), uint8(rng.IntN(256))
 		}
 		back := w.shorten()
 		got, lost, ok := back.lengthen(life)
@@ -34,7 +34,7 @@
 			t.Fatal(ok, lost, cmp.Diff(w, got))
 		}
 		for _, a := range []Answer{w, back} {
-			if stamp, ok := a.Stamped(); !ok || stamp != w.Stamp {
+			if stamp, ok := a.RequestTimestamp(); !ok || stamp != w.Timestamp {
 				t.Fatal("its stamp is told as", stamp, ok)
 			}
 		}
@@ -44,11 +44,11 @@
 		if _, lost, ok := w.lost(fold(life)).lengthen(life); !ok || !lost {
 			t.Fatal("a lost life is not told", lost, ok)
 		}
-		for cut := range len(short.Brief) {
-			Add{Brief: short.Brief[:cut]}.Lengthen(life)
-			part := Answer{Brief: back.Brief[:min(cut, len(back.Brief))]}
+		for cut := range len(short.Compact) {
+			Add{Compact: short.Compact[:cut]}.Expand(life)
+			part := Answer{Compact: back.Compact[:min(cut, len(back.Compact))]}
 			part.lengthen(life)
-			part.Stamped()
+			part.RequestTimestamp()
 		}
 	}
 }
@@ -68,10 +68,10 @@
 			holder := f.boxes[which]
 			short, lost := 0, 0
 			f.wire = func(from, to *box, msg any) {
-				if a, ok := msg.(Add); ok && to == holder && len(a.Brief) > 0 {
+				if a, ok := msg.(Add); ok && to == holder && len(a.Compact) > 0 {
 					short++
 				}
-				if a, ok := msg.(Answer); ok && from == holder && len(a.Brief) > 0 && a.Brief[0]&briefLost != 0 {
+				if a, ok := msg.(Answer); ok && from == holder && len(a.Compact) > 0 && a.Compact[0]&briefLost != 0 {
 					lost++
 				}
 			}
@@ -80,7 +80,7 @@
 				t.Fatalf("%d short adds, %d lost", short, lost)
 			}
 			holder.counter = NewCounter(holder.addr, 77) // it has forgotten all
-			holder.counter.Limits(f.limits())
+			holder.counter.SetLimits(f.limits())
 			f.meet()
 			other.rate = 0 // nothing more of it is said by itself
 			f.run(f.now+2500*time.Millisecond, "")
@@ -119,13 +119,13 @@
 // nothing, and spoils nothing of the life that it came from.
 func TestBriefPassedOn(t *testing.T) {
 	c := NewCounter("h", 1)
-	c.Take(time.Second, "g", Add{Life: 9, Stamp: time.Second, Read: true, Items: []Item{{Tenant: "t", Sum: 5 * milli, Fresh: 5 * milli, Gap: 1e5}}})
-	if out := c.Take(time.Second, "g", Add{}); out != nil || c.offsets["g"].life != 9 {
+	c.Receive(time.Second, "g", Add{Incarnation: 9, Timestamp: time.Second, Read: true, Items: []Item{{Tenant: "t", Sum: 5 * milli, Unreported: 5 * milli, Interval: 1e5}}})
+	if out := c.Receive(time.Second, "g", Add{}); out != nil || c.offsets["g"].life != 9 {
 		t.Errorf("%+v, life %d", out, c.offsets["g"].life)
 	}
-	short := Add{Life: 9, Stamp: 2 * time.Second, Read: true, Period: c.high, List: 7}.shorten()
-	out := c.Take(2*time.Second, "g", short)
-	if a, ok := out[0].Msg.(Answer); !ok || bytes.Equal(a.Brief, nil) || a.Brief[0]&briefLost != 0 {
+	short := Add{Incarnation: 9, Timestamp: 2 * time.Second, Read: true, Period: c.high, RosterHash: 7}.shorten()
+	out := c.Receive(2*time.Second, "g", short)
+	if a, ok := out[0].Msg.(Answer); !ok || bytes.Equal(a.Compact, nil) || a.Compact[0]&briefLost != 0 {
 		t.Errorf("%+v", out)
 	}
 }
--- a/internal/quotas/counter.go
+++ b/internal/quotas/counter.go
@@ -90,16 +90,16 @@
 	return &Counter{tag: tag, ledgers: map[string]*ledger{}, offsets: map[string]offset{}, sights: sights{self: self, seen: map[string]sight{}}}
 }
 
-// Nodes takes the gateways there are. A counter serves who asks; but it tells how many
+// SetGateways takes the gateways there are. A counter serves who asks; but it tells how many
 // of these it doesn't hear.
-func (c *Counter) Nodes(gateways []string) { c.sights.names(gateways) }
+func (c *Counter) SetGateways(gateways []string) { c.sights.names(gateways) }
 
-// Limits takes the limits of the configuration: gateways that have the same may say numbers
+// SetLimits takes the limits of the configuration: gateways that have the same may say numbers
 // in place of names.
-func (c *Counter) Limits(limits map[string]Limit) { c.Enter(NewRoster(limits)) }
+func (c *Counter) SetLimits(limits map[string]Limit) { c.SetRoster(NewRoster(limits)) }
 
-// Enter is Limits with the roster made already.
-func (c *Counter) Enter(r *Roster) {
+// SetRoster is Limits with the roster made already.
+func (c *Counter) SetRoster(r *Roster) {
 	if c.rosters.renew(r) {
 		c.placed = make([]*ledger, len(r.names))
 	}
@@ -131,13 +131,15 @@
 	return nil
 }
 
-// Blind reports whether a gateway leaves a question unanswered, so that another way to it
+// ProbeOverdue reports whether a gateway leaves a question unanswered, so that another way to it
 // should be tried.
-func (c *Counter) Blind(now fsm.Time, gateway string) bool { return c.sights.blind(now, gateway) }
+func (c *Counter) ProbeOverdue(now fsm.Time, gateway string) bool {
+	return c.sights.blind(now, gateway)
+}
 
-// Take sums an add, and answers if it is to be answered.
-func (c *Counter) Take(now fsm.Time, from string, msg any) []fsm.Send {
-	if ask, ok := msg.(Answer); ok && ask.Ask {
+// Receive sums an add, and answers if it is to be answered.
+func (c *Counter) Receive(now fsm.Time, from string, msg any) []fsm.Send {
+	if ask, ok := msg.(Answer); ok && ask.Probe {
 		c.sights.sign(now, from, true)
 		return nil
 	}
@@ -145,20 +147,20 @@
 	if !ok {
 		return nil
 	}
-	brief := len(a.Brief) > 0
+	brief := len(a.Compact) > 0
 	if brief {
 		folded, there := a.briefLife()
 		o, known := c.offsets[from]
-		if a, ok = a.Lengthen(o.life); !there || !ok {
+		if a, ok = a.Expand(o.life); !there || !ok {
 			return nil
 		}
 		if !known || fold(o.life) != folded { // this process, or what it remembered, is gone since
-			return []fsm.Send{{To: from, Msg: Answer{Period: c.high, Stamp: a.Stamp}.lost(folded)}}
+			return []fsm.Send{{To: from, Msg: Answer{Period: c.high, Timestamp: a.Timestamp}.lost(folded)}}
 		}
-	} else if a.Life == 0 { // one that was shortened, by way of a process that doesn't know that
+	} else if a.Incarnation == 0 { // one that was shortened, by way of a process that doesn't know that
 		return nil
 	}
-	roster := c.rosters.find(a.List)
+	roster := c.rosters.find(a.RosterHash)
 	taken := len(a.Packed) == 0
 	var places []int32 // of the first items and totals
 	if roster != nil && !taken {
@@ -186,11 +188,11 @@
 	if a.Read {
 		c.issue(now)
 	}
-	out := Answer{Life: a.Life, Period: c.high, Stamp: a.Stamp, Missing: c.sights.missing(now), Pace: c.paced()}
+	out := Answer{Incarnation: a.Incarnation, Period: c.high, Timestamp: a.Timestamp, Missing: c.sights.missing(now), SendInterval: c.paced()}
 	if other := c.lastFrom[1]; other.gateway != "" && other.gateway != from {
-		out.Company = now-other.at < companyGap
+		out.HeardOthers = now-other.at < companyGap
 	}
-	who := c.lives.of(now, from, a.Life)
+	who := c.lives.of(now, from, a.Incarnation)
 	if len(a.Items) > 0 {
 		out.Totals = make([]Total, 0, len(a.Items))
 	}
@@ -201,7 +203,7 @@
 		}
 		l := c.ledger(now, it.Tenant, place)
 		if it.Period == 0 { // the asker doesn't know the period yet: it gets the sums to start from
-			it = Item{Tenant: it.Tenant, Period: c.high, Gap: it.Gap}
+			it = Item{Tenant: it.Tenant, Period: c.high, Interval: it.Interval}
 		}
 		l.refresh(now, c.since, it)
 		level := l.level
@@ -212,33 +214,33 @@
 		if c.thawed && now-c.since < listenGap {
 			l.level = level // seconds of adds in a lump
 		} else if late > 0 {
-			l.level = level + drained(l.level-level, late, it.Gap)
+			l.level = level + drained(l.level-level, late, it.Interval)
 		}
-		if it.Near {
+		if it.NearLimit {
 			c.crowds.note(now, it.Tenant)
 		}
 		if it.Used > 0 && late == 0 { // a holder that is new or told at times only may have missed some
 			l.level = max(l.level, float64(it.Used-1)/milli)
 		}
-		out.Totals = append(out.Totals, Total{Tenant: it.Tenant, Period: it.Period, Others: others, Mine: mine,
-			Level: uint64(l.level * milli), Sure: now-c.since >= listenGap && it.Gap > 0})
+		out.Totals = append(out.Totals, Total{Tenant: it.Tenant, Period: it.Period, Others: others, Own: mine,
+			Level: uint64(l.level * milli), LevelKnown: now-c.since >= listenGap && it.Interval > 0})
 	}
 	if a.Read {
 		out.Totals = append(out.Totals, c.unasked(now, from, a)...)
 	}
-	if a.Echo {
+	if a.Ping {
 		out.Totals = nil
 	} else if !a.Read && taken {
 		return nil
 	}
-	if own := c.rosters.newest(); a.List != 0 && (len(a.Packed) == 0 || own != a.List) {
-		out.List = own
+	if own := c.rosters.newest(); a.RosterHash != 0 && (len(a.Packed) == 0 || own != a.RosterHash) {
+		out.RosterHash = own
 	}
 	if len(a.Packed) > 0 && taken {
-		out.Taken = true
+		out.PackedAccepted = true
 		out.Packed, out.Totals = roster.packTotals(out.Period, out.Totals, places)
 	}
-	if out.Briefs = true; brief {
+	if out.ReadsCompact = true; brief {
 		out = out.shorten()
 	}
 	return []fsm.Send{{To: from, Msg: out}}
@@ -259,9 +261,9 @@
 	if l.since != since {
 		l.since, l.level = since, 0
 	}
-	if it.Gap > 0 {
-		l.level = max(0, l.level-float64(now-l.at)/1e3/float64(it.Gap))
-		l.at, l.gap = now, it.Gap
+	if it.Interval > 0 {
+		l.level = max(0, l.level-float64(now-l.at)/1e3/float64(it.Interval))
+		l.at, l.gap = now, it.Interval
 	}
 }
 
@@ -282,7 +284,7 @@
 	last := who[len(who)-1].number
 	was, known := n.sums.of(last)
 	if more := it.Sum - min(it.Sum, was); more > 0 || !known {
-		l.level += float64(min(more, it.Fresh)) / milli
+		l.level += float64(min(more, it.Unreported)) / milli
 		n.sums.set(last, was+more)
 		n.total += more
 	}
--- a/internal/quotas/crowd.go
+++ b/internal/quotas/crowd.go
@@ -52,11 +52,11 @@
 		if l == nil || l.name(c.high) == nil || slices.ContainsFunc(a.Items, func(it Item) bool { return it.Tenant == tenant }) {
 			continue
 		}
-		l.refresh(now, c.since, Item{Gap: l.gap})
-		n, who := l.name(c.high), c.lives.of(now, from, a.Life)
+		l.refresh(now, c.since, Item{Interval: l.gap})
+		n, who := l.name(c.high), c.lives.of(now, from, a.Incarnation)
 		mine, _ := n.sums.of(who[len(who)-1].number)
-		out = append(out, Total{Tenant: tenant, Period: c.high, Others: n.others(who), Mine: mine,
-			Level: uint64(l.level * milli), Sure: now-c.since >= listenGap})
+		out = append(out, Total{Tenant: tenant, Period: c.high, Others: n.others(who), Own: mine,
+			Level: uint64(l.level * milli), LevelKnown: now-c.since >= listenGap})
 	}
 	return out
 }
--- a/internal/quotas/cut_test.go
+++ b/internal/quotas/cut_test.go
@@ -27,13 +27,13 @@
 		refused bool
 	}{{200 * time.Millisecond, true}, {6 * time.Second, false}} {
 		m, now := NewMeter("a", 1, 1), 20*time.Second
-		m.Nodes(0, 3, []string{"b", "c"})
-		m.Limits(0, map[string]Limit{"t": {5, 100}})
+		m.SetGateways(0, 3, []string{"b", "c"})
+		m.SetLimits(0, map[string]Limit{"t": {5, 100}})
 		e := m.entries["t"]
 		e.seen, e.tat, e.pushed, e.readAt, e.mine = true, now+6*time.Second, now, now-c.ago, 60
-		m.Nodes(now, 1, []string{"a"})
+		m.SetGateways(now, 1, []string{"a"})
 		m.tickAt = now
-		if ok, after := m.Pass(now, "t", 1); ok == c.refused {
+		if ok, after := m.Allow(now, "t", 1); ok == c.refused {
 			t.Errorf("70 of 100 units are left, 60 came %v ago: %v, %v", c.ago, ok, after)
 		}
 	}
@@ -57,7 +57,7 @@
 			refused := 0
 			for range 90 {
 				now := f.now
-				ok, after := m.Pass(now, l.tenant, 1)
+				ok, after := m.Allow(now, l.tenant, 1)
 				if ok {
 					continue
 				}
@@ -68,10 +68,10 @@
 				e := m.entries[l.tenant]
 				seen := e.seen
 				f.run(now+after-time.Millisecond, "")
-				if ok, _ := m.Pass(now+after-10*time.Microsecond, l.tenant, 1); ok && seen && e.seen && after != leastGap {
+				if ok, _ := m.Allow(now+after-10*time.Microsecond, l.tenant, 1); ok && seen && e.seen && after != leastGap {
 					t.Errorf("served before %v", after)
 				}
-				if ok, more := m.Pass(now+after, l.tenant, 1); !ok && seen && e.seen {
+				if ok, more := m.Allow(now+after, l.tenant, 1); !ok && seen && e.seen {
 					t.Fatalf("refused for %v, then for %v", after, more)
 				}
 				f.run(now+after+time.Millisecond, "")
--- a/internal/quotas/holder_test.go
+++ b/internal/quotas/holder_test.go
@@ -12,15 +12,15 @@
 func TestNewHolderLevelHolds(t *testing.T) {
 	now := time.Minute
 	m := NewMeter("a", 1, 1)
-	m.Nodes(0, 8, []string{"b", "c"})
-	m.Limits(0, map[string]Limit{"t": {60, 60}})
+	m.SetGateways(0, 8, []string{"b", "c"})
+	m.SetLimits(0, map[string]Limit{"t": {60, 60}})
 	e := m.entries["t"]
 	m.tickAt = now
-	m.Take(now, "b", Answer{Life: 1, Period: 1, Stamp: now})
+	m.Receive(now, "b", Answer{Incarnation: 1, Period: 1, Timestamp: now})
 	m.touch(now, e)
 	e.seen, e.tat, e.pushed, e.cur.based = true, now+e.span(9), now, true
-	m.Take(now, "b", Answer{Life: 1, Period: 1, Stamp: now - time.Millisecond, Totals: []Total{{Tenant: "t", Period: 1, Level: 80000, Sure: true}}})
-	if ok, after := m.Pass(now, "t", 1); ok || after < 300*time.Millisecond {
+	m.Receive(now, "b", Answer{Incarnation: 1, Period: 1, Timestamp: now - time.Millisecond, Totals: []Total{{Tenant: "t", Period: 1, Level: 80000, LevelKnown: true}}})
+	if ok, after := m.Allow(now, "t", 1); ok || after < 300*time.Millisecond {
 		t.Errorf("80 of 60 units are in use, as its holder says: passes %v, told to come back after %v", ok, after)
 	}
 }
--- a/internal/quotas/late.go
+++ b/internal/quotas/late.go
@@ -22,10 +22,10 @@
 
 // lateness is how much later than its fellows an add has come; 0: it is in time.
 func (c *Counter) lateness(now fsm.Time, from string, a Add) time.Duration {
-	by := now - a.Stamp
+	by := now - a.Timestamp
 	o := c.offsets[from]
-	if o.life != a.Life {
-		o = offset{life: a.Life}
+	if o.life != a.Incarnation {
+		o = offset{life: a.Incarnation}
 	}
 	o.note(now, by)
 	c.offsets[from] = o
--- a/internal/quotas/late_test.go
+++ b/internal/quotas/late_test.go
@@ -16,8 +16,8 @@
 	at := func(i int) fsm.Time { return begin + time.Duration(i)*100*time.Millisecond }
 	add := func(now fsm.Time, i int, sum uint64) float64 {
 		c.Tick(now)
-		out := c.Take(now, "g", Add{Life: 7, Stamp: clock(i), Read: true,
-			Items: []Item{{Tenant: "t", Period: c.high, Sum: sum, Fresh: 4 * milli, Gap: gap}}})
+		out := c.Receive(now, "g", Add{Incarnation: 7, Timestamp: clock(i), Read: true,
+			Items: []Item{{Tenant: "t", Period: c.high, Sum: sum, Unreported: 4 * milli, Interval: gap}}})
 		return float64(out[0].Msg.(Answer).Totals[0].Level) / milli
 	}
 	sum := uint64(0)
--- a/internal/quotas/least_test.go
+++ b/internal/quotas/least_test.go
@@ -37,22 +37,22 @@
 	const way = 110 * time.Millisecond
 	now := time.Second
 	m := NewMeter("a", 1, 1)
-	m.Limits(now, map[string]Limit{"t": {30, 30}})
-	m.Nodes(now, 3, []string{"b", "c"})
+	m.SetLimits(now, map[string]Limit{"t": {30, 30}})
+	m.SetGateways(now, 3, []string{"b", "c"})
 	for i := range 5 {
 		now += time.Second
-		m.Pass(now, "t", 1)
+		m.Allow(now, "t", 1)
 		if sends := m.Tick(now); len(sends) == 0 || sends[0].To != "b" {
 			t.Fatalf("%d: %v", i, sends)
 		}
 		if i == 4 {
 			break
 		}
-		m.Take(now+way, "b", Answer{Life: 1, Stamp: now})
+		m.Receive(now+way, "b", Answer{Incarnation: 1, Timestamp: now})
 	}
 	// by 60 ms more than a repetition waits: what goes through other regions varies by more than what stays in one
 	for after, mute := range map[time.Duration]bool{retryGap: false, way: false, 182 * time.Millisecond: false, 183 * time.Millisecond: true} {
-		if m.Mute(now+after, "b") != mute {
+		if m.ReadOverdue(now+after, "b") != mute {
 			t.Errorf("mute %v after %v", !mute, after)
 		}
 	}
@@ -67,18 +67,18 @@
 	for _, stamped := range []bool{true, false} {
 		now := time.Second
 		c := NewCounter("a", 1)
-		c.Nodes([]string{"a", "b", "c"})
-		c.Take(now, "c", Add{Life: 1, Signs: true, Near: true})
-		c.Take(now, "b", Add{Life: 1, Signs: true})
+		c.SetGateways([]string{"a", "b", "c"})
+		c.Receive(now, "c", Add{Incarnation: 1, AnswersProbes: true, NearLimit: true})
+		c.Receive(now, "b", Add{Incarnation: 1, AnswersProbes: true})
 		asked := time.Duration(0)
 		for range 2 {
 			asked = 0
 			for asked == 0 {
 				now += 50 * time.Millisecond
-				c.Take(now, "c", Add{Life: 1, Signs: true, Near: true})
+				c.Receive(now, "c", Add{Incarnation: 1, AnswersProbes: true, NearLimit: true})
 				for _, s := range c.Tick(now) {
 					if s.To == "b" {
-						asked = s.Msg.(Answer).Stamp
+						asked = s.Msg.(Answer).Timestamp
 					}
 				}
 			}
@@ -91,12 +91,12 @@
 			if c.sights.missing(asked+120*time.Millisecond) != 1 {
 				t.Error("in sight after 120 ms")
 			}
-			sign := Add{Life: 1, Signs: true}
+			sign := Add{Incarnation: 1, AnswersProbes: true}
 			if stamped {
-				sign.Asked = asked
+				sign.ProbeTimestamp = asked
 			}
 			now = asked + 110*time.Millisecond
-			c.Take(now, "b", sign)
+			c.Receive(now, "b", sign)
 		}
 		if known := c.sights.seen["b"].way.lately() == 110*time.Millisecond; known != stamped {
 			t.Errorf("stamped %v: the way is known: %v", stamped, known)
--- a/internal/quotas/meter.go
+++ b/internal/quotas/meter.go
@@ -113,7 +113,7 @@
 	quick        quick
 	rosters      rosters
 
-	decided [bases]Tally
+	decided [bases]Decisions
 	changes uint64 // of the reader
 
 	behind        float64 // see Account
@@ -130,13 +130,13 @@
 	}
 }
 
-// Limits takes the limits of the configuration. See entry.change for what a
+// SetLimits takes the limits of the configuration. See entry.change for what a
 // change leaves; a tenant that had no limit starts as one that was not seen.
-func (m *Meter) Limits(now fsm.Time, limits map[string]Limit) { m.Enter(now, NewRoster(limits)) }
+func (m *Meter) SetLimits(now fsm.Time, limits map[string]Limit) { m.SetRoster(now, NewRoster(limits)) }
 
-// Enter is Limits with the roster made already: most configurations change none of them, and to go
+// SetRoster is Limits with the roster made already: most configurations change none of them, and to go
 // through thousands of tenants would hold requests up.
-func (m *Meter) Enter(now fsm.Time, r *Roster) {
+func (m *Meter) SetRoster(now fsm.Time, r *Roster) {
 	if !m.rosters.renew(r) {
 		return
 	}
@@ -166,8 +166,8 @@
 	return float64(xxhash.Sum64String(gateway+" "+tenant)>>11) / (1 << 53)
 }
 
-// Nodes takes the number of gateways and the holders in the agreed order.
-func (m *Meter) Nodes(now fsm.Time, gateways int, holders []string) {
+// SetGateways takes the number of gateways and the holders in the agreed order.
+func (m *Meter) SetGateways(now fsm.Time, gateways int, holders []string) {
 	if m.gateways == 0 {
 		m.bornAt = now
 	}
@@ -254,8 +254,8 @@
 	return slices.IndexFunc(m.slots[:], func(s slot) bool { return s.addr != "" && s.addr == addr })
 }
 
-// Pass decides a request; a refusal says after which time to come back.
-func (m *Meter) Pass(now fsm.Time, tenant string, units float64) (bool, time.Duration) {
+// Allow decides a request; a refusal says after which time to come back.
+func (m *Meter) Allow(now fsm.Time, tenant string, units float64) (bool, time.Duration) {
 	e := m.entries[tenant]
 	if e == nil {
 		return true, 0
@@ -309,8 +309,8 @@
 // hurry asks at once for a tenant that is not seen, if there is someone who knows.
 func (m *Meter) hurry(e *entry) { m.novel = m.novel || !e.seen && !e.mute && !e.vague }
 
-// Settle moves TAT by what an answer cost more, or less, than was taken.
-func (m *Meter) Settle(now fsm.Time, tenant string, units float64) {
+// AdjustCost moves TAT by what an answer cost more, or less, than was taken.
+func (m *Meter) AdjustCost(now fsm.Time, tenant string, units float64) {
 	e := m.entries[tenant]
 	if e == nil {
 		return
--- a/internal/quotas/names_test.go
+++ b/internal/quotas/names_test.go
@@ -14,7 +14,7 @@
 		now, most, heard := time.Hour, 0, map[string]bool{}
 		run := func(d time.Duration, holder string, c *Counter) {
 			for end := now + d; now < end; now += 10 * time.Millisecond {
-				m.Pass(now, names[int(now/(10*time.Millisecond))%len(names)], 1)
+				m.Allow(now, names[int(now/(10*time.Millisecond))%len(names)], 1)
 				for _, s := range m.Tick(now) {
 					if s.To != holder {
 						continue
@@ -25,16 +25,16 @@
 							heard[it.Tenant] = true
 						}
 					}
-					for _, back := range c.Take(now, "g", s.Msg) {
-						m.Take(now+time.Millisecond, holder, back.Msg)
+					for _, back := range c.Receive(now, "g", s.Msg) {
+						m.Receive(now+time.Millisecond, holder, back.Msg)
 					}
 				}
 				c.Tick(now)
 			}
 		}
 		c, other := NewCounter("h", 1), NewCounter("i", 2)
-		c.Limits(limits)
-		other.Limits(limits)
+		c.SetLimits(limits)
+		other.SetLimits(limits)
 		run(18*time.Second, "h", c)
 		run(10*time.Second, "i", other)
 		if most != want {
@@ -57,8 +57,8 @@
 		}
 		holders := []*Counter{NewCounter(names[0], 1), NewCounter(names[1], 1)}
 		for _, c := range holders {
-			c.Nodes(names)
-			c.Limits(map[string]Limit{"t": {100, 100}})
+			c.SetGateways(names)
+			c.SetLimits(map[string]Limit{"t": {100, 100}})
 		}
 		now, period, had := time.Hour, uint64(0), 0
 		for turn := range 40 {
@@ -66,8 +66,8 @@
 			now += 510 * time.Millisecond
 			for again := range 2 { // then all say what they have in the number that was issued for the first of them
 				for g, from := range names[2:] {
-					for _, s := range c.Take(now, from, Add{Life: uint64(g + 1), Period: period, Stamp: now, Read: true,
-						Items: []Item{{Tenant: "t", Period: period, Sum: milli, Fresh: milli, Gap: 1e4}}}) {
+					for _, s := range c.Receive(now, from, Add{Incarnation: uint64(g + 1), Period: period, Timestamp: now, Read: true,
+						Items: []Item{{Tenant: "t", Period: period, Sum: milli, Unreported: milli, Interval: 1e4}}}) {
 						a := s.Msg.(Answer)
 						if period = max(period, a.Period); again == 1 && g == gateways-3 && a.Totals[0].Others != uint64(gateways-3)*milli {
 							t.Errorf("%d gateways, turn %d: others have %d", gateways, turn, a.Totals[0].Others)
--- a/internal/quotas/pace.go
+++ b/internal/quotas/pace.go
@@ -19,8 +19,8 @@
 	strainedMute = time.Second // after which one that was under strain is taken as out of reach
 )
 
-// Strain tells the counter how long, lately, an add had to wait among many others: every 50 ms or so.
-func (c *Counter) Strain(now fsm.Time, waited time.Duration) {
+// ReportQueueDelay tells the counter how long, lately, an add had to wait among many others: every 50 ms or so.
+func (c *Counter) ReportQueueDelay(now fsm.Time, waited time.Duration) {
 	switch {
 	case waited >= strained && now-c.pacedAt > 2*c.pace: // what was asked for has to be heard first
 		c.pace, c.pacedAt = min(max(c.pace, leastGap)*5/4, mostPace), now
--- a/internal/quotas/pace_test.go
+++ b/internal/quotas/pace_test.go
@@ -46,7 +46,7 @@
 			}
 			if f.now%(50*time.Millisecond) == 0 {
 				if pace {
-					f.boxes[0].counter.Strain(f.now, waited)
+					f.boxes[0].counter.ReportQueueDelay(f.now, waited)
 				}
 				waited = 0
 			}
--- a/internal/quotas/pack.go
+++ b/internal/quotas/pack.go
@@ -135,23 +135,23 @@
 		}
 		var flags byte
 		unit := uint64(1)
-		if it.Sum%milli == 0 && it.Fresh%milli == 0 {
+		if it.Sum%milli == 0 && it.Unreported%milli == 0 {
 			flags, unit = packWhole, milli
 		}
 		if it.Period != period {
 			flags |= packPeriod
 		}
-		if it.Near {
+		if it.NearLimit {
 			flags |= packNear
 		}
-		if it.Gap != r.gaps[i] {
+		if it.Interval != r.gaps[i] {
 			flags |= packGap
 		}
 		used := (max(it.Used, 1) - 1) / milli // it only lifts a level, so that less is no harm
 		if used > 0 {
 			flags |= packUsed
 		}
-		switch it.Fresh {
+		switch it.Unreported {
 		case it.Sum:
 		case milli:
 			flags |= packOne
@@ -164,10 +164,10 @@
 		}
 		packed = binary.AppendUvarint(packed, it.Sum/unit)
 		if flags&packFresh != 0 {
-			packed = binary.AppendUvarint(packed, it.Fresh/unit)
+			packed = binary.AppendUvarint(packed, it.Unreported/unit)
 		}
 		if flags&packGap != 0 {
-			packed = binary.AppendUvarint(packed, it.Gap)
+			packed = binary.AppendUvarint(packed, it.Interval)
 		}
 		if flags&packUsed != 0 {
 			packed = binary.AppendUvarint(packed, used)
@@ -240,19 +240,19 @@
 		if u.spoilt {
 			return nil, nil, false
 		}
-		it := Item{Tenant: r.names[i], Period: period, Gap: r.gaps[i], Near: flags&packNear != 0}
+		it := Item{Tenant: r.names[i], Period: period, Interval: r.gaps[i], NearLimit: flags&packNear != 0}
 		if flags&packPeriod != 0 {
 			it.Period = u.number()
 		}
 		it.Sum = u.number() * unit(flags)
-		switch it.Fresh = it.Sum; {
+		switch it.Unreported = it.Sum; {
 		case flags&packOne != 0:
-			it.Fresh = milli
+			it.Unreported = milli
 		case flags&packFresh != 0:
-			it.Fresh = u.number() * unit(flags)
+			it.Unreported = u.number() * unit(flags)
 		}
 		if flags&packGap != 0 {
-			it.Gap = u.number()
+			it.Interval = u.number()
 		}
 		if flags&packUsed != 0 {
 			it.Used = u.number()*milli + 1
@@ -279,19 +279,19 @@
 		}
 		var flags byte
 		unit := uint64(1)
-		if t.Others%milli == 0 && t.Mine%milli == 0 {
+		if t.Others%milli == 0 && t.Own%milli == 0 {
 			flags, unit = packWhole, milli
 		}
 		if t.Period != period {
 			flags |= packPeriod
 		}
-		if t.Sure {
+		if t.LevelKnown {
 			flags |= packSure
 		}
 		if t.Level > 0 {
 			flags |= packLevel
 		}
-		if t.Mine > 0 {
+		if t.Own > 0 {
 			flags |= packMine
 		}
 		packed = r.next(packed, &last, i, flags)
@@ -300,7 +300,7 @@
 		}
 		packed = binary.AppendUvarint(packed, t.Others/unit)
 		if flags&packMine != 0 {
-			packed = binary.AppendUvarint(packed, t.Mine/unit)
+			packed = binary.AppendUvarint(packed, t.Own/unit)
 		}
 		if flags&packLevel != 0 {
 			packed = binary.AppendUvarint(packed, (t.Level+levelGrain-1)/levelGrain)
@@ -316,13 +316,13 @@
 		if u.spoilt {
 			return nil, false
 		}
-		t := Total{Tenant: r.names[i], Period: period, Sure: flags&packSure != 0}
+		t := Total{Tenant: r.names[i], Period: period, LevelKnown: flags&packSure != 0}
 		if flags&packPeriod != 0 {
 			t.Period = u.number()
 		}
 		t.Others = u.number() * unit(flags)
 		if flags&packMine != 0 {
-			t.Mine = u.number() * unit(flags)
+			t.Own = u.number() * unit(flags)
 		}
 		if flags&packLevel != 0 {
 			t.Level = u.number() * levelGrain
--- a/internal/quotas/pack_test.go
+++ b/internal/quotas/pack_test.go
@@ -34,16 +34,16 @@
 		}
 		for range rng.IntN(20) {
 			name, period := fmt.Sprintf("t%d", rng.IntN(300)), 7+uint64(rng.IntN(2))
-			it := Item{Tenant: name, Period: period, Sum: units(), Fresh: units(), Gap: gapOf(limits[name].Rate), Near: rng.IntN(2) == 0}
+			it := Item{Tenant: name, Period: period, Sum: units(), Unreported: units(), Interval: gapOf(limits[name].Rate), NearLimit: rng.IntN(2) == 0}
 			if rng.IntN(2) == 0 {
-				it.Gap, it.Used, it.Fresh = uint64(rng.IntN(2e6)), uint64(rng.IntN(5000)), it.Sum
+				it.Interval, it.Used, it.Unreported = uint64(rng.IntN(2e6)), uint64(rng.IntN(5000)), it.Sum
 			}
 			want := it
 			if want.Used = (max(it.Used, 1) - 1) / milli * milli; want.Used > 0 {
 				want.Used++
 			}
 			items, back = append(items, it), append(back, want)
-			tot := Total{Tenant: name, Period: period, Others: units(), Mine: units(), Level: uint64(rng.IntN(9000)), Sure: rng.IntN(2) == 0}
+			tot := Total{Tenant: name, Period: period, Others: units(), Own: units(), Level: uint64(rng.IntN(9000)), LevelKnown: rng.IntN(2) == 0}
 			totals = append(totals, tot)
 			tot.Level = (tot.Level + levelGrain - 1) / levelGrain * levelGrain
 			sums = append(sums, tot)
@@ -75,10 +75,10 @@
 func old(msg any) any {
 	switch m := msg.(type) {
 	case Add:
-		m.Packed, m.List, m.Asked, m.Brief = nil, 0, 0, nil
+		m.Packed, m.RosterHash, m.ProbeTimestamp, m.Compact = nil, 0, 0, nil
 		return m
 	case Answer:
-		m.Packed, m.Taken, m.List, m.Briefs, m.Brief, m.Pace = nil, false, 0, false, nil, 0
+		m.Packed, m.PackedAccepted, m.RosterHash, m.ReadsCompact, m.Compact, m.SendInterval = nil, false, 0, false, nil, 0
 		return m
 	}
 	return msg
@@ -115,10 +115,10 @@
 					if len(a.Items) > 0 {
 						named++
 					}
-					if len(a.Packed)+len(a.Brief) > 0 {
+					if len(a.Packed)+len(a.Compact) > 0 {
 						packed++
 					}
-					if len(a.Brief) > 0 {
+					if len(a.Compact) > 0 {
 						brief++
 					}
 				}
@@ -130,9 +130,9 @@
 					more := f.limits()
 					more[fmt.Sprintf("a%d", n)] = Limit{1 + float64(n), 5} // all numbers move
 					for i, b := range f.boxes {
-						b.meter.Limits(f.now, more)
+						b.meter.SetLimits(f.now, more)
 						if i > 1 || n%3 == 0 {
-							b.counter.Limits(more)
+							b.counter.SetLimits(more)
 						}
 					}
 				}
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -100,8 +100,8 @@
 // TestTest follows TAT by hand: rate 10, burst 3, so T is 100 ms and tau 200 ms.
 func TestTest(t *testing.T) {
 	m := NewMeter("a", 1, 1)
-	m.Nodes(0, 1, []string{"a"})
-	m.Limits(0, map[string]Limit{"t": {10, 3}})
+	m.SetGateways(0, 1, []string{"a"})
+	m.SetLimits(0, map[string]Limit{"t": {10, 3}})
 	e := m.entries["t"]
 	e.seen, e.tat = true, time.Second
 	for _, s := range []struct {
@@ -114,12 +114,12 @@
 	} {
 		m.tickAt = time.Duration(s.ms) * time.Millisecond
 		e.cur.acked = e.cur.sum // neither stalls nor the lead are what is judged here
-		ok, after := m.Pass(time.Duration(s.ms)*time.Millisecond, "t", s.units)
+		ok, after := m.Allow(time.Duration(s.ms)*time.Millisecond, "t", s.units)
 		if want := time.Duration(s.after) * time.Millisecond; ok != (s.after == 0) || after != want {
 			t.Fatalf("%v units at %d ms: %v, after %v, want %v", s.units, s.ms, ok, after, want)
 		}
 	}
-	if ok, _ := m.Pass(2*time.Second, "unlimited", 1); !ok {
+	if ok, _ := m.Allow(2*time.Second, "unlimited", 1); !ok {
 		t.Error("refused without a limit")
 	}
 }
@@ -129,7 +129,7 @@
 	m := NewMeter("a", 1, 1)
 	now := time.Hour
 	set := func(rate, burst float64) float64 {
-		m.Limits(now, map[string]Limit{"t": {rate, burst}})
+		m.SetLimits(now, map[string]Limit{"t": {rate, burst}})
 		return m.entries["t"].room(now)
 	}
 	set(10, 10)
@@ -148,10 +148,10 @@
 	c := NewCounter("h", 1)
 	ask := func(from string, life, sum uint64) Total {
 		p := c.high
-		out := c.Take(time.Minute, from, Add{Life: life, Period: p, Read: true,
-			Items: []Item{{Tenant: "t", Period: p, Sum: sum, Fresh: sum, Gap: 1000}}})
+		out := c.Receive(time.Minute, from, Add{Incarnation: life, Period: p, Read: true,
+			Items: []Item{{Tenant: "t", Period: p, Sum: sum, Unreported: sum, Interval: 1000}}})
 		got := out[0].Msg.(Answer).Totals[0]
-		return Total{Others: got.Others, Mine: got.Mine}
+		return Total{Others: got.Others, Own: got.Own}
 	}
 	ask("a", 1, 0) // issues the period
 	for i, s := range []struct {
@@ -159,13 +159,13 @@
 		life, sum uint64
 		want      Total
 	}{
-		{"a", 1, 5000, Total{Mine: 5000}},
-		{"b", 1, 2000, Total{Others: 5000, Mine: 2000}},
-		{"a", 1, 5000, Total{Others: 2000, Mine: 5000}}, // twice
-		{"a", 1, 3000, Total{Others: 2000, Mine: 5000}}, // late
-		{"a", 2, 1000, Total{Others: 2000, Mine: 1000}}, // restarted: its own past is not others'
-		{"a", 1, 6000, Total{Others: 2000, Mine: 6000}}, // late, of the earlier life
-		{"b", 1, 2000, Total{Others: 7000, Mine: 2000}},
+		{"a", 1, 5000, Total{Own: 5000}},
+		{"b", 1, 2000, Total{Others: 5000, Own: 2000}},
+		{"a", 1, 5000, Total{Others: 2000, Own: 5000}}, // twice
+		{"a", 1, 3000, Total{Others: 2000, Own: 5000}}, // late
+		{"a", 2, 1000, Total{Others: 2000, Own: 1000}}, // restarted: its own past is not others'
+		{"a", 1, 6000, Total{Others: 2000, Own: 6000}}, // late, of the earlier life
+		{"b", 1, 2000, Total{Others: 7000, Own: 2000}},
 	} {
 		if diff := cmp.Diff(s.want, ask(s.from, s.life, s.sum)); diff != "" {
 			t.Fatalf("step %d: %s", i, diff)
@@ -192,7 +192,7 @@
 		{1, one, true}, {20, one, false}, {21, one, true}, {22, two, true}, {23, two, false}, {24, one, true},
 		{24.2, two, true}, {24.4, one, false}, {25, one, true},
 	} {
-		out := s.c.Take(time.Duration(s.at*1e9), "a", Add{Life: 1, Period: last, Read: true})
+		out := s.c.Receive(time.Duration(s.at*1e9), "a", Add{Incarnation: 1, Period: last, Read: true})
 		p := out[0].Msg.(Answer).Period
 		if p < last || (p > last) != s.new {
 			t.Fatalf("at %v s: period %x after %x", s.at, p, last)
@@ -205,18 +205,18 @@
 func TestLevel(t *testing.T) {
 	c := NewCounter("h", 1)
 	level := func(it Item) float64 {
-		it.Tenant, it.Period, it.Gap = "t", 7, 1e6
-		c.Take(time.Minute, "a", Add{Life: 1, Period: 7, Items: []Item{it}})
+		it.Tenant, it.Period, it.Interval = "t", 7, 1e6
+		c.Receive(time.Minute, "a", Add{Incarnation: 1, Period: 7, Items: []Item{it}})
 		return c.ledgers["t"].level
 	}
 	for i, s := range []struct {
 		it   Item
 		want float64
 	}{
-		{Item{Sum: 3000, Fresh: 3000}, 3},
-		{Item{Sum: 90000, Fresh: 2000}, 5},
+		{Item{Sum: 3000, Unreported: 3000}, 3},
+		{Item{Sum: 90000, Unreported: 2000}, 5},
 		{Item{Sum: 90000, Used: 20001}, 20},
-		{Item{Sum: 91000, Fresh: 1000, Used: 5001}, 21},
+		{Item{Sum: 91000, Unreported: 1000, Used: 5001}, 21},
 	} {
 		if got := level(s.it); got != s.want {
 			t.Fatalf("step %d: level %v, want %v", i, got, s.want)
@@ -228,14 +228,14 @@
 // knows nothing of a tenant whose names have come and gone.
 func TestLead(t *testing.T) {
 	m := NewMeter("a", 1, 1)
-	m.Nodes(0, 10, []string{"b", "c"})
-	m.Limits(0, map[string]Limit{"t": {100, 1000}})
+	m.SetGateways(0, 10, []string{"b", "c"})
+	m.SetLimits(0, map[string]Limit{"t": {100, 1000}})
 	now, e := time.Minute, m.entries["t"]
 	m.tickAt = now
 	e.seen, e.tat, e.readAt, e.readRoom = true, now, now, 1000
 	passed := 0
 	for ok := true; ok; passed++ {
-		ok, _ = m.Pass(now, "t", 1)
+		ok, _ = m.Allow(now, "t", 1)
 	}
 	if passed < 100 || passed > 125 {
 		t.Errorf("%d of 1,000 pass at one of 10 gateways", passed)
@@ -288,12 +288,12 @@
 
 func BenchmarkPass(b *testing.B) {
 	m := NewMeter("a", 1, 1)
-	m.Nodes(0, 11, []string{"b", "c"})
-	m.Limits(0, map[string]Limit{"t": {1e6, 1e6}})
+	m.SetGateways(0, 11, []string{"b", "c"})
+	m.SetLimits(0, map[string]Limit{"t": {1e6, 1e6}})
 	now := time.Second
 	for b.Loop() {
 		now += 1500
 		m.tickAt = now
-		m.Pass(now, "t", 1)
+		m.Allow(now, "t", 1)
 	}
 }
--- a/internal/quotas/share_test.go
+++ b/internal/quotas/share_test.go
@@ -16,22 +16,22 @@
 		limits[names[i]] = Limit{50, 50}
 	}
 	m := NewMeter("g", 7, 1)
-	m.Limits(time.Hour, limits)
-	m.Nodes(time.Hour, gateways, []string{"h", "i"})
+	m.SetLimits(time.Hour, limits)
+	m.SetGateways(time.Hour, gateways, []string{"h", "i"})
 	return m, names, limits
 }
 
 // itemsOf is what an add tells, whatever its form.
 func itemsOf(t *testing.T, m *Meter, a Add) []Item {
 	t.Helper()
-	a, ok := a.Lengthen(m.life)
+	a, ok := a.Expand(m.life)
 	if !ok {
 		t.Fatal("an add can't be read")
 	}
 	if len(a.Packed) == 0 {
 		return a.Items
 	}
-	items, _, ok := m.rosters.find(a.List).items(a.Period, a.Packed)
+	items, _, ok := m.rosters.find(a.RosterHash).items(a.Period, a.Packed)
 	if !ok {
 		t.Fatal("an add can't be unpacked")
 	}
@@ -44,7 +44,7 @@
 func TestAddsHaveBound(t *testing.T) {
 	m, names, limits := crowded(3000, 23)
 	c := NewCounter("h", 1)
-	c.Limits(limits)
+	c.SetLimits(limits)
 	now, told, most := time.Hour, map[string]bool{}, 0
 	run := func(span time.Duration, holders map[string]*Counter) {
 		for end := now + span; now < end; now += 10 * time.Millisecond {
@@ -55,8 +55,8 @@
 					told[it.Tenant] = true
 				}
 				if to := holders[s.To]; to != nil {
-					for _, back := range to.Take(now, "g", s.Msg) {
-						m.Take(now+time.Millisecond, s.To, back.Msg)
+					for _, back := range to.Receive(now, "g", s.Msg) {
+						m.Receive(now+time.Millisecond, s.To, back.Msg)
 					}
 				}
 			}
@@ -67,7 +67,7 @@
 	}
 	pass := func() {
 		for _, n := range names {
-			m.Pass(now, n, 1)
+			m.Allow(now, n, 1)
 		}
 	}
 	pass()
@@ -96,7 +96,7 @@
 	}
 	run(3*time.Second, map[string]*Counter{"h": c})
 	other := NewCounter("i", 2)
-	other.Limits(limits)
+	other.SetLimits(limits)
 	run(4*time.Second, map[string]*Counter{"i": other})
 	pass()
 	run(3*time.Second, map[string]*Counter{"i": other})
@@ -117,12 +117,12 @@
 func TestOldInTurns(t *testing.T) {
 	m, names, limits := crowded(3000, 23)
 	c := NewCounter("h", 1)
-	c.Limits(limits)
+	c.SetLimits(limits)
 	now, most, lumps := time.Hour, 0, 0
 	for end := now + 40*time.Second; now < end; now += 10 * time.Millisecond {
 		if now < end-20*time.Second {
-			m.Pass(now, names[int(now/(10*time.Millisecond))%len(names)], 1)
-			m.Pass(now, names[int(now/(10*time.Millisecond))*7%len(names)], 1)
+			m.Allow(now, names[int(now/(10*time.Millisecond))%len(names)], 1)
+			m.Allow(now, names[int(now/(10*time.Millisecond))*7%len(names)], 1)
 		}
 		for _, s := range m.Tick(now) {
 			old := 0
@@ -137,8 +137,8 @@
 						lumps++
 					}
 				}
-				for _, back := range c.Take(now, "g", s.Msg) {
-					m.Take(now+time.Millisecond, "h", back.Msg)
+				for _, back := range c.Receive(now, "g", s.Msg) {
+					m.Receive(now+time.Millisecond, "h", back.Msg)
 				}
 			}
 		}
@@ -161,7 +161,7 @@
 		m, names, _ := crowded(20, gateways)
 		now, adds := time.Hour, 0
 		for end := now + 10*time.Second; now < end; now += 10 * time.Millisecond {
-			m.Pass(now, names[int(now/time.Millisecond)%20], 1)
+			m.Allow(now, names[int(now/time.Millisecond)%20], 1)
 			for _, s := range m.Tick(now) {
 				if s.To == "h" {
 					adds++
@@ -193,7 +193,7 @@
 	for _, far := range []bool{false, true} {
 		m, names, limits := crowded(600, 23)
 		c := NewCounter("h", 1)
-		c.Limits(limits)
+		c.SetLimits(limits)
 		type letter struct {
 			at  fsm.Time
 			msg any
@@ -217,13 +217,13 @@
 				}
 			}
 			for len(there) > 0 && there[0].at <= now {
-				for _, s := range c.Take(now, "g", there[0].msg) {
+				for _, s := range c.Receive(now, "g", there[0].msg) {
 					back = append(back, letter{now + way, s.Msg})
 				}
 				there = there[1:]
 			}
 			for len(back) > 0 && back[0].at <= now {
-				m.Take(now, "h", back[0].msg)
+				m.Receive(now, "h", back[0].msg)
 				back = back[1:]
 			}
 			if now%(50*time.Millisecond) == 0 {
@@ -233,8 +233,8 @@
 		play := func(steps int, lose bool) float64 {
 			passed, told = 0, 0
 			for i := range steps {
-				m.Pass(now, names[(i*7)%len(names)], 1)
-				m.Pass(now, "t00000", 1) // four times its rate: adds don't wait for each other
+				m.Allow(now, names[(i*7)%len(names)], 1)
+				m.Allow(now, "t00000", 1) // four times its rate: adds don't wait for each other
 				passed++
 				step(lose)
 			}
@@ -268,7 +268,7 @@
 	for i := range meters {
 		var limits map[string]Limit
 		meters[i], names, limits = crowded(tenants, gateways)
-		c.Limits(limits)
+		c.SetLimits(limits)
 	}
 	type letter struct {
 		at   fsm.Time
@@ -283,7 +283,7 @@
 		for g, m := range meters {
 			for k := range 4 {
 				if pass { // 400 a second at each
-					m.Pass(now, names[(int(now/(10*time.Millisecond))*4+k+g*37)%tenants], 1)
+					m.Allow(now, names[(int(now/(10*time.Millisecond))*4+k+g*37)%tenants], 1)
 				}
 			}
 			for _, s := range m.Tick(now) {
@@ -304,13 +304,13 @@
 				}
 			}
 			spare -= cost
-			for _, s := range c.Take(now, fmt.Sprint("g", l.from), l.add) {
-				meters[l.from].Take(now, "h", s.Msg)
+			for _, s := range c.Receive(now, fmt.Sprint("g", l.from), l.add) {
+				meters[l.from].Receive(now, "h", s.Msg)
 			}
 		}
 		if now%(50*time.Millisecond) == 0 && !stands {
 			c.Tick(now)
-			c.Strain(now, waited)
+			c.ReportQueueDelay(now, waited)
 			waited = 0
 		}
 	}
@@ -360,11 +360,11 @@
 		if c.way > 0 {
 			m.slots[0].way.note(now, c.way)
 		}
-		m.Pass(now, names[0], 1)
+		m.Allow(now, names[0], 1)
 		m.Tick(now + easeGap)
 		m.slots[0].paced = c.paced
 		began := m.slots[0].pending
-		if m.Mute(began+c.after-3*time.Millisecond, "h") || !m.Mute(began+c.after, "h") {
+		if m.ReadOverdue(began+c.after-3*time.Millisecond, "h") || !m.ReadOverdue(began+c.after, "h") {
 			t.Errorf("%+v: not mute from then on", c)
 		}
 	}
@@ -394,18 +394,18 @@
 	for gateways, most := range map[int]int{11: 200, 125: 200, 490: 10} {
 		m := NewMeter("g", 1, 1)
 		now := time.Hour
-		m.Nodes(now, gateways, []string{"h", "i"})
-		m.Limits(now, map[string]Limit{"t": {100, 100}})
+		m.SetGateways(now, gateways, []string{"h", "i"})
+		m.SetLimits(now, map[string]Limit{"t": {100, 100}})
 		spend := func(span time.Duration, answered bool) (adds int) {
 			for end := now + span; now < end; now += 10 * time.Millisecond {
-				m.Pass(now, "t", 1)
+				m.Allow(now, "t", 1)
 				for _, s := range m.Tick(now) {
 					if s.To != "h" {
 						continue
 					}
 					adds++
 					if a := s.Msg.(Add); answered {
-						m.Take(now, "h", Answer{Life: 1, Stamp: a.Stamp, Period: 1 << tagBits})
+						m.Receive(now, "h", Answer{Incarnation: 1, Timestamp: a.Timestamp, Period: 1 << tagBits})
 					}
 				}
 			}
--- a/internal/quotas/sight.go
+++ b/internal/quotas/sight.go
@@ -56,15 +56,15 @@
 }
 
 func (s *sights) hear(now fsm.Time, from string, a Add) {
-	s.sign(now, from, a.Signs)
-	if v, ok := s.seen[from]; ok && a.Asked > 0 && a.Asked <= now {
-		v.way.note(now, now-a.Asked)
+	s.sign(now, from, a.AnswersProbes)
+	if v, ok := s.seen[from]; ok && a.ProbeTimestamp > 0 && a.ProbeTimestamp <= now {
+		v.way.note(now, now-a.ProbeTimestamp)
 		s.seen[from] = v
 	}
 	if len(a.Items) > 0 && from != s.self {
 		s.usedAt = now
 	}
-	if a.Near {
+	if a.NearLimit {
 		s.watchAt = now
 	}
 }
@@ -129,7 +129,7 @@
 			v.asked = now
 			s.seen[n] = v
 		}
-		out = append(out, fsm.Send{To: n, Msg: Answer{Ask: true, Stamp: now}})
+		out = append(out, fsm.Send{To: n, Msg: Answer{Probe: true, Timestamp: now}})
 	}
 	if again {
 		s.repeatAt = now
--- a/internal/quotas/sight_test.go
+++ b/internal/quotas/sight_test.go
@@ -10,26 +10,26 @@
 // knows no questions is not, and nobody is after the counter itself stood still.
 func TestSight(t *testing.T) {
 	c := NewCounter("a", 1)
-	c.Nodes([]string{"a", "b", "c", "d", "e"})
+	c.SetGateways([]string{"a", "b", "c", "d", "e"})
 	now, asked := time.Minute, map[string]bool{}
 	pass := func(d time.Duration) uint32 {
 		for end := now + d; now < end; now += 50 * time.Millisecond {
 			for _, s := range c.Tick(now) {
 				asked[s.To] = true
 			}
-			c.Take(now, "d", Add{Life: 1, Near: true, Signs: true})
+			c.Receive(now, "d", Add{Incarnation: 1, NearLimit: true, AnswersProbes: true})
 		}
-		return c.Take(now, "d", Add{Life: 1, Read: true, Signs: true})[0].Msg.(Answer).Missing
+		return c.Receive(now, "d", Add{Incarnation: 1, Read: true, AnswersProbes: true})[0].Msg.(Answer).Missing
 	}
 	c.Tick(now)
-	c.Take(now, "b", Add{Life: 1, Signs: true})
-	c.Take(now, "c", Add{Life: 1})
-	c.Take(now, "d", Add{Life: 1, Signs: true})
+	c.Receive(now, "b", Add{Incarnation: 1, AnswersProbes: true})
+	c.Receive(now, "c", Add{Incarnation: 1})
+	c.Receive(now, "d", Add{Incarnation: 1, AnswersProbes: true})
 	if n := pass(400 * time.Millisecond); n != 2 || !asked["b"] || asked["c"] || asked["d"] || !asked["e"] {
 		t.Errorf("%d missing, asked %v", n, asked)
 	}
 	now += time.Second
-	if n := c.Take(now, "d", Add{Life: 1, Read: true, Near: true, Signs: true})[0].Msg.(Answer).Missing; n != 0 {
+	if n := c.Receive(now, "d", Add{Incarnation: 1, Read: true, NearLimit: true, AnswersProbes: true})[0].Msg.(Answer).Missing; n != 0 {
 		t.Errorf("%d missing after a freeze", n)
 	}
 }
@@ -39,20 +39,20 @@
 func TestBlind(t *testing.T) {
 	for _, way := range []time.Duration{2 * time.Millisecond, 40 * time.Millisecond, 110 * time.Millisecond} {
 		c := NewCounter("a", 1)
-		c.Nodes([]string{"a", "b", "c"})
+		c.SetGateways([]string{"a", "b", "c"})
 		now := time.Minute
 		c.Tick(now)
-		c.Take(now, "b", Add{Life: 1, Signs: true, Asked: now - way})
+		c.Receive(now, "b", Add{Incarnation: 1, AnswersProbes: true, ProbeTimestamp: now - way})
 		var asked, blind time.Duration
 		for end := now + time.Second; now < end && blind == 0; {
 			now += 50 * time.Millisecond
-			c.Take(now, "c", Add{Life: 1, Signs: true, Near: true})
+			c.Receive(now, "c", Add{Incarnation: 1, AnswersProbes: true, NearLimit: true})
 			for _, s := range c.Tick(now) {
 				if s.To == "b" && asked == 0 {
 					asked = now
 				}
 			}
-			if c.Blind(now, "b") {
+			if c.ProbeOverdue(now, "b") {
 				blind = now - asked
 			}
 		}
@@ -71,16 +71,16 @@
 		for i := range gateways {
 			nodes = append(nodes, fmt.Sprintf("g%04d", i))
 		}
-		c.Nodes(nodes)
+		c.SetGateways(nodes)
 		now := time.Minute
 		c.Tick(now)
 		for _, n := range nodes[1:] {
-			c.Take(now, n, Add{Life: 1, Signs: true, Near: true})
+			c.Receive(now, n, Add{Incarnation: 1, AnswersProbes: true, NearLimit: true})
 		}
 		asks := 0
 		for end := now + 4*time.Second; now < end; {
 			now += 50 * time.Millisecond
-			c.Take(now, "z", Add{Life: 1, Near: true})
+			c.Receive(now, "z", Add{Incarnation: 1, NearLimit: true})
 			asks += len(c.Tick(now))
 		}
 		if asks /= 4; asks > most || asks < most/3 {
--- a/internal/quotas/sim_test.go
+++ b/internal/quotas/sim_test.go
@@ -104,9 +104,9 @@
 	b.dead, b.queue, b.mail = false, nil, nil
 	b.meter = NewMeter(b.addr, b.life, f.rng.Uint64())
 	b.counter = NewCounter(b.addr, b.life)
-	b.meter.Limits(f.now, f.limits())
-	b.counter.Limits(f.limits())
-	b.meter.Nodes(f.now, f.nodes, f.holders)
+	b.meter.SetLimits(f.now, f.limits())
+	b.counter.SetLimits(f.limits())
+	b.meter.SetGateways(f.now, f.nodes, f.holders)
 	b.tickAt = f.now + time.Duration(f.rng.IntN(50))*time.Millisecond
 }
 
@@ -119,7 +119,7 @@
 				there = append(there, o.addr)
 			}
 		}
-		b.counter.Nodes(there)
+		b.counter.SetGateways(there)
 	}
 }
 
@@ -142,7 +142,7 @@
 		}
 		for _, b := range f.boxes {
 			if !b.dead && b.cut == (w[0] == "there") {
-				b.meter.Nodes(f.now, nums[0], holders)
+				b.meter.SetGateways(f.now, nums[0], holders)
 			}
 		}
 		f.meet()
@@ -162,7 +162,7 @@
 			b.cut = true
 		case "heal":
 			b.cut = false
-			b.meter.Nodes(f.now, f.nodes, f.holders)
+			b.meter.SetGateways(f.now, f.nodes, f.holders)
 		case "old", "new":
 			b.old = w[0] == "old"
 		case "freeze":
@@ -219,8 +219,8 @@
 	if b.old {
 		l.msg = old(l.msg)
 	}
-	f.post(b, b.counter.Take(f.now, l.from, l.msg))
-	f.post(b, b.meter.Take(f.now, l.from, l.msg))
+	f.post(b, b.counter.Receive(f.now, l.from, l.msg))
+	f.post(b, b.meter.Receive(f.now, l.from, l.msg))
 }
 
 func (f *field) flow(tenant string) *flow {
@@ -230,7 +230,7 @@
 func (f *field) pass(b *box, tenant string) bool {
 	l := f.flow(tenant)
 	l.offered++
-	ok, after := b.meter.Pass(f.now, tenant, 1)
+	ok, after := b.meter.Allow(f.now, tenant, 1)
 	if ok {
 		l.passed = append(l.passed, f.now)
 	} else {
--- a/internal/quotas/sums_test.go
+++ b/internal/quotas/sums_test.go
@@ -62,8 +62,8 @@
 	}
 	before := heap()
 	c = NewCounter(names[0], 1)
-	c.Nodes(names)
-	c.Enter(r)
+	c.SetGateways(names)
+	c.SetRoster(r)
 	rng, now := rand.New(rand.NewPCG(1, 1)), time.Hour
 	sums := 0
 	for period := uint64(1); period <= 3; period++ {
@@ -72,11 +72,11 @@
 			var items []Item
 			for i, tenant := range r.names {
 				if rng.Float64() > math.Exp(-531/float64(i+1)) { // as the plan's peak lets a gateway see it in 20 s
-					items = append(items, Item{Tenant: tenant, Period: period << tagBits, Sum: milli, Fresh: milli, Gap: r.gaps[i]})
+					items = append(items, Item{Tenant: tenant, Period: period << tagBits, Sum: milli, Unreported: milli, Interval: r.gaps[i]})
 				}
 			}
 			sums += len(items)
-			c.Take(now, from, Add{Life: uint64(g + 1), Period: period << tagBits, Stamp: now, Items: items})
+			c.Receive(now, from, Add{Incarnation: uint64(g + 1), Period: period << tagBits, Timestamp: now, Items: items})
 			now += periodGap / gateways
 			c.Tick(now)
 		}
@@ -107,15 +107,15 @@
 		var items []Item
 		for at := rng.IntN(1200); at < 12000 && len(items) < 10; at += 1 + rng.IntN(2400) {
 			passed[[2]int{g, at}] += milli
-			items = append(items, Item{Tenant: roster.names[at], Period: 1, Sum: passed[[2]int{g, at}], Fresh: milli, Gap: roster.gaps[at]})
+			items = append(items, Item{Tenant: roster.names[at], Period: 1, Sum: passed[[2]int{g, at}], Unreported: milli, Interval: roster.gaps[at]})
 		}
-		adds[i] = Add{Life: uint64(g + 1), Period: 1, Stamp: 1, Read: true, Signs: true, List: roster.hash}
+		adds[i] = Add{Incarnation: uint64(g + 1), Period: 1, Timestamp: 1, Read: true, AnswersProbes: true, RosterHash: roster.hash}
 		adds[i].Packed, _ = roster.pack(1, items, nil)
 	}
 	now := f.now
 	b.ResetTimer()
 	for i := 0; b.Loop(); i++ {
 		now += 1000
-		c.Take(now, gateways[i%len(adds)], adds[i%len(adds)])
+		c.Receive(now, gateways[i%len(adds)], adds[i%len(adds)])
 	}
 }
--- a/internal/quotas/sync.go
+++ b/internal/quotas/sync.go
@@ -77,10 +77,10 @@
 			s.proveAt, echo = now, true
 		}
 		s.spareAt = now
-		add := Add{Life: m.life, Period: m.period, Stamp: now, Read: read, Echo: echo, Near: now-m.nearAt < nearGap, Signs: true,
-			Items: items, List: m.rosters.newest()}
+		add := Add{Incarnation: m.life, Period: m.period, Timestamp: now, Read: read, Ping: echo, NearLimit: now-m.nearAt < nearGap, AnswersProbes: true,
+			Items: items, RosterHash: m.rosters.newest()}
 		if r := m.rosters.find(s.list); r != nil {
-			add.List = r.hash
+			add.RosterHash = r.hash
 			add.Packed, add.Items = r.pack(m.period, items, places)
 			if s.brief = s.brief && !late; s.brief && len(add.Items) == 0 { // what isn't answered may not have been read
 				add = add.shorten()
@@ -164,15 +164,15 @@
 			e := t.old[k]
 			k++
 			places = append(places, e.place)
-			out = append(out, Item{Tenant: e.tenant, Period: e.old.period, Sum: e.old.sum, Fresh: e.old.sum - e.old.acked})
+			out = append(out, Item{Tenant: e.tenant, Period: e.old.period, Sum: e.old.sum, Unreported: e.old.sum - e.old.acked})
 			continue
 		}
 		e := t.cur[j]
 		j++
 		places = append(places, e.place)
 		out = append(out, Item{Tenant: e.tenant, Period: e.cur.period, Sum: e.cur.sum,
-			Fresh: e.cur.sum - min(e.cur.acked, e.told[i]), Gap: uint64(e.gap / 1e3 / (1 - m.reserve(e))),
-			Used: m.vouch(now, e, i), Near: e.nearAt != 0 && now-e.nearAt < nearGap})
+			Unreported: e.cur.sum - min(e.cur.acked, e.told[i]), Interval: uint64(e.gap / 1e3 / (1 - m.reserve(e))),
+			Used: m.vouch(now, e, i), NearLimit: e.nearAt != 0 && now-e.nearAt < nearGap})
 		if i == m.reader {
 			e.saidAt = now
 		}
@@ -192,24 +192,24 @@
 	return e.used(now)
 }
 
-// Take hears an answer of a holder.
-func (m *Meter) Take(now fsm.Time, from string, msg any) []fsm.Send {
+// Receive hears an answer of a holder.
+func (m *Meter) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	a, ok := msg.(Answer)
-	if ok && a.Ask {
-		return []fsm.Send{{To: from, Msg: Add{Life: m.life, Period: m.period, Stamp: now, Signs: true, Asked: a.Stamp}}}
+	if ok && a.Probe {
+		return []fsm.Send{{To: from, Msg: Add{Incarnation: m.life, Period: m.period, Timestamp: now, AnswersProbes: true, ProbeTimestamp: a.Timestamp}}}
 	}
 	i := m.slot(from)
 	if !ok || i < 0 {
 		return nil
 	}
 	a, lost, ok := a.lengthen(m.life)
-	if !ok || a.Life != m.life || a.Stamp > now {
+	if !ok || a.Incarnation != m.life || a.Timestamp > now {
 		return nil
 	}
 	s := &m.slots[i]
-	if s.brief = a.Briefs && !lost; lost { // it lives, and is told again, with the whole life
+	if s.brief = a.ReadsCompact && !lost; lost { // it lives, and is told again, with the whole life
 		s.refill, m.due = true, true
-		if s.pending != 0 && a.Stamp >= s.pending {
+		if s.pending != 0 && a.Timestamp >= s.pending {
 			s.pending, s.tries = 0, 0
 		}
 		return nil
@@ -220,13 +220,13 @@
 			m.touch(now, e)
 		}
 	}
-	if s.pending != 0 && a.Stamp >= s.pending {
+	if s.pending != 0 && a.Timestamp >= s.pending {
 		s.pending, s.tries = 0, 0
 	}
-	s.way.note(now, now-a.Stamp)
-	s.missing, s.paced = a.Missing, a.Pace
+	s.way.note(now, now-a.Timestamp)
+	s.missing, s.paced = a.Missing, a.SendInterval
 	m.count(now)
-	if a.Company {
+	if a.HeardOthers {
 		m.companyAt = now
 	}
 	if a.Period > m.period {
@@ -234,7 +234,7 @@
 	}
 	for _, t := range totals {
 		if e := m.entries[t.Tenant]; e != nil {
-			m.total(now, e, t, a.Stamp, s)
+			m.total(now, e, t, a.Timestamp, s)
 		}
 	}
 	return nil
@@ -245,13 +245,13 @@
 	s := &m.slots[i]
 	used := s.list
 	switch {
-	case a.Stamp < s.sinceAt:
+	case a.Timestamp < s.sinceAt:
 		used = 0
-	case a.Stamp < s.listAt:
+	case a.Timestamp < s.listAt:
 		used = s.former
 	}
 	totals := a.Totals
-	if r := m.rosters.find(used); r != nil && a.Taken {
+	if r := m.rosters.find(used); r != nil && a.PackedAccepted {
 		more, ok := r.totals(a.Period, a.Packed)
 		if !ok {
 			return nil
@@ -260,15 +260,15 @@
 	}
 	next := s.list
 	switch {
-	case m.rosters.find(a.List) != nil:
-		next = a.List
-	case !a.Taken && a.Stamp >= s.listAt: // it had numbers that it doesn't know, or can't know the names' numbers
+	case m.rosters.find(a.RosterHash) != nil:
+		next = a.RosterHash
+	case !a.PackedAccepted && a.Timestamp >= s.listAt: // it had numbers that it doesn't know, or can't know the names' numbers
 		next = 0
 	}
 	if next == s.list {
 		return totals
 	}
-	if !a.Taken && s.list != 0 {
+	if !a.PackedAccepted && s.list != 0 {
 		s.refill = true
 	}
 	s.list, s.former, s.listAt, s.sinceAt = next, s.list, now, s.listAt
@@ -277,10 +277,10 @@
 
 func (m *Meter) total(now fsm.Time, e *entry, t Total, stamp fsm.Time, s *slot) {
 	m.touch(now, e)
-	e.vague = !t.Sure && t.Period == e.cur.period
+	e.vague = !t.LevelKnown && t.Period == e.cur.period
 	if t.Period == 0 || t.Period != e.cur.period {
 		m.reread(now, e, t)
-		if e.asked && t.Sure {
+		if e.asked && t.LevelKnown {
 			m.hurry(e) // by the name that it has now
 		}
 		return
@@ -291,11 +291,11 @@
 		n = float64(t.Others-c.others) / milli
 	}
 	var own float64
-	if mine := min(t.Mine, c.sum); mine > c.acked {
+	if mine := min(t.Own, c.sum); mine > c.acked {
 		own = float64(mine-c.acked) / milli
 		c.acked = mine
 	}
-	fresh := t.Sure && c.based && t.Others >= c.others
+	fresh := t.LevelKnown && c.based && t.Others >= c.others
 	c.others, c.based, c.read = max(c.others, t.Others), true, true
 	since := s.unheard(now, stamp) // others pass their rate meanwhile
 	if m.first(now, e, t, stamp) {
@@ -305,7 +305,7 @@
 		if fresh && now-stamp <= s.way.stretch(freshGap) && m.trusts(now) {
 			e.ease(now+since, float64(t.Level)/milli)
 		}
-		if t.Sure { // sums only tell what was added since the answer before, which may have been another holder's
+		if t.LevelKnown { // sums only tell what was added since the answer before, which may have been another holder's
 			e.lift(stamp, float64(t.Level)/milli-rounded)
 		}
 	}
@@ -316,7 +316,7 @@
 // first sets TAT of an unseen tenant by the level that the holder knows, and by
 // what was passed here and isn't in that level.
 func (m *Meter) first(now fsm.Time, e *entry, t Total, stamp fsm.Time) bool {
-	if e.seen || !t.Sure || stamp < e.since || e.mute {
+	if e.seen || !t.LevelKnown || stamp < e.since || e.mute {
 		return false
 	}
 	e.seen, e.asked = true, false
@@ -333,7 +333,7 @@
 	if t.Period == 0 || t.Period != o.period {
 		return
 	}
-	o.acked = max(o.acked, min(t.Mine, o.sum))
+	o.acked = max(o.acked, min(t.Own, o.sum))
 	if o.based && e.seen && t.Others > o.others {
 		n := float64(t.Others-o.others) / milli
 		if o.most > 0 {
@@ -347,10 +347,10 @@
 	}
 }
 
-// Mute reports whether a holder leaves adds unanswered, so that another way to it
+// ReadOverdue reports whether a holder leaves adds unanswered, so that another way to it
 // should be tried. What is late by a few ways there and back may be lost; one that has said
 // that it is told more than it can count drops adds, and ways round bring it more of them.
-func (m *Meter) Mute(now fsm.Time, holder string) bool {
+func (m *Meter) ReadOverdue(now fsm.Time, holder string) bool {
 	i := m.slot(holder)
 	if i < 0 || !m.slots[i].late(now) {
 		return false
--- a/internal/systemsim/bug.go
+++ b/internal/systemsim/bug.go
@@ -89,8 +89,8 @@
 		}
 	case quotas.Add:
 		if b == Twice && p.life > 1 {
-			again, _ := t.Lengthen(^t.Life)
-			again.Life, again.Read, again.Echo = ^t.Life, false, false
+			again, _ := t.Expand(^t.Incarnation)
+			again.Incarnation, again.Read, again.Ping = ^t.Incarnation, false, false
 			return []any{again, msg}
 		}
 	case consensus.Answered:
--- a/internal/systemsim/proc.go
+++ b/internal/systemsim/proc.go
@@ -243,7 +243,7 @@
 
 // pass takes a unit of a tenant's quota, and says what that went by.
 func (p *proc) pass(tenant string) (bool, quotas.Basis) {
-	ok, _ := p.meter.Pass(p.clock(), tenant, 1)
+	ok, _ := p.meter.Allow(p.clock(), tenant, 1)
 	if p.meter.Due(p.clock()) && !p.due {
 		p.due = true
 		life := p.life
--- a/internal/systemsim/quotatrace.go
+++ b/internal/systemsim/quotatrace.go
@@ -50,9 +50,9 @@
 	}
 	for _, p := range w.procs {
 		if p.up && p.meter != nil {
-			a := p.meter.Account(p.clock())
+			a := p.meter.Stats(p.clock())
 			w.trace(fmt.Sprintf("%9.3f   %-7s reads %s, changes %d, shares for %d, in touch %d, unanswered for %d ms",
-				w.now.Seconds(), p.name, w.nameOf(a.Holder), a.Changes, a.Gateways, a.InTouch, a.UnheardMS))
+				w.now.Seconds(), p.name, w.nameOf(a.Holder), a.HolderChanges, a.Gateways, a.Reachable, a.UnansweredMS))
 		}
 	}
 }
