--- a/internal/bench/controlrollout.go
+++ b/internal/bench/controlrollout.go
@@ -24,20 +24,20 @@
 		r.Broken[key] = 0
 	}
 	var jobs []func()
-	add := func(where string, play func() []world.Broken) {
+	add := func(where string, play func() []world.Violation) {
 		jobs = append(jobs, func() { r.broke(where, play()) })
 	}
 	for i, at := range []time.Duration{0, 7 * time.Millisecond, 13 * time.Millisecond, time.Second} {
 		jobs = append(jobs, func() { r.cutOffs(seed+uint64(i), at) })
 	}
 	for s := seed; s < seed+8; s++ {
-		add(fmt.Sprintf("the core stands still in a hold, seed %d", s), func() []world.Broken { return world.StillHold(s, 0) })
-		add(fmt.Sprintf("a late wish, seed %d", s), func() []world.Broken { return world.LateWish(s, 0) })
-		add(fmt.Sprintf("orders again, seed %d", s), func() []world.Broken { return world.OrdersAgain(s, 0) })
+		add(fmt.Sprintf("the core stands still in a hold, seed %d", s), func() []world.Violation { return world.FreezeDuringHold(s, 0) })
+		add(fmt.Sprintf("a late wish, seed %d", s), func() []world.Violation { return world.DelayedWithdrawal(s, 0) })
+		add(fmt.Sprintf("orders again, seed %d", s), func() []world.Violation { return world.RepeatedOrders(s, 0) })
 	}
 	for i := range days {
-		o := world.Options{Seed: seed + uint64(i), Nodes: []int{11, 5, 30}[i%3], Again: i%2 == 0}
-		add(fmt.Sprintf("day of %d nodes, seed %d, again: %v", o.Nodes, o.Seed, o.Again), func() []world.Broken { return world.Play(o).Broken })
+		o := world.Options{Seed: seed + uint64(i), Nodes: []int{11, 5, 30}[i%3], RepeatOrders: i%2 == 0}
+		add(fmt.Sprintf("day of %d nodes, seed %d, again: %v", o.Nodes, o.Seed, o.RepeatOrders), func() []world.Violation { return world.Simulate(o).Violations })
 	}
 	for _, m := range rolloutMutants {
 		r.Mutants++
@@ -53,7 +53,7 @@
 	ControlPoint
 }
 
-func (r *rolloutPoint) broke(where string, all []world.Broken) {
+func (r *rolloutPoint) broke(where string, all []world.Violation) {
 	r.Lock()
 	defer r.Unlock()
 	for _, b := range all {
@@ -63,10 +63,10 @@
 }
 
 func (r *rolloutPoint) cutOffs(seed uint64, at time.Duration) {
-	for _, c := range world.CutOffs(seed, at, 0) {
-		r.broke(fmt.Sprintf("the primary cut %s, %v after a put, seed %d", c.Name, at, seed), c.Broken)
+	for _, c := range world.PartitionPrimary(seed, at, 0) {
+		r.broke(fmt.Sprintf("the primary cut %s, %v after a put, seed %d", c.Name, at, seed), c.Violations)
 		r.Lock()
-		r.Worst["healed_s_max"] = max(r.Worst["healed_s_max"], c.Healed.Seconds())
+		r.Worst["healed_s_max"] = max(r.Worst["healed_s_max"], c.RecoveredAfter.Seconds())
 		r.Unlock()
 	}
 }
@@ -76,33 +76,33 @@
 	name  string
 	bug   rollout.Bug
 	seeds int // at most
-	play  func(seed uint64, bug rollout.Bug) []world.Broken
+	play  func(seed uint64, bug rollout.Bug) []world.Violation
 }
 
 var rolloutMutants = []rolloutMutant{
-	{"a hold in which all leases ran out counts", rollout.Vacuous, 10, world.StillHold},
-	{"withdrawn versions are forgotten", rollout.Forgetful, 3, world.OrdersAgain},
-	{"a wish withdraws what came after it", rollout.Unfenced, 3, world.LateWish},
-	{"absent without the writers' word", rollout.Cocksure, 5, cutOffMutant},
-	{"leases without the writers' word", rollout.Unaffirmed, 10, cutOffMutant},
-	{"one confirmation short is enough", rollout.Early, 300, dayMutant},
-	{"the turn does not wait for leases", rollout.Impatient, 300, dayMutant},
-	{"confirmed before it is held", rollout.Careless, 300, dayMutant},
-	{"a successor does not wait out leases", rollout.Successor, 300, dayMutant},
-	{"a withdrawal is told before it is kept", rollout.Hasty, 300, dayMutant},
+	{"a hold in which all leases ran out counts", rollout.BugEmptyHoldCounts, 10, world.FreezeDuringHold},
+	{"withdrawn versions are forgotten", rollout.BugForgetWithdrawn, 3, world.RepeatedOrders},
+	{"a wish withdraws what came after it", rollout.BugIgnoreFence, 3, world.DelayedWithdrawal},
+	{"absent without the writers' word", rollout.BugAbsentUnconfirmed, 5, cutOffMutant},
+	{"leases without the writers' word", rollout.BugGrantUnconfirmed, 10, cutOffMutant},
+	{"one confirmation short is enough", rollout.BugOneConfirmationShort, 300, dayMutant},
+	{"the turn does not wait for leases", rollout.BugTurnIgnoresLeases, 300, dayMutant},
+	{"confirmed before it is held", rollout.BugConfirmBeforeHeld, 300, dayMutant},
+	{"a successor does not wait out leases", rollout.BugSuccessorSkipsWait, 300, dayMutant},
+	{"a withdrawal is told before it is kept", rollout.BugReplyBeforeKept, 300, dayMutant},
 }
 
-func cutOffMutant(seed uint64, bug rollout.Bug) []world.Broken {
-	for _, c := range world.CutOffs(seed, 11*time.Millisecond, bug) {
-		if len(c.Broken) > 0 {
-			return c.Broken
+func cutOffMutant(seed uint64, bug rollout.Bug) []world.Violation {
+	for _, c := range world.PartitionPrimary(seed, 11*time.Millisecond, bug) {
+		if len(c.Violations) > 0 {
+			return c.Violations
 		}
 	}
 	return nil
 }
 
-func dayMutant(seed uint64, bug rollout.Bug) []world.Broken {
-	return world.Play(world.Options{Seed: seed, Bug: bug}).Broken
+func dayMutant(seed uint64, bug rollout.Bug) []world.Violation {
+	return world.Simulate(world.Options{Seed: seed, Bug: bug}).Violations
 }
 
 // hunt plays until the judge meets the mutant by more than that somebody is stuck.
--- a/internal/bench/rollout.go
+++ b/internal/bench/rollout.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (t *rollouts) broke(where string, all []world.Broken) {
+func (t *rollouts) broke(where string, all []world.Violation) {
 	for _, b := range all {
 		t.rule[b.Rule]++
 		t.r.Rule(false, "%s: %v", where, b)
@@ -71,13 +71,13 @@
 func (t *rollouts) sizes() {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(1, t.o.Side))
-	sums := make([][2]world.Sum, len(t.o.Nodes))
+	sums := make([][2]world.Summary, len(t.o.Nodes))
 	for i, n := range slices.Backward(t.o.Nodes) {
 		for j, down := range []int{0, 3} {
 			slots <- struct{}{}
 			t.say("%d nodes, %d of three down", n, j)
 			wg.Go(func() {
-				sums[i][j] = world.Measure(world.Options{Seed: t.o.Seed, Nodes: n, Every: time.Duration(max(6, n/2)) * time.Millisecond},
+				sums[i][j] = world.Measure(world.Options{Seed: t.o.Seed, Nodes: n, RequestInterval: time.Duration(max(6, n/2)) * time.Millisecond},
 					t.o.Versions, down)
 				<-slots
 			})
@@ -91,24 +91,24 @@
 }
 
 // size tells of one.
-func (t *rollouts) size(n, down int, s world.Sum) {
+func (t *rollouts) size(n, down int, s world.Summary) {
 	name, key := "all there", fmt.Sprintf("_%d", n)
 	if down > 0 {
 		name, key = "a third down", key+"_third_down"
 	}
 	where := fmt.Sprintf("%d nodes, %s", n, name)
-	t.broke(where, s.Broken)
-	t.judge(where, s.Puts, s.Marks)
+	t.broke(where, s.Violations)
+	t.judge(where, s.Puts, s.Decisions)
 	t.puts += t.o.Versions
 	t.live += len(s.Live)
-	held := math.Round(s.HeldMost.Seconds()*1e4) / 10
-	t.r.Row(name, n, t.o.Versions, quant(s.Live, 0.5), quant(s.Live, 0.99), quant(s.All, 0.5), quant(s.All, 0.99), s.Refused, s.InTurn,
-		held, s.Bytes, s.RestBytes)
+	held := math.Round(s.LongestHold.Seconds()*1e4) / 10
+	t.r.Row(name, n, t.o.Versions, quant(s.Live, 0.5), quant(s.Live, 0.99), quant(s.ServedByAll, 0.5), quant(s.ServedByAll, 0.99), s.Refused, s.RefusedInTurn,
+		held, s.Bytes, s.IdleBytes)
 	t.figure["live_s_p50"+key], t.figure["live_s_p99"+key] = quant(s.Live, 0.5), quant(s.Live, 0.99)
-	t.figure["all_s_p50"+key], t.figure["all_s_p99"+key] = quant(s.All, 0.5), quant(s.All, 0.99)
-	t.figure["refused"+key], t.figure["refused_in_turn"+key], t.figure["held_ms_max"+key] = s.Refused, s.InTurn, held
+	t.figure["all_s_p50"+key], t.figure["all_s_p99"+key] = quant(s.ServedByAll, 0.5), quant(s.ServedByAll, 0.99)
+	t.figure["refused"+key], t.figure["refused_in_turn"+key], t.figure["held_ms_max"+key] = s.Refused, s.RefusedInTurn, held
 	if down == 0 {
-		t.figure["bytes_per_node"+key], t.figure["rest_bytes_per_node_s"+key] = math.Round(s.Bytes), math.Round(s.RestBytes)
+		t.figure["bytes_per_node"+key], t.figure["rest_bytes_per_node_s"+key] = math.Round(s.Bytes), math.Round(s.IdleBytes)
 	}
 }
 
@@ -139,11 +139,11 @@
 				if done {
 					return
 				}
-				p := world.Play(world.Options{Seed: seed, Nodes: t.o.size(seed)})
+				p := world.Simulate(world.Options{Seed: seed, Nodes: t.o.size(seed)})
 				mu.Lock()
 				where := fmt.Sprintf("seed %d", seed)
-				t.broke(where, p.Broken)
-				t.judge(where, p.PutAt, p.Marks)
+				t.broke(where, p.Violations)
+				t.judge(where, p.PutAt, p.Decisions)
 				t.puts, t.live, t.withdrawn, t.over = t.puts+p.Puts, t.live+p.Live, t.withdrawn+p.Withdrawn, t.over+p.Overtaken
 				kills, freezes, cuts, decided = kills+p.Kills, freezes+p.Freezes, cuts+p.Cuts, decided+p.Decided
 				mu.Unlock()
@@ -188,7 +188,7 @@
 
 // judge holds a history against the register with a program that is not ours: of each
 // version a write from its call to the first request that went by it, and reads.
-func (t *rollouts) judge(where string, puts map[uint32]time.Duration, marks []world.Mark) {
+func (t *rollouts) judge(where string, puts map[uint32]time.Duration, marks []world.Decision) {
 	first := map[uint32]time.Duration{}
 	var reads []read
 	for i, m := range marks {
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -124,7 +124,7 @@
 		bugs: c.Bugs, contact: contact{asked: map[uint64]fsm.Time{}, pause: proveAgain},
 	}
 	k.pact = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
-		Losses: c.Losses, Seeds: c.Seeds, Seed: c.Seed, Enter: k.accord.Enter}, disk, now)
+		Losses: c.Losses, Seeds: c.Seeds, Seed: c.Seed, Enter: k.accord.PrepareDocument}, disk, now)
 	k.pact.SetBug(c.Bugs.Pact)
 	k.lore.SetBug(c.Bugs.Lore)
 	k.seats()
@@ -144,7 +144,7 @@
 	case of == ofBane:
 		k.ruled(func() faultrules.Out { return k.bane.Take(now, from, msg) })
 	case of == ofAccord:
-		k.together(now, k.accord.Take(now, from, msg))
+		k.together(now, k.accord.Receive(now, from, msg))
 	case of == ofKnot:
 		k.via(now, from, msg.(Via))
 	case of == ofToll:
@@ -223,7 +223,7 @@
 	k.agreed(now, k.pact.Written(now, seq))
 	if k.prepare != 0 && seq >= k.prepare {
 		k.prepare = 0
-		k.together(now, k.accord.Synced(now))
+		k.together(now, k.accord.DocumentSynced(now))
 	}
 	return k.end()
 }
@@ -317,7 +317,7 @@
 	k.pact.Peers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
 		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Held: n.Held}
 	}))
-	k.accord.Nodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
+	k.accord.SetNodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
 		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
 	}))
 	k.peers(view)
--- a/internal/controlplane/message_test.go
+++ b/internal/controlplane/message_test.go
@@ -92,10 +92,10 @@
 		{faultrules.Answered{}, "bane.Answered"},
 	},
 	{
-		{rollout.Ask{}, "accord.Ask"},
-		{rollout.Grant{}, "accord.Grant"},
-		{rollout.Withdraw{}, "accord.Withdraw"},
-		{rollout.Withdrew{}, "accord.Withdrew"},
+		{rollout.LeaseRequest{}, "accord.Ask"},
+		{rollout.LeaseGrant{}, "accord.Grant"},
+		{rollout.WithdrawRequest{}, "accord.Withdraw"},
+		{rollout.WithdrawReply{}, "accord.Withdrew"},
 	},
 }
 
--- a/internal/controlplane/text.go
+++ b/internal/controlplane/text.go
@@ -88,10 +88,10 @@
 		} else {
 			k.reader.checked = r
 		}
-		k.together(now, k.accord.Checked(now, d.Version, r.rollout, refusal))
+		k.together(now, k.accord.TextChecked(now, d.Version, r.rollout, refusal))
 	} else {
 		k.taken = r
-		k.together(now, k.accord.Taken(now, d, r.rollout))
+		k.together(now, k.accord.TextRead(now, d, r.rollout))
 		k.taken = nil
 	}
 	k.read()
@@ -114,7 +114,7 @@
 	k.out.Doc = doc
 	if r.err != nil {
 		k.out.Refused = r.err
-		k.accord.Unable()
+		k.accord.SetUnable()
 		return
 	}
 	k.meter.SetRoster(now, r.roster)
--- a/internal/controlplane/together.go
+++ b/internal/controlplane/together.go
@@ -8,21 +8,21 @@
 
 // roll tells the taking up of configurations what agreement has come to.
 func (k *Knot) roll(now fsm.Time, out consensus.Out) {
-	k.accord.Primary(k.pact.Primary())
+	k.accord.SetPrimary(k.pact.Primary())
 	epoch, leads := k.pact.Leads()
 	if !leads {
-		k.together(now, k.accord.Leads(now, epoch, false))
+		k.together(now, k.accord.SetLead(now, epoch, false))
 	}
 	if out.Adopt != nil {
 		if k.prepare = 0; out.Write != nil { // nothing is confirmed before it is on disk
 			k.prepare = out.Write.Seq
 		}
-		k.together(now, k.accord.Doc(now, *out.Adopt, out.Write == nil))
+		k.together(now, k.accord.SetDocument(now, *out.Adopt, out.Write == nil))
 	}
 	if leads {
-		k.together(now, k.accord.Leads(now, epoch, true))
+		k.together(now, k.accord.SetLead(now, epoch, true))
 		if out.Affirmed != 0 {
-			k.together(now, k.accord.Affirmed(now, out.Affirmed))
+			k.together(now, k.accord.LeadConfirmed(now, out.Affirmed))
 		}
 	}
 }
@@ -31,7 +31,7 @@
 func (k *Knot) together(now fsm.Time, out rollout.Out) {
 	k.send(out.Send)
 	k.out.Gate = k.out.Gate || out.Gate
-	for _, t := range out.Told {
+	for _, t := range out.WithdrawReplies {
 		k.out.Replies = append(k.out.Replies, Reply{t.Call, t})
 	}
 	if out.Adopt != nil {
@@ -48,12 +48,12 @@
 		ok, then := k.pact.Amend(now, *out.Amend)
 		k.agreed(now, then)
 		if !ok {
-			k.together(now, k.accord.Dropped(now, *out.Amend))
+			k.together(now, k.accord.AmendmentRejected(now, *out.Amend))
 		}
 	}
-	if out.Affirm {
+	if out.ConfirmLead {
 		round, then := k.pact.Affirm(now)
-		k.accord.Affirming(round)
+		k.accord.ConfirmationStarted(round)
 		k.agreed(now, then)
 	}
 }
--- a/internal/daemon/rollout.go
+++ b/internal/daemon/rollout.go
@@ -22,12 +22,12 @@
 		return
 	}
 	by := ctx.RemoteIP().String()
-	a, _ := p.ask(func(call uint64) { p.box.Put(withdrawn{call, uint32(v), by}) }).(rollout.Withdrew)
+	a, _ := p.ask(func(call uint64) { p.box.Put(withdrawn{call, uint32(v), by}) }).(rollout.WithdrawReply)
 	switch a.Outcome {
-	case rollout.Unclear: // it may still be taken up
+	case rollout.OutcomeUndecided: // it may still be taken up
 		p.busy(ctx)
 		return
-	case rollout.Absent: // as far as a primary knew that may have been followed
+	case rollout.OutcomeAbsent: // as far as a primary knew that may have been followed
 		if kept, ok := p.proof(glance); !ok || kept >= uint32(v) {
 			p.busy(ctx)
 			return
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -59,7 +59,7 @@
 // after it has come: a process that stood still notices.
 func (p *Plane) may(version uint32) bool {
 	g := p.gate.Load()
-	return g == nil || !g.Together || g.May(p.opt.Now(), version)
+	return g == nil || !g.Together || g.Allows(p.opt.Now(), version)
 }
 
 // gated says whether requests of a route need a lease.
@@ -79,8 +79,8 @@
 	}
 	late, began, waited := time.NewTimer(turnTakes), p.opt.Now(), false
 	defer late.Stop()
-	for g := p.gate.Load(); g.Soon || g.May(p.opt.Now(), g.Version); g = p.gate.Load() {
-		if g.May(p.opt.Now(), g.Version) && p.Version() == g.Version {
+	for g := p.gate.Load(); g.ReopensSoon || g.Allows(p.opt.Now(), g.Version); g = p.gate.Load() {
+		if g.Allows(p.opt.Now(), g.Version) && p.Version() == g.Version {
 			p.turns.waited(p.opt.Now() - began)
 			return false, true
 		}
--- a/internal/dataplane/gate_test.go
+++ b/internal/dataplane/gate_test.go
@@ -27,7 +27,7 @@
 		{"no lease, reads by the last", rollout.Gate{Version: 1, Together: true}, 503, 200},
 		{"no lease, reads by what is live", rollout.Gate{Version: 1, Together: true, Reads: true}, 503, 503},
 		{"run out", rollout.Gate{Version: 1, Together: true, Reads: true, Lease: policy.Lease{Version: 1, Until: time.Minute}}, 503, 503},
-		{"in a turn that does not end", rollout.Gate{Version: 1, Together: true, Reads: true, Soon: true}, 503, 503},
+		{"in a turn that does not end", rollout.Gate{Version: 1, Together: true, Reads: true, ReopensSoon: true}, 503, 503},
 	} {
 		g.plane.Gate(c.gate)
 		for url, want := range map[string]int{write: c.write, read: c.read} {
@@ -43,7 +43,7 @@
 		t.Errorf("%+v", n)
 	}
 	// What waits in a turn goes on once it is over.
-	g.plane.Gate(rollout.Gate{Version: 1, Together: true, Soon: true})
+	g.plane.Gate(rollout.Gate{Version: 1, Together: true, ReopensSoon: true})
 	go g.plane.Gate(rollout.Gate{Version: 1, Together: true, Lease: lease})
 	g.url = write
 	if status, _, _ := g.ask(t, http.DefaultClient, "k10", "waits", "x"); status != http.StatusOK {
--- a/internal/rollout/lead.go
+++ b/internal/rollout/lead.go
@@ -19,9 +19,9 @@
 	reads   bool              // the conduct wants the writers' confirmation, which is not asked for yet
 	round   uint64            // of the one that it waits for
 	pending uint32
-	since   fsm.Time   // of pending, here
-	asks    []asks     // to withdraw, that wait for the document
-	ended   []Withdraw // the last of them that have been answered
+	since   fsm.Time          // of pending, here
+	asks    []asks            // to withdraw, that wait for the document
+	ended   []WithdrawRequest // the last of them that have been answered
 }
 
 // turn takes over what is kept.
@@ -44,12 +44,12 @@
 	}
 	if l.c == nil {
 		since := now
-		if m.bug == Successor {
+		if m.bug == BugSuccessorSkipsWait {
 			since -= 2 * Terms.Lease
 		}
 		l.c = policy.Lead(m.terms(), &l.reg, l.epoch.N, since)
 		l.c.Enough = func() bool { return m.enough(m.seen) }
-		if m.bug != Vacuous {
+		if m.bug != BugEmptyHoldCounts {
 			l.c.Still = l.c.Enough
 		}
 	}
@@ -58,13 +58,13 @@
 	m.carry(now)
 }
 
-func (m *Machine) asked(now fsm.Time, from string, a Ask) {
+func (m *Machine) asked(now fsm.Time, from string, a LeaseRequest) {
 	l := m.lead
 	if l == nil || l.c == nil {
 		return
 	}
 	l.addrs[a.ID] = from
-	a.Held = l.held(a)
+	a.HeldRound = l.held(a)
 	m.seen = now
 	l.c.Renew(now, a.ID, a.renew())
 	if l.c.Stage() == policy.Holding { // everybody waits for the last one's word
@@ -75,11 +75,11 @@
 
 // held is the round in which a node decides nothing. Another primary's may have the same
 // number.
-func (l *lead) held(a Ask) uint64 {
+func (l *lead) held(a LeaseRequest) uint64 {
 	if a.Epoch != l.epoch {
 		return 0
 	}
-	return a.Held
+	return a.HeldRound
 }
 
 func (m *Machine) tick(now fsm.Time) {
@@ -98,9 +98,9 @@
 	}
 }
 
-// Affirming tells the round of the writers' confirmation that was asked for; 0: this is
+// ConfirmationStarted tells the round of the writers' confirmation that was asked for; 0: this is
 // no primary any more.
-func (m *Machine) Affirming(round uint64) {
+func (m *Machine) ConfirmationStarted(round uint64) {
 	l := m.lead
 	if l == nil {
 		return
@@ -118,8 +118,8 @@
 	}
 }
 
-// Affirmed tells that the writers have confirmed that round.
-func (m *Machine) Affirmed(now fsm.Time, round uint64) Out {
+// LeadConfirmed tells that the writers have confirmed that round.
+func (m *Machine) LeadConfirmed(now fsm.Time, round uint64) Out {
 	l := m.lead
 	if l != nil && l.c != nil && l.round != 0 && round >= l.round {
 		l.round = 0
@@ -137,9 +137,9 @@
 	return m.end()
 }
 
-// Dropped tells that an amendment could not be made, as another document is on its way.
-func (m *Machine) Dropped(now fsm.Time, d consensus.Doc) Out {
-	if l := m.lead; l != nil && l.c != nil && Read(d).Fate == Live {
+// AmendmentRejected tells that an amendment could not be made, as another document is on its way.
+func (m *Machine) AmendmentRejected(now fsm.Time, d consensus.Doc) Out {
+	if l := m.lead; l != nil && l.c != nil && ReadState(d).Fate == Live {
 		l.c.Dropped(now)
 		m.carry(now)
 	}
@@ -162,18 +162,18 @@
 				m.withdraw(m.doc.Version, p.Why)
 			}
 		}
-		if o.Read && m.bug == Unaffirmed {
+		if o.Read && m.bug == BugGrantUnconfirmed {
 			l.c.Confirmed(now)
 			again = true
 		} else if o.Read {
-			m.out.Affirm, l.reads = true, true
+			m.out.ConfirmLead, l.reads = true, true
 		}
 		for _, g := range o.Grants {
-			if m.bug == Impatient && g.Seq != 0 && g.Hold == 0 && g.Fenced == "" {
+			if m.bug == BugTurnIgnoresLeases && g.Seq != 0 && g.Hold == 0 && g.Fenced == "" {
 				g.Lease = Terms.Lease
 			}
-			m.send(l.addrs[g.To], Grant{ID: g.To, Seq: g.Seq, Epoch: l.epoch, Version: g.Version, Lease: g.Lease,
-				Change: g.Change, Hold: g.Hold, Fenced: g.Fenced, Kept: m.doc.Version, Rev: m.doc.Rev})
+			m.send(l.addrs[g.To], LeaseGrant{ID: g.To, Seq: g.Seq, Epoch: l.epoch, Version: g.Version, Lease: g.Lease,
+				Change: g.Change, HoldRound: g.Hold, Fenced: g.Fenced, Newest: m.doc.Version, Rev: m.doc.Rev})
 		}
 	}
 }
@@ -192,7 +192,7 @@
 			continue
 		}
 		ok, known := held[s.Name]
-		held[s.Name] = has && (ok || !known) || m.bug == Remembered && (has || ok)
+		held[s.Name] = has && (ok || !known) || m.bug == BugCountEarlierIncarnation && (has || ok)
 	}
 	zones, sum := map[string][2]int{}, 0
 	for _, n := range m.nodes {
@@ -205,11 +205,11 @@
 		zones[n.Zone] = z
 	}
 	need := max(m.rollout.Confirm, 1)
-	if m.bug == Early {
+	if m.bug == BugOneConfirmationShort {
 		sum++
 	}
 	for _, z := range zones {
-		if z[1]*2 <= z[0] && m.bug != Early {
+		if z[1]*2 <= z[0] && m.bug != BugOneConfirmationShort {
 			return false
 		}
 	}
@@ -218,7 +218,7 @@
 
 func (m *Machine) terms() policy.Terms {
 	t := Terms
-	if m.bug == Impatient {
+	if m.bug == BugTurnIgnoresLeases {
 		t.Lease = Terms.Lease / 8 // none at all would count no word, and nothing would turn
 	}
 	return t
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -22,14 +22,14 @@
 
 // Out is what follows from an input.
 type Out struct {
-	Send   []fsm.Send
-	Adopt  *consensus.Doc // to be in force here
-	Read   *consensus.Doc // to be read, then tell Taken; a newer one takes its place
-	Check  *consensus.Doc // the same, then tell Checked
-	Gate   bool           // Gate may have changed
-	Affirm bool           // ask the writers whether this is the primary still, then tell Affirming
-	Told   []Withdrew     // to those who made the calls
-	Amend  *consensus.Doc // to be kept by agreement; tell Dropped if it can't be
+	Send            []fsm.Send
+	Adopt           *consensus.Doc  // to be in force here
+	Read            *consensus.Doc  // to be read, then tell Taken; a newer one takes its place
+	Check           *consensus.Doc  // the same, then tell Checked
+	Gate            bool            // Gate may have changed
+	ConfirmLead     bool            // ask the writers whether this is the primary still, then tell Affirming
+	WithdrawReplies []WithdrawReply // to those who made the calls
+	Amend           *consensus.Doc  // to be kept by agreement; tell Dropped if it can't be
 }
 
 // Machine is one process's part.
@@ -37,7 +37,7 @@
 	c       Config
 	id      uint64 // of this life
 	doc     consensus.Doc
-	side    Side
+	side    State
 	rollout sysconfig.Rollout // of what is live
 	synced  bool              // doc is on disk, where there is one
 	adopted uint32
@@ -72,18 +72,18 @@
 
 // The bugs.
 const (
-	Early      Bug = iota + 1 // one confirmation short is enough
-	Impatient                 // the turn doesn't wait for leases
-	Careless                  // confirmed before it is held
-	Remembered                // the word of a node's earlier life counts
-	Lasting                   // a lease is looked at with the time before the freeze
-	Successor                 // a new primary doesn't wait out the leases of the one before
-	Unaffirmed                // leases are granted without asking the writers
-	Hasty                     // a withdrawal is told before it is kept
-	Cocksure                  // that a version is not there is told without asking the writers
-	Forgetful                 // what was withdrawn before the newest version is not remembered
-	Unfenced                  // a wish withdraws what came after it
-	Vacuous                   // a hold in which all leases ran out counts as agreed
+	BugOneConfirmationShort    Bug = iota + 1 // one confirmation short is enough
+	BugTurnIgnoresLeases                      // the turn doesn't wait for leases
+	BugConfirmBeforeHeld                      // confirmed before it is held
+	BugCountEarlierIncarnation                // the word of a node's earlier life counts
+	BugStaleLeaseCheck                        // a lease is looked at with the time before the freeze
+	BugSuccessorSkipsWait                     // a new primary doesn't wait out the leases of the one before
+	BugGrantUnconfirmed                       // leases are granted without asking the writers
+	BugReplyBeforeKept                        // a withdrawal is told before it is kept
+	BugAbsentUnconfirmed                      // that a version is not there is told without asking the writers
+	BugForgetWithdrawn                        // what was withdrawn before the newest version is not remembered
+	BugIgnoreFence                            // a wish withdraws what came after it
+	BugEmptyHoldCounts                        // a hold in which all leases ran out counts as agreed
 )
 
 // verdict is what this process makes of a text that is prepared.
@@ -103,10 +103,10 @@
 // SetBug switches a guard off.
 func (m *Machine) SetBug(b Bug) { m.bug = b }
 
-// Doc takes the newest document that is kept. Synced says that no disk has to have it
+// SetDocument takes the newest document that is kept. Synced says that no disk has to have it
 // first; else Synced is called once it has.
-func (m *Machine) Doc(now fsm.Time, d consensus.Doc, synced bool) Out {
-	m.doc, m.side, m.synced, m.lacks = d, Read(d), synced, 0
+func (m *Machine) SetDocument(now fsm.Time, d consensus.Doc, synced bool) Out {
+	m.doc, m.side, m.synced, m.lacks = d, ReadState(d), synced, 0
 	live := &consensus.Doc{Version: m.side.Version, Body: m.side.Body}
 	switch {
 	case live.Version <= m.adopted:
@@ -132,9 +132,9 @@
 	m.holder.Again()
 }
 
-// Taken tells that a text has been read that was to be, and which rollout it wants. One that has been overtaken meanwhile is
+// TextRead tells that a text has been read that was to be, and which rollout it wants. One that has been overtaken meanwhile is
 // put in force as well, so that a row of changes holds up none of them, unless it was to be in force together.
-func (m *Machine) Taken(now fsm.Time, read consensus.Doc, r sysconfig.Rollout) Out {
+func (m *Machine) TextRead(now fsm.Time, read consensus.Doc, r sysconfig.Rollout) Out {
 	if read.Version > m.adopted && !m.rollout.Together && (read.Version == m.side.Version || !r.Together) {
 		m.adopt(&read, r)
 		m.prepare(now)
@@ -145,8 +145,8 @@
 	return m.end()
 }
 
-// Checked tells what came of a text that was to be checked; refusal "" is that it can be taken.
-func (m *Machine) Checked(now fsm.Time, version uint32, r sysconfig.Rollout, refusal string) Out {
+// TextChecked tells what came of a text that was to be checked; refusal "" is that it can be taken.
+func (m *Machine) TextChecked(now fsm.Time, version uint32, r sysconfig.Rollout, refusal string) Out {
 	if version == m.verdict.version {
 		m.verdict.known, m.verdict.rollout, m.verdict.refusal = true, r, refusal
 		m.prepare(now)
@@ -154,29 +154,29 @@
 	return m.end()
 }
 
-// Synced says that the document is on this process's disk.
-func (m *Machine) Synced(now fsm.Time) Out {
+// DocumentSynced says that the document is on this process's disk.
+func (m *Machine) DocumentSynced(now fsm.Time) Out {
 	m.synced = true
 	m.prepare(now)
 	return m.end()
 }
 
-// Unable says that what was to be in force here can't be.
-func (m *Machine) Unable() { m.holder.Unable() }
+// SetUnable says that what was to be in force here can't be.
+func (m *Machine) SetUnable() { m.holder.Unable() }
 
-// Nodes takes the processes that live.
-func (m *Machine) Nodes(nodes []Node) { m.nodes = nodes }
+// SetNodes takes the processes that live.
+func (m *Machine) SetNodes(nodes []Node) { m.nodes = nodes }
 
-// Primary takes the address of the one that is thought to lead.
-func (m *Machine) Primary(addr string) {
+// SetPrimary takes the address of the one that is thought to lead.
+func (m *Machine) SetPrimary(addr string) {
 	if addr != m.primary {
 		m.primary = addr
 		m.holder.Again()
 	}
 }
 
-// Leads says whether this process is the primary, and of which epoch.
-func (m *Machine) Leads(now fsm.Time, epoch consensus.Ballot, leads bool) Out {
+// SetLead says whether this process is the primary, and of which epoch.
+func (m *Machine) SetLead(now fsm.Time, epoch consensus.Ballot, leads bool) Out {
 	switch {
 	case !leads:
 		m.lead = nil
@@ -187,16 +187,16 @@
 	return m.end()
 }
 
-// Take takes a message.
-func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
+// Receive takes a message.
+func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
 	switch t := msg.(type) {
-	case Ask:
+	case LeaseRequest:
 		m.asked(now, from, t)
-	case Grant:
+	case LeaseGrant:
 		m.granted(now, from, t)
-	case Withdraw:
+	case WithdrawRequest:
 		m.wished(now, from, t)
-	case Withdrew:
+	case WithdrawReply:
 		m.told(t)
 	}
 	return m.end()
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -10,22 +10,22 @@
 
 // Gate tells whether a request may be decided by the rules in force here.
 type Gate struct {
-	Version  uint32 // of those rules
-	Together bool
-	Reads    bool // pure requests too
-	Lease    policy.Lease
-	Soon     bool // it will be open again in a moment
+	Version     uint32 // of those rules
+	Together    bool
+	Reads       bool // pure requests too
+	Lease       policy.Lease
+	ReopensSoon bool // it will be open again in a moment
 }
 
-// May is asked with a time that was taken after the request has come.
-func (g Gate) May(now fsm.Time, version uint32) bool {
+// Allows is asked with a time that was taken after the request has come.
+func (g Gate) Allows(now fsm.Time, version uint32) bool {
 	return version == g.Version && (!g.Together || g.Lease.Version == int64(version) && now < g.Lease.Until)
 }
 
 // Gate is how it stands.
 func (m *Machine) Gate() Gate {
 	l, holds := m.holder.Lease()
-	return Gate{Version: m.adopted, Together: m.rollout.Together, Reads: m.rollout.Reads, Lease: l, Soon: holds}
+	return Gate{Version: m.adopted, Together: m.rollout.Together, Reads: m.rollout.Reads, Lease: l, ReopensSoon: holds}
 }
 
 // pullEvery is how often a node asks for a document that the primary has and it lacks, and
@@ -80,7 +80,7 @@
 	if m.holder.Missed() > 1 {
 		m.seek(now)
 	}
-	m.send(m.primary, Ask{ID: m.id, Seq: r.Seq, Version: r.Version, Checked: r.Checked, Refusal: r.Refusal, Held: r.Held,
+	m.send(m.primary, LeaseRequest{ID: m.id, Seq: r.Seq, Version: r.Version, Checked: r.Checked, Refusal: r.Refusal, HeldRound: r.Held,
 		Epoch: m.epoch, Name: r.Name, Zone: r.Zone})
 }
 
@@ -102,19 +102,19 @@
 }
 
 // granted takes what the primary says.
-func (m *Machine) granted(now fsm.Time, from string, g Grant) {
+func (m *Machine) granted(now fsm.Time, from string, g LeaseGrant) {
 	if g.ID != m.id || !m.rollout.Together {
 		return
 	}
-	m.pull(now, from, consensus.Doc{Version: g.Kept, Rev: g.Rev})
-	if g.Hold != 0 {
+	m.pull(now, from, consensus.Doc{Version: g.Newest, Rev: g.Rev})
+	if g.HoldRound != 0 {
 		m.epoch = g.Epoch
 	}
 	p := g.grant()
 	if g.Version == int64(m.adopted) {
 		p.Text = m.side.Body
 	}
-	if w := m.holder.Grant(now, p); w.Check && m.bug == Careless {
+	if w := m.holder.Grant(now, p); w.Check && m.bug == BugConfirmBeforeHeld {
 		m.confirm(now, g.Change, "")
 	}
 	m.out.Gate = true
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -16,20 +16,20 @@
 
 // keeps is Doc where what is to be read is read at once.
 func keeps(m *Machine, now fsm.Time, d consensus.Doc) {
-	out := m.Doc(now, d, true)
+	out := m.SetDocument(now, d, true)
 	if r := out.Read; r != nil {
-		out = m.Taken(now, *r, sysconfig.RolloutOf(r.Body))
+		out = m.TextRead(now, *r, sysconfig.RolloutOf(r.Body))
 	}
 	if c := out.Check; c != nil {
-		m.Checked(now, c.Version, sysconfig.RolloutOf(c.Body), "")
+		m.TextChecked(now, c.Version, sysconfig.RolloutOf(c.Body), "")
 	}
 }
 
 // What is kept of a document goes by what is live when it comes, and has one outcome.
 func TestEnter(t *testing.T) {
 	const together, each = `"Mode":"together"`, `"Mode":"each"`
-	one := Enter(consensus.Doc{}, doc(1, together))
-	two := Enter(one, doc(2, each))
+	one := PrepareDocument(consensus.Doc{}, doc(1, together))
+	two := PrepareDocument(one, doc(2, each))
 	for _, c := range []struct {
 		name string
 		doc  consensus.Doc
@@ -40,13 +40,13 @@
 		{"prepared", two, Prepared, 1},
 		{"turned", turned(two), Live, 2},
 		{"withdrawn", withdrawn(two, "why"), Withdrawn, 1},
-		{"overtaking", Enter(two, doc(5, each)), Prepared, 1},
-		{"after a withdrawn one", Enter(withdrawn(two, "why"), doc(3, each)), Prepared, 1},
-		{"after each again", Enter(turned(two), doc(3, together)), Live, 3},
-		{"an operator's own words beside it", Enter(one, consensus.Doc{Version: 2, Rev: 9, Side: []byte{1}}), Prepared, 1},
+		{"overtaking", PrepareDocument(two, doc(5, each)), Prepared, 1},
+		{"after a withdrawn one", PrepareDocument(withdrawn(two, "why"), doc(3, each)), Prepared, 1},
+		{"after each again", PrepareDocument(turned(two), doc(3, together)), Live, 3},
+		{"an operator's own words beside it", PrepareDocument(one, consensus.Doc{Version: 2, Rev: 9, Side: []byte{1}}), Prepared, 1},
 		{"unreadable", consensus.Doc{Version: 2, Side: []byte{0xff}}, Withdrawn, 0},
 	} {
-		if s := Read(c.doc); s.Fate != c.fate || s.Version != c.live {
+		if s := ReadState(c.doc); s.Fate != c.fate || s.Version != c.live {
 			t.Errorf("%s: %v, live %d", c.name, s.Fate, s.Version)
 		}
 	}
@@ -59,24 +59,24 @@
 func fleet(bug Bug) (*Machine, fsm.Time) {
 	m, now := New(Config{Self: "a", Name: "a", Zone: "x"}), time.Hour
 	m.SetBug(bug)
-	m.Nodes([]Node{{Name: "a", Zone: "x", Addr: "a"}, {Name: "b", Zone: "x", Addr: "b"}, {Name: "c", Zone: "y", Addr: "c"}})
-	one := Enter(consensus.Doc{}, doc(1, `"Mode":"together","Confirm":3`))
+	m.SetNodes([]Node{{Name: "a", Zone: "x", Addr: "a"}, {Name: "b", Zone: "x", Addr: "b"}, {Name: "c", Zone: "y", Addr: "c"}})
+	one := PrepareDocument(consensus.Doc{}, doc(1, `"Mode":"together","Confirm":3`))
 	keeps(m, now, one)
-	m.Leads(now, consensus.Ballot{N: 3, By: "a"}, true)
-	keeps(m, now, Enter(one, doc(2, "")))
+	m.SetLead(now, consensus.Ballot{N: 3, By: "a"}, true)
+	keeps(m, now, PrepareDocument(one, doc(2, "")))
 	return m, now
 }
 
 // says has a node call, and the writers take this one for the primary still.
-func says(m *Machine, now fsm.Time, a Ask) {
+func says(m *Machine, now fsm.Time, a LeaseRequest) {
 	a.Version = 1
-	m.Take(now, a.Name, a)
+	m.Receive(now, a.Name, a)
 	affirms(m, now)
 }
 
 func affirms(m *Machine, now fsm.Time) {
-	m.Affirming(1)
-	m.Affirmed(now, 1)
+	m.ConfirmationStarted(1)
+	m.LeadConfirmed(now, 1)
 }
 
 // The word of a node's earlier life is not this one's; of a second life that confirms
@@ -85,19 +85,19 @@
 	play := func(bug Bug) (before, after, again bool) {
 		m, now := fleet(bug)
 		for i, name := range []string{"a", "b", "c"} {
-			says(m, now, Ask{ID: uint64(i + 1), Seq: 1, Checked: 2, Name: name})
+			says(m, now, LeaseRequest{ID: uint64(i + 1), Seq: 1, Checked: 2, Name: name})
 		}
 		before = m.Status(now).Enough
 		now += 200 * time.Millisecond
-		says(m, now, Ask{ID: 9, Seq: 1, Name: "b"})
+		says(m, now, LeaseRequest{ID: 9, Seq: 1, Name: "b"})
 		after = m.Status(now).Enough
-		says(m, now, Ask{ID: 9, Seq: 2, Checked: 2, Name: "b"})
+		says(m, now, LeaseRequest{ID: 9, Seq: 2, Checked: 2, Name: "b"})
 		return before, after, m.Status(now).Enough
 	}
 	if before, after, again := play(0); !before || after || !again {
 		t.Errorf("enough before the restart: %v, after it: %v, once it has confirmed: %v", before, after, again)
 	}
-	if _, after, _ := play(Remembered); !after {
+	if _, after, _ := play(BugCountEarlierIncarnation); !after {
 		t.Error("the mutant is not found")
 	}
 }
@@ -107,7 +107,7 @@
 	m, now := fleet(0)
 	m.rollout.Confirm = 0
 	say := func(id uint64, name, refusal string) bool {
-		says(m, now, Ask{ID: id, Seq: 1, Checked: 2, Refusal: refusal, Name: name})
+		says(m, now, LeaseRequest{ID: id, Seq: 1, Checked: 2, Refusal: refusal, Name: name})
 		return m.Status(now).Enough
 	}
 	if say(1, "a", "") || say(2, "b", "") {
@@ -124,8 +124,8 @@
 // A hold's round counts for the primary that named it only: another's may have the same number.
 func TestRound(t *testing.T) {
 	m, now := fleet(0)
-	a := Ask{ID: 7, Seq: 1, Version: 1, Held: m.lead.epoch.N<<24 + 1, Epoch: consensus.Ballot{N: 3, By: "b"}, Name: "c", Checked: 2}
-	m.Take(now, "c", a)
+	a := LeaseRequest{ID: 7, Seq: 1, Version: 1, HeldRound: m.lead.epoch.N<<24 + 1, Epoch: consensus.Ballot{N: 3, By: "b"}, Name: "c", Checked: 2}
+	m.Receive(now, "c", a)
 	if _, all := m.lead.c.Status(now); len(all) != 1 {
 		t.Fatal(all)
 	}
@@ -142,19 +142,19 @@
 func TestLateWish(t *testing.T) {
 	m, now := fleet(0)
 	keeps(m, now, turned(m.doc))
-	wish := Withdraw{Version: 3, ID: 9, Call: 1}
-	m.Take(now, "b", wish)
-	m.Affirming(1)
-	told := m.Affirmed(now, 1).Send
-	if len(told) != 1 || told[0].Msg.(Withdrew).Outcome != Absent {
+	wish := WithdrawRequest{Version: 3, ID: 9, Call: 1}
+	m.Receive(now, "b", wish)
+	m.ConfirmationStarted(1)
+	told := m.LeadConfirmed(now, 1).Send
+	if len(told) != 1 || told[0].Msg.(WithdrawReply).Outcome != OutcomeAbsent {
 		t.Fatal(told)
 	}
-	keeps(m, now, Enter(consensus.Doc{Version: 2, Body: doc(2, `"Mode":"together"`).Body}, doc(3, "")))
-	if out := m.Take(now, "b", wish); m.side.Fate != Prepared || out.Amend != nil {
+	keeps(m, now, PrepareDocument(consensus.Doc{Version: 2, Body: doc(2, `"Mode":"together"`).Body}, doc(3, "")))
+	if out := m.Receive(now, "b", wish); m.side.Fate != Prepared || out.Amend != nil {
 		t.Errorf("%v: the late copy withdraws: %v", m.side.Fate, out.Amend)
 	}
 	wish.Call++
-	if out := m.Take(now, "b", wish); out.Amend == nil {
+	if out := m.Receive(now, "b", wish); out.Amend == nil {
 		t.Error("the wish made anew does not withdraw")
 	}
 }
@@ -162,22 +162,22 @@
 // The same at a primary that was not asked before: a wish is for what was kept when it was made. One
 // that finds the version there is told so, and comes again.
 func TestFencedWish(t *testing.T) {
-	for _, bug := range []Bug{0, Unfenced} {
+	for _, bug := range []Bug{0, BugIgnoreFence} {
 		m, now := fleet(0)
 		m.SetBug(bug)
-		wish := Withdraw{Version: m.doc.Version, ID: 9, Call: 1, Fence: m.doc.Version}
-		out := m.Take(now, "b", wish)
+		wish := WithdrawRequest{Version: m.doc.Version, ID: 9, Call: 1, Fence: m.doc.Version}
+		out := m.Receive(now, "b", wish)
 		if bug != 0 {
 			if out.Amend == nil {
 				t.Error("the guard taken out withdraws nothing")
 			}
 			continue
 		}
-		if len(out.Send) != 1 || out.Send[0].Msg != (Withdrew{9, 1, Unclear, m.side.Version, m.doc.Version}) || out.Amend != nil {
+		if len(out.Send) != 1 || out.Send[0].Msg != (WithdrawReply{9, 1, OutcomeUndecided, m.side.Version, m.doc.Version}) || out.Amend != nil {
 			t.Errorf("%+v", out)
 		}
 		wish.Fence++
-		if out := m.Take(now, "b", wish); out.Amend == nil {
+		if out := m.Receive(now, "b", wish); out.Amend == nil {
 			t.Error("the wish for what is there does not withdraw")
 		}
 	}
@@ -188,7 +188,7 @@
 func TestWordWithoutLease(t *testing.T) {
 	m, now := fleet(0)
 	for i, name := range []string{"a", "b", "c"} {
-		m.Take(now, name, Ask{ID: uint64(i + 1), Seq: 1, Version: 1, Checked: 2, Name: name})
+		m.Receive(now, name, LeaseRequest{ID: uint64(i + 1), Seq: 1, Version: 1, Checked: 2, Name: name})
 	}
 	before := m.Status(now).Enough
 	affirms(m, now)
@@ -205,18 +205,18 @@
 	m, now := New(Config{Self: "a", Name: "a", Zone: "x"}), time.Hour
 	keep := func(d consensus.Doc, reads uint32) {
 		t.Helper()
-		if out := m.Doc(now, d, true); out.Adopt != nil || (out.Read == nil) != (reads == 0) || out.Read != nil && out.Read.Version != reads {
+		if out := m.SetDocument(now, d, true); out.Adopt != nil || (out.Read == nil) != (reads == 0) || out.Read != nil && out.Read.Version != reads {
 			t.Errorf("%d: %+v", d.Version, out)
 		}
 	}
 	take := func(d consensus.Doc, gate uint32) {
 		t.Helper()
-		if m.Taken(now, d, sysconfig.RolloutOf(d.Body)); m.Gate().Version != gate {
+		if m.TextRead(now, d, sysconfig.RolloutOf(d.Body)); m.Gate().Version != gate {
 			t.Errorf("after %d was read the gate is that of %d", d.Version, m.Gate().Version)
 		}
 	}
 	one, two, three := doc(1, ""), doc(2, ""), doc(3, `"Mode":"together"`)
-	four := Enter(three, doc(4, ""))
+	four := PrepareDocument(three, doc(4, ""))
 	keep(one, 1)
 	keep(two, 2)
 	take(one, 1)
--- a/internal/rollout/side.go
+++ b/internal/rollout/side.go
@@ -19,35 +19,35 @@
 
 func (f Fate) String() string { return [...]string{"live", "prepared", "withdrawn"}[min(f, Withdrawn)] }
 
-// Side is what is kept beside a document that is not live.
-type Side struct {
+// State is what is kept beside a document that is not live.
+type State struct {
 	Fate    Fate   `cbor:"1,keyasint"`
 	Version uint32 `cbor:"2,keyasint"` // that is live meanwhile
 	Body    []byte `cbor:"3,keyasint"` // its text
 	Why     string `cbor:"4,keyasint,omitempty"`
 }
 
-// Read is what is kept beside a document. What can't be read counts as withdrawn with
+// ReadState is what is kept beside a document. What can't be read counts as withdrawn with
 // nothing live, so that nobody goes by it; no program writes such a thing.
-func Read(d consensus.Doc) (s Side) {
+func ReadState(d consensus.Doc) (s State) {
 	if len(d.Side) == 0 {
-		return Side{Version: d.Version, Body: d.Body}
+		return State{Version: d.Version, Body: d.Body}
 	}
 	if err := cbor.Unmarshal(d.Side, &s); err != nil {
-		return Side{Fate: Withdrawn, Why: err.Error()}
+		return State{Fate: Withdrawn, Why: err.Error()}
 	}
 	return s
 }
 
-// Enter is what a primary keeps of a new document: live at once, or prepared where the
+// PrepareDocument is what a primary keeps of a new document: live at once, or prepared where the
 // one in force asks for that.
-func Enter(kept, next consensus.Doc) consensus.Doc {
-	return enter(kept, next, func(s Side) sysconfig.Rollout { return sysconfig.RolloutOf(s.Body) })
+func PrepareDocument(kept, next consensus.Doc) consensus.Doc {
+	return enter(kept, next, func(s State) sysconfig.Rollout { return sysconfig.RolloutOf(s.Body) })
 }
 
-// Enter is the same at a primary, which mostly has read what is live.
-func (m *Machine) Enter(kept, next consensus.Doc) consensus.Doc {
-	return enter(kept, next, func(s Side) sysconfig.Rollout {
+// PrepareDocument is the same at a primary, which mostly has read what is live.
+func (m *Machine) PrepareDocument(kept, next consensus.Doc) consensus.Doc {
+	return enter(kept, next, func(s State) sysconfig.Rollout {
 		if s.Version == m.adopted {
 			return m.rollout
 		}
@@ -55,10 +55,10 @@
 	})
 }
 
-func enter(kept, next consensus.Doc, rollout func(Side) sysconfig.Rollout) consensus.Doc {
+func enter(kept, next consensus.Doc, rollout func(State) sysconfig.Rollout) consensus.Doc {
 	next.Rev, next.Side, next.Past = 0, nil, past(kept)
-	if was := Read(kept); was.Version != 0 && rollout(was).Together {
-		next.Side = write(Side{Fate: Prepared, Version: was.Version, Body: was.Body})
+	if was := ReadState(kept); was.Version != 0 && rollout(was).Together {
+		next.Side = write(State{Fate: Prepared, Version: was.Version, Body: was.Body})
 	}
 	return next
 }
@@ -70,7 +70,7 @@
 // through whoever leads then, has the same outcome.
 func past(kept consensus.Doc) []byte {
 	all := withdrawnBefore(kept)
-	if Read(kept).Fate != Withdrawn {
+	if ReadState(kept).Fate != Withdrawn {
 		return kept.Past
 	}
 	all = append(all, kept.Version)
@@ -96,13 +96,13 @@
 }
 
 func withdrawn(d consensus.Doc, why string) consensus.Doc {
-	s := Read(d)
+	s := ReadState(d)
 	s.Fate, s.Why = Withdrawn, why
 	d.Rev, d.Side = d.Rev+1, write(s)
 	return d
 }
 
-func write(s Side) []byte {
+func write(s State) []byte {
 	data, err := cbor.Marshal(s)
 	if err != nil {
 		panic(err) // nothing in it can fail to be written
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -68,8 +68,8 @@
 	return s
 }
 
-// Kept is the newest version held here, and what has become of it.
-func (m *Machine) Kept() (version uint32, fate Fate) { return m.doc.Version, m.side.Fate }
+// Newest is the newest version held here, and what has become of it.
+func (m *Machine) Newest() (version uint32, fate Fate) { return m.doc.Version, m.side.Fate }
 
-// Text is that of what is live.
-func (m *Machine) Text() []byte { return m.side.Body }
+// LiveText is that of what is live.
+func (m *Machine) LiveText() []byte { return m.side.Body }
--- a/internal/rollout/withdraw.go
+++ b/internal/rollout/withdraw.go
@@ -13,27 +13,27 @@
 // The outcomes. None of the last three changes any more, except that a withdrawn version, once
 // pastMost later ones have been withdrawn, counts as overtaken; one that is not there may still come.
 const (
-	Unclear   Outcome = iota
-	Absent            // no such version is kept
-	TakenBack         // it was not live, and never will be
-	Remains           // it is live
-	Surpassed         // a higher one is kept: if it has not been live, it never will be
+	OutcomeUndecided Outcome = iota
+	OutcomeAbsent            // no such version is kept
+	OutcomeWithdrawn         // it was not live, and never will be
+	OutcomeLive              // it is live
+	OutcomeOvertaken         // a higher one is kept: if it has not been live, it never will be
 )
 
 func (o Outcome) String() string {
-	return [...]string{"", "absent", "withdrawn", "live", "overtaken"}[min(o, Surpassed)]
+	return [...]string{"", "absent", "withdrawn", "live", "overtaken"}[min(o, OutcomeOvertaken)]
 }
 
 // wish is a call made here, which goes to the primary until that answers.
 type wish struct {
-	Withdraw
+	WithdrawRequest
 	at, sent fsm.Time
 }
 
 // asks is a call that the primary has taken.
 type asks struct {
 	from string
-	Withdraw
+	WithdrawRequest
 	at    fsm.Time
 	round uint64 // of the writers' confirmation that was asked for since; 0: none yet
 	sure  bool   // they have confirmed it
@@ -48,7 +48,7 @@
 // Withdraw asks that a version which is not live yet never be. The answer comes in some
 // Out.Told; without one nothing can be said.
 func (m *Machine) Withdraw(now fsm.Time, call uint64, version uint32, by string) Out {
-	m.wishes = append(m.wishes, wish{Withdraw{version, by, m.id, call, m.doc.Version + 1}, now, now - wishAgain})
+	m.wishes = append(m.wishes, wish{WithdrawRequest{version, by, m.id, call, m.doc.Version + 1}, now, now - wishAgain})
 	m.urge(now)
 	return m.end()
 }
@@ -64,31 +64,31 @@
 			m.seek(now)
 		default:
 			w.sent = now
-			m.send(m.primary, w.Withdraw)
+			m.send(m.primary, w.WithdrawRequest)
 		}
 	}
 }
 
-func (m *Machine) told(t Withdrew) {
+func (m *Machine) told(t WithdrawReply) {
 	i := slices.IndexFunc(m.wishes, func(w wish) bool { return t.ID == m.id && t.Call == w.Call })
-	if i >= 0 && t.Outcome == Unclear { // the version is there: now it is meant
+	if i >= 0 && t.Outcome == OutcomeUndecided { // the version is there: now it is meant
 		if w := &m.wishes[i]; t.Newest >= w.Fence {
 			w.Fence, w.sent = t.Newest+1, w.sent-wishAgain
 		}
 	} else if i >= 0 {
 		m.wishes = slices.Delete(m.wishes, i, i+1)
-		m.out.Told = append(m.out.Told, t)
+		m.out.WithdrawReplies = append(m.out.WithdrawReplies, t)
 	}
 }
 
 // wished takes a call at the primary. Until the document tells the outcome it waits.
-func (m *Machine) wished(now fsm.Time, from string, t Withdraw) {
+func (m *Machine) wished(now fsm.Time, from string, t WithdrawRequest) {
 	l := m.lead
 	if l == nil {
 		return
 	}
-	if t.Fence != 0 && m.doc.Version >= t.Fence && m.outcome(t.Version) == Unclear && m.bug != Unfenced {
-		m.send(from, Withdrew{t.ID, t.Call, Unclear, m.side.Version, m.doc.Version}) // the caller decides anew
+	if t.Fence != 0 && m.doc.Version >= t.Fence && m.outcome(t.Version) == OutcomeUndecided && m.bug != BugIgnoreFence {
+		m.send(from, WithdrawReply{t.ID, t.Call, OutcomeUndecided, m.side.Version, m.doc.Version}) // the caller decides anew
 		return
 	}
 	if !slices.Contains(l.ended, t) { // a late copy of one that was told "absent" does nothing to what came since
@@ -96,7 +96,7 @@
 	}
 	same := func(a asks) bool { return a.from == from && a.ID == t.ID && a.Call == t.Call && a.Version == t.Version }
 	if !slices.ContainsFunc(l.asks, same) && len(l.asks) < wishMost {
-		l.asks = append(l.asks, asks{from: from, Withdraw: t, at: now})
+		l.asks = append(l.asks, asks{from: from, WithdrawRequest: t, at: now})
 	}
 	m.settle()
 }
@@ -108,17 +108,17 @@
 	l := m.lead
 	l.asks = slices.DeleteFunc(l.asks, func(a asks) bool {
 		o := m.outcome(a.Version)
-		if o == Absent && !a.sure && m.bug != Cocksure {
-			m.out.Affirm = m.out.Affirm || a.round == 0
+		if o == OutcomeAbsent && !a.sure && m.bug != BugAbsentUnconfirmed {
+			m.out.ConfirmLead = m.out.ConfirmLead || a.round == 0
 			return false
 		}
-		if o != Unclear && a.ID != 0 {
-			if l.ended = append(l.ended, a.Withdraw); len(l.ended) > 2*wishMost {
+		if o != OutcomeUndecided && a.ID != 0 {
+			if l.ended = append(l.ended, a.WithdrawRequest); len(l.ended) > 2*wishMost {
 				l.ended = l.ended[wishMost:]
 			}
-			m.send(a.from, Withdrew{a.ID, a.Call, o, m.side.Version, m.doc.Version})
+			m.send(a.from, WithdrawReply{a.ID, a.Call, o, m.side.Version, m.doc.Version})
 		}
-		return o != Unclear
+		return o != OutcomeUndecided
 	})
 }
 
@@ -130,17 +130,17 @@
 func (m *Machine) outcome(version uint32) Outcome {
 	switch {
 	case version == m.side.Version && version != 0:
-		return Remains
-	case version < m.doc.Version && slices.Contains(withdrawnBefore(m.doc), version) && m.bug != Forgetful:
-		return TakenBack
+		return OutcomeLive
+	case version < m.doc.Version && slices.Contains(withdrawnBefore(m.doc), version) && m.bug != BugForgetWithdrawn:
+		return OutcomeWithdrawn
 	case version < m.doc.Version:
-		return Surpassed
+		return OutcomeOvertaken
 	case version > m.doc.Version:
-		return Absent
-	case m.side.Fate == Withdrawn || m.bug == Hasty:
-		return TakenBack
+		return OutcomeAbsent
+	case m.side.Fate == Withdrawn || m.bug == BugReplyBeforeKept:
+		return OutcomeWithdrawn
 	}
-	return Unclear
+	return OutcomeUndecided
 }
 
 func (m *Machine) withdraw(version uint32, why string) {
--- a/internal/rollout/world/cutoff.go
+++ b/internal/rollout/world/cutoff.go
@@ -13,16 +13,16 @@
 // cutOff cuts the primary off in one way.
 type cutOff struct {
 	name   string
-	cut    func(w *World, p *Proc) (side []*Proc) // those that have no quorum any more
-	inside func(w *World, p *Proc)                // after some seconds of it
+	cut    func(w *World, p *Process) (side []*Process) // those that have no quorum any more
+	inside func(w *World, p *Process)                   // after some seconds of it
 }
 
-func alone(w *World, p *Proc) []*Proc {
-	w.apart([]*Proc{p}, w.nodes)
-	return []*Proc{p}
+func alone(w *World, p *Process) []*Process {
+	w.apart([]*Process{p}, w.nodes)
+	return []*Process{p}
 }
 
-func withHalf(w *World, p *Proc) []*Proc {
+func withHalf(w *World, p *Process) []*Process {
 	side := append(w.nodes[5:8:8], p)
 	w.apart(side, w.without(side...))
 	return side
@@ -30,14 +30,14 @@
 
 var cutOffs = []cutOff{
 	{name: "from all", cut: alone},
-	{name: "deaf", cut: func(w *World, p *Proc) []*Proc { w.cut(w.nodes, []*Proc{p}, true); return []*Proc{p} }},
-	{name: "mute", cut: func(w *World, p *Proc) []*Proc { w.cut([]*Proc{p}, w.nodes, true); return []*Proc{p} }},
-	{name: "from the core", cut: func(w *World, p *Proc) []*Proc { w.apart([]*Proc{p}, w.nodes[:3]); return []*Proc{p} }},
+	{name: "deaf", cut: func(w *World, p *Process) []*Process { w.cut(w.nodes, []*Process{p}, true); return []*Process{p} }},
+	{name: "mute", cut: func(w *World, p *Process) []*Process { w.cut([]*Process{p}, w.nodes, true); return []*Process{p} }},
+	{name: "from the core", cut: func(w *World, p *Process) []*Process { w.apart([]*Process{p}, w.nodes[:3]); return []*Process{p} }},
 	{name: "with some of the rest", cut: withHalf},
-	{name: "each of the core from the others", cut: func(w *World, _ *Proc) []*Proc { w.apart(w.nodes[:3], w.nodes[:3]); return w.nodes }},
-	{name: "from all, and stands still", cut: alone, inside: func(_ *World, p *Proc) { p.freeze(4 * time.Second) }},
-	{name: "from all, and starts anew", cut: alone, inside: func(_ *World, p *Proc) { p.kill(); p.boot() }},
-	{name: "with some of the rest, and all start anew", cut: withHalf, inside: func(w *World, p *Proc) {
+	{name: "each of the core from the others", cut: func(w *World, _ *Process) []*Process { w.apart(w.nodes[:3], w.nodes[:3]); return w.nodes }},
+	{name: "from all, and stands still", cut: alone, inside: func(_ *World, p *Process) { p.freeze(4 * time.Second) }},
+	{name: "from all, and starts anew", cut: alone, inside: func(_ *World, p *Process) { p.kill(); p.boot() }},
+	{name: "with some of the rest, and all start anew", cut: withHalf, inside: func(w *World, p *Process) {
 		for _, n := range append(w.nodes[5:8:8], p) {
 			n.kill()
 			n.boot()
@@ -45,25 +45,25 @@
 	}},
 }
 
-// CutOff is what a cut of 20 s has shown.
-type CutOff struct {
-	Name   string
-	Broken []Broken
-	Healed time.Duration // from its end until all had the newest version
-	Live   uint32        // the newest version that requests went by in it
+// Partition is what a cut of 20 s has shown.
+type Partition struct {
+	Name           string
+	Violations     []Violation
+	RecoveredAfter time.Duration // from its end until all had the newest version
+	Live           uint32        // the newest version that requests went by in it
 }
 
-// CutOffs cuts the primary off for 20 s, in each way, at a moment after a version was put; operators
+// PartitionPrimary cuts the primary off for 20 s, in each way, at a moment after a version was put; operators
 // on both sides put and withdraw, the same again and again. What an operator is told without a
 // quorum breaks ALONE.
-func CutOffs(seed uint64, at time.Duration, bug rollout.Bug) (all []CutOff) {
+func PartitionPrimary(seed uint64, at time.Duration, bug rollout.Bug) (all []Partition) {
 	for _, c := range cutOffs {
 		all = append(all, c.play(stage(Options{Seed: seed, Bug: bug}, 0, 0), at))
 	}
 	return all
 }
 
-func (c cutOff) play(w *World, at time.Duration) CutOff {
+func (c cutOff) play(w *World, at time.Duration) Partition {
 	p := w.primary()
 	w.Put(w.nodes[4], 3, 0, 0, "")
 	w.Run(at)
@@ -92,28 +92,30 @@
 		w.Put(side[i%len(side)], top, 0, 0, "")
 		w.Run(500 * ms)
 	}
-	r := CutOff{Name: c.name, Live: w.newest}
+	r := Partition{Name: c.name, Live: w.newest}
 	w.judgeAlone(side, from)
-	r.Healed = w.heal()
-	r.Broken = w.res.Broken
+	r.RecoveredAfter = w.heal()
+	r.Violations = w.res.Violations
 	return r
 }
 
 // judgeAlone judges what processes without a quorum have said and done since a moment.
-func (w *World) judgeAlone(side []*Proc, from time.Duration) {
-	in := func(name string) bool { return slices.ContainsFunc(side, func(p *Proc) bool { return p.name == name }) }
-	for _, k := range w.res.Kept {
+func (w *World) judgeAlone(side []*Process, from time.Duration) {
+	in := func(name string) bool {
+		return slices.ContainsFunc(side, func(p *Process) bool { return p.name == name })
+	}
+	for _, k := range w.res.Acknowledged {
 		if in(k.Node) && k.At > from+contact {
 			w.breaks("ALONE", "%s acknowledges %d, %v into the cut", k.Node, k.Version, k.At-from)
 		}
 	}
-	for _, k := range w.res.Told {
-		if in(k.Node) && k.At > from+contact && k.Outcome == rollout.Absent { // the others never change any more
+	for _, k := range w.res.WithdrawReplies {
+		if in(k.Node) && k.At > from+contact && k.Outcome == rollout.OutcomeAbsent { // the others never change any more
 			w.breaks("ALONE", "%s tells that %d is %v, %v into the cut", k.Node, k.Version, k.Outcome, k.At-from)
 		}
 	}
 	longest := time.Duration(float64(rollout.Terms.Lease) * (1 + rollout.Terms.Drift)) // by the slowest clock
-	for _, m := range w.res.Marks {
+	for _, m := range w.res.Decisions {
 		if in(m.Node) && m.At > from+longest {
 			w.breaks("ALONE", "%s decides by %d, %v into the cut", m.Node, m.Version, m.At-from)
 			return
@@ -125,25 +127,25 @@
 func (w *World) heal() time.Duration {
 	from := w.now
 	w.calm()
-	for end := w.now + Settled; w.now < end && !w.allHold(); {
+	for end := w.now + SettleTime; w.now < end && !w.allHold(); {
 		w.Run(10 * ms)
 	}
 	took := w.now - from
-	w.Run(Settled)
+	w.Run(SettleTime)
 	w.settled()
 	return took
 }
 
 func (w *World) allHold() bool {
-	return !slices.ContainsFunc(w.nodes, func(n *Proc) bool { v, _ := n.k.Accord().Kept(); return v != w.maxFate() })
+	return !slices.ContainsFunc(w.nodes, func(n *Process) bool { v, _ := n.k.Accord().Newest(); return v != w.maxFate() })
 }
 
-func (w *World) without(those ...*Proc) []*Proc {
-	return slices.DeleteFunc(slices.Clone(w.nodes), func(n *Proc) bool { return slices.Contains(those, n) })
+func (w *World) without(those ...*Process) []*Process {
+	return slices.DeleteFunc(slices.Clone(w.nodes), func(n *Process) bool { return slices.Contains(those, n) })
 }
 
 // apart cuts both ways between processes.
-func (w *World) apart(one, all []*Proc) {
+func (w *World) apart(one, all []*Process) {
 	w.cut(one, all, true)
 	w.cut(all, one, true)
 }
--- a/internal/rollout/world/cutoff_test.go
+++ b/internal/rollout/world/cutoff_test.go
@@ -14,12 +14,12 @@
 func TestCutOff(t *testing.T) {
 	t.Parallel()
 	for i, at := range []time.Duration{0, 7 * ms, 13 * ms, time.Second} {
-		for _, c := range CutOffs(uint64(i), at, 0) {
-			for _, b := range c.Broken {
+		for _, c := range PartitionPrimary(uint64(i), at, 0) {
+			for _, b := range c.Violations {
 				t.Errorf("%s at %v: %v", c.Name, at, b)
 			}
-			if c.Healed > 2*time.Second {
-				t.Errorf("%s at %v: %v from the heal to the newest version at all", c.Name, at, c.Healed)
+			if c.RecoveredAfter > 2*time.Second {
+				t.Errorf("%s at %v: %v from the heal to the newest version at all", c.Name, at, c.RecoveredAfter)
 			}
 			if quorum := !strings.HasPrefix(c.Name, "each"); quorum && c.Live < 10 || !quorum && c.Live > 3 {
 				t.Errorf("%s at %v: requests go by %d at its end", c.Name, at, c.Live)
@@ -30,12 +30,12 @@
 
 func TestCutOffMutants(t *testing.T) {
 	t.Parallel()
-	for name, bug := range map[string]rollout.Bug{"unaffirmed": rollout.Unaffirmed, "cocksure": rollout.Cocksure} {
+	for name, bug := range map[string]rollout.Bug{"unaffirmed": rollout.BugGrantUnconfirmed, "cocksure": rollout.BugAbsentUnconfirmed} {
 		found := ""
 		for seed := uint64(0); seed < 10 && found == ""; seed++ {
-			for _, c := range CutOffs(seed, 11*ms, bug) {
-				if len(c.Broken) > 0 {
-					found = c.Name + ": " + c.Broken[0].String()
+			for _, c := range PartitionPrimary(seed, 11*ms, bug) {
+				if len(c.Violations) > 0 {
+					found = c.Name + ": " + c.Violations[0].String()
 				}
 			}
 		}
--- a/internal/rollout/world/hard_test.go
+++ b/internal/rollout/world/hard_test.go
@@ -25,9 +25,9 @@
 			w.Put(w.nodes[4], 4, 0, 0, "")
 			w.within(t, 4, 3500*ms)
 			w.calm()
-			w.Run(Settled)
+			w.Run(SettleTime)
 			w.settled()
-			for _, b := range w.res.Broken {
+			for _, b := range w.res.Violations {
 				t.Error(b)
 			}
 		}
@@ -38,19 +38,19 @@
 func TestCutAtEachStep(t *testing.T) {
 	t.Parallel()
 	for at := ms / 2; at < 60*ms; at += at/2 + ms {
-		for who, x := range map[string]func(w *World) *Proc{
-			"the primary": func(w *World) *Proc { return w.primary() },
-			"one of the core": func(w *World) *Proc {
+		for who, x := range map[string]func(w *World) *Process{
+			"the primary": func(w *World) *Process { return w.primary() },
+			"one of the core": func(w *World) *Process {
 				if w.nodes[0] == w.primary() {
 					return w.nodes[1]
 				}
 				return w.nodes[0]
 			},
-			"another": func(w *World) *Proc { return w.nodes[9] },
+			"another": func(w *World) *Process { return w.nodes[9] },
 		} {
 			for _, deaf := range []bool{false, true} {
 				w := stageOf(t, uint64(at), 0, 0, 0)
-				one := []*Proc{x(w)}
+				one := []*Process{x(w)}
 				w.Put(w.nodes[4], 3, 0, 0, "")
 				w.Run(at)
 				from, to := one, w.nodes
@@ -63,7 +63,7 @@
 				}
 				w.Run(time.Second)
 				w.calm()
-				w.Run(Settled)
+				w.Run(SettleTime)
 				w.want(t, rollout.Live)
 				if t.Failed() {
 					t.Fatalf("%s cut after %v, deaf: %v", who, at, deaf)
@@ -79,22 +79,22 @@
 	t.Parallel()
 	for seed := range uint64(2) {
 		for _, lost := range []bool{false, true} {
-			w := open(t, Options{Seed: seed, Every: ms / 2}, 0, 0) // 22 000 a second
-			cutoff, refused, turned := w.now+2*time.Second, w.res.Refused, w.res.InTurn
+			w := open(t, Options{Seed: seed, RequestInterval: ms / 2}, 0, 0) // 22 000 a second
+			cutoff, refused, turned := w.now+2*time.Second, w.res.Refused, w.res.RefusedInTurn
 			if lost {
 				w.nodes[9].kill()
 			}
 			w.Put(w.nodes[4], 3, 0, 0, "")
 			w.within(t, 3, cutoff-w.now)
 			w.Run(cutoff - w.now)
-			if w.res.Refused != refused || w.res.InTurn != turned {
-				t.Errorf("seed %d, one lost: %v: %d refused, %d of them in the turn", seed, lost, w.res.Refused-refused, w.res.InTurn-turned)
+			if w.res.Refused != refused || w.res.RefusedInTurn != turned {
+				t.Errorf("seed %d, one lost: %v: %d refused, %d of them in the turn", seed, lost, w.res.Refused-refused, w.res.RefusedInTurn-turned)
 			}
-			if w.res.HeldMost > 50*ms {
-				t.Errorf("seed %d: held for %v", seed, w.res.HeldMost)
+			if w.res.LongestHold > 50*ms {
+				t.Errorf("seed %d: held for %v", seed, w.res.LongestHold)
 			}
 			w.calm()
-			w.Run(Settled)
+			w.Run(SettleTime)
 			w.want(t, rollout.Live)
 		}
 	}
@@ -104,14 +104,14 @@
 // it. What is asked for before it can have come, or sent where it is held, costs leases.
 func TestLargeOnSlowLinks(t *testing.T) {
 	t.Parallel()
-	w := open(t, Options{Seed: 1, Nodes: 91, Every: 200 * ms, Mbit: 2, Core: 100, Pad: 300}, 0, 0)
+	w := open(t, Options{Seed: 1, Nodes: 91, RequestInterval: 200 * ms, Mbit: 2, CoreMbit: 100, Routes: 300}, 0, 0)
 	refused := w.res.Refused
 	w.Put(w.nodes[4], 3, 0, 0, "")
 	w.within(t, 3, 3*time.Second)
 	w.Run(3 * time.Second)
-	t.Logf("live after %v, at all after %v, a message took %v at most", w.first[3]-w.puts[3], w.res.All[3], w.res.Queued)
-	if w.res.Refused != refused || w.res.All[3] == 0 {
-		t.Errorf("%d refused, at all nodes after %v", w.res.Refused-refused, w.res.All[3])
+	t.Logf("live after %v, at all after %v, a message took %v at most", w.first[3]-w.puts[3], w.res.ServedByAll[3], w.res.LongestQueue)
+	if w.res.Refused != refused || w.res.ServedByAll[3] == 0 {
+		t.Errorf("%d refused, at all nodes after %v", w.res.Refused-refused, w.res.ServedByAll[3])
 	}
 	w.want(t, rollout.Live)
 }
--- a/internal/rollout/world/hold_test.go
+++ b/internal/rollout/world/hold_test.go
@@ -18,13 +18,13 @@
 				t.Errorf("seed %d, still for %v: goes by %d, 3 is %v", seed, still, w.newest, w.fates[3])
 			}
 			w.calm()
-			w.Run(Settled)
+			w.Run(SettleTime)
 			w.want(t, rollout.Live)
 		}
 	}
 	for seed := range uint64(10) {
-		if w := stilled(seed, rollout.Vacuous, 3*time.Second); len(w.res.Broken) > 0 && w.res.Broken[0].Rule == "FEW" {
-			t.Logf("seed %d: %v", seed, w.res.Broken[0])
+		if w := stilled(seed, rollout.BugEmptyHoldCounts, 3*time.Second); len(w.res.Violations) > 0 && w.res.Violations[0].Rule == "FEW" {
+			t.Logf("seed %d: %v", seed, w.res.Violations[0])
 			return
 		}
 	}
--- a/internal/rollout/world/judge.go
+++ b/internal/rollout/world/judge.go
@@ -31,16 +31,16 @@
 }
 
 // acked notes that an operator was told that a version is kept, or not above what is.
-func (w *World) acked(p *Proc, version uint32) {
+func (w *World) acked(p *Process, version uint32) {
 	w.note("%s: %d is kept", p.name, version)
-	w.res.Kept = append(w.res.Kept, Kept{w.now, p.name, version})
+	w.res.Acknowledged = append(w.res.Acknowledged, Acknowledgement{w.now, p.name, version})
 	if _, known := w.fates[version]; !known && w.maxFate() < version {
 		w.breaks("LOST", "%d is acknowledged at %s, nobody keeps it", version, p.name)
 	}
 }
 
 // decided judges a request that was taken up.
-func (w *World) decided(p *Proc, version uint32) {
+func (w *World) decided(p *Process, version uint32) {
 	w.res.Decided++
 	switch {
 	case version < w.newest:
@@ -55,37 +55,37 @@
 	if w.fates[version] == rollout.Withdrawn {
 		w.breaks("DEAD", "%s takes a request up by %d, which is withdrawn", p.name, version)
 	}
-	w.res.Marks = append(w.res.Marks, Mark{w.now, version, p.name})
+	w.res.Decisions = append(w.res.Decisions, Decision{w.now, version, p.name})
 }
 
 // told holds an operator's answer against what is so.
-func (w *World) told(p *Proc, wish wished, o rollout.Outcome) {
+func (w *World) told(p *Process, wish wished, o rollout.Outcome) {
 	version := wish.version
 	w.note("%s: %d is %v", p.name, version, o)
 	switch {
-	case o == rollout.Absent && wish.known:
+	case o == rollout.OutcomeAbsent && wish.known:
 		w.breaks("TOLD", "%d was kept, its operator was told: %v", version, o)
-	case o != rollout.TakenBack && w.back[version]:
+	case o != rollout.OutcomeWithdrawn && w.back[version]:
 		w.breaks("AGAIN", "%d was withdrawn, the same wish again was told: %v", version, o)
 	}
-	w.back[version] = w.back[version] || o == rollout.TakenBack
-	w.res.Told = append(w.res.Told, Told{w.now, p.name, version, o})
+	w.back[version] = w.back[version] || o == rollout.OutcomeWithdrawn
+	w.res.WithdrawReplies = append(w.res.WithdrawReplies, WithdrawReply{w.now, p.name, version, o})
 	switch is, known := w.fates[version]; {
-	case o == rollout.Remains && (is != rollout.Live || !known), o == rollout.TakenBack && is != rollout.Withdrawn,
-		o == rollout.Surpassed && w.maxFate() <= version:
+	case o == rollout.OutcomeLive && (is != rollout.Live || !known), o == rollout.OutcomeWithdrawn && is != rollout.Withdrawn,
+		o == rollout.OutcomeOvertaken && w.maxFate() <= version:
 		w.breaks("TOLD", "%d is %v, its operator was told: %v", version, is, o)
-	case (o == rollout.TakenBack || o == rollout.Surpassed) && w.first[version] == 0 && (is != rollout.Live || !known):
+	case (o == rollout.OutcomeWithdrawn || o == rollout.OutcomeOvertaken) && w.first[version] == 0 && (is != rollout.Live || !known):
 		w.never[version] = true
 	}
 }
 
 // serves notes when all that live can go by a version.
-func (w *World) serves(p *Proc, version uint32) {
-	if w.res.All[version] != 0 {
+func (w *World) serves(p *Process, version uint32) {
+	if w.res.ServedByAll[version] != 0 {
 		return
 	}
 	if w.open[version] == nil {
-		w.open[version] = map[*Proc]bool{}
+		w.open[version] = map[*Process]bool{}
 	}
 	w.open[version][p] = true
 	for _, n := range w.nodes {
@@ -93,11 +93,11 @@
 			return
 		}
 	}
-	w.res.All[version] = w.now - w.puts[version]
+	w.res.ServedByAll[version] = w.now - w.puts[version]
 }
 
 // fate judges what a process holds for a version's fate: it comes once.
-func (w *World) fate(p *Proc, version uint32, fate rollout.Fate) {
+func (w *World) fate(p *Process, version uint32, fate rollout.Fate) {
 	was, known := w.fates[version]
 	if known && was != rollout.Prepared && fate != was && fate != rollout.Prepared {
 		w.breaks("SPLIT", "%s has %d as %v, it was %v", p.name, version, fate, was)
@@ -112,9 +112,9 @@
 
 // watch judges messages as they go out: who confirms must hold it, and a turn needs
 // enough that have confirmed.
-func (w *World) watch(p, to *Proc, msg any) {
+func (w *World) watch(p, to *Process, msg any) {
 	switch t := msg.(type) {
-	case rollout.Ask:
+	case rollout.LeaseRequest:
 		if t.Checked == 0 || t.Refusal != "" {
 			return
 		}
@@ -131,8 +131,8 @@
 }
 
 // came notes a node's word that reaches a process.
-func (w *World) came(from string, to *Proc, msg any) {
-	if a, ok := msg.(rollout.Ask); ok && !to.frozen() {
+func (w *World) came(from string, to *Process, msg any) {
+	if a, ok := msg.(rollout.LeaseRequest); ok && !to.frozen() {
 		p := w.byAddr[from]
 		if x := w.words[p.name]; x.id == a.ID && x.seq > a.Seq {
 			return // overtaken on the way
@@ -142,8 +142,8 @@
 }
 
 // takes notes a node's word that a process takes up now.
-func (w *World) takes(from string, to *Proc, msg any, sent time.Duration) {
-	if a, ok := msg.(rollout.Ask); ok {
+func (w *World) takes(from string, to *Process, msg any, sent time.Duration) {
+	if a, ok := msg.(rollout.LeaseRequest); ok {
 		name := w.byAddr[from].name
 		if x := to.heard[name]; x.sent <= sent {
 			to.heard[name] = said{a.Checked, a.Refusal != "", sent}
@@ -155,7 +155,7 @@
 var freshFor = rollout.Terms.HoldWithin + 10*ms
 
 // fresh counts those whose word a primary has taken that they had said just now.
-func (w *World) fresh(p *Proc, version uint32) (n int) {
+func (w *World) fresh(p *Process, version uint32) (n int) {
 	for _, x := range p.heard {
 		if x.change == uint64(version) && !x.refused && w.now-x.sent <= freshFor {
 			n++
@@ -164,7 +164,7 @@
 	return n
 }
 
-func (w *World) enough(p *Proc, d consensus.Doc) {
+func (w *World) enough(p *Process, d consensus.Doc) {
 	if w.confirm[d.Version] != 0 || w.fates[d.Version] == rollout.Live { // judged at its first proposal
 		return
 	}
@@ -195,7 +195,7 @@
 }
 
 // live is the text in force at a process.
-func (w *World) live(p *Proc) []byte { return p.k.Accord().Text() }
+func (w *World) live(p *Process) []byte { return p.k.Accord().LiveText() }
 
 func kept(disk []byte) uint32 {
 	if disk == nil {
--- a/internal/rollout/world/orders.go
+++ b/internal/rollout/world/orders.go
@@ -33,11 +33,11 @@
 	return w
 }
 
-// StillHold plays a core that stands still in a hold for longer than any lease.
-func StillHold(seed uint64, bug rollout.Bug) []Broken {
+// FreezeDuringHold plays a core that stands still in a hold for longer than any lease.
+func FreezeDuringHold(seed uint64, bug rollout.Bug) []Violation {
 	w := stilled(seed, bug, 3*time.Second)
 	w.heal()
-	return w.res.Broken
+	return w.res.Violations
 }
 
 // waits is a fleet in which version 3 waits for one that is down.
@@ -56,12 +56,12 @@
 	}
 	w.Run(time.Second)
 	w.calm()
-	w.Run(Settled)
+	w.Run(SettleTime)
 }
 
-// OrdersAgain has a version withdrawn and put at three processes at once while the primary is
+// RepeatedOrders has a version withdrawn and put at three processes at once while the primary is
 // killed, and again once a higher one is live, and once more after all have started anew.
-func OrdersAgain(seed uint64, bug rollout.Bug) []Broken {
+func RepeatedOrders(seed uint64, bug rollout.Bug) []Violation {
 	w := waits(seed, bug)
 	orders := func(from int) {
 		for _, n := range w.nodes[from : from+3] {
@@ -77,7 +77,7 @@
 		orders(4)
 	}
 	w.calm()
-	w.Run(Settled)
+	w.Run(SettleTime)
 	w.Put(w.nodes[5], 4, 0, 0, "")
 	w.Run(2 * time.Second)
 	orders(5)
@@ -85,15 +85,15 @@
 	w.restart()
 	orders(6)
 	w.heal()
-	return w.res.Broken
+	return w.res.Violations
 }
 
-// LateWish has a version withdrawn that is not there, and put once another leads; then copies of
+// DelayedWithdrawal has a version withdrawn that is not there, and put once another leads; then copies of
 // that wish arrive at it which the network has held up.
-func LateWish(seed uint64, bug rollout.Bug) []Broken {
+func DelayedWithdrawal(seed uint64, bug rollout.Bug) []Violation {
 	w := stage(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.nodes[8].kill()
-	w.late = []rollout.Withdraw{}
+	w.late = []rollout.WithdrawRequest{}
 	asker := w.nodes[7]
 	w.Withdraw(asker, 3)
 	w.Run(time.Second)
@@ -112,5 +112,5 @@
 		w.breaks("LATE", "version 3 is withdrawn by %d copies of a wish from before it came", len(copies))
 	}
 	w.heal()
-	return w.res.Broken
+	return w.res.Violations
 }
--- a/internal/rollout/world/play.go
+++ b/internal/rollout/world/play.go
@@ -18,9 +18,9 @@
 	return d.Kept.Version
 }
 
-// Begin brings the first versions into force: the second is the first that is taken up
+// Bootstrap brings the first versions into force: the second is the first that is taken up
 // together.
-func (w *World) Begin() {
+func (w *World) Bootstrap() {
 	w.Run(3 * time.Second)
 	w.Put(w.nodes[0], 1, 0, 0, "")
 	w.Run(3 * time.Second)
@@ -30,46 +30,46 @@
 // confirm it.
 func stage(o Options, confirm, within int) *World {
 	w := New(o)
-	w.Begin()
+	w.Bootstrap()
 	w.Put(w.nodes[4], 2, confirm, within, "")
 	w.Run(4 * time.Second)
 	return w
 }
 
-// Play draws faults and operators from a seed, then lets all come back, and judges that
+// Simulate draws faults and operators from a seed, then lets all come back, and judges that
 // the newest version has had its outcome everywhere.
-func Play(o Options) Result {
+func Simulate(o Options) Result {
 	w := New(o)
 	w.loss, w.twice = 0.01, 0.02
-	w.Begin()
+	w.Bootstrap()
 	until := w.now + 14*time.Second
 	w.trouble(until)
 	w.operators(until)
 	w.Run(until - w.now)
 	w.calm()
-	w.Run(Settled)
+	w.Run(SettleTime)
 	w.settled()
-	return w.Done()
+	return w.Finish()
 }
 
-// Settled is the time after which, without faults, all have the outcome of the newest
+// SettleTime is the time after which, without faults, all have the outcome of the newest
 // version, and serve: an election, what a primary before granted, a fenced node's lease.
-const Settled = 7 * time.Second
+const SettleTime = 7 * time.Second
 
-// Done is what the play has shown.
-func (w *World) Done() Result {
+// Finish is what the play has shown.
+func (w *World) Finish() Result {
 	for v := range w.puts {
 		switch at, lived := w.first[v]; {
 		case lived:
 			w.res.Live++
-			w.res.LiveIn = append(w.res.LiveIn, at-w.puts[v])
+			w.res.LiveAfter = append(w.res.LiveAfter, at-w.puts[v])
 		case w.fates[v] == rollout.Withdrawn:
 			w.res.Withdrawn++
 		default:
 			w.res.Overtaken++
 		}
 	}
-	slices.Sort(w.res.LiveIn)
+	slices.Sort(w.res.LiveAfter)
 	return w.res
 }
 
@@ -83,17 +83,17 @@
 
 // settled judges that nobody is stuck.
 func (w *World) settled() {
-	if len(w.res.Broken) > 0 {
+	if len(w.res.Violations) > 0 {
 		return
 	}
 	for _, p := range w.nodes {
-		switch v, fate := p.k.Accord().Kept(); {
+		switch v, fate := p.k.Accord().Newest(); {
 		case p.frozen():
 		case fate == rollout.Prepared:
 			w.breaks("STUCK", "%s has %d as prepared", p.name, v)
 		case v != w.maxFate():
 			w.breaks("STUCK", "%s holds %d, the newest is %d", p.name, v, w.maxFate())
-		case !p.gate.May(p.clock(), p.gate.Version):
+		case !p.gate.Allows(p.clock(), p.gate.Version):
 			w.breaks("STUCK", "%s decides nothing: %+v at %v", p.name, p.gate, p.clock())
 		}
 	}
@@ -125,8 +125,8 @@
 		within = 1000 + w.rng.IntN(3000)
 	}
 	w.Put(w.any(), n, confirm, within, refused)
-	if w.opt.Again && w.rng.IntN(2) == 0 {
-		w.again(n, func(p *Proc) { w.Put(p, n, confirm, within, refused) })
+	if w.opt.RepeatOrders && w.rng.IntN(2) == 0 {
+		w.again(n, func(p *Process) { w.Put(p, n, confirm, within, refused) })
 	}
 	switch w.rng.IntN(5) {
 	case 0: // two at once
@@ -139,14 +139,14 @@
 }
 
 // again has an operator without an answer, or who mistrusts it, send the same orders once more.
-func (w *World) again(n uint32, put func(p *Proc)) {
+func (w *World) again(n uint32, put func(p *Process)) {
 	for range 3 {
 		w.after(w.upTo(5*time.Second), func() { w.Withdraw(w.any(), n) })
 		w.after(w.upTo(5*time.Second), func() { put(w.any()) })
 	}
 }
 
-func (w *World) any() *Proc { return w.nodes[w.rng.IntN(len(w.nodes))] }
+func (w *World) any() *Process { return w.nodes[w.rng.IntN(len(w.nodes))] }
 
 // trouble brings one failure about, and the next one later.
 func (w *World) trouble(until time.Duration) {
@@ -167,12 +167,12 @@
 		p.freeze(100*ms + w.upTo(4*time.Second))
 	case 4:
 		w.res.Cuts++
-		all, one := w.some(), []*Proc{p}
+		all, one := w.some(), []*Process{p}
 		w.cut(one, all, true)
 		w.after(200*ms+w.upTo(3*time.Second), func() { w.cut(one, all, false) })
 	case 5:
 		w.res.Cuts++
-		all, one := w.some(), []*Proc{p}
+		all, one := w.some(), []*Process{p}
 		w.cut(all, one, true)
 		w.after(200*ms+w.upTo(3*time.Second), func() { w.cut(all, one, false) })
 	case 6:
@@ -189,11 +189,11 @@
 }
 
 // some are all processes, or about half.
-func (w *World) some() []*Proc {
+func (w *World) some() []*Process {
 	if w.rng.IntN(3) == 0 {
 		return w.nodes
 	}
-	var half []*Proc
+	var half []*Process
 	for _, p := range w.nodes {
 		if w.rng.IntN(2) == 0 {
 			half = append(half, p)
--- a/internal/rollout/world/proc.go
+++ b/internal/rollout/world/proc.go
@@ -17,8 +17,8 @@
 	"asterwell/internal/sysconfig"
 )
 
-// Proc is a process, and what is left of it when it is gone.
-type Proc struct {
+// Process is a process, and what is left of it when it is gone.
+type Process struct {
 	w                *World
 	name, addr, zone string
 	core             bool
@@ -41,11 +41,11 @@
 	heard            map[string]said   // of each node, in this life
 }
 
-func (p *Proc) clock() fsm.Time { return p.base + time.Duration(float64(p.w.now)*p.rate) }
+func (p *Process) clock() fsm.Time { return p.base + time.Duration(float64(p.w.now)*p.rate) }
 
-func (p *Proc) frozen() bool { return p.thaws > p.w.now }
+func (p *Process) frozen() bool { return p.thaws > p.w.now }
 
-func (p *Proc) boot() {
+func (p *Process) boot() {
 	if p.up {
 		return
 	}
@@ -68,11 +68,11 @@
 	p.k.Accord().SetBug(w.opt.Bug)
 	w.note("%s starts", p.name)
 	p.tick(p.life)
-	w.after(w.upTo(w.opt.Every), func() { p.clients(p.life) })
+	w.after(w.upTo(w.opt.RequestInterval), func() { p.clients(p.life) })
 }
 
 // check is this process's view of a text: one that refuses names it.
-func (p *Proc) check(body []byte) error {
+func (p *Process) check(body []byte) error {
 	if _, err := sysconfig.Parse(body); err != nil {
 		return err
 	}
@@ -83,14 +83,14 @@
 	return nil
 }
 
-func (p *Proc) kill() {
+func (p *Process) kill() {
 	if p.up {
 		p.w.note("%s is killed", p.name)
 		p.up, p.ice, p.waiting = false, nil, nil
 	}
 }
 
-func (p *Proc) freeze(d time.Duration) {
+func (p *Process) freeze(d time.Duration) {
 	if !p.up || p.frozen() {
 		return
 	}
@@ -110,7 +110,7 @@
 	})
 }
 
-func (p *Proc) input(do func() controlplane.Out) {
+func (p *Process) input(do func() controlplane.Out) {
 	switch {
 	case !p.up:
 	case p.frozen():
@@ -120,7 +120,7 @@
 	}
 }
 
-func (p *Proc) tick(life int) {
+func (p *Process) tick(life int) {
 	if !p.up || p.life != life {
 		return
 	}
@@ -132,7 +132,7 @@
 	p.w.after(next, func() { p.tick(life) })
 }
 
-func (p *Proc) carry(out controlplane.Out) {
+func (p *Process) carry(out controlplane.Out) {
 	w := p.w
 	if out.Write != nil {
 		data, err := cbor.Marshal(out.Write.Disk)
@@ -159,12 +159,12 @@
 	if out.Gate || out.Adopt != nil {
 		p.open()
 	}
-	if v, fate := p.k.Accord().Kept(); v != 0 {
+	if v, fate := p.k.Accord().Newest(); v != 0 {
 		w.fate(p, v, fate)
 	}
 	for _, r := range out.Replies {
 		switch t := r.Value.(type) {
-		case rollout.Withdrew:
+		case rollout.WithdrawReply:
 			w.told(p, p.wishes[r.Call], t.Outcome)
 		case consensus.Answer:
 			switch version := p.puts[r.Call]; t.Verdict {
@@ -186,9 +186,9 @@
 }
 
 // open goes by the gate as it stands now, and takes up what waits there.
-func (p *Proc) open() {
+func (p *Process) open() {
 	p.gate = p.k.Gate()
-	if p.gate.May(p.clock(), p.gate.Version) {
+	if p.gate.Allows(p.clock(), p.gate.Version) {
 		p.w.serves(p, p.gate.Version)
 	}
 	waiting := p.waiting
@@ -201,20 +201,20 @@
 const patience = 100 * ms
 
 // decide takes up a request that came at a moment, or refuses it, or lets it wait.
-func (p *Proc) decide(came time.Duration) {
+func (p *Process) decide(came time.Duration) {
 	w := p.w
 	now := p.clock()
-	if w.opt.Bug == rollout.Lasting {
+	if w.opt.Bug == rollout.BugStaleLeaseCheck {
 		now = p.base + time.Duration(float64(came)*p.rate)
 	}
 	g := p.gate
 	switch {
 	case g.Version == 0:
 		w.res.Refused++
-	case g.May(now, g.Version):
-		w.res.HeldMost = max(w.res.HeldMost, min(w.now-came, patience))
+	case g.Allows(now, g.Version):
+		w.res.LongestHold = max(w.res.LongestHold, min(w.now-came, patience))
 		w.decided(p, g.Version)
-	case g.Soon && w.now-came < patience:
+	case g.ReopensSoon && w.now-came < patience:
 		p.waiting = append(p.waiting, came)
 		if len(p.waiting) == 1 {
 			life := p.life
@@ -226,14 +226,14 @@
 		}
 	default:
 		w.res.Refused++
-		if g.Soon {
-			w.res.InTurn++
+		if g.ReopensSoon {
+			w.res.RefusedInTurn++
 		}
 	}
 }
 
 // clients send requests as long as the process lives.
-func (p *Proc) clients(life int) {
+func (p *Process) clients(life int) {
 	w := p.w
 	if !p.up || p.life != life {
 		return
@@ -245,17 +245,17 @@
 			p.decide(came)
 		}
 	}
-	w.after(w.opt.Every/2+w.upTo(w.opt.Every), func() { p.clients(life) })
+	w.after(w.opt.RequestInterval/2+w.upTo(w.opt.RequestInterval), func() { p.clients(life) })
 }
 
 // send brings a message to a process, late, twice, or not at all.
-func (w *World) send(p *Proc, s fsm.Send) {
+func (w *World) send(p *Process, s fsm.Send) {
 	to := w.byAddr[s.To]
 	if to == nil {
 		return
 	}
 	w.watch(p, to, s.Msg)
-	if wish, ok := s.Msg.(rollout.Withdraw); ok && w.late != nil {
+	if wish, ok := s.Msg.(rollout.WithdrawRequest); ok && w.late != nil {
 		w.late = append(w.late, wish)
 	}
 	if to == p {
@@ -271,7 +271,7 @@
 		return
 	}
 	size := 0
-	if w.opt.Bytes || w.opt.Mbit > 0 {
+	if w.opt.CountBytes || w.opt.Mbit > 0 {
 		if data, err := cbor.Marshal(s.Msg); err == nil {
 			size = len(data) + 40
 		}
@@ -304,21 +304,21 @@
 
 // carries is how long a message takes on the links of its sender and its receiver, behind
 // what is on them already: a slow link sends one after the other.
-func (w *World) carries(p, to *Proc, size int) time.Duration {
+func (w *World) carries(p, to *Process, size int) time.Duration {
 	if w.opt.Mbit == 0 {
 		return 0
 	}
-	takes := func(x *Proc) time.Duration {
-		return time.Duration(float64(size) * 8 / lo.Ternary(x.core, w.opt.Core, w.opt.Mbit) * float64(time.Microsecond))
+	takes := func(x *Process) time.Duration {
+		return time.Duration(float64(size) * 8 / lo.Ternary(x.core, w.opt.CoreMbit, w.opt.Mbit) * float64(time.Microsecond))
 	}
 	p.sends = max(p.sends, w.now) + takes(p)
 	to.takes = max(to.takes, p.sends) + takes(to)
-	w.res.Queued = max(w.res.Queued, to.takes-w.now)
+	w.res.LongestQueue = max(w.res.LongestQueue, to.takes-w.now)
 	return to.takes - w.now
 }
 
 // cut cuts one way between processes.
-func (w *World) cut(from, to []*Proc, on bool) {
+func (w *World) cut(from, to []*Process, on bool) {
 	for _, a := range from {
 		for _, b := range to {
 			if a == b {
@@ -334,7 +334,7 @@
 }
 
 // primary is the process that leads, as it sees it itself; nil: none.
-func (w *World) primary() *Proc {
+func (w *World) primary() *Process {
 	for _, p := range w.nodes {
 		if p.up && p.k.Pact().Role == "primary" {
 			return p
@@ -354,12 +354,12 @@
 		fmt.Fprintf(&b, `,"WithinMs":%d`, within)
 	}
 	fmt.Fprintf(&b, `},"Refused":%q`, refused)
-	for i := range w.opt.Pad {
+	for i := range w.opt.Routes {
 		fmt.Fprintf(&b, `%s{"Name":"route-%03d","RouteClass":"effectful","TargetMs":250,"Rank":1,"Anonymous":false,
  "Predicate":{"PathPrefix":"/gas-day/%03d/nominations/"},"Effect":{"Backend":"pool","DeadlineMs":600,"Tries":2}}`,
 			[]string{`,"Pools":[{"Name":"pool"}],"Sockets":[{"Authority":"a.example","Policy":[`, ","}[min(i, 1)], i, i)
 	}
-	if w.opt.Pad > 0 {
+	if w.opt.Routes > 0 {
 		b.WriteString("]}]")
 	}
 	b.WriteString("}")
@@ -368,7 +368,7 @@
 
 // Put is an operator's call at a process. Confirm and within are for the change after
 // this one.
-func (w *World) Put(p *Proc, version uint32, confirm, within int, refused string) {
+func (w *World) Put(p *Process, version uint32, confirm, within int, refused string) {
 	if p == nil || !p.up {
 		return
 	}
@@ -392,7 +392,7 @@
 }
 
 // Withdraw is an operator's call.
-func (w *World) Withdraw(p *Proc, version uint32) {
+func (w *World) Withdraw(p *Process, version uint32) {
 	if p != nil && p.up {
 		w.note("withdraw %d at %s", version, p.name)
 		p.calls++
--- a/internal/rollout/world/scenario_test.go
+++ b/internal/rollout/world/scenario_test.go
@@ -31,7 +31,7 @@
 func (w *World) want(t *testing.T, fate rollout.Fate) {
 	t.Helper()
 	w.settled()
-	for _, b := range w.res.Broken {
+	for _, b := range w.res.Violations {
 		t.Error(b)
 	}
 	if got := w.fates[3]; got != fate {
@@ -45,7 +45,7 @@
 // within runs until a request went by a version.
 func (w *World) within(t *testing.T, version uint32, d time.Duration) {
 	t.Helper()
-	for end := w.now + d; w.now < end && w.newest < version && len(w.res.Broken) == 0; {
+	for end := w.now + d; w.now < end && w.newest < version && len(w.res.Violations) == 0; {
 		w.Run(10 * ms)
 	}
 	if w.newest < version {
@@ -73,9 +73,9 @@
 				}
 				w.Run(2 * time.Second)
 				w.calm()
-				w.Run(Settled)
+				w.Run(SettleTime)
 				w.settled()
-				for _, b := range w.res.Broken {
+				for _, b := range w.res.Violations {
 					t.Errorf("killed after %v, the backup too: %v: %v", at, both, b)
 				}
 			})
@@ -86,21 +86,21 @@
 // Whoever can't take part is waited for by nobody, and refuses until it holds what is live.
 func TestLeftOut(t *testing.T) {
 	t.Parallel()
-	for name, c := range map[string]func(w *World, x *Proc){
-		"cut off":                  func(w *World, x *Proc) { w.cut(w.nodes, []*Proc{x}, true); w.cut([]*Proc{x}, w.nodes, true) },
-		"hears nothing":            func(w *World, x *Proc) { w.cut(w.nodes, []*Proc{x}, true) },
-		"says nothing":             func(w *World, x *Proc) { w.cut([]*Proc{x}, w.nodes, true) },
-		"stands still":             func(w *World, x *Proc) { x.freeze(4 * time.Second) },
-		"killed":                   func(w *World, x *Proc) { x.kill() },
-		"restarted":                func(w *World, x *Proc) { w.after(5*ms, func() { x.kill(); x.boot() }) },
-		"stands still in the turn": func(w *World, x *Proc) { w.after(15*ms, func() { x.freeze(4 * time.Second) }) },
-		"a third": func(w *World, x *Proc) {
+	for name, c := range map[string]func(w *World, x *Process){
+		"cut off":                  func(w *World, x *Process) { w.cut(w.nodes, []*Process{x}, true); w.cut([]*Process{x}, w.nodes, true) },
+		"hears nothing":            func(w *World, x *Process) { w.cut(w.nodes, []*Process{x}, true) },
+		"says nothing":             func(w *World, x *Process) { w.cut([]*Process{x}, w.nodes, true) },
+		"stands still":             func(w *World, x *Process) { x.freeze(4 * time.Second) },
+		"killed":                   func(w *World, x *Process) { x.kill() },
+		"restarted":                func(w *World, x *Process) { w.after(5*ms, func() { x.kill(); x.boot() }) },
+		"stands still in the turn": func(w *World, x *Process) { w.after(15*ms, func() { x.freeze(4 * time.Second) }) },
+		"a third": func(w *World, x *Process) {
 			w.nodes[5].kill()
 			w.nodes[7].kill()
 			w.nodes[9].freeze(4 * time.Second)
 			x.kill()
 		},
-		"a zone": func(w *World, x *Proc) { w.nodes[5].kill(); w.nodes[8].kill(); w.nodes[2].kill() },
+		"a zone": func(w *World, x *Process) { w.nodes[5].kill(); w.nodes[8].kill(); w.nodes[2].kill() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -109,15 +109,15 @@
 			c(w, x)
 			w.Put(w.primary(), 3, 0, 0, "")
 			w.within(t, 3, 3500*ms)
-			mark := len(w.res.Marks)
+			mark := len(w.res.Decisions)
 			w.Run(time.Second)
 			if strings.HasSuffix(name, "nothing") || name == "cut off" {
-				if slices.ContainsFunc(w.res.Marks[mark:], func(m Mark) bool { return m.Node == x.name }) {
+				if slices.ContainsFunc(w.res.Decisions[mark:], func(m Decision) bool { return m.Node == x.name }) {
 					t.Error("it decides")
 				}
 			}
 			w.calm()
-			w.Run(Settled)
+			w.Run(SettleTime)
 			w.want(t, rollout.Live)
 		})
 	}
@@ -140,7 +140,7 @@
 	}
 	x.boot()
 	w.within(t, 3, 2*time.Second)
-	w.Run(Settled)
+	w.Run(SettleTime)
 	w.want(t, rollout.Live)
 
 	for name, back := range map[string]func(w *World){
@@ -164,7 +164,7 @@
 			back(w)
 			w.Run(3 * time.Second)
 			w.calm()
-			w.Run(Settled)
+			w.Run(SettleTime)
 			w.want(t, rollout.Withdrawn)
 			w.Put(w.nodes[3], 4, 0, 0, "") // the next one goes through
 			w.within(t, 4, 2*time.Second)
@@ -190,9 +190,9 @@
 			}
 			w.Run(time.Second)
 			w.calm()
-			w.Run(Settled)
+			w.Run(SettleTime)
 			w.settled()
-			for _, b := range w.res.Broken {
+			for _, b := range w.res.Violations {
 				t.Error(b)
 			}
 		})
@@ -203,9 +203,9 @@
 func oldPrimary(t *testing.T, seed uint64, bug rollout.Bug) *World {
 	w := stageOf(t, seed, bug, 0, 0)
 	p, x := w.primary(), w.nodes[9]
-	rest := slices.DeleteFunc(slices.Clone(w.nodes), func(n *Proc) bool { return n == p || n == x })
-	w.cut(rest, []*Proc{x}, true)
-	w.cut([]*Proc{x}, rest, true)
+	rest := slices.DeleteFunc(slices.Clone(w.nodes), func(n *Process) bool { return n == p || n == x })
+	w.cut(rest, []*Process{x}, true)
+	w.cut([]*Process{x}, rest, true)
 	p.freeze(5 * time.Second)
 	w.Run(1500 * ms)
 	w.Put(w.nodes[4], 3, 0, 0, "")
@@ -220,7 +220,7 @@
 			t.Parallel()
 			w := oldPrimary(t, seed, 0)
 			w.calm()
-			w.Run(Settled)
+			w.Run(SettleTime)
 			w.want(t, rollout.Live)
 		})
 	}
@@ -234,18 +234,18 @@
 		version uint32
 		want    rollout.Outcome
 	}{
-		"prepared":    {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 3, rollout.TakenBack},
-		"live":        {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Run(3 * time.Second) }, 3, rollout.Remains},
-		"not there":   {func(w *World) { w.Run(time.Second) }, 3, rollout.Absent},
-		"overtaken":   {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Put(w.nodes[4], 4, 0, 0, ""); w.Run(3 * time.Second) }, 3, rollout.Surpassed},
-		"the old one": {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 2, rollout.Remains},
+		"prepared":    {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 3, rollout.OutcomeWithdrawn},
+		"live":        {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Run(3 * time.Second) }, 3, rollout.OutcomeLive},
+		"not there":   {func(w *World) { w.Run(time.Second) }, 3, rollout.OutcomeAbsent},
+		"overtaken":   {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Put(w.nodes[4], 4, 0, 0, ""); w.Run(3 * time.Second) }, 3, rollout.OutcomeOvertaken},
+		"the old one": {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 2, rollout.OutcomeLive},
 		"the primary stands still": {func(w *World) {
 			w.nodes[8].kill()
 			w.Put(w.primary(), 3, 0, 0, "")
 			w.Run(time.Second)
 			w.primary().freeze(2 * time.Second)
 			w.Run(1900 * ms)
-		}, 3, rollout.TakenBack},
+		}, 3, rollout.OutcomeWithdrawn},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -253,12 +253,12 @@
 			c.before(w)
 			w.Withdraw(w.nodes[7], c.version)
 			w.Run(1500 * ms)
-			if len(w.res.Told) != 1 || w.res.Told[0].Version != c.version || w.res.Told[0].Outcome != c.want {
-				t.Errorf("told %v, want %v", w.res.Told, c.want)
+			if len(w.res.WithdrawReplies) != 1 || w.res.WithdrawReplies[0].Version != c.version || w.res.WithdrawReplies[0].Outcome != c.want {
+				t.Errorf("told %v, want %v", w.res.WithdrawReplies, c.want)
 			}
 			w.calm()
-			w.Run(Settled)
-			for _, b := range w.res.Broken {
+			w.Run(SettleTime)
+			for _, b := range w.res.Violations {
 				t.Error(b)
 			}
 		})
--- a/internal/rollout/world/seeds_test.go
+++ b/internal/rollout/world/seeds_test.go
@@ -23,7 +23,7 @@
 				if done {
 					return
 				}
-				r := Play(Options{Seed: seed, Bug: bug})
+				r := Simulate(Options{Seed: seed, Bug: bug})
 				mu.Lock()
 				over = each(seed, r) || over
 				mu.Unlock()
@@ -40,7 +40,7 @@
 		count = 30
 	}
 	plays(0, count, func(seed uint64, r Result) bool {
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %v", seed, b)
 		}
 		live, withdrawn = live+r.Live, withdrawn+r.Withdrawn
@@ -56,15 +56,15 @@
 // has one more.
 func TestMutants(t *testing.T) {
 	t.Parallel()
-	for name, bug := range map[string]rollout.Bug{"early": rollout.Early, "impatient": rollout.Impatient, "careless": rollout.Careless,
-		"lasting": rollout.Lasting, "successor": rollout.Successor, "hasty": rollout.Hasty} {
+	for name, bug := range map[string]rollout.Bug{"early": rollout.BugOneConfirmationShort, "impatient": rollout.BugTurnIgnoresLeases, "careless": rollout.BugConfirmBeforeHeld,
+		"lasting": rollout.BugStaleLeaseCheck, "successor": rollout.BugSuccessorSkipsWait, "hasty": rollout.BugReplyBeforeKept} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			found := false
 			plays(bug, 400, func(seed uint64, r Result) bool {
-				if len(r.Broken) > 0 && r.Broken[0].Rule != "STUCK" {
+				if len(r.Violations) > 0 && r.Violations[0].Rule != "STUCK" {
 					found = true
-					t.Logf("seed %d: %v", seed, r.Broken[0])
+					t.Logf("seed %d: %v", seed, r.Violations[0])
 				}
 				return found
 			})
@@ -76,7 +76,7 @@
 	t.Run("vacuous", func(t *testing.T) { // one drawn day in some hundreds meets it, so it has a scenario
 		t.Parallel()
 		for seed := range uint64(10) {
-			if all := StillHold(seed, rollout.Vacuous); len(all) > 0 && all[0].Rule == "FEW" {
+			if all := FreezeDuringHold(seed, rollout.BugEmptyHoldCounts); len(all) > 0 && all[0].Rule == "FEW" {
 				t.Logf("seed %d: %v", seed, all[0])
 				return
 			}
@@ -86,8 +86,8 @@
 	t.Run("unaffirmed", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(100) {
-			if w := oldPrimary(t, seed, rollout.Unaffirmed); len(w.res.Broken) > 0 {
-				t.Logf("seed %d: %v", seed, w.res.Broken[0])
+			if w := oldPrimary(t, seed, rollout.BugGrantUnconfirmed); len(w.res.Violations) > 0 {
+				t.Logf("seed %d: %v", seed, w.res.Violations[0])
 				return
 			}
 		}
--- a/internal/rollout/world/withdraw_test.go
+++ b/internal/rollout/world/withdraw_test.go
@@ -32,7 +32,7 @@
 			w.Run(2 * time.Second)
 		},
 	} {
-		for _, bug := range []rollout.Bug{0, rollout.Forgetful} {
+		for _, bug := range []rollout.Bug{0, rollout.BugForgetWithdrawn} {
 			w := waits(3, bug)
 			w.Withdraw(w.nodes[7], 3)
 			w.Run(time.Second)
@@ -42,14 +42,14 @@
 			w.Withdraw(w.nodes[9], 3)
 			w.Withdraw(w.nodes[4], 3)
 			w.Run(1500 * ms)
-			met := slices.ContainsFunc(w.res.Broken, func(b Broken) bool { return b.Rule == "AGAIN" })
+			met := slices.ContainsFunc(w.res.Violations, func(b Violation) bool { return b.Rule == "AGAIN" })
 			if higher := w.top > 3; bug != 0 && met != higher {
 				t.Errorf("%s: the mutant is found: %v", name, met)
 			}
-			if bug == 0 && (len(w.res.Told) != 3 || slices.ContainsFunc(w.res.Told, notBack)) {
-				t.Errorf("%s: told %v", name, w.res.Told)
+			if bug == 0 && (len(w.res.WithdrawReplies) != 3 || slices.ContainsFunc(w.res.WithdrawReplies, notBack)) {
+				t.Errorf("%s: told %v", name, w.res.WithdrawReplies)
 			}
-			for _, b := range w.res.Broken {
+			for _, b := range w.res.Violations {
 				if bug == 0 {
 					t.Errorf("%s: %v", name, b)
 				}
@@ -58,15 +58,15 @@
 	}
 }
 
-func notBack(x Told) bool { return x.Version != 3 || x.Outcome != rollout.TakenBack }
+func notBack(x WithdrawReply) bool { return x.Version != 3 || x.Outcome != rollout.OutcomeWithdrawn }
 
 // Eight send the same wish at once, each through another gateway, and again until they have an
 // answer; the primary is killed or stands still at any moment of it.
 func TestWithdrawAtOnce(t *testing.T) {
 	t.Parallel()
 	for at := time.Duration(0); at < 16*ms; at += 1500 * time.Microsecond {
-		for name, strike := range map[string]func(p *Proc){
-			"nothing": func(*Proc) {}, "killed": (*Proc).kill, "frozen": func(p *Proc) { p.freeze(3 * time.Second) },
+		for name, strike := range map[string]func(p *Process){
+			"nothing": func(*Process) {}, "killed": (*Process).kill, "frozen": func(p *Process) { p.freeze(3 * time.Second) },
 		} {
 			w := waits(uint64(at), 0)
 			round := func() {
@@ -84,11 +84,11 @@
 				round()
 			}
 			w.Run(time.Second)
-			if len(w.res.Told) < 8 || slices.ContainsFunc(w.res.Told, notBack) {
-				t.Errorf("%s after %v: told %v", name, at, w.res.Told)
+			if len(w.res.WithdrawReplies) < 8 || slices.ContainsFunc(w.res.WithdrawReplies, notBack) {
+				t.Errorf("%s after %v: told %v", name, at, w.res.WithdrawReplies)
 			}
 			w.calm()
-			w.Run(Settled)
+			w.Run(SettleTime)
 			w.want(t, rollout.Withdrawn)
 		}
 	}
@@ -99,8 +99,8 @@
 func TestPutAgain(t *testing.T) {
 	t.Parallel()
 	for at := time.Duration(0); at < 20*ms; at += 2 * ms {
-		for name, strike := range map[string]func(p *Proc){
-			"nothing": func(*Proc) {}, "killed": (*Proc).kill, "frozen": func(p *Proc) { p.freeze(3 * time.Second) },
+		for name, strike := range map[string]func(p *Process){
+			"nothing": func(*Process) {}, "killed": (*Process).kill, "frozen": func(p *Process) { p.freeze(3 * time.Second) },
 		} {
 			w := stageOf(t, uint64(at), 0, 0, 0)
 			puts := func() {
@@ -116,10 +116,10 @@
 				puts()
 			}
 			w.calm()
-			w.Run(Settled)
+			w.Run(SettleTime)
 			w.want(t, rollout.Live)
 			told := map[string]bool{}
-			for _, k := range w.res.Kept {
+			for _, k := range w.res.Acknowledged {
 				told[k.Node] = told[k.Node] || k.Version == 3
 			}
 			if len(told) < 8 {
@@ -135,27 +135,27 @@
 	t.Parallel()
 	found := false
 	for seed := range uint64(20) {
-		for _, bug := range []rollout.Bug{0, rollout.Cocksure} {
+		for _, bug := range []rollout.Bug{0, rollout.BugAbsentUnconfirmed} {
 			w := stageOf(t, seed, bug, 0, 0)
 			p, x := w.primary(), w.nodes[9]
-			rest := slices.DeleteFunc(slices.Clone(w.nodes), func(n *Proc) bool { return n == p || n == x })
-			w.cut(rest, []*Proc{p, x}, true)
-			w.cut([]*Proc{p, x}, rest, true)
+			rest := slices.DeleteFunc(slices.Clone(w.nodes), func(n *Process) bool { return n == p || n == x })
+			w.cut(rest, []*Process{p, x}, true)
+			w.cut([]*Process{p, x}, rest, true)
 			p.freeze(3 * time.Second)
 			w.Run(1500 * ms)
 			w.Put(w.nodes[4], 3, 0, 0, "")
 			w.Run(1400 * ms)
 			w.Withdraw(x, 3)
 			w.Run(2 * time.Second)
-			met := len(w.res.Broken) > 0 && w.res.Broken[0].Rule == "TOLD"
+			met := len(w.res.Violations) > 0 && w.res.Violations[0].Rule == "TOLD"
 			if found = found || met && bug != 0; bug != 0 {
 				continue
 			}
 			w.calm()
-			w.Run(Settled)
+			w.Run(SettleTime)
 			w.want(t, rollout.Live)
-			if len(w.res.Told) > 0 {
-				t.Errorf("seed %d: told %v", seed, w.res.Told)
+			if len(w.res.WithdrawReplies) > 0 {
+				t.Errorf("seed %d: told %v", seed, w.res.WithdrawReplies)
 			}
 		}
 	}
@@ -168,11 +168,11 @@
 func TestLateWish(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
-		if all := LateWish(seed, 0); len(all) > 0 {
+		if all := DelayedWithdrawal(seed, 0); len(all) > 0 {
 			t.Errorf("seed %d: %v", seed, all)
 		}
 	}
-	if all := LateWish(1, rollout.Unfenced); len(all) == 0 || all[0].Rule != "LATE" {
+	if all := DelayedWithdrawal(1, rollout.BugIgnoreFence); len(all) == 0 || all[0].Rule != "LATE" {
 		t.Errorf("the guard taken out is not met: %v", all)
 	}
 }
--- a/internal/rollout/world/world.go
+++ b/internal/rollout/world/world.go
@@ -18,64 +18,64 @@
 
 // Options of a play.
 type Options struct {
-	Seed  uint64
-	Nodes int // the first three are the core; default 11
-	Bug   rollout.Bug
-	Again bool // operators send the same orders again, at other processes
-	Bytes bool // count what goes over the wire
-	Every time.Duration
-	Mbit  float64 // of each process's link, each way; 0: no bound
-	Core  float64 // the same of the core's
-	Pad   int     // routes of each configuration
-	Trace func(at time.Duration, text string)
+	Seed            uint64
+	Nodes           int // the first three are the core; default 11
+	Bug             rollout.Bug
+	RepeatOrders    bool // operators send the same orders again, at other processes
+	CountBytes      bool // count what goes over the wire
+	RequestInterval time.Duration
+	Mbit            float64 // of each process's link, each way; 0: no bound
+	CoreMbit        float64 // the same of the core's
+	Routes          int     // routes of each configuration
+	Trace           func(at time.Duration, text string)
 }
 
 // Result is what a play showed.
 type Result struct {
-	Broken                           []Broken
+	Violations                       []Violation
 	Puts, Live, Withdrawn, Overtaken int
-	Decided, Refused, InTurn         int
+	Decided, Refused, RefusedInTurn  int
 	Kills, Freezes, Cuts             int
-	LiveIn                           []time.Duration          // from the operator's call until all that can serve by it
-	Queued                           time.Duration            // the longest that a message took on slow links
-	HeldMost                         time.Duration            // that a request waited in a turn
-	All                              map[uint32]time.Duration // until all that live serve by it
+	LiveAfter                        []time.Duration          // from the operator's call until all that can serve by it
+	LongestQueue                     time.Duration            // the longest that a message took on slow links
+	LongestHold                      time.Duration            // that a request waited in a turn
+	ServedByAll                      map[uint32]time.Duration // until all that live serve by it
 	PutAt                            map[uint32]time.Duration
-	Marks                            []Mark
-	Told                             []Told
-	Kept                             []Kept
+	Decisions                        []Decision
+	WithdrawReplies                  []WithdrawReply
+	Acknowledged                     []Acknowledgement
 }
 
-// Kept is a version whose put was acknowledged, and where.
-type Kept struct {
+// Acknowledgement is a version whose put was acknowledged, and where.
+type Acknowledgement struct {
 	At      time.Duration
 	Node    string
 	Version uint32
 }
 
-// Told is what an operator was told of a version that was to be withdrawn.
-type Told struct {
+// WithdrawReply is what an operator was told of a version that was to be withdrawn.
+type WithdrawReply struct {
 	At      time.Duration
 	Node    string
 	Version uint32
 	Outcome rollout.Outcome
 }
 
-// Mark is a request that was decided.
-type Mark struct {
+// Decision is a request that was decided.
+type Decision struct {
 	At      time.Duration
 	Version uint32
 	Node    string
 }
 
-// Broken is a promise that did not hold.
-type Broken struct {
-	Rule string // MIXED, DEAD, FEW, HELD, SPLIT, STUCK, TOLD, AGAIN, LOST, ALONE
-	At   time.Duration
-	What string
+// Violation is a promise that did not hold.
+type Violation struct {
+	Rule   string // MIXED, DEAD, FEW, HELD, SPLIT, STUCK, TOLD, AGAIN, LOST, ALONE
+	At     time.Duration
+	Detail string
 }
 
-func (b Broken) String() string { return fmt.Sprintf("%s after %v: %s", b.Rule, b.At, b.What) }
+func (b Violation) String() string { return fmt.Sprintf("%s after %v: %s", b.Rule, b.At, b.Detail) }
 
 // World is one play.
 type World struct {
@@ -84,8 +84,8 @@
 	now    time.Duration
 	queue  fsm.Events
 	order  uint64
-	nodes  []*Proc
-	byAddr map[string]*Proc
+	nodes  []*Process
+	byAddr map[string]*Process
 	cuts   map[[2]string]bool
 	loss   float64
 	twice  float64
@@ -100,11 +100,11 @@
 	words   map[string]word // the newest word of each node that the primary has heard
 	confirm map[uint32]int
 	top     uint32
-	open    map[uint32]map[*Proc]bool
+	open    map[uint32]map[*Process]bool
 	bytes   int
-	late    []rollout.Withdraw // copies that the network holds up
-	quiet   bool               // no clients
-	never   map[uint32]bool    // versions of which an operator was told so
+	late    []rollout.WithdrawRequest // copies that the network holds up
+	quiet   bool                      // no clients
+	never   map[uint32]bool           // versions of which an operator was told so
 	texts   map[uint32][]byte
 	other   map[uint32]bool // versions that were put with another text too
 	back    map[uint32]bool // versions that an operator was told to be withdrawn
@@ -112,15 +112,15 @@
 
 // New makes processes in three zones, and starts them.
 func New(o Options) *World {
-	o.Nodes, o.Every = cmp.Or(o.Nodes, 11), cmp.Or(o.Every, 6*ms)
-	w := &World{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 27)), byAddr: map[string]*Proc{}, cuts: map[[2]string]bool{},
+	o.Nodes, o.RequestInterval = cmp.Or(o.Nodes, 11), cmp.Or(o.RequestInterval, 6*ms)
+	w := &World{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 27)), byAddr: map[string]*Process{}, cuts: map[[2]string]bool{},
 		first: map[uint32]time.Duration{}, puts: map[uint32]time.Duration{}, bodies: map[uint32]string{},
 		fates: map[uint32]rollout.Fate{}, words: map[string]word{}, confirm: map[uint32]int{}}
 	w.texts, w.other = map[uint32][]byte{}, map[uint32]bool{}
 	w.never, w.back = map[uint32]bool{}, map[uint32]bool{}
-	w.open, w.res.All, w.res.PutAt = map[uint32]map[*Proc]bool{}, map[uint32]time.Duration{}, w.puts
+	w.open, w.res.ServedByAll, w.res.PutAt = map[uint32]map[*Process]bool{}, map[uint32]time.Duration{}, w.puts
 	for i := range o.Nodes {
-		p := &Proc{w: w, name: fmt.Sprintf("n%02d", i), addr: fmt.Sprintf("10.0.%d.%d:7000", i%3, i), zone: string(rune('a' + i%3)),
+		p := &Process{w: w, name: fmt.Sprintf("n%02d", i), addr: fmt.Sprintf("10.0.%d.%d:7000", i%3, i), zone: string(rune('a' + i%3)),
 			core: i < 3, rate: 1 + (w.rng.Float64()-0.5)*0.04, base: time.Hour + time.Duration(w.rng.Int64N(int64(time.Hour)))}
 		w.nodes, w.byAddr[p.addr] = append(w.nodes, p), p
 	}
@@ -138,7 +138,7 @@
 // Run lets time pass; it ends early once a rule broke.
 func (w *World) Run(d time.Duration) {
 	end := w.now + d
-	for len(w.queue) > 0 && w.queue[0].At <= end && len(w.res.Broken) == 0 {
+	for len(w.queue) > 0 && w.queue[0].At <= end && len(w.res.Violations) == 0 {
 		e := heap.Pop(&w.queue).(fsm.Event)
 		w.now = e.At
 		e.Do()
@@ -148,7 +148,7 @@
 
 func (w *World) breaks(rule, form string, args ...any) {
 	w.note("%s: %s", rule, fmt.Sprintf(form, args...))
-	w.res.Broken = append(w.res.Broken, Broken{rule, w.now, fmt.Sprintf(form, args...)})
+	w.res.Violations = append(w.res.Violations, Violation{rule, w.now, fmt.Sprintf(form, args...)})
 }
 
 func (w *World) note(form string, args ...any) {
