--- a/internal/quotas/active_test.go
+++ b/internal/quotas/active_test.go
@@ -18,19 +18,19 @@
 		walked, all := 0, 0
 		for i := range sums {
 			rng := rand.New(rand.NewPCG(seed, 0xac))
-			var flows []*flow
+			var flows []*tenantTraffic
 			for j := range 150 {
 				rate := []float64{13, 30, 60, 129}[j%4]
-				l := &flow{tenant: fmt.Sprintf("t%03d", j), limit: Limit{rate, rate}, rate: 60 / float64(j+1)}
+				l := &tenantTraffic{tenant: fmt.Sprintf("t%03d", j), limit: Limit{rate, rate}, rate: 60 / float64(j+1)}
 				if j%10 == 9 {
-					l.rate, l.retry = 1.5*rate, 5
+					l.rate, l.clientRetries = 1.5*rate, 5
 				}
 				flows = append(flows, l)
 			}
 			script := drawn(rng, 7)
-			f := newField(t, 7, seed, flows...)
+			f := newTestFleet(t, 7, seed, flows...)
 			hash := xxhash.New()
-			f.wire = func(from, to *box, msg any) {
+			f.onSend = func(from, to *testMachine, msg any) {
 				b, err := cbor.Marshal(msg)
 				if err != nil {
 					t.Fatal(err)
@@ -38,17 +38,17 @@
 				fmt.Fprint(hash, f.now, from.addr, to.addr)
 				hash.Write(b)
 			}
-			f.ticks = func(b *box) {
+			f.beforeTick = func(b *testMachine) {
 				if i == 1 {
-					b.meter.active.known = false
+					b.meter.active.complete = false
 					return
 				}
-				walked, all = walked+len(b.meter.active.list)+len(b.meter.active.stirred), all+len(b.meter.order)
+				walked, all = walked+len(b.meter.active.list)+len(b.meter.active.added), all+len(b.meter.ordered)
 			}
 			to := func(s time.Duration, orders ...string) {
-				f.run(s*time.Second, after(script, f.now))
+				f.run(s*time.Second, scriptFrom(script, f.now))
 				for _, line := range orders {
-					f.obey(line)
+					f.runCommand(line)
 				}
 			}
 			to(8, "loss 5")
@@ -61,7 +61,7 @@
 			delete(limits, "t003")
 			limits["t999"] = Limit{7, 7}
 			limits["t004"] = Limit{9, 9}
-			for _, b := range f.boxes {
+			for _, b := range f.machines {
 				b.meter.SetLimits(f.now, limits)
 				b.counter.SetLimits(limits)
 			}
--- a/internal/quotas/basis.go
+++ b/internal/quotas/basis.go
@@ -22,11 +22,11 @@
 func Bases() []Basis { return []Basis{FirstHolder, SecondHolder, Unread, OwnShare} }
 
 // basis is what the next decision about a tenant goes by.
-func (m *Meter) basis(now fsm.Time, e *entry) Basis {
+func (m *Meter) basis(now fsm.Time, e *tenantState) Basis {
 	switch {
-	case e.mute || m.reader < 0 && m.silent(now):
+	case e.holdersSilent || m.reader < 0 && m.holdersSilent(now):
 		return OwnShare
-	case !e.seen:
+	case !e.levelRead:
 		return Unread
 	case m.reader == 1:
 		return SecondHolder
@@ -54,12 +54,12 @@
 
 // Stats tells them.
 func (m *Meter) Stats(now fsm.Time) Stats {
-	a := Stats{Decided: m.decided, HolderChanges: m.changes, MaxBehind: m.behind, AnswersBehind: m.behindAnswers, Gateways: m.even(now), Reachable: m.present()}
+	a := Stats{Decided: m.decided, HolderChanges: m.holderChanges, MaxBehind: m.maxBehind, AnswersBehind: m.answersBehind, Gateways: m.shareCount(now), Reachable: m.reachableGateways()}
 	if m.reader >= 0 {
-		s := &m.slots[m.reader]
+		s := &m.holders[m.reader]
 		a.Holder = s.addr
-		if s.pending != 0 {
-			a.UnansweredMS = (now - s.pending).Milliseconds()
+		if s.unansweredSince != 0 {
+			a.UnansweredMS = (now - s.unansweredSince).Milliseconds()
 		}
 	}
 	return a
@@ -67,22 +67,22 @@
 
 // BasisOf is what a tenant's next request would be decided by; false: it has no limit here.
 func (m *Meter) BasisOf(now fsm.Time, tenant string) (Basis, bool) {
-	e := m.entries[tenant]
+	e := m.tenants[tenant]
 	if e == nil {
 		return 0, false
 	}
 	return m.basis(now, e), true
 }
 
-// compare notes by how much a holder's level is above what is reckoned with here.
-func (m *Meter) compare(e *entry, t Total, stamp fsm.Time) {
-	if !e.seen || !t.LevelKnown {
+// noteBehind notes by how much a holder's level is above what is reckoned with here.
+func (m *Meter) noteBehind(e *tenantState, t Total, stamp fsm.Time) {
+	if !e.levelRead || !t.LevelKnown {
 		return
 	}
-	behind := float64(t.Level)/milli + e.unheard() - float64(e.tat-stamp)/e.gap
+	behind := float64(t.Level)/milliUnits + e.unacked() - float64(e.tat-stamp)/e.interval
 	if behind < 1 {
 		return
 	}
-	m.behind = max(m.behind, behind)
-	m.behindAnswers++
+	m.maxBehind = max(m.maxBehind, behind)
+	m.answersBehind++
 }
--- a/internal/quotas/share_test.go
+++ b/internal/quotas/batch_test.go
@@ -24,14 +24,14 @@
 // itemsOf is what an add tells, whatever its form.
 func itemsOf(t *testing.T, m *Meter, a Add) []Item {
 	t.Helper()
-	a, ok := a.Expand(m.life)
+	a, ok := a.Expand(m.incarnation)
 	if !ok {
 		t.Fatal("an add can't be read")
 	}
 	if len(a.Packed) == 0 {
 		return a.Items
 	}
-	items, _, ok := m.rosters.find(a.RosterHash).items(a.Period, a.Packed)
+	items, _, ok := m.rosters.byHash(a.RosterHash).items(a.Period, a.Packed)
 	if !ok {
 		t.Fatal("an add can't be unpacked")
 	}
@@ -72,15 +72,15 @@
 	}
 	pass()
 	run(4*time.Second, nil) // who is silent is told five times a second
-	if most > mostItems || len(told) != len(names) {
+	if most > maxItems || len(told) != len(names) {
 		t.Errorf("%d items in an add, %d of %d tenants told", most, len(told), len(names))
 	}
 	run(3*time.Second, map[string]*Counter{"h": c})
 	pass()
 	run(3*time.Second, map[string]*Counter{"h": c})
 	unheard := func() (n int) {
-		for _, e := range m.order {
-			if e.unheard() > 0 {
+		for _, e := range m.ordered {
+			if e.unacked() > 0 {
 				n++
 			}
 		}
@@ -104,11 +104,11 @@
 		t.Errorf("the second holder has not heard of %d tenants", n)
 	}
 	for _, n := range names {
-		if l := other.ledgers[n]; l == nil || l.level > 1.5 { // one unit was passed seconds ago
+		if l := other.tenants[n]; l == nil || l.level > 1.5 { // one unit was passed seconds ago
 			t.Fatalf("the second holder takes %+v of %s for in use", l, n)
 		}
 	}
-	if most > mostItems {
+	if most > maxItems {
 		t.Errorf("%d items in an add", most)
 	}
 }
@@ -133,7 +133,7 @@
 			}
 			if s.To == "h" {
 				if now > end-20*time.Second { // all had been heard before the period ended
-					if most = max(most, old); old > mostOld {
+					if most = max(most, old); old > maxPrevItems {
 						lumps++
 					}
 				}
@@ -145,13 +145,13 @@
 		c.Tick(now)
 	}
 	left := 0
-	for _, e := range m.order {
-		if e.old.period != 0 {
+	for _, e := range m.ordered {
+		if e.prev.period != 0 {
 			left++
 		}
 	}
-	if most == 0 || most > mostItems || lumps > 1 || left > 0 { // the last of them that an add has room for go at once
-		t.Errorf("%d sums of a period before in an add, more than %d in %d, %d left in the end", most, mostOld, lumps, left)
+	if most == 0 || most > maxItems || lumps > 1 || left > 0 { // the last of them that an add has room for go at once
+		t.Errorf("%d sums of a period before in an add, more than %d in %d, %d left in the end", most, maxPrevItems, lumps, left)
 	}
 }
 
@@ -182,7 +182,7 @@
 		now += 50 * time.Millisecond
 		m.Tick(now)
 	}
-	if n := len(m.gather()); n > 0 || m.slots[0].refill || m.slots[1].refill {
+	if n := len(m.activeTenants()); n > 0 || m.holders[0].resendAll || m.holders[1].resendAll {
 		t.Errorf("%d tenants are gone through at rest", n)
 	}
 }
@@ -248,9 +248,9 @@
 		for range 200 {
 			step(false)
 		}
-		for _, e := range m.order {
-			if e.unheard() > 0 {
-				t.Fatalf("far %v: of %s %.0f units were never heard", far, e.tenant, e.unheard())
+		for _, e := range m.ordered {
+			if e.unacked() > 0 {
+				t.Fatalf("far %v: of %s %.0f units were never heard", far, e.tenant, e.unacked())
 			}
 		}
 	}
@@ -316,8 +316,8 @@
 	}
 	unheard := func() (n int) {
 		for _, m := range meters {
-			for _, e := range m.order {
-				if e.unheard() > 2 {
+			for _, e := range m.ordered {
+				if e.unacked() > 2 {
 					n++
 				}
 			}
@@ -358,12 +358,12 @@
 		m, names, _ := crowded(20, 490)
 		now := time.Hour
 		if c.way > 0 {
-			m.slots[0].way.note(now, c.way)
+			m.holders[0].rtt.observe(now, c.way)
 		}
 		m.Allow(now, names[0], 1)
-		m.Tick(now + easeGap)
-		m.slots[0].paced = c.paced
-		began := m.slots[0].pending
+		m.Tick(now + relaxedGap)
+		m.holders[0].sendInterval = c.paced
+		began := m.holders[0].unansweredSince
 		if m.ReadOverdue(began+c.after-3*time.Millisecond, "h") || !m.ReadOverdue(began+c.after, "h") {
 			t.Errorf("%+v: not mute from then on", c)
 		}
@@ -374,10 +374,10 @@
 // of up to 250 as ever, and those that are few aren't held up by the size of the fleet.
 func TestCrowdGap(t *testing.T) {
 	for gateways, want := range map[int]fsm.Time{1: 25, 91: 25, 250: 25, 300: 30, 490: 49, 1000: 50} {
-		var q quick
+		var q earlyReads
 		now := time.Hour
-		for range int(quickMost) {
-			if got := q.gap(now, gateways); got != firstGap {
+		for range int(earlyReadBurst) {
+			if got := q.gap(now, gateways); got != earlyReadGap {
 				t.Errorf("%d gateways: a rare first read waits %v", gateways, got)
 			}
 			q.left--
--- a/internal/quotas/brief_test.go
+++ b/internal/quotas/compact_test.go
@@ -20,7 +20,7 @@
 		life := rng.Uint64() >> rng.IntN(60)
 		a := Add{Incarnation: life, Period: rng.Uint64() >> rng.IntN(64), Timestamp: fsm.Time(rng.Int64() >> rng.IntN(63)), Read: coin(), Ping: coin(),
 			NearLimit: coin(), AnswersProbes: coin(), RosterHash: rng.Uint32(), Packed: []byte("items")}
-		short := a.shorten()
+		short := a.compact()
 		if got, ok := short.Expand(life); !ok || cmp.Diff(a, got) != "" {
 			t.Fatal(ok, cmp.Diff(a, got))
 		}
@@ -28,8 +28,8 @@
 		if coin() {
 			w.Missing, w.RosterHash, w.SendInterval = rng.Uint32(), rng.Uint32(), uint8(rng.IntN(256))
 		}
-		back := w.shorten()
-		got, lost, ok := back.lengthen(life)
+		back := w.compact()
+		got, lost, ok := back.expand(life)
 		if !ok || lost || cmp.Diff(w, got) != "" {
 			t.Fatal(ok, lost, cmp.Diff(w, got))
 		}
@@ -38,16 +38,16 @@
 				t.Fatal("its stamp is told as", stamp, ok)
 			}
 		}
-		if _, _, ok := back.lengthen(life + 1); ok {
+		if _, _, ok := back.expand(life + 1); ok {
 			t.Fatal("an answer to another life is taken")
 		}
-		if _, lost, ok := w.lost(fold(life)).lengthen(life); !ok || !lost {
+		if _, lost, ok := w.unknownIncarnation(foldIncarnation(life)).expand(life); !ok || !lost {
 			t.Fatal("a lost life is not told", lost, ok)
 		}
 		for cut := range len(short.Compact) {
 			Add{Compact: short.Compact[:cut]}.Expand(life)
 			part := Answer{Compact: back.Compact[:min(cut, len(back.Compact))]}
-			part.lengthen(life)
+			part.expand(life)
 			part.RequestTimestamp()
 		}
 	}
@@ -58,20 +58,20 @@
 func TestBriefLost(t *testing.T) {
 	for _, which := range []int{0, 1} { // the one that is read, and the other
 		t.Run(fmt.Sprint("holder ", which), func(t *testing.T) {
-			calm := &flow{tenant: "calm", limit: Limit{129, 129}, rate: 60}
-			other := &flow{tenant: "other", limit: Limit{60, 60}, rate: 20}
-			f := newField(t, 5, 1, calm, other)
+			calm := &tenantTraffic{tenant: "calm", limit: Limit{129, 129}, rate: 60}
+			other := &tenantTraffic{tenant: "other", limit: Limit{60, 60}, rate: 20}
+			f := newTestFleet(t, 5, 1, calm, other)
 			f.run(10*time.Second, "")
-			for was := f.boxes[2].meter.period; f.boxes[2].meter.period == was; { // then it lasts for a while
+			for was := f.machines[2].meter.period; f.machines[2].meter.period == was; { // then it lasts for a while
 				f.run(f.now+time.Second, "")
 			}
-			holder := f.boxes[which]
+			holder := f.machines[which]
 			short, lost := 0, 0
-			f.wire = func(from, to *box, msg any) {
+			f.onSend = func(from, to *testMachine, msg any) {
 				if a, ok := msg.(Add); ok && to == holder && len(a.Compact) > 0 {
 					short++
 				}
-				if a, ok := msg.(Answer); ok && from == holder && len(a.Compact) > 0 && a.Compact[0]&briefLost != 0 {
+				if a, ok := msg.(Answer); ok && from == holder && len(a.Compact) > 0 && a.Compact[0]&compactUnknownIncarnation != 0 {
 					lost++
 				}
 			}
@@ -81,17 +81,17 @@
 			}
 			holder.counter = NewCounter(holder.addr, 77) // it has forgotten all
 			holder.counter.SetLimits(f.limits())
-			f.meet()
+			f.announceGateways()
 			other.rate = 0 // nothing more of it is said by itself
 			f.run(f.now+2500*time.Millisecond, "")
 			calm.rate = 0
 			f.run(f.now+1500*time.Millisecond, "")
-			if lost == 0 || lost > len(f.boxes) {
+			if lost == 0 || lost > len(f.machines) {
 				t.Errorf("%d adds of lives that it has forgotten", lost)
 			}
-			for _, b := range f.boxes { // all that gateways have passed in the period it knows
-				for _, e := range b.meter.order {
-					if got := holder.counter.knows(e.tenant, b.addr, b.life, e.cur.period); got < e.cur.sum {
+			for _, b := range f.machines { // all that gateways have passed in the period it knows
+				for _, e := range b.meter.ordered {
+					if got := holder.counter.knows(e.tenant, b.addr, b.incarnation, e.cur.period); got < e.cur.sum {
 						t.Errorf("of %s at %s it knows %d of %d", e.tenant, b.addr, got, e.cur.sum)
 					}
 				}
@@ -102,13 +102,13 @@
 
 // knows is a life's sum in a name.
 func (c *Counter) knows(tenant, gateway string, id, period uint64) uint64 {
-	l := c.ledgers[tenant]
-	if l == nil || l.name(period) == nil {
+	l := c.tenants[tenant]
+	if l == nil || l.periodOf(period) == nil {
 		return 0
 	}
-	for _, v := range c.lives.all[gateway] {
+	for _, v := range c.incarnations.byGateway[gateway] {
 		if v.id == id {
-			units, _ := l.name(period).sums.of(v.number)
+			units, _ := l.periodOf(period).sums.get(v.number)
 			return units
 		}
 	}
@@ -119,13 +119,13 @@
 // nothing, and spoils nothing of the life that it came from.
 func TestBriefPassedOn(t *testing.T) {
 	c := NewCounter("h", 1)
-	c.Receive(time.Second, "g", Add{Incarnation: 9, Timestamp: time.Second, Read: true, Items: []Item{{Tenant: "t", Sum: 5 * milli, Unreported: 5 * milli, Interval: 1e5}}})
+	c.Receive(time.Second, "g", Add{Incarnation: 9, Timestamp: time.Second, Read: true, Items: []Item{{Tenant: "t", Sum: 5 * milliUnits, Unreported: 5 * milliUnits, Interval: 1e5}}})
 	if out := c.Receive(time.Second, "g", Add{}); out != nil || c.offsets["g"].life != 9 {
 		t.Errorf("%+v, life %d", out, c.offsets["g"].life)
 	}
-	short := Add{Incarnation: 9, Timestamp: 2 * time.Second, Read: true, Period: c.high, RosterHash: 7}.shorten()
+	short := Add{Incarnation: 9, Timestamp: 2 * time.Second, Read: true, Period: c.highestPeriod, RosterHash: 7}.compact()
 	out := c.Receive(2*time.Second, "g", short)
-	if a, ok := out[0].Msg.(Answer); !ok || bytes.Equal(a.Compact, nil) || a.Compact[0]&briefLost != 0 {
+	if a, ok := out[0].Msg.(Answer); !ok || bytes.Equal(a.Compact, nil) || a.Compact[0]&compactUnknownIncarnation != 0 {
 		t.Errorf("%+v", out)
 	}
 }
--- a/internal/quotas/cut_test.go
+++ b/internal/quotas/cut_test.go
@@ -7,16 +7,16 @@
 
 // last lets two of three gateways be killed at 13 s and the third be told; a tenant's requests
 // come at its rate, and a burst at 8 s.
-func last(t *testing.T, l *flow) (*field, *Meter) {
-	l.every = time.Hour
-	f := newField(t, 3, 1, l)
+func last(t *testing.T, l *tenantTraffic) (*testFleet, *Meter) {
+	l.burstInterval = time.Hour
+	f := newTestFleet(t, 3, 1, l)
 	f.run(8*time.Second, "")
 	for range l.burst {
-		f.offer(l, f.boxes[2])
+		f.offer(l, f.machines[2])
 		f.run(f.now+5*time.Millisecond, "")
 	}
 	f.run(14500*time.Millisecond, "13 kill 0 1\n14 nodes 1 2")
-	return f, f.boxes[2].meter
+	return f, f.machines[2].meter
 }
 
 // TestRested: at a cut, a burst of seconds ago costs a tenant nothing, of which there is room
@@ -29,8 +29,8 @@
 		m, now := NewMeter("a", 1, 1), 20*time.Second
 		m.SetGateways(0, 3, []string{"b", "c"})
 		m.SetLimits(0, map[string]Limit{"t": {5, 100}})
-		e := m.entries["t"]
-		e.seen, e.tat, e.pushed, e.readAt, e.mine = true, now+6*time.Second, now, now-c.ago, 60
+		e := m.tenants["t"]
+		e.levelRead, e.tat, e.assumedUntil, e.readAt, e.ownRecent = true, now+6*time.Second, now, now-c.ago, 60
 		m.SetGateways(now, 1, []string{"a"})
 		m.tickAt = now
 		if ok, after := m.Allow(now, "t", 1); ok == c.refused {
@@ -44,7 +44,7 @@
 // than a unit of its part of the rate takes, and the bound of doc.go on what may have been passed
 // unknown, 2 s. What is unseen is asked for, which takes no longer than is told.
 func TestReturn(t *testing.T) {
-	for _, l := range []*flow{
+	for _, l := range []*tenantTraffic{
 		{tenant: "ten", limit: Limit{5, 10}, rate: 2},
 		{tenant: "two", limit: Limit{5, 2}, rate: 2},
 		{tenant: "one", limit: Limit{5, 1}, rate: 2},
@@ -65,17 +65,17 @@
 				if most := 2*time.Second + time.Duration(3e9/l.limit.Rate); after > most {
 					t.Errorf("refused for %v, %v at most", after, most)
 				}
-				e := m.entries[l.tenant]
-				seen := e.seen
+				e := m.tenants[l.tenant]
+				seen := e.levelRead
 				f.run(now+after-time.Millisecond, "")
-				if ok, _ := m.Allow(now+after-10*time.Microsecond, l.tenant, 1); ok && seen && e.seen && after != leastGap {
+				if ok, _ := m.Allow(now+after-10*time.Microsecond, l.tenant, 1); ok && seen && e.levelRead && after != minGap {
 					t.Errorf("served before %v", after)
 				}
-				if ok, more := m.Allow(now+after, l.tenant, 1); !ok && seen && e.seen {
+				if ok, more := m.Allow(now+after, l.tenant, 1); !ok && seen && e.levelRead {
 					t.Fatalf("refused for %v, then for %v", after, more)
 				}
 				f.run(now+after+time.Millisecond, "")
-				if !seen && !e.seen {
+				if !seen && !e.levelRead {
 					t.Errorf("still unseen after %v", after)
 				}
 			}
--- a/internal/quotas/drawn_test.go
+++ b/internal/quotas/drawn_test.go
@@ -42,20 +42,20 @@
 	for n, seeds := range map[int]uint64{11: 2, 91: 1} {
 		for seed := range seeds {
 			rng := rand.New(rand.NewPCG(seed, 0xd3))
-			var flows []*flow
+			var flows []*tenantTraffic
 			for i := range 85 {
 				rate := []float64{13, 30, 60, 129}[i%4]
-				l := &flow{tenant: fmt.Sprintf("t%02d", i), limit: Limit{rate, rate}, rate: 0.75 * rate}
+				l := &tenantTraffic{tenant: fmt.Sprintf("t%02d", i), limit: Limit{rate, rate}, rate: 0.75 * rate}
 				switch {
 				case i < 4:
 					l.rate = 0.75 * rate // ten times its rate from 10 s on
 				case i < 8:
-					l.rate, l.retry = 1.5*rate, 10
+					l.rate, l.clientRetries = 1.5*rate, 10
 				}
 				flows = append(flows, l)
 			}
 			script := drawn(rng, n)
-			f := newField(t, n, seed, flows...)
+			f := newTestFleet(t, n, seed, flows...)
 			first, rest := script[:strings.Index(script, "\n12")], script[strings.Index(script, "\n12")+1:]
 			f.run(10*time.Second, first)
 			for i, l := range flows {
@@ -67,12 +67,12 @@
 			f.run(32*time.Second, rest)
 			fill, worst, refused, offered := 0.0, 0.0, 0, 0
 			for i, l := range flows {
-				fill = max(fill, float64(l.worst())/float64(l.bound()))
-				if l.worst() > l.bound() {
-					t.Errorf("seed %d: %s passes %d in 5 s, bound %d", seed, l.tenant, l.worst(), l.bound())
+				fill = max(fill, float64(l.maxInWindow())/float64(l.bound()))
+				if l.maxInWindow() > l.bound() {
+					t.Errorf("seed %d: %s passes %d in 5 s, bound %d", seed, l.tenant, l.maxInWindow(), l.bound())
 				}
 				if i >= 8 {
-					worst, refused, offered = max(worst, l.part()), refused+l.refused, offered+l.offered
+					worst, refused, offered = max(worst, l.refusedPart()), refused+l.refused, offered+l.offered
 				}
 			}
 			if in := float64(refused) / float64(offered); in > 0.004 {
--- a/internal/quotas/holder_test.go
+++ b/internal/quotas/holder_test.go
@@ -14,11 +14,11 @@
 	m := NewMeter("a", 1, 1)
 	m.SetGateways(0, 8, []string{"b", "c"})
 	m.SetLimits(0, map[string]Limit{"t": {60, 60}})
-	e := m.entries["t"]
+	e := m.tenants["t"]
 	m.tickAt = now
 	m.Receive(now, "b", Answer{Incarnation: 1, Period: 1, Timestamp: now})
-	m.touch(now, e)
-	e.seen, e.tat, e.pushed, e.cur.based = true, now+e.span(9), now, true
+	m.refresh(now, e)
+	e.levelRead, e.tat, e.assumedUntil, e.cur.hasBase = true, now+e.duration(9), now, true
 	m.Receive(now, "b", Answer{Incarnation: 1, Period: 1, Timestamp: now - time.Millisecond, Totals: []Total{{Tenant: "t", Period: 1, Level: 80000, LevelKnown: true}}})
 	if ok, after := m.Allow(now, "t", 1); ok || after < 300*time.Millisecond {
 		t.Errorf("80 of 60 units are in use, as its holder says: passes %v, told to come back after %v", ok, after)
@@ -30,8 +30,8 @@
 // got a second one (day 218 of gateways that lose each other: 28 and 18 requests at one gateway in two half seconds,
 // six before). What a gateway has been told must outlive its holders.
 func TestLevelOutlivesHolders(t *testing.T) {
-	hot := &flow{tenant: "t", limit: Limit{20, 100}, rate: 120}
-	f := newField(t, 6, 3, hot)
+	hot := &tenantTraffic{tenant: "t", limit: Limit{20, 100}, rate: 120}
+	f := newTestFleet(t, 6, 3, hot)
 	f.run(12*time.Second, "")
 	f.run(18*time.Second, "12 kill 0 1\n12.7 boot 0 1")
 	between := 0
--- a/internal/quotas/late.go
+++ b/internal/quotas/late.go
@@ -11,13 +11,13 @@
 // late one is shows by its stamp, against the least that lay between the two clocks lately.
 const (
 	lateAdd   = time.Second      // what a lossy link does is below it
-	offsetFor = 30 * time.Second // clocks drift apart: an offset counts for so long, and as long again
+	minWindow = 30 * time.Second // clocks drift apart: an offset counts for so long, and as long again
 )
 
 // offset is between a gateway's clock and the counter's.
 type offset struct {
 	life uint64
-	least
+	windowedMin
 }
 
 // lateness is how much later than its fellows an add has come; 0: it is in time.
@@ -27,9 +27,9 @@
 	if o.life != a.Incarnation {
 		o = offset{life: a.Incarnation}
 	}
-	o.note(now, by)
+	o.observe(now, by)
 	c.offsets[from] = o
-	if late := by - o.lately(); late > lateAdd {
+	if late := by - o.value(); late > lateAdd {
 		return late
 	}
 	return 0
--- a/internal/quotas/late_test.go
+++ b/internal/quotas/late_test.go
@@ -17,25 +17,25 @@
 	add := func(now fsm.Time, i int, sum uint64) float64 {
 		c.Tick(now)
 		out := c.Receive(now, "g", Add{Incarnation: 7, Timestamp: clock(i), Read: true,
-			Items: []Item{{Tenant: "t", Period: c.high, Sum: sum, Unreported: 4 * milli, Interval: gap}}})
-		return float64(out[0].Msg.(Answer).Totals[0].Level) / milli
+			Items: []Item{{Tenant: "t", Period: c.highestPeriod, Sum: sum, Unreported: 4 * milliUnits, Interval: gap}}})
+		return float64(out[0].Msg.(Answer).Totals[0].Level) / milliUnits
 	}
 	sum := uint64(0)
 	for i := range 30 {
-		sum += 4 * milli
+		sum += 4 * milliUnits
 		if l := add(at(i), i, sum); i > 5 && l < 3 {
 			t.Fatalf("add %d, in time: level %.1f", i, l)
 		}
 	}
 	most := 0.0
 	for i := 30; i < 230; i++ { // all at once
-		sum += 4 * milli
+		sum += 4 * milliUnits
 		most = max(most, add(at(230), i, sum))
 	}
 	if most < 4 || most > 60 {
 		t.Errorf("a lump of 800 units, held up for 20 s, makes a level of %.1f", most)
 	}
-	sum += 4 * milli
+	sum += 4 * milliUnits
 	if before := most; add(at(231), 231, sum) < min(before, 3) {
 		t.Error("what comes in time again does not count")
 	}
--- a/internal/quotas/names_test.go
+++ b/internal/quotas/names_test.go
@@ -9,7 +9,7 @@
 // TestFewItems: of hundreds of gateways that turn to a holder that may be new each tells some of what it knows in an add, and
 // all of it soon: were it a whole add each, the holder would be late again, and they would turn back.
 func TestFewItems(t *testing.T) {
-	for gateways, want := range map[int]int{250: mostItems, 490: fewItems} {
+	for gateways, want := range map[int]int{250: maxItems, 490: maxItemsLargeFleet} {
 		m, names, limits := crowded(2000, gateways)
 		now, most, heard := time.Hour, 0, map[string]bool{}
 		run := func(d time.Duration, holder string, c *Counter) {
@@ -50,7 +50,7 @@
 // other's, a tenant has a few names at each holder all the same; the sums in the newest are right. In a small fleet all
 // names are kept for their time.
 func TestNamesToAndFro(t *testing.T) {
-	for gateways, most := range map[int]int{91: 100, 490: mostNames} {
+	for gateways, most := range map[int]int{91: 100, 490: maxPeriods} {
 		names := make([]string, gateways)
 		for g := range names {
 			names[g] = fmt.Sprintf("10.0.%d.%d:7", g/250, g%250)
@@ -67,16 +67,16 @@
 			for again := range 2 { // then all say what they have in the number that was issued for the first of them
 				for g, from := range names[2:] {
 					for _, s := range c.Receive(now, from, Add{Incarnation: uint64(g + 1), Period: period, Timestamp: now, Read: true,
-						Items: []Item{{Tenant: "t", Period: period, Sum: milli, Unreported: milli, Interval: 1e4}}}) {
+						Items: []Item{{Tenant: "t", Period: period, Sum: milliUnits, Unreported: milliUnits, Interval: 1e4}}}) {
 						a := s.Msg.(Answer)
-						if period = max(period, a.Period); again == 1 && g == gateways-3 && a.Totals[0].Others != uint64(gateways-3)*milli {
+						if period = max(period, a.Period); again == 1 && g == gateways-3 && a.Totals[0].Others != uint64(gateways-3)*milliUnits {
 							t.Errorf("%d gateways, turn %d: others have %d", gateways, turn, a.Totals[0].Others)
 						}
 					}
 				}
 			}
 			c.Tick(now)
-			had = max(had, len(c.ledgers["t"].names))
+			had = max(had, len(c.tenants["t"].periods))
 		}
 		if had > most || had < min(most, 20) {
 			t.Errorf("%d gateways: a tenant has %d names at a holder", gateways, had)
--- a/internal/quotas/pace_test.go
+++ b/internal/quotas/pace_test.go
@@ -11,25 +11,25 @@
 func TestPace(t *testing.T) {
 	const gateways, few = 60, 20
 	play := func(t *testing.T, pace bool) (dropped, taken float64) {
-		hot := &flow{tenant: "hot", limit: Limit{129, 129}, rate: 300}
-		calm := &flow{tenant: "calm", limit: Limit{129, 129}, rate: 90}
-		flows := []*flow{hot, calm}
+		hot := &tenantTraffic{tenant: "hot", limit: Limit{129, 129}, rate: 300}
+		calm := &tenantTraffic{tenant: "calm", limit: Limit{129, 129}, rate: 90}
+		flows := []*tenantTraffic{hot, calm}
 		for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
-			flows = append(flows, &flow{tenant: name, limit: Limit{400, 400}, rate: 300})
+			flows = append(flows, &tenantTraffic{tenant: name, limit: Limit{400, 400}, rate: 300})
 		}
-		f := newField(t, gateways, 1, flows...)
+		f := newTestFleet(t, gateways, 1, flows...)
 		slow := false
-		var wait []letter
+		var wait []delivery
 		most, waited := 0.0, time.Duration(0)
-		f.slow = func(to *box, l letter) bool {
-			if _, ok := l.msg.(Add); !ok || to != f.boxes[0] || !slow {
+		f.holdBack = func(to *testMachine, l delivery) bool {
+			if _, ok := l.msg.(Add); !ok || to != f.machines[0] || !slow {
 				return false
 			}
 			l.at = f.now
 			wait = append(wait, l)
 			return true
 		}
-		f.each = func() {
+		f.eachStep = func() {
 			for most = min(most+0.5, 5); most >= 1 && len(wait) > 0; { // 500 a second
 				l := wait[0]
 				wait = wait[1:]
@@ -42,11 +42,11 @@
 				}
 				most--
 				taken++
-				f.take(f.boxes[0], l)
+				f.deliver(f.machines[0], l)
 			}
 			if f.now%(50*time.Millisecond) == 0 {
 				if pace {
-					f.boxes[0].counter.ReportQueueDelay(f.now, waited)
+					f.machines[0].counter.ReportQueueDelay(f.now, waited)
 				}
 				waited = 0
 			}
@@ -55,28 +55,28 @@
 		slow = true
 		f.run(20*time.Second, "") // it settles
 		dropped, taken = 0, 0
-		for _, l := range f.flows {
+		for _, l := range f.traffic {
 			l.offered, l.refused = 0, 0
 		}
 		f.run(40*time.Second, "")
-		for _, l := range []*flow{hot, calm} {
-			t.Logf("pace %v: %-4s worst 5 s %d of %d, %.4f refused", pace, l.tenant, l.worst(), l.bound(), l.part())
-			if pace && l.worst() > l.bound() {
-				t.Errorf("%s passes %d in 5 s, bound %d", l.tenant, l.worst(), l.bound())
+		for _, l := range []*tenantTraffic{hot, calm} {
+			t.Logf("pace %v: %-4s worst 5 s %d of %d, %.4f refused", pace, l.tenant, l.maxInWindow(), l.bound(), l.refusedPart())
+			if pace && l.maxInWindow() > l.bound() {
+				t.Errorf("%s passes %d in 5 s, bound %d", l.tenant, l.maxInWindow(), l.bound())
 			}
 		}
-		t.Logf("pace %v: %.0f of %.0f adds dropped; the pace is %v", pace, dropped, dropped+taken, f.boxes[0].counter.pace)
+		t.Logf("pace %v: %.0f of %.0f adds dropped; the pace is %v", pace, dropped, dropped+taken, f.machines[0].counter.sendInterval)
 		if pace {
-			if calm.part() > 0.05 {
-				t.Errorf("calm is refused %.4f", calm.part())
+			if calm.refusedPart() > 0.05 {
+				t.Errorf("calm is refused %.4f", calm.refusedPart())
 			}
 			slow = false
 			for _, l := range wait {
-				f.take(f.boxes[0], l)
+				f.deliver(f.machines[0], l)
 			}
 			wait = nil
 			f.run(50*time.Second, "")
-			if p := f.boxes[0].counter.pace; p != 0 {
+			if p := f.machines[0].counter.sendInterval; p != 0 {
 				t.Errorf("the pace is still %v", p)
 			}
 		}
--- a/internal/quotas/pack.go
+++ b/internal/quotas/pack.go
@@ -13,17 +13,17 @@
 // hash tells. Two configurations with the same limits have the same one. It never changes: a process's meter and
 // its counter share one, which can be made beside them.
 type Roster struct {
-	limits map[string]Limit
-	sum    uint64 // of all limits
-	hash   uint32 // never 0
-	names  []string
-	gaps   []uint64 // microseconds a unit
-	of     map[string]int
+	limits     map[string]Limit
+	limitsHash uint64 // of all limits
+	hash       uint32 // never 0
+	names      []string
+	intervals  []uint64 // microseconds a unit
+	index      map[string]int
 }
 
 // NewRoster keeps the limits, which must not change any more.
 func NewRoster(limits map[string]Limit) *Roster {
-	r := &Roster{limits: limits, of: make(map[string]int, len(limits)), names: make([]string, 0, len(limits))}
+	r := &Roster{limits: limits, index: make(map[string]int, len(limits)), names: make([]string, 0, len(limits))}
 	for tenant, l := range limits {
 		if l.Rate > 0 {
 			r.names = append(r.names, tenant)
@@ -34,43 +34,43 @@
 	var b []byte
 	for i, tenant := range r.names {
 		l := limits[tenant]
-		r.of[tenant], r.gaps = i, append(r.gaps, gapOf(l.Rate))
+		r.index[tenant], r.intervals = i, append(r.intervals, intervalOf(l.Rate))
 		b = binary.AppendUvarint(b[:0], uint64(len(tenant)))
 		b = append(b, tenant...)
 		b = binary.BigEndian.AppendUint64(b, math.Float64bits(l.Rate))
 		b = binary.BigEndian.AppendUint64(b, math.Float64bits(l.Burst))
 		sum.Write(b)
 	}
-	r.sum = sum.Sum64()
-	r.hash = max(1, uint32(r.sum))
+	r.limitsHash = sum.Sum64()
+	r.hash = max(1, uint32(r.limitsHash))
 	return r
 }
 
-// gapOf is a rate as messages say it.
-func gapOf(rate float64) uint64 { return uint64(1e9 / rate / 1e3) }
+// intervalOf is a rate as messages say it.
+func intervalOf(rate float64) uint64 { return uint64(1e9 / rate / 1e3) }
 
 // rosters are the newest and the one before: messages of it may be under way.
 type rosters [2]*Roster
 
-// renew takes in a configuration's, and says whether it is another one.
-func (r *rosters) renew(next *Roster) bool {
-	if r[0] != nil && r[0].sum == next.sum {
+// update takes in a configuration's, and says whether it is another one.
+func (r *rosters) update(next *Roster) bool {
+	if r[0] != nil && r[0].limitsHash == next.limitsHash {
 		return false
 	}
 	r[0], r[1] = next, r[0]
 	return true
 }
 
-// newest is the hash of the newest.
-func (r *rosters) newest() uint32 {
+// newestHash is the hash of the newest.
+func (r *rosters) newestHash() uint32 {
 	if r[0] == nil {
 		return 0
 	}
 	return r[0].hash
 }
 
-// find is the roster with a hash, if it is known here.
-func (r *rosters) find(hash uint32) *Roster {
+// byHash is the roster with a hash, if it is known here.
+func (r *rosters) byHash(hash uint32) *Roster {
 	for _, one := range r {
 		if hash != 0 && one != nil && one.hash == hash {
 			return one
@@ -84,11 +84,11 @@
 	packWhole  = 1 << iota // sums are whole units
 	packPeriod             // it has a period of its own, which follows
 	packNear
-	packGap    // another gap than the roster's follows
-	packUsed   // units in use follow
-	packFresh  // what is fresh follows,
-	packOne    // or is one unit; without either it is the sum
-	packAcross // it is before the one before
+	packGap      // another gap than the roster's follows
+	packUsed     // units in use follow
+	packFresh    // what is fresh follows,
+	packOne      // or is one unit; without either it is the sum
+	packBackward // it is before the one before
 )
 
 const (
@@ -98,28 +98,28 @@
 )
 
 // levels on the wire are eighths of units, rounded up.
-const levelGrain = milli / 8
+const levelUnit = milliUnits / 8
 
-// rounded is by how many units a level may have been rounded up.
-const rounded = 1.0 / 8
+// levelRounding is by how many units a level may have been rounded up.
+const levelRounding = 1.0 / 8
 
 // place is a tenant's in the newest roster.
 func (r *rosters) place(tenant string) (i int, ok bool) {
 	if r[0] == nil {
 		return 0, false
 	}
-	i, ok = r[0].of[tenant]
+	i, ok = r[0].index[tenant]
 	return i, ok
 }
 
-// find is a tenant's place, which is probably the k-th of these: to ask the map costs far more.
-func (r *Roster) find(tenant string, places []int32, k int) (i int, ok bool) {
+// placeOf is a tenant's place, which is probably the k-th of these: to ask the map costs far more.
+func (r *Roster) placeOf(tenant string, places []int32, k int) (i int, ok bool) {
 	if k < len(places) {
 		if i = int(places[k]); i < len(r.names) && r.names[i] == tenant {
 			return i, true
 		}
 	}
-	i, ok = r.of[tenant]
+	i, ok = r.index[tenant]
 	return i, ok
 }
 
@@ -128,15 +128,15 @@
 func (r *Roster) pack(period uint64, items []Item, places []int32) (packed []byte, rest []Item) {
 	last := 0
 	for k, it := range items {
-		i, ok := r.find(it.Tenant, places, k)
+		i, ok := r.placeOf(it.Tenant, places, k)
 		if !ok {
 			rest = append(rest, it)
 			continue
 		}
 		var flags byte
 		unit := uint64(1)
-		if it.Sum%milli == 0 && it.Unreported%milli == 0 {
-			flags, unit = packWhole, milli
+		if it.Sum%milliUnits == 0 && it.Unreported%milliUnits == 0 {
+			flags, unit = packWhole, milliUnits
 		}
 		if it.Period != period {
 			flags |= packPeriod
@@ -144,16 +144,16 @@
 		if it.NearLimit {
 			flags |= packNear
 		}
-		if it.Interval != r.gaps[i] {
+		if it.Interval != r.intervals[i] {
 			flags |= packGap
 		}
-		used := (max(it.Used, 1) - 1) / milli // it only lifts a level, so that less is no harm
+		used := (max(it.Used, 1) - 1) / milliUnits // it only lifts a level, so that less is no harm
 		if used > 0 {
 			flags |= packUsed
 		}
 		switch it.Unreported {
 		case it.Sum:
-		case milli:
+		case milliUnits:
 			flags |= packOne
 		default:
 			flags |= packFresh
@@ -180,22 +180,22 @@
 func (r *Roster) next(packed []byte, last *int, i int, flags byte) []byte {
 	step := i - *last
 	if *last = i; step < 0 {
-		step, flags = -step, flags|packAcross
+		step, flags = -step, flags|packBackward
 	}
 	return append(binary.AppendUvarint(packed, uint64(step)), flags)
 }
 
-// unpacking reads what was packed; once it is spoilt it stays so.
-type unpacking struct {
-	b      []byte
-	last   int
-	spoilt bool
+// unpacker reads what was packed; once it is spoilt it stays so.
+type unpacker struct {
+	b       []byte
+	last    int
+	invalid bool
 }
 
-func (u *unpacking) number() uint64 {
+func (u *unpacker) uvarint() uint64 {
 	v, n := binary.Uvarint(u.b)
 	if n <= 0 {
-		u.b, u.spoilt = nil, true
+		u.b, u.invalid = nil, true
 		return 0
 	}
 	u.b = u.b[n:]
@@ -203,20 +203,20 @@
 }
 
 // next is a number in the roster, and flags.
-func (u *unpacking) next(r *Roster) (i int, flags byte) {
-	step := u.number()
+func (u *unpacker) next(r *Roster) (i int, flags byte) {
+	step := u.uvarint()
 	if len(u.b) == 0 || step > uint64(len(r.names)) {
-		u.b, u.spoilt = nil, true
+		u.b, u.invalid = nil, true
 		return 0, 0
 	}
 	flags, u.b = u.b[0], u.b[1:]
-	if flags&packAcross != 0 {
+	if flags&packBackward != 0 {
 		u.last -= int(step)
 	} else {
 		u.last += int(step)
 	}
 	if u.last < 0 || u.last >= len(r.names) {
-		u.b, u.spoilt = nil, true
+		u.b, u.invalid = nil, true
 		return 0, 0
 	}
 	return u.last, flags
@@ -225,7 +225,7 @@
 // unit is the grain of sums by the flags.
 func unit(flags byte) uint64 {
 	if flags&packWhole != 0 {
-		return milli
+		return milliUnits
 	}
 	return 1
 }
@@ -235,29 +235,29 @@
 	if len(packed) > 0 {
 		out, places = make([]Item, 0, len(packed)/3), make([]int32, 0, len(packed)/3)
 	}
-	for u := (unpacking{b: packed}); len(u.b) > 0 || u.spoilt; {
+	for u := (unpacker{b: packed}); len(u.b) > 0 || u.invalid; {
 		i, flags := u.next(r)
-		if u.spoilt {
+		if u.invalid {
 			return nil, nil, false
 		}
-		it := Item{Tenant: r.names[i], Period: period, Interval: r.gaps[i], NearLimit: flags&packNear != 0}
+		it := Item{Tenant: r.names[i], Period: period, Interval: r.intervals[i], NearLimit: flags&packNear != 0}
 		if flags&packPeriod != 0 {
-			it.Period = u.number()
+			it.Period = u.uvarint()
 		}
-		it.Sum = u.number() * unit(flags)
+		it.Sum = u.uvarint() * unit(flags)
 		switch it.Unreported = it.Sum; {
 		case flags&packOne != 0:
-			it.Unreported = milli
+			it.Unreported = milliUnits
 		case flags&packFresh != 0:
-			it.Unreported = u.number() * unit(flags)
+			it.Unreported = u.uvarint() * unit(flags)
 		}
 		if flags&packGap != 0 {
-			it.Interval = u.number()
+			it.Interval = u.uvarint()
 		}
 		if flags&packUsed != 0 {
-			it.Used = u.number()*milli + 1
+			it.Used = u.uvarint()*milliUnits + 1
 		}
-		if u.spoilt {
+		if u.invalid {
 			return nil, nil, false
 		}
 		out, places = append(out, it), append(places, int32(i))
@@ -272,15 +272,15 @@
 		packed = make([]byte, 0, 6*len(totals))
 	}
 	for k, t := range totals {
-		i, ok := r.find(t.Tenant, places, k)
+		i, ok := r.placeOf(t.Tenant, places, k)
 		if !ok {
 			rest = append(rest, t)
 			continue
 		}
 		var flags byte
 		unit := uint64(1)
-		if t.Others%milli == 0 && t.Own%milli == 0 {
-			flags, unit = packWhole, milli
+		if t.Others%milliUnits == 0 && t.Own%milliUnits == 0 {
+			flags, unit = packWhole, milliUnits
 		}
 		if t.Period != period {
 			flags |= packPeriod
@@ -303,7 +303,7 @@
 			packed = binary.AppendUvarint(packed, t.Own/unit)
 		}
 		if flags&packLevel != 0 {
-			packed = binary.AppendUvarint(packed, (t.Level+levelGrain-1)/levelGrain)
+			packed = binary.AppendUvarint(packed, (t.Level+levelUnit-1)/levelUnit)
 		}
 	}
 	return packed, rest
@@ -311,23 +311,23 @@
 
 // totals reads what packTotals has written.
 func (r *Roster) totals(period uint64, packed []byte) (out []Total, ok bool) {
-	for u := (unpacking{b: packed}); len(u.b) > 0 || u.spoilt; {
+	for u := (unpacker{b: packed}); len(u.b) > 0 || u.invalid; {
 		i, flags := u.next(r)
-		if u.spoilt {
+		if u.invalid {
 			return nil, false
 		}
 		t := Total{Tenant: r.names[i], Period: period, LevelKnown: flags&packSure != 0}
 		if flags&packPeriod != 0 {
-			t.Period = u.number()
+			t.Period = u.uvarint()
 		}
-		t.Others = u.number() * unit(flags)
+		t.Others = u.uvarint() * unit(flags)
 		if flags&packMine != 0 {
-			t.Own = u.number() * unit(flags)
+			t.Own = u.uvarint() * unit(flags)
 		}
 		if flags&packLevel != 0 {
-			t.Level = u.number() * levelGrain
+			t.Level = u.uvarint() * levelUnit
 		}
-		if u.spoilt {
+		if u.invalid {
 			return nil, false
 		}
 		out = append(out, t)
--- a/internal/quotas/pack_test.go
+++ b/internal/quotas/pack_test.go
@@ -21,7 +21,7 @@
 	units := func() uint64 {
 		u := uint64(rng.IntN(3000))
 		if rng.IntN(3) > 0 {
-			u *= milli
+			u *= milliUnits
 		}
 		return u
 	}
@@ -34,18 +34,18 @@
 		}
 		for range rng.IntN(20) {
 			name, period := fmt.Sprintf("t%d", rng.IntN(300)), 7+uint64(rng.IntN(2))
-			it := Item{Tenant: name, Period: period, Sum: units(), Unreported: units(), Interval: gapOf(limits[name].Rate), NearLimit: rng.IntN(2) == 0}
+			it := Item{Tenant: name, Period: period, Sum: units(), Unreported: units(), Interval: intervalOf(limits[name].Rate), NearLimit: rng.IntN(2) == 0}
 			if rng.IntN(2) == 0 {
 				it.Interval, it.Used, it.Unreported = uint64(rng.IntN(2e6)), uint64(rng.IntN(5000)), it.Sum
 			}
 			want := it
-			if want.Used = (max(it.Used, 1) - 1) / milli * milli; want.Used > 0 {
+			if want.Used = (max(it.Used, 1) - 1) / milliUnits * milliUnits; want.Used > 0 {
 				want.Used++
 			}
 			items, back = append(items, it), append(back, want)
 			tot := Total{Tenant: name, Period: period, Others: units(), Own: units(), Level: uint64(rng.IntN(9000)), LevelKnown: rng.IntN(2) == 0}
 			totals = append(totals, tot)
-			tot.Level = (tot.Level + levelGrain - 1) / levelGrain * levelGrain
+			tot.Level = (tot.Level + levelUnit - 1) / levelUnit * levelUnit
 			sums = append(sums, tot)
 		}
 		packed, rest := r.pack(7, append(items, Item{Tenant: "another"}), guesses)
@@ -103,14 +103,14 @@
 		"configurations late": {nil, "", true, 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hot := &flow{tenant: "hot", limit: Limit{129, 129}, rate: 600}
-			calm := &flow{tenant: "calm", limit: Limit{129, 129}, rate: 100}
-			f := newField(t, 7, 1, hot, calm, &flow{tenant: "tiny", limit: Limit{13, 13}, rate: 100})
+			hot := &tenantTraffic{tenant: "hot", limit: Limit{129, 129}, rate: 600}
+			calm := &tenantTraffic{tenant: "calm", limit: Limit{129, 129}, rate: 100}
+			f := newTestFleet(t, 7, 1, hot, calm, &tenantTraffic{tenant: "tiny", limit: Limit{13, 13}, rate: 100})
 			for _, i := range c.olds {
-				f.boxes[i].old = true
+				f.machines[i].oldVersion = true
 			}
 			named, packed, brief := 0, 0, 0
-			f.wire = func(from, to *box, msg any) {
+			f.onSend = func(from, to *testMachine, msg any) {
 				if a, ok := msg.(Add); ok && from != to {
 					if len(a.Items) > 0 {
 						named++
@@ -125,11 +125,11 @@
 			}
 			for until, n := 10*time.Second, 0; until <= 40*time.Second; until, n = until+time.Second, n+1 {
 				f.run(until, c.script)
-				c.script = after(c.script, until)
+				c.script = scriptFrom(c.script, until)
 				if c.later {
 					more := f.limits()
 					more[fmt.Sprintf("a%d", n)] = Limit{1 + float64(n), 5} // all numbers move
-					for i, b := range f.boxes {
+					for i, b := range f.machines {
 						b.meter.SetLimits(f.now, more)
 						if i > 1 || n%3 == 0 {
 							b.counter.SetLimits(more)
@@ -137,14 +137,14 @@
 					}
 				}
 			}
-			for _, l := range f.flows {
-				t.Logf("%-4s passed %d refused %.4f worst 5 s %d of %d", l.tenant, len(l.passed), l.part(), l.worst(), l.bound())
-				if l.worst() > l.bound() {
-					t.Errorf("%s passes %d in 5 s, bound %d", l.tenant, l.worst(), l.bound())
+			for _, l := range f.traffic {
+				t.Logf("%-4s passed %d refused %.4f worst 5 s %d of %d", l.tenant, len(l.passed), l.refusedPart(), l.maxInWindow(), l.bound())
+				if l.maxInWindow() > l.bound() {
+					t.Errorf("%s passes %d in 5 s, bound %d", l.tenant, l.maxInWindow(), l.bound())
 				}
 			}
-			if calm.part() > 0.01 || len(hot.passed) < 129*35*9/10 {
-				t.Errorf("calm refused %.4f, hot passed %d", calm.part(), len(hot.passed))
+			if calm.refusedPart() > 0.01 || len(hot.passed) < 129*35*9/10 {
+				t.Errorf("calm refused %.4f, hot passed %d", calm.refusedPart(), len(hot.passed))
 			}
 			if by := float64(named) / float64(named+packed); by > c.byName {
 				t.Errorf("%.3f of the adds by names", by)
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -33,27 +33,27 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(2) {
-				hot := &flow{tenant: "hot", limit: Limit{129, 129}, rate: 600, skew: 0.25}
-				calm := &flow{tenant: "calm", limit: Limit{129, 129}, rate: 116}
-				f := newField(t, 11, seed, hot, calm,
-					&flow{tenant: "tiny", limit: Limit{13, 13}, rate: 100},
-					&flow{tenant: "late", limit: Limit{129, 129}, burst: 1200, every: 6 * time.Second},
-					&flow{tenant: "flood", limit: Limit{129, 129}, burst: 900, every: 9 * time.Second,
-						over: 1500 * time.Millisecond},
-					&flow{tenant: "wide", limit: Limit{129, 129}, burst: 110, every: 3 * time.Second,
-						over: 300 * time.Millisecond},
-					&flow{tenant: "one", limit: Limit{129, 129}, burst: 110, every: 3 * time.Second,
-						over: 300 * time.Millisecond, one: true})
+				hot := &tenantTraffic{tenant: "hot", limit: Limit{129, 129}, rate: 600, firstGatewayPart: 0.25}
+				calm := &tenantTraffic{tenant: "calm", limit: Limit{129, 129}, rate: 116}
+				f := newTestFleet(t, 11, seed, hot, calm,
+					&tenantTraffic{tenant: "tiny", limit: Limit{13, 13}, rate: 100},
+					&tenantTraffic{tenant: "late", limit: Limit{129, 129}, burst: 1200, burstInterval: 6 * time.Second},
+					&tenantTraffic{tenant: "flood", limit: Limit{129, 129}, burst: 900, burstInterval: 9 * time.Second,
+						burstSpread: 1500 * time.Millisecond},
+					&tenantTraffic{tenant: "wide", limit: Limit{129, 129}, burst: 110, burstInterval: 3 * time.Second,
+						burstSpread: 300 * time.Millisecond},
+					&tenantTraffic{tenant: "one", limit: Limit{129, 129}, burst: 110, burstInterval: 3 * time.Second,
+						burstSpread: 300 * time.Millisecond, burstToOne: true})
 				f.run(45*time.Second, c.script)
-				for _, l := range f.flows {
+				for _, l := range f.traffic {
 					t.Logf("%-5s offered %5d passed %5d refused %.4f worst 5 s %d of %d", l.tenant,
-						l.offered, len(l.passed), l.part(), l.worst(), l.bound())
-					if l.worst() > l.bound() {
-						t.Errorf("seed %d: %s passes %d in 5 s, bound %d", seed, l.tenant, l.worst(), l.bound())
+						l.offered, len(l.passed), l.refusedPart(), l.maxInWindow(), l.bound())
+					if l.maxInWindow() > l.bound() {
+						t.Errorf("seed %d: %s passes %d in 5 s, bound %d", seed, l.tenant, l.maxInWindow(), l.bound())
 					}
 				}
-				if calm.part() > c.calm {
-					t.Errorf("seed %d: %.4f of the requests in quota refused", seed, calm.part())
+				if calm.refusedPart() > c.calm {
+					t.Errorf("seed %d: %.4f of the requests in quota refused", seed, calm.refusedPart())
 				}
 				if len(hot.passed) < 129*40*9/10 {
 					t.Errorf("seed %d: of the hot tenant only %d pass", seed, len(hot.passed))
@@ -82,16 +82,16 @@
 			script += fmt.Sprintf("%f %s %d\n%f nodes %d 0 1\n", at+last, fault[1], x, at+last+1, n)
 			at += last
 		}
-		calm := &flow{tenant: "calm", limit: Limit{129, 129}, rate: 116}
-		f := newField(t, n, seed, calm,
-			&flow{tenant: "hot", limit: Limit{129, 129}, rate: 900, skew: 0.2},
-			&flow{tenant: "tiny", limit: Limit{20, 20}, rate: 150})
+		calm := &tenantTraffic{tenant: "calm", limit: Limit{129, 129}, rate: 116}
+		f := newTestFleet(t, n, seed, calm,
+			&tenantTraffic{tenant: "hot", limit: Limit{129, 129}, rate: 900, firstGatewayPart: 0.2},
+			&tenantTraffic{tenant: "tiny", limit: Limit{20, 20}, rate: 150})
 		f.run(60*time.Second, script)
-		for _, l := range f.flows {
-			t.Logf("%-4s refused %.4f worst 5 s %d of %d", l.tenant, l.part(), l.worst(), l.bound())
-			if l.worst() > l.bound() || l == calm && l.part() > 0.01 {
+		for _, l := range f.traffic {
+			t.Logf("%-4s refused %.4f worst 5 s %d of %d", l.tenant, l.refusedPart(), l.maxInWindow(), l.bound())
+			if l.maxInWindow() > l.bound() || l == calm && l.refusedPart() > 0.01 {
 				t.Errorf("seed %d: %s passes %d in 5 s, bound %d, refused %.4f\n%s",
-					seed, l.tenant, l.worst(), l.bound(), l.part(), script)
+					seed, l.tenant, l.maxInWindow(), l.bound(), l.refusedPart(), script)
 			}
 		}
 	}
@@ -102,8 +102,8 @@
 	m := NewMeter("a", 1, 1)
 	m.SetGateways(0, 1, []string{"a"})
 	m.SetLimits(0, map[string]Limit{"t": {10, 3}})
-	e := m.entries["t"]
-	e.seen, e.tat = true, time.Second
+	e := m.tenants["t"]
+	e.levelRead, e.tat = true, time.Second
 	for _, s := range []struct {
 		ms    int
 		units float64
@@ -130,10 +130,10 @@
 	now := time.Hour
 	set := func(rate, burst float64) float64 {
 		m.SetLimits(now, map[string]Limit{"t": {rate, burst}})
-		return m.entries["t"].room(now)
+		return m.tenants["t"].available(now)
 	}
 	set(10, 10)
-	m.entries["t"].seen, m.entries["t"].tat = true, now+400*time.Millisecond
+	m.tenants["t"].levelRead, m.tenants["t"].tat = true, now+400*time.Millisecond
 	for _, l := range []struct{ rate, burst, room float64 }{
 		{10, 10, 6}, {100, 100, 6}, {1, 100, 6}, {10, 4, 4}, {10, 10, 4}, {0.5, 1, 1}, {50, 500, 1},
 	} {
@@ -147,7 +147,7 @@
 func TestSums(t *testing.T) {
 	c := NewCounter("h", 1)
 	ask := func(from string, life, sum uint64) Total {
-		p := c.high
+		p := c.highestPeriod
 		out := c.Receive(time.Minute, from, Add{Incarnation: life, Period: p, Read: true,
 			Items: []Item{{Tenant: "t", Period: p, Sum: sum, Unreported: sum, Interval: 1000}}})
 		got := out[0].Msg.(Answer).Totals[0]
@@ -171,11 +171,11 @@
 			t.Fatalf("step %d: %s", i, diff)
 		}
 	}
-	if l := c.ledgers["t"].level; l < 8.9 || l > 9.1 {
+	if l := c.tenants["t"].level; l < 8.9 || l > 9.1 {
 		t.Errorf("level %v of 9 units passed", l)
 	}
 	c.Tick(2 * time.Minute)
-	if len(c.ledgers) > 0 {
+	if len(c.tenants) > 0 {
 		t.Error("names outlive their periods")
 	}
 }
@@ -207,7 +207,7 @@
 	level := func(it Item) float64 {
 		it.Tenant, it.Period, it.Interval = "t", 7, 1e6
 		c.Receive(time.Minute, "a", Add{Incarnation: 1, Period: 7, Items: []Item{it}})
-		return c.ledgers["t"].level
+		return c.tenants["t"].level
 	}
 	for i, s := range []struct {
 		it   Item
@@ -230,9 +230,9 @@
 	m := NewMeter("a", 1, 1)
 	m.SetGateways(0, 10, []string{"b", "c"})
 	m.SetLimits(0, map[string]Limit{"t": {100, 1000}})
-	now, e := time.Minute, m.entries["t"]
+	now, e := time.Minute, m.tenants["t"]
 	m.tickAt = now
-	e.seen, e.tat, e.readAt, e.readRoom = true, now, now, 1000
+	e.levelRead, e.tat, e.readAt, e.availableAtRead = true, now, now, 1000
 	passed := 0
 	for ok := true; ok; passed++ {
 		ok, _ = m.Allow(now, "t", 1)
@@ -242,23 +242,23 @@
 	}
 	for _, period := range []uint64{1, 2, 3} {
 		m.prev, m.period = m.period, period
-		m.touch(now, e)
-		if !e.seen {
+		m.refresh(now, e)
+		if !e.levelRead {
 			t.Fatalf("unseen in period %d", period)
 		}
 	}
 	m.prev, m.period = 4, 5
-	if m.touch(now, e); e.seen {
+	if m.refresh(now, e); e.levelRead {
 		t.Error("seen after two periods at once")
 	}
 }
 
 // TestRest: once all has been told, nothing is sent for tenants that rest.
 func TestRest(t *testing.T) {
-	f := newField(t, 3, 1, &flow{tenant: "t", limit: Limit{10, 10}, burst: 20, every: 5 * time.Second})
+	f := newTestFleet(t, 3, 1, &tenantTraffic{tenant: "t", limit: Limit{10, 10}, burst: 20, burstInterval: 5 * time.Second})
 	f.run(6*time.Second, "")
 	before := f.sends
-	f.flows[0].burst = 0
+	f.traffic[0].burst = 0
 	f.run(9*time.Second, "")
 	settled := f.sends
 	f.run(60*time.Second, "")
@@ -269,11 +269,11 @@
 
 // BenchmarkFleet is a second of 91 gateways and 85 tenants, 2,000 requests.
 func BenchmarkFleet(b *testing.B) {
-	var flows []*flow
+	var flows []*tenantTraffic
 	for i := range 85 {
-		flows = append(flows, &flow{tenant: "tenant-" + string(rune('0'+i)), limit: Limit{30, 30}, rate: 23.5})
+		flows = append(flows, &tenantTraffic{tenant: "tenant-" + string(rune('0'+i)), limit: Limit{30, 30}, rate: 23.5})
 	}
-	f := newField(nil, 91, 1, flows...)
+	f := newTestFleet(nil, 91, 1, flows...)
 	f.run(10*time.Second, "")
 	sends := f.sends
 	for _, l := range flows {
@@ -282,7 +282,7 @@
 	for b.Loop() {
 		f.run(f.now+time.Second, "")
 	}
-	b.ReportMetric(flows[7].part()*100, "%refused")
+	b.ReportMetric(flows[7].refusedPart()*100, "%refused")
 	b.ReportMetric(float64(f.sends-sends)/float64(b.N), "messages/s")
 }
 
--- a/internal/quotas/least_test.go
+++ b/internal/quotas/roundtrip_test.go
@@ -12,23 +12,23 @@
 	var w roundTrip
 	is := func(gap, want time.Duration) {
 		t.Helper()
-		if got := w.stretch(gap); got != want {
-			t.Errorf("way %v: gap %v is %v, want %v", w.lately(), gap, got, want)
+		if got := w.extend(gap); got != want {
+			t.Errorf("way %v: gap %v is %v, want %v", w.value(), gap, got, want)
 		}
 	}
 	is(retryGap, retryGap) // nothing measured
-	w.note(0, 900*ms)
-	is(retryGap, retryGap+(farthest-retryGap)*5/4)
-	w.note(10*ms, 110*ms)
-	w.note(20*ms, 400*ms) // held up
+	w.observe(0, 900*ms)
+	is(retryGap, retryGap+(maxRoundTrip-retryGap)*5/4)
+	w.observe(10*ms, 110*ms)
+	w.observe(20*ms, 400*ms) // held up
 	is(retryGap, 60*ms+50*ms*5/4)
-	is(lostGap, 90*ms+20*ms*5/4)
-	is(mutedGap, mutedGap)
-	w.note(30*ms, 30*ms)
-	is(freshGap, freshGap)
-	w.note(31*time.Second, 110*ms) // the way has become longer
+	is(probeTimeout, 90*ms+20*ms*5/4)
+	is(silentAfter, silentAfter)
+	w.observe(30*ms, 30*ms)
+	is(freshAnswer, freshAnswer)
+	w.observe(31*time.Second, 110*ms) // the way has become longer
 	is(retryGap, retryGap)
-	w.note(62*time.Second, 110*ms)
+	w.observe(62*time.Second, 110*ms)
 	is(retryGap, 60*ms+50*ms*5/4)
 }
 
@@ -56,7 +56,7 @@
 			t.Errorf("mute %v after %v", !mute, after)
 		}
 	}
-	if m.silent(now+mutedGap) || m.answers(now+mutedGap+63*time.Millisecond, 0) {
+	if m.holdersSilent(now+silentAfter) || m.holderAnswers(now+silentAfter+63*time.Millisecond, 0) {
 		t.Error("taken as silent too early, or never")
 	}
 }
@@ -82,13 +82,13 @@
 					}
 				}
 			}
-			if c.sights.missing(asked+80*time.Millisecond) != 0 {
+			if c.detector.missing(asked+80*time.Millisecond) != 0 {
 				t.Error("out of sight before the gap is over")
 			}
-			if lost := c.sights.missing(asked+100*time.Millisecond) > 0; lost != (c.sights.seen["b"].way.lately() == 0) {
+			if lost := c.detector.missing(asked+100*time.Millisecond) > 0; lost != (c.detector.peers["b"].rtt.value() == 0) {
 				t.Errorf("stamped %v: out of sight after 100 ms: %v", stamped, lost)
 			}
-			if c.sights.missing(asked+120*time.Millisecond) != 1 {
+			if c.detector.missing(asked+120*time.Millisecond) != 1 {
 				t.Error("in sight after 120 ms")
 			}
 			sign := Add{Incarnation: 1, AnswersProbes: true}
@@ -98,7 +98,7 @@
 			now = asked + 110*time.Millisecond
 			c.Receive(now, "b", sign)
 		}
-		if known := c.sights.seen["b"].way.lately() == 110*time.Millisecond; known != stamped {
+		if known := c.detector.peers["b"].rtt.value() == 110*time.Millisecond; known != stamped {
 			t.Errorf("stamped %v: the way is known: %v", stamped, known)
 		}
 	}
--- a/internal/quotas/sim_test.go
+++ b/internal/quotas/sim_test.go
@@ -13,109 +13,109 @@
 	"asterwell/internal/fsm"
 )
 
-// box is one machine: a gateway, and a counter that may be a holder.
-type box struct {
-	addr              string
-	life              uint64
-	meter             *Meter
-	counter           *Counter
-	dead, cut, frozen bool // those cut off reach each other
-	old               bool // runs the program of the version before, as far as messages tell
-	mail              []letter
-	queue             []string // requests that wait for a frozen gateway
-	tickAt            time.Duration
+// testMachine is one machine: a gateway, and a counter that may be a holder.
+type testMachine struct {
+	addr                      string
+	incarnation               uint64
+	meter                     *Meter
+	counter                   *Counter
+	dead, partitioned, frozen bool // those cut off reach each other
+	oldVersion                bool // runs the program of the version before, as far as messages tell
+	undelivered               []delivery
+	waiting                   []string // requests that wait for a frozen gateway
+	tickAt                    time.Duration
 }
 
-type letter struct {
+type delivery struct {
 	at       time.Duration
 	from, to string
 	msg      any
 }
 
-// flow offers requests of a tenant: at a rate, or in bursts every so often.
-type flow struct {
-	tenant string
-	limit  Limit
-	rate   float64
-	skew   float64 // part of it that goes to the first gateway
-	burst  int
-	every  time.Duration // between bursts
-	over   time.Duration // a burst is spread over
-	one    bool          // a burst goes to one gateway
-	retry  int           // how often a client that is refused comes back at once
-	target *box
+// tenantTraffic offers requests of a tenant: at a rate, or in bursts every so often.
+type tenantTraffic struct {
+	tenant           string
+	limit            Limit
+	rate             float64
+	firstGatewayPart float64 // part of it that goes to the first gateway
+	burst            int
+	burstInterval    time.Duration // between bursts
+	burstSpread      time.Duration // a burst is spread over
+	burstToOne       bool          // a burst goes to one gateway
+	clientRetries    int           // how often a client that is refused comes back at once
+	target           *testMachine
 
 	passed  []time.Duration
 	offered int
 	refused int
 }
 
-type field struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     time.Duration
-	boxes   []*box
-	air     []letter
-	loss    float64
-	flows   []*flow
-	nodes   int
-	holders []string
-	sends   int
-	again   []again
-	byAddr  map[string]*box
-	wire    func(from, to *box, msg any)      // of each message that is sent, once
-	ticks   func(b *box)                      // before each tick of a meter
-	delay   func(from, to *box) time.Duration // one way, above the millisecond or two of all
-	slow    func(to *box, l letter) bool      // says whether it takes a letter for later
-	each    func()                            // each ms
+type testFleet struct {
+	t          *testing.T
+	rng        *rand.Rand
+	now        time.Duration
+	machines   []*testMachine
+	inFlight   []delivery
+	loss       float64
+	traffic    []*tenantTraffic
+	nodes      int
+	holders    []string
+	sends      int
+	retries    []clientRetry
+	byAddr     map[string]*testMachine
+	onSend     func(from, to *testMachine, msg any)      // of each message that is sent, once
+	beforeTick func(b *testMachine)                      // before each tick of a meter
+	delay      func(from, to *testMachine) time.Duration // one way, above the millisecond or two of all
+	holdBack   func(to *testMachine, l delivery) bool    // says whether it takes a letter for later
+	eachStep   func()                                    // each ms
 }
 
-// again is a refused request that comes back.
-type again struct {
+// clientRetry is a refused request that comes back.
+type clientRetry struct {
 	at   time.Duration
-	flow *flow
+	flow *tenantTraffic
 	left int
 }
 
-func newField(t *testing.T, n int, seed uint64, flows ...*flow) *field {
-	f := &field{t: t, rng: rand.New(rand.NewPCG(seed, 1)), flows: flows, nodes: n, byAddr: map[string]*box{}}
+func newTestFleet(t *testing.T, n int, seed uint64, flows ...*tenantTraffic) *testFleet {
+	f := &testFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), traffic: flows, nodes: n, byAddr: map[string]*testMachine{}}
 	for i := range n {
-		b := &box{addr: fmt.Sprintf("10.0.0.%d:7", i)}
-		f.boxes, f.byAddr[b.addr] = append(f.boxes, b), b
+		b := &testMachine{addr: fmt.Sprintf("10.0.0.%d:7", i)}
+		f.machines, f.byAddr[b.addr] = append(f.machines, b), b
 	}
-	f.holders = []string{f.boxes[0].addr, f.boxes[1].addr}
-	for _, b := range f.boxes {
+	f.holders = []string{f.machines[0].addr, f.machines[1].addr}
+	for _, b := range f.machines {
 		f.boot(b)
 	}
-	f.meet()
+	f.announceGateways()
 	return f
 }
 
-func (f *field) limits() map[string]Limit {
+func (f *testFleet) limits() map[string]Limit {
 	out := map[string]Limit{}
-	for _, l := range f.flows {
+	for _, l := range f.traffic {
 		out[l.tenant] = l.limit
 	}
 	return out
 }
 
-func (f *field) boot(b *box) {
-	b.life++
-	b.dead, b.queue, b.mail = false, nil, nil
-	b.meter = NewMeter(b.addr, b.life, f.rng.Uint64())
-	b.counter = NewCounter(b.addr, b.life)
+func (f *testFleet) boot(b *testMachine) {
+	b.incarnation++
+	b.dead, b.waiting, b.undelivered = false, nil, nil
+	b.meter = NewMeter(b.addr, b.incarnation, f.rng.Uint64())
+	b.counter = NewCounter(b.addr, b.incarnation)
 	b.meter.SetLimits(f.now, f.limits())
 	b.counter.SetLimits(f.limits())
 	b.meter.SetGateways(f.now, f.nodes, f.holders)
 	b.tickAt = f.now + time.Duration(f.rng.IntN(50))*time.Millisecond
 }
 
-// meet tells the counters which gateways there are, as those in touch see it.
-func (f *field) meet() {
-	for _, b := range f.boxes {
+// announceGateways tells the counters which gateways there are, as those in touch see it.
+func (f *testFleet) announceGateways() {
+	for _, b := range f.machines {
 		var there []string
-		for _, o := range f.boxes {
-			if !o.dead && o.cut == b.cut {
+		for _, o := range f.machines {
+			if !o.dead && o.partitioned == b.partitioned {
 				there = append(there, o.addr)
 			}
 		}
@@ -123,8 +123,8 @@
 	}
 }
 
-// obey runs one line of a script: "kill 0", "nodes 10 1 2", ...
-func (f *field) obey(line string) {
+// runCommand runs one line of a script: "kill 0", "nodes 10 1 2", ...
+func (f *testFleet) runCommand(line string) {
 	w := strings.Fields(line)
 	var nums []int
 	for _, s := range w[1:] {
@@ -135,66 +135,66 @@
 	case "nodes", "there": // as those in touch, or those cut off, see it
 		var holders []string
 		for _, n := range nums[1:] {
-			holders = append(holders, f.boxes[n].addr)
+			holders = append(holders, f.machines[n].addr)
 		}
 		if w[0] == "nodes" {
 			f.nodes, f.holders = nums[0], holders
 		}
-		for _, b := range f.boxes {
-			if !b.dead && b.cut == (w[0] == "there") {
+		for _, b := range f.machines {
+			if !b.dead && b.partitioned == (w[0] == "there") {
 				b.meter.SetGateways(f.now, nums[0], holders)
 			}
 		}
-		f.meet()
+		f.announceGateways()
 		return
 	case "loss":
 		f.loss = float64(nums[0]) / 100
 		return
 	}
 	for _, n := range nums {
-		b := f.boxes[n]
+		b := f.machines[n]
 		switch w[0] {
 		case "kill":
 			b.dead = true
 		case "boot":
 			f.boot(b)
 		case "cut":
-			b.cut = true
+			b.partitioned = true
 		case "heal":
-			b.cut = false
+			b.partitioned = false
 			b.meter.SetGateways(f.now, f.nodes, f.holders)
 		case "old", "new":
-			b.old = w[0] == "old"
+			b.oldVersion = w[0] == "old"
 		case "freeze":
 			b.frozen = true
 		case "thaw":
 			b.frozen = false
-			for _, l := range b.mail {
-				f.take(b, l)
+			for _, l := range b.undelivered {
+				f.deliver(b, l)
 			}
-			for _, tenant := range b.queue { // late for their clients: refusing them is no loss
-				l := f.flow(tenant)
+			for _, tenant := range b.waiting { // late for their clients: refusing them is no loss
+				l := f.trafficOf(tenant)
 				offered, refused := l.offered, l.refused
 				f.pass(b, tenant)
 				l.offered, l.refused = offered, refused
 			}
-			b.mail, b.queue = nil, nil
+			b.undelivered, b.waiting = nil, nil
 		default:
 			f.t.Fatalf("script: %q", line)
 		}
 	}
 }
 
-func (f *field) at(addr string) *box { return f.byAddr[addr] }
+func (f *testFleet) machineAt(addr string) *testMachine { return f.byAddr[addr] }
 
-func (f *field) post(b *box, sends []fsm.Send) {
+func (f *testFleet) send(b *testMachine, sends []fsm.Send) {
 	for _, s := range sends {
 		f.sends++
-		if b.old {
+		if b.oldVersion {
 			s.Msg = old(s.Msg)
 		}
-		if f.wire != nil {
-			f.wire(b, f.at(s.To), s.Msg)
+		if f.onSend != nil {
+			f.onSend(b, f.machineAt(s.To), s.Msg)
 		}
 		for range 1 + f.rng.IntN(50)/49 { // some come twice
 			if f.rng.Float64() < f.loss {
@@ -205,30 +205,30 @@
 				d += 300 * time.Millisecond // and some late
 			}
 			if f.delay != nil {
-				d += f.delay(b, f.at(s.To))
+				d += f.delay(b, f.machineAt(s.To))
 			}
 			if s.To == b.addr {
 				d = 0
 			}
-			f.air = append(f.air, letter{at: f.now + d, from: b.addr, to: s.To, msg: s.Msg})
+			f.inFlight = append(f.inFlight, delivery{at: f.now + d, from: b.addr, to: s.To, msg: s.Msg})
 		}
 	}
 }
 
-func (f *field) take(b *box, l letter) {
-	if b.old {
+func (f *testFleet) deliver(b *testMachine, l delivery) {
+	if b.oldVersion {
 		l.msg = old(l.msg)
 	}
-	f.post(b, b.counter.Receive(f.now, l.from, l.msg))
-	f.post(b, b.meter.Receive(f.now, l.from, l.msg))
+	f.send(b, b.counter.Receive(f.now, l.from, l.msg))
+	f.send(b, b.meter.Receive(f.now, l.from, l.msg))
 }
 
-func (f *field) flow(tenant string) *flow {
-	return f.flows[slices.IndexFunc(f.flows, func(l *flow) bool { return l.tenant == tenant })]
+func (f *testFleet) trafficOf(tenant string) *tenantTraffic {
+	return f.traffic[slices.IndexFunc(f.traffic, func(l *tenantTraffic) bool { return l.tenant == tenant })]
 }
 
-func (f *field) pass(b *box, tenant string) bool {
-	l := f.flow(tenant)
+func (f *testFleet) pass(b *testMachine, tenant string) bool {
+	l := f.trafficOf(tenant)
 	l.offered++
 	ok, after := b.meter.Allow(f.now, tenant, 1)
 	if ok {
@@ -243,98 +243,100 @@
 }
 
 // offer sends a request to a gateway that is up, as the clients' side would.
-func (f *field) offer(l *flow, to *box) { f.offers(l, to, l.retry) }
+func (f *testFleet) offer(l *tenantTraffic, to *testMachine) {
+	f.offerWithRetries(l, to, l.clientRetries)
+}
 
-func (f *field) offers(l *flow, to *box, left int) {
+func (f *testFleet) offerWithRetries(l *tenantTraffic, to *testMachine, left int) {
 	for to.dead {
-		to = f.boxes[f.rng.IntN(len(f.boxes))]
+		to = f.machines[f.rng.IntN(len(f.machines))]
 	}
 	if to.frozen {
-		if len(to.queue) < 200 {
-			to.queue = append(to.queue, l.tenant)
+		if len(to.waiting) < 200 {
+			to.waiting = append(to.waiting, l.tenant)
 		}
 		return
 	}
 	if !f.pass(to, l.tenant) && left > 0 {
-		f.again = append(f.again, again{f.now + 2*time.Millisecond, l, left - 1})
+		f.retries = append(f.retries, clientRetry{f.now + 2*time.Millisecond, l, left - 1})
 	}
 }
 
-func (f *field) some(l *flow) *box {
-	if f.rng.Float64() < l.skew {
-		return f.boxes[0]
+func (f *testFleet) pickGateway(l *tenantTraffic) *testMachine {
+	if f.rng.Float64() < l.firstGatewayPart {
+		return f.machines[0]
 	}
-	return f.boxes[f.rng.IntN(len(f.boxes))]
+	return f.machines[f.rng.IntN(len(f.machines))]
 }
 
-func (f *field) step() {
+func (f *testFleet) step() {
 	f.now += time.Millisecond
-	air := f.air
-	f.air = nil
+	air := f.inFlight
+	f.inFlight = nil
 	for _, l := range air {
-		to := f.at(l.to)
+		to := f.machineAt(l.to)
 		switch {
 		case l.at > f.now:
-			f.air = append(f.air, l)
-		case to.dead || to.cut != f.at(l.from).cut:
+			f.inFlight = append(f.inFlight, l)
+		case to.dead || to.partitioned != f.machineAt(l.from).partitioned:
 		case to.frozen:
-			to.mail = append(to.mail, l)
-		case f.slow != nil && f.slow(to, l):
+			to.undelivered = append(to.undelivered, l)
+		case f.holdBack != nil && f.holdBack(to, l):
 		default:
-			f.take(to, l)
+			f.deliver(to, l)
 		}
 	}
-	if f.each != nil {
-		f.each()
+	if f.eachStep != nil {
+		f.eachStep()
 	}
-	for len(f.again) > 0 && f.again[0].at <= f.now {
-		a := f.again[0]
-		f.again = f.again[1:]
-		f.offers(a.flow, f.some(a.flow), a.left)
+	for len(f.retries) > 0 && f.retries[0].at <= f.now {
+		a := f.retries[0]
+		f.retries = f.retries[1:]
+		f.offerWithRetries(a.flow, f.pickGateway(a.flow), a.left)
 	}
-	for _, l := range f.flows {
+	for _, l := range f.traffic {
 		if f.now < 5*time.Second {
 			break // traffic starts after the machines
 		}
 		for p := l.rate / 1000; f.rng.Float64() < p/(1+p); { // about Poisson
-			f.offer(l, f.some(l))
+			f.offer(l, f.pickGateway(l))
 		}
 		if l.burst == 0 {
 			continue
 		}
-		ms := int(max(1, l.over.Milliseconds()))
-		k := int((f.now % l.every).Milliseconds())
+		ms := int(max(1, l.burstSpread.Milliseconds()))
+		k := int((f.now % l.burstInterval).Milliseconds())
 		if k == 0 {
-			l.target = f.some(l)
+			l.target = f.pickGateway(l)
 		}
 		if k >= ms || l.target == nil {
 			continue
 		}
 		for range l.burst*(k+1)/ms - l.burst*k/ms {
 			to := l.target
-			if !l.one {
-				to = f.some(l)
+			if !l.burstToOne {
+				to = f.pickGateway(l)
 			}
 			f.offer(l, to)
 		}
 	}
-	for _, b := range f.boxes {
+	for _, b := range f.machines {
 		if b.dead || b.frozen || f.now < b.tickAt && !b.meter.Due(f.now) {
 			continue
 		}
 		if f.now >= b.tickAt {
 			b.tickAt = f.now + 50*time.Millisecond
-			f.post(b, b.counter.Tick(f.now))
+			f.send(b, b.counter.Tick(f.now))
 		}
-		if f.ticks != nil {
-			f.ticks(b)
+		if f.beforeTick != nil {
+			f.beforeTick(b)
 		}
-		f.post(b, b.meter.Tick(f.now))
+		f.send(b, b.meter.Tick(f.now))
 	}
 }
 
 // run plays a script of lines "SECONDS order" up to a time.
-func (f *field) run(until time.Duration, script string) {
+func (f *testFleet) run(until time.Duration, script string) {
 	type order struct {
 		at   time.Duration
 		line string
@@ -351,15 +353,15 @@
 	}
 	for f.now < until {
 		for len(orders) > 0 && orders[0].at <= f.now {
-			f.obey(orders[0].line)
+			f.runCommand(orders[0].line)
 			orders = orders[1:]
 		}
 		f.step()
 	}
 }
 
-// after is what a script has left after a time.
-func after(script string, at time.Duration) (left string) {
+// scriptFrom is what a script has left after a time.
+func scriptFrom(script string, at time.Duration) (left string) {
 	for line := range strings.Lines(script) {
 		s, _, _ := strings.Cut(strings.TrimSpace(line), " ")
 		if n, err := strconv.ParseFloat(s, 64); err == nil && time.Duration(n*1e9) >= at { // what is due at the end of a run is left
@@ -371,8 +373,8 @@
 
 const window = 5 * time.Second
 
-// worst is the largest number of passes in a window.
-func (l *flow) worst() int {
+// maxInWindow is the largest number of passes in a window.
+func (l *tenantTraffic) maxInWindow() int {
 	most, i := 0, 0
 	for j, at := range l.passed {
 		for at-l.passed[i] > window {
@@ -383,8 +385,8 @@
 	return most
 }
 
-func (l *flow) part() float64 { return float64(l.refused) / float64(l.offered) }
+func (l *tenantTraffic) refusedPart() float64 { return float64(l.refused) / float64(l.offered) }
 
-func (l *flow) bound() int {
+func (l *tenantTraffic) bound() int {
 	return int(math.Floor((l.limit.Rate*window.Seconds()+l.limit.Burst)*1.1 + 20))
 }
--- a/internal/quotas/slow_test.go
+++ b/internal/quotas/slow_test.go
@@ -10,14 +10,14 @@
 // gateway passes a unit, whatever the quota, and one more with each read that is late: a hundred of them pass more than the margin bears.
 func TestManySlowGateways(t *testing.T) {
 	for seed := range uint64(3) {
-		hot := &flow{tenant: "t", limit: Limit{60, 60}}
-		f := newField(t, 100, 301+seed, hot)
-		f.delay = func(from, to *box) time.Duration { return time.Duration(f.rng.IntN(150)) * time.Millisecond }
+		hot := &tenantTraffic{tenant: "t", limit: Limit{60, 60}}
+		f := newTestFleet(t, 100, 301+seed, hot)
+		f.delay = func(from, to *testMachine) time.Duration { return time.Duration(f.rng.IntN(150)) * time.Millisecond }
 		f.run(12*time.Second, "")
 		hot.rate = 480
 		f.run(24*time.Second, "")
-		if hot.worst() > hot.bound() {
-			t.Errorf("seed %d: %d units within 5 s, %d at most", seed, hot.worst(), hot.bound())
+		if hot.maxInWindow() > hot.bound() {
+			t.Errorf("seed %d: %d units within 5 s, %d at most", seed, hot.maxInWindow(), hot.bound())
 		}
 	}
 }
--- a/internal/quotas/sums_test.go
+++ b/internal/quotas/sums_test.go
@@ -13,7 +13,7 @@
 func TestSumsTable(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var s sums
+		var s sumTable
 		like := map[uint32]uint64{}
 		most := uint32(1 + rng.IntN(2000))
 		for range rng.IntN(3000) {
@@ -21,7 +21,7 @@
 			if rng.IntN(4) == 0 {
 				life = max(1, rng.Uint32())
 			}
-			units, known := s.of(life)
+			units, known := s.get(life)
 			if was, there := like[life]; was != units || there != known {
 				t.Fatalf("seed %d: life %d has %d %v, not %d %v", seed, life, units, known, was, there)
 			}
@@ -30,12 +30,12 @@
 			like[life] = units
 		}
 		for life, units := range like {
-			if is, known := s.of(life); !known || is != units {
+			if is, known := s.get(life); !known || is != units {
 				t.Fatalf("seed %d: life %d has %d %v, not %d", seed, life, is, known, units)
 			}
 		}
-		if s.n != len(like) || 4*s.n > 3*len(s.cells) {
-			t.Fatalf("seed %d: %d of %d in %d cells", seed, s.n, len(like), len(s.cells))
+		if s.used != len(like) || 4*s.used > 3*len(s.cells) {
+			t.Fatalf("seed %d: %d of %d in %d cells", seed, s.used, len(like), len(s.cells))
 		}
 	}
 }
@@ -72,12 +72,12 @@
 			var items []Item
 			for i, tenant := range r.names {
 				if rng.Float64() > math.Exp(-531/float64(i+1)) { // as the plan's peak lets a gateway see it in 20 s
-					items = append(items, Item{Tenant: tenant, Period: period << tagBits, Sum: milli, Unreported: milli, Interval: r.gaps[i]})
+					items = append(items, Item{Tenant: tenant, Period: period << tagBits, Sum: milliUnits, Unreported: milliUnits, Interval: r.intervals[i]})
 				}
 			}
 			sums += len(items)
 			c.Receive(now, from, Add{Incarnation: uint64(g + 1), Period: period << tagBits, Timestamp: now, Items: items})
-			now += periodGap / gateways
+			now += periodLength / gateways
 			c.Tick(now)
 		}
 	}
@@ -85,9 +85,9 @@
 	if t.Logf("%d sums in a period, %.1f MB", sums, used); sums < 900_000 || used > 42 {
 		t.Errorf("%.1f MB for %d sums in a period", used, sums)
 	}
-	now += periodGap * 3 / 2
-	if c.Tick(now); len(c.ledgers) > 0 && len(c.ledgers[r.names[0]].names) > 0 {
-		t.Errorf("%d names are left after a period and a half without traffic", len(c.ledgers[r.names[0]].names))
+	now += periodLength * 3 / 2
+	if c.Tick(now); len(c.tenants) > 0 && len(c.tenants[r.names[0]].periods) > 0 {
+		t.Errorf("%d names are left after a period and a half without traffic", len(c.tenants[r.names[0]].periods))
 	}
 	runtime.KeepAlive(c)
 }
@@ -95,19 +95,19 @@
 // BenchmarkCount is what a holder does for an add of ten items, of 12,000 tenants and 490 gateways: by index of a
 // roster, and far from any cache.
 func BenchmarkCount(b *testing.B) {
-	f := newField(nil, 2, 1, size{490, 12000, 265, 2}.flows()...)
-	c, roster := f.boxes[0].counter, f.boxes[0].counter.rosters[0]
+	f := newTestFleet(nil, 2, 1, size{490, 12000, 265, 2}.flows()...)
+	c, roster := f.machines[0].counter, f.machines[0].counter.rosters[0]
 	rng := rand.New(rand.NewPCG(1, 1))
 	adds := make([]Add, 200_000)
 	gateways := make([]string, len(adds))
 	passed := map[[2]int]uint64{}
 	for i := range adds {
 		g := rng.IntN(490)
-		gateways[i] = f.boxes[0].addr + string(rune('a'+g))
+		gateways[i] = f.machines[0].addr + string(rune('a'+g))
 		var items []Item
 		for at := rng.IntN(1200); at < 12000 && len(items) < 10; at += 1 + rng.IntN(2400) {
-			passed[[2]int{g, at}] += milli
-			items = append(items, Item{Tenant: roster.names[at], Period: 1, Sum: passed[[2]int{g, at}], Unreported: milli, Interval: roster.gaps[at]})
+			passed[[2]int{g, at}] += milliUnits
+			items = append(items, Item{Tenant: roster.names[at], Period: 1, Sum: passed[[2]int{g, at}], Unreported: milliUnits, Interval: roster.intervals[at]})
 		}
 		adds[i] = Add{Incarnation: uint64(g + 1), Period: 1, Timestamp: 1, Read: true, AnswersProbes: true, RosterHash: roster.hash}
 		adds[i].Packed, _ = roster.pack(1, items, nil)
--- a/internal/quotas/wire_test.go
+++ b/internal/quotas/wire_test.go
@@ -26,7 +26,7 @@
 	rate, quota       float64
 }
 
-func (s size) flows() (flows []*flow) {
+func (s size) flows() (flows []*tenantTraffic) {
 	sum := 0.0
 	for i := range s.tenants {
 		sum += 1 / float64(i+1)
@@ -34,19 +34,19 @@
 	for i := range s.tenants {
 		sent := s.rate * float64(s.gateways) / float64(i+1) / sum
 		limit := max(5, s.quota*sent)
-		flows = append(flows, &flow{tenant: fmt.Sprintf("tenant-%05d", i), limit: Limit{limit, limit}, rate: sent})
+		flows = append(flows, &tenantTraffic{tenant: fmt.Sprintf("tenant-%05d", i), limit: Limit{limit, limit}, rate: sent})
 	}
 	return flows
 }
 
 func (s size) play(t *testing.T, seed uint64, warm, span time.Duration) (w wired) {
-	f := newField(t, s.gateways, seed, s.flows()...)
+	f := newTestFleet(t, s.gateways, seed, s.flows()...)
 	f.run(5*time.Second+warm, "")
-	for _, l := range f.flows {
+	for _, l := range f.traffic {
 		l.offered, l.refused = 0, 0
 	}
 	n, sec := float64(s.gateways-2), span.Seconds()
-	f.wire = func(from, to *box, msg any) {
+	f.onSend = func(from, to *testMachine, msg any) {
 		b, err := cbor.Marshal(msg)
 		if err != nil {
 			panic(err)
@@ -55,7 +55,7 @@
 			return
 		}
 		bytes := float64(7+len(from.addr)+len(b)) / sec
-		for _, x := range []*box{from, to} {
+		for _, x := range []*testMachine{from, to} {
 			switch x.addr {
 			case f.holders[0]:
 				w.first += bytes
@@ -73,7 +73,7 @@
 	}
 	f.run(f.now+span, "")
 	refused, offered := 0, 0
-	for _, l := range f.flows {
+	for _, l := range f.traffic {
 		refused, offered = refused+l.refused, offered+l.offered
 	}
 	w.refused = float64(refused) / float64(offered)
