--- a/internal/controlplane/configtext.go
+++ b/internal/controlplane/configtext.go
@@ -91,10 +91,10 @@
 		} else {
 			m.parser.prepared = parsed
 		}
-		m.applyRollout(now, m.rollout.Checked(now, doc.Version, parsed.rollout, refusal))
+		m.applyRollout(now, m.rollout.TextChecked(now, doc.Version, parsed.rollout, refusal))
 	} else {
 		m.adopting = parsed
-		m.applyRollout(now, m.rollout.Taken(now, doc, parsed.rollout))
+		m.applyRollout(now, m.rollout.TextRead(now, doc, parsed.rollout))
 		m.adopting = nil
 	}
 	m.startParse()
@@ -118,11 +118,11 @@
 	m.out.Doc = doc
 	if parsed.err != nil {
 		m.out.AdoptError = parsed.err
-		m.rollout.Unable()
+		m.rollout.SetUnable()
 		return
 	}
-	m.meter.Enter(now, parsed.roster)
-	m.counter.Enter(parsed.roster)
+	m.meter.SetRoster(now, parsed.roster)
+	m.counter.SetRoster(parsed.roster)
 	m.members.SetConfigVersion(doc.Version)
 	m.version, m.out.Adopt = doc.Version, parsed.table
 }
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -48,7 +48,7 @@
 // answeredDirectly ends the relayed path, since the holder's answer came directly.
 func (d *detour) answeredDirectly(a quotas.Answer) {
 	d.relay, d.expires = "", 0
-	if stamp, ok := a.Stamped(); ok {
+	if stamp, ok := a.RequestTimestamp(); ok {
 		d.lastDirect = max(d.lastDirect, stamp)
 	}
 }
@@ -57,7 +57,7 @@
 // directly: while a relay is used each add is sent both ways, so every relay would otherwise keep itself
 // in use.
 func (d *detour) answeredVia(now fsm.Time, by string, a quotas.Answer) {
-	if stamp, ok := a.Stamped(); ok && stamp > d.lastDirect {
+	if stamp, ok := a.RequestTimestamp(); ok && stamp > d.lastDirect {
 		d.relay, d.expires = by, now+detourLifetime
 	}
 }
@@ -87,9 +87,9 @@
 			m.send([]fsm.Send{{To: d.relay, Msg: Relay{From: m.self, To: s.To, Add: &add}}})
 		}
 		// Search even while a relay is in use: that relay may be gone.
-		if !m.stalled && m.meter.Mute(now, s.To) && d.startSearch(now, m.nodeCount) {
+		if !m.stalled && m.meter.ReadOverdue(now, s.To) && d.startSearch(now, m.nodeCount) {
 			if m.nodeCount > largeFleet {
-				add = add.Question()
+				add = add.WithoutItems()
 			}
 			m.sendViaRelays(s.To, Relay{From: m.self, To: s.To, Add: &add})
 		}
@@ -115,7 +115,7 @@
 	if m.stalled {
 		return
 	}
-	silent := lo.Filter(requests, func(s fsm.Send, _ int) bool { return m.counter.Blind(now, s.To) })
+	silent := lo.Filter(requests, func(s fsm.Send, _ int) bool { return m.counter.ProbeOverdue(now, s.To) })
 	if n := len(silent); n > maxAskedPerTick {
 		at := m.nextAsked % n
 		m.nextAsked += maxAskedPerTick
@@ -157,20 +157,20 @@
 		m.drain.SetReady(m.servable(), m.leaving)
 		m.applyDrain(m.drain.Receive(now, relay.From, *relay.Drain))
 	case relay.Add != nil:
-		for _, s := range m.counter.Take(now, relay.From, *relay.Add) {
+		for _, s := range m.counter.Receive(now, relay.From, *relay.Add) {
 			if a, ok := s.Msg.(quotas.Answer); ok && s.To == relay.From {
 				s = fsm.Send{To: relay.RelayedBy, Msg: Relay{From: m.self, To: relay.From, Answer: &a}}
 			}
 			m.send([]fsm.Send{s})
 		}
 	case relay.LivenessRequest:
-		for _, s := range m.meter.Take(now, relay.From, quotas.Answer{Ask: true}) {
+		for _, s := range m.meter.Receive(now, relay.From, quotas.Answer{Probe: true}) {
 			if a, ok := s.Msg.(quotas.Add); ok {
 				m.send([]fsm.Send{{To: relay.RelayedBy, Msg: Relay{From: m.self, To: relay.From, Add: &a}}})
 			}
 		}
 	case relay.Answer != nil:
 		m.detourTo(relay.From).answeredVia(now, relay.RelayedBy, *relay.Answer)
-		m.send(m.meter.Take(now, relay.From, *relay.Answer))
+		m.send(m.meter.Receive(now, relay.From, *relay.Answer))
 	}
 }
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -33,12 +33,12 @@
 // silentMeter is a meter whose holder never answers.
 type silentMeter struct{}
 
-func (silentMeter) Nodes(fsm.Time, int, []string)         {}
-func (silentMeter) Enter(fsm.Time, *quotas.Roster)        {}
-func (silentMeter) Take(fsm.Time, string, any) []fsm.Send { return nil }
-func (silentMeter) Mute(fsm.Time, string) bool            { return true }
+func (silentMeter) SetGateways(fsm.Time, int, []string)      {}
+func (silentMeter) SetRoster(fsm.Time, *quotas.Roster)       {}
+func (silentMeter) Receive(fsm.Time, string, any) []fsm.Send { return nil }
+func (silentMeter) ReadOverdue(fsm.Time, string) bool        { return true }
 func (silentMeter) Tick(fsm.Time) []fsm.Send {
-	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Life: 1}}}
+	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Incarnation: 1}}}
 }
 
 // TestStalledProcessSeeksNoRelay: in a large fleet a process that was stalled itself doesn't search for a
@@ -73,9 +73,9 @@
 	late bool
 }
 
-func (s *lateMeter) Mute(fsm.Time, string) bool { return s.late }
+func (s *lateMeter) ReadOverdue(fsm.Time, string) bool { return s.late }
 func (s *lateMeter) Tick(now fsm.Time) []fsm.Send {
-	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Life: 1, Stamp: now}}}
+	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Incarnation: 1, Timestamp: now}}}
 }
 
 // TestRelayCloses: after a holder was late once and answers again, the relay goes out of use. While a
@@ -109,9 +109,9 @@
 				}
 				answer := func(a quotas.Add) quotas.Answer {
 					if shortened { // flags, the incarnation in four bytes, the period, the stamp
-						return quotas.Answer{Brief: binary.AppendUvarint([]byte{0, 0, 0, 0, 1, 7}, uint64(a.Stamp))}
+						return quotas.Answer{Compact: binary.AppendUvarint([]byte{0, 0, 0, 0, 1, 7}, uint64(a.Timestamp))}
 					}
-					return quotas.Answer{Life: 1, Stamp: a.Stamp}
+					return quotas.Answer{Incarnation: 1, Timestamp: a.Timestamp}
 				}
 				if recovered && i > 0 {
 					for _, a := range adds {
@@ -148,15 +148,15 @@
 		for i := range c.silent {
 			nodes = append(nodes, fmt.Sprintf("g%03d:1", i))
 		}
-		machine.counter.Nodes(nodes)
+		machine.counter.SetGateways(nodes)
 		machine.counter.Tick(now)
 		for _, n := range nodes[1:] {
-			machine.counter.Take(now, n, quotas.Add{Life: 1, Signs: true, Near: true})
+			machine.counter.Receive(now, n, quotas.Add{Incarnation: 1, AnswersProbes: true, NearLimit: true})
 		}
 		everAsked := map[string]bool{}
 		for range 100 {
 			now += 50 * time.Millisecond
-			machine.counter.Take(now, "w:1", quotas.Add{Life: 1, Near: true})
+			machine.counter.Receive(now, "w:1", quotas.Add{Incarnation: 1, NearLimit: true})
 			machine.stalled = c.stood
 			machine.sendLivenessRequests(now, machine.counter.Tick(now))
 			asked := map[string]bool{}
@@ -179,7 +179,7 @@
 type bulkyMeter struct{ silentMeter }
 
 func (bulkyMeter) Tick(now fsm.Time) []fsm.Send {
-	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Life: 1, Stamp: now, Read: true, List: 7, Packed: make([]byte, 900), Items: make([]quotas.Item, 9)}}}
+	return []fsm.Send{{To: "h:1", Msg: quotas.Add{Incarnation: 1, Timestamp: now, Read: true, RosterHash: 7, Packed: make([]byte, 900), Items: make([]quotas.Item, 9)}}}
 }
 
 // TestLargeFleetSearchCarriesNoItems: in a large fleet the search for a relay carries no items, and the
@@ -202,10 +202,10 @@
 					continue
 				}
 				sizes = append(sizes, len(v.Add.Packed)+len(v.Add.Items))
-				if v.Add.Life != 1 || v.Add.List != 7 || !v.Add.Read && !v.Add.Echo {
+				if v.Add.Incarnation != 1 || v.Add.RosterHash != 7 || !v.Add.Read && !v.Add.Ping {
 					t.Errorf("%d gateways: a holder wouldn't answer %+v", nodes, *v.Add)
 				}
-				machine.Receive(now, "w:1", Relay{From: "h:1", To: "g:1", RelayedBy: "w:1", Answer: &quotas.Answer{Life: 1, Stamp: v.Add.Stamp}})
+				machine.Receive(now, "w:1", Relay{From: "h:1", To: "g:1", RelayedBy: "w:1", Answer: &quotas.Answer{Incarnation: 1, Timestamp: v.Add.Timestamp}})
 			}
 		}
 		if len(sizes) != 2 || sizes[0] != first || sizes[1] != 909 {
@@ -225,7 +225,7 @@
 	for _, other := range []string{"w:1", "x:1"} {
 		machine.members.Receive(now, other, memberlist.Hello{Node: memberlist.Node{Addr: other, Name: other, Zone: "z", Incarnation: 1}})
 	}
-	machine.detourTo("h:1").answeredVia(now, "w:1", quotas.Answer{Stamp: now})
+	machine.detourTo("h:1").answeredVia(now, "w:1", quotas.Answer{Timestamp: now})
 	usedRelays := func() map[string]bool {
 		relays := map[string]bool{}
 		for range 6 {
