--- a/internal/daemon/shed_test.go
+++ b/internal/daemon/shed_test.go
@@ -10,7 +10,9 @@
 	"asterwell/internal/quotas"
 )
 
-func add(n int) *frame { return &frame{From: "g", Msg: quotas.Add{Life: 1, Stamp: time.Duration(n)}} }
+func add(n int) *frame {
+	return &frame{From: "g", Msg: quotas.Add{Incarnation: 1, Timestamp: time.Duration(n)}}
+}
 
 // TestShed: few adds wait for as long as it takes; of many, those too old to be of use are dropped, and the newer ones are counted in order.
 func TestShed(t *testing.T) {
@@ -25,12 +27,12 @@
 			}
 		}
 	}
-	if a.put(&frame{Msg: memberlist.Beat{}}, start) {
+	if a.put(&frame{Msg: memberlist.Heartbeat{}}, start) {
 		t.Fatal("a sign of life waits among adds")
 	}
 	taken := func(now time.Time) (got []int) {
 		for f := a.next(now); f != nil; f = a.next(now) {
-			got = append(got, int(f.Msg.(quotas.Add).Stamp))
+			got = append(got, int(f.Msg.(quotas.Add).Timestamp))
 		}
 		return got
 	}
@@ -66,15 +68,15 @@
 func TestSkip(t *testing.T) {
 	var out, in tally
 	var wire bytes.Buffer
-	for _, msg := range []any{quotas.Add{Life: 7}, memberlist.Ping{}} {
+	for _, msg := range []any{quotas.Add{Incarnation: 7}, memberlist.Ping{}} {
 		wire.Write(out.codec(nil).Encode(&frame{From: "127.0.0.1:1", Msg: msg}))
 	}
 	r := bufio.NewReader(&wire)
 	codec := in.codec(func() bool { return true })
-	if f, size, err := codec.Read(r); f != nil || size == 0 || err != nil {
+	if f, size, err := codec.Decode(r); f != nil || size == 0 || err != nil {
 		t.Errorf("%+v, %d, %v", f, size, err)
 	}
-	if f, _, err := codec.Read(r); err != nil || f.Msg != (memberlist.Ping{}) {
+	if f, _, err := codec.Decode(r); err != nil || f.Msg != (memberlist.Ping{}) {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
--- a/internal/quotas/share_test.go
+++ b/internal/quotas/batch_test.go
@@ -16,22 +16,22 @@
 		limits[names[i]] = Limit{50, 50}
 	}
 	m := NewMeter("g", 7, 1)
-	m.Limits(time.Hour, limits)
-	m.Nodes(time.Hour, gateways, []string{"h", "i"})
+	m.SetLimits(time.Hour, limits)
+	m.SetGateways(time.Hour, gateways, []string{"h", "i"})
 	return m, names, limits
 }
 
 // itemsOf is what an add tells, whatever its form.
 func itemsOf(t *testing.T, m *Meter, a Add) []Item {
 	t.Helper()
-	a, ok := a.Lengthen(m.life)
+	a, ok := a.Expand(m.incarnation)
 	if !ok {
 		t.Fatal("an add can't be read")
 	}
 	if len(a.Packed) == 0 {
 		return a.Items
 	}
-	items, _, ok := m.rosters.find(a.List).items(a.Period, a.Packed)
+	items, _, ok := m.rosters.byHash(a.RosterHash).items(a.Period, a.Packed)
 	if !ok {
 		t.Fatal("an add can't be unpacked")
 	}
@@ -44,7 +44,7 @@
 func TestAddsHaveBound(t *testing.T) {
 	m, names, limits := crowded(3000, 23)
 	c := NewCounter("h", 1)
-	c.Limits(limits)
+	c.SetLimits(limits)
 	now, told, most := time.Hour, map[string]bool{}, 0
 	run := func(span time.Duration, holders map[string]*Counter) {
 		for end := now + span; now < end; now += 10 * time.Millisecond {
@@ -55,8 +55,8 @@
 					told[it.Tenant] = true
 				}
 				if to := holders[s.To]; to != nil {
-					for _, back := range to.Take(now, "g", s.Msg) {
-						m.Take(now+time.Millisecond, s.To, back.Msg)
+					for _, back := range to.Receive(now, "g", s.Msg) {
+						m.Receive(now+time.Millisecond, s.To, back.Msg)
 					}
 				}
 			}
@@ -67,20 +67,20 @@
 	}
 	pass := func() {
 		for _, n := range names {
-			m.Pass(now, n, 1)
+			m.Allow(now, n, 1)
 		}
 	}
 	pass()
 	run(4*time.Second, nil) // who is silent is told five times a second
-	if most > mostItems || len(told) != len(names) {
+	if most > maxItems || len(told) != len(names) {
 		t.Errorf("%d items in an add, %d of %d tenants told", most, len(told), len(names))
 	}
 	run(3*time.Second, map[string]*Counter{"h": c})
 	pass()
 	run(3*time.Second, map[string]*Counter{"h": c})
 	unheard := func() (n int) {
-		for _, e := range m.order {
-			if e.unheard() > 0 {
+		for _, e := range m.ordered {
+			if e.unacked() > 0 {
 				n++
 			}
 		}
@@ -96,7 +96,7 @@
 	}
 	run(3*time.Second, map[string]*Counter{"h": c})
 	other := NewCounter("i", 2)
-	other.Limits(limits)
+	other.SetLimits(limits)
 	run(4*time.Second, map[string]*Counter{"i": other})
 	pass()
 	run(3*time.Second, map[string]*Counter{"i": other})
@@ -104,11 +104,11 @@
 		t.Errorf("the second holder has not heard of %d tenants", n)
 	}
 	for _, n := range names {
-		if l := other.ledgers[n]; l == nil || l.level > 1.5 { // one unit was passed seconds ago
+		if l := other.tenants[n]; l == nil || l.level > 1.5 { // one unit was passed seconds ago
 			t.Fatalf("the second holder takes %+v of %s for in use", l, n)
 		}
 	}
-	if most > mostItems {
+	if most > maxItems {
 		t.Errorf("%d items in an add", most)
 	}
 }
@@ -117,12 +117,12 @@
 func TestOldInTurns(t *testing.T) {
 	m, names, limits := crowded(3000, 23)
 	c := NewCounter("h", 1)
-	c.Limits(limits)
+	c.SetLimits(limits)
 	now, most, lumps := time.Hour, 0, 0
 	for end := now + 40*time.Second; now < end; now += 10 * time.Millisecond {
 		if now < end-20*time.Second {
-			m.Pass(now, names[int(now/(10*time.Millisecond))%len(names)], 1)
-			m.Pass(now, names[int(now/(10*time.Millisecond))*7%len(names)], 1)
+			m.Allow(now, names[int(now/(10*time.Millisecond))%len(names)], 1)
+			m.Allow(now, names[int(now/(10*time.Millisecond))*7%len(names)], 1)
 		}
 		for _, s := range m.Tick(now) {
 			old := 0
@@ -133,25 +133,25 @@
 			}
 			if s.To == "h" {
 				if now > end-20*time.Second { // all had been heard before the period ended
-					if most = max(most, old); old > mostOld {
+					if most = max(most, old); old > maxPrevItems {
 						lumps++
 					}
 				}
-				for _, back := range c.Take(now, "g", s.Msg) {
-					m.Take(now+time.Millisecond, "h", back.Msg)
+				for _, back := range c.Receive(now, "g", s.Msg) {
+					m.Receive(now+time.Millisecond, "h", back.Msg)
 				}
 			}
 		}
 		c.Tick(now)
 	}
 	left := 0
-	for _, e := range m.order {
-		if e.old.period != 0 {
+	for _, e := range m.ordered {
+		if e.prev.period != 0 {
 			left++
 		}
 	}
-	if most == 0 || most > mostItems || lumps > 1 || left > 0 { // the last of them that an add has room for go at once
-		t.Errorf("%d sums of a period before in an add, more than %d in %d, %d left in the end", most, mostOld, lumps, left)
+	if most == 0 || most > maxItems || lumps > 1 || left > 0 { // the last of them that an add has room for go at once
+		t.Errorf("%d sums of a period before in an add, more than %d in %d, %d left in the end", most, maxPrevItems, lumps, left)
 	}
 }
 
@@ -161,7 +161,7 @@
 		m, names, _ := crowded(20, gateways)
 		now, adds := time.Hour, 0
 		for end := now + 10*time.Second; now < end; now += 10 * time.Millisecond {
-			m.Pass(now, names[int(now/time.Millisecond)%20], 1)
+			m.Allow(now, names[int(now/time.Millisecond)%20], 1)
 			for _, s := range m.Tick(now) {
 				if s.To == "h" {
 					adds++
@@ -182,7 +182,7 @@
 		now += 50 * time.Millisecond
 		m.Tick(now)
 	}
-	if n := len(m.gather()); n > 0 || m.slots[0].refill || m.slots[1].refill {
+	if n := len(m.activeTenants()); n > 0 || m.holders[0].resendAll || m.holders[1].resendAll {
 		t.Errorf("%d tenants are gone through at rest", n)
 	}
 }
@@ -193,7 +193,7 @@
 	for _, far := range []bool{false, true} {
 		m, names, limits := crowded(600, 23)
 		c := NewCounter("h", 1)
-		c.Limits(limits)
+		c.SetLimits(limits)
 		type letter struct {
 			at  fsm.Time
 			msg any
@@ -217,13 +217,13 @@
 				}
 			}
 			for len(there) > 0 && there[0].at <= now {
-				for _, s := range c.Take(now, "g", there[0].msg) {
+				for _, s := range c.Receive(now, "g", there[0].msg) {
 					back = append(back, letter{now + way, s.Msg})
 				}
 				there = there[1:]
 			}
 			for len(back) > 0 && back[0].at <= now {
-				m.Take(now, "h", back[0].msg)
+				m.Receive(now, "h", back[0].msg)
 				back = back[1:]
 			}
 			if now%(50*time.Millisecond) == 0 {
@@ -233,8 +233,8 @@
 		play := func(steps int, lose bool) float64 {
 			passed, told = 0, 0
 			for i := range steps {
-				m.Pass(now, names[(i*7)%len(names)], 1)
-				m.Pass(now, "t00000", 1) // four times its rate: adds don't wait for each other
+				m.Allow(now, names[(i*7)%len(names)], 1)
+				m.Allow(now, "t00000", 1) // four times its rate: adds don't wait for each other
 				passed++
 				step(lose)
 			}
@@ -248,9 +248,9 @@
 		for range 200 {
 			step(false)
 		}
-		for _, e := range m.order {
-			if e.unheard() > 0 {
-				t.Fatalf("far %v: of %s %.0f units were never heard", far, e.tenant, e.unheard())
+		for _, e := range m.ordered {
+			if e.unacked() > 0 {
+				t.Fatalf("far %v: of %s %.0f units were never heard", far, e.tenant, e.unacked())
 			}
 		}
 	}
@@ -268,7 +268,7 @@
 	for i := range meters {
 		var limits map[string]Limit
 		meters[i], names, limits = crowded(tenants, gateways)
-		c.Limits(limits)
+		c.SetLimits(limits)
 	}
 	type letter struct {
 		at   fsm.Time
@@ -283,7 +283,7 @@
 		for g, m := range meters {
 			for k := range 4 {
 				if pass { // 400 a second at each
-					m.Pass(now, names[(int(now/(10*time.Millisecond))*4+k+g*37)%tenants], 1)
+					m.Allow(now, names[(int(now/(10*time.Millisecond))*4+k+g*37)%tenants], 1)
 				}
 			}
 			for _, s := range m.Tick(now) {
@@ -304,20 +304,20 @@
 				}
 			}
 			spare -= cost
-			for _, s := range c.Take(now, fmt.Sprint("g", l.from), l.add) {
-				meters[l.from].Take(now, "h", s.Msg)
+			for _, s := range c.Receive(now, fmt.Sprint("g", l.from), l.add) {
+				meters[l.from].Receive(now, "h", s.Msg)
 			}
 		}
 		if now%(50*time.Millisecond) == 0 && !stands {
 			c.Tick(now)
-			c.Strain(now, waited)
+			c.ReportQueueDelay(now, waited)
 			waited = 0
 		}
 	}
 	unheard := func() (n int) {
 		for _, m := range meters {
-			for _, e := range m.order {
-				if e.unheard() > 2 {
+			for _, e := range m.ordered {
+				if e.unacked() > 2 {
 					n++
 				}
 			}
@@ -358,13 +358,13 @@
 		m, names, _ := crowded(20, 490)
 		now := time.Hour
 		if c.way > 0 {
-			m.slots[0].way.note(now, c.way)
+			m.holders[0].rtt.observe(now, c.way)
 		}
-		m.Pass(now, names[0], 1)
-		m.Tick(now + easeGap)
-		m.slots[0].paced = c.paced
-		began := m.slots[0].pending
-		if m.Mute(began+c.after-3*time.Millisecond, "h") || !m.Mute(began+c.after, "h") {
+		m.Allow(now, names[0], 1)
+		m.Tick(now + relaxedGap)
+		m.holders[0].sendInterval = c.paced
+		began := m.holders[0].unansweredSince
+		if m.ReadOverdue(began+c.after-3*time.Millisecond, "h") || !m.ReadOverdue(began+c.after, "h") {
 			t.Errorf("%+v: not mute from then on", c)
 		}
 	}
@@ -374,10 +374,10 @@
 // of up to 250 as ever, and those that are few aren't held up by the size of the fleet.
 func TestCrowdGap(t *testing.T) {
 	for gateways, want := range map[int]fsm.Time{1: 25, 91: 25, 250: 25, 300: 30, 490: 49, 1000: 50} {
-		var q quick
+		var q earlyReads
 		now := time.Hour
-		for range int(quickMost) {
-			if got := q.gap(now, gateways); got != firstGap {
+		for range int(earlyReadBurst) {
+			if got := q.gap(now, gateways); got != earlyReadGap {
 				t.Errorf("%d gateways: a rare first read waits %v", gateways, got)
 			}
 			q.left--
@@ -394,18 +394,18 @@
 	for gateways, most := range map[int]int{11: 200, 125: 200, 490: 10} {
 		m := NewMeter("g", 1, 1)
 		now := time.Hour
-		m.Nodes(now, gateways, []string{"h", "i"})
-		m.Limits(now, map[string]Limit{"t": {100, 100}})
+		m.SetGateways(now, gateways, []string{"h", "i"})
+		m.SetLimits(now, map[string]Limit{"t": {100, 100}})
 		spend := func(span time.Duration, answered bool) (adds int) {
 			for end := now + span; now < end; now += 10 * time.Millisecond {
-				m.Pass(now, "t", 1)
+				m.Allow(now, "t", 1)
 				for _, s := range m.Tick(now) {
 					if s.To != "h" {
 						continue
 					}
 					adds++
 					if a := s.Msg.(Add); answered {
-						m.Take(now, "h", Answer{Life: 1, Stamp: a.Stamp, Period: 1 << tagBits})
+						m.Receive(now, "h", Answer{Incarnation: 1, Timestamp: a.Timestamp, Period: 1 << tagBits})
 					}
 				}
 			}
--- a/internal/rollout/world/proc.go
+++ b/internal/rollout/world/proc.go
@@ -17,14 +17,14 @@
 	"asterwell/internal/sysconfig"
 )
 
-// Proc is a process, and what is left of it when it is gone.
-type Proc struct {
+// Process is a process, and what is left of it when it is gone.
+type Process struct {
 	w                *World
 	name, addr, zone string
 	core             bool
 	rate             float64 // of its clock
 	base             time.Duration
-	k                *controlplane.Knot
+	k                *controlplane.Machine
 	up               bool
 	life             int
 	thaws            time.Duration
@@ -41,11 +41,11 @@
 	heard            map[string]said   // of each node, in this life
 }
 
-func (p *Proc) clock() fsm.Time { return p.base + time.Duration(float64(p.w.now)*p.rate) }
+func (p *Process) clock() fsm.Time { return p.base + time.Duration(float64(p.w.now)*p.rate) }
 
-func (p *Proc) frozen() bool { return p.thaws > p.w.now }
+func (p *Process) frozen() bool { return p.thaws > p.w.now }
 
-func (p *Proc) boot() {
+func (p *Process) boot() {
 	if p.up {
 		return
 	}
@@ -53,26 +53,26 @@
 	p.up, p.thaws, p.ice, p.waiting, p.gate, p.wishes = true, 0, nil, nil, rollout.Gate{}, map[uint64]wished{}
 	p.puts = map[uint64]uint32{}
 	p.life, p.heard = p.life+1, map[string]said{}
-	var kept *consensus.Disk
+	var kept *consensus.DurableState
 	if p.disk != nil {
-		kept = &consensus.Disk{}
+		kept = &consensus.DurableState{}
 		if err := cbor.Unmarshal(p.disk, kept); err != nil {
 			panic(err)
 		}
 	}
 	seed := w.rng.Uint64()
-	p.k = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core, Genesis: !p.started,
-		Losses: 1, Heartbeat: time.Second, Seeds: []string{w.nodes[0].addr, w.nodes[1].addr, w.nodes[2].addr},
-		Life: uint64(1e12) + uint64(w.now), Seed: seed, Check: p.check}, quotas.NewMeter(p.addr, uint64(p.life), seed), kept, p.clock())
+	p.k = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, ControlAddr: p.addr + "0", Member: p.core, Genesis: !p.started,
+		ToleratedLosses: 1, HeartbeatInterval: time.Second, Seeds: []string{w.nodes[0].addr, w.nodes[1].addr, w.nodes[2].addr},
+		Incarnation: uint64(1e12) + uint64(w.now), Seed: seed, CheckConfig: p.check}, quotas.NewMeter(p.addr, uint64(p.life), seed), kept, p.clock())
 	p.started = true
-	p.k.Accord().SetBug(w.opt.Bug)
+	p.k.RolloutMachine().SetBug(w.opt.Bug)
 	w.note("%s starts", p.name)
 	p.tick(p.life)
-	w.after(w.upTo(w.opt.Every), func() { p.clients(p.life) })
+	w.after(w.upTo(w.opt.RequestInterval), func() { p.clients(p.life) })
 }
 
 // check is this process's view of a text: one that refuses names it.
-func (p *Proc) check(body []byte) error {
+func (p *Process) check(body []byte) error {
 	if _, err := sysconfig.Parse(body); err != nil {
 		return err
 	}
@@ -83,14 +83,14 @@
 	return nil
 }
 
-func (p *Proc) kill() {
+func (p *Process) kill() {
 	if p.up {
 		p.w.note("%s is killed", p.name)
 		p.up, p.ice, p.waiting = false, nil, nil
 	}
 }
 
-func (p *Proc) freeze(d time.Duration) {
+func (p *Process) freeze(d time.Duration) {
 	if !p.up || p.frozen() {
 		return
 	}
@@ -110,7 +110,7 @@
 	})
 }
 
-func (p *Proc) input(do func() controlplane.Out) {
+func (p *Process) input(do func() controlplane.Output) {
 	switch {
 	case !p.up:
 	case p.frozen():
@@ -120,11 +120,11 @@
 	}
 }
 
-func (p *Proc) tick(life int) {
+func (p *Process) tick(life int) {
 	if !p.up || p.life != life {
 		return
 	}
-	p.input(func() controlplane.Out { return p.k.Tick(p.clock()) })
+	p.input(func() controlplane.Output { return p.k.Tick(p.clock()) })
 	next := 50 * ms
 	if p.frozen() {
 		next = p.thaws - p.w.now
@@ -132,10 +132,10 @@
 	p.w.after(next, func() { p.tick(life) })
 }
 
-func (p *Proc) carry(out controlplane.Out) {
+func (p *Process) carry(out controlplane.Output) {
 	w := p.w
 	if out.Write != nil {
-		data, err := cbor.Marshal(out.Write.Disk)
+		data, err := cbor.Marshal(out.Write.State)
 		if err != nil {
 			panic(err)
 		}
@@ -144,39 +144,39 @@
 		w.after(p.synced-w.now, func() {
 			if p.up && p.life == life {
 				p.disk = data
-				p.input(func() controlplane.Out { return p.k.Written(p.clock(), seq) })
+				p.input(func() controlplane.Output { return p.k.Written(p.clock(), seq) })
 			}
 		})
 	}
-	if t := out.Text; t != nil {
+	if t := out.Parse; t != nil {
 		life := p.life
 		w.after(w.upTo(20*ms), func() {
 			if p.life == life {
-				p.input(func() controlplane.Out { return p.k.Read(p.clock(), t.Read()) })
+				p.input(func() controlplane.Output { return p.k.ConfigParsed(p.clock(), t.Parse()) })
 			}
 		})
 	}
-	if out.Gate || out.Adopt != nil {
+	if out.GateChanged || out.Adopt != nil {
 		p.open()
 	}
-	if v, fate := p.k.Accord().Kept(); v != 0 {
+	if v, fate := p.k.RolloutMachine().Newest(); v != 0 {
 		w.fate(p, v, fate)
 	}
 	for _, r := range out.Replies {
 		switch t := r.Value.(type) {
-		case rollout.Withdrew:
-			w.told(p, p.wishes[r.Call], t.Outcome)
+		case rollout.WithdrawReply:
+			w.told(p, p.wishes[r.CallID], t.Outcome)
 		case consensus.Answer:
-			switch version := p.puts[r.Call]; t.Verdict {
-			case consensus.Kept:
+			switch version := p.puts[r.CallID]; t.Result {
+			case consensus.ResultAccepted:
 				w.acked(p, version)
-			case consensus.Busy: // no clear answer
-			case consensus.Differs:
+			case consensus.ResultBusy: // no clear answer
+			case consensus.ResultConflict:
 				if !w.other[version] {
 					w.breaks("AGAIN", "put of %d at %s: another text has its number, and there is none", version, p.name)
 				}
 			default:
-				w.breaks("AGAIN", "put of %d at %s is refused: %v", version, p.name, t.Verdict)
+				w.breaks("AGAIN", "put of %d at %s is refused: %v", version, p.name, t.Result)
 			}
 		}
 	}
@@ -186,9 +186,9 @@
 }
 
 // open goes by the gate as it stands now, and takes up what waits there.
-func (p *Proc) open() {
+func (p *Process) open() {
 	p.gate = p.k.Gate()
-	if p.gate.May(p.clock(), p.gate.Version) {
+	if p.gate.Allows(p.clock(), p.gate.Version) {
 		p.w.serves(p, p.gate.Version)
 	}
 	waiting := p.waiting
@@ -201,20 +201,20 @@
 const patience = 100 * ms
 
 // decide takes up a request that came at a moment, or refuses it, or lets it wait.
-func (p *Proc) decide(came time.Duration) {
+func (p *Process) decide(came time.Duration) {
 	w := p.w
 	now := p.clock()
-	if w.opt.Bug == rollout.Lasting {
+	if w.opt.Bug == rollout.BugStaleLeaseCheck {
 		now = p.base + time.Duration(float64(came)*p.rate)
 	}
 	g := p.gate
 	switch {
 	case g.Version == 0:
 		w.res.Refused++
-	case g.May(now, g.Version):
-		w.res.HeldMost = max(w.res.HeldMost, min(w.now-came, patience))
+	case g.Allows(now, g.Version):
+		w.res.LongestHold = max(w.res.LongestHold, min(w.now-came, patience))
 		w.decided(p, g.Version)
-	case g.Soon && w.now-came < patience:
+	case g.ReopensSoon && w.now-came < patience:
 		p.waiting = append(p.waiting, came)
 		if len(p.waiting) == 1 {
 			life := p.life
@@ -226,14 +226,14 @@
 		}
 	default:
 		w.res.Refused++
-		if g.Soon {
-			w.res.InTurn++
+		if g.ReopensSoon {
+			w.res.RefusedInTurn++
 		}
 	}
 }
 
 // clients send requests as long as the process lives.
-func (p *Proc) clients(life int) {
+func (p *Process) clients(life int) {
 	w := p.w
 	if !p.up || p.life != life {
 		return
@@ -245,33 +245,33 @@
 			p.decide(came)
 		}
 	}
-	w.after(w.opt.Every/2+w.upTo(w.opt.Every), func() { p.clients(life) })
+	w.after(w.opt.RequestInterval/2+w.upTo(w.opt.RequestInterval), func() { p.clients(life) })
 }
 
 // send brings a message to a process, late, twice, or not at all.
-func (w *World) send(p *Proc, s fsm.Send) {
+func (w *World) send(p *Process, s fsm.Send) {
 	to := w.byAddr[s.To]
 	if to == nil {
 		return
 	}
 	w.watch(p, to, s.Msg)
-	if wish, ok := s.Msg.(rollout.Withdraw); ok && w.late != nil {
+	if wish, ok := s.Msg.(rollout.WithdrawRequest); ok && w.late != nil {
 		w.late = append(w.late, wish)
 	}
 	if to == p {
 		life, sent := p.life, w.now
 		w.after(0, func() {
 			if p.life == life {
-				p.input(func() controlplane.Out {
+				p.input(func() controlplane.Output {
 					w.takes(p.addr, p, s.Msg, sent)
-					return p.k.Take(p.clock(), p.addr, s.Msg)
+					return p.k.Receive(p.clock(), p.addr, s.Msg)
 				})
 			}
 		})
 		return
 	}
 	size := 0
-	if w.opt.Bytes || w.opt.Mbit > 0 {
+	if w.opt.CountBytes || w.opt.Mbit > 0 {
 		if data, err := cbor.Marshal(s.Msg); err == nil {
 			size = len(data) + 40
 		}
@@ -293,9 +293,9 @@
 		w.after(d, func() {
 			if to.life == life && !w.cuts[[2]string{from, to.addr}] {
 				w.came(from, to, s.Msg)
-				to.input(func() controlplane.Out {
+				to.input(func() controlplane.Output {
 					w.takes(from, to, s.Msg, sent)
-					return to.k.Take(to.clock(), from, s.Msg)
+					return to.k.Receive(to.clock(), from, s.Msg)
 				})
 			}
 		})
@@ -304,21 +304,21 @@
 
 // carries is how long a message takes on the links of its sender and its receiver, behind
 // what is on them already: a slow link sends one after the other.
-func (w *World) carries(p, to *Proc, size int) time.Duration {
+func (w *World) carries(p, to *Process, size int) time.Duration {
 	if w.opt.Mbit == 0 {
 		return 0
 	}
-	takes := func(x *Proc) time.Duration {
-		return time.Duration(float64(size) * 8 / lo.Ternary(x.core, w.opt.Core, w.opt.Mbit) * float64(time.Microsecond))
+	takes := func(x *Process) time.Duration {
+		return time.Duration(float64(size) * 8 / lo.Ternary(x.core, w.opt.CoreMbit, w.opt.Mbit) * float64(time.Microsecond))
 	}
 	p.sends = max(p.sends, w.now) + takes(p)
 	to.takes = max(to.takes, p.sends) + takes(to)
-	w.res.Queued = max(w.res.Queued, to.takes-w.now)
+	w.res.LongestQueue = max(w.res.LongestQueue, to.takes-w.now)
 	return to.takes - w.now
 }
 
 // cut cuts one way between processes.
-func (w *World) cut(from, to []*Proc, on bool) {
+func (w *World) cut(from, to []*Process, on bool) {
 	for _, a := range from {
 		for _, b := range to {
 			if a == b {
@@ -334,9 +334,9 @@
 }
 
 // primary is the process that leads, as it sees it itself; nil: none.
-func (w *World) primary() *Proc {
+func (w *World) primary() *Process {
 	for _, p := range w.nodes {
-		if p.up && p.k.Pact().Role == "primary" {
+		if p.up && p.k.ConsensusStatus().Role == "primary" {
 			return p
 		}
 	}
@@ -354,12 +354,12 @@
 		fmt.Fprintf(&b, `,"WithinMs":%d`, within)
 	}
 	fmt.Fprintf(&b, `},"Refused":%q`, refused)
-	for i := range w.opt.Pad {
+	for i := range w.opt.Routes {
 		fmt.Fprintf(&b, `%s{"Name":"route-%03d","RouteClass":"effectful","TargetMs":250,"Rank":1,"Anonymous":false,
  "Predicate":{"PathPrefix":"/gas-day/%03d/nominations/"},"Effect":{"Backend":"pool","DeadlineMs":600,"Tries":2}}`,
 			[]string{`,"Pools":[{"Name":"pool"}],"Sockets":[{"Authority":"a.example","Policy":[`, ","}[min(i, 1)], i, i)
 	}
-	if w.opt.Pad > 0 {
+	if w.opt.Routes > 0 {
 		b.WriteString("]}]")
 	}
 	b.WriteString("}")
@@ -368,7 +368,7 @@
 
 // Put is an operator's call at a process. Confirm and within are for the change after
 // this one.
-func (w *World) Put(p *Proc, version uint32, confirm, within int, refused string) {
+func (w *World) Put(p *Process, version uint32, confirm, within int, refused string) {
 	if p == nil || !p.up {
 		return
 	}
@@ -386,19 +386,19 @@
 		w.texts[version] = body
 	}
 	w.other[version] = w.other[version] || !bytes.Equal(w.texts[version], body)
-	p.input(func() controlplane.Out {
-		return p.k.Put(p.clock(), id, consensus.Doc{Version: version, Body: body})
+	p.input(func() controlplane.Output {
+		return p.k.PutConfig(p.clock(), id, consensus.Doc{Version: version, Body: body})
 	})
 }
 
 // Withdraw is an operator's call.
-func (w *World) Withdraw(p *Proc, version uint32) {
+func (w *World) Withdraw(p *Process, version uint32) {
 	if p != nil && p.up {
 		w.note("withdraw %d at %s", version, p.name)
 		p.calls++
 		id := p.calls
 		_, known := w.fates[version]
 		p.wishes[id] = wished{version, known}
-		p.input(func() controlplane.Out { return p.k.Withdraw(p.clock(), id, version, "ops") })
+		p.input(func() controlplane.Output { return p.k.Withdraw(p.clock(), id, version, "ops") })
 	}
 }
--- a/internal/systemsim/operator.go
+++ b/internal/systemsim/operator.go
@@ -88,23 +88,23 @@
 		}
 		p = all[w.rng.IntN(len(all))]
 	}
-	w.call(p, far, func(id uint64) controlplane.Out {
+	w.call(p, far, func(id uint64) controlplane.Output {
 		c, err := sysconfig.Parse(o.body)
 		if err != nil {
 			w.note("%s refuses version %d: %v", p.name, o.version, err)
-			return controlplane.Out{}
+			return controlplane.Output{}
 		}
-		return p.k.Put(p.clock(), id, consensus.Doc{Version: c.Version(), Body: o.body})
+		return p.k.PutConfig(p.clock(), id, consensus.Doc{Version: c.Version(), Body: o.body})
 	}, func(v any) {
-		if a, ok := v.(consensus.Answer); ok && a.Verdict == consensus.Kept {
+		if a, ok := v.(consensus.Answer); ok && a.Result == consensus.ResultAccepted {
 			w.kept(o, p)
 			return
-		} else if ok && a.Verdict == consensus.Differs && o.rival != nil && !o.acked {
+		} else if ok && a.Result == consensus.ResultConflict && o.rival != nil && !o.acked {
 			w.note("%s has another text as version %d", p.name, o.version)
 			o.over = true
 			return
-		} else if ok && a.Verdict != consensus.Busy {
-			w.breaks("REFUSED", "%s refuses version %d, which is in order: %v", p.name, o.version, a.Verdict)
+		} else if ok && a.Result != consensus.ResultBusy {
+			w.breaks("REFUSED", "%s refuses version %d, which is in order: %v", p.name, o.version, a.Result)
 		}
 		w.after(pause, func() { w.send(o, nil, min(pause*3/2, time.Second)) })
 	})
@@ -150,11 +150,11 @@
 // read asks one process for the newest configuration, and judges it.
 func (w *world) read(p *proc) {
 	floor := w.acked
-	w.call(p, far, func(id uint64) controlplane.Out { return p.k.Get(p.clock(), id) }, func(v any) {
+	w.call(p, far, func(id uint64) controlplane.Output { return p.k.GetConfig(p.clock(), id) }, func(v any) {
 		a, ok := v.(consensus.Answer)
 		switch {
-		case !ok || a.Verdict == consensus.Busy || a.Verdict == consensus.Kept:
-		case a.Verdict == consensus.None:
+		case !ok || a.Result == consensus.ResultBusy || a.Result == consensus.ResultAccepted:
+		case a.Result == consensus.ResultNone:
 			if floor > 0 {
 				w.breaks("LOST", "%s reads nothing, version %d was acknowledged", p.name, floor)
 			}
