--- a/choice/api.go
+++ b/choice/api.go
@@ -39,15 +39,16 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Name             string
-	Target, Deadline time.Duration
-	LateValue        float64 // share of Value that a response after Target still has
-	Value            float64
-	Effect           Effect
-	Group            Group
-	KeyTTL           time.Duration
-	Stream           bool
-	MaxAttempts      int // for one request; 0: Settings.MaxAttempts
+	Name        string
+	Target      time.Duration `json:"Aim"` // gateways compare digests of the encoded class, so encoded names stay
+	Deadline    time.Duration
+	LateValue   float64 `json:"LateWorth"` // share of Value that a response after Target still has
+	Value       float64
+	Effect      Effect
+	Group       Group
+	KeyTTL      time.Duration
+	Stream      bool
+	MaxAttempts int `json:"Tries"` // for one request; 0: Settings.MaxAttempts
 }
 
 // Plan holds a customer's quotas and prices. Quotas hold over all gateways together.
