--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -7,7 +7,7 @@
 	"asterwell/choice"
 )
 
-// printer is a host that prints what it is asked to do.
+// printer is a host that prints the actions.
 type printer struct{}
 
 func (printer) Send(id, backend uint32, _ time.Duration) { fmt.Println("send", id, "to", backend) }
@@ -24,7 +24,7 @@
 func (printer) Watch(bool)                     {}
 func (printer) Log(text string)                { fmt.Println(text) }
 
-// A customer with two requests at once and one a second after.
+// A plan with a burst of two requests, and one request a second after that.
 func Example() {
 	b, err := choice.New(choice.Settings{
 		Gateways: 1, RetryAfter: true,
--- a/choice/rec_test.go
+++ b/choice/rec_test.go
@@ -8,29 +8,29 @@
 
 const msec = time.Millisecond
 
-// recorder is an Actions that keeps what it was asked.
+// recorder is a host that records the actions.
 type recorder struct {
 	log     []string
-	sends   []sent
+	sends   []sentAttempt
 	refused map[uint32]time.Duration
 	failed  map[uint32]bool
-	cancels []sent
+	cancels []sentAttempt
 	probes  []uint32
-	counts  []count
-	timers  []timer
+	counts  []counterCall
+	timers  []timerCall
 }
 
-type sent struct {
+type sentAttempt struct {
 	id, to uint32
 	try    int
 }
 
-type count struct {
+type counterCall struct {
 	name string
 	add  float64
 }
 
-type timer struct {
+type timerCall struct {
 	after time.Duration
 	token string
 }
@@ -41,7 +41,7 @@
 
 func (r *recorder) Send(id, to uint32, limit time.Duration) {
 	r.note("send %d %d %v", id, to, limit)
-	r.sends = append(r.sends, sent{id: id, to: to})
+	r.sends = append(r.sends, sentAttempt{id: id, to: to})
 }
 
 func (r *recorder) Refuse(id uint32, after time.Duration) {
@@ -53,19 +53,19 @@
 
 func (r *recorder) Cancel(id uint32, try int) {
 	r.note("cancel %d %d", id, try)
-	r.cancels = append(r.cancels, sent{id: id, try: try})
+	r.cancels = append(r.cancels, sentAttempt{id: id, try: try})
 }
 
 func (r *recorder) Probe(to uint32) { r.note("probe %d", to); r.probes = append(r.probes, to) }
 
 func (r *recorder) AddToCounter(name string, add float64, life time.Duration) {
 	r.note("count %s %v %v", name, add, life)
-	r.counts = append(r.counts, count{name, add})
+	r.counts = append(r.counts, counterCall{name, add})
 }
 
 func (r *recorder) SetTimer(after time.Duration, token string) {
 	r.note("timer %v %s", after, token)
-	r.timers = append(r.timers, timer{after, token})
+	r.timers = append(r.timers, timerCall{after, token})
 }
 
 func (r *recorder) Watch(on bool)   { r.note("watch %v", on) }
@@ -90,8 +90,8 @@
 			{Name: "free", ValueFactor: 1}}}
 }
 
-// start returns a Balancer that knows four backends, two in each of zones a and b.
-func start(t *testing.T, change func(*Settings)) (*Balancer, *recorder) {
+// newTestBalancer returns a Balancer that knows four backends, two in each of zones a and b.
+func newTestBalancer(t *testing.T, change func(*Settings)) (*Balancer, *recorder) {
 	t.Helper()
 	set, rec := settings(), &recorder{refused: map[uint32]time.Duration{}, failed: map[uint32]bool{}}
 	if change != nil {
@@ -106,11 +106,11 @@
 	return b, rec
 }
 
-func ask(id uint32, class, plan string, now time.Duration) Request {
+func newRequest(id uint32, class, plan string, now time.Duration) Request {
 	return Request{ID: id, Class: class, Plan: plan, Customer: "c", Deadline: now + 3*time.Second, Units: 1, Gateways: 1}
 }
 
-// end finishes the last attempt sent, with a status.
+// end finishes the last attempt with a status.
 func (r *recorder) end(b *Balancer, now time.Duration, try int, s Status) {
 	last := r.sends[len(r.sends)-1]
 	b.HandleOutcome(now, Outcome{ID: last.id, Attempt: try, Backend: last.to, Status: s, Elapsed: 50 * msec, Final: s == OK})
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-func TestFragileIsSentAgainOnlyIfItNeverRan(t *testing.T) {
+func TestNonRetryableIsRetriedOnlyIfItNeverRan(t *testing.T) {
 	for s, want := range map[Status]int{Overloaded: 2, ConnectFailed: 2, Error: 1, Reset: 1, Timeout: 1, Cancelled: 1} {
-		b, rec := start(t, nil)
-		b.HandleRequest(0, ask(1, "once", "free", 0))
+		b, rec := newTestBalancer(t, nil)
+		b.HandleRequest(0, newRequest(1, "once", "free", 0))
 		rec.end(b, 50*msec, 0, s)
 		if len(rec.sends) != want || want == 1 && !rec.failed[1] {
 			t.Errorf("status %d: sends %v, failed %v, want %d sends", s, rec.sends, rec.failed, want)
@@ -21,15 +21,15 @@
 }
 
 func TestKeyedStaysInItsGroupAndTime(t *testing.T) {
-	b, rec := start(t, nil)
-	b.HandleRequest(0, ask(1, "key", "free", 0))
+	b, rec := newTestBalancer(t, nil)
+	b.HandleRequest(0, newRequest(1, "key", "free", 0))
 	rec.end(b, 50*msec, 0, Reset)
-	zone := func(s sent) string { return b.byID[s.to].Member.Zone }
+	zone := func(s sentAttempt) string { return b.byID[s.to].Member.Zone }
 	if len(rec.sends) != 2 || zone(rec.sends[0]) != zone(rec.sends[1]) {
 		t.Errorf("sends %v, want a second in the same zone", rec.sends)
 	}
-	b, rec = start(t, nil)
-	b.HandleRequest(0, ask(1, "key", "free", 0))
+	b, rec = newTestBalancer(t, nil)
+	b.HandleRequest(0, newRequest(1, "key", "free", 0))
 	rec.end(b, 499*msec, 0, Reset)
 	if len(rec.sends) != 1 || !rec.failed[1] {
 		t.Errorf("sends %v, failed %v, want no second send at the end of the key's time", rec.sends, rec.failed)
@@ -37,10 +37,10 @@
 }
 
 func TestNothingGoesToADrainingBackend(t *testing.T) {
-	b, rec := start(t, nil)
+	b, rec := newTestBalancer(t, nil)
 	b.HandleRoster(0, RosterUpdate{Members: []Member{{ID: 1, Zone: "a", State: Draining}, {ID: 2, Zone: "a", State: Down}}})
 	for id := uint32(1); id <= 30; id++ {
-		b.HandleRequest(0, ask(id, "read", "free", 0))
+		b.HandleRequest(0, newRequest(id, "read", "free", 0))
 	}
 	for _, s := range rec.sends {
 		if s.to <= 2 {
@@ -49,20 +49,20 @@
 	}
 }
 
-// Whatever the number of gateways that share the traffic, a fleet that has just restarted gets no more than its
-// multiple of what it can do: below one request each, the gateways take turns.
-func TestColdBackendsAreNotPushedOver(t *testing.T) {
-	const rate, second = 300, time.Second // warm traffic, all gateways together, taken as what the fleet can do
-	for _, doors := range []int{1, 3, 300} {
-		bs, recs := make([]*Balancer, doors), make([]*recorder, doors)
+// However many gateways share the traffic, servers that have just restarted get no more than OverloadRatio times
+// their capacity, also if the part of each gateway is below one request.
+func TestColdBackendsAreNotOverloaded(t *testing.T) {
+	const rate, second = 300, time.Second // traffic of all gateways, taken as the warm capacity of the servers
+	for _, gatewayCount := range []int{1, 3, 300} {
+		bs, recs := make([]*Balancer, gatewayCount), make([]*recorder, gatewayCount)
 		for i := range bs {
-			bs[i], recs[i] = start(t, func(s *Settings) { s.Gateways = doors })
+			bs[i], recs[i] = newTestBalancer(t, func(s *Settings) { s.Gateways = gatewayCount })
 			bs[i].rng = rand.New(rand.NewPCG(uint64(i), 1))
 		}
 		id, cold := uint32(0), 0
 		for tick := range 25 * rate {
 			now := time.Duration(tick) * second / rate
-			i := tick % doors
+			i := tick % gatewayCount
 			b, rec := bs[i], recs[i]
 			if tick == 20*rate {
 				for _, b := range bs {
@@ -84,7 +84,7 @@
 			}
 			before := len(rec.sends)
 			id++
-			b.HandleRequest(now, ask(id, "read", "free", now))
+			b.HandleRequest(now, newRequest(id, "read", "free", now))
 			if len(rec.sends) > before {
 				rec.end(b, now, 0, OK)
 				if tick >= 20*rate && tick < 21*rate {
@@ -92,16 +92,16 @@
 				}
 			}
 		}
-		// FallMultiple 2 × ColdFrom 0.2 of 300 a second for FallAfter, and what the rule leaves for chance.
+		// OverloadRatio 2 × ColdCapacity 0.2 of 300 a second for OverloadTime, and a margin for random variation.
 		if cold > 120*5/4 || cold < 10 {
-			t.Errorf("%d gateways sent %d in the first second of a cold fleet, at most 120", doors, cold)
+			t.Errorf("%d gateways sent %d in the first second to cold servers, at most 120", gatewayCount, cold)
 		}
 	}
 }
 
-func TestSilentBackendIsHedgedAndLeft(t *testing.T) {
-	b, rec := start(t, nil)
-	b.HandleRequest(msec, ask(1, "read", "free", 0))
+func TestSilentBackendIsHedgedAndEjected(t *testing.T) {
+	b, rec := newTestBalancer(t, nil)
+	b.HandleRequest(msec, newRequest(1, "read", "free", 0))
 	lost := rec.sends[0].to
 	late := msec + b.classes["read"].Slow()
 	b.HandleTimer(late, "tardy 1")
@@ -110,27 +110,27 @@
 	}
 	b.HandleTimer(2*late, "beat")
 	if be := b.byID[lost]; be.EjectedUntil <= 2*late {
-		t.Errorf("backend %d said nothing and was not ejected", lost)
+		t.Errorf("backend %d was silent and not ejected", lost)
 	}
 }
 
-func TestWithoutSecondCopiesTheFirstIsCalledOff(t *testing.T) {
-	b, rec := start(t, func(s *Settings) { s.Hedging = false })
-	b.HandleRequest(msec, ask(1, "read", "free", 0))
+func TestWithoutHedgingTheFirstAttemptIsCancelled(t *testing.T) {
+	b, rec := newTestBalancer(t, func(s *Settings) { s.Hedging = false })
+	b.HandleRequest(msec, newRequest(1, "read", "free", 0))
 	b.HandleTimer(msec+b.classes["read"].Slow(), "tardy 1")
 	if len(rec.sends) != 1 || len(rec.cancels) != 1 {
 		t.Fatalf("sends %v, cancels %v", rec.sends, rec.cancels)
 	}
 	b.HandleOutcome(500*msec, Outcome{ID: 1, Backend: rec.sends[0].to, Status: Cancelled, Elapsed: 500 * msec})
 	if len(rec.sends) != 2 {
-		t.Errorf("sends %v, want another once the first is off", rec.sends)
+		t.Errorf("sends %v, want another once the first is cancelled", rec.sends)
 	}
 }
 
 func TestUnknownThingsAreSafe(t *testing.T) {
-	b, rec := start(t, nil)
-	b.HandleRequest(0, ask(1, "nonesuch", "free", 0))
-	b.HandleRequest(0, ask(2, "read", "nonesuch", 0))
+	b, rec := newTestBalancer(t, nil)
+	b.HandleRequest(0, newRequest(1, "nonesuch", "free", 0))
+	b.HandleRequest(0, newRequest(2, "read", "nonesuch", 0))
 	b.HandleOutcome(0, Outcome{ID: 9})
 	b.HandleProbe(0, ProbeResult{Backend: 99})
 	b.HandleCounter(0, CounterResult{Name: "x"})
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
 		"Gateways":              func(s *Settings) { s.Gateways = 0 },
 		"Classes":               func(s *Settings) { s.Classes = nil },
@@ -161,34 +161,34 @@
 	}
 }
 
-// world plays legal events in a random order against a Balancer and checks the rules on every action.
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	b       *Balancer
-	rec     *recorder
-	now     time.Duration
-	set     Settings
-	open    map[uint32]*job
-	outs    []*try
-	timers  []timer // after is the clock time
-	state   map[uint32]State
-	told    map[uint32]time.Duration
-	calls   []count
-	totals  map[string]float64
-	ceiling float64
-	born    time.Duration
-	seen    struct{ sends, refused, failed, counts int }
+// eventFuzzer feeds valid events in random order to a Balancer and checks the rules on every action.
+type eventFuzzer struct {
+	t             *testing.T
+	rng           *rand.Rand
+	b             *Balancer
+	rec           *recorder
+	now           time.Duration
+	set           Settings
+	requests      map[uint32]*trackedRequest
+	pending       []*trackedAttempt
+	timers        []timerCall // with absolute times in after
+	state         map[uint32]State
+	stateSince    map[uint32]time.Duration
+	calls         []counterCall
+	counterTotals map[string]float64
+	ceilingUnits  float64
+	startedAt     time.Duration
+	stats         struct{ sends, refused, failed, counts int }
 }
 
-type job struct {
-	q     Request
-	cl    Class
-	tries []*try
-	over  bool
+type trackedRequest struct {
+	request  Request
+	class    Class
+	attempts []*trackedAttempt
+	finished bool
 }
 
-type try struct {
+type trackedAttempt struct {
 	id     uint32
 	n      int
 	to     uint32
@@ -197,10 +197,10 @@
 	status Status
 }
 
-func (w *world) cell(id uint32) (string, int) { return string('a' + rune((id-1)/2)), int(id) - 1 }
+func (w *eventFuzzer) cell(id uint32) (string, int) { return string('a' + rune((id-1)/2)), int(id) - 1 }
 
-// check applies the rules to what the Balancer has asked since the last check.
-func (w *world) check() {
+// check applies the rules to the actions since the last check.
+func (w *eventFuzzer) check() {
 	for _, line := range w.rec.log {
 		var id, to uint32
 		var n int
@@ -208,37 +208,37 @@
 		case scanf(line, "send %d %d", &id, &to):
 			w.send(id, to)
 		case scanf(line, "refuse %d", &id):
-			w.seen.refused++
-			j := w.end(id, line)
-			for _, a := range j.tries {
-				if a.ran() && j.cl.Effect != Retryable && (j.cl.Effect == NonRetryable || j.cl.Group != AllBackends) {
+			w.stats.refused++
+			j := w.finish(id, line)
+			for _, a := range j.attempts {
+				if a.ran() && j.class.Effect != Retryable && (j.class.Effect == NonRetryable || j.class.Group != AllBackends) {
 					w.t.Fatalf("%v: %s: an attempt may have run", w.now, line)
 				}
 			}
 		case scanf(line, "fail %d", &id):
-			w.seen.failed++
-			w.end(id, line)
+			w.stats.failed++
+			w.finish(id, line)
 		case scanf(line, "cancel %d %d", &id, &n):
-			if j := w.open[id]; j == nil || n >= len(j.tries) {
+			if j := w.requests[id]; j == nil || n >= len(j.attempts) {
 				w.t.Fatalf("%v: %s: no such attempt", w.now, line)
 			}
 		}
 	}
 	w.rec.log = nil
 	for _, tm := range w.rec.timers {
-		w.timers = append(w.timers, timer{w.now + max(tm.after, w.set.Tick), tm.token})
+		w.timers = append(w.timers, timerCall{w.now + max(tm.after, w.set.Tick), tm.token})
 	}
 	w.calls = append(w.calls, w.rec.counts...)
-	w.seen.counts += len(w.rec.counts)
+	w.stats.counts += len(w.rec.counts)
 	w.rec.timers, w.rec.counts = nil, nil
-	for id, j := range w.open {
-		if !j.over && w.now > j.q.Deadline {
+	for id, j := range w.requests {
+		if !j.finished && w.now > j.request.Deadline {
 			w.t.Fatalf("%v: request %d has no answer", w.now, id)
 		}
 	}
 }
 
-func (a *try) ran() bool {
+func (a *trackedAttempt) ran() bool {
 	return a.out || a.status != Overloaded && a.status != ConnectFailed && a.status != NotExecuted
 }
 
@@ -247,25 +247,25 @@
 	return n == len(args)
 }
 
-func (w *world) end(id uint32, line string) *job {
-	j := w.open[id]
-	if j == nil || j.over {
+func (w *eventFuzzer) finish(id uint32, line string) *trackedRequest {
+	j := w.requests[id]
+	if j == nil || j.finished {
 		w.t.Fatalf("%v: %s: already over", w.now, line)
 	}
-	j.over = true
+	j.finished = true
 	return j
 }
 
-func (w *world) send(id, to uint32) {
-	w.seen.sends++
-	j := w.open[id]
-	if j == nil || j.over {
+func (w *eventFuzzer) send(id, to uint32) {
+	w.stats.sends++
+	j := w.requests[id]
+	if j == nil || j.finished {
 		w.t.Fatalf("%v: sent request %d, which is over", w.now, id)
 	}
-	if w.state[to] != Up && w.now > w.told[to] {
-		w.t.Fatalf("%v: sent to %d, told of its end at %v", w.now, to, w.told[to])
+	if w.state[to] != Up && w.now > w.stateSince[to] {
+		w.t.Fatalf("%v: sent to %d, which was not up since %v", w.now, to, w.stateSince[to])
 	}
-	for _, a := range j.tries {
+	for _, a := range j.attempts {
 		if a.out && !w.set.Hedging {
 			w.t.Fatalf("%v: two attempts of %d out at once", w.now, id)
 		}
@@ -274,26 +274,26 @@
 		}
 		z1, c1 := w.cell(a.to)
 		z2, c2 := w.cell(to)
-		same := j.cl.Group == AllBackends || z1 == z2 && (j.cl.Group == SameZone || c1 == c2)
-		if j.cl.Effect == NonRetryable || j.cl.Effect == Keyed && (!same || w.now-a.sent > j.cl.KeyTTL) {
+		same := j.class.Group == AllBackends || z1 == z2 && (j.class.Group == SameZone || c1 == c2)
+		if j.class.Effect == NonRetryable || j.class.Effect == Keyed && (!same || w.now-a.sent > j.class.KeyTTL) {
 			w.t.Fatalf("%v: request %d may have run on %d and goes to %d", w.now, id, a.to, to)
 		}
 	}
-	if len(j.tries) == 0 && j.q.Plan == "capped" {
-		w.ceiling += j.q.Units
-		if most := (20 + 20*(w.now-w.born).Seconds()) / 2; w.ceiling > most+1e-6 {
-			w.t.Fatalf("%v: %v units sent on under the ceiling, share allows %v", w.now, w.ceiling, most)
+	if len(j.attempts) == 0 && j.request.Plan == "capped" {
+		w.ceilingUnits += j.request.Units
+		if most := (20 + 20*(w.now-w.startedAt).Seconds()) / 2; w.ceilingUnits > most+1e-6 {
+			w.t.Fatalf("%v: %v units sent on under the ceiling, share allows %v", w.now, w.ceilingUnits, most)
 		}
 	}
-	a := &try{id: id, n: len(j.tries), to: to, sent: w.now, out: true}
-	j.tries = append(j.tries, a)
-	w.outs = append(w.outs, a)
+	a := &trackedAttempt{id: id, n: len(j.attempts), to: to, sent: w.now, out: true}
+	j.attempts = append(j.attempts, a)
+	w.pending = append(w.pending, a)
 }
 
-// step plays one event.
-func (w *world) step(next uint32) {
+// step advances the clock and feeds one event.
+func (w *eventFuzzer) step(next uint32) {
 	w.now += time.Duration(w.rng.IntN(20)) * msec
-	for { // timers that are due, in order
+	for { // due timers, in order
 		i := -1
 		for k, tm := range w.timers {
 			if tm.after <= w.now && (i < 0 || tm.after < w.timers[i].after) {
@@ -320,25 +320,25 @@
 		if w.rng.IntN(2) == 0 && q.Plan != "capped" {
 			q.Customer += fmt.Sprint(w.rng.IntN(4))
 		}
-		w.open[next] = &job{q: q, cl: cl}
+		w.requests[next] = &trackedRequest{request: q, class: cl}
 		w.b.HandleRequest(w.now, q)
 	case 3, 4, 5:
-		if len(w.outs) == 0 {
+		if len(w.pending) == 0 {
 			return
 		}
-		i := w.rng.IntN(len(w.outs))
-		a := w.outs[i]
-		w.outs = slices.Delete(w.outs, i, i+1)
+		i := w.rng.IntN(len(w.pending))
+		a := w.pending[i]
+		w.pending = slices.Delete(w.pending, i, i+1)
 		a.out, a.status = false, OK
 		if w.rng.IntN(2) == 0 {
 			a.status = Status(w.rng.IntN(int(NotExecuted) + 1))
 		}
-		j := w.open[a.id]
+		j := w.requests[a.id]
 		if a.status == OK {
-			j.over = true
+			j.finished = true
 		}
 		w.b.HandleOutcome(w.now, Outcome{ID: a.id, Attempt: a.n, Backend: a.to, Status: a.status, Elapsed: w.now - a.sent,
-			Final: j.over, ActualUnits: float64(w.rng.IntN(5))})
+			Final: j.finished, ActualUnits: float64(w.rng.IntN(5))})
 	case 6:
 		id := uint32(1 + w.rng.IntN(4))
 		z, c := w.cell(id)
@@ -347,7 +347,7 @@
 			m.State = Up
 			m.Started = w.now
 		}
-		w.state[id], w.told[id] = m.State, w.now
+		w.state[id], w.stateSince[id] = m.State, w.now
 		w.b.HandleRoster(w.now, RosterUpdate{Members: []Member{m}})
 	case 7:
 		if len(w.calls) == 0 {
@@ -360,21 +360,21 @@
 			e.Status = []Status{Overloaded, Timeout, ConnectFailed}[w.rng.IntN(3)]
 		}
 		if e.Status == OK || e.Status == Timeout && w.rng.IntN(2) == 0 {
-			w.totals[c.name] += c.add + float64(w.rng.IntN(2))
+			w.counterTotals[c.name] += c.add + float64(w.rng.IntN(2))
 		}
 		if w.rng.IntN(30) == 0 {
-			w.totals[c.name] = 0
+			w.counterTotals[c.name] = 0
 		}
-		e.Total = w.totals[c.name]
+		e.Total = w.counterTotals[c.name]
 		w.b.HandleCounter(w.now, e)
 	}
 	w.check()
 }
 
-func play(t *testing.T, seed uint64) (string, *world) {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), open: map[uint32]*job{}, state: map[uint32]State{},
-		told: map[uint32]time.Duration{}, totals: map[string]float64{}}
-	w.b, w.rec = start(t, func(s *Settings) {
+func runFuzzer(t *testing.T, seed uint64) (string, *eventFuzzer) {
+	w := &eventFuzzer{t: t, rng: rand.New(rand.NewPCG(seed, 7)), requests: map[uint32]*trackedRequest{}, state: map[uint32]State{},
+		stateSince: map[uint32]time.Duration{}, counterTotals: map[string]float64{}}
+	w.b, w.rec = newTestBalancer(t, func(s *Settings) {
 		s.Hedging = seed%2 == 0
 		s.Classes[1].Group = Group(seed % 3)
 		w.set = *s
@@ -390,27 +390,27 @@
 	return all + fmt.Sprint(w.rec.refused, w.rec.failed, w.rec.cancels), w
 }
 
-func TestFuzzKeepsTheRules(t *testing.T) {
+func TestRandomEventsKeepTheRules(t *testing.T) {
 	var sends, refused, failed, counts int
 	for seed := range uint64(40) {
-		one, w := play(t, seed)
-		if two, _ := play(t, seed); one != two {
-			t.Fatalf("seed %d: equal events gave other actions", seed)
+		one, w := runFuzzer(t, seed)
+		if two, _ := runFuzzer(t, seed); one != two {
+			t.Fatalf("seed %d: equal events gave different actions", seed)
 		}
-		sends, refused, failed, counts = sends+w.seen.sends, refused+w.seen.refused, failed+w.seen.failed, counts+w.seen.counts
+		sends, refused, failed, counts = sends+w.stats.sends, refused+w.stats.refused, failed+w.stats.failed, counts+w.stats.counts
 	}
 	if sends < 1000 || refused < 100 || failed < 100 || counts < 100 {
-		t.Errorf("too little happened: %d sends, %d refused, %d failed, %d counts", sends, refused, failed, counts)
+		t.Errorf("too few actions: %d sends, %d refused, %d failed, %d counts", sends, refused, failed, counts)
 	}
 }
 
-func TestProbesForRequestsGoByTheirPrice(t *testing.T) {
+func TestProbesPerRequestDependOnTheirPrice(t *testing.T) {
 	for _, tc := range []struct {
 		price float64
 		want  int
 	}{{0, 2}, {0.01, 2}, {0.02, 1}, {0.08, 0}} {
-		b, rec := start(t, func(s *Settings) { s.Probes, s.ProbePrice = true, tc.price })
-		b.HandleRequest(0, ask(1, "read", "free", 0))
+		b, rec := newTestBalancer(t, func(s *Settings) { s.Probes, s.ProbePrice = true, tc.price })
+		b.HandleRequest(0, newRequest(1, "read", "free", 0))
 		if got := len(rec.probes); got != tc.want {
 			t.Errorf("price %v: %d probes for a request, want %d", tc.price, got, tc.want)
 		}
@@ -418,17 +418,17 @@
 	set := settings()
 	set.ProbePrice = -1
 	if err := set.Validate(); err == nil {
-		t.Error("a negative price was taken")
+		t.Error("a negative price was accepted")
 	}
 }
 
-// Where each gateway meets each backend seldom it uses a part of the fleet, and all gateways together use all of it
-// about alike; where it meets them often it uses all.
-func TestManyGatewaysUseThePartsOfAFleet(t *testing.T) {
-	const doors, size = 80, 60
+// A gateway with little traffic uses a part of the backends, and all gateways together use all of them about
+// equally. With much traffic it uses all.
+func TestGatewaysUseOverlappingApertures(t *testing.T) {
+	const gatewayCount, size = 80, 60
 	used := map[uint32]float64{}
-	for i := range doors {
-		b, _ := start(t, func(s *Settings) { s.Gateways, s.Index = doors, i })
+	for i := range gatewayCount {
+		b, _ := newTestBalancer(t, func(s *Settings) { s.Gateways, s.Index = gatewayCount, i })
 		fleet := RosterUpdate{Whole: true}
 		for id := range uint32(size) {
 			fleet.Members = append(fleet.Members, Member{ID: 100 + id, Zone: string(rune('a' + id%3)), Weight: 1})
@@ -446,7 +446,7 @@
 			}
 		}
 	}
-	for id := range uint32(size) { // 8 of 60 each: those of 10.7 gateways for a backend
+	for id := range uint32(size) { // each gateway uses 8 of 60, so each backend is used by 10.7 gateways
 		if n := used[100+id]; n < 9.5 || n > 12 {
 			t.Errorf("backend %d is used by %.1f gateways, want about 10.7", id, n)
 		}
--- a/choice/sums_test.go
+++ b/choice/sums_test.go
@@ -6,47 +6,49 @@
 	"time"
 )
 
-// set is a number of gateways side by side that share nothing but a counter, which answers at once.
-type set struct {
-	t      *testing.T
-	change func(*Settings)
-	bs     []*Balancer
-	recs   []*recorder
-	counts map[string]float64
-	silent bool // the counter: calls time out, and add nothing
-	id     uint32
+// gatewaySet is a set of gateways that share only a counter, which responds at once.
+type gatewaySet struct {
+	t           *testing.T
+	change      func(*Settings)
+	balancers   []*Balancer
+	recorders   []*recorder
+	counts      map[string]float64
+	counterDown bool // counter calls time out and add nothing
+	id          uint32
 }
 
-func newSet(t *testing.T, doors int, change func(*Settings)) *set {
-	s := &set{t: t, counts: map[string]float64{}, bs: make([]*Balancer, doors), recs: make([]*recorder, doors)}
+func newGatewaySet(t *testing.T, gatewayCount int, change func(*Settings)) *gatewaySet {
+	s := &gatewaySet{t: t, counts: map[string]float64{}, balancers: make([]*Balancer, gatewayCount), recorders: make([]*recorder, gatewayCount)}
 	s.change = func(set *Settings) {
-		set.Gateways = doors
+		set.Gateways = gatewayCount
 		if change != nil {
 			change(set)
 		}
 	}
-	for i := range doors {
+	for i := range gatewayCount {
 		s.restart(i)
 	}
 	return s
 }
 
-func (s *set) restart(i int) { s.bs[i], s.recs[i] = start(s.t, s.change) }
+func (s *gatewaySet) restart(i int) { s.balancers[i], s.recorders[i] = newTestBalancer(s.t, s.change) }
 
-// ask gives gateway i a request of one unit, answers all that it calls for, and reports whether it was sent.
-func (s *set) ask(now time.Duration, i int, plan string) bool { return s.askFor(now, i, plan, "c") }
+// ask submits a request of one unit to gateway i, answers its counter calls, and reports whether it was sent.
+func (s *gatewaySet) ask(now time.Duration, i int, plan string) bool {
+	return s.askFor(now, i, plan, "c")
+}
 
-func (s *set) askFor(now time.Duration, i int, plan, customer string) bool {
-	b, rec := s.bs[i], s.recs[i]
+func (s *gatewaySet) askFor(now time.Duration, i int, plan, customer string) bool {
+	b, rec := s.balancers[i], s.recorders[i]
 	s.id++
-	q := ask(s.id, "read", plan, now)
-	q.Gateways, q.Customer = len(s.bs), customer
+	q := newRequest(s.id, "read", plan, now)
+	q.Gateways, q.Customer = len(s.balancers), customer
 	sends := len(rec.sends)
 	b.HandleRequest(now, q)
 	for len(b.counterCalls) > 0 {
 		for _, c := range rec.counts {
 			status := Timeout
-			if !s.silent {
+			if !s.counterDown {
 				s.counts[c.name] += c.add
 				status = OK
 			}
@@ -65,41 +67,41 @@
 	return true
 }
 
-// A customer that asks five times its rate gets its quota, no more and not much less, from 1, 3 or 300 gateways,
-// though half of them restart and the counter comes back empty.
+// A customer that sends five times its rate gets its quota, no more and not much less, from 1, 3 or 300 gateways,
+// although half of them restart and the counter loses its counts.
 func TestQuotaHoldsOverAllGateways(t *testing.T) {
-	for _, doors := range []int{1, 3, 300} {
-		s, sent := newSet(t, doors, nil), 0
+	for _, gatewayCount := range []int{1, 3, 300} {
+		s, sent := newGatewaySet(t, gatewayCount, nil), 0
 		const seconds, rate = 18, 50
 		for tick := range seconds * rate {
-			now := time.Minute + time.Duration(tick)*time.Second/rate // within one period of the names
+			now := time.Minute + time.Duration(tick)*time.Second/rate // within one counter period
 			if tick == seconds*rate/3 {
-				for i := 0; i < doors && doors > 1; i += 2 {
+				for i := 0; i < gatewayCount && gatewayCount > 1; i += 2 {
 					s.restart(i)
 				}
 			}
 			if tick == seconds*rate*2/3 {
 				clear(s.counts)
 			}
-			if s.ask(now, tick*7919%doors, "rated") {
+			if s.ask(now, tick*7919%gatewayCount, "rated") {
 				sent++
 			}
 		}
 		if quota := 10 + 10*seconds; sent > quota+12 || sent < quota*8/10 {
-			t.Errorf("%d gateways sent %d, the quota is %d", doors, sent, quota)
+			t.Errorf("%d gateways sent %d, the quota is %d", gatewayCount, sent, quota)
 		}
 	}
 }
 
-// A counter that was silent is back, with its counts or without: customers far under their quota are not refused
-// for units that have been refilled meanwhile, and one far over it gets no more than its quota.
-func TestQuotaAfterSilence(t *testing.T) {
+// After an outage of the counter, with or without its counts, customers far below their quota are not refused for
+// units that have been refilled meanwhile, and one far above it gets no more than its quota.
+func TestQuotaAfterCounterOutage(t *testing.T) {
 	for _, empty := range []bool{false, true} {
-		s := newSet(t, 3, nil)
+		s := newGatewaySet(t, 3, nil)
 		refused, asked, sent := 0, 0, 0
 		for tick := range 24 * 50 {
 			now := 2*time.Minute + time.Duration(tick)*20*msec
-			if s.silent = tick > 6*50 && tick < 14*50; tick == 13*50 && empty {
+			if s.counterDown = tick > 6*50 && tick < 14*50; tick == 13*50 && empty {
 				clear(s.counts)
 			}
 			for c := range 6 { // six a second of each, by one gateway at a time
@@ -117,7 +119,7 @@
 			}
 		}
 		if refused > asked/20 {
-			t.Errorf("empty %v: %d of %d refused with room in the quota", empty, refused, asked)
+			t.Errorf("empty %v: %d of %d refused within the quota", empty, refused, asked)
 		}
 		if quota := 10 + 10*10; sent > quota+12 {
 			t.Errorf("empty %v: sent %d in 10 s, the quota is %d", empty, sent, quota)
@@ -125,35 +127,35 @@
 	}
 }
 
-// The ceiling holds over all gateways, though all restart and the counter comes back empty.
+// The ceiling holds over all gateways, although all restart and the counter loses its counts.
 func TestCeilingHoldsOverAllGateways(t *testing.T) {
-	for _, doors := range []int{1, 3, 20} {
-		s, sent := newSet(t, doors, nil), 0
+	for _, gatewayCount := range []int{1, 3, 20} {
+		s, sent := newGatewaySet(t, gatewayCount, nil), 0
 		for tick := range 10 * 100 {
 			now := time.Minute + time.Duration(tick)*10*msec
 			if tick == 500 {
 				clear(s.counts)
-				for i := range doors {
+				for i := range gatewayCount {
 					s.restart(i)
 				}
 			}
-			if s.ask(now, tick%doors, "capped") {
+			if s.ask(now, tick%gatewayCount, "capped") {
 				sent++
 			}
 		}
 		if ceiling := 20 + 20*10 + 4; sent > ceiling {
-			t.Errorf("%d gateways sent %d, the ceiling with its slack allows %d", doors, sent, ceiling)
+			t.Errorf("%d gateways sent %d, the ceiling with its slack allows %d", gatewayCount, sent, ceiling)
 		}
 	}
 }
 
-// At a start every store is full and no answer has told of load: together the gateways must not send a rush.
-func TestStartIsNoRush(t *testing.T) {
-	for _, size := range []struct{ doors, backends int }{{1, 4}, {3, 10}, {364, 76}} {
+// After a start all quotas are unused and nothing is known of load: the gateways together must not send a rush.
+func TestNoRushAfterStart(t *testing.T) {
+	for _, size := range []struct{ gatewayCount, backends int }{{1, 4}, {3, 10}, {364, 76}} {
 		sent := 0
-		for door := range size.doors {
+		for door := range size.gatewayCount {
 			set, rec := settings(), &recorder{refused: map[uint32]time.Duration{}, failed: map[uint32]bool{}}
-			set.Gateways = size.doors
+			set.Gateways = size.gatewayCount
 			b, err := New(set, uint64(door), rec)
 			if err != nil {
 				t.Fatal(err)
@@ -163,26 +165,26 @@
 				all = append(all, Member{ID: id + 1, Zone: "a", Weight: 1})
 			}
 			b.HandleRoster(0, RosterUpdate{Whole: true, Members: all})
-			for i := range 20 * max(1, size.backends/size.doors) {
+			for i := range 20 * max(1, size.backends/size.gatewayCount) {
 				now := time.Duration(i) * 100 * msec
-				b.HandleRequest(now, ask(uint32(i), "once", "free", now))
+				b.HandleRequest(now, newRequest(uint32(i), "once", "free", now))
 			}
 			sent += len(rec.sends)
 		}
 		if least, most := size.backends, 8*size.backends; sent < least || sent > most {
-			t.Errorf("%d gateways sent %d to %d backends in seconds, with no answer, want %d to %d", size.doors, sent,
+			t.Errorf("%d gateways sent %d to %d backends within seconds, without a response, want %d to %d", size.gatewayCount, sent,
 				size.backends, least, most)
 		}
 	}
 }
 
-// While calls are scarce most requests make none. The counter must still be told what was sent on and no more, or
-// all gateways turn a customer away that has room in its quota.
-func TestScarceCallsTellTheTrueUnits(t *testing.T) {
-	s, sent := newSet(t, 3, nil), 0.0
+// While calls are limited most requests make none. The counter must still get exactly the units that were sent, or
+// all gateways refuse a customer that is within its quota.
+func TestLimitedCallsReportAllUnits(t *testing.T) {
+	s, sent := newGatewaySet(t, 3, nil), 0.0
 	const asked = 90.0
 	for i := range int(asked) { // six a second, the quota is ten
-		for _, b := range s.bs {
+		for _, b := range s.balancers {
 			b.minLoss = 5 // one call in five
 		}
 		if s.ask(2*time.Minute+time.Duration(i)*time.Second/6, i%3, "rated") {
@@ -193,29 +195,29 @@
 	for _, n := range s.counts {
 		counted += n
 	}
-	for _, b := range s.bs {
+	for _, b := range s.balancers {
 		counted += b.customers["c"].unreported
 	}
 	if sent < asked*6/10 {
-		t.Errorf("%v of %v requests sent on", sent, asked)
+		t.Errorf("%v of %v requests sent", sent, asked)
 	}
-	// The name begins with the units that stand for idle time.
+	// The count starts with the units that stand for idle time.
 	if idle := 100.0; counted > sent+idle {
-		t.Errorf("%v units counted for %v sent on", counted, sent)
+		t.Errorf("%v units counted for %v sent", counted, sent)
 	}
 }
 
-// A ceiling over many gateways, whatever becomes of the counter that vouches for the quota below it: silent, back with
-// its counts or empty, restarts of gateways, periods that change. The customer asks ten times its quota throughout.
+// A ceiling holds over many gateways whatever happens to the counter that confirms the quota: outages, recovery with
+// or without its counts, restarts of gateways, new periods. The customer sends ten times its quota throughout.
 func TestCeilingHoldsWhateverTheCounterDoes(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		doors := 2 + rng.IntN(7)
+		gatewayCount := 2 + rng.IntN(7)
 		gateway := func(i int, now time.Duration) (*Balancer, *recorder) {
-			b, rec := start(t, func(s *Settings) {
-				s.Gateways, s.Index = doors, i
+			b, rec := newTestBalancer(t, func(s *Settings) {
+				s.Gateways, s.Index = gatewayCount, i
 				p := &s.Plans[3]
-				p.OverrunCost, p.CeilingRate, p.CeilingBurst = 1, 11, 12 // hardly more than the quota
+				p.OverrunCost, p.CeilingRate, p.CeilingBurst = 1, 11, 12 // slightly above the quota
 			})
 			b.limit.Max, b.startedAt = 1000, now
 			return b, rec
@@ -223,11 +225,11 @@
 		var bs []*Balancer
 		var recs []*recorder
 		began := time.Duration(20+rng.IntN(20)) * time.Second
-		for i := range doors {
+		for i := range gatewayCount {
 			b, rec := gateway(i, began)
 			bs, recs = append(bs, b), append(recs, rec)
 		}
-		totals, store, sent := map[string]float64{}, 12.0, 0
+		totals, bucket, sent := map[string]float64{}, 12.0, 0
 		type late struct {
 			door int
 			name string
@@ -242,12 +244,12 @@
 				clear(totals)
 			}
 			if tick%500 == 250 && rng.IntN(2) == 0 {
-				i := rng.IntN(doors)
+				i := rng.IntN(gatewayCount)
 				bs[i], recs[i] = gateway(i, now)
 			}
-			i := rng.IntN(doors)
-			q := ask(uint32(tick+1), "read", "capped", now)
-			q.Gateways = doors
+			i := rng.IntN(gatewayCount)
+			q := newRequest(uint32(tick+1), "read", "capped", now)
+			q.Gateways = gatewayCount
 			n := len(recs[i].sends)
 			bs[i].HandleRequest(now, q)
 			for i, rec := range recs {
@@ -267,14 +269,14 @@
 				unanswered = unanswered[1:]
 				bs[u.door].HandleCounter(now, CounterResult{Name: u.name, Status: Timeout, Elapsed: 40 * msec})
 			}
-			store = min(12, store+0.11)
+			bucket = min(12, bucket+0.11)
 			if got := len(recs[i].sends); got > n {
-				store -= float64(got - n)
+				bucket -= float64(got - n)
 				sent += got - n
 				recs[i].end(bs[i], now, 0, OK)
 			}
-			if store < -4 { // its slack
-				t.Fatalf("seed %d: ceiling passed by %.1f after %v of the day (silent from %v to %v, empty %v)", seed, -store,
+			if bucket < -4 { // its slack
+				t.Fatalf("seed %d: ceiling exceeded by %.1f after %v (counter down from %v to %v, empty %v)", seed, -bucket,
 					now-began, silent-began, back-began, empty)
 			}
 		}
--- a/choice/twin_test.go
+++ b/choice/twin_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// A process takes over what the one before it knew: a customer's store is not filled anew,
-// and shares of ceilings are counted once.
-func TestHand(t *testing.T) {
-	play := func() (*Balancer, *recorder) { return start(t, func(s *Settings) { s.Counter = false }) }
+// A process takes over the state of its predecessor: quotas start where they were, and shares
+// of ceilings are not counted twice.
+func TestStateTransfer(t *testing.T) {
+	play := func() (*Balancer, *recorder) { return newTestBalancer(t, func(s *Settings) { s.Counter = false }) }
 	old, was := play()
 	request := func(b *Balancer, id uint32, now time.Duration) {
-		q := ask(id, "read", "rated", now)
+		q := newRequest(id, "read", "rated", now)
 		q.Gateways = 2
 		b.HandleRequest(now, q)
 	}
@@ -41,14 +41,14 @@
 		t.Error("the customer has used its share: ", is.log)
 	}
 	if next.limit.Max != old.limit.Max || next.classes["read"].Mean != old.classes["read"].Mean {
-		t.Error("learnt anew")
+		t.Error("the limit or the latency was not taken over")
 	}
 	for name, spoil := range map[string]func(s *SavedState){
-		"a time to come":   func(s *SavedState) { s.Counted = now + time.Hour },
-		"no number":        func(s *SavedState) { s.Floor = math.NaN() },
-		"no latency":       func(s *SavedState) { s.Classes[0].Mean = 0 },
-		"a store for ever": func(s *SavedState) { s.Customers[0].TAT = math.MaxInt64 },
-		"no gateways":      func(s *SavedState) { s.Customers[0].Width = 0 },
+		"a future time":           func(s *SavedState) { s.Counted = now + time.Hour },
+		"not a number":            func(s *SavedState) { s.Floor = math.NaN() },
+		"no latency":              func(s *SavedState) { s.Classes[0].Mean = 0 },
+		"a TAT far in the future": func(s *SavedState) { s.Customers[0].TAT = math.MaxInt64 },
+		"no gateways":             func(s *SavedState) { s.Customers[0].Width = 0 },
 	} {
 		var s SavedState
 		if err := json.Unmarshal(text, &s); err != nil {
@@ -57,10 +57,10 @@
 		spoil(&s)
 		b, _ := play()
 		if err := b.ImportState(now, s); err == nil || len(b.customers) != 0 {
-			t.Errorf("%s: taken (%v)", name, err)
+			t.Errorf("%s: accepted (%v)", name, err)
 		}
 	}
-	// While both live each has half of what one has.
+	// While both processes run, each has half of one process's part.
 	alone, _ := play()
 	alone.SetProcesses(2)
 	if got, want := alone.limit.ServersPerGateway, old.limit.ServersPerGateway/2; got != want {
--- a/internal/ratecap/ratecap_test.go
+++ b/internal/ratecap/ratecap_test.go
@@ -16,14 +16,14 @@
 		over := rapid.Float64Range(1.01, 3).Draw(t, "ceiling over quota")
 		terms.Rate, terms.Burst = terms.QuotaRate*over, terms.QuotaBurst*over
 		shares := make([]Share, int(terms.Gateways))
-		quota, store := terms.QuotaBurst, terms.Burst
+		quota, bucket := terms.QuotaBurst, terms.Burst
 		var now, blind time.Duration
 		blind = -1
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			past := time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 			now += past
 			quota = min(terms.QuotaBurst, quota+terms.QuotaRate*past.Seconds())
-			store = min(terms.Burst, store+terms.Rate*past.Seconds())
+			bucket = min(terms.Burst, bucket+terms.Rate*past.Seconds())
 			if rapid.IntRange(0, 60).Draw(t, "counter changes state") == 0 {
 				if blind >= 0 {
 					blind = -1 - now // counts are complete from now on, but not trusted yet
@@ -46,12 +46,12 @@
 				continue // the counter would not have confirmed it
 			}
 			if shares[rapid.IntRange(0, len(shares)-1).Draw(t, "gateway")].Take(now, terms, units, w) {
-				if store -= units; w >= Doubtful {
+				if bucket -= units; w >= Doubtful {
 					quota -= units
 				}
 			}
-			if store < -1e-6 {
-				t.Fatalf("at %v the ceiling is exceeded by %v", now, -store)
+			if bucket < -1e-6 {
+				t.Fatalf("at %v the ceiling is exceeded by %v", now, -bucket)
 			}
 		}
 	})
