--- a/choice/api.go
+++ b/choice/api.go
@@ -83,9 +83,9 @@
 	RetryAfter        bool          // refusals carry a Retry-After
 	MaxRetryAfter     time.Duration // longest that clients honor; 0: unknown
 	ConnectTimeout    time.Duration
-	Subscribe         bool // roster updates come only after Watch
-	MaxNewsAge        time.Duration
-	Weighted          bool // roster weights are valid
+	Subscribe         bool          // roster updates come only after Watch
+	MaxNewsAge        time.Duration // age at which a roster change counts as known; 0: unknown
+	Weighted          bool          // roster weights are valid
 
 	Counter        bool
 	CounterTimeout time.Duration
@@ -94,13 +94,13 @@
 
 	AnswerSlack   time.Duration
 	DrainGrace    time.Duration
-	ColdCapacity  float64
-	WarmupTime    time.Duration
-	OverloadRatio float64
-	OverloadTime  time.Duration
-	CrossZone     float64 // price of an attempt in another zone
-	CounterPrice  float64 // price of one counter call per request
-	ProbePrice    float64 // price of one probe per request
+	ColdCapacity  float64       // share of its capacity that a server has right after its start
+	WarmupTime    time.Duration // until a server has its full capacity
+	OverloadRatio float64       // multiple of its capacity that a cold server can take; 0: no limit
+	OverloadTime  time.Duration // window in which OverloadRatio applies
+	CrossZone     float64       // price of an attempt in another zone
+	CounterPrice  float64       // price of one counter call per request
+	ProbePrice    float64       // price of one probe per request
 	WastePrice    float64
 	LateFailPrice float64
 }
@@ -226,7 +226,7 @@
 	Send(id, backend uint32, limit time.Duration) // limit 0: the client's deadline
 	Refuse(id uint32, retryAfter time.Duration)
 	Fail(id uint32)
-	Cancel(id uint32, try int)
+	Cancel(id uint32, attempt int) // attempts are numbered from 0
 	Probe(backend uint32)
 	AddToCounter(name string, add float64, life time.Duration)
 	SetTimer(after time.Duration, token string)
--- a/choice/books.go
+++ b/choice/books.go
@@ -20,9 +20,9 @@
 }
 
 // HandleBodyProgress records that a request's body is still being sent: its server's silence counts from now on.
-func (b *Balancer) HandleBodyProgress(now time.Duration, id uint32, try int) {
-	if r := b.requests[id]; r != nil && try < len(r.attempts) {
-		r.attempts[try].sentAt = now
+func (b *Balancer) HandleBodyProgress(now time.Duration, id uint32, index int) {
+	if r := b.requests[id]; r != nil && index < len(r.attempts) {
+		r.attempts[index].sentAt = now
 	}
 }
 
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -121,11 +121,11 @@
 )
 
 // New returns a Balancer that acts through act, or an error if set is invalid.
-func New(set Settings, seed uint64, act Actions) (*Balancer, error) {
+func New(set Settings, seed uint64, host Actions) (*Balancer, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{cfg: set, host: act, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*class{},
+	b := &Balancer{cfg: set, host: host, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*class{},
 		plans: map[string]*Plan{}, requests: map[uint32]*request{}, byID: map[uint32]*backend{},
 		customers: map[string]*customer{}, fastestProbe: map[string]float64{}, logged: map[string]bool{},
 		zones:        map[string]*health.Zone{},
@@ -146,9 +146,9 @@
 		b.plans[p.Name] = &p
 	}
 	if set.Subscribe {
-		act.Watch(true)
+		host.Watch(true)
 	}
-	act.SetTimer(b.interval, HousekeepingTimer)
+	host.SetTimer(b.interval, HousekeepingTimer)
 	return b, nil
 }
 
@@ -396,9 +396,9 @@
 }
 
 // HandleStreamStart records that the response to an attempt has started to stream.
-func (b *Balancer) HandleStreamStart(now time.Duration, id uint32, try int) {
-	if r := b.requests[id]; r != nil && try >= 0 && try < len(r.attempts) {
-		r.attempts[try].backend.lastAnswer, r.streaming = now, true
+func (b *Balancer) HandleStreamStart(now time.Duration, id uint32, index int) {
+	if r := b.requests[id]; r != nil && index >= 0 && index < len(r.attempts) {
+		r.attempts[index].backend.lastAnswer, r.streaming = now, true
 	}
 }
 
--- a/choice/rec_test.go
+++ b/choice/rec_test.go
@@ -51,9 +51,9 @@
 
 func (r *recorder) Fail(id uint32) { r.note("fail %d", id); r.failed[id] = true }
 
-func (r *recorder) Cancel(id uint32, try int) {
-	r.note("cancel %d %d", id, try)
-	r.cancels = append(r.cancels, sentAttempt{id: id, try: try})
+func (r *recorder) Cancel(id uint32, index int) {
+	r.note("cancel %d %d", id, index)
+	r.cancels = append(r.cancels, sentAttempt{id: id, try: index})
 }
 
 func (r *recorder) Probe(to uint32) { r.note("probe %d", to); r.probes = append(r.probes, to) }
--- a/internal/aperture/aperture.go
+++ b/internal/aperture/aperture.go
@@ -55,35 +55,35 @@
 
 // Cover returns the share of each node, from 0 to 1, that belongs to a gateway's part
 // of a ring. Nodes take space on the ring by weight. The part begins at the gateway's
-// offset, possibly within a node, and covers a weight of want among usable nodes;
+// offset, possibly within a node, and covers a weight of wanted among usable nodes;
 // unusable ones are replaced by the next. If parts began and ended only between nodes,
 // some nodes would be used by one gateway more than others: with a dozen gateways for
 // each node, that is a tenth of its load.
-func Cover(gateway int, weights []float64, usable func(i int) bool, want float64) []float64 {
+func Cover(gateway int, weights []float64, usable func(i int) bool, wanted float64) []float64 {
 	share, total := make([]float64, len(weights)), 0.0
 	for _, w := range weights {
 		total += w
 	}
-	if total <= 0 || want <= 0 {
+	if total <= 0 || wanted <= 0 {
 		return share
 	}
-	at, first := StartOffset(gateway)*total, 0
-	for first < len(weights)-1 && at >= weights[first] {
-		at -= weights[first]
+	offset, first := StartOffset(gateway)*total, 0
+	for first < len(weights)-1 && offset >= weights[first] {
+		offset -= weights[first]
 		first++
 	}
-	skip := min(at, weights[first]) // weight of the first node before the part
+	skipped := min(offset, weights[first]) // weight of the first node before the part
 	for n := range weights {
 		i := (first + n) % len(weights)
 		if w := weights[i]; w > 0 && usable(i) {
-			take := min(w-skip, want)
+			take := min(w-skipped, wanted)
 			share[i] = take / w
-			want -= take
+			wanted -= take
 		}
-		skip = 0
+		skipped = 0
 	}
-	if i := first; want > 1e-9 && weights[i] > 0 && usable(i) { // wrapped around the whole ring
-		share[i] = min(1, share[i]+want/weights[i])
+	if i := first; wanted > 1e-9 && weights[i] > 0 && usable(i) { // wrapped around the whole ring
+		share[i] = min(1, share[i]+wanted/weights[i])
 	}
 	return share
 }
@@ -92,7 +92,7 @@
 // for the same weights, and then gets the cached result.
 type CachedCover struct {
 	gateway       int
-	want          float64
+	wanted        float64
 	weights, next []float64
 	usable        []bool
 	share         []float64
@@ -107,16 +107,16 @@
 
 // Cover returns what the function Cover does for the weights that the caller has filled in. The result must
 // not be modified and is valid until the next call.
-func (p *CachedCover) Cover(gateway int, usable func(i int) bool, want float64) []float64 {
-	same := p.share != nil && gateway == p.gateway && want == p.want && slices.Equal(p.weights, p.next)
+func (p *CachedCover) Cover(gateway int, usable func(i int) bool, wanted float64) []float64 {
+	same := p.share != nil && gateway == p.gateway && wanted == p.wanted && slices.Equal(p.weights, p.next)
 	for i := 0; same && i < len(p.next); i++ {
 		same = usable(i) == p.usable[i]
 	}
 	if same {
 		return p.share
 	}
-	p.gateway, p.want, p.usable = gateway, want, p.usable[:0]
-	p.share = Cover(gateway, p.next, usable, want)
+	p.gateway, p.wanted, p.usable = gateway, wanted, p.usable[:0]
+	p.share = Cover(gateway, p.next, usable, wanted)
 	for i := range p.next {
 		p.usable = append(p.usable, usable(i))
 	}
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -41,16 +41,16 @@
 }
 
 // New returns the state of a gateway that has just started.
-func New(t Options) *Backoff {
-	if t.MaxNewsAge <= 0 {
-		t.MaxNewsAge = defaultNewsAge
+func New(options Options) *Backoff {
+	if options.MaxNewsAge <= 0 {
+		options.MaxNewsAge = defaultNewsAge
 	}
-	return &Backoff{options: t, pause: initialPause}
+	return &Backoff{options: options, pause: initialPause}
 }
 
 // spreadOver is a time for each gateway, limited to a share of the news age.
-func (p *Backoff) spreadOver(each time.Duration, part float64) time.Duration {
-	return min(time.Duration(p.options.Gateways)*each, time.Duration(part*float64(p.options.MaxNewsAge)))
+func (p *Backoff) spreadOver(delay time.Duration, share float64) time.Duration {
+	return min(time.Duration(p.options.Gateways)*delay, time.Duration(share*float64(p.options.MaxNewsAge)))
 }
 
 // InitialDelay is the delay before the first call after a start. odds is random from 0 to 1.
@@ -65,17 +65,17 @@
 // that gateways which failed together don't retry together. busy tells that discovery
 // reported overload.
 func (p *Backoff) NextDelay(busy bool, odds float64) time.Duration {
-	most := maxPauseLocal
+	maxPause := maxPauseLocal
 	switch {
 	case p.options.Shared && busy:
 		p.pause = max(p.pause, p.spreadOver(perGateway, firstCallShare))
-		most = max(maxPauseShared, p.spreadOver(perGatewayBusy, busyPauseShare))
+		maxPause = max(maxPauseShared, p.spreadOver(perGatewayBusy, busyPauseShare))
 	case p.options.Shared:
-		most = maxPauseShared
+		maxPause = maxPauseShared
 	}
-	p.pause = min(p.pause, most)
+	p.pause = min(p.pause, maxPause)
 	wait := p.pause/2 + time.Duration(odds*float64(p.pause))
-	p.pause = min(2*p.pause, most)
+	p.pause = min(2*p.pause, maxPause)
 	return wait
 }
 
--- a/internal/concurrency/concurrency.go
+++ b/internal/concurrency/concurrency.go
@@ -26,7 +26,7 @@
 }
 
 // New returns an unlimited one, until Init. interval is an eighth of the shortest target.
-func New(beat time.Duration) Limit { return Limit{Max: math.Inf(1), interval: beat} }
+func New(interval time.Duration) Limit { return Limit{Max: math.Inf(1), interval: interval} }
 
 // Init sets the initial limit once servers are known. Load starts at one attempt, to avoid a rush of
 // first requests. Servers may become known one by one: the initial limit rises with them until the
@@ -46,9 +46,9 @@
 // UpdateLoad returns the moving mean of attempts in flight. It spans six targets where
 // there are few attempts: below one, the current number tells nothing, and a mean over
 // one target still refused requests by chance. It lags if load doubles within that time.
-func (l *Limit) UpdateLoad(now time.Duration, out float64) float64 {
+func (l *Limit) UpdateLoad(now time.Duration, inFlight float64) float64 {
 	rate := (1 + l.Load*l.Load) / float64(48*l.interval)
-	l.Load += (max(0, out) - l.Load) * (1 - math.Exp(-rate*float64(now-l.loadAt)))
+	l.Load += (max(0, inFlight) - l.Load) * (1 - math.Exp(-rate*float64(now-l.loadAt)))
 	l.loadAt = now
 	return l.Load
 }
@@ -62,11 +62,11 @@
 // Adjust moves the limit so that few responses are late, whether because of overload,
 // lost servers or slow servers. Min ensures that there are responses to adapt to. It
 // does harm where lateness isn't caused by load.
-func (l *Limit) Adjust(now time.Duration, out float64, late bool) {
-	load, step, least := l.UpdateLoad(now, out), l.SampleWeight(), l.Min()
-	if l.Max = min(l.Max, maxFactor*least); late {
+func (l *Limit) Adjust(now time.Duration, inFlight float64, late bool) {
+	load, step, minimum := l.UpdateLoad(now, inFlight), l.SampleWeight(), l.Min()
+	if l.Max = min(l.Max, maxFactor*minimum); late {
 		l.initialMax = 0
-		l.Max = max(least, l.Max*(1-step))
+		l.Max = max(minimum, l.Max*(1-step))
 	} else if load > l.Max/2 {
 		l.Max = l.Max*(1+step*targetLateShare/(1-targetLateShare)) + min(1, l.ServersPerGateway)*step/4
 	}
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -33,10 +33,10 @@
 	s.Slowness, s.FaultRate, s.EjectedUntil, s.Ejections, s.evidence = 0.5, 0, 0, 0, 0
 }
 
-// ObserveSuccess records a successful response and its latency relative to the mean.
-func (s *Server) ObserveSuccess(times float64) {
+// ObserveSuccess records a successful response and its latency relative to the mean of its class.
+func (s *Server) ObserveSuccess(ratio float64) {
 	s.evidence = min(s.evidence+1, maxEvidence)
-	s.Slowness += (min(times, maxSlowness) - s.Slowness) / (priorWeight + s.evidence)
+	s.Slowness += (min(ratio, maxSlowness) - s.Slowness) / (priorWeight + s.evidence)
 	s.FaultRate -= s.FaultRate / (priorWeight + s.evidence)
 	s.EjectedUntil, s.Ejections = 0, 0
 }
@@ -47,12 +47,12 @@
 	s.FaultRate += (1 - s.FaultRate) / (priorWeight + s.evidence)
 }
 
-// Decay lets evidence decay over the time past. usual is the share of faults among all responses.
-func (s *Server) Decay(past time.Duration, usual float64) {
-	s.Slowness += (0.5 - s.Slowness) * past.Seconds() / slownessLife.Seconds()
-	part := min(1, past.Seconds()/evidenceLife.Seconds())
-	s.FaultRate += (usual - s.FaultRate) * part
-	s.evidence -= s.evidence * part
+// Decay lets evidence decay over the elapsed time. meanFaultRate is the share of faults among all responses.
+func (s *Server) Decay(elapsed time.Duration, meanFaultRate float64) {
+	s.Slowness += (0.5 - s.Slowness) * elapsed.Seconds() / slownessLife.Seconds()
+	fraction := min(1, elapsed.Seconds()/evidenceLife.Seconds())
+	s.FaultRate += (meanFaultRate - s.FaultRate) * fraction
+	s.evidence -= s.evidence * fraction
 }
 
 // Eject ejects a server for a time that doubles with each ejection. While it is ejected, Eject has no effect.
--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -21,9 +21,9 @@
 }
 
 // Observe records the latency of a response, with a weight between 0 and 1.
-func (l *Latency) Observe(took, weight float64) {
-	l.Deviation += (math.Abs(took-l.Mean) - l.Deviation) * weight
-	l.Mean += (took - l.Mean) * weight
+func (l *Latency) Observe(latency, weight float64) {
+	l.Deviation += (math.Abs(latency-l.Mean) - l.Deviation) * weight
+	l.Mean += (latency - l.Mean) * weight
 	if l.samples++; l.samples < 50 || l.Mean < l.Baseline {
 		l.Baseline = min(l.Mean, l.maxBaseline) // latency of a start under load must not become the baseline
 	} else {
@@ -40,6 +40,6 @@
 func (l *Latency) Queueing() bool { return l.Mean > 1.5*l.Baseline }
 
 // Unresponsive reports whether so long a silence can't be explained by load.
-func (l *Latency) Unresponsive(quiet time.Duration) bool {
-	return quiet > l.Slow()*3/2 && !l.Queueing()
+func (l *Latency) Unresponsive(silence time.Duration) bool {
+	return silence > l.Slow()*3/2 && !l.Queueing()
 }
--- a/internal/ratecap/ratecap.go
+++ b/internal/ratecap/ratecap.go
@@ -42,27 +42,27 @@
 // New returns an empty share that refills from a time on.
 func New(at time.Duration) Share { return Share{filledAt: at} }
 
-func (s *Share) fill(now time.Duration, t Limits) {
-	past := max(0, (now - s.filledAt).Seconds())
+func (s *Share) refill(now time.Duration, limits Limits) {
+	elapsed := max(0, (now - s.filledAt).Seconds())
 	s.filledAt = now
-	s.available = min(t.Burst/t.Gateways, s.available+t.Rate/t.Gateways*past)
-	s.excess = min((t.Burst-t.QuotaBurst)/t.Gateways, s.excess+(t.Rate-t.QuotaRate)/t.Gateways*past)
+	s.available = min(limits.Burst/limits.Gateways, s.available+limits.Rate/limits.Gateways*elapsed)
+	s.excess = min((limits.Burst-limits.QuotaBurst)/limits.Gateways, s.excess+(limits.Rate-limits.QuotaRate)/limits.Gateways*elapsed)
 }
 
 // Allows reports whether units would pass without the counter's confirmation.
-func (s *Share) Allows(now time.Duration, t Limits, units float64) bool {
-	s.fill(now, t)
+func (s *Share) Allows(now time.Duration, limits Limits, units float64) bool {
+	s.refill(now, limits)
 	return s.available >= units && s.excess >= units
 }
 
 // Take takes units from the share if they stay under the ceiling, and reports whether they do.
-func (s *Share) Take(now time.Duration, t Limits, units float64, w Assurance) bool {
-	s.fill(now, t)
-	if w != Confirmed && s.available < units || w == NotAsked && s.excess < units {
+func (s *Share) Take(now time.Duration, limits Limits, units float64, assurance Assurance) bool {
+	s.refill(now, limits)
+	if assurance != Confirmed && s.available < units || assurance == NotAsked && s.excess < units {
 		return false
 	}
 	s.available -= units
-	if w < Doubtful {
+	if assurance < Doubtful {
 		s.excess -= units
 	}
 	return true
@@ -82,6 +82,6 @@
 // DistrustPeriod is how long counts must have been complete, after they may have been
 // lost, before confirmations suffice: in that time the ceiling refills beyond what the
 // quota can use meanwhile.
-func (t Limits) DistrustPeriod() time.Duration {
-	return time.Duration(t.Burst / max(t.Rate-t.QuotaRate, 1e-3) * float64(time.Second))
+func (limits Limits) DistrustPeriod() time.Duration {
+	return time.Duration(limits.Burst / max(limits.Rate-limits.QuotaRate, 1e-3) * float64(time.Second))
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -162,7 +162,7 @@
 }
 
 // view holds figures that other goroutines may read at any time.
-type view struct{ listed, avoided, ready atomic.Int64 }
+type view struct{ listed, ejected, ready atomic.Int64 }
 
 const viewPeriod = 200 * time.Millisecond
 
@@ -173,12 +173,12 @@
 func (c *Core) ListedServers() int { return int(c.view.listed.Load()) }
 
 // EjectedServers is the number of listed servers that get no requests now.
-func (c *Core) EjectedServers() int { return int(c.view.avoided.Load()) }
+func (c *Core) EjectedServers() int { return int(c.view.ejected.Load()) }
 
 func (c *Core) updateView(now time.Duration) {
 	c.viewUpdatedAt = now
 	c.view.listed.Store(int64(len(c.listedServers)))
-	c.view.avoided.Store(int64(len(c.listedServers) - len(c.upServers) + c.balancer.EjectedServers()))
+	c.view.ejected.Store(int64(len(c.listedServers) - len(c.upServers) + c.balancer.EjectedServers()))
 	ready := 0
 	if c.discovered || now >= c.trustSavedAt {
 		ready = len(c.upServers)
@@ -213,8 +213,8 @@
 }
 
 type probe struct {
-	try  int
-	sent time.Duration
+	number int
+	sent   time.Duration
 }
 
 // savedListDelay is how long a gateway waits for discovery after its start before it uses
@@ -334,10 +334,10 @@
 	if o == nil || o.req != m.r {
 		return
 	}
-	for try := range o.attempts {
-		if a := &o.attempts[try]; a.pending {
+	for number := range o.attempts {
+		if a := &o.attempts[number]; a.pending {
 			a.sent = now
-			c.balancer.HandleBodyProgress(now, m.r.id, try)
+			c.balancer.HandleBodyProgress(now, m.r.id, number)
 		}
 	}
 }
@@ -500,7 +500,7 @@
 
 func (m probeEnded) apply(c *Core, now time.Duration) {
 	p, ok := c.probes[m.server]
-	if !ok || p.try != m.Number {
+	if !ok || p.number != m.Number {
 		return
 	}
 	delete(c.probes, m.server)
@@ -589,23 +589,23 @@
 		return
 	}
 	now := c.now()
-	try := len(o.attempts)
+	number := len(o.attempts)
 	o.attempts = append(o.attempts, attempt{server: backend, sent: now, pending: true})
 	o.inFlight++
 	left := o.req.Deadline - now
 	if limit > 0 {
 		left = min(left, limit)
 	}
-	again := try > 0 && o.req.BodyConsumed != nil && o.req.BodyConsumed()
+	again := number > 0 && o.req.BodyConsumed != nil && o.req.BodyConsumed()
 	if o.answered || left <= 0 || again { // the request is finished: don't send it
-		o.attempts[try].pending, o.attempts[try].status = false, choice.NotExecuted
+		o.attempts[number].pending, o.attempts[number].status = false, choice.NotExecuted
 		o.inFlight--
-		c.pendingOutcomes = append(c.pendingOutcomes, choice.Outcome{ID: id, Attempt: try, Backend: backend, Status: choice.NotExecuted, Final: o.answered})
+		c.pendingOutcomes = append(c.pendingOutcomes, choice.Outcome{ID: id, Attempt: number, Backend: backend, Status: choice.NotExecuted, Final: o.answered})
 		return
 	}
 	c.stats.Attempts++
-	c.schedule(left, timer{kind: attemptTimer, id: id, try: try})
-	c.deps.Fleet.Send(backend, Attempt{id, try}, o.req.Call, left)
+	c.schedule(left, timer{kind: attemptTimer, id: id, number: number})
+	c.deps.Fleet.Send(backend, Attempt{id, number}, o.req.Call, left)
 }
 
 func (x *actions) Refuse(id uint32, retryAfter time.Duration) {
@@ -637,22 +637,22 @@
 	return o.req.Reply
 }
 
-func (x *actions) Cancel(id uint32, try int) {
+func (x *actions) Cancel(id uint32, number int) {
 	c := (*Core)(x)
-	if o := c.requests[id]; o != nil && try < len(o.attempts) && o.attempts[try].pending {
-		c.abortAttempt(id, o, try, choice.Cancelled)
+	if o := c.requests[id]; o != nil && number < len(o.attempts) && o.attempts[number].pending {
+		c.abortAttempt(id, o, number, choice.Cancelled)
 	}
 }
 
 // abortAttempt ends a pending attempt.
-func (c *Core) abortAttempt(id uint32, o *openRequest, try int, status choice.Status) {
-	a := &o.attempts[try]
+func (c *Core) abortAttempt(id uint32, o *openRequest, number int, status choice.Status) {
+	a := &o.attempts[number]
 	a.pending, a.status = false, status
 	o.inFlight--
 	c.stats.Outcomes[status]++
 	c.observe(a.server, status)
-	c.deps.Fleet.Cancel(a.server, Attempt{id, try})
-	c.pendingOutcomes = append(c.pendingOutcomes, choice.Outcome{ID: id, Attempt: try, Backend: a.server, Status: status,
+	c.deps.Fleet.Cancel(a.server, Attempt{id, number})
+	c.pendingOutcomes = append(c.pendingOutcomes, choice.Outcome{ID: id, Attempt: number, Backend: a.server, Status: status,
 		Elapsed: c.now() - a.sent, Final: o.answered})
 	c.removeIfDone(id, o)
 }
@@ -661,8 +661,8 @@
 	c := (*Core)(x)
 	c.probeCount++
 	c.stats.Probes++
-	c.probes[backend] = probe{try: c.probeCount, sent: c.now()}
-	c.schedule(c.probeTimeout, timer{kind: probeTimer, id: backend, try: c.probeCount})
+	c.probes[backend] = probe{number: c.probeCount, sent: c.now()}
+	c.schedule(c.probeTimeout, timer{kind: probeTimer, id: backend, number: c.probeCount})
 	c.deps.Fleet.Probe(backend, Attempt{0, c.probeCount}, c.probeTimeout)
 }
 
@@ -673,12 +673,12 @@
 	c.deps.Counter.Add(name, add, life)
 }
 
-func (x *actions) SetTimer(after time.Duration, token string) {
+func (x *actions) SetTimer(delay time.Duration, token string) {
 	c := (*Core)(x)
 	if token == choice.HousekeepingTimer {
-		c.interval = after
+		c.interval = delay
 	}
-	c.schedule(after, timer{kind: balancerTimer, token: token, id: timerRequest(token)})
+	c.schedule(delay, timer{kind: balancerTimer, token: token, id: timerRequest(token)})
 }
 
 func (x *actions) Watch(on bool) { x.deps.Watcher.Watch(on) }
@@ -695,12 +695,12 @@
 )
 
 type timer struct {
-	at    time.Duration
-	seq   uint64
-	kind  timerKind
-	token string
-	id    uint32
-	try   int
+	at     time.Duration
+	seq    uint64
+	kind   timerKind
+	token  string
+	id     uint32
+	number int
 }
 
 func (c *Core) schedule(d time.Duration, t timer) {
@@ -718,15 +718,15 @@
 	case balancerTimer:
 		c.balancer.HandleTimer(now, t.token)
 	case attemptTimer:
-		if o := c.requests[t.id]; o != nil && t.try < len(o.attempts) && o.attempts[t.try].pending {
-			c.abortAttempt(t.id, o, t.try, choice.Timeout)
+		if o := c.requests[t.id]; o != nil && t.number < len(o.attempts) && o.attempts[t.number].pending {
+			c.abortAttempt(t.id, o, t.number, choice.Timeout)
 		}
 	case gateTimer:
 		c.recheckGate(now)
 	case probeTimer:
-		if p, ok := c.probes[t.id]; ok && p.try == t.try {
-			c.deps.Fleet.Cancel(t.id, Attempt{0, t.try})
-			probeEnded{t.id, Attempt{0, t.try}, choice.Timeout, nil}.apply(c, now)
+		if p, ok := c.probes[t.id]; ok && p.number == t.number {
+			c.deps.Fleet.Cancel(t.id, Attempt{0, t.number})
+			probeEnded{t.id, Attempt{0, t.number}, choice.Timeout, nil}.apply(c, now)
 		}
 	}
 }
--- a/internal/routing/sleep.go
+++ b/internal/routing/sleep.go
@@ -40,7 +40,7 @@
 		return t.id != 0 && c.requests[t.id] == nil
 	case attemptTimer:
 		o := c.requests[t.id]
-		return o == nil || t.try >= len(o.attempts) || !o.attempts[t.try].pending
+		return o == nil || t.number >= len(o.attempts) || !o.attempts[t.number].pending
 	}
 	return false
 }
