--- a/choice/meter_test.go
+++ b/choice/meter_test.go
@@ -8,12 +8,12 @@
 	"asterwell/internal/ratecap"
 )
 
-// submitMany submits n requests of u units at once and returns how many were sent to a server.
-func submitMany(b *Balancer, rec *recorder, from uint32, n int, plan string, u float64, width int, now time.Duration) int {
+// submitMany submits n requests of some units at once and returns how many were sent to a server.
+func submitMany(b *Balancer, rec *recorder, from uint32, n int, plan string, units float64, width int, now time.Duration) int {
 	before := len(rec.sends)
 	for i := range n {
 		q := newRequest(from+uint32(i), "read", plan, now)
-		q.Units, q.Gateways = u, width
+		q.Units, q.Gateways = units, width
 		b.HandleRequest(now, q)
 		if len(rec.sends) > before && rec.sends[len(rec.sends)-1].id == q.ID { // answered at once: no load builds up
 			rec.end(b, now, 0, OK)
--- a/choice/sums_test.go
+++ b/choice/sums_test.go
@@ -14,7 +14,7 @@
 	recorders   []*recorder
 	counts      map[string]float64
 	counterDown bool // counter calls time out and add nothing
-	id          uint32
+	lastID      uint32
 }
 
 func newGatewaySet(t *testing.T, gatewayCount int, change func(*Settings)) *gatewaySet {
@@ -40,8 +40,8 @@
 
 func (s *gatewaySet) askFor(now time.Duration, i int, plan, customer string) bool {
 	b, rec := s.balancers[i], s.recorders[i]
-	s.id++
-	q := newRequest(s.id, "read", plan, now)
+	s.lastID++
+	q := newRequest(s.lastID, "read", plan, now)
 	q.Gateways, q.Customer = len(s.balancers), customer
 	sends := len(rec.sends)
 	b.HandleRequest(now, q)
--- a/choice/twin.go
+++ b/choice/twin.go
@@ -6,34 +6,50 @@
 	"time"
 )
 
-// SavedState is what one process of a gateway hands over to the next.
+// SavedState is what one process of a gateway hands over to the next, encoded as JSON. Tags keep the encoded
+// names of earlier releases, since the two processes may be of different ones.
 type SavedState struct {
-	Limit, Density, Stake, Floor, Beyond, Faults, Sends float64
-	Started, Counted, Doubt                             time.Duration
-	Classes                                             []ClassState
-	Customers                                           []CustomerState
-	Servers                                             []ServerState
+	Limit     float64
+	ValueRate float64       `json:"Density"`
+	MeanLoss  float64       `json:"Stake"`
+	MinLoss   float64       `json:"Floor"`
+	OverQuota float64       `json:"Beyond"`
+	FaultRate float64       `json:"Faults"`
+	SendRate  float64       `json:"Sends"`
+	StartedAt time.Duration `json:"Started"`
+	CountedAt time.Duration `json:"Counted"`
+	DoubtedAt time.Duration `json:"Doubt"`
+	Classes   []ClassState
+	Customers []CustomerState
+	Servers   []ServerState
 }
 
 // ClassState holds a class's latency statistics.
 type ClassState struct {
-	Name            string
-	Mean, Dev, Base float64
+	Name      string
+	Mean      float64
+	Deviation float64 `json:"Dev"`
+	Baseline  float64 `json:"Base"`
 }
 
 // CustomerState holds a customer's meter.
 type CustomerState struct {
-	Key, Plan         string
-	TAT, Seen, ReadAt time.Duration
-	Width             int // of one process per gateway
-	Over, Room, Spare float64
+	Key, Plan    string
+	TAT          time.Duration
+	SeenAt       time.Duration `json:"Seen"`
+	ReadAt       time.Duration
+	Gateways     int     `json:"Width"` // of one process per gateway
+	EmptyReads   float64 `json:"Over"`
+	CeilingShare float64 `json:"Room"`
+	ExcessShare  float64 `json:"Spare"` // of the ceiling's excess over the quota
 }
 
 // ServerState holds a server's health statistics.
 type ServerState struct {
-	Key         uint64
-	Slow, Fault float64
-	Until       time.Duration
+	Key          uint64
+	Slowness     float64       `json:"Slow"`
+	FaultRate    float64       `json:"Fault"`
+	EjectedUntil time.Duration `json:"Until"`
 }
 
 // SetProcesses sets how many processes share this gateway's identity. For quotas, ceilings
@@ -46,8 +62,8 @@
 // ExportState returns the state for another process of this gateway. It includes half of
 // this process's shares of ceilings, which are taken from its own.
 func (b *Balancer) ExportState(now time.Duration) SavedState {
-	s := SavedState{Limit: b.limit.Max, Density: b.valueRate, Stake: b.meanLoss, Floor: b.minLoss, Beyond: b.overQuota, Faults: b.faultRate,
-		Sends: b.sendRate, Started: b.startedAt, Counted: b.countedAt, Doubt: b.doubtedAt}
+	s := SavedState{Limit: b.limit.Max, ValueRate: b.valueRate, MeanLoss: b.meanLoss, MinLoss: b.minLoss, OverQuota: b.overQuota, FaultRate: b.faultRate,
+		SendRate: b.sendRate, StartedAt: b.startedAt, CountedAt: b.countedAt, DoubtedAt: b.doubtedAt}
 	if math.IsInf(s.Limit, 1) { // not initialized yet
 		s.Limit = 0
 	}
@@ -68,22 +84,22 @@
 
 // validate returns an error for the first value that can't be valid.
 func (s *SavedState) validate(now time.Duration) error {
-	figures := []float64{s.Density, s.Stake, s.Floor, s.Beyond, s.Faults, s.Sends}
-	times := []time.Duration{s.Started, s.Counted, s.Doubt}
+	figures := []float64{s.ValueRate, s.MeanLoss, s.MinLoss, s.OverQuota, s.FaultRate, s.SendRate}
+	times := []time.Duration{s.StartedAt, s.CountedAt, s.DoubtedAt}
 	for _, c := range s.Classes {
-		if figures = append(figures, c.Mean, c.Dev, c.Base); !(c.Mean > 0) || !(c.Base > 0) {
-			return fmt.Errorf("class %s: invalid latency: mean %v, baseline %v", c.Name, c.Mean, c.Base)
+		if figures = append(figures, c.Mean, c.Deviation, c.Baseline); !(c.Mean > 0) || !(c.Baseline > 0) {
+			return fmt.Errorf("class %s: invalid latency: mean %v, baseline %v", c.Name, c.Mean, c.Baseline)
 		}
 	}
 	for _, c := range s.Customers {
-		figures, times = append(figures, c.Over), append(times, c.Seen, c.ReadAt)
-		if math.IsNaN(c.Room) || math.IsNaN(c.Spare) || c.Width < 1 || c.TAT > now+CounterTTL*60 {
+		figures, times = append(figures, c.EmptyReads), append(times, c.SeenAt, c.ReadAt)
+		if math.IsNaN(c.CeilingShare) || math.IsNaN(c.ExcessShare) || c.Gateways < 1 || c.TAT > now+CounterTTL*60 {
 			return fmt.Errorf("customer %s: invalid meter: %+v", c.Key, c)
 		}
 	}
 	for _, be := range s.Servers {
-		if figures = append(figures, be.Slow, be.Fault); be.Until > now+CounterTTL*60 {
-			return fmt.Errorf("server %x: ejected for too long: %v", be.Key, be.Until-now)
+		if figures = append(figures, be.Slowness, be.FaultRate); be.EjectedUntil > now+CounterTTL*60 {
+			return fmt.Errorf("server %x: ejected for too long: %v", be.Key, be.EjectedUntil-now)
 		}
 	}
 	for _, f := range figures {
@@ -108,11 +124,11 @@
 	if s.Limit > 0 && s.Limit < 1e6 {
 		b.limit.Max = s.Limit
 	}
-	b.valueRate, b.meanLoss, b.minLoss, b.overQuota, b.faultRate = s.Density, s.Stake, s.Floor, s.Beyond, s.Faults
-	b.sendRate, b.intervals, b.startedAt, b.countedAt, b.doubtedAt = s.Sends, max(b.intervals, 1/0.2), s.Started, s.Counted, s.Doubt
+	b.valueRate, b.meanLoss, b.minLoss, b.overQuota, b.faultRate = s.ValueRate, s.MeanLoss, s.MinLoss, s.OverQuota, s.FaultRate
+	b.sendRate, b.intervals, b.startedAt, b.countedAt, b.doubtedAt = s.SendRate, max(b.intervals, 1/0.2), s.StartedAt, s.CountedAt, s.DoubtedAt
 	for _, c := range s.Classes {
 		if cl := b.classes[c.Name]; cl != nil {
-			cl.Mean, cl.Deviation, cl.Baseline = c.Mean, c.Dev, c.Base
+			cl.Mean, cl.Deviation, cl.Baseline = c.Mean, c.Deviation, c.Baseline
 		}
 	}
 	for _, c := range s.Customers {
@@ -120,14 +136,14 @@
 		if p == nil || b.customers[c.Key] != nil {
 			continue
 		}
-		x := &customer{key: c.Key, plan: p, tat: c.TAT, seenAt: c.Seen, gateways: c.Width * b.processes, readAt: c.ReadAt, assumedUntil: now, emptyReads: c.Over}
-		x.ceiling.Restore(now, c.Room, c.Spare)
+		x := &customer{key: c.Key, plan: p, tat: c.TAT, seenAt: c.SeenAt, gateways: c.Gateways * b.processes, readAt: c.ReadAt, assumedUntil: now, emptyReads: c.EmptyReads}
+		x.ceiling.Restore(now, c.CeilingShare, c.ExcessShare)
 		b.customers[c.Key], b.meters = x, append(b.meters, x)
 	}
 	for _, k := range s.Servers {
 		for _, be := range b.backends {
 			if be.Key == k.Key {
-				be.Slowness, be.FaultRate, be.EjectedUntil = k.Slow, k.Fault, k.Until
+				be.Slowness, be.FaultRate, be.EjectedUntil = k.Slowness, k.FaultRate, k.EjectedUntil
 			}
 		}
 	}
--- a/choice/twin_test.go
+++ b/choice/twin_test.go
@@ -44,11 +44,11 @@
 		t.Error("the limit or the latency was not taken over")
 	}
 	for name, spoil := range map[string]func(s *SavedState){
-		"a future time":           func(s *SavedState) { s.Counted = now + time.Hour },
-		"not a number":            func(s *SavedState) { s.Floor = math.NaN() },
+		"a future time":           func(s *SavedState) { s.CountedAt = now + time.Hour },
+		"not a number":            func(s *SavedState) { s.MinLoss = math.NaN() },
 		"no latency":              func(s *SavedState) { s.Classes[0].Mean = 0 },
 		"a TAT far in the future": func(s *SavedState) { s.Customers[0].TAT = math.MaxInt64 },
-		"no gateways":             func(s *SavedState) { s.Customers[0].Width = 0 },
+		"no gateways":             func(s *SavedState) { s.Customers[0].Gateways = 0 },
 	} {
 		var s SavedState
 		if err := json.Unmarshal(text, &s); err != nil {
--- a/internal/aperture/aperture_test.go
+++ b/internal/aperture/aperture_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func fleet(t *rapid.T) []Node {
+func drawNodes(t *rapid.T) []Node {
 	zones := rapid.IntRange(1, 4).Draw(t, "zones")
 	keys := rapid.SliceOfNDistinct(rapid.Uint64(), 1, 90, rapid.ID[uint64]).Draw(t, "keys")
 	nodes := make([]Node, len(keys))
@@ -20,7 +20,7 @@
 // The order doesn't depend on the order of the list, and any contiguous part has the zone proportions of the whole.
 func TestRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := fleet(t)
+		nodes := drawNodes(t)
 		self := func(n Node) Node { return n }
 		ring := Ring(nodes, self)
 		for at, n := range Ring(rapid.Permutation(nodes).Draw(t, "other list"), self) {
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -31,17 +31,17 @@
 // are, and less often the more calls it rejects.
 func TestSharedIsAskedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Options{Shared: true, Gateways: rapid.IntRange(1, 5000).Draw(t, "gateways"),
+		options := Options{Shared: true, Gateways: rapid.IntRange(1, 5000).Draw(t, "gateways"),
 			MaxNewsAge: time.Duration(rapid.Int64Range(int64(time.Second), int64(time.Minute)).Draw(t, "within"))}
-		p := New(terms)
-		if wait := p.InitialDelay(rapid.Float64Range(0, 1).Draw(t, "odds")); wait > terms.MaxNewsAge/2 {
+		p := New(options)
+		if wait := p.InitialDelay(rapid.Float64Range(0, 1).Draw(t, "odds")); wait > options.MaxNewsAge/2 {
 			t.Fatalf("first call after %v", wait)
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "failures") {
 			busy := rapid.Bool().Draw(t, "busy")
 			wait := p.NextDelay(busy, rapid.Float64Range(0, 1).Draw(t, "odds"))
-			if wait > max(480*time.Millisecond, 4*terms.MaxNewsAge*2/3) || !busy && wait > 480*time.Millisecond {
-				t.Fatalf("busy %v: waits %v of %v", busy, wait, terms.MaxNewsAge)
+			if wait > max(480*time.Millisecond, 4*options.MaxNewsAge*2/3) || !busy && wait > 480*time.Millisecond {
+				t.Fatalf("busy %v: waits %v of %v", busy, wait, options.MaxNewsAge)
 			}
 		}
 	})
--- a/internal/routing/sleep_test.go
+++ b/internal/routing/sleep_test.go
@@ -203,7 +203,7 @@
 					}
 				})
 			}
-			end := p.clock + at + time.Duration(s64(steps[0].x)%int64(40*time.Second))
+			end := p.clock + at + time.Duration(nonNegative(steps[0].x)%int64(40*time.Second))
 			p.run(end)
 			p.clock = end
 		}
@@ -237,7 +237,7 @@
 	t.Logf("woken %d times with sleep, %d without", asleep, awake)
 }
 
-func s64(x uint64) int64 { return int64(x >> 1) }
+func nonNegative(x uint64) int64 { return int64(x >> 1) }
 
 // BenchmarkSleep measures one second of an idle core, by its number of servers.
 func BenchmarkSleep(b *testing.B) {
--- a/internal/stride/stride_test.go
+++ b/internal/stride/stride_test.go
@@ -79,7 +79,7 @@
 		for round := range 30 {
 			count := make([]float64, servers)
 			for i := range gateways {
-				g := newGateway(make20(), uint64(round*gateways+i))
+				g := newGateway(equalWeights(), uint64(round*gateways+i))
 				first := i * 13 % servers
 				for range 20 { // warm up
 					g.send(-1)
@@ -103,7 +103,7 @@
 	}
 }
 
-func make20() []float64 {
+func equalWeights() []float64 {
 	w := make([]float64, 20)
 	for i := range w {
 		w[i] = 1
