--- a/internal/memberlist/index.go
+++ b/internal/memberlist/index.go
@@ -41,27 +41,27 @@
 	if n > maxParts || n&(n-1) != 0 || n == 0 {
 		return
 	}
-	ours, only := m.partDigests(n), make([]byte, (n+7)/8)
+	ours, differing := m.partDigests(n), make([]byte, (n+7)/8)
 	for i := range n {
 		if !slices.Equal(ours[4*i:4*i+4], x.PartDigests[4*i:4*i+4]) {
-			only[i/8] |= 1 << (i % 8)
+			differing[i/8] |= 1 << (i % 8)
 		}
 	}
 	for k := 0; m.lostCount > 0 && k < len(m.sorted); k++ {
 		e := m.sorted[k]
 		if i := partOf(e, n); e.lostHere {
-			only[i/8] |= 1 << (i % 8)
+			differing[i/8] |= 1 << (i % 8)
 		}
 	}
-	if slices.Max(only) > 0 {
-		m.send(from, Index{Rows: m.encodeIndex(func(e *entry) bool { return inParts(only, n, e) }), Parts: append(only, byte(bits.Len(uint(n)))), Encoding: encodingPacked})
+	if slices.Max(differing) > 0 {
+		m.send(from, Index{Rows: m.encodeIndex(func(e *entry) bool { return inParts(differing, n, e) }), Parts: append(differing, byte(bits.Len(uint(n)))), Encoding: encodingPacked})
 	}
 }
 
 // inParts reports whether an entry belongs to one of the parts in the bit set.
-func inParts(only []byte, n int, e *entry) bool {
+func inParts(parts []byte, n int, e *entry) bool {
 	i := partOf(e, n)
-	return only[i/8]&(1<<(i%8)) != 0
+	return parts[i/8]&(1<<(i%8)) != 0
 }
 
 // addrHash identifies the entry in an index.
@@ -101,7 +101,7 @@
 			return
 		}
 	}
-	most := m.entryAllowance()
+	allowed := m.entryAllowance()
 	var nodes []Node
 	var want []uint32
 	for _, e := range m.sorted {
@@ -114,7 +114,7 @@
 		if has && v == e.indexVersion() {
 			continue
 		}
-		if !e.lostHere && (has || e.node.State != Gone) && len(nodes) < most {
+		if !e.lostHere && (has || e.node.State != Gone) && len(nodes) < allowed {
 			nodes = append(nodes, e.node)
 		}
 		if has && v != 0 {
--- a/internal/memberlist/machine.go
+++ b/internal/memberlist/machine.go
@@ -168,13 +168,13 @@
 
 // fleetShare returns this process's share of an amount of work that the fleet divides; the whole
 // amount is what each process does in a fleet of referenceFleetSize.
-func (m *Machine) fleetShare(of float64) float64 {
-	return of * referenceFleetSize / float64(max(referenceFleetSize, len(m.ring)))
+func (m *Machine) fleetShare(amount float64) float64 {
+	return amount * referenceFleetSize / float64(max(referenceFleetSize, len(m.ring)))
 }
 
 // perNode returns a duration that grows with the fleet, and is at least the given one.
-func (m *Machine) perNode(least, one time.Duration) time.Duration {
-	return max(least, time.Duration(len(m.ring))*one)
+func (m *Machine) perNode(least, each time.Duration) time.Duration {
+	return max(least, time.Duration(len(m.ring))*each)
 }
 
 // SetConfigVersion sets the configuration version that this process holds. The watchers receive it
--- a/internal/memberlist/machine_test.go
+++ b/internal/memberlist/machine_test.go
@@ -16,7 +16,7 @@
 	return Node{Addr: fmt.Sprintf("10.0.0.%d:7", i), Name: fmt.Sprint("n", i), Incarnation: 1, Seq: 1}
 }
 
-// amid is a machine that knows others, all of them just heard.
+// machineAmong returns a machine that knows others, all of which it has just heard.
 func machineAmong(others int) *Machine {
 	m := New(node(0), nil, 1, 0)
 	for i := 1; i <= others; i++ {
@@ -44,20 +44,22 @@
 	return msgs
 }
 
-// A rumour is passed on by whom it is news to, and only then.
+// TestGossipOnce checks that a change is forwarded by a node to which it is new, and only once.
 func TestGossipOnce(t *testing.T) {
 	m := machineAmong(20)
 	n := node(5)
 	n.Seq, n.ConfigVersion = 2, 9
 	if o := m.Receive(ms, node(6).Addr, Gossip{Nodes: []Node{n}}); len(sent[Gossip](o)) < 3 || len(sent[Gossip](o)) > 5 {
-		t.Fatalf("passed on %d times", len(sent[Gossip](o)))
+		t.Fatalf("forwarded %d times, want 3 to 5", len(sent[Gossip](o)))
 	}
 	if o := m.Receive(2*ms, node(7).Addr, Gossip{Nodes: []Node{n}}); len(o.Send) != 0 || o.Changed {
 		t.Fatalf("%+v", o)
 	}
 }
 
-// A "gone" out of a table may be old: the node is asked, and is gone if it is silent.
+// TestGoneInDiffIsVerified guards against an outdated Gone from a table exchange: the node is
+// asked
+// first, and is gone only if it stays silent.
 func TestGoneInDiffIsVerified(t *testing.T) {
 	for _, lives := range []bool{true, false} {
 		m := machineAmong(8)
@@ -76,12 +78,13 @@
 			m.Tick(now)
 		}
 		if got := state(m, 5); (got == Up) != lives {
-			t.Errorf("lives %v, is %v", lives, got)
+			t.Errorf("alive %v, state %v", lives, got)
 		}
 	}
 }
 
-// What others remember of an earlier life is outdone, whatever our clock says.
+// TestIncarnationConflict checks that a process outdoes what others remember of an earlier start,
+// even if its clock went back and gave it a lower incarnation.
 func TestIncarnationConflict(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -90,21 +93,21 @@
 		life uint64
 		seq  uint64
 	}{
-		{"an earlier life with a later number", Gossip{Nodes: []Node{{Addr: node(0).Addr, Incarnation: 40, Seq: 3}}}, 9 * ms, 41, 2},
-		{"the same number, changed more often", Gossip{Nodes: []Node{{Addr: node(0).Addr, Incarnation: 1, Seq: 3}}}, 9 * ms, 2, 2},
-		{"gone, before we can have been missed", Suspect{Incarnation: 1, Seq: 1}, 9 * ms, 2, 2},
-		{"gone, in this life", Suspect{Incarnation: 1, Seq: 1}, 9000 * ms, 1, 2},
-		{"gone, long taken back", Suspect{Incarnation: 1, Seq: 0}, 9000 * ms, 1, 1},
+		{"an earlier start with a higher incarnation", Gossip{Nodes: []Node{{Addr: node(0).Addr, Incarnation: 40, Seq: 3}}}, 9 * ms, 41, 2},
+		{"the same incarnation with a higher sequence number", Gossip{Nodes: []Node{{Addr: node(0).Addr, Incarnation: 1, Seq: 3}}}, 9 * ms, 2, 2},
+		{"gone, before its own heartbeats can have been missed", Suspect{Incarnation: 1, Seq: 1}, 9 * ms, 2, 2},
+		{"gone, in this incarnation", Suspect{Incarnation: 1, Seq: 1}, 9000 * ms, 1, 2},
+		{"gone, already refuted", Suspect{Incarnation: 1, Seq: 0}, 9000 * ms, 1, 1},
 	} {
 		m := machineAmong(3)
 		m.Receive(c.at, node(1).Addr, c.msg)
 		if m.self.Incarnation != c.life || m.self.Seq != c.seq {
-			t.Errorf("%s: life %d, change %d", c.name, m.self.Incarnation, m.self.Seq)
+			t.Errorf("%s: incarnation %d, sequence number %d", c.name, m.self.Incarnation, m.self.Seq)
 		}
 	}
 }
 
-// Words about a node give the same table in any order.
+// TestMergeOrder checks that entries about a node give the same table in any order.
 func TestMergeOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 3))
 	for range 300 {
@@ -138,7 +141,8 @@
 	return a.Machine.Receive(now, from, msg).Send
 }
 
-// News reaches a hundred within a few hops, over links that lose some of it.
+// TestGossipReachesAll checks that a change reaches a hundred nodes within 150 ms, also when links
+// lose messages.
 func TestGossipReachesAll(t *testing.T) {
 	const all = 100
 	for _, loss := range []float64{0, 0.1} {
@@ -153,24 +157,25 @@
 		net.Loss = loss
 		machines[40].SetConfigVersion(7)
 		net.Run(150 * ms)
-		know := 0
+		informed := 0
 		for _, m := range machines {
 			if len(m.UpNodes()) != all {
 				t.Fatalf("%d up", len(m.UpNodes()))
 			}
 			for _, n := range m.View() {
 				if n.Addr == node(40).Addr && n.ConfigVersion == 7 {
-					know++
+					informed++
 				}
 			}
 		}
-		if know < all-int(loss*20) {
-			t.Errorf("loss %v: %d of %d know", loss, know, all)
+		if informed < all-int(loss*20) {
+			t.Errorf("loss %v: %d of %d nodes have the change", loss, informed, all)
 		}
 	}
 }
 
-// Versions that follow fast are said to the watchers at once, and to all seldom.
+// TestConfigVersionGossip checks that configuration versions in quick succession are sent to the
+// watchers at once, and to all nodes rarely.
 func TestConfigVersionGossip(t *testing.T) {
 	m := machineAmong(8)
 	var v uint32
@@ -196,21 +201,21 @@
 		for range 5 {
 			now += 50 * ms
 			if b := tick(now); v != m.View()[0].ConfigVersion || len(b) > 0 && b[0].ConfigVersion != v {
-				t.Fatalf("%d is held, and said is %+v", v, b)
+				t.Fatalf("version %d is held, the heartbeats are %+v", v, b)
 			} else if now%(250*ms) == 50*ms && len(b) != 3 {
-				t.Fatalf("%d beats when another version is held", len(b))
+				t.Fatalf("%d heartbeats after a change of version, want 3", len(b))
 			}
 		}
 	}
 	if gossips > 3*5 || last >= v {
-		t.Errorf("%d rumours within ten seconds, the last of %d", gossips, last)
+		t.Errorf("%d gossip messages within ten seconds, the last with version %d", gossips, last)
 	}
 	for range 21 {
 		now += 50 * ms
 		tick(now)
 	}
 	if last != v {
-		t.Errorf("all were told of %d, %d is held", last, v)
+		t.Errorf("version %d was gossiped, %d is held", last, v)
 	}
 	o := m.Receive(now, node(3).Addr, Heartbeat{Incarnation: 1, Seq: 1, ConfigVersion: 9})
 	if len(o.HeldVersions) != 1 || o.HeldVersions[0].Version != 9 || o.Changed {
--- a/internal/memberlist/pack.go
+++ b/internal/memberlist/pack.go
@@ -18,8 +18,8 @@
 
 var errDamagedPack = errors.New("packed nodes are damaged")
 
-func flagIf(is bool, flag byte) byte {
-	if is {
+func flagIf(set bool, flag byte) byte {
+	if set {
 		return flag
 	}
 	return 0
@@ -85,12 +85,12 @@
 
 // appendText appends the lengths of the prefix and the suffix that s shares with the given text,
 // and the bytes of s between them.
-func appendText(b []byte, with, s string) []byte {
+func appendText(b []byte, base, s string) []byte {
 	head, tail := 0, 0
-	for most := min(len(with), len(s), 255); head < most && with[head] == s[head]; {
+	for limit := min(len(base), len(s), 255); head < limit && base[head] == s[head]; {
 		head++
 	}
-	for most := min(len(with), len(s), 255+head) - head; tail < most && with[len(with)-1-tail] == s[len(s)-1-tail]; {
+	for limit := min(len(base), len(s), 255+head) - head; tail < limit && base[len(base)-1-tail] == s[len(s)-1-tail]; {
 		tail++
 	}
 	b = binary.AppendUvarint(b, uint64(head))
@@ -135,13 +135,13 @@
 	return v
 }
 
-func (r *reader) text(with string) string {
+func (r *reader) text(base string) string {
 	head, tail, size := r.uvarint(), r.uvarint(), r.uvarint()
-	if r.err != nil || head > uint64(len(with)) || tail > uint64(len(with))-head || size > uint64(len(r.b)) {
+	if r.err != nil || head > uint64(len(base)) || tail > uint64(len(base))-head || size > uint64(len(r.b)) {
 		r.b, r.err = nil, errDamagedPack
 		return ""
 	}
-	s := with[:head] + string(r.b[:size]) + with[uint64(len(with))-tail:]
+	s := base[:head] + string(r.b[:size]) + base[uint64(len(base))-tail:]
 	r.b = r.b[size:]
 	return s
 }
--- a/internal/memberlist/pack_test.go
+++ b/internal/memberlist/pack_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// What was packed comes back; what is damaged or cut anywhere gives some nodes or an error, and no more.
+// TestPack checks that unpacking returns what was packed, and that truncated or damaged data gives
+// some nodes or an error, and no panic.
 func TestPack(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
--- a/internal/memberlist/receive.go
+++ b/internal/memberlist/receive.go
@@ -83,9 +83,9 @@
 
 // notifyIfGone compares the version that a node reports of itself with its entry here: a node that
 // is regarded as gone must be told, to refute it.
-func (m *Machine) notifyIfGone(from string, life, seq uint64) {
+func (m *Machine) notifyIfGone(from string, incarnation, seq uint64) {
 	e := m.nodes[from]
-	if e == nil || e.node.State != Gone || life != e.node.Incarnation || seq > e.node.Seq {
+	if e == nil || e.node.State != Gone || incarnation != e.node.Incarnation || seq > e.node.Seq {
 		return
 	}
 	if t, ok := m.suspectSentAt[from]; !ok || m.now-t >= minSyncInterval {
@@ -95,10 +95,10 @@
 }
 
 // noteHeldVersion records the configuration version that a node reports.
-func (m *Machine) noteHeldVersion(addr string, life uint64, held uint32) {
-	if e := m.nodes[addr]; e != nil && e.node.Incarnation == life && held > max(e.heldVersion, e.node.ConfigVersion) {
-		e.heldVersion = held
-		m.out.HeldVersions = append(m.out.HeldVersions, HeldVersion{addr, held})
+func (m *Machine) noteHeldVersion(addr string, incarnation uint64, version uint32) {
+	if e := m.nodes[addr]; e != nil && e.node.Incarnation == incarnation && version > max(e.heldVersion, e.node.ConfigVersion) {
+		e.heldVersion = version
+		m.out.HeldVersions = append(m.out.HeldVersions, HeldVersion{addr, version})
 	}
 }
 
@@ -108,11 +108,11 @@
 		m.handleSelfEntry(n)
 		return
 	}
-	met := m.knowsIncarnation(n)
+	known := m.knowsIncarnation(n)
 	if m.merge(n) {
-		m.queueUpdate(n.Addr, met, from)
-	} else if l := m.pending[n.Addr]; l != nil && n.digest() == m.nodes[n.Addr].digest {
-		l.addSource(from)
+		m.queueUpdate(n.Addr, known, from)
+	} else if update := m.pending[n.Addr]; update != nil && n.digest() == m.nodes[n.Addr].digest {
+		update.addSource(from)
 	}
 }
 
@@ -131,12 +131,12 @@
 
 // queueUpdate queues a changed node for gossip.
 func (m *Machine) queueUpdate(addr string, brief bool, from string) {
-	if l := m.pending[addr]; l != nil {
-		brief = brief && l.brief
+	if update := m.pending[addr]; update != nil {
+		brief = brief && update.brief
 	}
-	l := &pendingUpdate{brief: brief}
-	m.pending[addr] = l
-	l.addSource(from)
+	update := &pendingUpdate{brief: brief}
+	m.pending[addr] = update
+	update.addSource(from)
 }
 
 func (l *pendingUpdate) addSource(from string) {
@@ -167,9 +167,9 @@
 // refutes Gone. Shortly after the start, Gone can only mean that the heartbeats of an earlier
 // incarnation were missed.
 func (m *Machine) handleSelfEntry(n Node) {
-	young := n.State == Gone && m.now-m.startedAt < goneAfter
+	justStarted := n.State == Gone && m.now-m.startedAt < goneAfter
 	switch {
-	case n.Incarnation > m.self.Incarnation || n.Incarnation == m.self.Incarnation && (n.Seq > m.self.Seq || young):
+	case n.Incarnation > m.self.Incarnation || n.Incarnation == m.self.Incarnation && (n.Seq > m.self.Seq || justStarted):
 		m.self.Incarnation = n.Incarnation + 1
 		m.announceChange()
 	case n.Incarnation == m.self.Incarnation && n.Seq == m.self.Seq && n.State == Gone:
@@ -230,28 +230,28 @@
 		return
 	}
 	var all []packedNode
-	for a, l := range m.pending {
-		if e := m.nodes[a]; e != nil && len(l.sources) < sourcesToSkip {
-			all = append(all, packedNode{e.node, l.brief || e.node.State == Gone})
+	for a, update := range m.pending {
+		if e := m.nodes[a]; e != nil && len(update.sources) < sourcesToSkip {
+			all = append(all, packedNode{e.node, update.brief || e.node.State == Gone})
 		}
 	}
 	slices.SortFunc(all, func(a, b packedNode) int { return strings.Compare(a.Addr, b.Addr) })
 	to := m.watchers()
 	to = append(to, m.extraTargets(to)...)
-	var whole []byte // all of it, for nodes that sent none of it
+	var packedAll []byte // all of it, for nodes that sent none of it
 	for _, a := range to {
-		some := slices.DeleteFunc(slices.Clone(all), func(n packedNode) bool { return slices.Contains(m.pending[n.Addr].sources, a) })
+		unsent := slices.DeleteFunc(slices.Clone(all), func(n packedNode) bool { return slices.Contains(m.pending[n.Addr].sources, a) })
 		switch {
-		case len(some) == 0:
+		case len(unsent) == 0:
 		case m.nodes[a].node.Encoding < encodingPacked:
-			m.send(a, Gossip{Nodes: plainNodes(some)})
-		case len(some) < len(all):
-			m.send(a, Gossip{Packed: pack(some)})
+			m.send(a, Gossip{Nodes: plainNodes(unsent)})
+		case len(unsent) < len(all):
+			m.send(a, Gossip{Packed: pack(unsent)})
 		default:
-			if whole == nil {
-				whole = pack(all)
+			if packedAll == nil {
+				packedAll = pack(all)
 			}
-			m.send(a, Gossip{Packed: whole})
+			m.send(a, Gossip{Packed: packedAll})
 		}
 	}
 	clear(m.pending)
@@ -277,12 +277,12 @@
 		}
 		return
 	}
-	most := m.perNode(minSyncInterval, maxSyncPausePerNode)
-	if gone := m.now - m.lastSync; gone < m.syncPause || gone < most && m.now-m.tableChangedAt < m.perNode(0, settleTimePerNode) {
+	maxPause := m.perNode(minSyncInterval, maxSyncPausePerNode)
+	if elapsed := m.now - m.lastSync; elapsed < m.syncPause || elapsed < maxPause && m.now-m.tableChangedAt < m.perNode(0, settleTimePerNode) {
 		return
 	}
 	m.lastSync = m.now
-	m.syncPause = minSyncInterval + time.Duration(m.rand.Int64N(int64(min(2*m.syncPause, most)-minSyncInterval)+1))
+	m.syncPause = minSyncInterval + time.Duration(m.rand.Int64N(int64(min(2*m.syncPause, maxPause)-minSyncInterval)+1))
 	if e, n := m.nodes[from], m.partCount(); n > 1 && m.lostCount == 0 && e != nil && e.node.Encoding >= encodingPacked {
 		m.send(from, Index{PartDigests: m.partDigests(n), Encoding: encodingPacked})
 		return
@@ -293,7 +293,7 @@
 // applyDiff takes the entries of an exchange. A Gone in it may be old, from a time when the sender
 // was cut off, so the node itself is asked first.
 func (m *Machine) applyDiff(from string, d Diff) {
-	fresh, news := len(m.ring) < 2, 0
+	alone, queued := len(m.ring) < 2, 0
 	for _, n := range m.decodeNodes(d.Nodes, d.Packed) {
 		e := m.nodes[n.Addr]
 		if n.State == Gone && e != nil && n.Addr != m.self.Addr && e.node.State != Gone && n.supersedes(e.node) {
@@ -305,24 +305,24 @@
 		}
 		if n.Addr == m.self.Addr {
 			m.handleSelfEntry(n)
-		} else if met := m.knowsIncarnation(n); m.merge(n) && !fresh && news < maxImmediateGossips {
-			news++
-			m.queueUpdate(n.Addr, met, from)
+		} else if known := m.knowsIncarnation(n); m.merge(n) && !alone && queued < maxImmediateGossips {
+			queued++
+			m.queueUpdate(n.Addr, known, from)
 		}
 	}
 	if len(d.Want) == 0 {
 		return
 	}
-	most := m.entryAllowance()
-	var give []Node
+	allowed := m.entryAllowance()
+	var found []Node
 	for _, e := range m.sorted {
-		if _, ok := slices.BinarySearch(d.Want, e.addrHash()); ok && len(give) < most {
-			give = append(give, e.node)
+		if _, ok := slices.BinarySearch(d.Want, e.addrHash()); ok && len(found) < allowed {
+			found = append(found, e.node)
 		}
 	}
-	m.entryBudget -= float64(len(give))
-	if len(give) > 0 {
-		m.send(from, m.newDiff(give, nil, d.Encoding))
+	m.entryBudget -= float64(len(found))
+	if len(found) > 0 {
+		m.send(from, m.newDiff(found, nil, d.Encoding))
 	}
 }
 
--- a/internal/memberlist/ring.go
+++ b/internal/memberlist/ring.go
@@ -20,11 +20,11 @@
 			m.ring = append(m.ring, e.node.Addr)
 		}
 	}
-	before := m.watched
+	previous := m.watched
 	m.selfWatchers, m.watched = m.neighbors(1), m.neighbors(-1)
 	slices.SortFunc(m.watched, func(a, b string) int { return comparePosition(m.nodes[a], m.nodes[b]) })
 	for _, a := range m.watched {
-		if !slices.Contains(before, a) {
+		if !slices.Contains(previous, a) {
 			e := m.nodes[a] // others may have missed its heartbeats already: ping it soon
 			m.markHeard(e, max(e.lastHeard, m.now-pingAfter+m.newlyWatchedGrace()))
 		}
@@ -38,15 +38,15 @@
 }
 
 // neighbors returns the nodes at the offsets after (1) or before (-1) this process.
-func (m *Machine) neighbors(way int) []string { return m.neighborsOf(m.self.Addr, way) }
+func (m *Machine) neighbors(direction int) []string { return m.neighborsOf(m.self.Addr, direction) }
 
 // neighborsOf returns the same for any live node.
-func (m *Machine) neighborsOf(node string, way int) []string {
+func (m *Machine) neighborsOf(node string, direction int) []string {
 	n := len(m.ring)
 	at, _ := slices.BinarySearchFunc(m.ring, m.nodes[node], func(a string, e *entry) int { return comparePosition(m.nodes[a], e) })
 	var found []string
 	for _, o := range offsets {
-		a := m.ring[((at+way*o)%n+n)%n]
+		a := m.ring[((at+direction*o)%n+n)%n]
 		if a != node && !slices.Contains(found, a) {
 			found = append(found, a)
 		}
@@ -60,19 +60,19 @@
 }
 
 // randomPeers returns up to n random live nodes other than this one and those in but.
-func (m *Machine) randomPeers(n int, but []string) []string {
+func (m *Machine) randomPeers(n int, exclude []string) []string {
 	m.refreshRing()
 	var found []string
-	if few := 2 * (n + len(but) + 1); len(m.ring) > 2*few {
-		for range few {
-			if a := m.ring[m.rand.IntN(len(m.ring))]; len(found) < n && a != m.self.Addr && !slices.Contains(but, a) && !slices.Contains(found, a) {
+	if attempts := 2 * (n + len(exclude) + 1); len(m.ring) > 2*attempts {
+		for range attempts {
+			if a := m.ring[m.rand.IntN(len(m.ring))]; len(found) < n && a != m.self.Addr && !slices.Contains(exclude, a) && !slices.Contains(found, a) {
 				found = append(found, a)
 			}
 		}
 		return found
 	}
 	for _, i := range m.rand.Perm(len(m.ring)) {
-		if a := m.ring[i]; len(found) < n && a != m.self.Addr && !slices.Contains(but, a) {
+		if a := m.ring[i]; len(found) < n && a != m.self.Addr && !slices.Contains(exclude, a) {
 			found = append(found, a)
 		}
 	}
@@ -81,13 +81,13 @@
 
 // extraTargets returns the nodes that get gossip in addition to the watchers. They are redrawn now
 // and then rather than for each message, which would open a connection to every node in turn.
-func (m *Machine) extraTargets(but []string) []string {
+func (m *Machine) extraTargets(exclude []string) []string {
 	bad := func(a string) bool {
 		e := m.nodes[a]
-		return e == nil || !e.live() || slices.Contains(but, a)
+		return e == nil || !e.live() || slices.Contains(exclude, a)
 	}
 	if m.now-m.targetsDrawnAt >= m.perNode(0, targetRedrawPerNode) || len(m.gossipTargets) < extraGossipTargets || slices.ContainsFunc(m.gossipTargets, bad) {
-		m.targetsDrawnAt, m.gossipTargets = m.now, m.randomPeers(extraGossipTargets, but)
+		m.targetsDrawnAt, m.gossipTargets = m.now, m.randomPeers(extraGossipTargets, exclude)
 	}
 	return m.gossipTargets
 }
@@ -96,8 +96,8 @@
 // heard, this process is likely cut off itself: then nothing is gossiped, and as long as that is
 // possible nobody is declared gone.
 func (m *Machine) checkWatched() {
-	cut := m.overallSilence() > goneAfter
-	if cut {
+	isolated := m.overallSilence() > goneAfter
+	if isolated {
 		for _, a := range m.ring {
 			if a != m.self.Addr {
 				m.markLost(a)
@@ -181,11 +181,11 @@
 		return
 	}
 	m.nextRetry = m.now + helloIntervalAbsent
-	turn := 3 / float64(len(m.ring))
+	probability := 3 / float64(len(m.ring))
 	rest := m.withoutLive(append(slices.Clone(m.seeds), m.formerAddrs()...))
 	m.rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 	for _, a := range rest[:min(len(rest), 3)] {
-		if m.rand.Float64() < turn {
+		if m.rand.Float64() < probability {
 			m.sendHello(a)
 		}
 	}
--- a/internal/memberlist/storm_test.go
+++ b/internal/memberlist/storm_test.go
@@ -11,7 +11,7 @@
 	"asterwell/internal/memberlist/links"
 )
 
-// fleet is n machines on simulated time, in ten zones of three regions.
+// fleet is a set of machines on simulated time, in ten zones of three regions.
 type fleet struct {
 	*links.Network
 	t               *testing.T
@@ -22,7 +22,7 @@
 	startMember     func(i int)
 }
 
-// member holds a configuration a second after its start, and is ready after another half.
+// fleetMember holds a configuration one second after its start, and is ready half a second later.
 type fleetMember struct {
 	*Machine
 	startedAt     fsm.Time
@@ -77,7 +77,7 @@
 	f.Start(n.Addr, f.members[i])
 }
 
-// startAll starts all within 0.3 s.
+// startAll starts all members within 0.3 s.
 func (f *fleet) startAll() {
 	for i := range f.members {
 		f.startMember(i)
@@ -90,7 +90,7 @@
 	f.members[i] = nil
 }
 
-// pass lets time pass, with processes standing still where they shall.
+// advance lets time pass, and pauses the processes during their pause spans.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.Now + d; f.Now < end; f.Run(50 * ms) {
 		for i := range f.pauses {
@@ -105,7 +105,7 @@
 	}
 }
 
-// ups is the length of Up.
+// countUp returns the length of UpNodes without building it.
 func countUp(m *Machine) (n int) {
 	for _, e := range m.sorted {
 		if !e.lostHere && e.node.State == Up {
@@ -115,8 +115,9 @@
 	return n
 }
 
-// know is how many know all that live, and nobody else.
-func (f *fleet) countInformed() (countInformed, live int) {
+// countInformed returns how many members know exactly those that are alive, and how many are
+// alive.
+func (f *fleet) countInformed() (informed, live int) {
 	for _, m := range f.members {
 		if m != nil {
 			live++
@@ -124,13 +125,13 @@
 	}
 	for _, m := range f.members {
 		if m != nil && countUp(m.Machine) == live {
-			countInformed++
+			informed++
 		}
 	}
-	return countInformed, live
+	return informed, live
 }
 
-// until lets time pass until all know all, and returns how long that took.
+// waitInformed lets time pass until all members know each other, and returns how long that took.
 func (f *fleet) waitInformed(within time.Duration) (time.Duration, bool) {
 	began := f.Now
 	for f.Now-began <= within {
@@ -142,7 +143,8 @@
 	return f.Now - began, false
 }
 
-// span lets time pass, and returns what one process sent and got in it: on average, and at most.
+// measure lets time pass, and returns the bytes that one process sent and received in it: on
+// average, and at most.
 func (f *fleet) measure(what string, d time.Duration) (mean, most int) {
 	f.resetCounts()
 	return f.measureSinceReset(what, d)
@@ -154,7 +156,7 @@
 	f.TakeMessageCounts()
 }
 
-// more counts what went before, too.
+// measureSinceReset is measure without resetting the counters first.
 func (f *fleet) measureSinceReset(what string, d time.Duration) (mean, most int) {
 	f.advance(d)
 	live := 0
@@ -170,13 +172,15 @@
 		messages, bytes = messages+count[kind], bytes+length[kind]
 	}
 	know, _ := f.countInformed()
-	f.t.Logf("%s, to %v: %d of %d know; %.1f MB in %d messages; sent and got by one %d, at most %d; %v, %v",
+	f.t.Logf("%s, until %v: %d of %d informed; %.1f MB in %d messages; sent and received by one %d, at most %d; %v, %v",
 		what, f.Now.Round(ms), know, live, float64(bytes)/1e6, messages, mean/live, most, count, length)
 	return mean / live, most
 }
 
-// shared is a machine of twelve processors that all share, by what the run of 490 hollow
-// gateways cost there: half a microsecond a byte of news, 300 a tick.
+// sharedMachineCost is the processing time on a machine of twelve processors shared by all
+// processes. It follows a run of 490 gateways without traffic, which took 0.5 µs per byte of
+// gossip
+// and 300 µs per tick on one processor.
 func sharedMachineCost(bytes int) time.Duration {
 	if bytes == 0 {
 		return 25 * time.Microsecond
@@ -184,8 +188,9 @@
 	return 2*time.Microsecond + time.Duration(bytes)*40*time.Nanosecond
 }
 
-// 490 start within 0.3 s, forty stand still for two seconds each within the first six. All know
-// all within ten seconds, and then nothing is said but that they live.
+// TestStormStart starts 490 processes within 0.3 s; forty of them are paused for two seconds each
+// within the first six. All must know each other within ten seconds, and then send nothing but
+// heartbeats.
 func TestStormStart(t *testing.T) {
 	for name, cost := range map[string]func(int) time.Duration{"free": nil, "shared": sharedMachineCost} {
 		t.Run(name, func(t *testing.T) {
@@ -200,23 +205,25 @@
 			_, most := f.measureSinceReset("start", 8200*ms)
 			if took, ok := f.waitInformed(1500 * ms); !ok {
 				know, _ := f.countInformed()
-				t.Errorf("%d know all %v later", know, took)
+				t.Errorf("only %d know all members after another %v", know, took)
 			} else if f.Now > 10*time.Second {
-				t.Errorf("all know all at %v", f.Now)
+				t.Errorf("all know each other only at %v", f.Now)
 			}
 			if most > 2e6 {
-				t.Errorf("one sent and got %d bytes", most)
+				t.Errorf("one process sent and received %d bytes", most)
 			}
 			f.advance(3 * time.Second)
-			if mean, most := f.measure("rest", 10*time.Second); mean > 8500 || most > 10000 {
-				t.Errorf("at rest: %d bytes, at most %d", mean, most)
+			if mean, most := f.measure("idle", 10*time.Second); mean > 8500 || most > 10000 {
+				t.Errorf("idle: %d bytes on average, at most %d", mean, most)
 			}
 		})
 	}
 }
 
-// Restarts of a day of 1,100 eight times as fast, a rack and a zone lost and back: no gateway
-// sends and gets more than 11 kB a second in any ten seconds, and all know in time.
+// TestStormLosses restarts processes eight times as often as 1,100 restarts a day, and loses a
+// rack
+// and a zone and gets them back. No process may send and receive more than 11 kB/s in any ten
+// seconds, and all must know of each change in time.
 func TestStormLosses(t *testing.T) {
 	t.Parallel()
 	const n = 490
@@ -234,9 +241,9 @@
 	all := func(what string, within time.Duration) {
 		if took, ok := f.waitInformed(within); !ok {
 			know, _ := f.countInformed()
-			t.Errorf("%s: %d know all after %v", what, know, within)
+			t.Errorf("%s: only %d know all members after %v", what, know, within)
 		} else {
-			t.Logf("%s: all know after %v", what, took)
+			t.Logf("%s: all informed after %v", what, took)
 		}
 	}
 	for _, c := range []struct {
@@ -264,7 +271,7 @@
 		c.do()
 		all(c.what, 5*time.Second)
 		if _, most := f.measureSinceReset(c.what, 10*time.Second); most > 110000 {
-			t.Errorf("%s: %d bytes of one in ten seconds", c.what, most)
+			t.Errorf("%s: one process sent and received %d bytes in ten seconds", c.what, most)
 		}
 		f.advance(2 * time.Second)
 	}
@@ -276,8 +283,9 @@
 	}
 }
 
-// elder is a machine as one of the version before sees and says things: without packs, digests of
-// parts and forms.
+// previousVersion is a machine that reads and writes messages as the previous version of the
+// program
+// does: without packed nodes, part digests and encodings.
 type previousVersion struct{ *fleetMember }
 
 func (e previousVersion) downgradeAll(out []fsm.Send) []fsm.Send {
@@ -317,7 +325,9 @@
 	return e.downgradeAll(e.fleetMember.Receive(now, from, e.downgrade(msg)))
 }
 
-// Every second one is of the version before: all know all as soon, also what is lost and back.
+// TestStormMixed runs the previous version on every second process. All must learn of each other
+// as
+// soon as otherwise, also after losses and returns.
 func TestStormMixed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 120, 3)
@@ -336,7 +346,7 @@
 		c.do()
 		if took, ok := f.waitInformed(4 * time.Second); !ok {
 			know, live := f.countInformed()
-			t.Errorf("%s: %d of %d know all after %v", c.what, know, live, took)
+			t.Errorf("%s: %d of %d know all members after %v", c.what, know, live, took)
 		}
 		f.advance(6 * time.Second)
 		for _, m := range f.members {
@@ -347,16 +357,17 @@
 	}
 }
 
-// A watcher that is late itself holds nobody for gone by a silence that it slept through.
+// TestLateWatcher guards against a watcher that is itself late and takes its own pause for the
+// silence of others.
 func TestLateWatcher(t *testing.T) {
 	for _, c := range []struct {
 		gap  time.Duration
-		gone fsm.Time // after this, and before a half more
+		gone fsm.Time // declared gone after this time, and before 1.5 times it
 	}{{50 * ms, 1300 * ms}, {200 * ms, 2600 * ms}, {350 * ms, 4500 * ms}} {
 		m := machineAmong(8)
 		i := slices.IndexFunc(m.sorted, func(e *entry) bool { return e.node.Addr == m.watched[0] })
-		silent, gone := m.sorted[i].node.Addr, fsm.Time(0)
-		for now := c.gap; now < 10*time.Second && gone == 0; now += c.gap {
+		silent, goneAt := m.sorted[i].node.Addr, fsm.Time(0)
+		for now := c.gap; now < 10*time.Second && goneAt == 0; now += c.gap {
 			for j := 1; j <= 8; j++ {
 				if node(j).Addr != silent {
 					m.Receive(now, node(j).Addr, Heartbeat{Incarnation: 1, Seq: 1})
@@ -365,13 +376,13 @@
 			for _, r := range sent[Gossip](m.Tick(now)) {
 				for _, n := range r.Nodes {
 					if n.Addr == silent && n.State == Gone {
-						gone = now
+						goneAt = now
 					}
 				}
 			}
 		}
-		if gone <= c.gone || gone > c.gone*3/2 {
-			t.Errorf("ticks each %v: gone at %v", c.gap, gone)
+		if goneAt <= c.gone || goneAt > c.gone*3/2 {
+			t.Errorf("ticks every %v: gone at %v", c.gap, goneAt)
 		}
 	}
 }
