--- a/internal/daemon/contact.go
+++ b/internal/daemon/contact.go
@@ -13,7 +13,7 @@
 // not in touch, and must promise nothing and refuse nothing for good.
 func (p *Process) proof(within time.Duration) (kept uint32, ok bool) {
 	a, _ := p.askFor(within, func(call uint64) { p.box.Put(proving{call}) }).(consensus.Answer)
-	return a.Version, a.Verdict == consensus.Proved
+	return a.Version, a.Result == consensus.ResultContact
 }
 
 // patience is how long a call waits for proof before something else; with that it still
@@ -26,7 +26,7 @@
 // contactS is how long ago there was contact for certain, in seconds; -1: not in this life.
 func (p *Process) contactS() *float64 {
 	s := -1.0
-	if d, ok := p.knot.Contact(p.now()); ok {
+	if d, ok := p.knot.LastContact(p.now()); ok {
 		s = d.Seconds()
 	}
 	return &s
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -22,7 +22,7 @@
 // open reads what is on disk, and begins to write what comes. sound is false where
 // something was lost: what a member has forgotten, it may have promised, so that it
 // joins anew like one with an empty disk.
-func (p *Process) open(dir string) (v *storage.Vault, d *consensus.Disk, sound bool, err error) {
+func (p *Process) open(dir string) (v *storage.Vault, d *consensus.DurableState, sound bool, err error) {
 	var lost *storage.Damaged
 	if v, err = storage.Open(dir); v == nil {
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
@@ -46,7 +46,7 @@
 	case err != nil:
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
 	}
-	if d, err = consensus.ReadDisk(data); err != nil {
+	if d, err = consensus.DecodeState(data); err != nil {
 		return nil, nil, false, fmt.Errorf("StateDir: record %q: %w", record, err)
 	}
 	return v, d, true, nil
@@ -63,7 +63,7 @@
 			continue
 		}
 		last := all[len(all)-1]
-		data, err := last.Disk.Bytes()
+		data, err := last.State.Encode()
 		for err == nil {
 			if err = v.Save(record, data); err == nil {
 				break
@@ -116,7 +116,7 @@
 	if p.vault == nil || !p.dirty || now.Sub(p.keptAt) < listEvery {
 		return
 	}
-	if rows := p.knot.Keep(); rows != nil {
+	if rows := p.knot.ServersToStore(); rows != nil {
 		p.dirty, p.keptAt = false, now
 		p.rows.Put(rows)
 	}
@@ -124,22 +124,22 @@
 
 // Status is what an operator sees of a process.
 type Status struct {
-	Name, Mesh string
-	ContactS   *float64 // since there was contact with most of the core for certain; -1: not in this life
-	Ready      bool
-	Leaving    bool
-	Draining   bool
-	Version    string
-	Pact       consensus.Status
-	Rollout    rollout.Status
-	Turns      dataplane.Turns
-	Nodes      []memberlist.Node
-	Servers    []registry.Server
-	Mesh_      map[string]int64 `json:"Frames"`
+	Name, Mesh  string
+	ContactS    *float64 // since there was contact with most of the core for certain; -1: not in this life
+	Ready       bool
+	Leaving     bool
+	Draining    bool
+	Version     string
+	Pact        consensus.Status
+	Rollout     rollout.Status
+	Turns       dataplane.GateStats
+	Nodes       []memberlist.Node
+	Servers     []registry.Server
+	FrameCounts map[string]int64 `json:"Frames"`
 }
 
 func (p *Process) examine() Status {
 	return Status{Name: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Ready: p.ready.Load(), Leaving: p.leaving.Load(), Draining: p.draining.Load(),
-		Version: fmt.Sprintf("%08x", p.plane.Version()), Pact: p.knot.Pact(), Rollout: p.knot.Rollout(p.now()), Turns: p.plane.Turns(),
-		Nodes: p.knot.View(), Servers: p.knot.Servers(), Mesh_: p.mesh.Counts.All()}
+		Version: fmt.Sprintf("%08x", p.plane.Version()), Pact: p.knot.ConsensusStatus(), Rollout: p.knot.RolloutStatus(p.now()), Turns: p.plane.GateStats(),
+		Nodes: p.knot.Nodes(), Servers: p.knot.Servers(), FrameCounts: p.mesh.Counts.All()}
 }
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -20,9 +20,9 @@
 
 // Why a drain is refused.
 var drainNoes = map[drainpermit.Answer]string{
-	drainpermit.NoOtherReady: "no other gateway is ready: clients would have nowhere to go",
-	drainpermit.ProcessEnding:  "this process is ending",
-	drainpermit.Superseded: "another order has come since",
+	drainpermit.NoOtherReady:  "no other gateway is ready: clients would have nowhere to go",
+	drainpermit.ProcessEnding: "this process is ending",
+	drainpermit.Superseded:    "another order has come since",
 }
 
 // drain is an operator's: the platform and clients go elsewhere, and what still comes is
--- a/internal/rollout/world/play.go
+++ b/internal/rollout/world/play.go
@@ -11,11 +11,11 @@
 )
 
 func diskVersion(data []byte) uint32 {
-	var d consensus.Disk
+	var d consensus.DurableState
 	if err := cbor.Unmarshal(data, &d); err != nil {
 		panic(err)
 	}
-	return d.Kept.Version
+	return d.Committed.Version
 }
 
 // Begin brings the first versions into force: the second is the first that is taken up
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, p := range w.nodes {
-		switch v, fate := p.k.Accord().Kept(); {
+		switch v, fate := p.k.RolloutMachine().Kept(); {
 		case p.frozen():
 		case fate == rollout.Prepared:
 			w.breaks("STUCK", "%s has %d as prepared", p.name, v)
