--- a/internal/registry/index.go
+++ b/internal/registry/index.go
@@ -7,121 +7,121 @@
 )
 
 // service is what is known of a service as a whole: a table is compared with another's by it.
-type service struct {
-	key    uint32 // of its name, as in Parts
-	sum    uint64 // the marks of those not ended
-	live   int    // and how many these are
-	places []*place
+type serviceInfo struct {
+	nameHash  uint32 // of its name, as in Parts
+	digest    uint64 // the marks of those not ended
+	liveCount int    // and how many these are
+	groups    []*serverGroup
 }
 
 // enter makes an item for a server that has none, in its place already: one without a zone would be ranked among all.
-func (m *Machine) enter(s Server) *item {
-	it := &item{Server: Server{ID: s.ID, Zone: s.Zone, Service: s.Service, Phase: Ended}, beat: m.now, ended: m.now, key: short(s.ID)}
-	m.stand(it)
-	i, _ := slices.BinarySearchFunc(m.all, s.ID, byID)
-	m.items[s.ID], m.all = it, slices.Insert(m.all, i, it)
+func (m *Machine) addItem(s Server) *item {
+	it := &item{Server: Server{ID: s.ID, Zone: s.Zone, Service: s.Service, Phase: Ended}, lastBeat: m.now, phaseSince: m.now, idHash: hash32(s.ID)}
+	m.joinGroup(it)
+	i, _ := slices.BinarySearchFunc(m.sorted, s.ID, compareID)
+	m.items[s.ID], m.sorted = it, slices.Insert(m.sorted, i, it)
 	return it
 }
 
-func byID(it *item, id string) int { return strings.Compare(it.ID, id) }
+func compareID(it *item, id string) int { return strings.Compare(it.ID, id) }
 
 // set takes a word into an item.
-func (m *Machine) set(it *item, s Server) {
-	m.unlist(it)
+func (m *Machine) setServer(it *item, s Server) {
+	m.removeFromIndexes(it)
 	if s.Zone != it.Zone || s.Service != it.Service {
-		m.leaves(it)
+		m.leaveGroup(it)
 		it.Zone, it.Service = s.Zone, s.Service
-		m.stand(it)
+		m.joinGroup(it)
 	}
-	s.Zone, s.Service, s.Epoch = it.place.zone, it.place.service, unique.Make(s.Epoch).Value() // of each text one copy
-	it.Server, it.mark = s, s.mark()
-	m.list(it)
-	m.watched(it)
+	s.Zone, s.Service, s.Epoch = it.group.zone, it.group.service, unique.Make(s.Epoch).Value() // of each text one copy
+	it.Server, it.digest = s, s.digest()
+	m.addToIndexes(it)
+	m.scheduleCheck(it)
 }
 
 // list counts a server that has not ended.
-func (m *Machine) list(it *item) {
+func (m *Machine) addToIndexes(it *item) {
 	if it.Phase == Ended {
 		return
 	}
-	k := it.place.kind
-	m.sum ^= it.mark
-	k.sum, k.live = k.sum^it.mark, k.live+1
-	at := short(it.Addr)
-	m.at[at], it.next = it, m.at[at]
+	k := it.group.serviceInfo
+	m.tableDigest ^= it.digest
+	k.digest, k.liveCount = k.digest^it.digest, k.liveCount+1
+	at := hash32(it.Addr)
+	m.byAddr[at], it.nextAtAddr = it, m.byAddr[at]
 }
 
 // unlist is its reverse.
-func (m *Machine) unlist(it *item) {
+func (m *Machine) removeFromIndexes(it *item) {
 	if it.Phase == Ended {
 		return
 	}
-	k := it.place.kind
-	m.sum ^= it.mark
-	k.sum, k.live = k.sum^it.mark, k.live-1
-	at := short(it.Addr)
-	switch o := m.at[at]; {
-	case o == it && it.next == nil:
-		delete(m.at, at)
+	k := it.group.serviceInfo
+	m.tableDigest ^= it.digest
+	k.digest, k.liveCount = k.digest^it.digest, k.liveCount-1
+	at := hash32(it.Addr)
+	switch o := m.byAddr[at]; {
+	case o == it && it.nextAtAddr == nil:
+		delete(m.byAddr, at)
 	case o == it:
-		m.at[at] = it.next
+		m.byAddr[at] = it.nextAtAddr
 	default:
-		for o.next != it {
-			o = o.next
+		for o.nextAtAddr != it {
+			o = o.nextAtAddr
 		}
-		o.next = it.next
+		o.nextAtAddr = it.nextAtAddr
 	}
-	it.next = nil
+	it.nextAtAddr = nil
 }
 
 // stand puts an item into its place.
-func (m *Machine) stand(it *item) {
-	at := spot{it.Zone, it.Service}
-	p := m.homes[at]
+func (m *Machine) joinGroup(it *item) {
+	at := serviceZone{it.Zone, it.Service}
+	p := m.groups[at]
 	if p == nil {
-		at = spot{unique.Make(it.Zone).Value(), unique.Make(it.Service).Value()}
-		k := m.kinds[short(at.service)]
+		at = serviceZone{unique.Make(it.Zone).Value(), unique.Make(it.Service).Value()}
+		k := m.services[hash32(at.service)]
 		if k == nil {
-			k = &service{key: short(at.service)}
-			m.kinds[k.key] = k
+			k = &serviceInfo{nameHash: hash32(at.service)}
+			m.services[k.nameHash] = k
 		}
-		p = &place{spot: at, kind: k}
-		m.rank(p)
-		m.homes[at], k.places = p, append(k.places, p)
+		p = &serverGroup{serviceZone: at, serviceInfo: k}
+		m.chooseHome(p)
+		m.groups[at], k.groups = p, append(k.groups, p)
 	}
-	it.place, it.slot, p.items = p, int32(len(p.items)), append(p.items, it)
+	it.group, it.groupIndex, p.servers = p, int32(len(p.servers)), append(p.servers, it)
 }
 
 // leaves takes it out, and the place away with the last.
-func (m *Machine) leaves(it *item) {
-	p := it.place
-	end := len(p.items) - 1
-	last := p.items[end]
-	p.items[it.slot], last.slot, p.items[end] = last, it.slot, nil
-	p.items = p.items[:end]
+func (m *Machine) leaveGroup(it *item) {
+	p := it.group
+	end := len(p.servers) - 1
+	last := p.servers[end]
+	p.servers[it.groupIndex], last.groupIndex, p.servers[end] = last, it.groupIndex, nil
+	p.servers = p.servers[:end]
 	if end > 0 {
 		return
 	}
-	delete(m.homes, p.spot)
-	p.kind.places = slices.DeleteFunc(p.kind.places, func(o *place) bool { return o == p })
-	if len(p.kind.places) == 0 {
-		delete(m.kinds, p.kind.key)
+	delete(m.groups, p.serviceZone)
+	p.serviceInfo.groups = slices.DeleteFunc(p.serviceInfo.groups, func(o *serverGroup) bool { return o == p })
+	if len(p.serviceInfo.groups) == 0 {
+		delete(m.services, p.serviceInfo.nameHash)
 	}
 }
 
 // forget takes an item out of everything but the list of all.
-func (m *Machine) forget(it *item) {
-	m.unlist(it)
-	m.leaves(it)
-	it.due = 0
+func (m *Machine) detach(it *item) {
+	m.removeFromIndexes(it)
+	m.leaveGroup(it)
+	it.checkAt = 0
 	delete(m.items, it.ID)
 }
 
-func (m *Machine) remove(it *item) {
-	m.forget(it)
-	i, _ := slices.BinarySearchFunc(m.all, it.ID, byID)
-	m.all = slices.Delete(m.all, i, i+1)
+func (m *Machine) removeItem(it *item) {
+	m.detach(it)
+	i, _ := slices.BinarySearchFunc(m.sorted, it.ID, compareID)
+	m.sorted = slices.Delete(m.sorted, i, i+1)
 }
 
 // mine tells whether a server is at home here.
-func (m *Machine) mine(it *item) bool { return it.place.home == m.self }
+func (m *Machine) isHome(it *item) bool { return it.group.home == m.self }
--- a/internal/registry/keep.go
+++ b/internal/registry/keep.go
@@ -5,9 +5,9 @@
 // Keep is the table as it is worth keeping on disk: for a start at which nobody
 // remembers, since the servers' next beats fill it only over their whole pace.
 func (m *Machine) Snapshot() (rows []Row) {
-	for _, it := range m.all {
+	for _, it := range m.sorted {
 		if it.Phase != Ended {
-			rows = append(rows, m.brief(it.Server))
+			rows = append(rows, m.wireRow(it.Server))
 		}
 	}
 	return rows
@@ -17,21 +17,21 @@
 // that it has no table either; then it is better than none: a server that has gone
 // meanwhile fails, and one at its address says that it is another.
 func (m *Machine) Restore(now fsm.Time, rows []Row) Out {
-	m.begins(now)
+	m.startInput(now)
 	for _, r := range rows {
 		if m.items[r.ID] == nil {
-			m.put(r.server(now))
-			m.items[r.ID].old = true
+			m.apply(r.server(now))
+			m.items[r.ID].outdated = true
 		}
 	}
-	m.restored = len(rows) > 0
-	return m.take()
+	m.hasRestored = len(rows) > 0
+	return m.takeOutput()
 }
 
 // recall makes what was kept count.
-func (m *Machine) recall() {
-	m.filled = true
-	for _, it := range m.all {
-		it.old = false
+func (m *Machine) acceptRestored() {
+	m.complete = true
+	for _, it := range m.sorted {
+		it.outdated = false
 	}
 }
--- a/internal/registry/keep_test.go
+++ b/internal/registry/keep_test.go
@@ -9,7 +9,7 @@
 )
 
 // pair are two processes that carry each other's messages at once.
-func pair(t *testing.T, kept []Row) (a, b *Machine, step func(now fsm.Time)) {
+func newPair(t *testing.T, kept []Row) (a, b *Machine, step func(now fsm.Time)) {
 	t.Helper()
 	nodes := []memberlist.Node{{Addr: "a", Zone: "z", Member: true}, {Addr: "b", Zone: "z"}}
 	a, b = New("a", "z", 1500*time.Millisecond, 1, time.Second), New("b", "z", 1500*time.Millisecond, 2, time.Second)
@@ -30,12 +30,12 @@
 	}
 }
 
-var kept = []Row{{ID: "i-1", Addr: "10.1.0.1:80", Service: "s", Zone: "z", Seq: 7}}
+var snapshotRows = []Row{{ID: "i-1", Addr: "10.1.0.1:80", Service: "s", Zone: "z", Seq: 7}}
 
 // Where all have started with empty tables, what one kept fills all before the
 // first beat.
-func TestKeptListFillsAWholeStart(t *testing.T) {
-	a, b, step := pair(t, kept)
+func TestSnapshotFillsColdStart(t *testing.T) {
+	a, b, step := newPair(t, snapshotRows)
 	for now := time.Second; now <= 1400*time.Millisecond; now += 50 * time.Millisecond {
 		step(now)
 	}
@@ -48,9 +48,9 @@
 
 // Who alone has started anew takes the others' word: a server that has gone
 // meanwhile does not come back.
-func TestKeptListGivesWay(t *testing.T) {
-	a, b, step := pair(t, kept)
-	b.filled = true // it has been there all the time
+func TestSnapshotYieldsToPeers(t *testing.T) {
+	a, b, step := newPair(t, snapshotRows)
+	b.complete = true // it has been there all the time
 	b.Heartbeat(time.Second, 1, Heartbeat{ID: "i-2", Addr: "10.1.0.2:80", Service: "s", Zone: "z", Seq: 1})
 	for now := time.Second; now <= 1400*time.Millisecond; now += 50 * time.Millisecond {
 		step(now)
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -10,197 +10,197 @@
 )
 
 const (
-	ownGap    = 400 * time.Millisecond // between our ticks: it was we who stood still
-	longGap   = 20 * time.Second       // after it our table is old, and the others' counts
-	spreadFor = 600 * time.Millisecond // then a leaving server is told yes, whoever is silent
-	againIn   = 100 * time.Millisecond
-	roundIn   = 250 * time.Millisecond // without an answer, news goes round by others
-	assureFor = 800 * time.Millisecond // then a leaving server is told to ask another gateway
-	recently  = 5 * time.Second        // news this young is pushed to those that come up
-	repairIn  = time.Second
-	soonIn    = 100 * time.Millisecond // where somebody has come up
-	lookIn    = 250 * time.Millisecond
-	buried    = 90 * time.Second // tombstones
-	giveUp    = 10 * time.Minute // a silent server is ended
-	mostSwift = 4                // news sent at once between two ticks; the rest go together
-	lazyFor   = time.Second      // the end of a server that nobody sends to any more waits for other news so long
+	maxTickGap           = 400 * time.Millisecond // between our ticks: it was we who stood still
+	outdatedAfter        = 20 * time.Second       // after it our table is old, and the others' counts
+	confirmTimeout       = 600 * time.Millisecond // then a leaving server is told yes, whoever is silent
+	resendInterval       = 100 * time.Millisecond
+	indirectAfter        = 250 * time.Millisecond // without an answer, news goes round by others
+	quiesceCallTimeout   = 800 * time.Millisecond // then a leaving server is told to ask another gateway
+	catchUpWindow        = 5 * time.Second        // news this young is pushed to those that come up
+	reconcileInterval    = time.Second
+	reconcileDelay       = 100 * time.Millisecond // where somebody has come up
+	silenceCheckInterval = 250 * time.Millisecond
+	tombstoneLifetime    = 90 * time.Second // tombstones
+	endSilentAfter       = 10 * time.Minute // a silent server is ended
+	maxImmediateFlushes  = 4                // news sent at once between two ticks; the rest go together
+	endDelay             = time.Second      // the end of a server that nobody sends to any more waits for other news so long
 )
 
 // item is a server with what is known of it here alone.
 type item struct {
 	Server
-	last  uint64   // highest sequence number heard from it
-	beat  fsm.Time // when; for a home also when its wait began
-	came  fsm.Time // when the last one came here
-	ended fsm.Time // since when it is ended or silent
-	due   fsm.Time // when it is looked at next; 0: it is not at home here, or ended
-	mark  uint64   // of Server
-	place *place
-	next  *item  // at the same address, or one with the same hash
-	key   uint32 // of its ID, as in an Index
-	slot  int32  // in the place's items
-	heard bool   // a beat came here at all
-	old   bool   // from before a long absence, and not seen by others since
+	lastSeq     uint64   // highest sequence number heard from it
+	lastBeat    fsm.Time // when; for a home also when its wait began
+	lastArrival fsm.Time // when the last one came here
+	phaseSince  fsm.Time // since when it is ended or silent
+	checkAt     fsm.Time // when it is looked at next; 0: it is not at home here, or ended
+	digest      uint64   // of Server
+	group       *serverGroup
+	nextAtAddr  *item  // at the same address, or one with the same hash
+	idHash      uint32 // of its ID, as in an Index
+	groupIndex  int32  // in the place's items
+	heardHere   bool   // a beat came here at all
+	outdated    bool   // from before a long absence, and not seen by others since
 }
 
 // Machine is one process's part.
 type Machine struct {
-	self, zone string
-	wait       time.Duration // a server silent for so long is Silent
-	rand       *rand.Rand
+	self, zone     string
+	silenceTimeout time.Duration // a server silent for so long is Silent
+	rand           *rand.Rand
 
-	items map[string]*item
-	all   []*item                       // the same by ID
-	sum   uint64                        // the marks of those not ended: tombstones go at each process's own time
-	at    map[uint32]*item              // those not ended by the hash of their address, a chain
-	kinds map[uint32]*service           // by the hash of the name
-	nodes map[string]*memberlist.Node   // not gone, without self
-	peers []string                      // their addresses, sorted,
-	fleet []*memberlist.Node            // they themselves in that order,
-	zones map[string][]*memberlist.Node // and those of each zone
-	me    memberlist.Node
-	homes map[spot]*place
-	dues  dues // of those at home here
+	items       map[string]*item
+	sorted      []*item                       // the same by ID
+	tableDigest uint64                        // the marks of those not ended: tombstones go at each process's own time
+	byAddr      map[uint32]*item              // those not ended by the hash of their address, a chain
+	services    map[uint32]*serviceInfo       // by the hash of the name
+	nodes       map[string]*memberlist.Node   // not gone, without self
+	peers       []string                      // their addresses, sorted,
+	peerNodes   []*memberlist.Node            // they themselves in that order,
+	peersByZone map[string][]*memberlist.Node // and those of each zone
+	selfNode    memberlist.Node
+	groups      map[serviceZone]*serverGroup
+	checks      checkHeap // of those at home here
 
-	spreads map[string]*spread
-	live    map[string]bool // spreads that wait, or are young
-	posts   map[uint64]*post
-	no      uint64
-	relays  map[passage]*relay
-	groups  [][]string      // of peers; nil: to be made
-	queue   map[string]bool // news that waits for the tick
-	ending  map[string]bool // ended, and nobody sends to them: it goes with the next news
-	lazy    fsm.Time        // or then
-	swift   int
+	propagations       map[string]*propagation
+	activePropagations map[string]bool // spreads that wait, or are young
+	unconfirmed        map[uint64]*unconfirmedUpdate
+	lastNumber         uint64
+	pendingRelays      map[relayKey]*relay
+	relayGroups        [][]string      // of peers; nil: to be made
+	queued             map[string]bool // news that waits for the tick
+	pendingEnds        map[string]bool // ended, and nobody sends to them: it goes with the next news
+	pendingEndsDue     fsm.Time        // or then
+	immediateFlushes   int
 
-	now, ticked, began fsm.Time
-	repair, look       fsm.Time
-	learnt             fsm.Time // when news last changed the table
-	compared, calm     fsm.Time // when tables were last compared from here, and until when they aren't again
-	grave              fsm.Time // when the ended are looked at next
-	returns            returns
-	fetch              fsm.Time // next one, while not filled
-	alone              fsm.Time // since when there is nobody else
-	filled, partly     bool
-	restored           bool     // rows from disk, for when nobody has a table
-	core               []string // the seats of agreement, as of the newest epoch known; nil: not told of any
-	bug                Bug
-	out                Out
+	now, lastTick, startedAt          fsm.Time
+	nextReconcile, nextSilenceCheck   fsm.Time
+	lastUpdate                        fsm.Time // when news last changed the table
+	lastComparison, noComparisonUntil fsm.Time // when tables were last compared from here, and until when they aren't again
+	nextTombstoneSweep                fsm.Time // when the ended are looked at next
+	rejoins                           rejoinTracker
+	nextFetch                         fsm.Time // next one, while not filled
+	aloneSince                        fsm.Time // since when there is nobody else
+	complete, gotPartialTable         bool
+	hasRestored                       bool     // rows from disk, for when nobody has a table
+	voters                            []string // the seats of agreement, as of the newest epoch known; nil: not told of any
+	bug                               Bug
+	out                               Out
 }
 
 // New knows nothing. The heartbeat is the pace of the servers' beats; the seed must
 // be another at each start.
 func New(self, zone string, heartbeat time.Duration, seed uint64, now fsm.Time) *Machine {
 	m := &Machine{
-		self: self, zone: zone, wait: heartbeat * 7 / 2, rand: rand.New(rand.NewPCG(seed, 0x1076)),
-		items: map[string]*item{}, nodes: map[string]*memberlist.Node{}, homes: map[spot]*place{},
-		at: map[uint32]*item{}, kinds: map[uint32]*service{}, ending: map[string]bool{},
-		spreads: map[string]*spread{}, live: map[string]bool{}, posts: map[uint64]*post{}, relays: map[passage]*relay{}, queue: map[string]bool{},
-		me:  memberlist.Node{Addr: self, Zone: zone},
-		now: now, ticked: now, began: now, fetch: now, alone: now, learnt: now, compared: now,
-	}
-	m.no = m.rand.Uint64() >> 32 // late confirmations for an earlier life mean nothing
+		self: self, zone: zone, silenceTimeout: heartbeat * 7 / 2, rand: rand.New(rand.NewPCG(seed, 0x1076)),
+		items: map[string]*item{}, nodes: map[string]*memberlist.Node{}, groups: map[serviceZone]*serverGroup{},
+		byAddr: map[uint32]*item{}, services: map[uint32]*serviceInfo{}, pendingEnds: map[string]bool{},
+		propagations: map[string]*propagation{}, activePropagations: map[string]bool{}, unconfirmed: map[uint64]*unconfirmedUpdate{}, pendingRelays: map[relayKey]*relay{}, queued: map[string]bool{},
+		selfNode: memberlist.Node{Addr: self, Zone: zone},
+		now:      now, lastTick: now, startedAt: now, nextFetch: now, aloneSince: now, lastUpdate: now, lastComparison: now,
+	}
+	m.lastNumber = m.rand.Uint64() >> 32 // late confirmations for an earlier life mean nothing
 	return m
 }
 
 // Beat takes a server's call.
 func (m *Machine) Heartbeat(now fsm.Time, call uint64, b Heartbeat) Out {
-	m.begins(now)
+	m.startInput(now)
 	s := b.server(now)
 	it := m.items[b.ID]
-	if it != nil && s.Phase == Serving && (it.Phase == Ended || b.Seq <= it.stand()) {
-		m.answer(call, b.ID) // late, or of one that is gone: it changes nothing
-		return m.take()
+	if it != nil && s.Phase == Serving && (it.Phase == Ended || b.Seq <= it.latestSeq()) {
+		m.answerCall(call, b.ID) // late, or of one that is gone: it changes nothing
+		return m.takeOutput()
 	}
 	if it != nil && it.Phase == Ended {
-		m.assure(call, b.ID)
-		return m.take()
+		m.answerWhenConfirmed(call, b.ID)
+		return m.takeOutput()
 	}
-	if m.hear(s) {
-		m.tell(b.ID)
-	} else if home := m.home(s); home != m.self {
+	if m.recordHeartbeat(s) {
+		m.queueUpdate(b.ID)
+	} else if home := m.homeOf(s); home != m.self {
 		m.send(home, ForwardedHeartbeat{Row: s.row(now)})
 	}
 	if s.Phase == Quiescing {
-		m.assure(call, b.ID)
+		m.answerWhenConfirmed(call, b.ID)
 	} else {
-		m.answer(call, b.ID)
+		m.answerCall(call, b.ID)
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
 // stand is the highest sequence number known.
-func (it *item) stand() uint64 { return max(it.last, it.Seq) }
+func (it *item) latestSeq() uint64 { return max(it.lastSeq, it.Seq) }
 
 // hear takes a beat, and says whether it is news.
-func (m *Machine) hear(s Server) bool {
-	m.oust(s)
+func (m *Machine) recordHeartbeat(s Server) bool {
+	m.endServersAtAddress(s)
 	it := m.items[s.ID]
-	news := it == nil || !it.same(s) && s.newer(it.Server)
+	news := it == nil || !it.equalIgnoringSeq(s) && s.supersedes(it.Server)
 	if news {
-		m.put(s)
+		m.apply(s)
 		it = m.items[s.ID]
 	}
-	if s.Seq >= it.last {
-		it.last, it.beat, it.came, it.heard, it.old = s.Seq, m.now, m.now, true, false
+	if s.Seq >= it.lastSeq {
+		it.lastSeq, it.lastBeat, it.lastArrival, it.heardHere, it.outdated = s.Seq, m.now, m.now, true, false
 	}
 	return news
 }
 
 // oust ends servers whose address this one has now: no two live at one address, and
 // it is this one that was heard.
-func (m *Machine) oust(s Server) {
+func (m *Machine) endServersAtAddress(s Server) {
 	if s.Addr == "" {
 		return
 	}
 	it := m.items[s.ID]
 	var out []string
-	for o := m.at[short(s.Addr)]; o != nil; o = o.next {
-		if o.Addr == s.Addr && o.ID != s.ID && (it == nil || !o.heard || m.now-o.beat >= m.wait) {
+	for o := m.byAddr[hash32(s.Addr)]; o != nil; o = o.nextAtAddr {
+		if o.Addr == s.Addr && o.ID != s.ID && (it == nil || !o.heardHere || m.now-o.lastBeat >= m.silenceTimeout) {
 			out = append(out, o.ID)
 		}
 	}
 	slices.Sort(out)
 	for _, id := range out {
-		m.end(id)
+		m.endServer(id)
 	}
 }
 
 // Delete takes a server's last call.
 func (m *Machine) Deregister(now fsm.Time, call uint64, id string) Out {
-	m.begins(now)
+	m.startInput(now)
 	it := m.items[id]
-	if it != nil && it.Phase == Quiescing && m.unused(id) {
-		if len(m.ending) == 0 {
-			m.lazy = now + lazyFor
+	if it != nil && it.Phase == Quiescing && m.quiesceConfirmed(id) {
+		if len(m.pendingEnds) == 0 {
+			m.pendingEndsDue = now + endDelay
 		}
-		m.ending[id] = true
-		m.answer(call, id)
-		return m.take()
+		m.pendingEnds[id] = true
+		m.answerCall(call, id)
+		return m.takeOutput()
 	}
 	if it == nil || it.Phase != Ended {
-		m.end(id)
+		m.endServer(id)
 	}
-	m.assure(call, id)
-	return m.take()
+	m.answerWhenConfirmed(call, id)
+	return m.takeOutput()
 }
 
 // end is the word that a server has ended.
-func (m *Machine) end(id string) {
+func (m *Machine) endServer(id string) {
 	s := Server{ID: id, Phase: Ended}
 	if it := m.items[id]; it != nil {
 		s = it.Server
 		s.Phase = Ended
 	}
-	m.put(s)
-	m.tell(id)
+	m.apply(s)
+	m.queueUpdate(id)
 }
 
 // put stores the newer word, and hands it to the data plane.
-func (m *Machine) put(s Server) {
+func (m *Machine) apply(s Server) {
 	it := m.items[s.ID]
 	if it == nil {
-		it = m.enter(s)
+		it = m.addItem(s)
 	}
 	if s.Phase == Ended && s.Service == "" {
 		id, seq := s.ID, s.Seq
@@ -208,13 +208,13 @@
 		s.ID, s.Phase, s.Seq = id, Ended, max(seq, s.Seq)
 	}
 	if it.Phase != s.Phase {
-		it.ended = m.now
+		it.phaseSince = m.now
 	}
 	if it.Phase == Silent && s.Phase == Serving {
-		it.beat = m.now
+		it.lastBeat = m.now
 	}
-	m.set(it, s)
-	it.old = false
+	m.setServer(it, s)
+	it.outdated = false
 	m.out.Changes = append(m.out.Changes, s)
 }
 
@@ -223,38 +223,38 @@
 	s := r.server(m.now)
 	it := m.items[r.ID]
 	if it == nil {
-		m.put(s)
+		m.apply(s)
 		return true
 	}
-	it.old = false
-	if !s.newer(it.Server) {
-		if !m.filled && s.Phase == Serving && it.same(s) {
+	it.outdated = false
+	if !s.supersedes(it.Server) {
+		if !m.complete && s.Phase == Serving && it.equalIgnoringSeq(s) {
 			s.WarmUntil = it.WarmUntil
-			m.set(it, s) // it was no news
-			delete(m.queue, r.ID)
+			m.setServer(it, s) // it was no news
+			delete(m.queued, r.ID)
 		}
 		return false
 	}
-	if s.Phase == Silent && it.heard && it.last > s.Seq && m.now-it.beat < m.wait && it.Phase < Quiescing {
+	if s.Phase == Silent && it.heardHere && it.lastSeq > s.Seq && m.now-it.lastBeat < m.silenceTimeout && it.Phase < Quiescing {
 		heard := it.Server
-		heard.Seq = it.last
-		m.set(it, heard) // it was the teller who didn't hear it
+		heard.Seq = it.lastSeq
+		m.setServer(it, heard) // it was the teller who didn't hear it
 		m.out.Changes = append(m.out.Changes, it.Server)
-		m.tell(r.ID)
+		m.queueUpdate(r.ID)
 		return false
 	}
-	m.put(s)
+	m.apply(s)
 	return true
 }
 
 // answer says yes, and where the server shall call from now on.
-func (m *Machine) answer(call uint64, id string) {
+func (m *Machine) answerCall(call uint64, id string) {
 	a := Answer{Call: call, OK: true}
 	if it := m.items[id]; it != nil && it.Phase != Ended {
-		if m.mine(it) {
-			a.Target = m.me.Control
+		if m.isHome(it) {
+			a.Target = m.selfNode.Control
 		} else {
-			a.Target = m.nodes[it.place.home].Control
+			a.Target = m.nodes[it.group.home].Control
 		}
 	}
 	m.out.Answers = append(m.out.Answers, a)
@@ -262,67 +262,67 @@
 
 // Tick watches servers, sends what waits, and repairs.
 func (m *Machine) Tick(now fsm.Time) Out {
-	m.begins(now)
-	m.ticked, m.swift = now, 0
-	if now >= m.look {
-		m.look = now + lookIn
-		m.watch()
+	m.startInput(now)
+	m.lastTick, m.immediateFlushes = now, 0
+	if now >= m.nextSilenceCheck {
+		m.nextSilenceCheck = now + silenceCheckInterval
+		m.checkSilence()
 	}
-	if len(m.ending) > 0 && now >= m.lazy {
-		m.finished()
+	if len(m.pendingEnds) > 0 && now >= m.pendingEndsDue {
+		m.flushPendingEnds()
 	}
-	m.retell()
+	m.reannounce()
 	m.flush()
-	m.push()
-	m.relayed()
-	m.fill()
-	if now >= m.repair {
-		m.repair = now + repairIn
-		m.mend(1)
-		m.bury()
-	}
-	return m.take()
+	m.resendUnconfirmed()
+	m.expireRelays()
+	m.fetchTable()
+	if now >= m.nextReconcile {
+		m.nextReconcile = now + reconcileInterval
+		m.requestComparison(1)
+		m.sweepTombstones()
+	}
+	return m.takeOutput()
 }
 
 // begins begins an input, and notices our own freeze.
-func (m *Machine) begins(now fsm.Time) {
+func (m *Machine) startInput(now fsm.Time) {
 	m.now = now
-	gap := now - m.ticked
-	if gap <= ownGap {
+	gap := now - m.lastTick
+	if gap <= maxTickGap {
 		return
 	}
-	m.ticked = now
-	if gap > longGap {
-		m.age()
+	m.lastTick = now
+	if gap > outdatedAfter {
+		m.markOutdated()
 	}
-	for _, it := range m.all {
-		it.beat = now
+	for _, it := range m.sorted {
+		it.lastBeat = now
 	}
-	m.mend(2)
+	m.requestComparison(2)
 }
 
 // bury forgets the long ended.
-func (m *Machine) bury() {
-	if m.now < m.grave {
+func (m *Machine) sweepTombstones() {
+	if m.now < m.nextTombstoneSweep {
 		return
 	}
-	m.grave = m.now + buried/9
-	m.returns.forgets(m.now)
-	over := func(it *item) bool { return it.Phase == Ended && m.now-it.ended > buried }
-	for _, it := range m.all {
+	m.nextTombstoneSweep = m.now + tombstoneLifetime/9
+	m.rejoins.expire(m.now)
+	over := func(it *item) bool { return it.Phase == Ended && m.now-it.phaseSince > tombstoneLifetime }
+	for _, it := range m.sorted {
 		if over(it) {
-			m.forget(it)
-			delete(m.spreads, it.ID)
-			delete(m.live, it.ID)
+			m.detach(it)
+			delete(m.propagations, it.ID)
+			delete(m.activePropagations, it.ID)
 		}
 	}
-	m.all = slices.DeleteFunc(m.all, over)
+	m.sorted = slices.DeleteFunc(m.sorted, over)
 }
 
 // Servers is all that are known, the ended ones too for a while, sorted by ID.
 func (m *Machine) Servers() []Server {
-	v := make([]Server, 0, len(m.all))
-	for _, it := range m.all {
+	v := make([]Server, 0, len(m.sorted))
+	for _, it := range m.sorted {
 		v = append(v, it.Server)
 	}
 	return v
@@ -339,8 +339,8 @@
 
 // Status counts.
 func (m *Machine) Status() Status {
-	st := Status{Unconfirmed: len(m.posts), Complete: m.filled, Hash: m.sum}
-	for _, it := range m.all {
+	st := Status{Unconfirmed: len(m.unconfirmed), Complete: m.complete, Hash: m.tableDigest}
+	for _, it := range m.sorted {
 		*[]*int{&st.Serving, &st.Silent, &st.Quiescing, &st.Ended}[it.Phase]++
 	}
 	return st
@@ -352,9 +352,9 @@
 	}
 }
 
-func (m *Machine) take() Out {
-	if m.swift < mostSwift && len(m.queue) > 0 {
-		m.swift++
+func (m *Machine) takeOutput() Out {
+	if m.immediateFlushes < maxImmediateFlushes && len(m.queued) > 0 {
+		m.immediateFlushes++
 		m.flush()
 	}
 	o := m.out
--- a/internal/registry/mend.go
+++ b/internal/registry/mend.go
@@ -13,35 +13,35 @@
 
 // Filled says whether the table can be relied on: one that is filled has given us
 // its own, or there is nobody, or nobody has had one since all started.
-func (m *Machine) Complete() bool { return m.filled }
+func (m *Machine) Complete() bool { return m.complete }
 
 const (
-	fetchIn  = 300 * time.Millisecond
-	startFor = time.Second
-	hopeFor  = 3 * time.Second
+	fetchInterval   = 300 * time.Millisecond
+	emptyStartAfter = time.Second
+	maxFetchWait    = 3 * time.Second
 )
 
 // fill asks for a table until there is one.
-func (m *Machine) fill() {
-	if m.filled {
+func (m *Machine) fetchTable() {
+	if m.complete {
 		return
 	}
-	since := m.now - m.began
+	since := m.now - m.startedAt
 	switch {
 	case len(m.peers) == 0:
-		m.filled = since >= startFor && m.alone >= 0 && m.now-m.alone >= startFor
-	case m.partly && (m.restored || since >= 3*startFor/2), since >= hopeFor:
-		m.recall() // nobody knows better
+		m.complete = since >= emptyStartAfter && m.aloneSince >= 0 && m.now-m.aloneSince >= emptyStartAfter
+	case m.gotPartialTable && (m.hasRestored || since >= 3*emptyStartAfter/2), since >= maxFetchWait:
+		m.acceptRestored() // nobody knows better
 	}
-	if m.filled || len(m.peers) == 0 || m.now < m.fetch {
+	if m.complete || len(m.peers) == 0 || m.now < m.nextFetch {
 		return
 	}
-	m.fetch = m.now + fetchIn
-	if since < startFor/3 {
-		m.fetch = m.now + fetchIn/3
+	m.nextFetch = m.now + fetchInterval
+	if since < emptyStartAfter/3 {
+		m.nextFetch = m.now + fetchInterval/3
 	}
-	ask := m.some(2)
-	for _, a := range m.some(len(m.peers)) { // those with a disk may have kept theirs
+	ask := m.randomPeers(2)
+	for _, a := range m.randomPeers(len(m.peers)) { // those with a disk may have kept theirs
 		if m.nodes[a].Member {
 			ask[0] = a
 			break
@@ -52,7 +52,7 @@
 	}
 }
 
-func (m *Machine) some(n int) []string {
+func (m *Machine) randomPeers(n int) []string {
 	if n == 1 && len(m.peers) > 0 { // the common case
 		return []string{m.peers[m.rand.IntN(len(m.peers))]}
 	}
@@ -62,40 +62,40 @@
 }
 
 // mend looks with n others whether the tables differ.
-func (m *Machine) mend(n int) {
-	if !m.filled {
+func (m *Machine) requestComparison(n int) {
+	if !m.complete {
 		return // the whole table is under way
 	}
-	for _, a := range m.some(n) {
-		m.send(a, TableDigest{Hash: m.sum})
+	for _, a := range m.randomPeers(n) {
+		m.send(a, TableDigest{Hash: m.tableDigest})
 	}
 }
 
 // Take hears a message.
 func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
-	m.begins(now)
-	if m.stale() && exchange(msg) {
-		return m.take()
+	m.startInput(now)
+	if m.isolatedTooLong() && isReconciliation(msg) {
+		return m.takeOutput()
 	}
 	switch x := msg.(type) {
 	case Update:
 		for _, r := range x.Rows {
 			if m.merge(r) {
-				m.learnt = m.now
+				m.lastUpdate = m.now
 			}
 		}
 		switch {
 		case x.RelayTo != "" && x.RelayTo != m.self:
 			m.send(x.RelayTo, Update{Number: x.Number, Rows: x.Rows, Origin: from})
 		case len(x.ForwardTo) > 0:
-			m.passOn(from, x)
+			m.forward(from, x)
 		case x.Number != 0:
 			m.send(from, Ack{Number: x.Number, Origin: x.Origin})
 		}
 	case Ack:
 		switch {
 		case x.Origin != "" && x.Origin != m.self:
-			m.passBack(from, x)
+			m.forwardAck(from, x)
 		case x.Confirmer != "":
 			m.confirm(x.Number, x.Confirmer)
 		default:
@@ -103,42 +103,44 @@
 		}
 	case ForwardedHeartbeat:
 		s := x.Row.server(now)
-		if it := m.items[s.ID]; it == nil || it.Phase != Ended && s.Seq > it.stand() {
-			if m.hear(s) {
-				m.tell(s.ID)
+		if it := m.items[s.ID]; it == nil || it.Phase != Ended && s.Seq > it.latestSeq() {
+			if m.recordHeartbeat(s) {
+				m.queueUpdate(s.ID)
 			}
 		}
 	case TableDigest:
-		if x.Hash != m.sum && m.filled && m.compares() {
-			m.send(from, ServiceDigests{Rows: m.parts()})
+		if x.Hash != m.tableDigest && m.complete && m.mayCompare() {
+			m.send(from, ServiceDigests{Rows: m.serviceDigests()})
 		}
 	case ServiceDigests:
-		if x := m.differing(x.Rows); len(x.Services) > 0 {
+		if x := m.indexOfDiffering(x.Rows); len(x.Services) > 0 {
 			m.send(from, x)
 		}
 	case Index:
-		m.compare(from, x)
+		m.answerIndex(from, x)
 	case Diff:
-		m.patch(from, x)
+		m.applyDiff(from, x)
 	case Fetch:
-		w := FullTable{Complete: m.filled && !m.stale()}
-		for _, it := range m.all {
-			if !it.old && !m.stale() && (m.filled || !m.queue[it.ID]) {
-				w.Rows = append(w.Rows, m.brief(it.Server))
+		w := FullTable{Complete: m.complete && !m.isolatedTooLong()}
+		for _, it := range m.sorted {
+			if !it.outdated && !m.isolatedTooLong() && (m.complete || !m.queued[it.ID]) {
+				w.Rows = append(w.Rows, m.wireRow(it.Server))
 			}
 		}
 		m.send(from, w)
 	case FullTable:
-		m.whole(x)
+		m.applyFullTable(x)
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
 // stale: nobody else was there for so long that our table must not be told as news.
 // A message from one of them may come before the membership says that they are back.
-func (m *Machine) stale() bool { return m.alone >= 0 && m.now-m.alone > longGap }
+func (m *Machine) isolatedTooLong() bool {
+	return m.aloneSince >= 0 && m.now-m.aloneSince > outdatedAfter
+}
 
-func exchange(msg any) bool {
+func isReconciliation(msg any) bool {
 	switch msg.(type) {
 	case TableDigest, ServiceDigests, Index, Diff:
 		return true
@@ -146,42 +148,42 @@
 	return false
 }
 
-func (m *Machine) whole(w FullTable) {
+func (m *Machine) applyFullTable(w FullTable) {
 	for _, r := range w.Rows {
 		m.merge(r)
 	}
-	if m.filled {
+	if m.complete {
 		return
 	}
-	m.partly = true
+	m.gotPartialTable = true
 	if !w.Complete {
 		return
 	}
-	m.filled = true
-	for _, it := range slices.Clone(m.all) {
-		if it.old {
+	m.complete = true
+	for _, it := range slices.Clone(m.sorted) {
+		if it.outdated {
 			s := it.Server
 			s.Phase = Ended
 			m.out.Changes = append(m.out.Changes, s)
-			m.remove(it)
+			m.removeItem(it)
 		}
 	}
 }
 
-func short(s string) uint32 { return uint32(xxhash.Sum64String(s)) }
+func hash32(s string) uint32 { return uint32(xxhash.Sum64String(s)) }
 
-func (m *Machine) parts() []byte {
-	b := make([]byte, 0, 12*len(m.kinds))
-	for _, key := range keys(m.kinds) {
-		if k := m.kinds[key]; k.live > 0 {
+func (m *Machine) serviceDigests() []byte {
+	b := make([]byte, 0, 12*len(m.services))
+	for _, key := range sortedKeys(m.services) {
+		if k := m.services[key]; k.liveCount > 0 {
 			b = binary.BigEndian.AppendUint32(b, key)
-			b = binary.BigEndian.AppendUint64(b, k.sum)
+			b = binary.BigEndian.AppendUint64(b, k.digest)
 		}
 	}
 	return b
 }
 
-func keys[V any](in map[uint32]V) []uint32 {
+func sortedKeys[V any](in map[uint32]V) []uint32 {
 	out := make([]uint32, 0, len(in))
 	for k := range in {
 		out = append(out, k)
@@ -191,34 +193,34 @@
 }
 
 // differing is our index of the services whose hashes are not theirs.
-func (m *Machine) differing(rows []byte) Index {
+func (m *Machine) indexOfDiffering(rows []byte) Index {
 	theirs := map[uint32]uint64{}
 	for ; len(rows) >= 12; rows = rows[12:] {
 		theirs[binary.BigEndian.Uint32(rows)] = binary.BigEndian.Uint64(rows[4:])
 	}
 	var x Index
-	for key, k := range m.kinds {
+	for key, k := range m.services {
 		h, has := theirs[key]
 		delete(theirs, key)
-		if k.live > 0 != has || k.live > 0 && k.sum != h {
+		if k.liveCount > 0 != has || k.liveCount > 0 && k.digest != h {
 			x.Services = append(x.Services, key)
 		}
 	}
-	x.Services = append(x.Services, keys(theirs)...)
+	x.Services = append(x.Services, sortedKeys(theirs)...)
 	slices.Sort(x.Services)
-	m.among(x.Services, func(it *item) {
-		x.Rows = binary.BigEndian.AppendUint32(x.Rows, it.key)
-		x.Rows = binary.BigEndian.AppendUint32(x.Rows, uint32(it.mark))
+	m.forEachServer(x.Services, func(it *item) {
+		x.Rows = binary.BigEndian.AppendUint32(x.Rows, it.idHash)
+		x.Rows = binary.BigEndian.AppendUint32(x.Rows, uint32(it.digest))
 	})
 	return x
 }
 
 // among goes over the servers of services.
-func (m *Machine) among(services []uint32, do func(it *item)) {
+func (m *Machine) forEachServer(services []uint32, do func(it *item)) {
 	for _, key := range services {
-		if k := m.kinds[key]; k != nil {
-			for _, p := range k.places {
-				for _, it := range p.items {
+		if k := m.services[key]; k != nil {
+			for _, p := range k.groups {
+				for _, it := range p.servers {
 					do(it)
 				}
 			}
@@ -227,7 +229,7 @@
 }
 
 // compare gives what an index lacks or has otherwise, and asks for the same.
-func (m *Machine) compare(from string, x Index) {
+func (m *Machine) answerIndex(from string, x Index) {
 	theirs := map[uint32]uint32{}
 	for rows := x.Rows; len(rows) >= 8; rows = rows[8:] {
 		theirs[binary.BigEndian.Uint32(rows)] = binary.BigEndian.Uint32(rows[4:])
@@ -236,27 +238,27 @@
 	x.Services = slices.Compact(x.Services)
 	var d Diff
 	look := func(it *item, asked bool) {
-		v, has := theirs[it.key]
-		delete(theirs, it.key)
-		if has && v == uint32(it.mark) {
+		v, has := theirs[it.idHash]
+		delete(theirs, it.idHash)
+		if has && v == uint32(it.digest) {
 			return
 		}
 		if has {
-			d.Want = append(d.Want, it.key)
+			d.Want = append(d.Want, it.idHash)
 		}
-		if (has || asked && it.Phase != Ended) && !it.old {
-			d.Rows = append(d.Rows, m.brief(it.Server))
+		if (has || asked && it.Phase != Ended) && !it.outdated {
+			d.Rows = append(d.Rows, m.wireRow(it.Server))
 		}
 	}
-	m.among(x.Services, func(it *item) { look(it, true) })
+	m.forEachServer(x.Services, func(it *item) { look(it, true) })
 	if len(theirs) > 0 { // unknown here, or of another service
-		for _, it := range m.all {
-			if _, has := theirs[it.key]; has {
+		for _, it := range m.sorted {
+			if _, has := theirs[it.idHash]; has {
 				look(it, false)
 			}
 		}
 	}
-	d.Want = append(d.Want, keys(theirs)...)
+	d.Want = append(d.Want, sortedKeys(theirs)...)
 	slices.Sort(d.Want)
 	slices.SortFunc(d.Rows, func(a, b Row) int { return strings.Compare(a.ID, b.ID) })
 	if len(d.Rows)+len(d.Want) > 0 {
@@ -266,27 +268,27 @@
 
 // patch takes the rows of an exchange and gives those asked for. Of an ended server
 // that was forgotten here nothing is taken up.
-func (m *Machine) patch(from string, d Diff) {
+func (m *Machine) applyDiff(from string, d Diff) {
 	var back Diff
 	news := false
 	for _, r := range d.Rows {
 		it := m.items[r.ID]
 		switch {
-		case it != nil && !it.old && it.newer(r.server(m.now)):
-			back.Rows = append(back.Rows, m.brief(it.Server))
+		case it != nil && !it.outdated && it.supersedes(r.server(m.now)):
+			back.Rows = append(back.Rows, m.wireRow(it.Server))
 		case it != nil || r.Phase != Ended:
 			news = m.merge(r) || news
 		}
 	}
 	if news {
-		m.repair = min(m.repair, m.now+soonIn+m.pace()) // others may lack it too
+		m.nextReconcile = min(m.nextReconcile, m.now+reconcileDelay+m.comparisonInterval()) // others may lack it too
 	}
-	for _, it := range m.all {
+	for _, it := range m.sorted {
 		if len(d.Want) == 0 {
 			break
 		}
-		if _, ok := slices.BinarySearch(d.Want, it.key); ok && !it.old {
-			back.Rows = append(back.Rows, m.brief(it.Server))
+		if _, ok := slices.BinarySearch(d.Want, it.idHash); ok && !it.outdated {
+			back.Rows = append(back.Rows, m.wireRow(it.Server))
 		}
 	}
 	if len(back.Rows) > 0 {
--- a/internal/registry/merge_test.go
+++ b/internal/registry/merge_test.go
@@ -26,7 +26,7 @@
 		var want map[string]Server
 		for range 4 {
 			m := New("10.0.0.1:1", "z", time.Second, 1, 0)
-			m.filled = true
+			m.complete = true
 			worst := map[string]Phase{}
 			for _, i := range r.Perm(len(rows)) {
 				m.merge(rows[i])
@@ -55,7 +55,7 @@
 
 // A server that calls again while its first call waits is answered with it, and one
 // that calls after it at once.
-func TestRepeatedLeaving(t *testing.T) {
+func TestRepeatedQuiesce(t *testing.T) {
 	m := New("a:1", "z", time.Second, 1, 0)
 	m.SetNodes(0, []memberlist.Node{{Addr: "a:1", Control: "a:2"}, {Addr: "b:1", Control: "b:2"}})
 	say := func(now fsm.Time, call, seq uint64) Out {
@@ -87,7 +87,7 @@
 
 // Of two at one address that is the living one which was heard, and a late beat of the
 // other is no sign of life.
-func TestOneAddress(t *testing.T) {
+func TestServersAtOneAddress(t *testing.T) {
 	m := New("a:1", "z", time.Second, 1, 0)
 	m.Receive(0, "b:1", Update{Rows: []Row{{ID: "old", Addr: "s:1", Seq: 5}, {ID: "new", Addr: "s:1", Seq: 1}}})
 	m.Heartbeat(10, 1, Heartbeat{ID: "old", Addr: "s:1", Seq: 4})
@@ -106,7 +106,7 @@
 	nodes := []memberlist.Node{{Addr: "a:1", Zone: "z", Control: "a:2"}, {Addr: "b:1", Zone: "z", Control: "b:2"}}
 	m, now := New("a:1", "z", time.Second, 1, 0), fsm.Time(0)
 	m.SetNodes(now, nodes[:1])
-	m.filled = true
+	m.complete = true
 	for i := range 20 {
 		m.Heartbeat(now, uint64(i), Heartbeat{ID: fmt.Sprint("s", i), Addr: fmt.Sprint("s:", i), Service: fmt.Sprint("x", i), Zone: "z", Seq: 1})
 	}
@@ -114,8 +114,8 @@
 		for end := now + 10*time.Second; now < end; now += 50 * time.Millisecond {
 			m.Tick(now)
 		}
-		for _, it := range m.all {
-			if m.mine(it) {
+		for _, it := range m.sorted {
+			if m.isHome(it) {
 				mine++
 			}
 			if it.Phase == Silent {
--- a/internal/registry/returns_test.go
+++ b/internal/registry/returns_test.go
@@ -10,7 +10,7 @@
 // TestReturn: homes of a large fleet say again what they hear, once, when a region comes back that was away for as long as a
 // server may be silent. Not when it was away for less, or comes in another life and fetches the table, or is a
 // few processes; and no server that is not heard is told of.
-func TestReturn(t *testing.T) {
+func TestReannounceAfterRejoin(t *testing.T) {
 	for name, c := range map[string]struct {
 		gateways, away int
 		span           time.Duration
@@ -23,16 +23,16 @@
 		"started anew":        {490, 98, 20 * time.Second, 2, false},
 		"of a fleet of today": {91, 30, 20 * time.Second, 1, false},
 	} {
-		p := newPlan(t, c.gateways, 5200)
-		quiet := p.mine[0].ID // its home hears it no more
+		p := newFixture(t, c.gateways, 5200)
+		quiet := p.homeRows[0].ID // its home hears it no more
 		told, seq := map[string]int{}, uint64(1)
 		run := func(d time.Duration) {
 			for end := p.now + d; p.now < end; {
-				o := p.pass(50 * time.Millisecond)
+				o := p.tick(50 * time.Millisecond)
 				if p.now%time.Second == 0 {
 					seq++
-					for _, r := range p.mine[1:] {
-						p.beat(r, seq)
+					for _, r := range p.homeRows[1:] {
+						p.heartbeat(r, seq)
 					}
 				}
 				for _, s := range o.Send {
@@ -60,8 +60,8 @@
 		set(memberlist.Gone, 1)
 		run(c.span)
 		mine := 0
-		for _, r := range p.mine[1:] {
-			if it := p.m.items[r.ID]; p.m.mine(it) && it.heard {
+		for _, r := range p.homeRows[1:] {
+			if it := p.m.items[r.ID]; p.m.isHome(it) && it.heardHere {
 				mine++
 			}
 		}
--- a/internal/registry/script_test.go
+++ b/internal/registry/script_test.go
@@ -23,99 +23,99 @@
 )
 
 // gate is a process with both machines.
-type gate struct {
-	w     *world
-	no    int
-	addr  string
-	bond  *memberlist.Machine
-	lore  *Machine
-	silly int // nodes it has reported gone
+type gateway struct {
+	w            *world
+	number       int
+	addr         string
+	members      *memberlist.Machine
+	registry     *Machine
+	reportedGone int // nodes it has reported gone
 }
 
-func (g *gate) member(now fsm.Time, o memberlist.Out) []fsm.Send {
-	g.silly += len(o.Failed)
+func (g *gateway) applyMembers(now fsm.Time, o memberlist.Out) []fsm.Send {
+	g.reportedGone += len(o.Failed)
 	sends := o.Send
 	if o.Changed {
-		sends = append(sends, g.table(g.lore.SetNodes(now, g.bond.View()))...)
+		sends = append(sends, g.applyRegistry(g.registry.SetNodes(now, g.members.View()))...)
 	}
 	return sends
 }
 
-func (g *gate) table(o Out) []fsm.Send {
+func (g *gateway) applyRegistry(o Out) []fsm.Send {
 	for _, a := range o.Answers {
 		g.w.answered(g, a)
 	}
 	for _, s := range o.Changes {
-		g.w.said[s.ID+" "+s.Phase.String()]++
+		g.w.changes[s.ID+" "+s.Phase.String()]++
 	}
 	return o.Send
 }
 
-func (g *gate) Tick(now fsm.Time) []fsm.Send {
-	return append(g.member(now, g.bond.Tick(now)), g.table(g.lore.Tick(now))...)
+func (g *gateway) Tick(now fsm.Time) []fsm.Send {
+	return append(g.applyMembers(now, g.members.Tick(now)), g.applyRegistry(g.registry.Tick(now))...)
 }
 
-func (g *gate) Receive(now fsm.Time, from string, msg any) []fsm.Send {
+func (g *gateway) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	if strings.HasPrefix(fmt.Sprintf("%T", msg), "memberlist.") {
-		return g.member(now, g.bond.Receive(now, from, msg))
+		return g.applyMembers(now, g.members.Receive(now, from, msg))
 	}
-	return g.table(g.lore.Receive(now, from, msg))
+	return g.applyRegistry(g.registry.Receive(now, from, msg))
 }
 
 // server beats like one: it goes where it was told, and elsewhere if that fails.
 type server struct {
 	Heartbeat
-	gate int
-	next fsm.Time
-	over bool
+	gatewayNumber int
+	next          fsm.Time
+	stopped       bool
 }
 
 type world struct {
-	t       *testing.T
-	net     *links.Network
-	gates   []*gate
-	rand    *rand.Rand
-	up      map[int]bool // running, not frozen
-	ice     map[int]bool // frozen
-	seeds   []string
-	shut    map[[2]int]bool
-	calm    map[int]fsm.Time // since when there's no trouble
-	servers map[string]*server
-	calls   map[uint64]string
-	ok      map[string]fsm.Time // calls answered
-	said    map[string]int      // changes told to data planes, by ID and phase
-	call    uint64
+	t               *testing.T
+	net             *links.Network
+	gateways        []*gateway
+	rand            *rand.Rand
+	up              map[int]bool // running, not frozen
+	frozen          map[int]bool // frozen
+	seeds           []string
+	blocked         map[[2]int]bool
+	untroubledSince map[int]fsm.Time // since when there's no trouble
+	servers         map[string]*server
+	calls           map[uint64]string
+	confirmedAt     map[string]fsm.Time // calls answered
+	changes         map[string]int      // changes told to data planes, by ID and phase
+	lastCall        uint64
 }
 
 func address(no int) string { return fmt.Sprintf("10.%d.0.%d:7000", no%3, no) }
 
-func (w *world) boot(no int) {
-	g := &gate{w: w, no: no, addr: address(no)}
+func (w *world) startGateway(no int) {
+	g := &gateway{w: w, number: no, addr: address(no)}
 	self := memberlist.Node{Addr: g.addr, Name: fmt.Sprintf("edge-%d", no), Zone: fmt.Sprintf("z%d", no%3),
 		Control: fmt.Sprintf("10.%d.0.%d:8042", no%3, no), Member: no < 3, Incarnation: 1}
-	g.bond = memberlist.New(self, w.seeds, w.rand.Uint64(), w.net.Now)
-	g.lore = New(g.addr, self.Zone, heartbeat, w.rand.Uint64(), w.net.Now)
-	if no < len(w.gates) {
-		g.silly = w.gates[no].silly
-		w.gates[no] = g
+	g.members = memberlist.New(self, w.seeds, w.rand.Uint64(), w.net.Now)
+	g.registry = New(g.addr, self.Zone, heartbeat, w.rand.Uint64(), w.net.Now)
+	if no < len(w.gateways) {
+		g.reportedGone = w.gateways[no].reportedGone
+		w.gateways[no] = g
 	} else {
-		w.gates = append(w.gates, g)
+		w.gateways = append(w.gateways, g)
 	}
-	w.up[no], w.calm[no] = true, w.net.Now
+	w.up[no], w.untroubledSince[no] = true, w.net.Now
 	w.net.Start(g.addr, g)
 }
 
 // answered checks the promise: who was told yes is known to leave by all in touch.
-func (w *world) answered(by *gate, a Answer) {
+func (w *world) answered(by *gateway, a Answer) {
 	id := w.calls[a.Call]
 	delete(w.calls, a.Call)
 	if !a.OK {
 		return
 	}
 	if s := w.servers[id]; s != nil && a.Target != "" {
-		for _, g := range w.gates {
-			if fmt.Sprintf("10.%d.0.%d:8042", g.no%3, g.no) == a.Target {
-				s.gate = g.no
+		for _, g := range w.gateways {
+			if fmt.Sprintf("10.%d.0.%d:8042", g.number%3, g.number) == a.Target {
+				s.gatewayNumber = g.number
 			}
 		}
 	}
@@ -123,53 +123,53 @@
 	if !leaves {
 		return
 	}
-	w.ok[name] = w.net.Now
-	for _, g := range w.gates {
-		if !w.up[g.no] || w.shut[[2]int{by.no, g.no}] || w.shut[[2]int{g.no, by.no}] ||
-			w.net.Now-w.calm[g.no] < 3*time.Second || w.net.Now-w.calm[by.no] < 3*time.Second {
+	w.confirmedAt[name] = w.net.Now
+	for _, g := range w.gateways {
+		if !w.up[g.number] || w.blocked[[2]int{by.number, g.number}] || w.blocked[[2]int{g.number, by.number}] ||
+			w.net.Now-w.untroubledSince[g.number] < 3*time.Second || w.net.Now-w.untroubledSince[by.number] < 3*time.Second {
 			continue
 		}
-		if it := g.lore.items[name]; it == nil || it.Phase < Quiescing {
-			w.t.Errorf("%v: %s was told yes, and gate %d doesn't know it", w.net.Now, name, g.no)
+		if it := g.registry.items[name]; it == nil || it.Phase < Quiescing {
+			w.t.Errorf("%v: %s was told yes, and gate %d doesn't know it", w.net.Now, name, g.number)
 		}
 	}
 }
 
-func (w *world) beats() {
+func (w *world) sendHeartbeats() {
 	for _, id := range slices.Sorted(maps.Keys(w.servers)) {
-		if s := w.servers[id]; !s.over && w.net.Now >= s.next {
-			w.beat(s)
+		if s := w.servers[id]; !s.stopped && w.net.Now >= s.next {
+			w.sendHeartbeat(s)
 		}
 	}
 }
 
-func (w *world) beat(s *server) {
+func (w *world) sendHeartbeat(s *server) {
 	s.next = w.net.Now + heartbeat
-	for try := 0; !w.up[s.gate]; try++ {
-		s.gate = (s.gate + 1) % len(w.gates)
-		if try > len(w.gates) {
+	for try := 0; !w.up[s.gatewayNumber]; try++ {
+		s.gatewayNumber = (s.gatewayNumber + 1) % len(w.gateways)
+		if try > len(w.gateways) {
 			return
 		}
 	}
 	s.Seq++
-	w.call++
-	w.calls[w.call] = s.ID
+	w.lastCall++
+	w.calls[w.lastCall] = s.ID
 	if s.Quiescing {
-		w.calls[w.call] = "-" + s.ID
+		w.calls[w.lastCall] = "-" + s.ID
 	}
-	g := w.gates[s.gate]
-	w.net.Send(g.addr, g.table(g.lore.Heartbeat(w.net.Now, w.call, s.Heartbeat)))
+	g := w.gateways[s.gatewayNumber]
+	w.net.Send(g.addr, g.applyRegistry(g.registry.Heartbeat(w.net.Now, w.lastCall, s.Heartbeat)))
 }
 
 func (w *world) run(d time.Duration) {
 	for end := w.net.Now + d; w.net.Now < end; {
-		w.beats()
+		w.sendHeartbeats()
 		w.net.Run(min(10*time.Millisecond, end-w.net.Now))
 	}
 }
 
 // until lets time pass until it holds.
-func (w *world) until(line string, within time.Duration, holds func() string) {
+func (w *world) waitFor(line string, within time.Duration, holds func() string) {
 	w.t.Helper()
 	why := ""
 	for end := w.net.Now + within; w.net.Now <= end; w.run(10 * time.Millisecond) {
@@ -181,11 +181,11 @@
 	w.t.Fatalf("%v: %s: %s", w.net.Now, line, why)
 }
 
-func (w *world) eachUp(check func(g *gate) string) string {
-	for _, g := range w.gates {
-		if w.up[g.no] {
+func (w *world) eachUp(check func(g *gateway) string) string {
+	for _, g := range w.gateways {
+		if w.up[g.number] {
 			if why := check(g); why != "" {
-				return fmt.Sprintf("gate %d %s", g.no, why)
+				return fmt.Sprintf("gate %d %s", g.number, why)
 			}
 		}
 	}
@@ -208,7 +208,7 @@
 }
 
 // do runs one line. The scripts in testdata say what each one is for.
-func (w *world) do(line string) {
+func (w *world) execute(line string) {
 	f := strings.Fields(line)
 	arg := func(i int) string {
 		if i < len(f) {
@@ -223,7 +223,7 @@
 		}
 		return d
 	}
-	trouble := func(no int) { w.calm[no] = w.net.Now }
+	trouble := func(no int) { w.untroubledSince[no] = w.net.Now }
 	switch f[0] {
 	case "seeds":
 		w.seeds = nil
@@ -232,7 +232,7 @@
 		}
 	case "boot":
 		for _, no := range numbers(f[1]) {
-			w.boot(no)
+			w.startGateway(no)
 			w.net.Run(time.Millisecond)
 		}
 	case "kill", "freeze", "thaw":
@@ -245,60 +245,60 @@
 		one := f[2] == ">"
 		for _, a := range numbers(f[1]) {
 			for _, b := range numbers(f[len(f)-1]) {
-				w.shut[[2]int{a, b}] = true
-				w.shut[[2]int{b, a}] = w.shut[[2]int{b, a}] || !one
+				w.blocked[[2]int{a, b}] = true
+				w.blocked[[2]int{b, a}] = w.blocked[[2]int{b, a}] || !one
 				trouble(a)
 				trouble(b)
 			}
 		}
 	case "heal":
-		for l := range w.shut {
+		for l := range w.blocked {
 			trouble(l[0])
 			trouble(l[1])
 		}
-		clear(w.shut)
+		clear(w.blocked)
 	case "loss":
 		w.net.Loss, _ = strconv.ParseFloat(f[1], 64)
 	case "run":
 		w.run(span(1))
 	case "leave":
-		g := w.gates[numbers(f[1])[0]]
-		w.net.Send(g.addr, g.member(w.net.Now, g.bond.Leave(w.net.Now)))
+		g := w.gateways[numbers(f[1])[0]]
+		w.net.Send(g.addr, g.applyMembers(w.net.Now, g.members.Leave(w.net.Now)))
 	case "held":
-		w.gates[numbers(f[1])[0]].bond.SetConfigVersion(uint32(numbers(f[2])[0]))
+		w.gateways[numbers(f[1])[0]].members.SetConfigVersion(uint32(numbers(f[2])[0]))
 	case "server": // server ID service zone addr gate
-		w.servers[f[1]] = &server{gate: numbers(f[5])[0], next: w.net.Now, Heartbeat: Heartbeat{ID: f[1],
+		w.servers[f[1]] = &server{gatewayNumber: numbers(f[5])[0], next: w.net.Now, Heartbeat: Heartbeat{ID: f[1],
 			Service: f[2], Zone: f[3], Addr: f[4], Epoch: "v1", Capacity: 4, WarmMs: 2000}}
 	case "servers": // servers N: of nine services, over the zones
 		n, _ := strconv.Atoi(f[1])
 		for i := range n {
-			w.do(fmt.Sprintf("server s%d svc%d z%d 10.9.%d.%d:80 %d", i, i%9, i%3, i/250, i%250, i%len(w.gates)))
+			w.execute(fmt.Sprintf("server s%d svc%d z%d 10.9.%d.%d:80 %d", i, i%9, i%3, i/250, i%250, i%len(w.gateways)))
 			w.run(10 * time.Millisecond)
 		}
 	case "crash":
-		w.servers[f[1]].over = true
+		w.servers[f[1]].stopped = true
 	case "quiesce": // quiesce ID [gate]
 		s := w.servers[f[1]]
 		s.Quiescing = true
 		if len(f) > 2 {
-			s.gate = numbers(f[2])[0]
+			s.gatewayNumber = numbers(f[2])[0]
 		}
-		w.beat(s)
+		w.sendHeartbeat(s)
 	case "delete": // delete ID gate
-		w.call++
-		w.calls[w.call] = "-" + f[1]
+		w.lastCall++
+		w.calls[w.lastCall] = "-" + f[1]
 		if s := w.servers[f[1]]; s != nil {
-			s.over = true
+			s.stopped = true
 		}
-		g := w.gates[numbers(f[2])[0]]
-		w.net.Send(g.addr, g.table(g.lore.Deregister(w.net.Now, w.call, f[1])))
+		g := w.gateways[numbers(f[2])[0]]
+		w.net.Send(g.addr, g.applyRegistry(g.registry.Deregister(w.net.Now, w.lastCall, f[1])))
 	case "late": // late ID seq gate: an old beat arrives
 		s := *w.servers[f[1]]
 		s.Quiescing, s.Seq = false, uint64(numbers(f[2])[0])
-		g := w.gates[numbers(f[3])[0]]
-		w.net.Send(g.addr, g.table(g.lore.Heartbeat(w.net.Now, 0, s.Heartbeat)))
+		g := w.gateways[numbers(f[3])[0]]
+		w.net.Send(g.addr, g.applyRegistry(g.registry.Heartbeat(w.net.Now, 0, s.Heartbeat)))
 	case "release": // release N D: N of the servers replaced in D
-		w.release(numbers(f[1])[0], span(2))
+		w.replaceServers(numbers(f[1])[0], span(2))
 	case "spent": // spent MOST: bytes that one process has sent since last asked
 		most := 0
 		for _, b := range w.net.BytesSent {
@@ -309,29 +309,29 @@
 		if most > numbers(f[1])[0] {
 			w.t.Errorf("%s: %d", line, most)
 		}
-		w.kinds()
+		w.logMessageCounts()
 	case "storm": // storm D: anything may happen; then all are well again
 		w.storm(span(1))
 	case "expect":
 		w.expect(line, f)
 	case "rest": // rest D MOST: bytes a second and node
-		w.rest(line, span(1), numbers(f[2])[0])
+		w.measureIdle(line, span(1), numbers(f[2])[0])
 	default:
 		w.t.Fatalf("%s: what?", line)
 	}
 }
 
-func (w *world) release(n int, d time.Duration) {
+func (w *world) replaceServers(n int, d time.Duration) {
 	clear(w.net.BytesSent)
 	w.net.TakeMessageCounts()
 	each := d / time.Duration(n)
 	for i := range n {
 		old := w.servers[fmt.Sprintf("s%d", i)]
 		id := fmt.Sprintf("n%d", i)
-		w.do(fmt.Sprintf("server %s %s %s 10.8.%d.%d:80 %d", id, old.Service, old.Zone, i/250, i%250, i%len(w.gates)))
-		w.do("quiesce " + old.ID)
+		w.execute(fmt.Sprintf("server %s %s %s 10.8.%d.%d:80 %d", id, old.Service, old.Zone, i/250, i%250, i%len(w.gateways)))
+		w.execute("quiesce " + old.ID)
 		w.run(each)
-		w.do(fmt.Sprintf("delete %s %d", old.ID, old.gate))
+		w.execute(fmt.Sprintf("delete %s %d", old.ID, old.gatewayNumber))
 	}
 	most := 0
 	for _, b := range w.net.BytesSent {
@@ -345,62 +345,62 @@
 }
 
 func (w *world) storm(d time.Duration) {
-	n, made := len(w.gates), 0
+	n, made := len(w.gateways), 0
 	list := func(k int) string { return strconv.Itoa(k) }
 	for end := w.net.Now + d; w.net.Now < end; w.run(time.Duration(100+w.rand.IntN(900)) * time.Millisecond) {
 		a, b := w.rand.IntN(n), w.rand.IntN(n)
 		half := fmt.Sprintf("0-%d %s%d-%d", n/2, [...]string{"", "> "}[w.rand.IntN(2)], n/2+1, n-1)
 		switch w.rand.IntN(9) {
 		case 0:
-			if w.up[a] && !w.ice[a] {
-				w.do("kill " + list(a))
+			if w.up[a] && !w.frozen[a] {
+				w.execute("kill " + list(a))
 			}
 		case 1:
 			if w.up[a] {
-				w.ice[a] = true
-				w.do("freeze " + list(a))
+				w.frozen[a] = true
+				w.execute("freeze " + list(a))
 			}
 		case 2:
-			w.well(a)
+			w.recoverGateway(a)
 		case 3:
-			w.do("cut " + list(a) + " > " + list(b))
+			w.execute("cut " + list(a) + " > " + list(b))
 		case 4:
-			w.do("cut " + half)
+			w.execute("cut " + half)
 		case 5, 6:
-			w.do("heal")
+			w.execute("heal")
 		case 7, 8:
 			made++
-			w.do(fmt.Sprintf("server r%d svc%d z%d 10.7.0.%d:80 %d", made, made%4, made%3, made%9, a))
+			w.execute(fmt.Sprintf("server r%d svc%d z%d 10.7.0.%d:80 %d", made, made%4, made%3, made%9, a))
 			if old := w.servers[fmt.Sprintf("r%d", made-5)]; old != nil {
-				w.do("quiesce " + old.ID)
-				old.over = true
+				w.execute("quiesce " + old.ID)
+				old.stopped = true
 			}
 		}
 	}
-	w.do("heal")
+	w.execute("heal")
 	for no := range n {
-		w.well(no)
+		w.recoverGateway(no)
 	}
 }
 
-func (w *world) well(no int) {
+func (w *world) recoverGateway(no int) {
 	switch {
-	case w.ice[no]:
-		w.do("thaw " + strconv.Itoa(no))
-		delete(w.ice, no)
+	case w.frozen[no]:
+		w.execute("thaw " + strconv.Itoa(no))
+		delete(w.frozen, no)
 	case !w.up[no]:
-		w.do("boot " + strconv.Itoa(no))
+		w.execute("boot " + strconv.Itoa(no))
 	}
 }
 
-func (w *world) kinds() {
+func (w *world) logMessageCounts() {
 	count, length := w.net.TakeMessageCounts()
 	for _, k := range slices.Sorted(maps.Keys(count)) {
 		w.t.Logf("  %-12s %6d of %4d bytes", k, count[k], length[k]/count[k])
 	}
 }
 
-func (w *world) rest(line string, d time.Duration, most int) {
+func (w *world) measureIdle(line string, d time.Duration, most int) {
 	clear(w.net.BytesSent)
 	w.net.TakeMessageCounts()
 	w.run(d)
@@ -409,10 +409,10 @@
 		sum += b
 		top = max(top, b)
 	}
-	mean := float64(sum) / d.Seconds() / float64(len(w.gates))
+	mean := float64(sum) / d.Seconds() / float64(len(w.gateways))
 	w.t.Logf("%s: %d processes, %d servers: %.0f bytes a second each (frames counted), most %.0f", line,
-		len(w.gates), len(w.servers), mean, float64(top)/d.Seconds())
-	w.kinds()
+		len(w.gateways), len(w.servers), mean, float64(top)/d.Seconds())
+	w.logMessageCounts()
 	if int(mean) > most {
 		w.t.Errorf("%s: %.0f bytes a second", line, mean)
 	}
@@ -439,12 +439,12 @@
 			among = numbers(f[4])
 		}
 		holds = func() string {
-			return w.eachUp(func(g *gate) string {
+			return w.eachUp(func(g *gateway) string {
 				var got []string
-				for _, n := range g.bond.UpNodes() {
+				for _, n := range g.members.UpNodes() {
 					got = append(got, n.Addr)
 				}
-				if slices.Contains(among, g.no) && !slices.Equal(got, want) {
+				if slices.Contains(among, g.number) && !slices.Equal(got, want) {
 					return fmt.Sprintf("sees %d up, not %d: %v", len(got), len(want), got)
 				}
 				return ""
@@ -452,8 +452,8 @@
 		}
 	case "node": // node NODE life|held N
 		holds = func() string {
-			return w.eachUp(func(g *gate) string {
-				for _, n := range g.bond.View() {
+			return w.eachUp(func(g *gateway) string {
+				for _, n := range g.members.View() {
 					got := map[string]string{"life": fmt.Sprint(n.Incarnation), "held": fmt.Sprint(n.ConfigVersion)}[f[3]]
 					if n.Addr == address(numbers(f[2])[0]) && got != f[4] {
 						return "sees " + got
@@ -465,11 +465,11 @@
 	case "gone": // gone N [at NODES]: so many were reported gone, by all together, since last asked
 		holds = func() string {
 			sum := 0
-			for _, g := range w.gates {
-				if len(f) < 5 || slices.Contains(numbers(f[4]), g.no) {
-					sum += g.silly
+			for _, g := range w.gateways {
+				if len(f) < 5 || slices.Contains(numbers(f[4]), g.number) {
+					sum += g.reportedGone
 				}
-				g.silly = 0
+				g.reportedGone = 0
 			}
 			if fmt.Sprint(sum) != f[2] && (f[2] != "some" || sum == 0) {
 				return fmt.Sprintf("%d reported gone", sum)
@@ -478,9 +478,9 @@
 		}
 	case "server": // server ID PHASE|none
 		holds = func() string {
-			return w.eachUp(func(g *gate) string {
+			return w.eachUp(func(g *gateway) string {
 				got := "none"
-				if it := g.lore.items[f[2]]; it != nil {
+				if it := g.registry.items[f[2]]; it != nil {
 					got = it.Phase.String()
 				}
 				if got != f[3] {
@@ -492,14 +492,14 @@
 	case "same": // all tables are alike
 		holds = func() string {
 			want, first := uint64(0), true
-			return w.eachUp(func(g *gate) string {
+			return w.eachUp(func(g *gateway) string {
 				if first {
-					want, first = g.lore.sum, false
+					want, first = g.registry.tableDigest, false
 				}
-				if !g.lore.Complete() {
+				if !g.registry.Complete() {
 					return "isn't filled"
 				}
-				if g.lore.sum != want {
+				if g.registry.tableDigest != want {
 					return "has another table"
 				}
 				return ""
@@ -507,15 +507,15 @@
 		}
 	case "answered": // answered ID
 		holds = func() string {
-			if _, ok := w.ok[f[2]]; !ok {
+			if _, ok := w.confirmedAt[f[2]]; !ok {
 				return "no answer yet"
 			}
 			return ""
 		}
 	case "never": // never ID PHASE: nobody has said so since last asked
 		holds = func() string {
-			n := w.said[f[2]+" "+f[3]]
-			clear(w.said)
+			n := w.changes[f[2]+" "+f[3]]
+			clear(w.changes)
 			if n > 0 {
 				return fmt.Sprintf("said %d times", n)
 			}
@@ -524,16 +524,16 @@
 	case "home": // home ID: it beats to its home, at most
 		holds = func() string {
 			s := w.servers[f[2]]
-			it := w.gates[s.gate].lore.items[s.ID]
-			if h := w.gates[s.gate].lore.home(it.Server); h != address(s.gate) {
-				return fmt.Sprintf("beats to gate %d, not %s", s.gate, h)
+			it := w.gateways[s.gatewayNumber].registry.items[s.ID]
+			if h := w.gateways[s.gatewayNumber].registry.homeOf(it.Server); h != address(s.gatewayNumber) {
+				return fmt.Sprintf("beats to gate %d, not %s", s.gatewayNumber, h)
 			}
 			return ""
 		}
 	case "total": // total N servers serving, everywhere
 		holds = func() string {
-			return w.eachUp(func(g *gate) string {
-				if st := g.lore.Status(); fmt.Sprint(st.Serving) != f[2] {
+			return w.eachUp(func(g *gateway) string {
+				if st := g.registry.Status(); fmt.Sprint(st.Serving) != f[2] {
 					return fmt.Sprintf("has %+v", st)
 				}
 				return ""
@@ -542,7 +542,7 @@
 	default:
 		w.t.Fatalf("%s: what?", line)
 	}
-	w.until(line, within, holds)
+	w.waitFor(line, within, holds)
 }
 
 func TestScripts(t *testing.T) {
@@ -557,21 +557,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := &world{t: t, up: map[int]bool{}, ice: map[int]bool{}, rand: rand.New(rand.NewPCG(seed, 2)),
-				shut: map[[2]int]bool{}, calm: map[int]fsm.Time{},
-				servers: map[string]*server{}, calls: map[uint64]string{}, ok: map[string]fsm.Time{},
-				said: map[string]int{}}
+			w := &world{t: t, up: map[int]bool{}, frozen: map[int]bool{}, rand: rand.New(rand.NewPCG(seed, 2)),
+				blocked: map[[2]int]bool{}, untroubledSince: map[int]fsm.Time{},
+				servers: map[string]*server{}, calls: map[uint64]string{}, confirmedAt: map[string]fsm.Time{},
+				changes: map[string]int{}}
 			w.net = links.New(seed, func(err error) { t.Error(err) })
 			w.net.Blocked = func(from, to string) bool {
 				var a, b, x int
 				fmt.Sscanf(from, "10.%d.0.%d:", &x, &a)
 				fmt.Sscanf(to, "10.%d.0.%d:", &x, &b)
-				return w.shut[[2]int{a, b}]
+				return w.blocked[[2]int{a, b}]
 			}
 			for line := range strings.Lines(string(text)) {
 				line, _, _ = strings.Cut(strings.TrimSpace(line), "#")
 				if line != "" {
-					w.do(line)
+					w.execute(line)
 				}
 			}
 		})
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -40,7 +40,7 @@
 // newer is the order in which words about a server override each other. A server that
 // has begun to leave doesn't come back, whatever number a later word has: its next
 // start is another life.
-func (s Server) newer(o Server) bool {
+func (s Server) supersedes(o Server) bool {
 	if s.Phase >= Quiescing || o.Phase >= Quiescing {
 		if s.Phase != o.Phase {
 			return s.Phase > o.Phase
@@ -54,13 +54,13 @@
 }
 
 // same: a beat with these words tells nothing new.
-func (s Server) same(o Server) bool {
+func (s Server) equalIgnoringSeq(o Server) bool {
 	s.Seq, s.WarmUntil = o.Seq, o.WarmUntil
 	return s == o
 }
 
 // mark is a hash of the version.
-func (s Server) mark() uint64 {
+func (s Server) digest() uint64 {
 	b := make([]byte, 0, 48)
 	b = append(b, s.ID...)
 	b = append(b, byte(s.Phase))
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -13,19 +13,19 @@
 )
 
 // plan is one gateway of the size to design for: so many servers in 180 services, ten zones.
-type plan struct {
-	m     *Machine
-	now   fsm.Time
-	nodes []memberlist.Node
-	rows  []Row
-	mine  []Row // at home there
-	call  uint64
+type fixture struct {
+	m        *Machine
+	now      fsm.Time
+	nodes    []memberlist.Node
+	rows     []Row
+	homeRows []Row // at home there
+	call     uint64
 }
 
 const services = 180
 
-func newPlan(tb testing.TB, gateways, servers int) *plan {
-	p := &plan{now: time.Hour}
+func newFixture(tb testing.TB, gateways, servers int) *fixture {
+	p := &fixture{now: time.Hour}
 	for i := range gateways {
 		p.nodes = append(p.nodes, memberlist.Node{Addr: fmt.Sprintf("10.%d.%03d.1:7100", i%10, i/10), Zone: fmt.Sprint("zone-", i%10),
 			Control: fmt.Sprintf("10.%d.%d.1:8042", i%10, i/10), Incarnation: 1, Member: i < 8})
@@ -39,28 +39,28 @@
 	}
 	p.m.Receive(p.now, p.nodes[1].Addr, FullTable{Complete: true, Rows: p.rows})
 	for _, r := range p.rows {
-		if p.m.mine(p.m.items[r.ID]) {
-			p.mine = append(p.mine, r)
+		if p.m.isHome(p.m.items[r.ID]) {
+			p.homeRows = append(p.homeRows, r)
 		}
 	}
-	if !p.m.Complete() || len(p.mine) == 0 {
-		tb.Fatal(len(p.mine), "at home")
+	if !p.m.Complete() || len(p.homeRows) == 0 {
+		tb.Fatal(len(p.homeRows), "at home")
 	}
 	return p
 }
 
-func (p *plan) pass(d time.Duration) Out {
+func (p *fixture) tick(d time.Duration) Out {
 	p.now += d
 	return p.m.Tick(p.now)
 }
 
-func (p *plan) beat(r Row, seq uint64) Out {
+func (p *fixture) heartbeat(r Row, seq uint64) Out {
 	p.call++
 	return p.m.Heartbeat(p.now, p.call, Heartbeat{ID: r.ID, Addr: r.Addr, Service: r.Service, Zone: r.Zone, Epoch: r.Epoch, Capacity: r.Capacity, Seq: seq})
 }
 
 // fresh is a message as it comes off the wire: none of its texts is shared.
-func fresh[M any](tb testing.TB, msg M) (got M) {
+func decoded[M any](tb testing.TB, msg M) (got M) {
 	b, err := cbor.Marshal(msg)
 	if err == nil {
 		err = cbor.Unmarshal(b, &got)
@@ -73,7 +73,7 @@
 
 // BenchmarkMemory is what the list of 5,200 servers takes, each of which was heard of twice.
 func BenchmarkMemory(b *testing.B) {
-	p := newPlan(b, 490, 5200)
+	p := newFixture(b, 490, 5200)
 	heap := func() float64 {
 		var s runtime.MemStats
 		runtime.GC()
@@ -84,11 +84,11 @@
 		m := New(p.m.self, "zone-0", 1500*time.Millisecond, 1, p.now)
 		m.SetNodes(p.now, p.nodes)
 		before := heap()
-		m.Receive(p.now, p.nodes[1].Addr, fresh(b, FullTable{Complete: true, Rows: p.rows}))
+		m.Receive(p.now, p.nodes[1].Addr, decoded(b, FullTable{Complete: true, Rows: p.rows}))
 		for _, r := range p.rows {
 			r.Seq++
 			r.Phase = Silent
-			m.Receive(p.now, p.nodes[1].Addr, fresh(b, Update{Rows: []Row{r}}))
+			m.Receive(p.now, p.nodes[1].Addr, decoded(b, Update{Rows: []Row{r}}))
 		}
 		b.ReportMetric((heap()-before)/float64(len(p.rows)), "bytes/server")
 		runtime.KeepAlive(m)
@@ -97,44 +97,44 @@
 
 func BenchmarkSize(b *testing.B) {
 	for _, n := range []int{1000, 2600, 5200} {
-		run := func(what string, do func(b *testing.B, p *plan)) {
+		run := func(what string, do func(b *testing.B, p *fixture)) {
 			b.Run(fmt.Sprint(what, "-", n), func(b *testing.B) {
-				p := newPlan(b, 490, n)
+				p := newFixture(b, 490, n)
 				b.ReportAllocs()
 				b.ResetTimer()
 				do(b, p)
 			})
 		}
-		run("tick", func(b *testing.B, p *plan) {
+		run("tick", func(b *testing.B, p *fixture) {
 			for range b.N {
-				p.pass(50 * time.Millisecond)
+				p.tick(50 * time.Millisecond)
 				if p.now%time.Second == 0 { // its own are heard
 					b.StopTimer()
-					for i, r := range p.mine {
-						p.beat(r, uint64(p.now)+uint64(i))
+					for i, r := range p.homeRows {
+						p.heartbeat(r, uint64(p.now)+uint64(i))
 					}
 					b.StartTimer()
 				}
 			}
 		})
-		run("beat", func(b *testing.B, p *plan) {
+		run("beat", func(b *testing.B, p *fixture) {
 			for i := range b.N {
-				p.beat(p.mine[i%len(p.mine)], uint64(i+2))
+				p.heartbeat(p.homeRows[i%len(p.homeRows)], uint64(i+2))
 			}
 		})
-		run("news", func(b *testing.B, p *plan) {
+		run("news", func(b *testing.B, p *fixture) {
 			for i := range b.N {
 				r := p.rows[i%len(p.rows)]
 				r.Seq, r.Phase = uint64(i+2), Phase(i/len(p.rows)%2)
 				p.m.Receive(p.now, p.nodes[1].Addr, Update{Rows: []Row{r}})
 			}
 		})
-		run("differ", func(b *testing.B, p *plan) {
+		run("differ", func(b *testing.B, p *fixture) {
 			for range b.N {
 				p.m.Receive(p.now, p.nodes[1].Addr, TableDigest{Hash: 1})
 			}
 		})
-		run("gateway", func(b *testing.B, p *plan) { // one goes, or comes back
+		run("gateway", func(b *testing.B, p *fixture) { // one goes, or comes back
 			for i := range b.N {
 				p.nodes[17].State = []memberlist.State{memberlist.Gone, memberlist.Up}[i%2]
 				p.m.SetNodes(p.now, p.nodes)
@@ -145,8 +145,8 @@
 
 // TestFrames: what a home sends grows with the root of the gateways, and once for each word of a server: that it is
 // there, that it leaves; that it has ended goes with the next. A rack that is lost is one word.
-func TestFrames(t *testing.T) {
-	p := newPlan(t, 490, 5200)
+func TestUpdateFanOut(t *testing.T) {
+	p := newFixture(t, 490, 5200)
 	news := func(o Out, servers int) (no uint64) {
 		t.Helper()
 		to := 0
@@ -162,11 +162,11 @@
 		}
 		return no
 	}
-	r := p.mine[0]
+	r := p.homeRows[0]
 	r.ID, r.Addr = "new", "10.200.0.1:8080"
-	news(p.beat(r, 1), 1)
-	p.pass(50 * time.Millisecond)
-	leaves := p.mine[1]
+	news(p.heartbeat(r, 1), 1)
+	p.tick(50 * time.Millisecond)
+	leaves := p.homeRows[1]
 	o := p.m.Heartbeat(p.now, 7, Heartbeat{ID: leaves.ID, Addr: leaves.Addr, Service: leaves.Service, Zone: leaves.Zone, Quiescing: true, Seq: 9})
 	no := news(o, 1)
 	var answers []Answer
@@ -183,16 +183,16 @@
 		t.Errorf("%d frames, %d answers", len(o.Send), len(o.Answers))
 	}
 	r.ID, r.Addr = "newer", "10.200.0.2:8080"
-	news(p.beat(r, 1), 2)
+	news(p.heartbeat(r, 1), 2)
 	if p.m.items[leaves.ID].Phase != Ended {
 		t.Error("the end did not go with it")
 	}
 	for at := p.now + 6*time.Second; p.now < at; { // none of its own is heard any more
-		if o := p.pass(50 * time.Millisecond); len(o.Changes) > 0 {
+		if o := p.tick(50 * time.Millisecond); len(o.Changes) > 0 {
 			news(o, len(o.Changes))
 		}
 	}
-	if st := p.m.Status(); st.Silent != len(p.mine)+1 {
+	if st := p.m.Status(); st.Silent != len(p.homeRows)+1 {
 		t.Errorf("%+v", st)
 	}
 }
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -16,14 +16,14 @@
 
 // Sights is every server with what is known of it here, sorted by ID.
 func (m *Machine) ServerStatuses(now fsm.Time) []ServerStatus {
-	all := make([]ServerStatus, 0, len(m.all))
-	for _, it := range m.all {
+	all := make([]ServerStatus, 0, len(m.sorted))
+	for _, it := range m.sorted {
 		s := ServerStatus{Server: it.Server, WarmLeft: max(0, it.WarmUntil-now), SinceHeartbeat: -1}
-		if it.heard {
-			s.SinceHeartbeat = max(0, now-it.came)
+		if it.heardHere {
+			s.SinceHeartbeat = max(0, now-it.lastArrival)
 		}
 		if it.Phase != Ended {
-			s.Home = it.place.home
+			s.Home = it.group.home
 		}
 		all = append(all, s)
 	}
--- a/internal/registry/vouch.go
+++ b/internal/registry/vouch.go
@@ -20,54 +20,54 @@
 func (m *Machine) SetBug(b Bug) { m.bug = b }
 
 // Core takes the seats of agreement. Without any no server is let go.
-func (m *Machine) SetVoters(seats []string) { m.core = append([]string{}, seats...) }
+func (m *Machine) SetVoters(seats []string) { m.voters = append([]string{}, seats...) }
 
 // vouched tells whether most of the core has confirmed the news.
-func (m *Machine) vouched(sp *spread) bool {
-	return m.most(func(a string) bool { return sp.has[a] })
+func (m *Machine) confirmedByMajority(sp *propagation) bool {
+	return m.hasMajority(func(a string) bool { return sp.confirmed[a] })
 }
 
 // reaches tells whether most of the core is there to be told, as far as membership knows.
-func (m *Machine) reaches() bool {
-	return m.most(func(a string) bool { return m.nodes[a] != nil })
+func (m *Machine) majorityReachable() bool {
+	return m.hasMajority(func(a string) bool { return m.nodes[a] != nil })
 }
 
-func (m *Machine) most(has func(addr string) bool) bool {
-	if m.core == nil || m.bug == BugNoQuorumConfirmation {
+func (m *Machine) hasMajority(has func(addr string) bool) bool {
+	if m.voters == nil || m.bug == BugNoQuorumConfirmation {
 		return true
 	}
 	n := 0
-	for _, a := range m.core {
+	for _, a := range m.voters {
 		if a == m.self || has(a) {
 			n++
 		}
 	}
-	return n > len(m.core)/2
+	return n > len(m.voters)/2
 }
 
-const rounds = 2 // ways tried
+const maxIndirectPaths = 2 // ways tried
 
 // around sends news that is not confirmed through processes that have confirmed theirs: the
 // link to its taker may be cut alone. Those of the core come first, all in touch reach them.
-func (m *Machine) around(no uint64, p *post, to string) {
-	if m.bug == BugNoIndirectDelivery || len(p.ids) == 0 || m.spreads[p.ids[0]] == nil {
+func (m *Machine) sendIndirectly(no uint64, p *unconfirmedUpdate, to string) {
+	if m.bug == BugNoIndirectDelivery || len(p.ids) == 0 || m.propagations[p.ids[0]] == nil {
 		return
 	}
 	var by []string
 	for _, a := range m.peers {
-		if a != to && m.spreads[p.ids[0]].has[a] {
+		if a != to && m.propagations[p.ids[0]].confirmed[a] {
 			by = append(by, a)
 		}
 	}
 	m.rand.Shuffle(len(by), func(i, j int) { by[i], by[j] = by[j], by[i] })
-	slices.SortStableFunc(by, func(a, b string) int { return m.seat(b) - m.seat(a) })
-	for _, a := range by[:min(rounds, len(by))] {
+	slices.SortStableFunc(by, func(a, b string) int { return m.voterRank(b) - m.voterRank(a) })
+	for _, a := range by[:min(maxIndirectPaths, len(by))] {
 		m.send(a, Update{Number: no, Rows: m.rows(p.ids), RelayTo: to})
 	}
 }
 
-func (m *Machine) seat(addr string) int {
-	if slices.Contains(m.core, addr) {
+func (m *Machine) voterRank(addr string) int {
+	if slices.Contains(m.voters, addr) {
 		return 1
 	}
 	return 0
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -10,63 +10,63 @@
 
 // due is a server at home here, and when to look whether it has been silent for too long. A
 // beat changes nothing here: the look finds that it came, and the next is put off by it.
-type due struct {
+type silenceCheck struct {
 	at fsm.Time
 	it *item
 }
 
 // dues are a heap for container/heap, the earliest first.
-type dues []due
+type checkHeap []silenceCheck
 
-func (d dues) Len() int           { return len(d) }
-func (d dues) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d dues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d checkHeap) Len() int           { return len(d) }
+func (d checkHeap) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d checkHeap) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
 
-func (d *dues) Push(x any) { *d = append(*d, x.(due)) }
+func (d *checkHeap) Push(x any) { *d = append(*d, x.(silenceCheck)) }
 
-func (d *dues) Pop() any {
+func (d *checkHeap) Pop() any {
 	last := (*d)[len(*d)-1]
-	(*d)[len(*d)-1] = due{}
+	(*d)[len(*d)-1] = silenceCheck{}
 	*d = (*d)[:len(*d)-1]
 	return last
 }
 
 // ends is when a server's time is over, if it stays silent.
-func (m *Machine) ends(it *item) fsm.Time {
+func (m *Machine) silenceDeadline(it *item) fsm.Time {
 	switch it.Phase {
 	case Serving:
-		return it.beat + m.wait
+		return it.lastBeat + m.silenceTimeout
 	case Silent:
-		return it.ended + giveUp
+		return it.phaseSince + endSilentAfter
 	}
-	return it.beat + 4*m.wait
+	return it.lastBeat + 4*m.silenceTimeout
 }
 
 // watched sees to it that a server at home here is looked at in time.
-func (m *Machine) watched(it *item) {
-	if it.Phase == Ended || !m.mine(it) {
-		it.due = 0
+func (m *Machine) scheduleCheck(it *item) {
+	if it.Phase == Ended || !m.isHome(it) {
+		it.checkAt = 0
 		return
 	}
-	if at := m.ends(it); it.due == 0 || at < it.due {
-		it.due = at
-		heap.Push(&m.dues, due{at, it})
+	if at := m.silenceDeadline(it); it.checkAt == 0 || at < it.checkAt {
+		it.checkAt = at
+		heap.Push(&m.checks, silenceCheck{at, it})
 	}
 }
 
 // watch marks the servers at home here that have been silent too long.
-func (m *Machine) watch() {
+func (m *Machine) checkSilence() {
 	var over []*item
-	for len(m.dues) > 0 && m.dues[0].at < m.now {
-		d := heap.Pop(&m.dues).(due)
+	for len(m.checks) > 0 && m.checks[0].at < m.now {
+		d := heap.Pop(&m.checks).(silenceCheck)
 		it := d.it
-		if it.due != d.at {
+		if it.checkAt != d.at {
 			continue // there is an earlier one, or it is gone
 		}
-		if it.due = 0; it.Phase != Ended && m.mine(it) && m.ends(it) < m.now {
+		if it.checkAt = 0; it.Phase != Ended && m.isHome(it) && m.silenceDeadline(it) < m.now {
 			over = append(over, it)
 		} else {
-			m.watched(it)
+			m.scheduleCheck(it)
 		}
 	}
 	slices.SortFunc(over, func(a, b *item) int { return strings.Compare(a.ID, b.ID) })
@@ -75,15 +75,15 @@
 		switch {
 		case it.Phase == Serving:
 			s.Phase = Silent
-		case it.Phase == Quiescing, m.reaches():
+		case it.Phase == Quiescing, m.majorityReachable():
 			s.Phase = Ended
 		default: // who is cut off gives nobody up
-			it.due = m.now + lookIn
-			heap.Push(&m.dues, due{it.due, it})
+			it.checkAt = m.now + silenceCheckInterval
+			heap.Push(&m.checks, silenceCheck{it.checkAt, it})
 			continue
 		}
-		s.Seq = max(s.Seq, it.last)
-		m.put(s)
-		m.tell(s.ID)
+		s.Seq = max(s.Seq, it.lastSeq)
+		m.apply(s)
+		m.queueUpdate(s.ID)
 	}
 }
