--- a/internal/registry/home.go
+++ b/internal/registry/home.go
@@ -11,84 +11,86 @@
 	"asterwell/internal/memberlist"
 )
 
-// spot is what has a home: a service in a zone.
+// serviceZone is a service in a zone, the unit that has a home.
 type serviceZone struct{ zone, service string }
 
-// place is a spot with its servers. Its home is the process that the hash ranks first of
-// those in its zone, or of all where the zone has none.
+// serverGroup is the servers of a service in a zone. Its home is the process that rendezvous
+// hashing
+// ranks first among those in the zone, or among all if the zone has none.
 type serverGroup struct {
 	serviceZone
 	serviceInfo *serviceInfo
 	servers     []*item
 	home        string
-	proximity   int    // how near home is
-	rank        uint64 // its rank
+	proximity   int    // of home
+	rank        uint64 // hash rank of home
 }
 
-// How near a process is to a place.
+// How near a process is to a group.
 const (
-	ineligible = iota // it takes no calls
+	ineligible = iota // it takes no calls of servers
 	otherZone
 	sameZone
 )
 
-// reaches tells how near a process is.
-func (p *serverGroup) proximityOf(n *memberlist.Node) int {
+// proximityOf returns how near a process is.
+func (g *serverGroup) proximityOf(n *memberlist.Node) int {
 	switch {
 	case n.State != memberlist.Up || n.Control == "":
 		return ineligible
-	case n.Zone == p.zone:
+	case n.Zone == g.zone:
 		return sameZone
 	}
 	return otherZone
 }
 
-// offer lets a process be the home, if it ranks before the one there is.
-func (p *serverGroup) considerHome(n *memberlist.Node, buf []byte) []byte {
-	reach := p.proximityOf(n)
-	if reach == ineligible || reach < p.proximity {
+// considerHome makes a process the home if it ranks before the current one. It returns the buffer
+// for reuse.
+func (g *serverGroup) considerHome(n *memberlist.Node, buf []byte) []byte {
+	proximity := g.proximityOf(n)
+	if proximity == ineligible || proximity < g.proximity {
 		return buf
 	}
-	buf = append(append(append(append(append(buf[:0], n.Addr...), 0), p.zone...), 0), p.service...)
-	if h := xxhash.Sum64(buf); reach > p.proximity || h > p.rank || h == p.rank && n.Addr < p.home {
-		p.home, p.proximity, p.rank = n.Addr, reach, h
+	buf = append(append(append(append(append(buf[:0], n.Addr...), 0), g.zone...), 0), g.service...)
+	if h := xxhash.Sum64(buf); proximity > g.proximity || h > g.rank || h == g.rank && n.Addr < g.home {
+		g.home, g.proximity, g.rank = n.Addr, proximity, h
 	}
 	return buf
 }
 
-// rank finds a place's home: among those of its zone, or all. A start ranks each of thousands of places, and each process
-// looked at is a few lines of memory.
-func (m *Machine) chooseHome(p *serverGroup) {
-	p.home, p.proximity, p.rank = "", ineligible, 0
+// chooseHome determines the home of a group among the processes of its zone, or among all. A start
+// does so for thousands of groups, and each process looked at costs a few cache lines.
+func (m *Machine) chooseHome(g *serverGroup) {
+	g.home, g.proximity, g.rank = "", ineligible, 0
 	var buf []byte
-	buf = p.considerHome(&m.selfNode, buf)
-	for _, n := range m.peersByZone[p.zone] {
-		buf = p.considerHome(n, buf)
+	buf = g.considerHome(&m.selfNode, buf)
+	for _, n := range m.peersByZone[g.zone] {
+		buf = g.considerHome(n, buf)
 	}
-	if p.proximity < sameZone {
+	if g.proximity < sameZone {
 		for _, n := range m.peerNodes {
-			buf = p.considerHome(n, buf)
+			buf = g.considerHome(n, buf)
 		}
 	}
-	p.home = cmp.Or(p.home, m.self)
+	g.home = cmp.Or(g.home, m.self)
 }
 
-// home is the process that a server's place belongs to.
+// homeOf returns the home of a server.
 func (m *Machine) homeOf(s Server) string {
-	at := serviceZone{s.Zone, s.Service}
-	if p := m.groups[at]; p != nil {
-		return p.home
+	key := serviceZone{s.Zone, s.Service}
+	if g := m.groups[key]; g != nil {
+		return g.home
 	}
-	p := &serverGroup{serviceZone: at}
-	m.chooseHome(p)
-	return p.home
+	g := &serverGroup{serviceZone: key}
+	m.chooseHome(g)
+	return g.home
 }
 
-// Nodes takes the membership as it is now, sorted by address.
+// SetNodes sets the current membership, sorted by address.
 func (m *Machine) SetNodes(now fsm.Time, all []memberlist.Node) Out {
 	m.startInput(now)
-	moved := map[string]bool{} // otherwise than before, as far as homes and news depend on it
-	var came []string          // up again, or new, or another life
+	changed := map[string]bool{} // changed in what homes and updates depend on
+	var returned []string        // new, back, or with another incarnation
 	before := m.peers
 	m.peers = make([]string, 0, len(before)+1)
 	for i := range all {
@@ -96,7 +98,7 @@
 		switch {
 		case n.Addr == m.self:
 			if !sameForHomes(m.selfNode, *n) {
-				moved[m.self] = true
+				changed[m.self] = true
 			}
 			m.selfNode = *n
 			continue
@@ -106,73 +108,75 @@
 		for len(before) > 0 && before[0] < n.Addr {
 			m.rejoins.left(now, m.nodes[before[0]])
 			delete(m.nodes, before[0])
-			moved[before[0]], before = true, before[1:]
+			changed[before[0]], before = true, before[1:]
 		}
 		m.peers = append(m.peers, n.Addr)
 		if len(before) == 0 || before[0] != n.Addr {
-			moved[n.Addr], came = true, append(came, n.Addr)
+			changed[n.Addr], returned = true, append(returned, n.Addr)
 			m.nodes[n.Addr] = lo.ToPtr(*n)
 			m.rejoins.joined(now, n, m.silenceTimeout)
 			continue
 		}
 		before = before[1:]
 		if o := m.nodes[n.Addr]; !sameForHomes(*o, *n) {
-			if moved[n.Addr] = true; o.Incarnation != n.Incarnation {
-				came = append(came, n.Addr)
+			if changed[n.Addr] = true; o.Incarnation != n.Incarnation {
+				returned = append(returned, n.Addr)
 			}
 			m.nodes[n.Addr] = lo.ToPtr(*n)
 		}
 	}
 	for _, a := range before {
-		moved[a] = true
+		changed[a] = true
 		m.rejoins.left(now, m.nodes[a])
 		delete(m.nodes, a)
 	}
-	away := m.aloneSince
+	aloneSince := m.aloneSince
 	if len(m.peers) > 0 {
 		m.aloneSince = -1
-	} else if away < 0 {
+	} else if aloneSince < 0 {
 		m.aloneSince = now
 	}
-	if len(moved) == 0 {
+	if len(changed) == 0 {
 		return m.takeOutput()
 	}
 	m.peerNodes = lo.Map(m.peers, func(a string, _ int) *memberlist.Node { return m.nodes[a] })
 	m.peersByZone = lo.GroupBy(m.peerNodes, func(n *memberlist.Node) string { return n.Zone })
 	m.relayGroups = nil
-	m.updateHomes(moved)
+	m.updateHomes(changed)
 	m.dropGonePeers()
-	m.reconcileReturned(came, away)
+	m.reconcileReturned(returned, aloneSince)
 	return m.takeOutput()
 }
 
+// sameForHomes reports whether two versions of a node are equal in what homes and updates depend
+// on.
 func sameForHomes(a, b memberlist.Node) bool {
 	return a.Addr == b.Addr && a.Zone == b.Zone && a.Control == b.Control && a.State == b.State && a.Incarnation == b.Incarnation
 }
 
-// rehome finds homes anew where a process that is otherwise than before was the home, or may
-// be. Where we have become one, the waits begin.
-func (m *Machine) updateHomes(moved map[string]bool) {
-	var came []*memberlist.Node
-	for a := range moved {
+// updateHomes redetermines the homes that changed processes had or may get. Where this process has
+// become the home, the waits for heartbeats begin.
+func (m *Machine) updateHomes(changed map[string]bool) {
+	var candidates []*memberlist.Node
+	for a := range changed {
 		if n := m.nodes[a]; n != nil {
-			came = append(came, n)
+			candidates = append(candidates, n)
 		} else if a == m.self {
-			came = append(came, &m.selfNode)
+			candidates = append(candidates, &m.selfNode)
 		}
 	}
 	var buf []byte
-	for _, p := range m.groups {
-		before := p.home
-		if moved[before] || p.proximity == ineligible {
-			m.chooseHome(p)
+	for _, g := range m.groups {
+		before := g.home
+		if changed[before] || g.proximity == ineligible {
+			m.chooseHome(g)
 		} else {
-			for _, n := range came {
-				buf = p.considerHome(n, buf)
+			for _, n := range candidates {
+				buf = g.considerHome(n, buf)
 			}
 		}
-		if p.home != before && p.home == m.self {
-			for _, it := range p.servers {
+		if g.home != before && g.home == m.self {
+			for _, it := range g.servers {
 				if it.Phase != Ended {
 					it.lastBeat = m.now
 					m.scheduleCheck(it)
@@ -182,30 +186,31 @@
 	}
 }
 
-// greet is for those that came up: young news that they may have missed, and a look
-// whether the tables differ. All look, so each does so seldom.
-func (m *Machine) reconcileReturned(came []string, away fsm.Time) {
-	if len(came) == 0 {
+// reconcileReturned brings processes that came up up to date: it sends them recent updates that
+// they
+// may have missed, and compares tables. All processes do so, so each compares with few.
+func (m *Machine) reconcileReturned(returned []string, aloneSince fsm.Time) {
+	if len(returned) == 0 {
 		return
 	}
-	if away >= 0 && m.now-away > outdatedAfter {
+	if aloneSince >= 0 && m.now-aloneSince > outdatedAfter {
 		m.markOutdated()
 	}
 	m.scheduleReannounce()
 	m.nextReconcile = min(m.nextReconcile, m.now+reconcileDelay+m.comparisonInterval())
-	slices.Sort(came)
-	for _, a := range came {
+	slices.Sort(returned)
+	for _, a := range returned {
 		m.sendRecent(a)
 	}
-	for _, a := range came {
+	for _, a := range returned {
 		if m.complete && m.rand.Float64()*float64(len(m.peers)) < 3 {
 			m.send(a, TableDigest{Hash: m.tableDigest})
 		}
 	}
 }
 
-// age: after a long absence our table is asked for anew, and what the others no
-// longer know is dropped: it may have ended, and its address be another's.
+// markOutdated requests a full table after a long absence. What the others no longer know is then
+// dropped: such a server may have ended, and its address may belong to another.
 func (m *Machine) markOutdated() {
 	for _, it := range m.sorted {
 		it.outdated = it.Phase != Ended && !(it.heardHere && m.now-it.lastBeat < m.silenceTimeout)
--- a/internal/registry/index.go
+++ b/internal/registry/index.go
@@ -6,15 +6,16 @@
 	"unique"
 )
 
-// service is what is known of a service as a whole: a table is compared with another's by it.
+// serviceInfo is a service with all its groups. Tables are compared service by service.
 type serviceInfo struct {
-	nameHash  uint32 // of its name, as in Parts
-	digest    uint64 // the marks of those not ended
-	liveCount int    // and how many these are
+	nameHash  uint32 // hash of the name, as in ServiceDigests
+	digest    uint64 // XOR of the digests of the servers that have not ended
+	liveCount int    // number of these servers
 	groups    []*serverGroup
 }
 
-// enter makes an item for a server that has none, in its place already: one without a zone would be ranked among all.
+// addItem adds an item for an unknown server, with its zone and service already set, as a home is
+// chosen among all processes where the zone is missing.
 func (m *Machine) addItem(s Server) *item {
 	it := &item{Server: Server{ID: s.ID, Zone: s.Zone, Service: s.Service, Phase: Ended}, lastBeat: m.now, phaseSince: m.now, idHash: hash32(s.ID)}
 	m.joinGroup(it)
@@ -25,7 +26,7 @@
 
 func compareID(it *item, id string) int { return strings.Compare(it.ID, id) }
 
-// set takes a word into an item.
+// setServer replaces an item's server.
 func (m *Machine) setServer(it *item, s Server) {
 	m.removeFromIndexes(it)
 	if s.Zone != it.Zone || s.Service != it.Service {
@@ -33,38 +34,38 @@
 		it.Zone, it.Service = s.Zone, s.Service
 		m.joinGroup(it)
 	}
-	s.Zone, s.Service, s.Epoch = it.group.zone, it.group.service, unique.Make(s.Epoch).Value() // of each text one copy
+	s.Zone, s.Service, s.Epoch = it.group.zone, it.group.service, unique.Make(s.Epoch).Value() // one copy of equal strings
 	it.Server, it.digest = s, s.digest()
 	m.addToIndexes(it)
 	m.scheduleCheck(it)
 }
 
-// list counts a server that has not ended.
+// addToIndexes adds a server that has not ended to the digests and the address index.
 func (m *Machine) addToIndexes(it *item) {
 	if it.Phase == Ended {
 		return
 	}
-	k := it.group.serviceInfo
+	info := it.group.serviceInfo
 	m.tableDigest ^= it.digest
-	k.digest, k.liveCount = k.digest^it.digest, k.liveCount+1
-	at := hash32(it.Addr)
-	m.byAddr[at], it.nextAtAddr = it, m.byAddr[at]
+	info.digest, info.liveCount = info.digest^it.digest, info.liveCount+1
+	hash := hash32(it.Addr)
+	m.byAddr[hash], it.nextAtAddr = it, m.byAddr[hash]
 }
 
-// unlist is its reverse.
+// removeFromIndexes undoes addToIndexes.
 func (m *Machine) removeFromIndexes(it *item) {
 	if it.Phase == Ended {
 		return
 	}
-	k := it.group.serviceInfo
+	info := it.group.serviceInfo
 	m.tableDigest ^= it.digest
-	k.digest, k.liveCount = k.digest^it.digest, k.liveCount-1
-	at := hash32(it.Addr)
-	switch o := m.byAddr[at]; {
+	info.digest, info.liveCount = info.digest^it.digest, info.liveCount-1
+	hash := hash32(it.Addr)
+	switch o := m.byAddr[hash]; {
 	case o == it && it.nextAtAddr == nil:
-		delete(m.byAddr, at)
+		delete(m.byAddr, hash)
 	case o == it:
-		m.byAddr[at] = it.nextAtAddr
+		m.byAddr[hash] = it.nextAtAddr
 	default:
 		for o.nextAtAddr != it {
 			o = o.nextAtAddr
@@ -74,42 +75,42 @@
 	it.nextAtAddr = nil
 }
 
-// stand puts an item into its place.
+// joinGroup adds an item to its group.
 func (m *Machine) joinGroup(it *item) {
-	at := serviceZone{it.Zone, it.Service}
-	p := m.groups[at]
-	if p == nil {
-		at = serviceZone{unique.Make(it.Zone).Value(), unique.Make(it.Service).Value()}
-		k := m.services[hash32(at.service)]
-		if k == nil {
-			k = &serviceInfo{nameHash: hash32(at.service)}
-			m.services[k.nameHash] = k
+	key := serviceZone{it.Zone, it.Service}
+	g := m.groups[key]
+	if g == nil {
+		key = serviceZone{unique.Make(it.Zone).Value(), unique.Make(it.Service).Value()}
+		info := m.services[hash32(key.service)]
+		if info == nil {
+			info = &serviceInfo{nameHash: hash32(key.service)}
+			m.services[info.nameHash] = info
 		}
-		p = &serverGroup{serviceZone: at, serviceInfo: k}
-		m.chooseHome(p)
-		m.groups[at], k.groups = p, append(k.groups, p)
+		g = &serverGroup{serviceZone: key, serviceInfo: info}
+		m.chooseHome(g)
+		m.groups[key], info.groups = g, append(info.groups, g)
 	}
-	it.group, it.groupIndex, p.servers = p, int32(len(p.servers)), append(p.servers, it)
+	it.group, it.groupIndex, g.servers = g, int32(len(g.servers)), append(g.servers, it)
 }
 
-// leaves takes it out, and the place away with the last.
+// leaveGroup removes an item from its group, and the group with its last item.
 func (m *Machine) leaveGroup(it *item) {
-	p := it.group
-	end := len(p.servers) - 1
-	last := p.servers[end]
-	p.servers[it.groupIndex], last.groupIndex, p.servers[end] = last, it.groupIndex, nil
-	p.servers = p.servers[:end]
+	g := it.group
+	end := len(g.servers) - 1
+	last := g.servers[end]
+	g.servers[it.groupIndex], last.groupIndex, g.servers[end] = last, it.groupIndex, nil
+	g.servers = g.servers[:end]
 	if end > 0 {
 		return
 	}
-	delete(m.groups, p.serviceZone)
-	p.serviceInfo.groups = slices.DeleteFunc(p.serviceInfo.groups, func(o *serverGroup) bool { return o == p })
-	if len(p.serviceInfo.groups) == 0 {
-		delete(m.services, p.serviceInfo.nameHash)
+	delete(m.groups, g.serviceZone)
+	g.serviceInfo.groups = slices.DeleteFunc(g.serviceInfo.groups, func(o *serverGroup) bool { return o == g })
+	if len(g.serviceInfo.groups) == 0 {
+		delete(m.services, g.serviceInfo.nameHash)
 	}
 }
 
-// forget takes an item out of everything but the list of all.
+// detach removes an item from everything but the sorted list.
 func (m *Machine) detach(it *item) {
 	m.removeFromIndexes(it)
 	m.leaveGroup(it)
@@ -117,11 +118,12 @@
 	delete(m.items, it.ID)
 }
 
+// removeItem removes an item.
 func (m *Machine) removeItem(it *item) {
 	m.detach(it)
 	i, _ := slices.BinarySearchFunc(m.sorted, it.ID, compareID)
 	m.sorted = slices.Delete(m.sorted, i, i+1)
 }
 
-// mine tells whether a server is at home here.
+// isHome reports whether this process is a server's home.
 func (m *Machine) isHome(it *item) bool { return it.group.home == m.self }
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -10,86 +10,86 @@
 )
 
 const (
-	maxTickGap           = 400 * time.Millisecond // between our ticks: it was we who stood still
-	outdatedAfter        = 20 * time.Second       // after it our table is old, and the others' counts
-	confirmTimeout       = 600 * time.Millisecond // then a leaving server is told yes, whoever is silent
+	maxTickGap           = 400 * time.Millisecond // a longer gap between ticks means that this process itself was stopped
+	outdatedAfter        = 20 * time.Second       // after a longer absence this table is outdated, and the others' counts
+	confirmTimeout       = 600 * time.Millisecond // after this time a leaving server's call succeeds without the confirmations that are missing
 	resendInterval       = 100 * time.Millisecond
-	indirectAfter        = 250 * time.Millisecond // without an answer, news goes round by others
-	quiesceCallTimeout   = 800 * time.Millisecond // then a leaving server is told to ask another gateway
-	catchUpWindow        = 5 * time.Second        // news this young is pushed to those that come up
+	indirectAfter        = 250 * time.Millisecond // without a confirmation by then, an update is also sent through other processes
+	quiesceCallTimeout   = 800 * time.Millisecond // after this time a leaving server is told to ask another gateway
+	catchUpWindow        = 5 * time.Second        // updates this recent are sent to processes that come up
 	reconcileInterval    = time.Second
-	reconcileDelay       = 100 * time.Millisecond // where somebody has come up
+	reconcileDelay       = 100 * time.Millisecond // until the next reconciliation when a process has come up
 	silenceCheckInterval = 250 * time.Millisecond
-	tombstoneLifetime    = 90 * time.Second // tombstones
-	endSilentAfter       = 10 * time.Minute // a silent server is ended
-	maxImmediateFlushes  = 4                // news sent at once between two ticks; the rest go together
-	endDelay             = time.Second      // the end of a server that nobody sends to any more waits for other news so long
+	tombstoneLifetime    = 90 * time.Second
+	endSilentAfter       = 10 * time.Minute // a server silent for so long is ended
+	maxImmediateFlushes  = 4                // updates sent at once between two ticks; further ones wait for the tick
+	endDelay             = time.Second      // the end of a server that gets no requests any more waits so long for another update
 )
 
-// item is a server with what is known of it here alone.
+// item is a server with what this process alone knows of it.
 type item struct {
 	Server
-	lastSeq     uint64   // highest sequence number heard from it
-	lastBeat    fsm.Time // when; for a home also when its wait began
-	lastArrival fsm.Time // when the last one came here
+	lastSeq     uint64   // highest sequence number in its heartbeats
+	lastBeat    fsm.Time // when it was heard; at a home also when the wait for it began
+	lastArrival fsm.Time // when the last heartbeat arrived at this process
 	phaseSince  fsm.Time // since when it is ended or silent
-	checkAt     fsm.Time // when it is looked at next; 0: it is not at home here, or ended
+	checkAt     fsm.Time // next check for silence; 0: this process is not its home, or it has ended
 	digest      uint64   // of Server
 	group       *serverGroup
-	nextAtAddr  *item  // at the same address, or one with the same hash
-	idHash      uint32 // of its ID, as in an Index
-	groupIndex  int32  // in the place's items
-	heardHere   bool   // a beat came here at all
-	outdated    bool   // from before a long absence, and not seen by others since
+	nextAtAddr  *item  // next with the same address, or the same hash of it
+	idHash      uint32 // hash of its ID, as in an Index
+	groupIndex  int32  // index in the group's servers
+	heardHere   bool   // a heartbeat arrived at this process
+	outdated    bool   // from before a long absence, and not confirmed by others since
 }
 
-// Machine is one process's part.
+// Machine is the state machine of one process's registry.
 type Machine struct {
 	self, zone     string
-	silenceTimeout time.Duration // a server silent for so long is Silent
+	silenceTimeout time.Duration // a server without heartbeats for so long is Silent
 	rand           *rand.Rand
 
 	items       map[string]*item
-	sorted      []*item                       // the same by ID
-	tableDigest uint64                        // the marks of those not ended: tombstones go at each process's own time
-	byAddr      map[uint32]*item              // those not ended by the hash of their address, a chain
-	services    map[uint32]*serviceInfo       // by the hash of the name
-	nodes       map[string]*memberlist.Node   // not gone, without self
-	peers       []string                      // their addresses, sorted,
-	peerNodes   []*memberlist.Node            // they themselves in that order,
-	peersByZone map[string][]*memberlist.Node // and those of each zone
+	sorted      []*item                     // the items by ID
+	tableDigest uint64                      // XOR of the digests of servers not ended; tombstones don't count, as each process drops them at its own time
+	byAddr      map[uint32]*item            // servers not ended, chained by the hash of their address
+	services    map[uint32]*serviceInfo     // by the hash of their name
+	nodes       map[string]*memberlist.Node // nodes not gone, without self
+	peers       []string                    // addresses of nodes, sorted
+	peerNodes   []*memberlist.Node          // nodes in the order of peers
+	peersByZone map[string][]*memberlist.Node
 	selfNode    memberlist.Node
 	groups      map[serviceZone]*serverGroup
-	checks      checkHeap // of those at home here
+	checks      checkHeap // of the servers whose home is this process
 
 	propagations       map[string]*propagation
-	activePropagations map[string]bool // spreads that wait, or are young
+	activePropagations map[string]bool // propagations that are waiting or recent
 	unconfirmed        map[uint64]*unconfirmedUpdate
 	lastNumber         uint64
 	pendingRelays      map[relayKey]*relay
-	relayGroups        [][]string      // of peers; nil: to be made
-	queued             map[string]bool // news that waits for the tick
-	pendingEnds        map[string]bool // ended, and nobody sends to them: it goes with the next news
-	pendingEndsDue     fsm.Time        // or then
+	relayGroups        [][]string      // of peers; nil: to be rebuilt
+	queued             map[string]bool // IDs of updates to be sent
+	pendingEnds        map[string]bool // IDs of ended servers that get no requests; sent with the next update
+	pendingEndsDue     fsm.Time        // or at this time
 	immediateFlushes   int
 
 	now, lastTick, startedAt          fsm.Time
 	nextReconcile, nextSilenceCheck   fsm.Time
-	lastUpdate                        fsm.Time // when news last changed the table
-	lastComparison, noComparisonUntil fsm.Time // when tables were last compared from here, and until when they aren't again
-	nextTombstoneSweep                fsm.Time // when the ended are looked at next
+	lastUpdate                        fsm.Time // when an update last changed the table
+	lastComparison, noComparisonUntil fsm.Time // of tables by this process
+	nextTombstoneSweep                fsm.Time
 	rejoins                           rejoinTracker
-	nextFetch                         fsm.Time // next one, while not filled
-	aloneSince                        fsm.Time // since when there is nobody else
+	nextFetch                         fsm.Time // while not complete
+	aloneSince                        fsm.Time // since when there is no other process; -1: there is one
 	complete, gotPartialTable         bool
-	hasRestored                       bool     // rows from disk, for when nobody has a table
-	voters                            []string // the seats of agreement, as of the newest epoch known; nil: not told of any
+	hasRestored                       bool     // rows from disk, for when no process has a table
+	voters                            []string // of consensus in the newest known epoch; nil: not known
 	bug                               Bug
 	out                               Out
 }
 
-// New knows nothing. The heartbeat is the pace of the servers' beats; the seed must
-// be another at each start.
+// New returns a machine with an empty table. The heartbeat is the interval of the servers'
+// heartbeats; the seed must differ at each start.
 func New(self, zone string, heartbeat time.Duration, seed uint64, now fsm.Time) *Machine {
 	m := &Machine{
 		self: self, zone: zone, silenceTimeout: heartbeat * 7 / 2, rand: rand.New(rand.NewPCG(seed, 0x1076)),
@@ -99,17 +99,17 @@
 		selfNode: memberlist.Node{Addr: self, Zone: zone},
 		now:      now, lastTick: now, startedAt: now, nextFetch: now, aloneSince: now, lastUpdate: now, lastComparison: now,
 	}
-	m.lastNumber = m.rand.Uint64() >> 32 // late confirmations for an earlier life mean nothing
+	m.lastNumber = m.rand.Uint64() >> 32 // confirmations for an earlier start must not match
 	return m
 }
 
-// Beat takes a server's call.
+// Heartbeat handles a server's call.
 func (m *Machine) Heartbeat(now fsm.Time, call uint64, b Heartbeat) Out {
 	m.startInput(now)
 	s := b.server(now)
 	it := m.items[b.ID]
 	if it != nil && s.Phase == Serving && (it.Phase == Ended || b.Seq <= it.latestSeq()) {
-		m.answerCall(call, b.ID) // late, or of one that is gone: it changes nothing
+		m.answerCall(call, b.ID) // late, or of a server that has ended: nothing changes
 		return m.takeOutput()
 	}
 	if it != nil && it.Phase == Ended {
@@ -129,44 +129,44 @@
 	return m.takeOutput()
 }
 
-// stand is the highest sequence number known.
+// latestSeq is the highest known sequence number.
 func (it *item) latestSeq() uint64 { return max(it.lastSeq, it.Seq) }
 
-// hear takes a beat, and says whether it is news.
+// recordHeartbeat records a heartbeat, and reports whether it changes the server.
 func (m *Machine) recordHeartbeat(s Server) bool {
 	m.endServersAtAddress(s)
 	it := m.items[s.ID]
-	news := it == nil || !it.equalIgnoringSeq(s) && s.supersedes(it.Server)
-	if news {
+	isNew := it == nil || !it.equalIgnoringSeq(s) && s.supersedes(it.Server)
+	if isNew {
 		m.apply(s)
 		it = m.items[s.ID]
 	}
 	if s.Seq >= it.lastSeq {
 		it.lastSeq, it.lastBeat, it.lastArrival, it.heardHere, it.outdated = s.Seq, m.now, m.now, true, false
 	}
-	return news
+	return isNew
 }
 
-// oust ends servers whose address this one has now: no two live at one address, and
-// it is this one that was heard.
+// endServersAtAddress ends other servers with the same address: no two servers share one, and this
+// one was heard.
 func (m *Machine) endServersAtAddress(s Server) {
 	if s.Addr == "" {
 		return
 	}
 	it := m.items[s.ID]
-	var out []string
+	var ended []string
 	for o := m.byAddr[hash32(s.Addr)]; o != nil; o = o.nextAtAddr {
 		if o.Addr == s.Addr && o.ID != s.ID && (it == nil || !o.heardHere || m.now-o.lastBeat >= m.silenceTimeout) {
-			out = append(out, o.ID)
+			ended = append(ended, o.ID)
 		}
 	}
-	slices.Sort(out)
-	for _, id := range out {
+	slices.Sort(ended)
+	for _, id := range ended {
 		m.endServer(id)
 	}
 }
 
-// Delete takes a server's last call.
+// Deregister handles a server's last call.
 func (m *Machine) Deregister(now fsm.Time, call uint64, id string) Out {
 	m.startInput(now)
 	it := m.items[id]
@@ -185,7 +185,7 @@
 	return m.takeOutput()
 }
 
-// end is the word that a server has ended.
+// endServer marks a server as ended.
 func (m *Machine) endServer(id string) {
 	s := Server{ID: id, Phase: Ended}
 	if it := m.items[id]; it != nil {
@@ -196,7 +196,7 @@
 	m.queueUpdate(id)
 }
 
-// put stores the newer word, and hands it to the data plane.
+// apply stores the newer version of a server and passes it to the data plane.
 func (m *Machine) apply(s Server) {
 	it := m.items[s.ID]
 	if it == nil {
@@ -218,7 +218,7 @@
 	m.out.Changes = append(m.out.Changes, s)
 }
 
-// merge takes a row from another process, and says whether it was news.
+// merge takes a row from another process, and reports whether it was new.
 func (m *Machine) merge(r Row) bool {
 	s := r.server(m.now)
 	it := m.items[r.ID]
@@ -230,7 +230,7 @@
 	if !s.supersedes(it.Server) {
 		if !m.complete && s.Phase == Serving && it.equalIgnoringSeq(s) {
 			s.WarmUntil = it.WarmUntil
-			m.setServer(it, s) // it was no news
+			m.setServer(it, s) // it is not new to others
 			delete(m.queued, r.ID)
 		}
 		return false
@@ -238,7 +238,7 @@
 	if s.Phase == Silent && it.heardHere && it.lastSeq > s.Seq && m.now-it.lastBeat < m.silenceTimeout && it.Phase < Quiescing {
 		heard := it.Server
 		heard.Seq = it.lastSeq
-		m.setServer(it, heard) // it was the teller who didn't hear it
+		m.setServer(it, heard) // only the sender didn't hear the server
 		m.out.Changes = append(m.out.Changes, it.Server)
 		m.queueUpdate(r.ID)
 		return false
@@ -247,7 +247,7 @@
 	return true
 }
 
-// answer says yes, and where the server shall call from now on.
+// answerCall confirms a call and tells the server which process to call from now on.
 func (m *Machine) answerCall(call uint64, id string) {
 	a := Answer{Call: call, OK: true}
 	if it := m.items[id]; it != nil && it.Phase != Ended {
@@ -260,7 +260,7 @@
 	m.out.Answers = append(m.out.Answers, a)
 }
 
-// Tick watches servers, sends what waits, and repairs.
+// Tick checks servers for silence, sends queued updates and reconciles tables.
 func (m *Machine) Tick(now fsm.Time) Out {
 	m.startInput(now)
 	m.lastTick, m.immediateFlushes = now, 0
@@ -284,7 +284,7 @@
 	return m.takeOutput()
 }
 
-// begins begins an input, and notices our own freeze.
+// startInput begins handling an input, and detects that this process itself was stopped.
 func (m *Machine) startInput(now fsm.Time) {
 	m.now = now
 	gap := now - m.lastTick
@@ -301,25 +301,25 @@
 	m.requestComparison(2)
 }
 
-// bury forgets the long ended.
+// sweepTombstones removes servers that ended long ago.
 func (m *Machine) sweepTombstones() {
 	if m.now < m.nextTombstoneSweep {
 		return
 	}
 	m.nextTombstoneSweep = m.now + tombstoneLifetime/9
 	m.rejoins.expire(m.now)
-	over := func(it *item) bool { return it.Phase == Ended && m.now-it.phaseSince > tombstoneLifetime }
+	expired := func(it *item) bool { return it.Phase == Ended && m.now-it.phaseSince > tombstoneLifetime }
 	for _, it := range m.sorted {
-		if over(it) {
+		if expired(it) {
 			m.detach(it)
 			delete(m.propagations, it.ID)
 			delete(m.activePropagations, it.ID)
 		}
 	}
-	m.sorted = slices.DeleteFunc(m.sorted, over)
+	m.sorted = slices.DeleteFunc(m.sorted, expired)
 }
 
-// Servers is all that are known, the ended ones too for a while, sorted by ID.
+// Servers returns all known servers sorted by ID, including recently ended ones.
 func (m *Machine) Servers() []Server {
 	v := make([]Server, 0, len(m.sorted))
 	for _, it := range m.sorted {
@@ -328,16 +328,16 @@
 	return v
 }
 
-// Status is for people.
+// Status counts servers for operators.
 type Status struct {
 	Serving, Silent, Quiescing, Ended int
 
-	Unconfirmed int // news messages that some process hasn't confirmed
+	Unconfirmed int // updates that some process hasn't confirmed
 	Complete    bool
 	Hash        uint64
 }
 
-// Status counts.
+// Status returns the current counts.
 func (m *Machine) Status() Status {
 	st := Status{Unconfirmed: len(m.unconfirmed), Complete: m.complete, Hash: m.tableDigest}
 	for _, it := range m.sorted {
@@ -352,6 +352,8 @@
 	}
 }
 
+// takeOutput returns the collected output and clears it. A few times between two ticks it sends
+// queued updates first.
 func (m *Machine) takeOutput() Out {
 	if m.immediateFlushes < maxImmediateFlushes && len(m.queued) > 0 {
 		m.immediateFlushes++
--- a/internal/registry/merge_test.go
+++ b/internal/registry/merge_test.go
@@ -10,8 +10,9 @@
 	"asterwell/internal/memberlist"
 )
 
-// Tables that have heard the same words are the same, whatever came first, and a
-// server that leaves is never served again.
+// TestMergeOrder checks that rows give the same table in any order, and that a leaving server
+// never
+// becomes usable again.
 func TestMergeOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for round := range 300 {
@@ -53,8 +54,9 @@
 	}
 }
 
-// A server that calls again while its first call waits is answered with it, and one
-// that calls after it at once.
+// TestRepeatedQuiesce checks that a repeated call of a leaving server is answered together with
+// the
+// first one while that waits, and at once after that.
 func TestRepeatedQuiesce(t *testing.T) {
 	m := New("a:1", "z", time.Second, 1, 0)
 	m.SetNodes(0, []memberlist.Node{{Addr: "a:1", Control: "a:2"}, {Addr: "b:1", Control: "b:2"}})
@@ -66,7 +68,7 @@
 		t.Fatalf("%+v", first)
 	}
 	if o := say(20, 2, 2); len(o.Answers) != 0 {
-		t.Fatalf("answered before all know: %+v", o)
+		t.Fatalf("answered before all confirmed: %+v", o)
 	}
 	var no uint64
 	for _, s := range first.Send {
@@ -75,7 +77,7 @@
 		}
 	}
 	if o := m.Receive(30, "c:1", Ack{Number: no}); len(o.Answers) != 0 {
-		t.Fatalf("another's confirmation counted: %+v", o)
+		t.Fatalf("the confirmation of an unknown process counted: %+v", o)
 	}
 	if o := m.Receive(30, "b:1", Ack{Number: no}); len(o.Answers) != 2 {
 		t.Fatalf("%+v", o)
@@ -85,14 +87,14 @@
 	}
 }
 
-// Of two at one address that is the living one which was heard, and a late beat of the
-// other is no sign of life.
+// TestServersAtOneAddress checks that of two servers at one address the one that was heard lives,
+// and that a late heartbeat of the other is no sign of life.
 func TestServersAtOneAddress(t *testing.T) {
 	m := New("a:1", "z", time.Second, 1, 0)
 	m.Receive(0, "b:1", Update{Rows: []Row{{ID: "old", Addr: "s:1", Seq: 5}, {ID: "new", Addr: "s:1", Seq: 1}}})
 	m.Heartbeat(10, 1, Heartbeat{ID: "old", Addr: "s:1", Seq: 4})
 	if m.items["new"].Phase != Serving {
-		t.Fatal("a late beat ended its successor")
+		t.Fatal("a late heartbeat ended the successor")
 	}
 	m.Heartbeat(20, 2, Heartbeat{ID: "new", Addr: "s:1", Seq: 2})
 	if m.items["old"].Phase != Ended || m.items["new"].Phase != Serving {
@@ -100,8 +102,8 @@
 	}
 }
 
-// Whose home has gone elsewhere is not called silent by the one that it had, and is watched again when it is back;
-// with a server on either side that stays.
+// TestHomeMoves checks that a server whose home has moved is not called silent by its former home,
+// and is watched again when the home moves back. Some servers stay on each side.
 func TestHomeMoves(t *testing.T) {
 	nodes := []memberlist.Node{{Addr: "a:1", Zone: "z", Control: "a:2"}, {Addr: "b:1", Zone: "z", Control: "b:2"}}
 	m, now := New("a:1", "z", time.Second, 1, 0), fsm.Time(0)
@@ -126,10 +128,10 @@
 	}
 	m.SetNodes(now, nodes)
 	if silent, mine := count(); silent != mine || mine == 0 || mine == 20 {
-		t.Fatalf("%d silent, %d at home here", silent, mine)
+		t.Fatalf("%d silent, %d with their home here", silent, mine)
 	}
 	m.SetNodes(now, nodes[:1])
 	if silent, mine := count(); silent != 20 || mine != 20 {
-		t.Fatalf("%d silent, %d at home here", silent, mine)
+		t.Fatalf("%d silent, %d with their home here", silent, mine)
 	}
 }
--- a/internal/registry/pace_test.go
+++ b/internal/registry/pacing_test.go
@@ -5,8 +5,10 @@
 	"time"
 )
 
-// TestPace: while news comes all the time, a gateway of a large fleet compares its table with others' once in a while
-// and no more; one of a small fleet, or one that hears no news, at each difference it is told of, but for the pace.
+// TestComparisonPacing checks how often tables are compared. Under constant updates a gateway of a
+// large fleet compares rarely; without updates it compares as often as the interval allows, and in
+// a
+// small fleet at each difference.
 func TestComparisonPacing(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
@@ -31,7 +33,7 @@
 			}
 		}
 		if begun < c.least || begun > c.most {
-			t.Errorf("%d gateways, news %v: %d comparisons in 60 s, wanted %d to %d", c.gateways, c.news, begun, c.least, c.most)
+			t.Errorf("%d gateways, updates %v: %d comparisons in 60 s, want %d to %d", c.gateways, c.news, begun, c.least, c.most)
 		}
 	}
 }
--- a/internal/registry/spread.go
+++ b/internal/registry/propagate.go
@@ -7,41 +7,42 @@
 	"asterwell/internal/fsm"
 )
 
-// spread is the news that a server leaves, on its way to all.
+// propagation tracks which processes have learned that a server leaves or has ended.
 type propagation struct {
 	phase       Phase
 	startedAt   fsm.Time
-	unconfirmed map[string]bool // those that haven't confirmed
-	confirmed   map[string]bool // those that have
+	unconfirmed map[string]bool // processes that haven't confirmed
+	confirmed   map[string]bool // processes that have
 	calls       []waitingCall
-	done        bool // all have, or had their time, and most of the core is among them
+	done        bool // all have confirmed or had their time, and a majority of the voters is among them
 }
 
-// waiter is a call that waits for the news to be known.
+// waitingCall is a server's call that waits for a propagation.
 type waitingCall struct {
 	call  uint64
 	since fsm.Time
 }
 
-// post is news that waits for Acks.
+// unconfirmedUpdate is an update that waits for Acks.
 type unconfirmedUpdate struct {
 	ids            []string
-	unconfirmed    map[string]bool // those that haven't confirmed
+	unconfirmed    map[string]bool // processes that haven't confirmed
 	lastSent       fsm.Time
 	firstSent      fsm.Time
-	sentIndirectly bool // it was sent through others too
+	sentIndirectly bool // also sent through other processes
 }
 
-// tell makes a row news; it goes out with this input or, where many come, the tick.
+// queueUpdate queues a row to be sent. It goes out with the current input or, after many, at the
+// next tick.
 func (m *Machine) queueUpdate(id string) { m.queued[id] = true }
 
-// flush sends what is queued to all.
+// flush sends all queued rows.
 func (m *Machine) flush() {
 	if len(m.queued) == 0 {
 		return
 	}
 	m.flushPendingEnds()
-	var plain, leaving []string
+	var regular, leaving []string
 	for id := range m.queued {
 		it := m.items[id]
 		switch {
@@ -50,15 +51,15 @@
 			leaving = append(leaving, id)
 			m.startPropagation(id)
 		case !m.complete:
-			continue // news to us may be known to all: the table that is coming tells
+			continue // what is new here may be known to all; the requested table shows it
 		default:
-			plain = append(plain, id)
+			regular = append(regular, id)
 		}
 		delete(m.queued, id)
 	}
-	slices.Sort(plain)
+	slices.Sort(regular)
 	slices.Sort(leaving)
-	if rows := m.rows(plain); len(rows) > 0 {
+	if rows := m.rows(regular); len(rows) > 0 {
 		for _, g := range m.relayRoutes() {
 			m.send(g[0], Update{Rows: rows, ForwardTo: g[1:]})
 		}
@@ -66,6 +67,7 @@
 	m.sendUntilConfirmed(m.relayRoutes(), leaving)
 }
 
+// rows returns the rows of the given servers.
 func (m *Machine) rows(ids []string) []Row {
 	rows := make([]Row, 0, len(ids))
 	for _, id := range ids {
@@ -76,7 +78,7 @@
 	return rows
 }
 
-// brief leaves out what nobody needs of an ended server.
+// wireRow returns a server's row, for an ended server without the fields that nobody needs.
 func (m *Machine) wireRow(s Server) Row {
 	r := s.row(m.now)
 	if s.Phase == Ended {
@@ -85,22 +87,23 @@
 	return r
 }
 
-// settled tells whether all have had news of a leaving server that nothing waits for any more.
+// fullyConfirmed reports whether all have confirmed a phase of a leaving server, with no call
+// waiting.
 func (m *Machine) fullyConfirmed(id string, phase Phase) bool {
 	sp := m.propagations[id]
 	return sp != nil && sp.phase == phase && sp.done && len(sp.unconfirmed) == 0
 }
 
-// begin sets out to tell all that a server leaves.
+// startPropagation begins to tell all processes that a server leaves.
 func (m *Machine) startPropagation(id string) {
 	phase := m.items[id].Phase
-	sp := m.propagations[id]
-	if sp != nil && sp.phase == phase {
+	previous := m.propagations[id]
+	if previous != nil && previous.phase == phase {
 		return
 	}
 	next := &propagation{phase: phase, startedAt: m.now, unconfirmed: map[string]bool{}, confirmed: map[string]bool{}}
-	if sp != nil {
-		next.calls = sp.calls // whoever waits for less waits for this
+	if previous != nil {
+		next.calls = previous.calls // a call that waits for an earlier phase waits for this one
 	}
 	for _, a := range m.peers {
 		next.unconfirmed[a] = true
@@ -108,25 +111,26 @@
 	m.propagations[id], m.activePropagations[id] = next, true
 }
 
-// mail sends rows to the first of each group, to be passed on to the rest, until all confirm
-// them.
+// sendUntilConfirmed sends rows to the first of each group, to be forwarded to the rest, and
+// repeats
+// them until all have confirmed.
 func (m *Machine) sendUntilConfirmed(groups [][]string, ids []string) {
 	if len(ids) == 0 || len(groups) == 0 {
 		return
 	}
 	m.lastNumber++
-	p, rows := &unconfirmedUpdate{ids: ids, unconfirmed: map[string]bool{}, lastSent: m.now, firstSent: m.now}, m.rows(ids)
-	m.unconfirmed[m.lastNumber] = p
+	u, rows := &unconfirmedUpdate{ids: ids, unconfirmed: map[string]bool{}, lastSent: m.now, firstSent: m.now}, m.rows(ids)
+	m.unconfirmed[m.lastNumber] = u
 	for _, g := range groups {
 		for _, a := range g {
-			p.unconfirmed[a] = true
+			u.unconfirmed[a] = true
 		}
 		m.send(g[0], Update{Number: m.lastNumber, Rows: rows, ForwardTo: g[1:]})
 	}
 }
 
-// assure answers the call once all in reach know that the server leaves. What another
-// process spread may not have reached all, so it is spread from here too.
+// answerWhenConfirmed answers the call once all reachable processes know that the server leaves.
+// Updates of another process about it may not have reached all, so this one sends them too.
 func (m *Machine) answerWhenConfirmed(call uint64, id string) {
 	it := m.items[id]
 	sp := m.propagations[id]
@@ -139,22 +143,22 @@
 	m.answerIfConfirmed(id, sp)
 }
 
-// confirm takes an Ack.
-func (m *Machine) confirm(no uint64, who ...string) {
-	p := m.unconfirmed[no]
-	if p == nil {
+// confirm records an Ack.
+func (m *Machine) confirm(number uint64, confirmers ...string) {
+	u := m.unconfirmed[number]
+	if u == nil {
 		return
 	}
-	who = slices.DeleteFunc(who, func(a string) bool { return !p.unconfirmed[a] })
-	for _, a := range who {
-		delete(p.unconfirmed, a)
+	confirmers = slices.DeleteFunc(confirmers, func(a string) bool { return !u.unconfirmed[a] })
+	for _, a := range confirmers {
+		delete(u.unconfirmed, a)
 	}
-	if len(p.unconfirmed) == 0 {
-		delete(m.unconfirmed, no)
+	if len(u.unconfirmed) == 0 {
+		delete(m.unconfirmed, number)
 	}
-	for _, id := range p.ids {
-		if sp := m.propagations[id]; sp != nil && len(who) > 0 {
-			for _, a := range who {
+	for _, id := range u.ids {
+		if sp := m.propagations[id]; sp != nil && len(confirmers) > 0 {
+			for _, a := range confirmers {
 				delete(sp.unconfirmed, a)
 				sp.confirmed[a] = true
 			}
@@ -163,7 +167,7 @@
 	}
 }
 
-// finish answers those who wait, if it is time.
+// answerIfConfirmed answers the waiting calls if the propagation is done or they have timed out.
 func (m *Machine) answerIfConfirmed(id string, sp *propagation) {
 	if sp.done = sp.done || m.confirmedByMajority(sp) && (len(sp.unconfirmed) == 0 || m.now-sp.startedAt >= confirmTimeout); sp.done {
 		for _, w := range sp.calls {
@@ -173,35 +177,35 @@
 		return
 	}
 	sp.calls = slices.DeleteFunc(sp.calls, func(w waitingCall) bool {
-		over := !m.majorityReachable() || m.now-w.since >= quiesceCallTimeout
-		if over {
+		expired := !m.majorityReachable() || m.now-w.since >= quiesceCallTimeout
+		if expired {
 			m.out.Answers = append(m.out.Answers, Answer{Call: w.call})
 		}
-		return over
+		return expired
 	})
 }
 
-// push sends again what hasn't been confirmed.
+// resendUnconfirmed repeats unconfirmed updates.
 func (m *Machine) resendUnconfirmed() {
-	for _, no := range m.sortedNumbers() {
-		p := m.unconfirmed[no]
-		pace := resendInterval
-		if m.now-p.firstSent > 2e9 {
-			pace *= 4
+	for _, number := range m.sortedNumbers() {
+		u := m.unconfirmed[number]
+		interval := resendInterval
+		if m.now-u.firstSent > 2e9 {
+			interval *= 4
 		}
-		again, round := m.now-p.lastSent >= pace, !p.sentIndirectly && m.now-p.firstSent >= indirectAfter
-		if !again && !round {
+		again, indirectly := m.now-u.lastSent >= interval, !u.sentIndirectly && m.now-u.firstSent >= indirectAfter
+		if !again && !indirectly {
 			continue
 		}
-		rows := m.rows(p.ids)
-		for _, a := range slices.Sorted(maps.Keys(p.unconfirmed)) {
+		rows := m.rows(u.ids)
+		for _, a := range slices.Sorted(maps.Keys(u.unconfirmed)) {
 			if again {
-				p.lastSent = m.now
-				m.send(a, Update{Number: no, Rows: rows})
+				u.lastSent = m.now
+				m.send(a, Update{Number: number, Rows: rows})
 			}
-			if round {
-				p.sentIndirectly = true
-				m.sendIndirectly(no, p, a)
+			if indirectly {
+				u.sentIndirectly = true
+				m.sendIndirectly(number, u, a)
 			}
 		}
 	}
@@ -210,16 +214,17 @@
 	}
 }
 
-// drop gives up on those that are gone: they are repaired when they come back.
+// dropGonePeers stops waiting for processes that are gone: their tables are reconciled when they
+// come back.
 func (m *Machine) dropGonePeers() {
-	for no, p := range m.unconfirmed {
-		for a := range p.unconfirmed {
+	for number, u := range m.unconfirmed {
+		for a := range u.unconfirmed {
 			if m.nodes[a] == nil {
-				delete(p.unconfirmed, a)
+				delete(u.unconfirmed, a)
 			}
 		}
-		if len(p.unconfirmed) == 0 {
-			delete(m.unconfirmed, no)
+		if len(u.unconfirmed) == 0 {
+			delete(m.unconfirmed, number)
 		}
 	}
 	for _, id := range m.activeIDs() {
@@ -233,7 +238,7 @@
 	}
 }
 
-// catchUp brings young news to one that has just come up.
+// sendRecent sends recent updates to a process that has just come up.
 func (m *Machine) sendRecent(to string) {
 	var ids []string
 	for _, id := range m.activeIDs() {
@@ -249,8 +254,8 @@
 	m.sendUntilConfirmed([][]string{{to}}, ids)
 }
 
-// spreading is the news that waits or is young. What is neither any more is looked at no
-// longer.
+// activeIDs returns the propagations that are waiting or recent, and drops the others from the
+// active set.
 func (m *Machine) activeIDs() []string {
 	var ids []string
 	for id := range m.activePropagations {
@@ -264,11 +269,12 @@
 	return ids
 }
 
+// sortedNumbers returns the numbers of the unconfirmed updates.
 func (m *Machine) sortedNumbers() []uint64 {
-	nos := make([]uint64, 0, len(m.unconfirmed))
-	for no := range m.unconfirmed {
-		nos = append(nos, no)
+	numbers := make([]uint64, 0, len(m.unconfirmed))
+	for number := range m.unconfirmed {
+		numbers = append(numbers, number)
 	}
-	slices.Sort(nos)
-	return nos
+	slices.Sort(numbers)
+	return numbers
 }
--- a/internal/registry/mend.go
+++ b/internal/registry/reconcile.go
@@ -11,8 +11,9 @@
 	"asterwell/internal/fsm"
 )
 
-// Filled says whether the table can be relied on: one that is filled has given us
-// its own, or there is nobody, or nobody has had one since all started.
+// Complete reports whether the table can be relied on: a process with a complete table has sent
+// its
+// own, or there is no other process, or no process has had a table since all started.
 func (m *Machine) Complete() bool { return m.complete }
 
 const (
@@ -21,7 +22,7 @@
 	maxFetchWait    = 3 * time.Second
 )
 
-// fill asks for a table until there is one.
+// fetchTable requests full tables until this one is complete.
 func (m *Machine) fetchTable() {
 	if m.complete {
 		return
@@ -31,7 +32,7 @@
 	case len(m.peers) == 0:
 		m.complete = since >= emptyStartAfter && m.aloneSince >= 0 && m.now-m.aloneSince >= emptyStartAfter
 	case m.gotPartialTable && (m.hasRestored || since >= 3*emptyStartAfter/2), since >= maxFetchWait:
-		m.acceptRestored() // nobody knows better
+		m.acceptRestored() // no process has a better table
 	}
 	if m.complete || len(m.peers) == 0 || m.now < m.nextFetch {
 		return
@@ -41,7 +42,7 @@
 		m.nextFetch = m.now + fetchInterval/3
 	}
 	ask := m.randomPeers(2)
-	for _, a := range m.randomPeers(len(m.peers)) { // those with a disk may have kept theirs
+	for _, a := range m.randomPeers(len(m.peers)) { // processes with a disk may have restored a table
 		if m.nodes[a].Member {
 			ask[0] = a
 			break
@@ -52,6 +53,7 @@
 	}
 }
 
+// randomPeers returns up to n random peers.
 func (m *Machine) randomPeers(n int) []string {
 	if n == 1 && len(m.peers) > 0 { // the common case
 		return []string{m.peers[m.rand.IntN(len(m.peers))]}
@@ -61,17 +63,17 @@
 	return p[:min(n, len(p))]
 }
 
-// mend looks with n others whether the tables differ.
+// requestComparison sends the digest of the table to n random peers.
 func (m *Machine) requestComparison(n int) {
 	if !m.complete {
-		return // the whole table is under way
+		return // a full table was requested
 	}
 	for _, a := range m.randomPeers(n) {
 		m.send(a, TableDigest{Hash: m.tableDigest})
 	}
 }
 
-// Take hears a message.
+// Receive handles a message.
 func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
 	m.startInput(now)
 	if m.isolatedTooLong() && isReconciliation(msg) {
@@ -134,12 +136,14 @@
 	return m.takeOutput()
 }
 
-// stale: nobody else was there for so long that our table must not be told as news.
-// A message from one of them may come before the membership says that they are back.
+// isolatedTooLong reports whether this process was alone for so long that its table must not be
+// sent
+// as current. A message from a returning process may arrive before the membership reports it.
 func (m *Machine) isolatedTooLong() bool {
 	return m.aloneSince >= 0 && m.now-m.aloneSince > outdatedAfter
 }
 
+// isReconciliation reports whether a message compares or exchanges tables.
 func isReconciliation(msg any) bool {
 	switch msg.(type) {
 	case TableDigest, ServiceDigests, Index, Diff:
@@ -148,6 +152,8 @@
 	return false
 }
 
+// applyFullTable merges a table from a process. If that one is complete, outdated servers that it
+// does not know are dropped.
 func (m *Machine) applyFullTable(w FullTable) {
 	for _, r := range w.Rows {
 		m.merge(r)
@@ -172,6 +178,7 @@
 
 func hash32(s string) uint32 { return uint32(xxhash.Sum64String(s)) }
 
+// serviceDigests encodes the digest of each service that has servers.
 func (m *Machine) serviceDigests() []byte {
 	b := make([]byte, 0, 12*len(m.services))
 	for _, key := range sortedKeys(m.services) {
@@ -192,7 +199,7 @@
 	return out
 }
 
-// differing is our index of the services whose hashes are not theirs.
+// indexOfDiffering returns the index of the services whose digests differ from the given ones.
 func (m *Machine) indexOfDiffering(rows []byte) Index {
 	theirs := map[uint32]uint64{}
 	for ; len(rows) >= 12; rows = rows[12:] {
@@ -215,7 +222,7 @@
 	return x
 }
 
-// among goes over the servers of services.
+// forEachServer calls do for the servers of the given services.
 func (m *Machine) forEachServer(services []uint32, do func(it *item)) {
 	for _, key := range services {
 		if k := m.services[key]; k != nil {
@@ -228,7 +235,9 @@
 	}
 }
 
-// compare gives what an index lacks or has otherwise, and asks for the same.
+// answerIndex sends the rows that an index lacks or has in another version, and asks for those
+// that
+// the other process has in another version.
 func (m *Machine) answerIndex(from string, x Index) {
 	theirs := map[uint32]uint32{}
 	for rows := x.Rows; len(rows) >= 8; rows = rows[8:] {
@@ -266,32 +275,32 @@
 	}
 }
 
-// patch takes the rows of an exchange and gives those asked for. Of an ended server
-// that was forgotten here nothing is taken up.
+// applyDiff merges the rows of an exchange and sends those requested. An ended server that is
+// already forgotten here is not added again.
 func (m *Machine) applyDiff(from string, d Diff) {
-	var back Diff
-	news := false
+	var reply Diff
+	changed := false
 	for _, r := range d.Rows {
 		it := m.items[r.ID]
 		switch {
 		case it != nil && !it.outdated && it.supersedes(r.server(m.now)):
-			back.Rows = append(back.Rows, m.wireRow(it.Server))
+			reply.Rows = append(reply.Rows, m.wireRow(it.Server))
 		case it != nil || r.Phase != Ended:
-			news = m.merge(r) || news
+			changed = m.merge(r) || changed
 		}
 	}
-	if news {
-		m.nextReconcile = min(m.nextReconcile, m.now+reconcileDelay+m.comparisonInterval()) // others may lack it too
+	if changed {
+		m.nextReconcile = min(m.nextReconcile, m.now+reconcileDelay+m.comparisonInterval()) // others may lack these rows too
 	}
 	for _, it := range m.sorted {
 		if len(d.Want) == 0 {
 			break
 		}
 		if _, ok := slices.BinarySearch(d.Want, it.idHash); ok && !it.outdated {
-			back.Rows = append(back.Rows, m.wireRow(it.Server))
+			reply.Rows = append(reply.Rows, m.wireRow(it.Server))
 		}
 	}
-	if len(back.Rows) > 0 {
-		m.send(from, back)
+	if len(reply.Rows) > 0 {
+		m.send(from, reply)
 	}
 }
--- a/internal/registry/returns.go
+++ b/internal/registry/rejoin.go
@@ -7,34 +7,35 @@
 	"asterwell/internal/memberlist"
 )
 
-// Where a region is cut off, each side takes the servers of the other for silent: those who became their homes hear
-// none of them. When it joins again, none of these words is older than that of the true home, which knows nothing of
-// them; and if all tables were compared for it, two by two, each server would be carried many times over, and the
-// last home might meet such a word after half a minute. So in a large fleet each home tells the servers that it hears itself
-// once more, with the newest number that it heard, as soon as many have come back that were away for long enough; and
-// tables are not compared until then.
+// When a region is cut off, each side regards the other's servers as silent, since the processes
+// that became their homes don't hear them. After the region rejoins, these rows are not older than
+// those of the right home, which doesn't know of them. Comparing all tables pairwise would send each
+// server many times over, and the last home might see such a row only after half a minute. So in a
+// large fleet, as soon as many processes are back that were away long enough, each home announces
+// again the servers that it hears, with their newest sequence numbers. Tables are not compared until
+// then.
 const (
-	rejoinShare      = 16 // of the fleet that comes back: less is left to comparisons
+	rejoinShare      = 16 // 1/n of the fleet that is back; fewer are left to comparisons
 	rejoinQuietTime  = 500 * time.Millisecond
 	rejoinWindow     = 3 * time.Second
-	rejoinSettleTime = 2 * time.Second // after the word tables are compared again: some of it may be lost
+	rejoinSettleTime = 2 * time.Second // after the announcement tables are compared again, as parts of it may be lost
 )
 
-// absent is a process that is gone, and since when.
+// departure records when a process went away, and its incarnation.
 type departure struct {
 	incarnation uint64
 	at          fsm.Time
 }
 
-// returns are those that come back in the same life.
+// rejoinTracker counts processes that come back in the same incarnation.
 type rejoinTracker struct {
 	departed    map[string]departure
-	count       int // that have, since the last word
+	count       int // since the last announcement
 	first, last fsm.Time
-	announceAt  fsm.Time // of the word, once they are many; 0: they are not
+	announceAt  fsm.Time // once there are many; 0: there are not
 }
 
-// leaves takes note of one that is gone, and comes of one that is there again.
+// left records that a process is gone.
 func (r *rejoinTracker) left(now fsm.Time, n *memberlist.Node) {
 	if r.departed == nil {
 		r.departed = map[string]departure{}
@@ -42,6 +43,7 @@
 	r.departed[n.Addr] = departure{n.Incarnation, now}
 }
 
+// joined records that a process is present, and counts it if it was away long enough.
 func (r *rejoinTracker) joined(now fsm.Time, n *memberlist.Node, wait time.Duration) {
 	was, known := r.departed[n.Addr]
 	if delete(r.departed, n.Addr); !known || was.incarnation != n.Incarnation || now-was.at < wait {
@@ -53,14 +55,15 @@
 	r.last = now
 }
 
-// returned says whether many have come back, and sees to the word of the homes. It goes out when no more come, or
-// after a while; of many homes each at another moment.
+// scheduleReannounce schedules the announcement if many processes have come back: when no more
+// come
+// or after a while, at a random time for each home.
 func (m *Machine) scheduleReannounce() {
 	r := &m.rejoins
 	if r.count == 0 || m.comparisonInterval() == 0 {
 		return
 	}
-	m.noComparisonUntil = max(m.noComparisonUntil, m.now+rejoinQuietTime) // more may come
+	m.noComparisonUntil = max(m.noComparisonUntil, m.now+rejoinQuietTime) // more may come back
 	if r.count*rejoinShare < len(m.peers) {
 		return
 	}
@@ -70,7 +73,7 @@
 	r.announceAt = min(m.now+rejoinQuietTime, r.first+rejoinWindow) + time.Duration(m.rand.Int64N(int64(m.comparisonInterval())))
 }
 
-// retell is that word.
+// reannounce announces again the servers that this process hears as their home.
 func (m *Machine) reannounce() {
 	r := &m.rejoins
 	if r.announceAt == 0 || m.now < r.announceAt {
@@ -81,14 +84,14 @@
 	for _, it := range m.sorted {
 		if it.Phase == Serving && m.isHome(it) && it.heardHere && m.now-it.lastBeat < m.silenceTimeout {
 			s := it.Server
-			s.Seq = it.latestSeq() // the same where a word of another has made it news already, when not all were there
+			s.Seq = it.latestSeq() // unchanged if another process's row has made it an update already, before all were back
 			m.setServer(it, s)
 			m.queueUpdate(it.ID)
 		}
 	}
 }
 
-// forgets those that are gone for good.
+// expire forgets processes that have been gone for too long.
 func (r *rejoinTracker) expire(now fsm.Time) {
 	for addr, was := range r.departed {
 		if now-was.at > endSilentAfter {
--- a/internal/registry/returns_test.go
+++ b/internal/registry/rejoin_test.go
@@ -7,9 +7,11 @@
 	"asterwell/internal/memberlist"
 )
 
-// TestReturn: homes of a large fleet say again what they hear, once, when a region comes back that was away for as long as a
-// server may be silent. Not when it was away for less, or comes in another life and fetches the table, or is a
-// few processes; and no server that is not heard is told of.
+// TestReannounceAfterRejoin checks that the homes of a large fleet announce the servers that they
+// hear again, once, when a region comes back that was away for longer than the silence timeout.
+// They
+// must not do so after a shorter absence, after a restart, which fetches the table, for a few
+// processes, or for servers that are not heard.
 func TestReannounceAfterRejoin(t *testing.T) {
 	for name, c := range map[string]struct {
 		gateways, away int
@@ -17,14 +19,14 @@
 		life           uint64
 		tells          bool
 	}{
-		"a region":            {490, 98, 20 * time.Second, 1, true},
-		"a rack":              {490, 10, 20 * time.Second, 1, false},
-		"for a moment":        {490, 98, 3 * time.Second, 1, false},
-		"started anew":        {490, 98, 20 * time.Second, 2, false},
-		"of a fleet of today": {91, 30, 20 * time.Second, 1, false},
+		"a region":           {490, 98, 20 * time.Second, 1, true},
+		"a rack":             {490, 10, 20 * time.Second, 1, false},
+		"for a moment":       {490, 98, 3 * time.Second, 1, false},
+		"started anew":       {490, 98, 20 * time.Second, 2, false},
+		"of a smaller fleet": {91, 30, 20 * time.Second, 1, false},
 	} {
 		p := newFixture(t, c.gateways, 5200)
-		quiet := p.homeRows[0].ID // its home hears it no more
+		quiet := p.homeRows[0].ID // its home no longer hears it
 		told, seq := map[string]int{}, uint64(1)
 		run := func(d time.Duration) {
 			for end := p.now + d; p.now < end; {
@@ -71,11 +73,11 @@
 		full := 0
 		for id, n := range told {
 			if full++; n != c.gateways-1 || id == quiet {
-				t.Errorf("%s: %s is told to %d", name, id, n)
+				t.Errorf("%s: %s is announced to %d", name, id, n)
 			}
 		}
 		if c.tells != (full > 0) || full > mine {
-			t.Errorf("%s: %d of %d servers at home here are told", name, full, mine)
+			t.Errorf("%s: %d of the %d servers with their home here are announced", name, full, mine)
 		}
 	}
 }
--- a/internal/registry/relay.go
+++ b/internal/registry/relay.go
@@ -10,28 +10,29 @@
 	"asterwell/internal/fsm"
 )
 
-// News goes to all by way of a few: the first of each group passes it on to the rest, and its
-// Ack tells who has confirmed. So neither what a home sends nor the connections it has to make
-// grow with the gateways but with their root; up to mostDirect, each is a group of one.
+// Updates reach all processes through relays: the first process of each group forwards them to the
+// rest, and its Ack lists who has confirmed. So the traffic and connections of a home grow with the
+// square root of the number of processes. Up to maxDirect processes, each is a group of its own.
 const (
 	maxDirect       = 16
-	relayAckTimeout = 40 * time.Millisecond // then a relay says whom it has heard so far
+	relayAckTimeout = 40 * time.Millisecond // then a relay reports the confirmations that it has
 )
 
-// passage is news that goes on: from whom, and its number there.
+// relayKey identifies a forwarded update by its sender and its number there.
 type relayKey struct {
 	from   string
 	number uint64
 }
 
-// relay is such news, while not all have confirmed it.
+// relay is a forwarded update that not all have confirmed.
 type relay struct {
 	unconfirmed map[string]bool
 	confirmed   []string
 	since       fsm.Time
 }
 
-// grouped are the groups, neighbours by zone, each time with another relay.
+// relayRoutes returns the groups, which are formed by zone, each with another first member at each
+// call.
 func (m *Machine) relayRoutes() [][]string {
 	n := len(m.peers)
 	if m.relayGroups == nil && n > 0 {
@@ -51,7 +52,7 @@
 	return out
 }
 
-// passOn is a relay's part.
+// forward forwards an update as a relay.
 func (m *Machine) forward(from string, x Update) {
 	for _, a := range x.ForwardTo {
 		on := Update{Number: x.Number, Rows: x.Rows}
@@ -70,7 +71,7 @@
 	m.pendingRelays[relayKey{from, x.Number}] = r
 }
 
-// passBack takes an Ack that is for another.
+// forwardAck handles an Ack that is for another process.
 func (m *Machine) forwardAck(from string, x Ack) {
 	to := relayKey{x.Origin, x.Number}
 	r := m.pendingRelays[to]
@@ -87,32 +88,34 @@
 	m.send(x.Origin, Ack{Number: x.Number, ConfirmedBy: append(r.confirmed, from)})
 }
 
-// relayed ends the wait of relays: what comes later is passed back by itself.
+// expireRelays ends the wait of relays; later Acks are forwarded one by one.
 func (m *Machine) expireRelays() {
-	var over []relayKey
+	var expired []relayKey
 	for to, r := range m.pendingRelays {
 		if m.now-r.since >= relayAckTimeout {
-			over = append(over, to)
+			expired = append(expired, to)
 		}
 	}
-	slices.SortFunc(over, func(a, b relayKey) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.number, b.number)) })
-	for _, to := range over {
+	slices.SortFunc(expired, func(a, b relayKey) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.number, b.number)) })
+	for _, to := range expired {
 		m.send(to.from, Ack{Number: to.number, ConfirmedBy: m.pendingRelays[to].confirmed})
 		delete(m.pendingRelays, to)
 	}
 }
 
-// unused tells whether all know that a server leaves, by us: nobody sends to it any more.
+// quiesceConfirmed reports whether all have confirmed to this process that a server leaves, so
+// that
+// none sends requests to it any more.
 func (m *Machine) quiesceConfirmed(id string) bool { return m.fullyConfirmed(id, Quiescing) }
 
-// finished is the end of those that have waited for other news.
+// flushPendingEnds ends the servers whose end waited for another update.
 func (m *Machine) flushPendingEnds() {
 	for _, id := range slices.Sorted(maps.Keys(m.pendingEnds)) {
 		delete(m.pendingEnds, id)
 		if it := m.items[id]; it != nil && it.Phase != Ended {
 			m.endServer(id)
 			if m.quiesceConfirmed(id) {
-				m.propagations[id].phase = Ended // nothing waits for it
+				m.propagations[id].phase = Ended // no call waits for it
 			}
 		}
 	}
--- a/internal/registry/script_test.go
+++ b/internal/registry/script_test.go
@@ -22,14 +22,14 @@
 	heartbeat = 1500 * time.Millisecond
 )
 
-// gate is a process with both machines.
+// gateway is a process with its membership and its registry.
 type gateway struct {
 	w            *world
 	number       int
 	addr         string
 	members      *memberlist.Machine
 	registry     *Machine
-	reportedGone int // nodes it has reported gone
+	reportedGone int // nodes that it has reported gone
 }
 
 func (g *gateway) applyMembers(now fsm.Time, o memberlist.Out) []fsm.Send {
@@ -62,7 +62,7 @@
 	return g.applyRegistry(g.registry.Receive(now, from, msg))
 }
 
-// server beats like one: it goes where it was told, and elsewhere if that fails.
+// server sends heartbeats: to the gateway that it was told, and to another one if that fails.
 type server struct {
 	Heartbeat
 	gatewayNumber int
@@ -75,15 +75,15 @@
 	net             *links.Network
 	gateways        []*gateway
 	rand            *rand.Rand
-	up              map[int]bool // running, not frozen
-	frozen          map[int]bool // frozen
+	up              map[int]bool // running, not paused
+	frozen          map[int]bool // paused
 	seeds           []string
 	blocked         map[[2]int]bool
-	untroubledSince map[int]fsm.Time // since when there's no trouble
+	untroubledSince map[int]fsm.Time // time of the last fault
 	servers         map[string]*server
 	calls           map[uint64]string
-	confirmedAt     map[string]fsm.Time // calls answered
-	changes         map[string]int      // changes told to data planes, by ID and phase
+	confirmedAt     map[string]fsm.Time // when a leaving server's call succeeded
+	changes         map[string]int      // changes passed to data planes, by ID and phase
 	lastCall        uint64
 }
 
@@ -105,7 +105,8 @@
 	w.net.Start(g.addr, g)
 }
 
-// answered checks the promise: who was told yes is known to leave by all in touch.
+// answered checks that a leaving server's call only succeeds if all gateways in contact know of
+// it.
 func (w *world) answered(by *gateway, a Answer) {
 	id := w.calls[a.Call]
 	delete(w.calls, a.Call)
@@ -130,7 +131,7 @@
 			continue
 		}
 		if it := g.registry.items[name]; it == nil || it.Phase < Quiescing {
-			w.t.Errorf("%v: %s was told yes, and gate %d doesn't know it", w.net.Now, name, g.number)
+			w.t.Errorf("%v: the call of %s succeeded, and gateway %d doesn't know it", w.net.Now, name, g.number)
 		}
 	}
 }
@@ -168,7 +169,7 @@
 	}
 }
 
-// until lets time pass until it holds.
+// waitFor lets time pass until the condition holds.
 func (w *world) waitFor(line string, within time.Duration, holds func() string) {
 	w.t.Helper()
 	why := ""
@@ -185,7 +186,7 @@
 	for _, g := range w.gateways {
 		if w.up[g.number] {
 			if why := check(g); why != "" {
-				return fmt.Sprintf("gate %d %s", g.number, why)
+				return fmt.Sprintf("gateway %d %s", g.number, why)
 			}
 		}
 	}
@@ -207,7 +208,7 @@
 	return nos
 }
 
-// do runs one line. The scripts in testdata say what each one is for.
+// execute runs one line. The scripts in testdata say what each one is for.
 func (w *world) execute(line string) {
 	f := strings.Fields(line)
 	arg := func(i int) string {
@@ -241,7 +242,7 @@
 			trouble(no)
 			map[string]func(string){"kill": w.net.Kill, "freeze": w.net.Pause, "thaw": w.net.Resume}[f[0]](address(no))
 		}
-	case "cut": // cut 0-2 3-10: both ways; cut 0-2 > 3-10: what the first say doesn't arrive
+	case "cut": // cut 0-2 3-10: both ways; cut 0-2 > 3-10: messages of the first group are lost
 		one := f[2] == ">"
 		for _, a := range numbers(f[1]) {
 			for _, b := range numbers(f[len(f)-1]) {
@@ -266,7 +267,7 @@
 		w.net.Send(g.addr, g.applyMembers(w.net.Now, g.members.Leave(w.net.Now)))
 	case "held":
 		w.gateways[numbers(f[1])[0]].members.SetConfigVersion(uint32(numbers(f[2])[0]))
-	case "server": // server ID service zone addr gate
+	case "server": // server ID service zone addr gateway
 		w.servers[f[1]] = &server{gatewayNumber: numbers(f[5])[0], next: w.net.Now, Heartbeat: Heartbeat{ID: f[1],
 			Service: f[2], Zone: f[3], Addr: f[4], Epoch: "v1", Capacity: 4, WarmMs: 2000}}
 	case "servers": // servers N: of nine services, over the zones
@@ -277,14 +278,14 @@
 		}
 	case "crash":
 		w.servers[f[1]].stopped = true
-	case "quiesce": // quiesce ID [gate]
+	case "quiesce": // quiesce ID [gateway]
 		s := w.servers[f[1]]
 		s.Quiescing = true
 		if len(f) > 2 {
 			s.gatewayNumber = numbers(f[2])[0]
 		}
 		w.sendHeartbeat(s)
-	case "delete": // delete ID gate
+	case "delete": // delete ID gateway
 		w.lastCall++
 		w.calls[w.lastCall] = "-" + f[1]
 		if s := w.servers[f[1]]; s != nil {
@@ -292,7 +293,7 @@
 		}
 		g := w.gateways[numbers(f[2])[0]]
 		w.net.Send(g.addr, g.applyRegistry(g.registry.Deregister(w.net.Now, w.lastCall, f[1])))
-	case "late": // late ID seq gate: an old beat arrives
+	case "late": // late ID seq gateway: an old heartbeat arrives
 		s := *w.servers[f[1]]
 		s.Quiescing, s.Seq = false, uint64(numbers(f[2])[0])
 		g := w.gateways[numbers(f[3])[0]]
@@ -310,14 +311,14 @@
 			w.t.Errorf("%s: %d", line, most)
 		}
 		w.logMessageCounts()
-	case "storm": // storm D: anything may happen; then all are well again
+	case "storm": // storm D: random faults, then all recover
 		w.storm(span(1))
 	case "expect":
 		w.expect(line, f)
-	case "rest": // rest D MOST: bytes a second and node
+	case "rest": // rest D MOST: bytes per second and process while idle
 		w.measureIdle(line, span(1), numbers(f[2])[0])
 	default:
-		w.t.Fatalf("%s: what?", line)
+		w.t.Fatalf("%s: unknown command", line)
 	}
 }
 
@@ -338,9 +339,9 @@
 		most = max(most, b)
 	}
 	rate := float64(most) / d.Seconds()
-	w.t.Logf("release of %d in %v: at most %.0f bytes a second from one process", n, d, rate)
+	w.t.Logf("replacement of %d in %v: at most %.0f bytes/s from one process", n, d, rate)
 	if rate > 60_000 {
-		w.t.Errorf("that is too much for 2 Mbit/s beside the traffic")
+		w.t.Errorf("more than 60 kB/s from one process, which 2 Mbit/s with traffic can't carry")
 	}
 }
 
@@ -410,15 +411,15 @@
 		top = max(top, b)
 	}
 	mean := float64(sum) / d.Seconds() / float64(len(w.gateways))
-	w.t.Logf("%s: %d processes, %d servers: %.0f bytes a second each (frames counted), most %.0f", line,
+	w.t.Logf("%s: %d processes, %d servers: %.0f bytes/s each (with frame overhead), at most %.0f", line,
 		len(w.gateways), len(w.servers), mean, float64(top)/d.Seconds())
 	w.logMessageCounts()
 	if int(mean) > most {
-		w.t.Errorf("%s: %.0f bytes a second", line, mean)
+		w.t.Errorf("%s: %.0f bytes/s", line, mean)
 	}
 }
 
-// expect checks; "within D" waits for it that long.
+// expect checks a condition; with "within D" it waits for it at most that long.
 func (w *world) expect(line string, f []string) {
 	w.t.Helper()
 	within := time.Duration(0)
@@ -462,7 +463,7 @@
 				return ""
 			})
 		}
-	case "gone": // gone N [at NODES]: so many were reported gone, by all together, since last asked
+	case "gone": // gone N [at NODES]: number of nodes reported gone, by all together, since the last check
 		holds = func() string {
 			sum := 0
 			for _, g := range w.gateways {
@@ -489,7 +490,7 @@
 				return ""
 			})
 		}
-	case "same": // all tables are alike
+	case "same": // all tables are equal
 		holds = func() string {
 			want, first := uint64(0), true
 			return w.eachUp(func(g *gateway) string {
@@ -497,7 +498,7 @@
 					want, first = g.registry.tableDigest, false
 				}
 				if !g.registry.Complete() {
-					return "isn't filled"
+					return "has no complete table"
 				}
 				if g.registry.tableDigest != want {
 					return "has another table"
@@ -512,21 +513,21 @@
 			}
 			return ""
 		}
-	case "never": // never ID PHASE: nobody has said so since last asked
+	case "never": // never ID PHASE: no gateway has reported it since the last check
 		holds = func() string {
 			n := w.changes[f[2]+" "+f[3]]
 			clear(w.changes)
 			if n > 0 {
-				return fmt.Sprintf("said %d times", n)
+				return fmt.Sprintf("reported %d times", n)
 			}
 			return ""
 		}
-	case "home": // home ID: it beats to its home, at most
+	case "home": // home ID: its heartbeats go to its home
 		holds = func() string {
 			s := w.servers[f[2]]
 			it := w.gateways[s.gatewayNumber].registry.items[s.ID]
 			if h := w.gateways[s.gatewayNumber].registry.homeOf(it.Server); h != address(s.gatewayNumber) {
-				return fmt.Sprintf("beats to gate %d, not %s", s.gatewayNumber, h)
+				return fmt.Sprintf("sends heartbeats to gateway %d, not %s", s.gatewayNumber, h)
 			}
 			return ""
 		}
@@ -540,7 +541,7 @@
 			})
 		}
 	default:
-		w.t.Fatalf("%s: what?", line)
+		w.t.Fatalf("%s: unknown command", line)
 	}
 	w.waitFor(line, within, holds)
 }
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -1,5 +1,6 @@
-// Package registry knows which servers there are. Each service has a home gateway in each
-// zone: its servers beat there, and it tells the others what has changed.
+// Package registry maintains the table of the servers of all services. Each service has a home
+// gateway in each zone: its servers send their heartbeats there, and it sends changes to the other
+// gateways.
 package registry
 
 import (
@@ -11,11 +12,11 @@
 	"asterwell/internal/fsm"
 )
 
-// Phase of a server.
+// Phase is the phase of a server.
 type Phase uint8
 
-// The phases, in the order in which they override each other.
-// Silent is below Quiescing: a leaving server gets no request, heard or not.
+// The phases, in the order in which they override each other. Silent is below Quiescing: a leaving
+// server gets no requests, whether it is heard or not.
 const (
 	Serving Phase = iota
 	Silent
@@ -27,19 +28,18 @@
 	return [...]string{"serving", "silent", "quiescing", "ended"}[min(p, Ended)]
 }
 
-// Server is one life of a server.
+// Server is one instance of a server, from its start to its end.
 type Server struct {
 	ID, Addr, Service, Zone, Epoch string
 
 	Capacity  int
 	Phase     Phase
 	Seq       uint64
-	WarmUntil fsm.Time `json:"Warm"` // it is slow until then, by this process's clock
+	WarmUntil fsm.Time `json:"Warm"` // end of its warm-up, by this process's clock
 }
 
-// newer is the order in which words about a server override each other. A server that
-// has begun to leave doesn't come back, whatever number a later word has: its next
-// start is another life.
+// supersedes reports whether s overrides o. A server that has begun to leave doesn't come back,
+// whatever sequence number a later row has: its next start has another ID.
 func (s Server) supersedes(o Server) bool {
 	if s.Phase >= Quiescing || o.Phase >= Quiescing {
 		if s.Phase != o.Phase {
@@ -53,13 +53,13 @@
 	return s.Phase > o.Phase
 }
 
-// same: a beat with these words tells nothing new.
+// equalIgnoringSeq reports whether a heartbeat with o carries no change.
 func (s Server) equalIgnoringSeq(o Server) bool {
 	s.Seq, s.WarmUntil = o.Seq, o.WarmUntil
 	return s == o
 }
 
-// mark is a hash of the version.
+// digest is a hash of the version.
 func (s Server) digest() uint64 {
 	b := make([]byte, 0, 48)
 	b = append(b, s.ID...)
@@ -97,12 +97,14 @@
 	return s
 }
 
-// The messages.
+// The messages between the processes.
 type (
-	// News is pushed to every process. With a number it asks for an Ack.
-	// One that goes round a cut is To a third process, which the taker passes it on to, and
-	// then For the one that it came from. With On, the taker passes it on to those, and its
-	// Ack tells who has confirmed; a program that knows no On confirms for itself alone.
+	// Update is sent to every process. With a Number it asks for an Ack. To get around a cut link
+	// it is
+	// sent to a third process with RelayTo set; that one sends it on with Origin set to the
+	// sender. With
+	// ForwardTo the receiver forwards it to those processes, and its Ack lists who has confirmed;
+	// a program version without ForwardTo confirms only for itself.
 	Update struct {
 		Number  uint64 `cbor:"1,keyasint,omitempty"`
 		Rows    []Row  `cbor:"2,keyasint"`
@@ -111,23 +113,24 @@
 
 		ForwardTo []string `cbor:"5,keyasint,omitempty"`
 	}
-	// Ack confirms a News; For whom, and Of which process, where it goes round, and By whom
-	// else.
+	// Ack confirms an Update. When it is forwarded, Origin is its destination and Confirmer the
+	// process
+	// that confirmed; ConfirmedBy lists further ones.
 	Ack struct {
 		Number      uint64   `cbor:"1,keyasint"`
 		Origin      string   `cbor:"2,keyasint,omitempty"`
 		Confirmer   string   `cbor:"3,keyasint,omitempty"`
 		ConfirmedBy []string `cbor:"4,keyasint,omitempty"`
 	}
-	// Pass hands a beat on to the server's home.
+	// ForwardedHeartbeat passes a heartbeat on to the server's home.
 	ForwardedHeartbeat struct {
 		Row Row `cbor:"1,keyasint"`
 	}
-	// Sum is what a table hashes to; it is answered where the tables differ.
+	// TableDigest is the hash of a table. It is answered if the tables differ.
 	TableDigest struct {
 		Hash uint64 `cbor:"1,keyasint"`
 	}
-	// Parts is a table's hashes by service: 12 bytes each.
+	// ServiceDigests has the digests of a table by service, 12 bytes each.
 	ServiceDigests struct {
 		Rows []byte `cbor:"1,keyasint"`
 	}
@@ -136,40 +139,41 @@
 		Services []uint32 `cbor:"1,keyasint"`
 		Rows     []byte   `cbor:"2,keyasint"`
 	}
-	// Diff has the rows that an Index lacks, and asks for those that it has otherwise.
+	// Diff has the rows that an Index lacks, and requests those that the Index has in another
+	// version.
 	Diff struct {
 		Rows []Row    `cbor:"1,keyasint,omitempty"`
 		Want []uint32 `cbor:"2,keyasint,omitempty"`
 	}
-	// Fetch asks for a whole table.
+	// Fetch requests a full table.
 	Fetch struct{}
-	// Whole is one. Filled: the sender had one itself.
+	// FullTable is a whole table. Complete: the sender's table is complete.
 	FullTable struct {
 		Complete bool  `cbor:"1,keyasint,omitempty"`
 		Rows     []Row `cbor:"2,keyasint"`
 	}
 )
 
-// Messages lists what a Machine takes; the order stays.
+// Messages lists the messages that a Machine receives. Their order is part of the wire format.
 func Messages() []any {
 	return []any{Update{}, Ack{}, ForwardedHeartbeat{}, TableDigest{}, ServiceDigests{}, Index{}, Diff{}, Fetch{}, FullTable{}}
 }
 
-// Answer to a server's call.
+// Answer answers a server's call.
 type Answer struct {
 	Call   uint64
 	OK     bool
-	Target string // control address for its later beats; "" for none
+	Target string // control address for its next heartbeats; "" for none
 }
 
-// Out is what follows from an input.
+// Out is the result of one input.
 type Out struct {
 	Send    []fsm.Send
 	Answers []Answer
 	Changes []Server
 }
 
-// Beat is a server's word about itself.
+// Heartbeat is what a server reports of itself.
 type Heartbeat struct {
 	ID, Addr, Service, Zone, Epoch string
 
--- a/internal/registry/watch.go
+++ b/internal/registry/silence.go
@@ -8,14 +8,14 @@
 	"asterwell/internal/fsm"
 )
 
-// due is a server at home here, and when to look whether it has been silent for too long. A
-// beat changes nothing here: the look finds that it came, and the next is put off by it.
+// silenceCheck is the next time to check a server, whose home is this process, for silence. A
+// heartbeat does not change it: the check finds that one came, and is postponed.
 type silenceCheck struct {
 	at fsm.Time
 	it *item
 }
 
-// dues are a heap for container/heap, the earliest first.
+// checkHeap is a heap for container/heap, ordered by time.
 type checkHeap []silenceCheck
 
 func (d checkHeap) Len() int           { return len(d) }
@@ -31,7 +31,7 @@
 	return last
 }
 
-// ends is when a server's time is over, if it stays silent.
+// silenceDeadline is when a server's time is over if it stays silent.
 func (m *Machine) silenceDeadline(it *item) fsm.Time {
 	switch it.Phase {
 	case Serving:
@@ -42,7 +42,7 @@
 	return it.lastBeat + 4*m.silenceTimeout
 }
 
-// watched sees to it that a server at home here is looked at in time.
+// scheduleCheck ensures that a server is checked in time if this process is its home.
 func (m *Machine) scheduleCheck(it *item) {
 	if it.Phase == Ended || !m.isHome(it) {
 		it.checkAt = 0
@@ -54,30 +54,30 @@
 	}
 }
 
-// watch marks the servers at home here that have been silent too long.
+// checkSilence marks the servers of this home that have been silent for too long.
 func (m *Machine) checkSilence() {
-	var over []*item
+	var silent []*item
 	for len(m.checks) > 0 && m.checks[0].at < m.now {
 		d := heap.Pop(&m.checks).(silenceCheck)
 		it := d.it
 		if it.checkAt != d.at {
-			continue // there is an earlier one, or it is gone
+			continue // there is an earlier check, or the server is gone
 		}
 		if it.checkAt = 0; it.Phase != Ended && m.isHome(it) && m.silenceDeadline(it) < m.now {
-			over = append(over, it)
+			silent = append(silent, it)
 		} else {
 			m.scheduleCheck(it)
 		}
 	}
-	slices.SortFunc(over, func(a, b *item) int { return strings.Compare(a.ID, b.ID) })
-	for _, it := range over {
+	slices.SortFunc(silent, func(a, b *item) int { return strings.Compare(a.ID, b.ID) })
+	for _, it := range silent {
 		s := it.Server
 		switch {
 		case it.Phase == Serving:
 			s.Phase = Silent
 		case it.Phase == Quiescing, m.majorityReachable():
 			s.Phase = Ended
-		default: // who is cut off gives nobody up
+		default: // a process that is cut off ends no server
 			it.checkAt = m.now + silenceCheckInterval
 			heap.Push(&m.checks, silenceCheck{it.checkAt, it})
 			continue
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -12,13 +12,14 @@
 	"asterwell/internal/memberlist"
 )
 
-// plan is one gateway of the size to design for: so many servers in 180 services, ten zones.
+// fixture is one gateway of the largest supported system, with servers in 180 services and ten
+// zones.
 type fixture struct {
 	m        *Machine
 	now      fsm.Time
 	nodes    []memberlist.Node
 	rows     []Row
-	homeRows []Row // at home there
+	homeRows []Row // servers whose home is this gateway
 	call     uint64
 }
 
@@ -44,7 +45,7 @@
 		}
 	}
 	if !p.m.Complete() || len(p.homeRows) == 0 {
-		tb.Fatal(len(p.homeRows), "at home")
+		tb.Fatal(len(p.homeRows), "servers have their home here")
 	}
 	return p
 }
@@ -59,7 +60,7 @@
 	return p.m.Heartbeat(p.now, p.call, Heartbeat{ID: r.ID, Addr: r.Addr, Service: r.Service, Zone: r.Zone, Epoch: r.Epoch, Capacity: r.Capacity, Seq: seq})
 }
 
-// fresh is a message as it comes off the wire: none of its texts is shared.
+// decoded returns a message as it is read from the wire: none of its strings is shared.
 func decoded[M any](tb testing.TB, msg M) (got M) {
 	b, err := cbor.Marshal(msg)
 	if err == nil {
@@ -71,7 +72,8 @@
 	return got
 }
 
-// BenchmarkMemory is what the list of 5,200 servers takes, each of which was heard of twice.
+// BenchmarkMemory measures the size of the table with 5,200 servers, each of which was updated
+// once.
 func BenchmarkMemory(b *testing.B) {
 	p := newFixture(b, 490, 5200)
 	heap := func() float64 {
@@ -108,7 +110,7 @@
 		run("tick", func(b *testing.B, p *fixture) {
 			for range b.N {
 				p.tick(50 * time.Millisecond)
-				if p.now%time.Second == 0 { // its own are heard
+				if p.now%time.Second == 0 { // the servers of this home are heard
 					b.StopTimer()
 					for i, r := range p.homeRows {
 						p.heartbeat(r, uint64(p.now)+uint64(i))
@@ -134,7 +136,7 @@
 				p.m.Receive(p.now, p.nodes[1].Addr, TableDigest{Hash: 1})
 			}
 		})
-		run("gateway", func(b *testing.B, p *fixture) { // one goes, or comes back
+		run("gateway", func(b *testing.B, p *fixture) { // one gateway goes, or comes back
 			for i := range b.N {
 				p.nodes[17].State = []memberlist.State{memberlist.Gone, memberlist.Up}[i%2]
 				p.m.SetNodes(p.now, p.nodes)
@@ -143,8 +145,9 @@
 	}
 }
 
-// TestFrames: what a home sends grows with the root of the gateways, and once for each word of a server: that it is
-// there, that it leaves; that it has ended goes with the next. A rack that is lost is one word.
+// TestUpdateFanOut checks that the messages of a home grow with the square root of the number of
+// gateways, and that a server costs one update when it starts and one when it leaves; its end is
+// sent with the next update. The loss of a rack is a single update.
 func TestUpdateFanOut(t *testing.T) {
 	p := newFixture(t, 490, 5200)
 	news := func(o Out, servers int) (no uint64) {
@@ -153,12 +156,12 @@
 		for _, s := range o.Send {
 			if n, ok := s.Msg.(Update); ok {
 				if to, no = to+1+len(n.ForwardTo), n.Number; len(n.Rows) != servers {
-					t.Errorf("%d rows, not %d", len(n.Rows), servers)
+					t.Errorf("%d rows, want %d", len(n.Rows), servers)
 				}
 			}
 		}
 		if len(o.Send) > 23 || to != 489 {
-			t.Errorf("%d frames for %d gateways", len(o.Send), to)
+			t.Errorf("%d messages for %d gateways", len(o.Send), to)
 		}
 		return no
 	}
@@ -172,7 +175,7 @@
 	var answers []Answer
 	for _, s := range o.Send {
 		if len(answers) > 0 {
-			t.Fatal("told yes before all know")
+			t.Fatal("confirmed before all confirmed")
 		}
 		answers = p.m.Receive(p.now, s.To, Ack{Number: no, ConfirmedBy: s.Msg.(Update).ForwardTo}).Answers
 	}
@@ -180,14 +183,14 @@
 		t.Fatal(answers)
 	}
 	if o := p.m.Deregister(p.now, 8, leaves.ID); len(o.Send) > 0 || len(o.Answers) != 1 {
-		t.Errorf("%d frames, %d answers", len(o.Send), len(o.Answers))
+		t.Errorf("%d messages, %d answers", len(o.Send), len(o.Answers))
 	}
 	r.ID, r.Addr = "newer", "10.200.0.2:8080"
 	news(p.heartbeat(r, 1), 2)
 	if p.m.items[leaves.ID].Phase != Ended {
-		t.Error("the end did not go with it")
+		t.Error("the end was not sent with the next update")
 	}
-	for at := p.now + 6*time.Second; p.now < at; { // none of its own is heard any more
+	for at := p.now + 6*time.Second; p.now < at; { // no server of this home is heard any more
 		if o := p.tick(50 * time.Millisecond); len(o.Changes) > 0 {
 			news(o, len(o.Changes))
 		}
--- a/internal/registry/keep.go
+++ b/internal/registry/snapshot.go
@@ -2,8 +2,8 @@
 
 import "asterwell/internal/fsm"
 
-// Keep is the table as it is worth keeping on disk: for a start at which nobody
-// remembers, since the servers' next beats fill it only over their whole pace.
+// Snapshot returns the rows to keep on disk. They serve a start at which no process has a table:
+// without them the table would fill only over a whole heartbeat interval.
 func (m *Machine) Snapshot() (rows []Row) {
 	for _, it := range m.sorted {
 		if it.Phase != Ended {
@@ -13,9 +13,9 @@
 	return rows
 }
 
-// Restore takes what was kept. It counts for nothing until a process has answered
-// that it has no table either; then it is better than none: a server that has gone
-// meanwhile fails, and one at its address says that it is another.
+// Restore loads a snapshot. It is not used until another process has answered that it has no table
+// either; then an outdated table is better than none: requests to a server that has gone fail, and
+// another server at its address identifies itself as another.
 func (m *Machine) Restore(now fsm.Time, rows []Row) Out {
 	m.startInput(now)
 	for _, r := range rows {
@@ -28,7 +28,7 @@
 	return m.takeOutput()
 }
 
-// recall makes what was kept count.
+// acceptRestored makes the restored rows count.
 func (m *Machine) acceptRestored() {
 	m.complete = true
 	for _, it := range m.sorted {
--- a/internal/registry/keep_test.go
+++ b/internal/registry/snapshot_test.go
@@ -8,7 +8,8 @@
 	"asterwell/internal/memberlist"
 )
 
-// pair are two processes that carry each other's messages at once.
+// newPair returns two processes that receive each other's messages at once. The first one restores
+// the given rows.
 func newPair(t *testing.T, kept []Row) (a, b *Machine, step func(now fsm.Time)) {
 	t.Helper()
 	nodes := []memberlist.Node{{Addr: "a", Zone: "z", Member: true}, {Addr: "b", Zone: "z"}}
@@ -32,8 +33,8 @@
 
 var snapshotRows = []Row{{ID: "i-1", Addr: "10.1.0.1:80", Service: "s", Zone: "z", Seq: 7}}
 
-// Where all have started with empty tables, what one kept fills all before the
-// first beat.
+// TestSnapshotFillsColdStart checks that, when all processes start with empty tables, one snapshot
+// fills all of them before the first heartbeat.
 func TestSnapshotFillsColdStart(t *testing.T) {
 	a, b, step := newPair(t, snapshotRows)
 	for now := time.Second; now <= 1400*time.Millisecond; now += 50 * time.Millisecond {
@@ -41,23 +42,24 @@
 	}
 	for name, m := range map[string]*Machine{"a": a, "b": b} {
 		if s := m.Servers(); !m.Complete() || len(s) != 1 || s[0].ID != "i-1" {
-			t.Errorf("%s: filled %v, servers %v", name, m.Complete(), s)
+			t.Errorf("%s: complete %v, servers %v", name, m.Complete(), s)
 		}
 	}
 }
 
-// Who alone has started anew takes the others' word: a server that has gone
-// meanwhile does not come back.
+// TestSnapshotYieldsToPeers guards against a restart of one process that brings back a server
+// which
+// ended meanwhile: the table of the other process counts.
 func TestSnapshotYieldsToPeers(t *testing.T) {
 	a, b, step := newPair(t, snapshotRows)
-	b.complete = true // it has been there all the time
+	b.complete = true // it was not restarted
 	b.Heartbeat(time.Second, 1, Heartbeat{ID: "i-2", Addr: "10.1.0.2:80", Service: "s", Zone: "z", Seq: 1})
 	for now := time.Second; now <= 1400*time.Millisecond; now += 50 * time.Millisecond {
 		step(now)
 	}
 	for name, m := range map[string]*Machine{"a": a, "b": b} {
 		if s := m.Servers(); !m.Complete() || len(s) != 1 || s[0].ID != "i-2" {
-			t.Errorf("%s: filled %v, servers %v", name, m.Complete(), s)
+			t.Errorf("%s: complete %v, servers %v", name, m.Complete(), s)
 		}
 	}
 }
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -6,15 +6,15 @@
 	"asterwell/internal/fsm"
 )
 
-// Sight is a server as people are shown it.
+// ServerStatus is a server as shown to operators.
 type ServerStatus struct {
 	Server
-	WarmLeft       time.Duration // it is slow for so long yet
+	WarmLeft       time.Duration // rest of its warm-up
 	Home           string        // mesh address of its home
-	SinceHeartbeat time.Duration // since its last beat that came here; below 0: none did
+	SinceHeartbeat time.Duration // since its last heartbeat to this process; below 0: there was none
 }
 
-// Sights is every server with what is known of it here, sorted by ID.
+// ServerStatuses returns the status of every server, sorted by ID.
 func (m *Machine) ServerStatuses(now fsm.Time) []ServerStatus {
 	all := make([]ServerStatus, 0, len(m.sorted))
 	for _, it := range m.sorted {
