--- a/internal/drainpermit/drainpermit.go
+++ b/internal/drainpermit/drainpermit.go
@@ -8,10 +8,10 @@
 	"asterwell/internal/fsm"
 )
 
-// Kind of a word.
+// Kind is the kind of a message.
 type Kind uint8
 
-// The kinds. Waits: the sender asks itself, and its address is the lower one.
+// The kinds of messages. Deferred: the sender has a request of its own, and the lower address.
 const (
 	Request Kind = iota + 1
 	Granted
@@ -19,35 +19,35 @@
 	Deferred
 )
 
-// Word is a message: an ask, or an answer to one.
+// Message is a request or an answer to one.
 type Message struct {
 	Kind Kind   `cbor:"1,keyasint"`
-	ID   uint64 `cbor:"2,keyasint"` // of the ask, which no other start has
+	ID   uint64 `cbor:"2,keyasint"` // of the request; unique across starts
 }
 
-// Answer ends an operator's call.
+// Answer is the result of an operator's call.
 type Answer uint8
 
-// The answers.
+// The results of an operator's call.
 const (
-	NoPermission  Answer = iota // nobody has said that it stays: this one goes on
-	Done                        // it holds
+	NoPermission  Answer = iota // no process has granted the request: this one does not drain
+	Done                        // the requested state is in effect
 	NoOtherReady                // no other gateway is ready
 	ProcessEnding               // the process is ending
-	Superseded                  // another order has come since
+	Superseded                  // another call has replaced this one
 )
 
-// Op is what an operator wants.
+// Op is an operation that an operator requests.
 type Op uint8
 
-// The operators' calls.
+// The operations.
 const (
 	Start      Op = iota
-	StartAlone    // whoever stays
+	StartAlone    // without a permission
 	Stop
 )
 
-// Peer is another process that is up, and whether it calls itself ready.
+// Peer is another process that is up.
 type Peer struct {
 	Addr  string
 	Ready bool
@@ -59,183 +59,185 @@
 	Answer Answer
 }
 
-// Out is what a machine wants done.
+// Out is the result of one input.
 type Out struct {
-	Send            []fsm.Send // of Words
+	Send            []fsm.Send // Msg is a Message
 	Replies         []Reply
-	DrainingChanged bool // Draining has changed
+	DrainingChanged bool
 }
 
-// Bug is a guard taken out, to show that the tests find it.
+// Bug disables a safeguard, to show that the tests notice its absence.
 type Bug uint8
 
-// The bugs.
+// The safeguards that can be disabled.
 const (
 	NoBug                   Bug = iota
-	BugNoPermission             // a drain needs nobody's word
-	BugStalePermission          // a word counts for any ask
-	BugGrantWhileRequesting     // who asks says that it stays, and asks on
+	BugNoPermission             // a drain needs no permission
+	BugStalePermission          // a permission counts for any request
+	BugGrantWhileRequesting     // a process with a request grants another, and keeps its own
 )
 
 const (
-	againEvery = 100 * time.Millisecond // asks without an answer go out again
-	first      = 3                      // are asked first, then all
+	retryInterval = 100 * time.Millisecond
+	firstPeers    = 3 // that are asked before all others
 )
 
-// Machine is one process's part.
+// Machine is the state machine of one process.
 type Machine struct {
 	self string
 	bug  Bug
 	out  Out
 
-	peers   []Peer
-	missing bool // one that was seen lately is not: it may be on the other side of a cut
-	fit     bool // this one is ready, and doesn't leave
-	leaves  bool
-
-	drains bool
-	calls  []uint64 // that wait for the ask; none: nothing is asked
-	id     uint64   // of the ask, or the next one
-	till   fsm.Time
-	sent   fsm.Time
-	rounds int
-	noes   map[string]bool // drain, or are not ready
+	peers       []Peer
+	peerMissing bool // a recently seen process is missing: it may be on the other side of a network partition
+	canGrant    bool // this process is ready and not leaving
+	leaving     bool
+
+	draining     bool
+	waitingCalls []uint64 // calls that wait for the request; empty: there is no request
+	requestID    uint64   // of the current or the next request
+	deadline     fsm.Time
+	lastSent     fsm.Time
+	attempts     int
+	denials      map[string]bool // peers that drain or are not ready
 }
 
-// New starts a process, with a number that no other start has.
+// New returns a machine. The salt must be different at each start.
 func New(self string, salt uint64, bug Bug) *Machine {
-	return &Machine{self: self, id: salt, bug: bug, noes: map[string]bool{}}
+	return &Machine{self: self, requestID: salt, bug: bug, denials: map[string]bool{}}
 }
 
-// Draining tells whether clients should go elsewhere.
-func (m *Machine) Draining() bool { return m.drains }
+// Draining reports whether clients should use other gateways.
+func (m *Machine) Draining() bool { return m.draining }
 
-// Peers takes membership's view.
+// SetPeers sets the other processes that are up, and whether one seen recently is missing.
 func (m *Machine) SetPeers(peers []Peer, missing bool) {
-	m.peers, m.missing = slices.Clone(peers), missing
+	m.peers, m.peerMissing = slices.Clone(peers), missing
 }
 
-// Fit takes whether this process is ready but for a drain, and whether it leaves.
-func (m *Machine) SetReady(ready, leaves bool) { m.fit, m.leaves = ready && !leaves, leaves }
+// SetReady sets whether this process is ready apart from a drain, and whether it is leaving.
+func (m *Machine) SetReady(ready, leaves bool) { m.canGrant, m.leaving = ready && !leaves, leaves }
 
-// Call takes an operator's call, that is answered within a time. A second copy changes nothing.
+// Call handles an operator's call, which is answered within the given time. Repeating it changes
+// nothing.
 func (m *Machine) Call(now fsm.Time, call uint64, op Op, within time.Duration) Out {
-	asks := len(m.calls) > 0
+	requesting := len(m.waitingCalls) > 0
 	switch {
-	case op == Stop && !m.drains && !asks, op != Stop && m.drains:
+	case op == Stop && !m.draining && !requesting, op != Stop && m.draining:
 		m.reply(call, Done)
-	case m.leaves:
+	case m.leaving:
 		m.reply(call, ProcessEnding)
 	case op != Start || m.bug == BugNoPermission:
-		m.over(Superseded)
-		m.turn(op != Stop)
+		m.endRequest(Superseded)
+		m.setDraining(op != Stop)
 		m.reply(call, Done)
 	default:
-		m.calls, m.till = append(m.calls, call), max(m.till, now+within)
-		if !asks {
-			m.ask(now)
+		m.waitingCalls, m.deadline = append(m.waitingCalls, call), max(m.deadline, now+within)
+		if !requesting {
+			m.sendRequest(now)
 		}
-		m.settle()
+		m.failIfAllDenied()
 	}
-	return m.end()
+	return m.takeOutput()
 }
 
-// Tick lets time pass.
+// Tick repeats the request, and ends it at its deadline.
 func (m *Machine) Tick(now fsm.Time) Out {
-	if len(m.calls) > 0 {
+	if len(m.waitingCalls) > 0 {
 		switch {
-		case m.leaves:
-			m.over(ProcessEnding)
-		case now >= m.till:
-			m.over(NoPermission)
-		case now-m.sent >= againEvery:
-			m.ask(now)
+		case m.leaving:
+			m.endRequest(ProcessEnding)
+		case now >= m.deadline:
+			m.endRequest(NoPermission)
+		case now-m.lastSent >= retryInterval:
+			m.sendRequest(now)
 		}
-		m.settle()
+		m.failIfAllDenied()
 	}
-	return m.end()
+	return m.takeOutput()
 }
 
-// Take takes a word.
-func (m *Machine) Receive(now fsm.Time, from string, w Message) Out {
-	asks := len(m.calls) > 0
+// Receive handles a message.
+func (m *Machine) Receive(now fsm.Time, from string, msg Message) Out {
+	requesting := len(m.waitingCalls) > 0
 	switch {
-	case w.Kind == Request:
-		m.answer(now, from, w.ID)
-	case !asks, w.ID != m.id && m.bug != BugStalePermission:
-	case w.Kind == Granted:
-		m.turn(true)
-		m.over(Done)
-	case w.Kind == Denied:
-		m.noes[from] = true
-		m.settle()
+	case msg.Kind == Request:
+		m.answerRequest(now, from, msg.ID)
+	case !requesting, msg.ID != m.requestID && m.bug != BugStalePermission:
+	case msg.Kind == Granted:
+		m.setDraining(true)
+		m.endRequest(Done)
+	case msg.Kind == Denied:
+		m.denials[from] = true
+		m.failIfAllDenied()
 	default:
-		delete(m.noes, from)
+		delete(m.denials, from)
 	}
-	return m.end()
+	return m.takeOutput()
 }
 
-// answer says whether this one stays. Of two that ask each other the one of the lower address
-// goes first: the other gives its ask up, and begins a new one.
-func (m *Machine) answer(now fsm.Time, from string, id uint64) {
+// answerRequest answers a request. Of two processes that ask each other, the one with the lower
+// address goes first: the other gives up its request and begins a new one.
+func (m *Machine) answerRequest(now fsm.Time, from string, id uint64) {
 	kind := Granted
-	switch asks := len(m.calls) > 0; {
-	case m.drains || !m.fit:
+	switch requesting := len(m.waitingCalls) > 0; {
+	case m.draining || !m.canGrant:
 		kind = Denied
-	case asks && m.bug == BugGrantWhileRequesting:
-	case asks && m.self < from:
+	case requesting && m.bug == BugGrantWhileRequesting:
+	case requesting && m.self < from:
 		kind = Deferred
-	case asks:
-		m.renew()
-		m.sent = now
+	case requesting:
+		m.newRequestID()
+		m.lastSent = now
 	}
 	m.send(from, Message{kind, id})
 }
 
-// ask sends the ask: to a few that call themselves ready, and if that was in vain to all.
-func (m *Machine) ask(now fsm.Time) {
-	m.sent = now
+// sendRequest sends the request to a few peers that report themselves ready, and from the second
+// attempt on to all.
+func (m *Machine) sendRequest(now fsm.Time) {
+	m.lastSent = now
 	n := 0
 	for _, ready := range []bool{true, false} {
 		for _, p := range m.peers {
-			if p.Ready == ready && (m.rounds > 0 || n < first) {
+			if p.Ready == ready && (m.attempts > 0 || n < firstPeers) {
 				n++
-				m.send(p.Addr, Message{Request, m.id})
+				m.send(p.Addr, Message{Request, m.requestID})
 			}
 		}
 	}
-	m.rounds++
+	m.attempts++
 }
 
-// settle ends an ask that can't be granted: all others have said no.
-func (m *Machine) settle() {
-	if len(m.calls) == 0 || slices.ContainsFunc(m.peers, func(p Peer) bool { return !m.noes[p.Addr] }) {
+// failIfAllDenied ends a request that all others have denied.
+func (m *Machine) failIfAllDenied() {
+	if len(m.waitingCalls) == 0 || slices.ContainsFunc(m.peers, func(p Peer) bool { return !m.denials[p.Addr] }) {
 		return
 	}
-	if m.missing {
-		m.over(NoPermission)
+	if m.peerMissing {
+		m.endRequest(NoPermission)
 	} else {
-		m.over(NoOtherReady)
+		m.endRequest(NoOtherReady)
 	}
 }
 
-// over ends the ask: no word counts for it any more.
-func (m *Machine) over(a Answer) {
-	for _, call := range m.calls {
+// endRequest answers the waiting calls and ends the request: no message counts for it any more.
+func (m *Machine) endRequest(a Answer) {
+	for _, call := range m.waitingCalls {
 		m.reply(call, a)
 	}
-	m.calls, m.till = nil, 0
-	m.renew()
+	m.waitingCalls, m.deadline = nil, 0
+	m.newRequestID()
 }
 
-func (m *Machine) renew() {
-	m.id, m.rounds = m.id+1, 0
-	clear(m.noes)
+func (m *Machine) newRequestID() {
+	m.requestID, m.attempts = m.requestID+1, 0
+	clear(m.denials)
 }
 
-func (m *Machine) turn(on bool) {
-	m.out.DrainingChanged = m.out.DrainingChanged || m.drains != on
-	m.drains = on
+func (m *Machine) setDraining(on bool) {
+	m.out.DrainingChanged = m.out.DrainingChanged || m.draining != on
+	m.draining = on
 }
 
 func (m *Machine) reply(call uint64, a Answer) { m.out.Replies = append(m.out.Replies, Reply{call, a}) }
@@ -244,15 +246,15 @@
 	m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: w})
 }
 
-func (m *Machine) end() Out {
+func (m *Machine) takeOutput() Out {
 	out := m.out
 	m.out = Out{}
 	return out
 }
 
-// Clone is another one that stands where this one does.
+// Clone returns an independent copy.
 func (m *Machine) Clone() *Machine {
 	c := *m
-	c.peers, c.calls, c.noes = slices.Clone(m.peers), slices.Clone(m.calls), maps.Clone(m.noes)
+	c.peers, c.waitingCalls, c.denials = slices.Clone(m.peers), slices.Clone(m.waitingCalls), maps.Clone(m.denials)
 	return &c
 }
--- a/internal/drainpermit/explore.go
+++ b/internal/drainpermit/explore.go
@@ -10,17 +10,17 @@
 	"asterwell/internal/fsm"
 )
 
-// Bounds of a small model: every order in which the messages of a few processes may arrive, be
-// lost and be doubled, and what operators and restarts may do in between.
+// Bounds limits a small model. It covers every order in which the messages of a few processes may
+// arrive, be lost and be duplicated, with operators' calls and restarts in between.
 type Bounds struct {
 	Procs                            int
-	Starts, Stops, Restarts, Repeats int // Repeats: asks that are repeated or end without an answer
-	Doubled                          int // messages that come twice
-	States                           int // at most; 0: all
+	Starts, Stops, Restarts, Repeats int // Repeats: requests that are repeated or end without an answer
+	Doubled                          int // messages that are delivered twice
+	States                           int // limit; 0: none
 	Bug                              Bug
 }
 
-// Explored is what a model came to.
+// Exploration is the result of exploring a model.
 type Exploration struct {
 	States    int
 	Complete  bool
@@ -28,59 +28,59 @@
 	Trace     []string
 }
 
-type sent struct {
+type sentMessage struct {
 	from, to int
-	word     Message
+	message  Message
 }
 
-type state struct {
-	all                                       []*Machine
-	lives                                     []int
-	net                                       []sent
+type modelState struct {
+	machines                                  []*Machine
+	incarnations                              []int
+	inFlight                                  []sentMessage
 	starts, stops, restarts, repeats, doubled int
-	last                                      *state
-	form                                      string // the step that led here
-	args                                      []any
+	previous                                  *modelState
+	stepFormat                                string // describes the step that led here
+	stepArgs                                  []any
 }
 
-// key is all that matters of a state.
-func (s *state) key() string {
+// key identifies a state by everything that matters of it.
+func (s *modelState) key() string {
 	var b []byte
-	for i, m := range s.all {
-		b = append(b, byte(s.lives[i]), bit(m.drains), byte(len(m.calls)), byte(m.id%1000), byte(min(m.rounds, 1)))
-		for j := range s.all {
-			b = append(b, bit(m.noes[string(rune('a'+j))]))
+	for i, m := range s.machines {
+		b = append(b, byte(s.incarnations[i]), boolByte(m.draining), byte(len(m.waitingCalls)), byte(m.requestID%1000), byte(min(m.attempts, 1)))
+		for j := range s.machines {
+			b = append(b, boolByte(m.denials[string(rune('a'+j))]))
 		}
 	}
-	slices.SortFunc(s.net, func(a, b sent) int {
-		return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to), cmp.Compare(a.word.Kind, b.word.Kind), cmp.Compare(a.word.ID, b.word.ID))
+	slices.SortFunc(s.inFlight, func(a, b sentMessage) int {
+		return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to), cmp.Compare(a.message.Kind, b.message.Kind), cmp.Compare(a.message.ID, b.message.ID))
 	})
-	for _, m := range s.net {
-		b = append(binary.AppendUvarint(b, m.word.ID), byte(m.from), byte(m.to), byte(m.word.Kind))
+	for _, m := range s.inFlight {
+		b = append(binary.AppendUvarint(b, m.message.ID), byte(m.from), byte(m.to), byte(m.message.Kind))
 	}
 	return string(append(b, byte(s.starts), byte(s.stops), byte(s.restarts), byte(s.repeats), byte(s.doubled)))
 }
 
-func bit(b bool) byte {
+func boolByte(b bool) byte {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func (s *state) copy(form string, args ...any) *state {
+func (s *modelState) copy(stepFormat string, stepArgs ...any) *modelState {
 	c := *s
-	c.all, c.lives, c.net, c.last, c.form, c.args = nil, slices.Clone(s.lives), slices.Clone(s.net), s, form, args
-	for _, m := range s.all {
-		c.all = append(c.all, m.Clone())
+	c.machines, c.incarnations, c.inFlight, c.previous, c.stepFormat, c.stepArgs = nil, slices.Clone(s.incarnations), slices.Clone(s.inFlight), s, stepFormat, stepArgs
+	for _, m := range s.machines {
+		c.machines = append(c.machines, m.Clone())
 	}
 	return &c
 }
 
-// Explore visits a model from its begin on, and stops where all processes drain.
+// Explore visits the states of a model breadth-first, and stops where all processes drain.
 func Explore(b Bounds) Exploration {
 	name := func(i int) string { return string(rune('a' + i)) }
-	boot := func(i, life int) *Machine {
+	startMachine := func(i, life int) *Machine {
 		m := New(name(i), uint64(i+1)*1_000_000+uint64(life)*1000, b.Bug)
 		var peers []Peer
 		for j := range b.Procs {
@@ -92,11 +92,11 @@
 		m.SetReady(true, false)
 		return m
 	}
-	first := &state{lives: make([]int, b.Procs)}
+	first := &modelState{incarnations: make([]int, b.Procs)}
 	for i := range b.Procs {
-		first.all = append(first.all, boot(i, 0))
+		first.machines = append(first.machines, startMachine(i, 0))
 	}
-	seen, queue := map[string]bool{first.key(): true}, []*state{first}
+	seen, queue := map[string]bool{first.key(): true}, []*modelState{first}
 	out := Exploration{Complete: true}
 	for len(queue) > 0 {
 		s := queue[0]
@@ -106,14 +106,14 @@
 			out.Complete = false
 			return out
 		}
-		take := func(c *state, i int, o Out) {
+		addState := func(c *modelState, i int, o Out) {
 			for _, m := range o.Send {
-				c.net = append(c.net, sent{i, int(m.To[0] - 'a'), m.Msg.(Message)})
+				c.inFlight = append(c.inFlight, sentMessage{i, int(m.To[0] - 'a'), m.Msg.(Message)})
 			}
-			if !slices.ContainsFunc(c.all, func(m *Machine) bool { return !m.drains }) {
+			if !slices.ContainsFunc(c.machines, func(m *Machine) bool { return !m.draining }) {
 				out.Violation = "all drain"
-				for at := c; at.last != nil; at = at.last {
-					out.Trace = append([]string{fmt.Sprintf(at.form, at.args...)}, out.Trace...)
+				for at := c; at.previous != nil; at = at.previous {
+					out.Trace = append([]string{fmt.Sprintf(at.stepFormat, at.stepArgs...)}, out.Trace...)
 				}
 			}
 			if k := c.key(); !seen[k] {
@@ -125,41 +125,41 @@
 			if s.starts < b.Starts {
 				c := s.copy("%c is asked to drain", 'a'+i)
 				c.starts++
-				take(c, i, c.all[i].Call(0, 1, Start, time.Second))
+				addState(c, i, c.machines[i].Call(0, 1, Start, time.Second))
 			}
 			if s.stops < b.Stops {
-				c := s.copy("%c is asked to stop that", 'a'+i)
+				c := s.copy("%c is asked to stop draining", 'a'+i)
 				c.stops++
-				take(c, i, c.all[i].Call(0, 1, Stop, 0))
+				addState(c, i, c.machines[i].Call(0, 1, Stop, 0))
 			}
 			if s.restarts < b.Restarts {
-				c := s.copy("%c starts anew", 'a'+i)
+				c := s.copy("%c restarts", 'a'+i)
 				c.restarts++
-				c.lives[i]++
-				c.all[i] = boot(i, c.lives[i])
-				take(c, i, Out{})
+				c.incarnations[i]++
+				c.machines[i] = startMachine(i, c.incarnations[i])
+				addState(c, i, Out{})
 			}
-			if s.repeats < b.Repeats && len(s.all[i].calls) > 0 {
-				for _, at := range []fsm.Time{againEvery, time.Second} {
+			if s.repeats < b.Repeats && len(s.machines[i].waitingCalls) > 0 {
+				for _, at := range []fsm.Time{retryInterval, time.Second} {
 					c := s.copy("%c after %v", 'a'+i, at)
 					c.repeats++
-					c.all[i].sent = 0
-					take(c, i, c.all[i].Tick(at))
+					c.machines[i].lastSent = 0
+					addState(c, i, c.machines[i].Tick(at))
 				}
 			}
 		}
-		for k, m := range s.net {
+		for k, m := range s.inFlight {
 			for _, keep := range []bool{false, true} {
 				if keep && s.doubled == b.Doubled {
 					continue
 				}
-				c := s.copy("%c takes %v of %c", 'a'+m.to, m.word, 'a'+m.from)
+				c := s.copy("%c receives %v from %c", 'a'+m.to, m.message, 'a'+m.from)
 				if keep {
 					c.doubled++
 				} else {
-					c.net = slices.Delete(c.net, k, k+1)
+					c.inFlight = slices.Delete(c.inFlight, k, k+1)
 				}
-				take(c, m.to, c.all[m.to].Receive(0, name(m.from), m.word))
+				addState(c, m.to, c.machines[m.to].Receive(0, name(m.from), m.message))
 			}
 		}
 		if out.Violation != "" {
