--- a/internal/serverset/random_test.go
+++ b/internal/serverset/random_test.go
@@ -11,17 +11,17 @@
 	"asterwell/choice"
 )
 
-// oracle is what was said, kept as plainly as can be.
-type oracle struct {
-	list    map[string]string // address by id
-	drains  map[string]bool   // id
-	removed map[string]bool   // addresses that must not be used until they are named again
-	without map[string]time.Duration
-	targets map[string][]string // addresses by target
+// referenceModel records in the simplest form what the sources reported.
+type referenceModel struct {
+	list            map[string]string // addresses by id
+	draining        map[string]bool   // by id
+	removed         map[string]bool   // addresses that must not be used until they are named again
+	withoutSRVSince map[string]time.Duration
+	targets         map[string][]string // addresses by target
 }
 
-// names tells whether SRV names an address, or one of another way to the same target.
-func (o *oracle) names(addr string) bool {
+// names reports whether SRV names an address, directly or as another address of a target.
+func (o *referenceModel) names(addr string) bool {
 	for _, addrs := range o.targets {
 		if slices.Contains(addrs, addr) {
 			return true
@@ -30,17 +30,17 @@
 	return false
 }
 
-func (o *oracle) listed(addr string) (up, any bool) {
+func (o *referenceModel) listed(addr string) (up, any bool) {
 	for id, a := range o.list {
 		if a == addr {
-			up, any = up || !o.drains[id], true
+			up, any = up || !o.draining[id], true
 		}
 	}
 	return up, any
 }
 
-// together are all addresses of the targets that share some with each other.
-func (o *oracle) together(addrs []string) []string {
+// linkedAddrs returns all addresses of the targets that are linked by shared addresses.
+func (o *referenceModel) linkedAddrs(addrs []string) []string {
 	all := slices.Clone(addrs)
 	for again := true; again; {
 		again = false
@@ -58,12 +58,12 @@
 	return all
 }
 
-// spread carries a removal to all ways of the targets that lead there.
-func (o *oracle) spread() {
+// propagateRemovals applies a removal to all addresses of the targets that lead there.
+func (o *referenceModel) propagateRemovals() {
 	for again := true; again; {
 		again = false
 		for _, addrs := range o.targets {
-			claimed := slices.ContainsFunc(o.together(addrs), func(a string) bool { _, any := o.listed(a); return any })
+			claimed := slices.ContainsFunc(o.linkedAddrs(addrs), func(a string) bool { _, any := o.listed(a); return any })
 			if claimed || !slices.ContainsFunc(addrs, func(a string) bool { return o.removed[a] }) {
 				continue
 			}
@@ -76,20 +76,21 @@
 	}
 }
 
-// Any order of events: what the list drains or has removed is never used, nobody
-// else's withdrawal is ignored, numbers are never used again, repeats change
-// nothing, and tiers leave no more often than the hold allows.
+// TestAnyOrder checks any order of events: what the list drains or has removed is never used, no
+// withdrawal is ignored, numbers are never reused, repeated reports change nothing, and tiers
+// leave
+// no more often than TierLeaveHold allows.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opt := options
 		opt.SRVOnlyWhileListSilent = rapid.Bool().Draw(t, "only while the list is silent")
 		w := newWorld(opt)
-		o := &oracle{list: map[string]string{}, drains: map[string]bool{}, removed: map[string]bool{},
-			without: map[string]time.Duration{}, targets: map[string][]string{}}
+		o := &referenceModel{list: map[string]string{}, draining: map[string]bool{}, removed: map[string]bool{},
+			withoutSRVSince: map[string]time.Duration{}, targets: map[string][]string{}}
 		addrs := []string{"1", "2", "3", "4", "5"}
 		began := w.now
 		dead := map[uint32]bool{}
-		left := map[uint32]string{} // numbers of servers that are gone for good
+		left := map[uint32]string{} // names by the numbers of servers that are gone for good
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			switch rapid.SampledFrom([]string{"srv", "srv", "list", "list", "whole", "outcome", "wait", "wait", "stale", "broken"}).Draw(t, "event") {
 			case "srv":
@@ -126,7 +127,7 @@
 					if used := slices.ContainsFunc(nodes, func(x ListEntry) bool { return x.Addr == l.Addr && x.State != choice.Down }); used {
 						continue
 					}
-					for other, a := range next { // lists don't name an address twice
+					for other, a := range next { // a list does not name an address twice
 						if other != id && a == l.Addr {
 							l.State = choice.Down
 						}
@@ -134,7 +135,7 @@
 					if l.State = max(l.State, rapid.SampledFrom([]choice.State{choice.Up, choice.Up, choice.Draining, choice.Down}).Draw(t, "state")); l.State == choice.Down {
 						delete(next, id)
 					} else {
-						next[id], o.drains[id] = l.Addr, l.State == choice.Draining
+						next[id], o.draining[id] = l.Addr, l.State == choice.Draining
 					}
 					nodes = append(nodes, l)
 				}
@@ -165,32 +166,32 @@
 					dead[id] = !ok
 				}
 			case "wait":
-				w.pass(time.Duration(rapid.IntRange(0, 90).Draw(t, "seconds")) * time.Second)
+				w.advance(time.Duration(rapid.IntRange(0, 90).Draw(t, "seconds")) * time.Second)
 			case "stale":
 				w.SourceStale(w.now, "x")
 			case "broken":
 				w.ListUnreachable(w.now)
 			}
-			for _, a := range addrs { // how long SRV has been without what was removed
+			for _, a := range addrs { // how long SRV has been without a removed address
 				if o.names(a) || !o.removed[a] {
-					delete(o.without, a)
-				} else if _, ok := o.without[a]; !ok {
-					o.without[a] = w.now
-				} else if w.now >= o.without[a]+options.RemovedHold {
+					delete(o.withoutSRVSince, a)
+				} else if _, ok := o.withoutSRVSince[a]; !ok {
+					o.withoutSRVSince[a] = w.now
+				} else if w.now >= o.withoutSRVSince[a]+options.RemovedHold {
 					delete(o.removed, a)
-					delete(o.without, a)
+					delete(o.withoutSRVSince, a)
 				}
 			}
-			o.spread()
+			o.propagateRemovals()
 			before := map[uint32]Change{}
 			for id, c := range w.core {
 				before[id] = c
 			}
-			w.take()
+			w.syncCore()
 			used := map[string]uint32{}
 			for id, c := range w.core {
 				if name, was := left[id]; was && name != c.Name {
-					t.Fatalf("number %d is used again, of %s and now of %s", id, name, c.Name)
+					t.Fatalf("number %d is reused, first for %s and now for %s", id, name, c.Name)
 				}
 				if c.State != choice.Up {
 					continue
@@ -205,14 +206,14 @@
 					t.Fatalf("%s is used, though the list drains it", c.Addr)
 				case !any && o.removed[c.Addr]:
 					t.Fatalf("%s is used, though the list has removed it", c.Addr)
-				case !any && opt.SRVOnlyWhileListSilent && w.speaks():
-					t.Fatalf("%s is used, though the list is heard and does not name it", c.Addr)
+				case !any && opt.SRVOnlyWhileListSilent && w.listIsHeard():
+					t.Fatalf("%s is used, though the list is reachable and does not name it", c.Addr)
 				case !any && !o.names(c.Addr):
-					t.Fatalf("%s is used, though nobody names it", c.Addr)
+					t.Fatalf("%s is used, though no source names it", c.Addr)
 				}
-				for _, other := range o.together([]string{c.Addr}) {
+				for _, other := range o.linkedAddrs([]string{c.Addr}) {
 					if up, drained := o.listed(other); !any && drained && !up {
-						t.Fatalf("%s leads round the drain of %s", c.Addr, other)
+						t.Fatalf("%s bypasses the drain of %s", c.Addr, other)
 					}
 				}
 			}
@@ -225,25 +226,26 @@
 		if most := int((w.now-began)/options.TierLeaveHold) + 1; w.stats.Leaves > most {
 			t.Fatalf("%d tiers have left in %v", w.stats.Leaves, w.now-began)
 		}
-		if opt.SRVOnlyWhileListSilent { // a repeat ends a silence, which changes much
+		if opt.SRVOnlyWhileListSilent { // repeating the list ends its silence, which does change servers
 			return
 		}
-		// Repeats change nothing.
-		w.pass(time.Hour)
+		// Repeated reports change nothing.
+		w.advance(time.Hour)
 		view := fmt.Sprint(w.view())
 		var nodes []ListEntry
 		for id, a := range o.list {
-			nodes = append(nodes, ListEntry{Name: id, Addr: a, Member: choice.Member{Weight: 1, State: map[bool]choice.State{true: choice.Draining}[o.drains[id]]}})
+			nodes = append(nodes, ListEntry{Name: id, Addr: a, Member: choice.Member{Weight: 1, State: map[bool]choice.State{true: choice.Draining}[o.draining[id]]}})
 		}
 		w.ApplyList(w.now, nodes, true, false)
-		if w.pass(time.Hour); w.view() != view {
+		if w.advance(time.Hour); w.view() != view {
 			t.Fatalf("%s, after a repeat %s", view, w.view())
 		}
 	})
 }
 
-// While servers fail and answer in any order, offered tiers change no faster than
-// the hold allows, and never while enough of the first tier lives.
+// TestTiersDoNotFlap checks that, while servers fail and answer in any order, offered tiers change
+// no faster than TierLeaveHold allows, and the next tier is offered whenever too few of the first
+// one are alive.
 func TestTiersDoNotFlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(options)
@@ -252,10 +254,10 @@
 			list = append(list, Target{Name: fmt.Sprint(i), Port: 1, Priority: uint16(i / 10), Addrs: []string{fmt.Sprint(i)}})
 		}
 		w.ApplySRV(w.now, "x", list, false)
-		w.take()
+		w.syncCore()
 		began := w.now
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
-			w.pass(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
+			w.advance(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			addr := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "server"))
 			ok := rapid.Bool().Draw(t, "ok")
 			for id, c := range w.core {
@@ -265,14 +267,14 @@
 					}
 				}
 			}
-			w.take()
+			w.syncCore()
 			live := 0
-			for _, n := range w.byNum {
-				if n.meta.Priority == 0 && !n.dead {
+			for _, n := range w.byNumber {
+				if n.target.Priority == 0 && !n.dead {
 					live++
 				}
 			}
-			if live < 7 && w.upTo == 0 {
+			if live < 7 && w.lastOfferedPriority == 0 {
 				t.Fatalf("%d of 10 live, and the next tier is not offered", live)
 			}
 		}
@@ -283,7 +285,7 @@
 	})
 }
 
-// 5,000 SRV targets and 1,000 servers of the list.
+// BenchmarkApply applies 5,000 SRV targets and 1,000 servers of the list.
 func BenchmarkApply(b *testing.B) {
 	var list []Target
 	var nodes []ListEntry
--- a/internal/serverset/serverset.go
+++ b/internal/serverset/serverset.go
@@ -1,44 +1,43 @@
-// Package serverset decides which servers the decision module may use when
-// several sources name them: DNS SRV records (RFC 2782), discovery's list, and the
-// list saved from before the start. It has no I/O and reads no clock; every method
-// takes the time, on the core's clock.
+// Package serverset decides which servers the decision module may use when several sources name
+// them: DNS SRV records (RFC 2782), the list from service discovery, and the list saved before a
+// restart. It has no I/O and reads no clock; every method takes the time, on the core's clock.
 //
-// # The rule
+// # Merge rule
 //
-// Whoever has named a server may take it back; a server is used only while nobody
-// who has named it has taken it back. Silence takes nothing back.
+// A source that has named a server may withdraw it. A server is used only while no source that
+// named it has withdrawn it. A source that is unreachable withdraws nothing.
 //
-//	source  says                      effect
-//	list    up                        used, with the list's id, zone, weight and start
-//	list    draining                  drains at once, whatever SRV says or repeats
-//	list    removed, or left out of   gone at once; its address, and every target that has
-//	        a whole list              it, stays out while SRV goes on naming it, until the
-//	                                  list names it again, or SRV has been without it for
+//	source  reports                   effect
+//	list    up                        used, with the list's id, zone, weight and start time
+//	list    draining                  drains at once, whatever SRV reports or repeats
+//	list    removed, or missing from  removed at once; its address, and each target with it,
+//	        a full list               is not used while SRV still has it, until the list
+//	                                  names it again, or SRV has been without it for
 //	                                  RemovedHold
-//	list    silent                    all it has said stands
-//	saved   up, draining              as the list, until the list speaks for the first time
+//	list    unreachable               its last reports stay in effect
+//	saved   up, draining              as the list, until the list is received
 //	srv     a target, first answer    used, as started long ago
 //	srv     a target, later answer    used, as started now (cold)
-//	srv     a target elsewhere: none  another server, started now; the one at the old
-//	        of its addresses left     addresses drains
-//	srv     no longer a target        drains, and so does the server that the list names
-//	                                  there (unless KeepListed)
-//	srv     decidedly no service      servers that only SRV names drain; the list's stay: a
-//	        (NXDOMAIN, target ".")    name that is gone says nothing of one server
-//	srv     stale                     all it has said stands
-//	srv     lost: stale for too long  servers that only SRV names drain if the list is heard;
-//	                                  without one all stands
-//	srv     a target that the list    with OnlySilent it is used only while the list is silent:
-//	        does not name             what the list has removed before this start stays out
-//	both    silent for Keep           all stands, and Trusted says no
+//	srv     a target that has moved:  a new server, started now; the one at the old
+//	        no address in common      addresses drains
+//	srv     no longer a target        drains, and so does the list's server at its address
+//	                                  (unless ListOverridesSRV)
+//	srv     authoritatively no        servers that only SRV names drain; those of the list
+//	        service (NXDOMAIN, ".")   stay, as a missing name says nothing about one server
+//	srv     stale                     its last reports stay in effect
+//	srv     lost: stale for too long  servers that only SRV names drain if the list is
+//	                                  reachable; without a list they stay
+//	srv     a target that the list    with SRVOnlyWhileListSilent used only while the list is
+//	        does not name             unreachable: it may have been removed before the start
+//	both    silent for TrustFor       all stay, and Trusted returns false
 //
-// A target that has an address which the list names is the list's server there.
-// Its other addresses are not used: they would lead round a drain. Targets that
-// share an address are one server, and the first of them by name stands for it.
+// A target with an address that the list names is the list's server there. Its other addresses are
+// not used, since requests to them would bypass a drain. Targets that share an address are one
+// server, represented by the first of them by name.
 //
-// Priorities (RFC 2782): servers of the lowest priority are offered; where fewer than
-// JoinBelow of them live, the next tier joins, and it leaves again once LeaveAbove of
-// them have lived for LeaveHold.
+// Priorities (RFC 2782): each priority is a tier. The servers of the lowest priority are offered.
+// While fewer than TierJoinBelow of them are alive, the next tier joins; it leaves again once
+// TierLeaveAbove of them have been alive for TierLeaveHold.
 package serverset
 
 import (
@@ -55,84 +54,84 @@
 	"asterwell/choice"
 )
 
-// Options are the figures of the rule.
+// Options configures the merge rule and the tiers.
 type Options struct {
-	RemovedHold            time.Duration // see the rule
-	DrainFor               time.Duration // what drains is forgotten after that
-	TrustFor               time.Duration // both sources silent for so long: no longer Trusted
-	ListOverridesSRV       bool          // SRV can't take back what the list names
-	SRVOnlyWhileListSilent bool          // what only SRV names is used only while the list is silent
-	NoList                 bool          // there is no list; its silence counts for nothing
-	TierJoinBelow          float64       // share of the first tier
-	TierLeaveAbove         float64       // share of the first tier, at least JoinBelow
+	RemovedHold            time.Duration // see the merge rule
+	DrainFor               time.Duration // a draining server is forgotten after this time
+	TrustFor               time.Duration // both sources silent for so long: Trusted returns false
+	ListOverridesSRV       bool          // SRV can't withdraw servers that the list names
+	SRVOnlyWhileListSilent bool          // servers that only SRV names are used only while the list is unreachable
+	NoList                 bool          // there is no list
+	TierJoinBelow          float64       // share of the first tier alive, below which the next one joins
+	TierLeaveAbove         float64       // share from which it leaves again, at least TierJoinBelow
 	TierLeaveHold          time.Duration
-	DeadAfterFailures      int    // failures in a row without an answer
+	DeadAfterFailures      int    // consecutive failures without an answer
 	ListPriority           uint16 // of servers that only the list names
 }
 
-// Listed is a server as the list has it. Member.ID is not used.
+// ListEntry is a server in the list. Member.ID is not used.
 type ListEntry struct {
 	Name string // the list's id
 	Addr string
 	choice.Member
 }
 
-// Target is one SRV record with the addresses of its target, in order of preference.
+// Target is an SRV record with the addresses of its target, in order of preference.
 type Target struct {
-	Name     string // in lower case, with the last dot
+	Name     string // in lower case, with the final dot
 	Port     uint16
 	Priority uint16
-	Weight   float64 // on the scale of the list's: 1 is usual
+	Weight   float64 // on the scale of the list's weights, where 1 is normal
 	Zone     string
-	Addrs    []string // host:port; none: not known yet
+	Addrs    []string // host:port; empty: not yet resolved
 }
 
-// Member is a change for the core.
+// Change is a changed server for the core.
 type Change struct {
 	Addr string
-	Name string // the list's id, or one made of the target's name
+	Name string // the list's id, or one derived from the target's name
 	choice.Member
 }
 
-// Stats are totals since the start, and what is now.
+// Stats has totals since the start, and current counts.
 type Stats struct {
 	Nodes, Offered, Dead, Tombstones int
 	Tiers, OfferedTiers              int
 	Joins, Leaves                    int // of tiers
-	Moved                            int // servers that changed the address used
-	Blocked                          int // targets that the list has removed
-	Duplicates                       int // targets with an address of another target
+	Moved                            int // servers whose used address changed
+	Blocked                          int // targets that the list had removed
+	Duplicates                       int // targets that share an address with another target
 }
 
-// Membership is the merged state. It is not safe for concurrent use.
+// Set merges the sources. It is not safe for concurrent use.
 type Set struct {
-	opt  Options
-	hash func(string) uint64
-
-	last    uint32 // number given to a server
-	listed  map[string]*node
-	byNum   map[uint32]*node
-	byAddr  map[string]*node // the list's
-	targets map[targetKey]*target
-	at      map[string][]*target // targets by address
-	ids     map[string]targetKey // of servers that only SRV names
-	tombs   map[string]time.Duration
-	leaving map[*node]bool // drained or withheld, and known to the core
-
-	sources map[string]*source
-	saved   bool // the list is only the saved one
-	broken  time.Duration
-	heard   bool // the list has spoken
-
-	tiers   map[uint16]*tier
-	upTo    uint16 // tiers up to this priority are offered
-	any     bool   // upTo means something
-	leaveAt time.Duration
-
-	dirtyT map[*target]bool
-	dirtyN map[*node]bool
-	wake   time.Duration
-	stats  Stats
+	options Options
+	hash    func(string) uint64
+
+	lastNumber    uint32 // last number assigned to a server
+	listed        map[string]*server
+	byNumber      map[uint32]*server
+	listedByAddr  map[string]*server // of the list
+	targets       map[targetKey]*target
+	targetsByAddr map[string][]*target
+	srvIDs        map[string]targetKey // targets by the ID of servers that only SRV names
+	tombstones    map[string]time.Duration
+	draining      map[*server]bool // draining or withheld, and known to the core
+
+	sources          map[string]*source
+	listSaved        bool // only the saved list is known
+	unreachableSince time.Duration
+	listHeard        bool // the list has been received
+
+	tiers               map[uint16]*tier
+	lastOfferedPriority uint16 // tiers up to this priority are offered,
+	tiersOffered        bool   // if there are any
+	tierLeaveAt         time.Duration
+
+	dirtyTargets map[*target]bool
+	dirtyServers map[*server]bool
+	nextWake     time.Duration
+	stats        Stats
 }
 
 type targetKey struct {
@@ -141,436 +140,446 @@
 }
 
 type source struct {
-	answered bool
-	lost     bool
-	stale    time.Duration // since then; never: fresh
-	has      map[targetKey]Target
+	answered   bool
+	lost       bool
+	staleSince time.Duration // never: the answer is fresh
+	targets    map[targetKey]Target
 }
 
-// target is one name and port, as all SRV sources together have it.
+// target is one name and port, merged from all SRV sources.
 type target struct {
-	key   targetKey
-	said  map[string]Target
-	now   Target // merged
-	nodes []*node
-	first bool // comes from a first answer
-}
-
-type node struct {
-	name    string
-	num     uint32
-	addr    string
-	list    *ListEntry
-	srv     map[*target]bool
-	named   bool // SRV has named it, so that it may take it back
-	own     bool // only SRV names it
-	moved   bool // another one has its name
-	gone    bool // the list has removed it, or nobody is left who names it
-	removed bool // by the list: no draining
-	started time.Duration
-	meta    Target // of an own one, as last named
-
-	fails, refused int
-	dead           bool
-
-	out      choice.State // as the core has it; Down: not at all
-	told     Change
-	forgetAt time.Duration
-	tier     *tier
-	live     bool // as counted in the tier
-}
-
+	key             targetKey
+	bySource        map[string]Target
+	merged          Target // merged from all sources
+	servers         []*server
+	fromFirstAnswer bool // from the first answer of a source
+}
+
+// server is a server named by the list, SRV or both.
+type server struct {
+	name          string
+	number        uint32
+	addr          string
+	listEntry     *ListEntry
+	targets       map[*target]bool
+	namedBySRV    bool // SRV has named it, and so may withdraw it
+	srvOnly       bool // only SRV names it
+	nameTaken     bool // another server has its name
+	gone          bool // the list has removed it, or no source names it any more
+	removedByList bool // removed without draining
+	startedAt     time.Duration
+	target        Target // of a server that only SRV names, as last received
+
+	failures, refusals int
+	dead               bool
+
+	coreState  choice.State // as known to the core; Down: not known
+	coreChange Change
+	forgetAt   time.Duration
+	tier       *tier
+	live       bool // counted as alive in the tier
+}
+
+// tier is the servers of one priority.
 type tier struct {
 	priority   uint16
 	size, live int
-	nodes      map[*node]bool
+	servers    map[*server]bool
 }
 
 const never = time.Duration(math.MaxInt64)
 
-// New returns a membership without servers.
+// New returns a set without servers.
 func New(opt Options) *Set {
-	return &Set{opt: opt, hash: xxhash.Sum64String, listed: map[string]*node{}, byNum: map[uint32]*node{},
-		byAddr: map[string]*node{}, targets: map[targetKey]*target{}, at: map[string][]*target{},
-		ids: map[string]targetKey{}, tombs: map[string]time.Duration{}, leaving: map[*node]bool{},
-		sources: map[string]*source{}, tiers: map[uint16]*tier{}, dirtyT: map[*target]bool{},
-		dirtyN: map[*node]bool{}, wake: never, broken: never}
+	return &Set{options: opt, hash: xxhash.Sum64String, listed: map[string]*server{}, byNumber: map[uint32]*server{},
+		listedByAddr: map[string]*server{}, targets: map[targetKey]*target{}, targetsByAddr: map[string][]*target{},
+		srvIDs: map[string]targetKey{}, tombstones: map[string]time.Duration{}, draining: map[*server]bool{},
+		sources: map[string]*source{}, tiers: map[uint16]*tier{}, dirtyTargets: map[*target]bool{},
+		dirtyServers: map[*server]bool{}, nextWake: never, unreachableSince: never}
 }
 
-// Configure changes the figures. What has been decided stands until something new is heard.
+// Configure changes the options. Previous decisions stay until a source reports something new.
 func (m *Set) Configure(now time.Duration, opt Options) {
-	m.opt = opt
-	for _, n := range m.byNum {
-		m.dirtyN[n] = true
+	m.options = opt
+	for _, s := range m.byNumber {
+		m.dirtyServers[s] = true
 	}
-	m.settle(now)
+	m.applyDirty(now)
 }
 
-// List takes news of the list. whole: what is left out of it has been removed.
-func (m *Set) ApplyList(now time.Duration, nodes []ListEntry, whole, saved bool) {
-	if saved && m.heard {
+// ApplyList applies an update of the list. With whole, entries that are missing were removed.
+func (m *Set) ApplyList(now time.Duration, entries []ListEntry, whole, saved bool) {
+	if saved && m.listHeard {
 		return
 	}
-	before := m.speaks()
-	defer func() { m.turn(now, before) }()
-	m.heard, m.saved = m.heard || !saved, saved
+	before := m.listIsHeard()
+	defer func() { m.refreshSRVOnly(now, before) }()
+	m.listHeard, m.listSaved = m.listHeard || !saved, saved
 	if !saved {
-		m.broken = never
+		m.unreachableSince = never
 	}
-	named := make(map[string]bool, len(nodes))
-	for _, l := range nodes {
-		if l.State != choice.Down {
-			named[l.Name] = true
+	isNamed := make(map[string]bool, len(entries))
+	for _, entry := range entries {
+		if entry.State != choice.Down {
+			isNamed[entry.Name] = true
 		}
 	}
 	if whole {
 		for _, name := range slices.Sorted(maps.Keys(m.listed)) {
-			if !named[name] {
-				m.unlist(now, m.listed[name])
+			if !isNamed[name] {
+				m.removeListed(now, m.listed[name])
 			}
 		}
 	}
-	for _, l := range nodes {
-		n := m.listed[l.Name]
+	for _, entry := range entries {
+		s := m.listed[entry.Name]
 		switch {
-		case l.State == choice.Down:
-			if n != nil && !named[l.Name] {
-				m.unlist(now, n)
+		case entry.State == choice.Down:
+			if s != nil && !isNamed[entry.Name] {
+				m.removeListed(now, s)
 			}
 			continue
-		case n == nil:
-			n = &node{name: l.Name, srv: map[*target]bool{}, out: choice.Down}
-			m.adopt(n, l.Addr)
-			m.listed[l.Name] = n
-		case n.addr != l.Addr:
-			m.release(now, n)
+		case s == nil:
+			s = &server{name: entry.Name, targets: map[*target]bool{}, coreState: choice.Down}
+			m.adoptNumber(s, entry.Addr)
+			m.listed[entry.Name] = s
+		case s.addr != entry.Addr:
+			m.releaseAddress(now, s)
 		}
-		if n.list == nil || n.addr != l.Addr || n.list.Started != l.Started { // another process
-			n.named, n.dead, n.fails, n.refused = len(n.srv) > 0, false, 0, 0
+		if s.listEntry == nil || s.addr != entry.Addr || s.listEntry.Started != entry.Started { // another instance
+			s.namedBySRV, s.dead, s.failures, s.refusals = len(s.targets) > 0, false, 0, 0
 		}
-		n.list, n.addr = &l, l.Addr
-		if old := m.byAddr[l.Addr]; old != nil && old != n { // the newer entry has the address
-			m.dirtyN[old] = true
+		s.listEntry, s.addr = &entry, entry.Addr
+		if previous := m.listedByAddr[entry.Addr]; previous != nil && previous != s { // the newer entry gets the address
+			m.dirtyServers[previous] = true
 		}
-		m.byAddr[l.Addr] = n
-		delete(m.tombs, l.Addr)
-		m.touch(l.Addr)
-		m.dirtyN[n] = true
+		m.listedByAddr[entry.Addr] = s
+		delete(m.tombstones, entry.Addr)
+		m.markTargetsDirty(entry.Addr)
+		m.dirtyServers[s] = true
 	}
-	m.settle(now)
+	m.applyDirty(now)
 }
 
-// ListBroken tells that the list can't be reached.
+// ListUnreachable records that the list can't be reached.
 func (m *Set) ListUnreachable(now time.Duration) {
-	before := m.speaks()
-	m.broken = min(m.broken, now)
-	m.turn(now, before)
+	before := m.listIsHeard()
+	m.unreachableSince = min(m.unreachableSince, now)
+	m.refreshSRVOnly(now, before)
 }
 
-// speaks reports whether the list can be heard.
-func (m *Set) speaks() bool { return m.heard && m.broken == never && !m.opt.NoList }
+// listIsHeard reports whether the list has been received and is reachable.
+func (m *Set) listIsHeard() bool {
+	return m.listHeard && m.unreachableSince == never && !m.options.NoList
+}
 
-// turn decides anew on what only SRV names, if that depends on the list's silence.
-func (m *Set) turn(now time.Duration, before bool) {
-	if !m.opt.SRVOnlyWhileListSilent || m.speaks() == before {
+// refreshSRVOnly decides again on servers that only SRV names, if they depend on the reachability
+// of
+// the list and that has changed.
+func (m *Set) refreshSRVOnly(now time.Duration, before bool) {
+	if !m.options.SRVOnlyWhileListSilent || m.listIsHeard() == before {
 		return
 	}
-	for _, n := range m.byNum {
-		if n.own {
-			m.dirtyN[n] = true
+	for _, s := range m.byNumber {
+		if s.srvOnly {
+			m.dirtyServers[s] = true
 		}
 	}
-	m.settle(now)
+	m.applyDirty(now)
 }
 
-// ListHeard tells that the list has been reached, if with nothing new.
+// ListReachable records that the list was reached, even without changes.
 func (m *Set) ListReachable(now time.Duration) {
-	before := m.speaks()
-	m.broken = never
-	m.turn(now, before)
-	m.dropLost(now)
+	before := m.listIsHeard()
+	m.unreachableSince = never
+	m.refreshSRVOnly(now, before)
+	m.dropLostSources(now)
 }
 
-// Lost tells that a name's answer has been stale for too long.
+// SourceLost records that a name's answer has been stale for too long.
 func (m *Set) SourceLost(now time.Duration, name string) {
 	m.SourceStale(now, name)
 	m.sources[name].lost = true
-	m.dropLost(now)
+	m.dropLostSources(now)
 }
 
-// dropLost gives up what only lost names have said, if there is a list to go by.
-func (m *Set) dropLost(now time.Duration) {
-	if m.opt.NoList || !m.heard || m.broken != never {
+// dropLostSources drops the targets of lost names if the list is reachable.
+func (m *Set) dropLostSources(now time.Duration) {
+	if m.options.NoList || !m.listHeard || m.unreachableSince != never {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.sources)) {
-		if s := m.sources[name]; s.lost && len(s.has) > 0 {
-			m.replace(now, name, s, nil, false, true)
+		if src := m.sources[name]; src.lost && len(src.targets) > 0 {
+			m.replaceTargets(now, name, src, nil, false, true)
 		}
 	}
 }
 
-// adopt gives a new server of the list the number of the one that SRV alone named
-// at its address: it is the same server.
-func (m *Set) adopt(n *node, addr string) {
-	for _, t := range m.together(addr) {
-		for _, o := range t.nodes {
-			if !o.own || n.num != 0 {
+// adoptNumber gives a new server of the list the number of the SRV-only server at its address: it
+// is
+// the same server.
+func (m *Set) adoptNumber(s *server, addr string) {
+	for _, t := range m.linkedTargets(addr) {
+		for _, o := range t.servers {
+			if !o.srvOnly || s.number != 0 {
 				continue
 			}
-			n.num, n.out, n.told, n.started = o.num, o.out, o.told, o.started
-			n.fails, n.dead, n.refused = o.fails, o.dead, o.refused
+			s.number, s.coreState, s.coreChange, s.startedAt = o.number, o.coreState, o.coreChange, o.startedAt
+			s.failures, s.dead, s.refusals = o.failures, o.dead, o.refusals
 			m.leaveTier(o)
-			m.byNum[n.num] = n
-			delete(m.ids, o.name)
-			delete(m.leaving, o)
-			delete(m.dirtyN, o)
-			t.nodes = slices.DeleteFunc(t.nodes, func(x *node) bool { return x == o })
+			m.byNumber[s.number] = s
+			delete(m.srvIDs, o.name)
+			delete(m.draining, o)
+			delete(m.dirtyServers, o)
+			t.servers = slices.DeleteFunc(t.servers, func(x *server) bool { return x == o })
 		}
 	}
-	if n.num == 0 {
-		m.number(n)
+	if s.number == 0 {
+		m.assignNumber(s)
 	}
 }
 
-func (m *Set) number(n *node) {
-	m.last++
-	n.num = m.last
-	m.byNum[n.num] = n
+// assignNumber gives a server the next number.
+func (m *Set) assignNumber(s *server) {
+	m.lastNumber++
+	s.number = m.lastNumber
+	m.byNumber[s.number] = s
 }
 
-// release gives up the address that a server of the list has had.
-func (m *Set) release(now time.Duration, n *node) {
-	if m.byAddr[n.addr] == n {
-		delete(m.byAddr, n.addr)
+// releaseAddress releases the address that a server of the list had.
+func (m *Set) releaseAddress(now time.Duration, s *server) {
+	if m.listedByAddr[s.addr] == s {
+		delete(m.listedByAddr, s.addr)
 		for _, o := range m.listed { // an older entry may have the address as well
-			if o != n && o.addr == n.addr && (m.byAddr[n.addr] == nil || o.name < m.byAddr[n.addr].name) {
-				m.byAddr[n.addr] = o
+			if o != s && o.addr == s.addr && (m.listedByAddr[s.addr] == nil || o.name < m.listedByAddr[s.addr].name) {
+				m.listedByAddr[s.addr] = o
 			}
 		}
-		if o := m.byAddr[n.addr]; o != nil {
-			m.dirtyN[o] = true
+		if o := m.listedByAddr[s.addr]; o != nil {
+			m.dirtyServers[o] = true
 		} else {
-			m.tomb(now, n.addr)
+			m.setTombstone(now, s.addr)
 		}
 	}
-	m.touch(n.addr)
+	m.markTargetsDirty(s.addr)
 }
 
-func (m *Set) unlist(now time.Duration, n *node) {
-	delete(m.listed, n.name)
-	n.gone, n.removed = true, true
-	m.release(now, n)
-	m.dirtyN[n] = true
+// removeListed removes a server of the list.
+func (m *Set) removeListed(now time.Duration, s *server) {
+	delete(m.listed, s.name)
+	s.gone, s.removedByList = true, true
+	m.releaseAddress(now, s)
+	m.dirtyServers[s] = true
 }
 
-// tomb keeps SRV from bringing back what the list has removed.
-func (m *Set) tomb(now time.Duration, addr string) {
-	m.tombs[addr] = never
-	if len(m.at[addr]) == 0 {
-		m.tombs[addr] = now + m.opt.RemovedHold
-		m.wake = min(m.wake, m.tombs[addr])
+// setTombstone prevents SRV from bringing back what the list has removed.
+func (m *Set) setTombstone(now time.Duration, addr string) {
+	m.tombstones[addr] = never
+	if len(m.targetsByAddr[addr]) == 0 {
+		m.tombstones[addr] = now + m.options.RemovedHold
+		m.nextWake = min(m.nextWake, m.tombstones[addr])
 	}
 }
 
-// together are the targets that share addresses with each other, beginning at some:
-// whatever their names, they lead to one server.
-func (m *Set) together(addrs ...string) (ts []*target) {
-	if len(addrs) == 1 && len(m.at[addrs[0]]) == 1 && len(m.at[addrs[0]][0].now.Addrs) == 1 {
-		return m.at[addrs[0]] // nearly always
+// linkedTargets returns the targets that are linked by shared addresses, starting from the given
+// ones: whatever their names, they lead to one server.
+func (m *Set) linkedTargets(addrs ...string) (found []*target) {
+	if len(addrs) == 1 && len(m.targetsByAddr[addrs[0]]) == 1 && len(m.targetsByAddr[addrs[0]][0].merged.Addrs) == 1 {
+		return m.targetsByAddr[addrs[0]] // the common case
 	}
 	seen := map[*target]bool{}
-	looked := map[string]bool{}
-	for todo := slices.Clone(addrs); len(todo) > 0; todo = todo[1:] {
-		if looked[todo[0]] {
+	visited := map[string]bool{}
+	for queue := slices.Clone(addrs); len(queue) > 0; queue = queue[1:] {
+		if visited[queue[0]] {
 			continue
 		}
-		looked[todo[0]] = true
-		for _, t := range m.at[todo[0]] {
+		visited[queue[0]] = true
+		for _, t := range m.targetsByAddr[queue[0]] {
 			if !seen[t] {
 				seen[t] = true
-				ts = append(ts, t)
-				todo = append(todo, t.now.Addrs...)
+				found = append(found, t)
+				queue = append(queue, t.merged.Addrs...)
 			}
 		}
 	}
-	return ts
+	return found
 }
 
-// touch marks all targets that lead to an address as to be placed anew.
-func (m *Set) touch(addr string) {
-	for _, t := range m.together(addr) {
-		m.dirtyT[t] = true
+// markTargetsDirty marks all targets that lead to an address to be placed again.
+func (m *Set) markTargetsDirty(addr string) {
+	for _, t := range m.linkedTargets(addr) {
+		m.dirtyTargets[t] = true
 	}
 }
 
-// Answer takes a whole answer of one SRV name. none: there is decidedly no
-// service, and not only no target.
-func (m *Set) ApplySRV(now time.Duration, name string, targets []Target, none bool) {
-	s := m.sources[name]
-	if s == nil {
-		s = &source{}
-		m.sources[name] = s
+// ApplySRV applies a full answer for one SRV name. none: there is authoritatively no service,
+// rather
+// than an answer without targets.
+func (m *Set) ApplySRV(now time.Duration, name string, targets []Target, noService bool) {
+	src := m.sources[name]
+	if src == nil {
+		src = &source{}
+		m.sources[name] = src
 	}
-	first := !s.answered
-	s.answered, s.lost, s.stale = true, false, never
-	has := make(map[targetKey]Target, len(targets))
+	firstAnswer := !src.answered
+	src.answered, src.lost, src.staleSince = true, false, never
+	byKey := make(map[targetKey]Target, len(targets))
 	for _, t := range targets {
 		k := targetKey{strings.ToLower(t.Name), t.Port}
-		if old, ok := has[k]; ok && old.Priority <= t.Priority {
+		if old, ok := byKey[k]; ok && old.Priority <= t.Priority {
 			continue
 		}
-		has[k] = t
+		byKey[k] = t
 	}
-	m.replace(now, name, s, has, first, none)
+	m.replaceTargets(now, name, src, byKey, firstAnswer, noService)
 }
 
-// Drop forgets a name that is no longer asked for. What it named drains; the
-// list's servers stay.
+// DropSource forgets a name that is no longer queried. Its targets drain; servers of the list
+// stay.
 func (m *Set) DropSource(now time.Duration, name string) {
-	if s := m.sources[name]; s != nil {
+	if src := m.sources[name]; src != nil {
 		delete(m.sources, name)
-		m.replace(now, name, s, nil, false, true)
+		m.replaceTargets(now, name, src, nil, false, true)
 	}
 }
 
-func (m *Set) replace(now time.Duration, name string, s *source, has map[targetKey]Target, first, none bool) {
+// replaceTargets replaces the targets of a source.
+func (m *Set) replaceTargets(now time.Duration, name string, src *source, targets map[targetKey]Target, firstAnswer, noService bool) {
 	var changed []targetKey
-	for k, old := range s.has {
-		if t, ok := has[k]; !ok || !same(t, old) {
+	for k, old := range src.targets {
+		if t, ok := targets[k]; !ok || !sameTarget(t, old) {
 			changed = append(changed, k)
 		}
 	}
-	for k := range has {
-		if _, ok := s.has[k]; !ok {
+	for k := range targets {
+		if _, ok := src.targets[k]; !ok {
 			changed = append(changed, k)
 		}
 	}
 	slices.SortFunc(changed, targetKey.compare)
-	s.has = has
+	src.targets = targets
 	for _, k := range changed {
 		t := m.targets[k]
 		if t == nil {
-			t = &target{key: k, said: map[string]Target{}, first: first}
+			t = &target{key: k, bySource: map[string]Target{}, fromFirstAnswer: firstAnswer}
 			m.targets[k] = t
 		}
-		if said, ok := has[k]; ok {
-			t.said[name] = said
+		if said, ok := targets[k]; ok {
+			t.bySource[name] = said
 		} else {
-			delete(t.said, name)
+			delete(t.bySource, name)
 		}
-		m.merge(now, t, none)
+		m.mergeTarget(now, t, noService)
 	}
-	m.settle(now)
+	m.applyDirty(now)
 }
 
 func (k targetKey) compare(o targetKey) int {
 	return cmp.Or(strings.Compare(k.name, o.name), cmp.Compare(k.port, o.port))
 }
 
-func same(a, b Target) bool {
+func sameTarget(a, b Target) bool {
 	return a.Priority == b.Priority && a.Weight == b.Weight && a.Zone == b.Zone && slices.Equal(a.Addrs, b.Addrs)
 }
 
-// Stale tells that a name's answer has outlived its time and can't be renewed.
+// SourceStale records that a name's answer has expired and can't be renewed.
 func (m *Set) SourceStale(now time.Duration, name string) {
-	s := m.sources[name]
-	if s == nil {
-		s = &source{stale: never}
-		m.sources[name] = s
+	src := m.sources[name]
+	if src == nil {
+		src = &source{staleSince: never}
+		m.sources[name] = src
 	}
-	s.stale = min(s.stale, now)
+	src.staleSince = min(src.staleSince, now)
 }
 
-// merge makes one target of what the sources say of it: the best priority counts,
-// and the addresses of all.
-func (m *Set) merge(now time.Duration, t *target, none bool) {
-	old := t.now.Addrs
-	t.now = Target{Name: t.key.name, Port: t.key.port}
-	for i, name := range slices.Sorted(maps.Keys(t.said)) {
-		s := t.said[name]
-		if i == 0 || s.Priority < t.now.Priority {
-			t.now.Priority, t.now.Weight, t.now.Zone = s.Priority, s.Weight, s.Zone
+// mergeTarget merges what the sources report of a target: its best priority and all addresses.
+func (m *Set) mergeTarget(now time.Duration, t *target, noService bool) {
+	previous := t.merged.Addrs
+	t.merged = Target{Name: t.key.name, Port: t.key.port}
+	for i, name := range slices.Sorted(maps.Keys(t.bySource)) {
+		s := t.bySource[name]
+		if i == 0 || s.Priority < t.merged.Priority {
+			t.merged.Priority, t.merged.Weight, t.merged.Zone = s.Priority, s.Weight, s.Zone
 		}
 		for _, a := range s.Addrs {
-			if !slices.Contains(t.now.Addrs, a) {
-				t.now.Addrs = append(t.now.Addrs, a)
+			if !slices.Contains(t.merged.Addrs, a) {
+				t.merged.Addrs = append(t.merged.Addrs, a)
 			}
 		}
 	}
-	for _, a := range old {
-		m.touch(a)
-		if !slices.Contains(t.now.Addrs, a) {
-			m.at[a] = slices.DeleteFunc(m.at[a], func(x *target) bool { return x == t })
-			if len(m.at[a]) == 0 {
-				delete(m.at, a)
-				if _, ok := m.tombs[a]; ok {
-					m.tomb(now, a)
+	for _, a := range previous {
+		m.markTargetsDirty(a)
+		if !slices.Contains(t.merged.Addrs, a) {
+			m.targetsByAddr[a] = slices.DeleteFunc(m.targetsByAddr[a], func(x *target) bool { return x == t })
+			if len(m.targetsByAddr[a]) == 0 {
+				delete(m.targetsByAddr, a)
+				if _, ok := m.tombstones[a]; ok {
+					m.setTombstone(now, a)
 				}
 			}
 		}
 	}
-	for _, a := range t.now.Addrs {
-		if !slices.Contains(old, a) {
-			m.at[a] = append(m.at[a], t)
-			if _, ok := m.tombs[a]; ok {
-				m.tombs[a] = never
+	for _, a := range t.merged.Addrs {
+		if !slices.Contains(previous, a) {
+			m.targetsByAddr[a] = append(m.targetsByAddr[a], t)
+			if _, ok := m.tombstones[a]; ok {
+				m.tombstones[a] = never
 			}
 		}
-		m.touch(a)
+		m.markTargetsDirty(a)
 	}
-	m.dirtyT[t] = true
-	if len(t.said) > 0 {
+	m.dirtyTargets[t] = true
+	if len(t.bySource) > 0 {
 		return
 	}
-	for _, n := range t.nodes {
-		if none && !n.own {
-			n.named = false
+	for _, s := range t.servers {
+		if noService && !s.srvOnly {
+			s.namedBySRV = false
 		}
-		m.detach(n, t)
+		m.detach(s, t)
 	}
-	t.nodes = nil
-	delete(m.dirtyT, t)
+	t.servers = nil
+	delete(m.dirtyTargets, t)
 	delete(m.targets, t.key)
 }
 
-func (m *Set) detach(n *node, t *target) {
-	delete(n.srv, t)
-	if n.own {
-		if n.gone = true; !n.moved {
-			delete(m.ids, n.name)
+// detach removes the link between a server and a target.
+func (m *Set) detach(s *server, t *target) {
+	delete(s.targets, t)
+	if s.srvOnly {
+		if s.gone = true; !s.nameTaken {
+			delete(m.srvIDs, s.name)
 		}
 	}
-	m.dirtyN[n] = true
+	m.dirtyServers[s] = true
 }
 
-// settle places the targets that have changed, and decides anew on the servers
-// that this touches.
-func (m *Set) settle(now time.Duration) {
-	for len(m.dirtyT) > 0 {
-		todo := slices.SortedFunc(maps.Keys(m.dirtyT), func(a, b *target) int { return a.key.compare(b.key) })
-		clear(m.dirtyT)
-		for _, t := range todo {
-			m.place(now, t)
+// applyDirty places the changed targets, and decides again on the affected servers.
+func (m *Set) applyDirty(now time.Duration) {
+	for len(m.dirtyTargets) > 0 {
+		targets := slices.SortedFunc(maps.Keys(m.dirtyTargets), func(a, b *target) int { return a.key.compare(b.key) })
+		clear(m.dirtyTargets)
+		for _, t := range targets {
+			m.placeTarget(now, t)
 		}
 	}
-	for n := range m.dirtyN {
-		m.count(n)
+	for s := range m.dirtyServers {
+		m.updateTier(s)
 	}
-	m.offer(now)
+	m.offerTiers(now)
 }
 
-// place finds the servers that a target stands for.
-func (m *Set) place(now time.Duration, t *target) {
-	var claimed []*node
-	blocked, double := false, false
-	for _, o := range m.together(t.now.Addrs...) {
-		double = double || o.key.compare(t.key) < 0
-		for _, a := range o.now.Addrs {
-			if n := m.byAddr[a]; n != nil && !slices.Contains(claimed, n) {
-				claimed = append(claimed, n)
+// placeTarget determines the servers that a target stands for.
+func (m *Set) placeTarget(now time.Duration, t *target) {
+	var claimed []*server
+	blocked, duplicate := false, false
+	for _, other := range m.linkedTargets(t.merged.Addrs...) {
+		duplicate = duplicate || other.key.compare(t.key) < 0
+		for _, a := range other.merged.Addrs {
+			if s := m.listedByAddr[a]; s != nil && !slices.Contains(claimed, s) {
+				claimed = append(claimed, s)
 			}
-			if _, ok := m.tombs[a]; ok {
+			if _, ok := m.tombstones[a]; ok {
 				blocked = true
 			}
 		}
@@ -580,372 +589,378 @@
 		m.attach(t, claimed)
 	case blocked:
 		m.stats.Blocked++
-		t.first = false                 // should it ever be back, it is a new one
-		for _, a := range t.now.Addrs { // they all lead to what has been removed
-			if _, ok := m.tombs[a]; !ok {
-				m.tombs[a] = never
-				m.touch(a)
+		t.fromFirstAnswer = false          // if it ever comes back, it is a new server
+		for _, a := range t.merged.Addrs { // they all lead to the removed server
+			if _, ok := m.tombstones[a]; !ok {
+				m.tombstones[a] = never
+				m.markTargetsDirty(a)
 			}
 		}
-		for _, n := range t.nodes {
-			n.removed = true
+		for _, s := range t.servers {
+			s.removedByList = true
 		}
 		m.attach(t, nil)
-	case double || len(t.now.Addrs) == 0:
-		if double {
+	case duplicate || len(t.merged.Addrs) == 0:
+		if duplicate {
 			m.stats.Duplicates++
 		}
 		m.attach(t, nil)
 	default:
-		m.attach(t, []*node{m.own(now, t)})
+		m.attach(t, []*server{m.srvOnlyServer(now, t)})
 	}
 }
 
-// own is the server of a target that only SRV names.
-func (m *Set) own(now time.Duration, t *target) *node {
-	for _, n := range t.nodes {
-		if !n.own {
+// srvOnlyServer returns the server of a target that only SRV names.
+func (m *Set) srvOnlyServer(now time.Duration, t *target) *server {
+	for _, s := range t.servers {
+		if !s.srvOnly {
 			continue
 		}
-		if slices.Contains(t.now.Addrs, n.addr) {
-			n.meta = t.now
-			return n
+		if slices.Contains(t.merged.Addrs, s.addr) {
+			s.target = t.merged
+			return s
 		}
-		if slices.ContainsFunc(n.meta.Addrs, func(a string) bool { return slices.Contains(t.now.Addrs, a) }) {
-			n.addr, n.meta = t.now.Addrs[0], t.now // another way to the same one
+		if slices.ContainsFunc(s.target.Addrs, func(a string) bool { return slices.Contains(t.merged.Addrs, a) }) {
+			s.addr, s.target = t.merged.Addrs[0], t.merged // another address of the same server
 			m.stats.Moved++
-			return n
+			return s
 		}
-		delete(m.ids, n.name) // it is elsewhere: another one has its name from now on
-		n.moved, t.first = true, false
+		delete(m.srvIDs, s.name) // it has moved: another server gets its name
+		s.nameTaken, t.fromFirstAnswer = true, false
 	}
-	n := &node{own: true, srv: map[*target]bool{}, addr: t.now.Addrs[0], meta: t.now, out: choice.Down}
-	if !t.first {
-		n.started = now
+	s := &server{srvOnly: true, targets: map[*target]bool{}, addr: t.merged.Addrs[0], target: t.merged, coreState: choice.Down}
+	if !t.fromFirstAnswer {
+		s.startedAt = now
 	}
-	t.first = false // from then on whatever it comes back as is new
-	n.name = m.id(t.key)
-	m.ids[n.name] = t.key
-	m.number(n)
-	return n
+	t.fromFirstAnswer = false // if it comes back later, it is a new server
+	s.name = m.srvID(t.key)
+	m.srvIDs[s.name] = t.key
+	m.assignNumber(s)
+	return s
 }
 
-// id names a server that only SRV names: equal at all gateways, and after a
-// restart. Of two targets with one hash the later name carries itself as well.
-func (m *Set) id(k targetKey) string {
+// srvID names a server that only SRV names: equally at all gateways and after restarts. Of two
+// targets with the same hash, the one that comes later gets its name and port appended.
+func (m *Set) srvID(k targetKey) string {
 	text := fmt.Sprintf("%s:%d", k.name, k.port)
 	id := fmt.Sprintf("srv-%016x", m.hash(text))
-	if other, ok := m.ids[id]; ok && other != k {
+	if other, ok := m.srvIDs[id]; ok && other != k {
 		id += "-" + text
 	}
 	return id
 }
 
-func (m *Set) attach(t *target, nodes []*node) {
-	for _, n := range t.nodes {
-		if !slices.Contains(nodes, n) {
-			m.detach(n, t)
+// attach sets the servers that a target stands for.
+func (m *Set) attach(t *target, servers []*server) {
+	for _, s := range t.servers {
+		if !slices.Contains(servers, s) {
+			m.detach(s, t)
 		}
 	}
-	for _, n := range nodes {
-		n.srv[t], n.named = true, true
-		m.dirtyN[n] = true
+	for _, s := range servers {
+		s.targets[t], s.namedBySRV = true, true
+		m.dirtyServers[s] = true
 	}
-	t.nodes = nodes
+	t.servers = servers
 }
 
-// usable tells whether all who have named a server still do.
-func (m *Set) usable(n *node) bool {
-	if n.gone {
+// isUsable reports whether no source that named a server has withdrawn it.
+func (m *Set) isUsable(s *server) bool {
+	if s.gone {
 		return false
 	}
-	if n.own {
-		return !m.opt.SRVOnlyWhileListSilent || !m.speaks()
+	if s.srvOnly {
+		return !m.options.SRVOnlyWhileListSilent || !m.listIsHeard()
 	}
-	return n.list.State == choice.Up && m.byAddr[n.addr] == n &&
-		(len(n.srv) > 0 || !n.named || m.opt.ListOverridesSRV)
+	return s.listEntry.State == choice.Up && m.listedByAddr[s.addr] == s &&
+		(len(s.targets) > 0 || !s.namedBySRV || m.options.ListOverridesSRV)
 }
 
-func (m *Set) priority(n *node) uint16 {
-	if n.own {
-		return n.meta.Priority
+// priorityOf returns the best priority of a server.
+func (m *Set) priorityOf(s *server) uint16 {
+	if s.srvOnly {
+		return s.target.Priority
 	}
-	best, any := m.opt.ListPriority, false
-	for t := range n.srv {
-		if p := t.now.Priority; !any || p < best {
-			best, any = p, true
+	best, found := m.options.ListPriority, false
+	for t := range s.targets {
+		if p := t.merged.Priority; !found || p < best {
+			best, found = p, true
 		}
 	}
 	return best
 }
 
-// count puts a server into its tier, and notes whether it lives.
-func (m *Set) count(n *node) {
-	p := m.priority(n)
-	in := !n.gone && (n.own && m.usable(n) || !n.own && (len(n.srv) > 0 || !n.named || m.opt.ListOverridesSRV))
-	if n.tier != nil && (!in || n.tier.priority != p) {
-		m.leaveTier(n)
+// updateTier puts a server into its tier, and counts whether it is alive.
+func (m *Set) updateTier(s *server) {
+	priority := m.priorityOf(s)
+	counted := !s.gone && (s.srvOnly && m.isUsable(s) || !s.srvOnly && (len(s.targets) > 0 || !s.namedBySRV || m.options.ListOverridesSRV))
+	if s.tier != nil && (!counted || s.tier.priority != priority) {
+		m.leaveTier(s)
 	}
-	if in && n.tier == nil {
-		t := m.tiers[p]
+	if counted && s.tier == nil {
+		t := m.tiers[priority]
 		if t == nil {
-			t = &tier{priority: p, nodes: map[*node]bool{}}
-			m.tiers[p] = t
+			t = &tier{priority: priority, servers: map[*server]bool{}}
+			m.tiers[priority] = t
 		}
 		t.size++
-		t.nodes[n] = true
-		n.tier = t
+		t.servers[s] = true
+		s.tier = t
 	}
-	if n.tier == nil {
+	if s.tier == nil {
 		return
 	}
-	if live := m.usable(n) && !n.dead; live != n.live {
-		if n.live = live; live {
-			n.tier.live++
+	if live := m.isUsable(s) && !s.dead; live != s.live {
+		if s.live = live; live {
+			s.tier.live++
 		} else {
-			n.tier.live--
+			s.tier.live--
 		}
 	}
 }
 
-func (m *Set) leaveTier(n *node) {
-	t := n.tier
+func (m *Set) leaveTier(s *server) {
+	t := s.tier
 	if t == nil {
 		return
 	}
 	t.size--
-	if n.live {
+	if s.live {
 		t.live--
 	}
-	delete(t.nodes, n)
-	if n.tier, n.live = nil, false; t.size == 0 {
+	delete(t.servers, s)
+	if s.tier, s.live = nil, false; t.size == 0 {
 		delete(m.tiers, t.priority)
 	}
 }
 
-// reach is the last tier needed so that a share of the first one's size lives.
-func (m *Set) reach(order []uint16, share float64) uint16 {
-	need, live := share*float64(m.tiers[order[0]].size), 0
+// lastNeededTier returns the first tier by which the given share of the first tier's size is
+// alive.
+func (m *Set) lastNeededTier(order []uint16, share float64) uint16 {
+	needed, live := share*float64(m.tiers[order[0]].size), 0
 	for _, p := range order {
-		if live += m.tiers[p].live; float64(live) >= need-1e-9 {
+		if live += m.tiers[p].live; float64(live) >= needed-1e-9 {
 			return p
 		}
 	}
 	return order[len(order)-1]
 }
 
-// offer decides which tiers take part.
-func (m *Set) offer(now time.Duration) {
-	before, had := m.upTo, m.any
+// offerTiers decides which tiers are offered.
+func (m *Set) offerTiers(now time.Duration) {
+	before, offeredBefore := m.lastOfferedPriority, m.tiersOffered
 	if len(m.tiers) == 0 {
-		m.any, m.leaveAt = false, 0
+		m.tiersOffered, m.tierLeaveAt = false, 0
 	} else {
 		order := slices.Sorted(maps.Keys(m.tiers))
-		join := m.reach(order, m.opt.TierJoinBelow)
-		stay := max(join, m.reach(order, max(m.opt.TierLeaveAbove, m.opt.TierJoinBelow)))
+		join := m.lastNeededTier(order, m.options.TierJoinBelow)
+		stay := max(join, m.lastNeededTier(order, max(m.options.TierLeaveAbove, m.options.TierJoinBelow)))
 		switch {
-		case !m.any || join > m.upTo:
-			if m.any {
+		case !m.tiersOffered || join > m.lastOfferedPriority:
+			if m.tiersOffered {
 				m.stats.Joins++
 			}
-			m.any, m.upTo, m.leaveAt = true, join, 0
-		case m.tierAbove(order, stay) == 0:
-			m.leaveAt = 0
-			m.upTo = max(stay, order[0])
-		case m.leaveAt == 0:
-			m.leaveAt = now + m.opt.TierLeaveHold
-			m.wake = min(m.wake, m.leaveAt)
-		case now >= m.leaveAt:
-			m.upTo, m.leaveAt = stay, 0
+			m.tiersOffered, m.lastOfferedPriority, m.tierLeaveAt = true, join, 0
+		case m.countSurplusTiers(order, stay) == 0:
+			m.tierLeaveAt = 0
+			m.lastOfferedPriority = max(stay, order[0])
+		case m.tierLeaveAt == 0:
+			m.tierLeaveAt = now + m.options.TierLeaveHold
+			m.nextWake = min(m.nextWake, m.tierLeaveAt)
+		case now >= m.tierLeaveAt:
+			m.lastOfferedPriority, m.tierLeaveAt = stay, 0
 			m.stats.Leaves++
 		}
 	}
-	if m.any == had && m.upTo == before {
+	if m.tiersOffered == offeredBefore && m.lastOfferedPriority == before {
 		return
 	}
-	lo, hi := min(m.upTo, before), max(m.upTo, before)
+	lo, hi := min(m.lastOfferedPriority, before), max(m.lastOfferedPriority, before)
 	for p, t := range m.tiers {
-		if m.any != had || p > lo && p <= hi {
-			for n := range t.nodes {
-				if p > m.upTo { // what it is like is not known once nothing goes there
-					n.dead, n.fails, n.refused = false, 0, 0
-					m.count(n)
+		if m.tiersOffered != offeredBefore || p > lo && p <= hi {
+			for s := range t.servers {
+				if p > m.lastOfferedPriority { // without requests its health is not known
+					s.dead, s.failures, s.refusals = false, 0, 0
+					m.updateTier(s)
 				}
-				m.dirtyN[n] = true
+				m.dirtyServers[s] = true
 			}
 		}
 	}
 }
 
-// tierAbove counts the tiers that are offered and not needed.
-func (m *Set) tierAbove(order []uint16, stay uint16) (n int) {
+// countSurplusTiers returns the number of tiers that are offered but not needed.
+func (m *Set) countSurplusTiers(order []uint16, stay uint16) (n int) {
 	for _, p := range order {
-		if p > stay && p <= m.upTo {
+		if p > stay && p <= m.lastOfferedPriority {
 			n++
 		}
 	}
 	return n
 }
 
-// Outcome tells whether a server has answered an attempt or a probe. refused: no
-// connection came up. died: the sources should be asked anew.
-func (m *Set) RecordOutcome(now time.Duration, num uint32, ok, refused bool) (died bool) {
-	n := m.byNum[num]
-	if n == nil || n.gone {
+// RecordOutcome records whether a server has answered an attempt or a probe. refused: no
+// connection
+// was established. It reports whether the server is now dead, so that the sources should be
+// queried
+// again.
+func (m *Set) RecordOutcome(now time.Duration, number uint32, ok, refused bool) (died bool) {
+	s := m.byNumber[number]
+	if s == nil || s.gone {
 		return false
 	}
 	if ok {
-		if n.fails, n.refused = 0, 0; n.dead {
-			n.dead = false
-			m.dirtyN[n] = true
-			m.settle(now)
+		if s.failures, s.refusals = 0, 0; s.dead {
+			s.dead = false
+			m.dirtyServers[s] = true
+			m.applyDirty(now)
 		}
 		return false
 	}
-	n.fails++
-	if n.refused++; !refused {
-		n.refused = 0
+	s.failures++
+	if s.refusals++; !refused {
+		s.refusals = 0
 	}
-	if n.refused >= 2 && n.own && len(n.meta.Addrs) > 1 {
-		i := slices.Index(n.meta.Addrs, n.addr)
-		n.addr, n.refused = n.meta.Addrs[(i+1)%len(n.meta.Addrs)], 0
+	if s.refusals >= 2 && s.srvOnly && len(s.target.Addrs) > 1 {
+		i := slices.Index(s.target.Addrs, s.addr)
+		s.addr, s.refusals = s.target.Addrs[(i+1)%len(s.target.Addrs)], 0
 		m.stats.Moved++
-		m.dirtyN[n] = true
+		m.dirtyServers[s] = true
 	}
-	if n.fails >= m.opt.DeadAfterFailures && !n.dead {
-		n.dead, died = true, true
-		m.dirtyN[n] = true
+	if s.failures >= m.options.DeadAfterFailures && !s.dead {
+		s.dead, died = true, true
+		m.dirtyServers[s] = true
 	}
-	if len(m.dirtyN) > 0 {
-		m.settle(now)
+	if len(m.dirtyServers) > 0 {
+		m.applyDirty(now)
 	}
 	return died
 }
 
-// Tick does what is due. Next tells when that will be.
+// Tick does what is due. NextTick returns when that will be.
 func (m *Set) Tick(now time.Duration) {
-	if now < m.wake {
+	if now < m.nextWake {
 		return
 	}
-	m.wake = never
-	for _, a := range slices.Sorted(maps.Keys(m.tombs)) {
-		if at := m.tombs[a]; at <= now {
-			delete(m.tombs, a)
-			m.touch(a)
+	m.nextWake = never
+	for _, a := range slices.Sorted(maps.Keys(m.tombstones)) {
+		if at := m.tombstones[a]; at <= now {
+			delete(m.tombstones, a)
+			m.markTargetsDirty(a)
 		} else {
-			m.wake = min(m.wake, at)
+			m.nextWake = min(m.nextWake, at)
 		}
 	}
-	for n := range m.leaving {
-		if m.wake = min(m.wake, n.forgetAt); n.forgetAt <= now {
-			m.dirtyN[n] = true
+	for n := range m.draining {
+		if m.nextWake = min(m.nextWake, n.forgetAt); n.forgetAt <= now {
+			m.dirtyServers[n] = true
 		}
 	}
-	if m.leaveAt > 0 {
-		m.wake = min(m.wake, m.leaveAt)
+	if m.tierLeaveAt > 0 {
+		m.nextWake = min(m.nextWake, m.tierLeaveAt)
 	}
-	m.settle(now)
+	m.applyDirty(now)
 }
 
-// Next is when Tick has something to do; false: nothing is to come.
-func (m *Set) NextTick() (time.Duration, bool) { return m.wake, m.wake != never }
+// NextTick returns when Tick has something to do; false: nothing is scheduled.
+func (m *Set) NextTick() (time.Duration, bool) { return m.nextWake, m.nextWake != never }
 
-// Take returns what has changed for the core since the last call, in order of
-// number.
+// TakeChanges returns the changes for the core since the last call, ordered by number.
 func (m *Set) TakeChanges(now time.Duration) []Change {
-	if len(m.dirtyN) == 0 {
+	if len(m.dirtyServers) == 0 {
 		return nil
 	}
 	var out []Change
-	for _, n := range slices.SortedFunc(maps.Keys(m.dirtyN), func(a, b *node) int { return cmp.Compare(a.num, b.num) }) {
-		if c, ok := m.decide(now, n); ok {
+	for _, s := range slices.SortedFunc(maps.Keys(m.dirtyServers), func(a, b *server) int { return cmp.Compare(a.number, b.number) }) {
+		if c, ok := m.decideState(now, s); ok {
 			out = append(out, c)
 		}
 	}
-	clear(m.dirtyN)
+	clear(m.dirtyServers)
 	return out
 }
 
-// decide is what the core has to be told of a server.
-func (m *Set) decide(now time.Duration, n *node) (Change, bool) {
+// decideState determines a server's state, and reports whether the core has to be told.
+func (m *Set) decideState(now time.Duration, s *server) (Change, bool) {
 	want := choice.Down
 	switch {
-	case m.usable(n) && n.tier != nil && n.tier.priority <= m.upTo:
+	case m.isUsable(s) && s.tier != nil && s.tier.priority <= m.lastOfferedPriority:
 		want = choice.Up
-	case n.out == choice.Down || n.removed:
-	case n.out == choice.Draining && now >= n.forgetAt && n.forgetAt > 0:
+	case s.coreState == choice.Down || s.removedByList:
+	case s.coreState == choice.Draining && now >= s.forgetAt && s.forgetAt > 0:
 	default:
 		want = choice.Draining
 	}
-	was := n.out
-	n.out = want
+	previous := s.coreState
+	s.coreState = want
 	switch want {
 	case choice.Up:
-		delete(m.leaving, n)
+		delete(m.draining, s)
 	case choice.Draining:
-		if was != choice.Draining {
-			n.forgetAt = now + m.opt.DrainFor
-			m.leaving[n] = true
-			m.wake = min(m.wake, n.forgetAt)
+		if previous != choice.Draining {
+			s.forgetAt = now + m.options.DrainFor
+			m.draining[s] = true
+			m.nextWake = min(m.nextWake, s.forgetAt)
 		}
 	case choice.Down:
-		delete(m.leaving, n)
-		if n.gone {
-			m.leaveTier(n)
-			delete(m.byNum, n.num)
+		delete(m.draining, s)
+		if s.gone {
+			m.leaveTier(s)
+			delete(m.byNumber, s.number)
 		}
-		if was == choice.Down {
+		if previous == choice.Down {
 			return Change{}, false
 		}
 	}
-	c := m.member(n)
-	if c.State = want; c == n.told {
+	c := m.newChange(s)
+	if c.State = want; c == s.coreChange {
 		return c, false
 	}
-	n.told = c
+	s.coreChange = c
 	return c, true
 }
 
-func (m *Set) member(n *node) Change {
-	c := Change{Addr: n.addr, Name: n.name}
-	if n.list != nil {
-		c.Member = n.list.Member
-		c.Started = max(c.Started, n.started)
+// newChange returns a server as told to the core.
+func (m *Set) newChange(s *server) Change {
+	c := Change{Addr: s.addr, Name: s.name}
+	if s.listEntry != nil {
+		c.Member = s.listEntry.Member
+		c.Started = max(c.Started, s.startedAt)
 	} else {
-		c.Weight, c.Zone, c.Started = n.meta.Weight, n.meta.Zone, n.started
+		c.Weight, c.Zone, c.Started = s.target.Weight, s.target.Zone, s.startedAt
 	}
-	c.ID = n.num
+	c.ID = s.number
 	return c
 }
 
-// Saved reports whether nobody has spoken since the start.
+// OnlySavedList reports whether no source has been heard since the start.
 func (m *Set) OnlySavedList() bool {
 	for _, s := range m.sources {
 		if s.answered {
 			return false
 		}
 	}
-	return !m.heard
+	return !m.listHeard
 }
 
-// Trusted reports whether a source has been heard within Keep.
+// Trusted reports whether a source has been heard within TrustFor.
 func (m *Set) Trusted(now time.Duration) bool {
-	silent := m.broken
-	if m.opt.NoList {
+	silent := m.unreachableSince
+	if m.options.NoList {
 		silent = 0
 	}
 	for _, s := range m.sources {
-		silent = max(silent, s.stale)
+		silent = max(silent, s.staleSince)
 	}
-	return silent == never || now < silent+m.opt.TrustFor
+	return silent == never || now < silent+m.options.TrustFor
 }
 
-// Stats tells the totals.
+// Stats returns the totals.
 func (m *Set) Stats() Stats {
 	s := m.stats
-	s.Nodes, s.Tombstones, s.Tiers = len(m.byNum), len(m.tombs), len(m.tiers)
-	for _, n := range m.byNum {
-		if n.out == choice.Up {
+	s.Nodes, s.Tombstones, s.Tiers = len(m.byNumber), len(m.tombstones), len(m.tiers)
+	for _, n := range m.byNumber {
+		if n.coreState == choice.Up {
 			s.Offered++
 		}
 		if n.dead {
@@ -953,7 +968,7 @@
 		}
 	}
 	for p := range m.tiers {
-		if m.any && p <= m.upTo {
+		if m.tiersOffered && p <= m.lastOfferedPriority {
 			s.OfferedTiers++
 		}
 	}
--- a/internal/serverset/serverset_test.go
+++ b/internal/serverset/serverset_test.go
@@ -15,7 +15,7 @@
 var options = Options{RemovedHold: time.Minute, DrainFor: 10 * time.Second, TrustFor: 5 * time.Minute, TierJoinBelow: 0.7,
 	TierLeaveAbove: 0.9, TierLeaveHold: 10 * time.Second, DeadAfterFailures: 3}
 
-// world is a membership and the core's view of it.
+// world is a set and the core's view of it.
 type world struct {
 	*Set
 	now  time.Duration
@@ -26,8 +26,8 @@
 	return &world{Set: New(opt), now: 1000 * time.Second, core: map[uint32]Change{}}
 }
 
-// pass lets time go on, and brings the core up to date.
-func (w *world) pass(d time.Duration) {
+// advance lets time pass, and updates the core's view.
+func (w *world) advance(d time.Duration) {
 	for end := w.now + d; ; {
 		at, ok := w.NextTick()
 		if !ok || at > end {
@@ -36,12 +36,12 @@
 		}
 		w.now = max(w.now, at)
 		w.Tick(w.now)
-		w.take()
+		w.syncCore()
 	}
-	w.take()
+	w.syncCore()
 }
 
-func (w *world) take() {
+func (w *world) syncCore() {
 	for _, c := range w.TakeChanges(w.now) {
 		if c.State == choice.Down {
 			delete(w.core, c.ID)
@@ -51,8 +51,8 @@
 	}
 }
 
-// view is what the core may use, in order of address: "addr", with "!" where it
-// counts as just started, "~" where it drains.
+// view returns what the core may use, ordered by address: "addr", with "!" if it counts as just
+// started, and "~" if it drains.
 func (w *world) view() string {
 	var s []string
 	for _, c := range w.core {
@@ -68,8 +68,8 @@
 	return strings.Join(s, " ")
 }
 
-// said is "name=addr,addr/priority".
-func said(text string) Target {
+// parseTarget parses "name=addr,addr/priority".
+func parseTarget(text string) Target {
 	name, rest, _ := strings.Cut(text, "=")
 	addrs, priority, _ := strings.Cut(rest, "/")
 	t := Target{Name: name, Port: 1, Weight: 1}
@@ -80,7 +80,7 @@
 	return t
 }
 
-// step plays one line: what a source says, or what happens.
+// step executes one line: a report of a source, or an event.
 func (w *world) step(line string) {
 	words := strings.Fields(line)
 	switch verb, args := words[0], words[1:]; verb {
@@ -91,7 +91,7 @@
 		}
 		var list []Target
 		for _, a := range args {
-			list = append(list, said(a))
+			list = append(list, parseTarget(a))
 		}
 		w.ApplySRV(w.now, name, list, verb == "none")
 	case "list", "news", "saved": // id=addr, with ~ for draining, - for removed
@@ -118,7 +118,7 @@
 					w.RecordOutcome(w.now, c.ID, verb == "ok", verb == "refuse")
 				}
 			}
-			w.take()
+			w.syncCore()
 		}
 	case "stale":
 		w.SourceStale(w.now, "a.")
@@ -135,24 +135,25 @@
 		if err != nil {
 			panic(err)
 		}
-		w.pass(d)
+		w.advance(d)
 	default:
 		panic(line)
 	}
-	w.take()
+	w.syncCore()
 }
 
-// The rule's table: lines, and after "->" what the core may use then.
+// TestRule checks the merge rule. Each script has lines, and after "->" what the core may use
+// then.
 func TestRule(t *testing.T) {
 	for name, script := range map[string]string{
 		"only SRV, first answer":               `srv a=1 b=2 -> 1 2`,
 		"only SRV, later answer":               `srv a=1; srv a=1 b=2 -> 1 2!`,
 		"only the list":                        `list s=1 t=2~ -> 1`,
-		"both are one":                         `list s=1; srv a=1 -> 1`,
-		"both are one, SRV first":              `srv a=1; list s=1 -> 1; ; news s=1~ -> 1~`,
+		"list and SRV name one server":         `list s=1; srv a=1 -> 1`,
+		"the same, SRV first":                  `srv a=1; list s=1 -> 1; ; news s=1~ -> 1~`,
 		"the list drains, SRV repeats":         `srv a=1 b=2; list s=1 t=2; news s=1~ -> 1~ 2; srv a=1 b=2; srv a=1 b=2 -> 1~ 2; wait 1h; srv a=1 b=2 -> 2`,
 		"the list drains what SRV says first":  `srv a=1; list s=1~ -> 1~`,
-		"and up again":                         `srv a=1; list s=1~; news s=1 -> 1`,
+		"drained, then up again":               `srv a=1; list s=1~; news s=1 -> 1`,
 		"the list removes, SRV repeats":        `srv a=1 b=2; list s=1; news s=1- -> 2; srv a=1 b=2 -> 2; wait 1h; srv a=1 b=2 -> 2`,
 		"left out of a whole list":             `srv a=1 b=2; list s=1 t=2; list t=2 -> 2; srv a=1 b=2 -> 2`,
 		"removed, and named again":             `srv a=1; list s=1; news s=1- ->; news u=1 -> 1`,
@@ -165,19 +166,19 @@
 		"saved after the list":                 `list s=1; saved t=2 -> 1`,
 		"SRV withdraws":                        `srv a=1 b=2; srv b=2 -> 1~ 2; wait 11s -> 2`,
 		"SRV withdraws what the list names":    `srv a=1 b=2; list s=1 t=2; srv b=2 -> 1~ 2; list s=1 t=2 -> 1~ 2; srv a=1 b=2 -> 1 2`,
-		"SRV never named it":                   `list s=1 t=2; srv a=1; srv a=1 -> 1 2`,
-		"decidedly no service":                 `srv a=1 b=2; list s=1; none -> 1 2~`,
+		"listed, never named by SRV":           `list s=1 t=2; srv a=1; srv a=1 -> 1 2`,
+		"authoritatively no service":           `srv a=1 b=2; list s=1; none -> 1 2~`,
 		"SRV moves a target":                   `srv a=1; srv a=2 -> 1~ 2!; wait 11s -> 2!`,
 		"an address moves to a new target":     `srv a=1; srv b=1 -> 1! 1~; wait 11s -> 1!`,
-		"a second way stays the same server":   `srv a=1,2 -> 1; srv a=2,3 -> 2`,
-		"another way after two refusals":       `srv a=1,2; refuse 1 -> 1; refuse 1 -> 2; refuse 2 2 -> 1`,
-		"a drain holds all ways":               `srv a=1,2; list s=2~ -> 2~; list s=2 -> 2`,
-		"a removal holds all ways":             `srv a=1,2; list s=2; news s=2- ->; srv a=1 ->`,
+		"a second address, same server":        `srv a=1,2 -> 1; srv a=2,3 -> 2`,
+		"another address after two refusals":   `srv a=1,2; refuse 1 -> 1; refuse 1 -> 2; refuse 2 2 -> 1`,
+		"a drain applies to all addresses":     `srv a=1,2; list s=2~ -> 2~; list s=2 -> 2`,
+		"a removal applies to all addresses":   `srv a=1,2; list s=2; news s=2- ->; srv a=1 ->`,
 		"an address of two targets":            `srv a=1 b=1 -> 1; srv b=1 -> 1 1~`,
 		"no address yet":                       `srv a= b=2 -> 2; srv a=1 b=2 -> 1 2`,
-		"stale stands":                         `srv a=1; stale; wait 1h -> 1`,
-		"lost without a list stands":           `srv a=1; lost; wait 1h -> 1`,
-		"lost beside a list":                   `list s=1; srv a=1 b=2; lost -> 1 2~`,
+		"stale answers stay":                   `srv a=1; stale; wait 1h -> 1`,
+		"lost without a list stays":            `srv a=1; lost; wait 1h -> 1`,
+		"lost with a list":                     `list s=1; srv a=1 b=2; lost -> 1 2~`,
 		"lost, then the list":                  `list s=1; broken; srv a=1 b=2; lost -> 1 2; heard -> 1 2~`,
 		"dropped name":                         `list s=1; srv a=1 b=2; srv2 c=3; drop -> 1 2~ 3`,
 		"two names, one target":                `srv a=1; srv2 a=1 b=2; drop -> 1 2`,
@@ -186,9 +187,9 @@
 		"new id before the old one goes":       `list s=1; news t=1; news s=1- -> 1`,
 		"lower tier only where needed":         `srv a=1/0 b=2/0 c=3/1 -> 1 2`,
 		"the next tier joins":                  `srv a=1/0 b=2/0 c=3/1; fail 1 2 -> 1 2; fail 1 -> 1 2 3`,
-		"and leaves":                           `srv a=1/0 b=2/0 c=3/1; fail 1 3; ok 1 -> 1 2 3; wait 9s -> 1 2 3; wait 2s -> 1 2 3~; wait 11s -> 1 2`,
-		"and stays while it is needed":         `srv a=1/0 b=2/0 c=3/1; fail 1 3; ok 1; wait 9s; fail 1 3; wait 9s; ok 1; wait 9s -> 1 2 3`,
-		"a drained tier is no live one":        `srv a=1/0 b=2/0 c=3/1; list s=1~ t=2~ -> 1~ 2~ 3`,
+		"the next tier leaves":                 `srv a=1/0 b=2/0 c=3/1; fail 1 3; ok 1 -> 1 2 3; wait 9s -> 1 2 3; wait 2s -> 1 2 3~; wait 11s -> 1 2`,
+		"the next tier stays while needed":     `srv a=1/0 b=2/0 c=3/1; fail 1 3; ok 1; wait 9s; fail 1 3; wait 9s; ok 1; wait 9s -> 1 2 3`,
+		"a drained tier is not alive":          `srv a=1/0 b=2/0 c=3/1; list s=1~ t=2~ -> 1~ 2~ 3`,
 		"a tier lost and back":                 `srv a=1/0 b=2/1; srv b=2/1 -> 1~ 2; srv a=1/0 b=2/1 -> 1! 1~ 2; wait 11s -> 1! 2~; wait 11s -> 1!`,
 		"three tiers":                          `srv a=1/0 b=2/1 c=3/2; fail 1 3 -> 1 2; fail 2 3 -> 1 2 3`,
 		"a priority changes":                   `srv a=1/0 b=2/0; srv a=1/0 b=2/1 -> 1 2~; wait 11s -> 1`,
@@ -207,24 +208,25 @@
 	}
 }
 
-// A server that SRV named keeps its number once the list names it: the module goes
-// on with what it has learnt. One that is elsewhere does not.
+// TestNumbers checks that a server named by SRV keeps its number once the list names it, so that
+// the
+// decision module keeps what it has learned. A server that has moved gets another number.
 func TestNumbers(t *testing.T) {
 	w := newWorld(options)
 	w.step("srv a=1 b=2")
-	before := byAddr(w)
+	before := coreByAddr(w)
 	w.step("list s=1")
-	after := byAddr(w)
+	after := coreByAddr(w)
 	if before["1"].ID != after["1"].ID || after["1"].Name != "s" || after["1"].Zone != "z" {
 		t.Error(before, after)
 	}
 	w.step("srv a=1 b=3")
-	if moved := byAddr(w); moved["3"].ID == before["2"].ID || moved["3"].Name != before["2"].Name {
-		t.Error("a server elsewhere:", moved["3"], before["2"])
+	if moved := coreByAddr(w); moved["3"].ID == before["2"].ID || moved["3"].Name != before["2"].Name {
+		t.Error("a moved server:", moved["3"], before["2"])
 	}
 }
 
-func byAddr(w *world) map[string]Change {
+func coreByAddr(w *world) map[string]Change {
 	m := map[string]Change{}
 	for _, c := range w.core {
 		m[c.Addr] = c
@@ -232,8 +234,8 @@
 	return m
 }
 
-// Names of servers that only SRV names are equal everywhere, and after a restart;
-// two targets with one hash keep two names, whichever comes first.
+// TestNames checks that names of servers that only SRV names are equal everywhere and after
+// restarts. Two targets with the same hash get different names, whichever comes first.
 func TestNames(t *testing.T) {
 	names := func(srv ...string) (s []string) {
 		w := newWorld(options)
@@ -289,7 +291,7 @@
 	}
 }
 
-func TestKeepListed(t *testing.T) {
+func TestListOverridesSRV(t *testing.T) {
 	opt := options
 	opt.ListOverridesSRV = true
 	w := newWorld(opt)
@@ -300,14 +302,14 @@
 		t.Error(got)
 	}
 	w.Configure(w.now, options)
-	if w.take(); w.view() != "1~ 2" {
+	if w.syncCore(); w.view() != "1~ 2" {
 		t.Error(w.view())
 	}
 }
 
-// A gateway that starts after the list has removed a server must not take it from
-// DNS, where the list decides; while the list is silent DNS is better than nothing.
-func TestOnlySilent(t *testing.T) {
+// TestSRVOnlyWhileListSilent guards against a gateway that starts after the list has removed a
+// server, and takes it from DNS. While the list is unreachable, DNS is better than nothing.
+func TestSRVOnlyWhileListSilent(t *testing.T) {
 	opt := options
 	opt.SRVOnlyWhileListSilent = true
 	w := newWorld(opt)
@@ -319,8 +321,8 @@
 	}
 }
 
-// Saved is so until a source has spoken.
-func TestSaved(t *testing.T) {
+// TestOnlySavedList checks that OnlySavedList is true until a source has been heard.
+func TestOnlySavedList(t *testing.T) {
 	w := newWorld(options)
 	w.step("saved s=1")
 	before := w.OnlySavedList()
