--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -40,11 +40,11 @@
 // Meter is the part of *quotas.Meter that a Machine uses. Requests are metered concurrently with the
 // control loop, so an implementation may guard it by a lock.
 type Meter interface {
-	Nodes(now fsm.Time, gateways int, holders []string)
-	Enter(now fsm.Time, r *quotas.Roster)
-	Take(now fsm.Time, from string, msg any) []fsm.Send
+	SetGateways(now fsm.Time, gateways int, holders []string)
+	SetRoster(now fsm.Time, r *quotas.Roster)
+	Receive(now fsm.Time, from string, msg any) []fsm.Send
 	Tick(now fsm.Time) []fsm.Send
-	Mute(now fsm.Time, holder string) bool // the holder doesn't answer adds
+	ReadOverdue(now fsm.Time, holder string) bool // the holder doesn't answer adds
 }
 
 // Reply completes a call. Value is the answer type of the machine that handled it, such as registry.Answer
@@ -126,7 +126,7 @@
 		bugs:  c.Bugs, contact: contact{askedAt: map[uint64]fsm.Time{}, retryPause: minProvePause},
 	}
 	m.consensus = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
-		ToleratedLosses: c.ToleratedLosses, Seeds: c.Seeds, Seed: c.Seed, Transform: m.rollout.Enter}, disk, now)
+		ToleratedLosses: c.ToleratedLosses, Seeds: c.Seeds, Seed: c.Seed, Transform: m.rollout.PrepareDocument}, disk, now)
 	m.consensus.SetBug(c.Bugs.Consensus)
 	m.registry.SetBug(c.Bugs.Registry)
 	m.updateCore()
@@ -146,17 +146,17 @@
 	case group == faultRuleMessages:
 		m.applyFaultRules(func() faultrules.Out { return m.faultRules.Take(now, from, msg) })
 	case group == rolloutMessages:
-		m.applyRollout(now, m.rollout.Take(now, from, msg))
+		m.applyRollout(now, m.rollout.Receive(now, from, msg))
 	case group == relayMessages:
 		m.receiveRelay(now, from, msg.(Relay))
 	case group == quotaMessages:
-		if a, ok := msg.(quotas.Answer); ok && !a.Ask {
+		if a, ok := msg.(quotas.Answer); ok && !a.Probe {
 			if d := m.detours[from]; d != nil {
 				d.answeredDirectly(a)
 			}
 		}
-		m.send(m.counter.Take(now, from, msg))
-		m.send(m.meter.Take(now, from, msg))
+		m.send(m.counter.Receive(now, from, msg))
+		m.send(m.meter.Receive(now, from, msg))
 	}
 	return m.takeOutput()
 }
@@ -189,7 +189,9 @@
 
 // ReportAddDelay tells the quota counter here how long an add lately waited in the process's queue behind
 // many others.
-func (m *Machine) ReportAddDelay(now fsm.Time, waited time.Duration) { m.counter.Strain(now, waited) }
+func (m *Machine) ReportAddDelay(now fsm.Time, waited time.Duration) {
+	m.counter.ReportQueueDelay(now, waited)
+}
 
 // FlushAdds sends the adds that should not wait for the next tick.
 func (m *Machine) FlushAdds(now fsm.Time) Output {
@@ -226,7 +228,7 @@
 	m.applyConsensus(now, m.consensus.WriteDone(now, seq))
 	if m.prepareWrite != 0 && seq >= m.prepareWrite {
 		m.prepareWrite = 0
-		m.applyRollout(now, m.rollout.Synced(now))
+		m.applyRollout(now, m.rollout.DocumentSynced(now))
 	}
 	return m.takeOutput()
 }
@@ -326,7 +328,7 @@
 	m.consensus.SetPeers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
 		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Version: n.ConfigVersion}
 	}))
-	m.rollout.Nodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
+	m.rollout.SetNodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
 		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
 	}))
 	m.updateDrainPeers(view)
@@ -336,8 +338,8 @@
 	}))
 	m.out.Gateways = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == m.self })}
 	holders := dutyOrder(up)
-	m.counter.Nodes(holders)
-	m.meter.Nodes(now, len(up), holders)
+	m.counter.SetGateways(holders)
+	m.meter.SetGateways(now, len(up), holders)
 }
 
 // dutyOrder returns the addresses of the processes in the order in which duties that one process does are
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -8,21 +8,21 @@
 
 // feedRollout passes the progress of consensus on to the rollout.
 func (m *Machine) feedRollout(now fsm.Time, out consensus.Out) {
-	m.rollout.Primary(m.consensus.Primary())
+	m.rollout.SetPrimary(m.consensus.Primary())
 	epoch, leads := m.consensus.Leading()
 	if !leads {
-		m.applyRollout(now, m.rollout.Leads(now, epoch, false))
+		m.applyRollout(now, m.rollout.SetLead(now, epoch, false))
 	}
 	if out.Apply != nil {
 		if m.prepareWrite = 0; out.Write != nil { // a configuration isn't confirmed before it is on disk
 			m.prepareWrite = out.Write.Seq
 		}
-		m.applyRollout(now, m.rollout.Doc(now, *out.Apply, out.Write == nil))
+		m.applyRollout(now, m.rollout.SetDocument(now, *out.Apply, out.Write == nil))
 	}
 	if leads {
-		m.applyRollout(now, m.rollout.Leads(now, epoch, true))
+		m.applyRollout(now, m.rollout.SetLead(now, epoch, true))
 		if out.ConfirmedRound != 0 {
-			m.applyRollout(now, m.rollout.Affirmed(now, out.ConfirmedRound))
+			m.applyRollout(now, m.rollout.LeadConfirmed(now, out.ConfirmedRound))
 		}
 	}
 }
@@ -31,7 +31,7 @@
 func (m *Machine) applyRollout(now fsm.Time, out rollout.Out) {
 	m.send(out.Send)
 	m.out.GateChanged = m.out.GateChanged || out.Gate
-	for _, t := range out.Told {
+	for _, t := range out.WithdrawReplies {
 		m.out.Replies = append(m.out.Replies, Reply{t.Call, t})
 	}
 	if out.Adopt != nil {
@@ -48,12 +48,12 @@
 		ok, then := m.consensus.Amend(now, *out.Amend)
 		m.applyConsensus(now, then)
 		if !ok {
-			m.applyRollout(now, m.rollout.Dropped(now, *out.Amend))
+			m.applyRollout(now, m.rollout.AmendmentRejected(now, *out.Amend))
 		}
 	}
-	if out.Affirm {
+	if out.ConfirmLead {
 		round, then := m.consensus.ConfirmLeadership(now)
-		m.rollout.Affirming(round)
+		m.rollout.ConfirmationStarted(round)
 		m.applyConsensus(now, then)
 	}
 }
