--- a/internal/drainpermit/drainpermit_test.go
+++ b/internal/drainpermit/drainpermit_test.go
@@ -92,10 +92,8 @@
 }
 
 // TestSimultaneousRequests checks that of two processes asked at the same moment one drains, and
-// the
-// other call is refused with the reason. When messages take longer than a call may, neither
-// drains,
-// whatever arrives later.
+// the other call is refused with the reason. When messages take longer than a call may, neither
+// drains, whatever arrives later.
 func TestSimultaneousRequests(t *testing.T) {
 	for _, delay := range []time.Duration{0, time.Millisecond, 40 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond,
 		700 * time.Millisecond, time.Second, 20 * time.Second} {
--- a/internal/memberlist/index.go
+++ b/internal/memberlist/index.go
@@ -23,12 +23,12 @@
 
 // partDigests returns the digests of n parts, four bytes each.
 func (m *Machine) partDigests(n int) []byte {
-	sums := make([]uint32, n)
+	digests := make([]uint32, n)
 	for i, s := range m.partSums {
-		sums[i&(n-1)] ^= s
+		digests[i&(n-1)] ^= s
 	}
 	var b []byte
-	for _, s := range sums {
+	for _, s := range digests {
 		b = binary.BigEndian.AppendUint32(b, s)
 	}
 	return b
@@ -76,10 +76,10 @@
 }
 
 // encodeIndex encodes the entries that the filter selects; a nil filter selects all.
-func (m *Machine) encodeIndex(of func(*entry) bool) []byte {
+func (m *Machine) encodeIndex(filter func(*entry) bool) []byte {
 	b := make([]byte, 0, 8*len(m.sorted))
 	for _, e := range m.sorted {
-		if of == nil || of(e) {
+		if filter == nil || filter(e) {
 			b = binary.BigEndian.AppendUint32(b, e.addrHash())
 			b = binary.BigEndian.AppendUint32(b, e.indexVersion())
 		}
@@ -103,7 +103,7 @@
 	}
 	allowed := m.entryAllowance()
 	var nodes []Node
-	var want []uint32
+	var wanted []uint32
 	for _, e := range m.sorted {
 		if !all && !inParts(x.Parts, n, e) {
 			continue
@@ -118,18 +118,18 @@
 			nodes = append(nodes, e.node)
 		}
 		if has && v != 0 {
-			want = append(want, key)
+			wanted = append(wanted, key)
 		}
 	}
 	for key, v := range theirs {
 		if v != 0 {
-			want = append(want, key)
+			wanted = append(wanted, key)
 		}
 	}
-	slices.Sort(want)
+	slices.Sort(wanted)
 	m.entryBudget -= float64(len(nodes))
-	if len(nodes)+len(want) > 0 {
-		m.send(from, m.newDiff(nodes, want, x.Encoding))
+	if len(nodes)+len(wanted) > 0 {
+		m.send(from, m.newDiff(nodes, wanted, x.Encoding))
 	}
 }
 
--- a/internal/memberlist/machine.go
+++ b/internal/memberlist/machine.go
@@ -178,8 +178,7 @@
 }
 
 // SetConfigVersion sets the configuration version that this process holds. The watchers receive it
-// with a heartbeat at the next tick, so that a process without it finds one to ask. The others
-// need
+// with a heartbeat at the next tick, so that a process without it finds one to ask. The others need
 // it only for display and are told rarely: otherwise each version would cost each node a gossip
 // message about every other node.
 func (m *Machine) SetConfigVersion(v uint32) {
--- a/internal/memberlist/machine_test.go
+++ b/internal/memberlist/machine_test.go
@@ -57,8 +57,7 @@
 	}
 }
 
-// TestGoneInDiffIsVerified guards against an outdated Gone from a table exchange: the node is
-// asked
+// TestGoneInDiffIsVerified guards against an outdated Gone from a table exchange: the node is asked
 // first, and is gone only if it stays silent.
 func TestGoneInDiffIsVerified(t *testing.T) {
 	for _, lives := range []bool{true, false} {
--- a/internal/memberlist/node.go
+++ b/internal/memberlist/node.go
@@ -82,8 +82,7 @@
 // The messages between the processes.
 type (
 	// Heartbeat says that its sender is alive, and carries the sender's version, the hash of its
-	// table
-	// and the configuration version that it holds. It also answers a Hello and a Ping.
+	// table and the configuration version that it holds. It also answers a Hello and a Ping.
 	Heartbeat struct {
 		Incarnation   uint64 `cbor:"1,keyasint"`
 		Seq           uint64 `cbor:"2,keyasint"`
--- a/internal/memberlist/receive.go
+++ b/internal/memberlist/receive.go
@@ -145,8 +145,7 @@
 	}
 }
 
-// decodeNodes returns the nodes of a message. A brief node of an unknown incarnation is skipped;
-// as
+// decodeNodes returns the nodes of a message. A brief node of an unknown incarnation is skipped; as
 // the tables then differ, it arrives by an exchange.
 func (m *Machine) decodeNodes(nodes []Node, pack []byte) []Node {
 	all, _ := unpack(pack) // the nodes before damaged data are valid
@@ -236,10 +235,10 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b packedNode) int { return strings.Compare(a.Addr, b.Addr) })
-	to := m.watchers()
-	to = append(to, m.extraTargets(to)...)
+	targets := m.watchers()
+	targets = append(targets, m.extraTargets(targets)...)
 	var packedAll []byte // all of it, for nodes that sent none of it
-	for _, a := range to {
+	for _, a := range targets {
 		unsent := slices.DeleteFunc(slices.Clone(all), func(n packedNode) bool { return slices.Contains(m.pending[n.Addr].sources, a) })
 		switch {
 		case len(unsent) == 0:
--- a/internal/memberlist/ring.go
+++ b/internal/memberlist/ring.go
@@ -59,7 +59,7 @@
 	return slices.Clip(m.selfWatchers)
 }
 
-// randomPeers returns up to n random live nodes other than this one and those in but.
+// randomPeers returns up to n random live nodes other than this one and those in exclude.
 func (m *Machine) randomPeers(n int, exclude []string) []string {
 	m.refreshRing()
 	var found []string
@@ -119,11 +119,11 @@
 			if e.pings == 1 {
 				continue
 			}
-			via := m.relaysFor(a, e.relay)
+			relays := m.relaysFor(a, e.relay)
 			if r := m.nodes[e.relay]; r != nil && r.live() {
-				via = append(via, e.relay)
+				relays = append(relays, e.relay)
 			}
-			for _, o := range via {
+			for _, o := range relays {
 				m.send(o, IndirectPing{Addr: a})
 			}
 		}
@@ -133,10 +133,10 @@
 
 // relaysFor returns a few nodes that may reach one that this process can't: some of each zone, as
 // whole zones may be cut off from each other.
-func (m *Machine) relaysFor(node, via string) []string {
+func (m *Machine) relaysFor(node, lastRelay string) []string {
 	zones := map[string]int{}
 	var found, rest []string
-	for _, a := range m.randomPeers(len(m.ring), []string{node, via}) {
+	for _, a := range m.randomPeers(len(m.ring), []string{node, lastRelay}) {
 		if z := m.nodes[a].node.Zone; zones[z] < 2 && len(found) < 2*relayCount {
 			zones[z]++
 			found = append(found, a)
--- a/internal/memberlist/storm_test.go
+++ b/internal/memberlist/storm_test.go
@@ -178,8 +178,7 @@
 }
 
 // sharedMachineCost is the processing time on a machine of twelve processors shared by all
-// processes. It follows a run of 490 gateways without traffic, which took 0.5 µs per byte of
-// gossip
+// processes. It follows a run of 490 gateways without traffic, which took 0.5 µs per byte of gossip
 // and 300 µs per tick on one processor.
 func sharedMachineCost(bytes int) time.Duration {
 	if bytes == 0 {
@@ -220,8 +219,7 @@
 	}
 }
 
-// TestStormLosses restarts processes eight times as often as 1,100 restarts a day, and loses a
-// rack
+// TestStormLosses restarts processes eight times as often as 1,100 restarts a day, and loses a rack
 // and a zone and gets them back. No process may send and receive more than 11 kB/s in any ten
 // seconds, and all must know of each change in time.
 func TestStormLosses(t *testing.T) {
@@ -284,8 +282,7 @@
 }
 
 // previousVersion is a machine that reads and writes messages as the previous version of the
-// program
-// does: without packed nodes, part digests and encodings.
+// program does: without packed nodes, part digests and encodings.
 type previousVersion struct{ *fleetMember }
 
 func (e previousVersion) downgradeAll(out []fsm.Send) []fsm.Send {
@@ -325,8 +322,7 @@
 	return e.downgradeAll(e.fleetMember.Receive(now, from, e.downgrade(msg)))
 }
 
-// TestStormMixed runs the previous version on every second process. All must learn of each other
-// as
+// TestStormMixed runs the previous version on every second process. All must learn of each other as
 // soon as otherwise, also after losses and returns.
 func TestStormMixed(t *testing.T) {
 	t.Parallel()
--- a/internal/registry/home.go
+++ b/internal/registry/home.go
@@ -15,8 +15,7 @@
 type serviceZone struct{ zone, service string }
 
 // serverGroup is the servers of a service in a zone. Its home is the process that rendezvous
-// hashing
-// ranks first among those in the zone, or among all if the zone has none.
+// hashing ranks first among those in the zone, or among all if the zone has none.
 type serverGroup struct {
 	serviceZone
 	serviceInfo *serviceInfo
@@ -187,8 +186,7 @@
 }
 
 // reconcileReturned brings processes that came up up to date: it sends them recent updates that
-// they
-// may have missed, and compares tables. All processes do so, so each compares with few.
+// they may have missed, and compares tables. All processes do so, so each compares with few.
 func (m *Machine) reconcileReturned(returned []string, aloneSince fsm.Time) {
 	if len(returned) == 0 {
 		return
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -12,7 +12,7 @@
 const (
 	maxTickGap           = 400 * time.Millisecond // a longer gap between ticks means that this process itself was stopped
 	outdatedAfter        = 20 * time.Second       // after a longer absence this table is outdated, and the others' counts
-	confirmTimeout       = 600 * time.Millisecond // after this time a leaving server's call succeeds without the confirmations that are missing
+	confirmTimeout       = 600 * time.Millisecond // after this time a majority of the voters suffices for a leaving server's call
 	resendInterval       = 100 * time.Millisecond
 	indirectAfter        = 250 * time.Millisecond // without a confirmation by then, an update is also sent through other processes
 	quiesceCallTimeout   = 800 * time.Millisecond // after this time a leaving server is told to ask another gateway
--- a/internal/registry/merge_test.go
+++ b/internal/registry/merge_test.go
@@ -10,8 +10,7 @@
 	"asterwell/internal/memberlist"
 )
 
-// TestMergeOrder checks that rows give the same table in any order, and that a leaving server
-// never
+// TestMergeOrder checks that rows give the same table in any order, and that a leaving server never
 // becomes usable again.
 func TestMergeOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
@@ -54,8 +53,7 @@
 	}
 }
 
-// TestRepeatedQuiesce checks that a repeated call of a leaving server is answered together with
-// the
+// TestRepeatedQuiesce checks that a repeated call of a leaving server is answered together with the
 // first one while that waits, and at once after that.
 func TestRepeatedQuiesce(t *testing.T) {
 	m := New("a:1", "z", time.Second, 1, 0)
--- a/internal/registry/pacing.go
+++ b/internal/registry/pacing.go
@@ -13,8 +13,7 @@
 )
 
 // comparisonInterval returns the mean time between two comparisons that this process starts; 0
-// means
-// no limit.
+// means no limit.
 func (m *Machine) comparisonInterval() time.Duration {
 	return time.Duration(max(0, len(m.peers)-pacingMinPeers)) * pacePerPeer
 }
--- a/internal/registry/pacing_test.go
+++ b/internal/registry/pacing_test.go
@@ -7,8 +7,7 @@
 
 // TestComparisonPacing checks how often tables are compared. Under constant updates a gateway of a
 // large fleet compares rarely; without updates it compares as often as the interval allows, and in
-// a
-// small fleet at each difference.
+// a small fleet at each difference.
 func TestComparisonPacing(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
--- a/internal/registry/propagate.go
+++ b/internal/registry/propagate.go
@@ -90,11 +90,11 @@
 // fullyConfirmed reports whether all have confirmed a phase of a leaving server, with no call
 // waiting.
 func (m *Machine) fullyConfirmed(id string, phase Phase) bool {
-	sp := m.propagations[id]
-	return sp != nil && sp.phase == phase && sp.done && len(sp.unconfirmed) == 0
+	p := m.propagations[id]
+	return p != nil && p.phase == phase && p.done && len(p.unconfirmed) == 0
 }
 
-// startPropagation begins to tell all processes that a server leaves.
+// startPropagation begins to tell all processes that a server leaves or has ended.
 func (m *Machine) startPropagation(id string) {
 	phase := m.items[id].Phase
 	previous := m.propagations[id]
@@ -112,8 +112,7 @@
 }
 
 // sendUntilConfirmed sends rows to the first of each group, to be forwarded to the rest, and
-// repeats
-// them until all have confirmed.
+// repeats them until all have confirmed.
 func (m *Machine) sendUntilConfirmed(groups [][]string, ids []string) {
 	if len(ids) == 0 || len(groups) == 0 {
 		return
@@ -133,14 +132,14 @@
 // Updates of another process about it may not have reached all, so this one sends them too.
 func (m *Machine) answerWhenConfirmed(call uint64, id string) {
 	it := m.items[id]
-	sp := m.propagations[id]
-	if sp == nil || sp.phase != it.Phase {
+	p := m.propagations[id]
+	if p == nil || p.phase != it.Phase {
 		m.startPropagation(id)
-		sp = m.propagations[id]
+		p = m.propagations[id]
 		m.queueUpdate(id)
 	}
-	sp.calls, m.activePropagations[id] = append(sp.calls, waitingCall{call, m.now}), true
-	m.answerIfConfirmed(id, sp)
+	p.calls, m.activePropagations[id] = append(p.calls, waitingCall{call, m.now}), true
+	m.answerIfConfirmed(id, p)
 }
 
 // confirm records an Ack.
@@ -157,26 +156,26 @@
 		delete(m.unconfirmed, number)
 	}
 	for _, id := range u.ids {
-		if sp := m.propagations[id]; sp != nil && len(confirmers) > 0 {
+		if p := m.propagations[id]; p != nil && len(confirmers) > 0 {
 			for _, a := range confirmers {
-				delete(sp.unconfirmed, a)
-				sp.confirmed[a] = true
+				delete(p.unconfirmed, a)
+				p.confirmed[a] = true
 			}
-			m.answerIfConfirmed(id, sp)
+			m.answerIfConfirmed(id, p)
 		}
 	}
 }
 
 // answerIfConfirmed answers the waiting calls if the propagation is done or they have timed out.
-func (m *Machine) answerIfConfirmed(id string, sp *propagation) {
-	if sp.done = sp.done || m.confirmedByMajority(sp) && (len(sp.unconfirmed) == 0 || m.now-sp.startedAt >= confirmTimeout); sp.done {
-		for _, w := range sp.calls {
+func (m *Machine) answerIfConfirmed(id string, p *propagation) {
+	if p.done = p.done || m.confirmedByMajority(p) && (len(p.unconfirmed) == 0 || m.now-p.startedAt >= confirmTimeout); p.done {
+		for _, w := range p.calls {
 			m.answerCall(w.call, id)
 		}
-		sp.calls = nil
+		p.calls = nil
 		return
 	}
-	sp.calls = slices.DeleteFunc(sp.calls, func(w waitingCall) bool {
+	p.calls = slices.DeleteFunc(p.calls, func(w waitingCall) bool {
 		expired := !m.majorityReachable() || m.now-w.since >= quiesceCallTimeout
 		if expired {
 			m.out.Answers = append(m.out.Answers, Answer{Call: w.call})
@@ -228,13 +227,13 @@
 		}
 	}
 	for _, id := range m.activeIDs() {
-		sp := m.propagations[id]
-		for a := range sp.unconfirmed {
+		p := m.propagations[id]
+		for a := range p.unconfirmed {
 			if _, ok := m.nodes[a]; !ok {
-				delete(sp.unconfirmed, a)
+				delete(p.unconfirmed, a)
 			}
 		}
-		m.answerIfConfirmed(id, sp)
+		m.answerIfConfirmed(id, p)
 	}
 }
 
@@ -242,13 +241,13 @@
 func (m *Machine) sendRecent(to string) {
 	var ids []string
 	for _, id := range m.activeIDs() {
-		sp := m.propagations[id]
-		if sp.done && m.now-sp.startedAt > catchUpWindow || m.items[id] == nil {
+		p := m.propagations[id]
+		if p.done && m.now-p.startedAt > catchUpWindow || m.items[id] == nil {
 			continue
 		}
 		ids = append(ids, id)
-		if !sp.done {
-			sp.unconfirmed[to] = true
+		if !p.done {
+			p.unconfirmed[to] = true
 		}
 	}
 	m.sendUntilConfirmed([][]string{{to}}, ids)
@@ -259,7 +258,7 @@
 func (m *Machine) activeIDs() []string {
 	var ids []string
 	for id := range m.activePropagations {
-		if sp := m.propagations[id]; sp != nil && (!sp.done || len(sp.calls) > 0 || m.now-sp.startedAt <= catchUpWindow) {
+		if p := m.propagations[id]; p != nil && (!p.done || len(p.calls) > 0 || m.now-p.startedAt <= catchUpWindow) {
 			ids = append(ids, id)
 		} else {
 			delete(m.activePropagations, id)
--- a/internal/registry/quorum.go
+++ b/internal/registry/quorum.go
@@ -23,8 +23,8 @@
 func (m *Machine) SetVoters(seats []string) { m.voters = append([]string{}, seats...) }
 
 // confirmedByMajority reports whether a majority of the voters has confirmed an update.
-func (m *Machine) confirmedByMajority(sp *propagation) bool {
-	return m.hasMajority(func(a string) bool { return sp.confirmed[a] })
+func (m *Machine) confirmedByMajority(p *propagation) bool {
+	return m.hasMajority(func(a string) bool { return p.confirmed[a] })
 }
 
 // majorityReachable reports whether a majority of the voters is present, as far as the membership
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -11,8 +11,7 @@
 	"asterwell/internal/fsm"
 )
 
-// Complete reports whether the table can be relied on: a process with a complete table has sent
-// its
+// Complete reports whether the table can be relied on: a process with a complete table has sent its
 // own, or there is no other process, or no process has had a table since all started.
 func (m *Machine) Complete() bool { return m.complete }
 
@@ -137,8 +136,7 @@
 }
 
 // isolatedTooLong reports whether this process was alone for so long that its table must not be
-// sent
-// as current. A message from a returning process may arrive before the membership reports it.
+// sent as current. A message from a returning process may arrive before the membership reports it.
 func (m *Machine) isolatedTooLong() bool {
 	return m.aloneSince >= 0 && m.now-m.aloneSince > outdatedAfter
 }
@@ -235,8 +233,7 @@
 	}
 }
 
-// answerIndex sends the rows that an index lacks or has in another version, and asks for those
-// that
+// answerIndex sends the rows that an index lacks or has in another version, and asks for those that
 // the other process has in another version.
 func (m *Machine) answerIndex(from string, x Index) {
 	theirs := map[uint32]uint32{}
--- a/internal/registry/rejoin.go
+++ b/internal/registry/rejoin.go
@@ -55,8 +55,7 @@
 	r.last = now
 }
 
-// scheduleReannounce schedules the announcement if many processes have come back: when no more
-// come
+// scheduleReannounce schedules the announcement if many processes have come back: when no more come
 // or after a while, at a random time for each home.
 func (m *Machine) scheduleReannounce() {
 	r := &m.rejoins
--- a/internal/registry/rejoin_test.go
+++ b/internal/registry/rejoin_test.go
@@ -9,8 +9,7 @@
 
 // TestReannounceAfterRejoin checks that the homes of a large fleet announce the servers that they
 // hear again, once, when a region comes back that was away for longer than the silence timeout.
-// They
-// must not do so after a shorter absence, after a restart, which fetches the table, for a few
+// They must not do so after a shorter absence, after a restart, which fetches the table, for a few
 // processes, or for servers that are not heard.
 func TestReannounceAfterRejoin(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/internal/registry/relay.go
+++ b/internal/registry/relay.go
@@ -103,8 +103,7 @@
 	}
 }
 
-// quiesceConfirmed reports whether all have confirmed to this process that a server leaves, so
-// that
+// quiesceConfirmed reports whether all have confirmed to this process that a server leaves, so that
 // none sends requests to it any more.
 func (m *Machine) quiesceConfirmed(id string) bool { return m.fullyConfirmed(id, Quiescing) }
 
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -100,11 +100,9 @@
 // The messages between the processes.
 type (
 	// Update is sent to every process. With a Number it asks for an Ack. To get around a cut link
-	// it is
-	// sent to a third process with RelayTo set; that one sends it on with Origin set to the
-	// sender. With
-	// ForwardTo the receiver forwards it to those processes, and its Ack lists who has confirmed;
-	// a program version without ForwardTo confirms only for itself.
+	// it is sent to a third process with RelayTo set; that one sends it on with Origin set to the
+	// sender. With ForwardTo the receiver forwards it to those processes, and its Ack lists who has
+	// confirmed; a program version without ForwardTo confirms only for itself.
 	Update struct {
 		Number  uint64 `cbor:"1,keyasint,omitempty"`
 		Rows    []Row  `cbor:"2,keyasint"`
@@ -114,8 +112,7 @@
 		ForwardTo []string `cbor:"5,keyasint,omitempty"`
 	}
 	// Ack confirms an Update. When it is forwarded, Origin is its destination and Confirmer the
-	// process
-	// that confirmed; ConfirmedBy lists further ones.
+	// process that confirmed; ConfirmedBy lists further ones.
 	Ack struct {
 		Number      uint64   `cbor:"1,keyasint"`
 		Origin      string   `cbor:"2,keyasint,omitempty"`
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -47,8 +47,7 @@
 	}
 }
 
-// TestSnapshotYieldsToPeers guards against a restart of one process that brings back a server
-// which
+// TestSnapshotYieldsToPeers guards against a restart of one process that brings back a server which
 // ended meanwhile: the table of the other process counts.
 func TestSnapshotYieldsToPeers(t *testing.T) {
 	a, b, step := newPair(t, snapshotRows)
--- a/internal/serverset/random_test.go
+++ b/internal/serverset/random_test.go
@@ -77,8 +77,7 @@
 }
 
 // TestAnyOrder checks any order of events: what the list drains or has removed is never used, no
-// withdrawal is ignored, numbers are never reused, repeated reports change nothing, and tiers
-// leave
+// withdrawal is ignored, numbers are never reused, repeated reports change nothing, and tiers leave
 // no more often than TierLeaveHold allows.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/serverset/serverset.go
+++ b/internal/serverset/serverset.go
@@ -274,8 +274,7 @@
 }
 
 // refreshSRVOnly decides again on servers that only SRV names, if they depend on the reachability
-// of
-// the list and that has changed.
+// of the list and that has changed.
 func (m *Set) refreshSRVOnly(now time.Duration, before bool) {
 	if !m.options.SRVOnlyWhileListSilent || m.listIsHeard() == before {
 		return
@@ -316,8 +315,7 @@
 }
 
 // adoptNumber gives a new server of the list the number of the SRV-only server at its address: it
-// is
-// the same server.
+// is the same server.
 func (m *Set) adoptNumber(s *server, addr string) {
 	for _, t := range m.linkedTargets(addr) {
 		for _, o := range t.servers {
@@ -413,8 +411,7 @@
 }
 
 // ApplySRV applies a full answer for one SRV name. none: there is authoritatively no service,
-// rather
-// than an answer without targets.
+// rather than an answer without targets.
 func (m *Set) ApplySRV(now time.Duration, name string, targets []Target, noService bool) {
 	src := m.sources[name]
 	if src == nil {
@@ -799,10 +796,8 @@
 	return n
 }
 
-// RecordOutcome records whether a server has answered an attempt or a probe. refused: no
-// connection
-// was established. It reports whether the server is now dead, so that the sources should be
-// queried
+// RecordOutcome records whether a server has answered an attempt or a probe. refused: no connection
+// was established. It reports whether the server is now dead, so that the sources should be queried
 // again.
 func (m *Set) RecordOutcome(now time.Duration, number uint32, ok, refused bool) (died bool) {
 	s := m.byNumber[number]
--- a/internal/serverset/serverset_test.go
+++ b/internal/serverset/serverset_test.go
@@ -209,8 +209,7 @@
 }
 
 // TestNumbers checks that a server named by SRV keeps its number once the list names it, so that
-// the
-// decision module keeps what it has learned. A server that has moved gets another number.
+// the decision module keeps what it has learned. A server that has moved gets another number.
 func TestNumbers(t *testing.T) {
 	w := newWorld(options)
 	w.step("srv a=1 b=2")
