--- a/internal/memberlist/index.go
+++ b/internal/memberlist/index.go
@@ -109,15 +109,15 @@
 			continue
 		}
 		key := e.addrHash()
-		v, has := theirs[key]
+		v, known := theirs[key]
 		delete(theirs, key)
-		if has && v == e.indexVersion() {
+		if known && v == e.indexVersion() {
 			continue
 		}
-		if !e.lostHere && (has || e.node.State != Gone) && len(nodes) < allowed {
+		if !e.lostHere && (known || e.node.State != Gone) && len(nodes) < allowed {
 			nodes = append(nodes, e.node)
 		}
-		if has && v != 0 {
+		if known && v != 0 {
 			wanted = append(wanted, key)
 		}
 	}
--- a/internal/memberlist/links/links.go
+++ b/internal/memberlist/links/links.go
@@ -72,12 +72,12 @@
 
 // Start runs a process, in place of an earlier one at the address.
 func (n *Network) Start(addr string, a Actor) {
-	life := 1
+	incarnation := 1
 	if h := n.hosts[addr]; h != nil {
-		life = h.incarnation + 1
+		incarnation = h.incarnation + 1
 	}
-	n.hosts[addr] = &host{actor: a, incarnation: life}
-	n.add(event{at: n.Now + time.Duration(n.rand.Int64N(int64(tickInterval))), to: addr, incarnation: life})
+	n.hosts[addr] = &host{actor: a, incarnation: incarnation}
+	n.add(event{at: n.Now + time.Duration(n.rand.Int64N(int64(tickInterval))), to: addr, incarnation: incarnation})
 }
 
 // Kill ends a process.
--- a/internal/memberlist/receive.go
+++ b/internal/memberlist/receive.go
@@ -139,16 +139,16 @@
 	update.addSource(from)
 }
 
-func (l *pendingUpdate) addSource(from string) {
-	if from != "" && !slices.Contains(l.sources, from) {
-		l.sources = append(l.sources, from)
+func (u *pendingUpdate) addSource(from string) {
+	if from != "" && !slices.Contains(u.sources, from) {
+		u.sources = append(u.sources, from)
 	}
 }
 
 // decodeNodes returns the nodes of a message. A brief node of an unknown incarnation is skipped; as
 // the tables then differ, it arrives by an exchange.
-func (m *Machine) decodeNodes(nodes []Node, pack []byte) []Node {
-	all, _ := unpack(pack) // the nodes before damaged data are valid
+func (m *Machine) decodeNodes(nodes []Node, packed []byte) []Node {
+	all, _ := unpack(packed) // the nodes before damaged data are valid
 	for _, n := range all {
 		e := m.nodes[n.Addr]
 		if n.brief && n.State != Gone && n.Addr != m.self.Addr {
@@ -200,9 +200,9 @@
 		if e.live() {
 			m.out.Failed = append(m.out.Failed, n.Addr)
 		}
-		n2 := e.node // an entry with Gone may lack fields that are known here
-		n2.Incarnation, n2.Seq, n2.State = n.Incarnation, n.Seq, Gone
-		n = n2
+		merged := e.node // an entry with Gone may lack fields that are known here
+		merged.Incarnation, merged.Seq, merged.State = n.Incarnation, n.Seq, Gone
+		n = merged
 		e.goneSince = m.now
 	}
 	if e.lostHere || e.node.State != n.State || e.node.Incarnation != n.Incarnation {
--- a/internal/memberlist/storm_test.go
+++ b/internal/memberlist/storm_test.go
@@ -145,7 +145,7 @@
 
 // measure lets time pass, and returns the bytes that one process sent and received in it: on
 // average, and at most.
-func (f *fleet) measure(what string, d time.Duration) (mean, most int) {
+func (f *fleet) measure(what string, d time.Duration) (mean, highest int) {
 	f.resetCounts()
 	return f.measureSinceReset(what, d)
 }
@@ -157,13 +157,13 @@
 }
 
 // measureSinceReset is measure without resetting the counters first.
-func (f *fleet) measureSinceReset(what string, d time.Duration) (mean, most int) {
+func (f *fleet) measureSinceReset(what string, d time.Duration) (mean, highest int) {
 	f.advance(d)
 	live := 0
 	for i, m := range f.members {
 		if m != nil {
 			b := f.BytesSent[fleetNode(i).Addr] + f.BytesReceived[fleetNode(i).Addr]
-			live, mean, most = live+1, mean+b, max(most, b)
+			live, mean, highest = live+1, mean+b, max(highest, b)
 		}
 	}
 	count, length := f.TakeMessageCounts()
@@ -173,8 +173,8 @@
 	}
 	know, _ := f.countInformed()
 	f.t.Logf("%s, until %v: %d of %d informed; %.1f MB in %d messages; sent and received by one %d, at most %d; %v, %v",
-		what, f.Now.Round(ms), know, live, float64(bytes)/1e6, messages, mean/live, most, count, length)
-	return mean / live, most
+		what, f.Now.Round(ms), know, live, float64(bytes)/1e6, messages, mean/live, highest, count, length)
+	return mean / live, highest
 }
 
 // sharedMachineCost is the processing time on a machine of twelve processors shared by all
--- a/internal/registry/merge_test.go
+++ b/internal/registry/merge_test.go
@@ -68,16 +68,16 @@
 	if o := say(20, 2, 2); len(o.Answers) != 0 {
 		t.Fatalf("answered before all confirmed: %+v", o)
 	}
-	var no uint64
+	var number uint64
 	for _, s := range first.Send {
 		if n, ok := s.Msg.(Update); ok {
-			no = n.Number
+			number = n.Number
 		}
 	}
-	if o := m.Receive(30, "c:1", Ack{Number: no}); len(o.Answers) != 0 {
+	if o := m.Receive(30, "c:1", Ack{Number: number}); len(o.Answers) != 0 {
 		t.Fatalf("the confirmation of an unknown process counted: %+v", o)
 	}
-	if o := m.Receive(30, "b:1", Ack{Number: no}); len(o.Answers) != 2 {
+	if o := m.Receive(30, "b:1", Ack{Number: number}); len(o.Answers) != 2 {
 		t.Fatalf("%+v", o)
 	}
 	if o := say(40, 3, 3); len(o.Answers) != 1 {
--- a/internal/registry/pacing_test.go
+++ b/internal/registry/pacing_test.go
@@ -16,7 +16,7 @@
 		most     int
 	}{{490, true, 4, 6}, {490, false, 25, 60}, {91, true, 6000, 6000}} {
 		p := newFixture(t, c.gateways, 200)
-		begun, row := 0, p.rows[0]
+		started, row := 0, p.rows[0]
 		for i := range 6000 { // 60 s
 			p.now += 10 * time.Millisecond
 			from := p.nodes[1+i%(c.gateways-1)].Addr
@@ -27,12 +27,12 @@
 			}
 			for _, s := range p.m.Receive(p.now, from, TableDigest{Hash: p.m.tableDigest + 1}).Send {
 				if _, ok := s.Msg.(ServiceDigests); ok && s.To == from {
-					begun++
+					started++
 				}
 			}
 		}
-		if begun < c.least || begun > c.most {
-			t.Errorf("%d gateways, updates %v: %d comparisons in 60 s, want %d to %d", c.gateways, c.news, begun, c.least, c.most)
+		if started < c.least || started > c.most {
+			t.Errorf("%d gateways, updates %v: %d comparisons in 60 s, want %d to %d", c.gateways, c.news, started, c.least, c.most)
 		}
 	}
 }
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -180,9 +180,9 @@
 func (m *Machine) serviceDigests() []byte {
 	b := make([]byte, 0, 12*len(m.services))
 	for _, key := range sortedKeys(m.services) {
-		if k := m.services[key]; k.liveCount > 0 {
+		if info := m.services[key]; info.liveCount > 0 {
 			b = binary.BigEndian.AppendUint32(b, key)
-			b = binary.BigEndian.AppendUint64(b, k.digest)
+			b = binary.BigEndian.AppendUint64(b, info.digest)
 		}
 	}
 	return b
@@ -204,10 +204,10 @@
 		theirs[binary.BigEndian.Uint32(rows)] = binary.BigEndian.Uint64(rows[4:])
 	}
 	var x Index
-	for key, k := range m.services {
+	for key, info := range m.services {
 		h, has := theirs[key]
 		delete(theirs, key)
-		if k.liveCount > 0 != has || k.liveCount > 0 && k.digest != h {
+		if info.liveCount > 0 != has || info.liveCount > 0 && info.digest != h {
 			x.Services = append(x.Services, key)
 		}
 	}
@@ -223,9 +223,9 @@
 // forEachServer calls do for the servers of the given services.
 func (m *Machine) forEachServer(services []uint32, do func(it *item)) {
 	for _, key := range services {
-		if k := m.services[key]; k != nil {
-			for _, p := range k.groups {
-				for _, it := range p.servers {
+		if info := m.services[key]; info != nil {
+			for _, group := range info.groups {
+				for _, it := range group.servers {
 					do(it)
 				}
 			}
@@ -243,7 +243,7 @@
 	slices.Sort(x.Services)
 	x.Services = slices.Compact(x.Services)
 	var d Diff
-	look := func(it *item, asked bool) {
+	compareItem := func(it *item, listed bool) {
 		v, has := theirs[it.idHash]
 		delete(theirs, it.idHash)
 		if has && v == uint32(it.digest) {
@@ -252,15 +252,15 @@
 		if has {
 			d.Want = append(d.Want, it.idHash)
 		}
-		if (has || asked && it.Phase != Ended) && !it.outdated {
+		if (has || listed && it.Phase != Ended) && !it.outdated {
 			d.Rows = append(d.Rows, m.wireRow(it.Server))
 		}
 	}
-	m.forEachServer(x.Services, func(it *item) { look(it, true) })
+	m.forEachServer(x.Services, func(it *item) { compareItem(it, true) })
 	if len(theirs) > 0 { // unknown here, or of another service
 		for _, it := range m.sorted {
 			if _, has := theirs[it.idHash]; has {
-				look(it, false)
+				compareItem(it, false)
 			}
 		}
 	}
--- a/internal/registry/rejoin_test.go
+++ b/internal/registry/rejoin_test.go
@@ -25,8 +25,8 @@
 		"of a smaller fleet": {91, 30, 20 * time.Second, 1, false},
 	} {
 		p := newFixture(t, c.gateways, 5200)
-		quiet := p.homeRows[0].ID // its home no longer hears it
-		told, seq := map[string]int{}, uint64(1)
+		silent := p.homeRows[0].ID // its home no longer hears it
+		announced, seq := map[string]int{}, uint64(1)
 		run := func(d time.Duration) {
 			for end := p.now + d; p.now < end; {
 				o := p.tick(50 * time.Millisecond)
@@ -40,7 +40,7 @@
 					if n, ok := s.Msg.(Update); ok {
 						for _, r := range n.Rows {
 							if r.Seq > 1 && r.Phase == Serving {
-								told[r.ID] += 1 + len(n.ForwardTo)
+								announced[r.ID] += 1 + len(n.ForwardTo)
 							}
 						}
 					}
@@ -66,17 +66,17 @@
 				mine++
 			}
 		}
-		clear(told)
+		clear(announced)
 		set(memberlist.Up, c.life)
 		run(6 * time.Second)
-		full := 0
-		for id, n := range told {
-			if full++; n != c.gateways-1 || id == quiet {
+		servers := 0
+		for id, n := range announced {
+			if servers++; n != c.gateways-1 || id == silent {
 				t.Errorf("%s: %s is announced to %d", name, id, n)
 			}
 		}
-		if c.tells != (full > 0) || full > mine {
-			t.Errorf("%s: %d of the %d servers with their home here are announced", name, full, mine)
+		if c.tells != (servers > 0) || servers > mine {
+			t.Errorf("%s: %d of the %d servers with their home here are announced", name, servers, mine)
 		}
 	}
 }
--- a/internal/registry/relay.go
+++ b/internal/registry/relay.go
@@ -55,11 +55,11 @@
 // forward forwards an update as a relay.
 func (m *Machine) forward(from string, x Update) {
 	for _, a := range x.ForwardTo {
-		on := Update{Number: x.Number, Rows: x.Rows}
+		forwarded := Update{Number: x.Number, Rows: x.Rows}
 		if x.Number != 0 {
-			on.Origin = from
+			forwarded.Origin = from
 		}
-		m.send(a, on)
+		m.send(a, forwarded)
 	}
 	if x.Number == 0 {
 		return
@@ -73,8 +73,8 @@
 
 // forwardAck handles an Ack that is for another process.
 func (m *Machine) forwardAck(from string, x Ack) {
-	to := relayKey{x.Origin, x.Number}
-	r := m.pendingRelays[to]
+	key := relayKey{x.Origin, x.Number}
+	r := m.pendingRelays[key]
 	switch {
 	case r == nil || !r.unconfirmed[from]:
 		m.send(x.Origin, Ack{Number: x.Number, Confirmer: from})
@@ -84,22 +84,22 @@
 		r.confirmed = append(r.confirmed, from)
 		return
 	}
-	delete(m.pendingRelays, to)
+	delete(m.pendingRelays, key)
 	m.send(x.Origin, Ack{Number: x.Number, ConfirmedBy: append(r.confirmed, from)})
 }
 
 // expireRelays ends the wait of relays; later Acks are forwarded one by one.
 func (m *Machine) expireRelays() {
 	var expired []relayKey
-	for to, r := range m.pendingRelays {
+	for key, r := range m.pendingRelays {
 		if m.now-r.since >= relayAckTimeout {
-			expired = append(expired, to)
+			expired = append(expired, key)
 		}
 	}
 	slices.SortFunc(expired, func(a, b relayKey) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.number, b.number)) })
-	for _, to := range expired {
-		m.send(to.from, Ack{Number: to.number, ConfirmedBy: m.pendingRelays[to].confirmed})
-		delete(m.pendingRelays, to)
+	for _, key := range expired {
+		m.send(key.from, Ack{Number: key.number, ConfirmedBy: m.pendingRelays[key].confirmed})
+		delete(m.pendingRelays, key)
 	}
 }
 
--- a/internal/registry/script_test.go
+++ b/internal/registry/script_test.go
@@ -87,21 +87,21 @@
 	lastCall        uint64
 }
 
-func address(no int) string { return fmt.Sprintf("10.%d.0.%d:7000", no%3, no) }
+func address(number int) string { return fmt.Sprintf("10.%d.0.%d:7000", number%3, number) }
 
-func (w *world) startGateway(no int) {
-	g := &gateway{w: w, number: no, addr: address(no)}
-	self := memberlist.Node{Addr: g.addr, Name: fmt.Sprintf("edge-%d", no), Zone: fmt.Sprintf("z%d", no%3),
-		Control: fmt.Sprintf("10.%d.0.%d:8042", no%3, no), Member: no < 3, Incarnation: 1}
+func (w *world) startGateway(number int) {
+	g := &gateway{w: w, number: number, addr: address(number)}
+	self := memberlist.Node{Addr: g.addr, Name: fmt.Sprintf("edge-%d", number), Zone: fmt.Sprintf("z%d", number%3),
+		Control: fmt.Sprintf("10.%d.0.%d:8042", number%3, number), Member: number < 3, Incarnation: 1}
 	g.members = memberlist.New(self, w.seeds, w.rand.Uint64(), w.net.Now)
 	g.registry = New(g.addr, self.Zone, heartbeat, w.rand.Uint64(), w.net.Now)
-	if no < len(w.gateways) {
-		g.reportedGone = w.gateways[no].reportedGone
-		w.gateways[no] = g
+	if number < len(w.gateways) {
+		g.reportedGone = w.gateways[number].reportedGone
+		w.gateways[number] = g
 	} else {
 		w.gateways = append(w.gateways, g)
 	}
-	w.up[no], w.untroubledSince[no] = true, w.net.Now
+	w.up[number], w.untroubledSince[number] = true, w.net.Now
 	w.net.Start(g.addr, g)
 }
 
@@ -170,42 +170,42 @@
 }
 
 // waitFor lets time pass until the condition holds.
-func (w *world) waitFor(line string, within time.Duration, holds func() string) {
+func (w *world) waitFor(line string, within time.Duration, condition func() string) {
 	w.t.Helper()
-	why := ""
+	problem := ""
 	for end := w.net.Now + within; w.net.Now <= end; w.run(10 * time.Millisecond) {
-		if why = holds(); why == "" {
+		if problem = condition(); problem == "" {
 			w.t.Logf("%s: %v", line, w.net.Now-end+within)
 			return
 		}
 	}
-	w.t.Fatalf("%v: %s: %s", w.net.Now, line, why)
+	w.t.Fatalf("%v: %s: %s", w.net.Now, line, problem)
 }
 
 func (w *world) eachUp(check func(g *gateway) string) string {
 	for _, g := range w.gateways {
 		if w.up[g.number] {
-			if why := check(g); why != "" {
-				return fmt.Sprintf("gateway %d %s", g.number, why)
+			if problem := check(g); problem != "" {
+				return fmt.Sprintf("gateway %d %s", g.number, problem)
 			}
 		}
 	}
 	return ""
 }
 
-func numbers(list string) (nos []int) {
+func numbers(list string) (result []int) {
 	for _, f := range strings.Split(list, ",") {
 		from, to, ok := strings.Cut(f, "-")
-		a, _ := strconv.Atoi(from)
-		b := a
+		first, _ := strconv.Atoi(from)
+		last := first
 		if ok {
-			b, _ = strconv.Atoi(to)
+			last, _ = strconv.Atoi(to)
 		}
-		for ; a <= b; a++ {
-			nos = append(nos, a)
+		for ; first <= last; first++ {
+			result = append(result, first)
 		}
 	}
-	return nos
+	return result
 }
 
 // execute runs one line. The scripts in testdata say what each one is for.
@@ -224,30 +224,30 @@
 		}
 		return d
 	}
-	trouble := func(no int) { w.untroubledSince[no] = w.net.Now }
+	trouble := func(number int) { w.untroubledSince[number] = w.net.Now }
 	switch f[0] {
 	case "seeds":
 		w.seeds = nil
-		for _, no := range numbers(f[1]) {
-			w.seeds = append(w.seeds, address(no))
+		for _, number := range numbers(f[1]) {
+			w.seeds = append(w.seeds, address(number))
 		}
 	case "boot":
-		for _, no := range numbers(f[1]) {
-			w.startGateway(no)
+		for _, number := range numbers(f[1]) {
+			w.startGateway(number)
 			w.net.Run(time.Millisecond)
 		}
 	case "kill", "freeze", "thaw":
-		for _, no := range numbers(f[1]) {
-			w.up[no] = f[0] == "thaw"
-			trouble(no)
-			map[string]func(string){"kill": w.net.Kill, "freeze": w.net.Pause, "thaw": w.net.Resume}[f[0]](address(no))
+		for _, number := range numbers(f[1]) {
+			w.up[number] = f[0] == "thaw"
+			trouble(number)
+			map[string]func(string){"kill": w.net.Kill, "freeze": w.net.Pause, "thaw": w.net.Resume}[f[0]](address(number))
 		}
 	case "cut": // cut 0-2 3-10: both ways; cut 0-2 > 3-10: messages of the first group are lost
-		one := f[2] == ">"
+		oneWay := f[2] == ">"
 		for _, a := range numbers(f[1]) {
 			for _, b := range numbers(f[len(f)-1]) {
 				w.blocked[[2]int{a, b}] = true
-				w.blocked[[2]int{b, a}] = w.blocked[[2]int{b, a}] || !one
+				w.blocked[[2]int{b, a}] = w.blocked[[2]int{b, a}] || !oneWay
 				trouble(a)
 				trouble(b)
 			}
@@ -301,14 +301,14 @@
 	case "release": // release N D: N of the servers replaced in D
 		w.replaceServers(numbers(f[1])[0], span(2))
 	case "spent": // spent MOST: bytes that one process has sent since last asked
-		most := 0
+		maxBytes := 0
 		for _, b := range w.net.BytesSent {
-			most = max(most, b)
+			maxBytes = max(maxBytes, b)
 		}
 		clear(w.net.BytesSent)
-		w.t.Logf("%s: at most %d bytes by one process", line, most)
-		if most > numbers(f[1])[0] {
-			w.t.Errorf("%s: %d", line, most)
+		w.t.Logf("%s: at most %d bytes by one process", line, maxBytes)
+		if maxBytes > numbers(f[1])[0] {
+			w.t.Errorf("%s: %d", line, maxBytes)
 		}
 		w.logMessageCounts()
 	case "storm": // storm D: random faults, then all recover
@@ -334,11 +334,11 @@
 		w.run(each)
 		w.execute(fmt.Sprintf("delete %s %d", old.ID, old.gatewayNumber))
 	}
-	most := 0
+	maxBytes := 0
 	for _, b := range w.net.BytesSent {
-		most = max(most, b)
+		maxBytes = max(maxBytes, b)
 	}
-	rate := float64(most) / d.Seconds()
+	rate := float64(maxBytes) / d.Seconds()
 	w.t.Logf("replacement of %d in %v: at most %.0f bytes/s from one process", n, d, rate)
 	if rate > 60_000 {
 		w.t.Errorf("more than 60 kB/s from one process, which 2 Mbit/s with traffic can't carry")
@@ -346,7 +346,7 @@
 }
 
 func (w *world) storm(d time.Duration) {
-	n, made := len(w.gateways), 0
+	n, started := len(w.gateways), 0
 	list := func(k int) string { return strconv.Itoa(k) }
 	for end := w.net.Now + d; w.net.Now < end; w.run(time.Duration(100+w.rand.IntN(900)) * time.Millisecond) {
 		a, b := w.rand.IntN(n), w.rand.IntN(n)
@@ -370,27 +370,27 @@
 		case 5, 6:
 			w.execute("heal")
 		case 7, 8:
-			made++
-			w.execute(fmt.Sprintf("server r%d svc%d z%d 10.7.0.%d:80 %d", made, made%4, made%3, made%9, a))
-			if old := w.servers[fmt.Sprintf("r%d", made-5)]; old != nil {
+			started++
+			w.execute(fmt.Sprintf("server r%d svc%d z%d 10.7.0.%d:80 %d", started, started%4, started%3, started%9, a))
+			if old := w.servers[fmt.Sprintf("r%d", started-5)]; old != nil {
 				w.execute("quiesce " + old.ID)
 				old.stopped = true
 			}
 		}
 	}
 	w.execute("heal")
-	for no := range n {
-		w.recoverGateway(no)
+	for number := range n {
+		w.recoverGateway(number)
 	}
 }
 
-func (w *world) recoverGateway(no int) {
+func (w *world) recoverGateway(number int) {
 	switch {
-	case w.frozen[no]:
-		w.execute("thaw " + strconv.Itoa(no))
-		delete(w.frozen, no)
-	case !w.up[no]:
-		w.execute("boot " + strconv.Itoa(no))
+	case w.frozen[number]:
+		w.execute("thaw " + strconv.Itoa(number))
+		delete(w.frozen, number)
+	case !w.up[number]:
+		w.execute("boot " + strconv.Itoa(number))
 	}
 }
 
@@ -401,20 +401,20 @@
 	}
 }
 
-func (w *world) measureIdle(line string, d time.Duration, most int) {
+func (w *world) measureIdle(line string, d time.Duration, limit int) {
 	clear(w.net.BytesSent)
 	w.net.TakeMessageCounts()
 	w.run(d)
-	sum, top := 0, 0
+	sum, maxBytes := 0, 0
 	for _, b := range w.net.BytesSent {
 		sum += b
-		top = max(top, b)
+		maxBytes = max(maxBytes, b)
 	}
 	mean := float64(sum) / d.Seconds() / float64(len(w.gateways))
 	w.t.Logf("%s: %d processes, %d servers: %.0f bytes/s each (with frame overhead), at most %.0f", line,
-		len(w.gateways), len(w.servers), mean, float64(top)/d.Seconds())
+		len(w.gateways), len(w.servers), mean, float64(maxBytes)/d.Seconds())
 	w.logMessageCounts()
-	if int(mean) > most {
+	if int(mean) > limit {
 		w.t.Errorf("%s: %.0f bytes/s", line, mean)
 	}
 }
@@ -427,19 +427,19 @@
 		within, _ = time.ParseDuration(f[n-1])
 		f = f[:n-2]
 	}
-	var holds func() string
+	var condition func() string
 	switch f[1] {
 	case "up": // up NODES: all running ones see exactly these
 		var want []string
-		for _, no := range numbers(f[2]) {
-			want = append(want, address(no))
+		for _, number := range numbers(f[2]) {
+			want = append(want, address(number))
 		}
 		slices.Sort(want)
 		among := numbers(f[2])
 		if len(f) > 4 { // up NODES at NODES
 			among = numbers(f[4])
 		}
-		holds = func() string {
+		condition = func() string {
 			return w.eachUp(func(g *gateway) string {
 				var got []string
 				for _, n := range g.members.UpNodes() {
@@ -452,7 +452,7 @@
 			})
 		}
 	case "node": // node NODE life|held N
-		holds = func() string {
+		condition = func() string {
 			return w.eachUp(func(g *gateway) string {
 				for _, n := range g.members.View() {
 					got := map[string]string{"life": fmt.Sprint(n.Incarnation), "held": fmt.Sprint(n.ConfigVersion)}[f[3]]
@@ -464,7 +464,7 @@
 			})
 		}
 	case "gone": // gone N [at NODES]: number of nodes reported gone, by all together, since the last check
-		holds = func() string {
+		condition = func() string {
 			sum := 0
 			for _, g := range w.gateways {
 				if len(f) < 5 || slices.Contains(numbers(f[4]), g.number) {
@@ -478,7 +478,7 @@
 			return ""
 		}
 	case "server": // server ID PHASE|none
-		holds = func() string {
+		condition = func() string {
 			return w.eachUp(func(g *gateway) string {
 				got := "none"
 				if it := g.registry.items[f[2]]; it != nil {
@@ -491,7 +491,7 @@
 			})
 		}
 	case "same": // all tables are equal
-		holds = func() string {
+		condition = func() string {
 			want, first := uint64(0), true
 			return w.eachUp(func(g *gateway) string {
 				if first {
@@ -507,14 +507,14 @@
 			})
 		}
 	case "answered": // answered ID
-		holds = func() string {
+		condition = func() string {
 			if _, ok := w.confirmedAt[f[2]]; !ok {
 				return "no answer yet"
 			}
 			return ""
 		}
 	case "never": // never ID PHASE: no gateway has reported it since the last check
-		holds = func() string {
+		condition = func() string {
 			n := w.changes[f[2]+" "+f[3]]
 			clear(w.changes)
 			if n > 0 {
@@ -523,7 +523,7 @@
 			return ""
 		}
 	case "home": // home ID: its heartbeats go to its home
-		holds = func() string {
+		condition = func() string {
 			s := w.servers[f[2]]
 			it := w.gateways[s.gatewayNumber].registry.items[s.ID]
 			if h := w.gateways[s.gatewayNumber].registry.homeOf(it.Server); h != address(s.gatewayNumber) {
@@ -532,7 +532,7 @@
 			return ""
 		}
 	case "total": // total N servers serving, everywhere
-		holds = func() string {
+		condition = func() string {
 			return w.eachUp(func(g *gateway) string {
 				if st := g.registry.Status(); fmt.Sprint(st.Serving) != f[2] {
 					return fmt.Sprintf("has %+v", st)
@@ -543,7 +543,7 @@
 	default:
 		w.t.Fatalf("%s: unknown command", line)
 	}
-	w.waitFor(line, within, holds)
+	w.waitFor(line, within, condition)
 }
 
 func TestScripts(t *testing.T) {
--- a/internal/registry/size_test.go
+++ b/internal/registry/size_test.go
@@ -150,12 +150,12 @@
 // sent with the next update. The loss of a rack is a single update.
 func TestUpdateFanOut(t *testing.T) {
 	p := newFixture(t, 490, 5200)
-	news := func(o Out, servers int) (no uint64) {
+	checkUpdate := func(o Out, servers int) (number uint64) {
 		t.Helper()
 		to := 0
 		for _, s := range o.Send {
 			if n, ok := s.Msg.(Update); ok {
-				if to, no = to+1+len(n.ForwardTo), n.Number; len(n.Rows) != servers {
+				if to, number = to+1+len(n.ForwardTo), n.Number; len(n.Rows) != servers {
 					t.Errorf("%d rows, want %d", len(n.Rows), servers)
 				}
 			}
@@ -163,36 +163,36 @@
 		if len(o.Send) > 23 || to != 489 {
 			t.Errorf("%d messages for %d gateways", len(o.Send), to)
 		}
-		return no
+		return number
 	}
 	r := p.homeRows[0]
 	r.ID, r.Addr = "new", "10.200.0.1:8080"
-	news(p.heartbeat(r, 1), 1)
+	checkUpdate(p.heartbeat(r, 1), 1)
 	p.tick(50 * time.Millisecond)
-	leaves := p.homeRows[1]
-	o := p.m.Heartbeat(p.now, 7, Heartbeat{ID: leaves.ID, Addr: leaves.Addr, Service: leaves.Service, Zone: leaves.Zone, Quiescing: true, Seq: 9})
-	no := news(o, 1)
+	leaving := p.homeRows[1]
+	o := p.m.Heartbeat(p.now, 7, Heartbeat{ID: leaving.ID, Addr: leaving.Addr, Service: leaving.Service, Zone: leaving.Zone, Quiescing: true, Seq: 9})
+	number := checkUpdate(o, 1)
 	var answers []Answer
 	for _, s := range o.Send {
 		if len(answers) > 0 {
 			t.Fatal("confirmed before all confirmed")
 		}
-		answers = p.m.Receive(p.now, s.To, Ack{Number: no, ConfirmedBy: s.Msg.(Update).ForwardTo}).Answers
+		answers = p.m.Receive(p.now, s.To, Ack{Number: number, ConfirmedBy: s.Msg.(Update).ForwardTo}).Answers
 	}
 	if len(answers) != 1 || !answers[0].OK {
 		t.Fatal(answers)
 	}
-	if o := p.m.Deregister(p.now, 8, leaves.ID); len(o.Send) > 0 || len(o.Answers) != 1 {
+	if o := p.m.Deregister(p.now, 8, leaving.ID); len(o.Send) > 0 || len(o.Answers) != 1 {
 		t.Errorf("%d messages, %d answers", len(o.Send), len(o.Answers))
 	}
 	r.ID, r.Addr = "newer", "10.200.0.2:8080"
-	news(p.heartbeat(r, 1), 2)
-	if p.m.items[leaves.ID].Phase != Ended {
+	checkUpdate(p.heartbeat(r, 1), 2)
+	if p.m.items[leaving.ID].Phase != Ended {
 		t.Error("the end was not sent with the next update")
 	}
 	for at := p.now + 6*time.Second; p.now < at; { // no server of this home is heard any more
 		if o := p.tick(50 * time.Millisecond); len(o.Changes) > 0 {
-			news(o, len(o.Changes))
+			checkUpdate(o, len(o.Changes))
 		}
 	}
 	if st := p.m.Status(); st.Silent != len(p.homeRows)+1 {
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -14,20 +14,20 @@
 	t.Helper()
 	nodes := []memberlist.Node{{Addr: "a", Zone: "z", Member: true}, {Addr: "b", Zone: "z"}}
 	a, b = New("a", "z", 1500*time.Millisecond, 1, time.Second), New("b", "z", 1500*time.Millisecond, 2, time.Second)
-	by := map[string]*Machine{"a": a, "b": b}
-	var carry func(from string, now fsm.Time, out Out)
-	carry = func(from string, now fsm.Time, out Out) {
+	machines := map[string]*Machine{"a": a, "b": b}
+	var deliver func(from string, now fsm.Time, out Out)
+	deliver = func(from string, now fsm.Time, out Out) {
 		for _, s := range out.Send {
-			carry(s.To, now, by[s.To].Receive(now, from, s.Msg))
+			deliver(s.To, now, machines[s.To].Receive(now, from, s.Msg))
 		}
 	}
-	carry("a", time.Second, a.Restore(time.Second, kept))
-	for name, m := range by {
-		carry(name, time.Second, m.SetNodes(time.Second, nodes))
+	deliver("a", time.Second, a.Restore(time.Second, kept))
+	for name, m := range machines {
+		deliver(name, time.Second, m.SetNodes(time.Second, nodes))
 	}
 	return a, b, func(now fsm.Time) {
-		carry("a", now, a.Tick(now))
-		carry("b", now, b.Tick(now))
+		deliver("a", now, a.Tick(now))
+		deliver("b", now, b.Tick(now))
 	}
 }
 
--- a/internal/serverset/serverset.go
+++ b/internal/serverset/serverset.go
@@ -422,11 +422,11 @@
 	src.answered, src.lost, src.staleSince = true, false, never
 	byKey := make(map[targetKey]Target, len(targets))
 	for _, t := range targets {
-		k := targetKey{strings.ToLower(t.Name), t.Port}
-		if old, ok := byKey[k]; ok && old.Priority <= t.Priority {
+		key := targetKey{strings.ToLower(t.Name), t.Port}
+		if old, ok := byKey[key]; ok && old.Priority <= t.Priority {
 			continue
 		}
-		byKey[k] = t
+		byKey[key] = t
 	}
 	m.replaceTargets(now, name, src, byKey, firstAnswer, noService)
 }
@@ -443,25 +443,25 @@
 // replaceTargets replaces the targets of a source.
 func (m *Set) replaceTargets(now time.Duration, name string, src *source, targets map[targetKey]Target, firstAnswer, noService bool) {
 	var changed []targetKey
-	for k, old := range src.targets {
-		if t, ok := targets[k]; !ok || !sameTarget(t, old) {
-			changed = append(changed, k)
+	for key, old := range src.targets {
+		if t, ok := targets[key]; !ok || !sameTarget(t, old) {
+			changed = append(changed, key)
 		}
 	}
-	for k := range targets {
-		if _, ok := src.targets[k]; !ok {
-			changed = append(changed, k)
+	for key := range targets {
+		if _, ok := src.targets[key]; !ok {
+			changed = append(changed, key)
 		}
 	}
 	slices.SortFunc(changed, targetKey.compare)
 	src.targets = targets
-	for _, k := range changed {
-		t := m.targets[k]
+	for _, key := range changed {
+		t := m.targets[key]
 		if t == nil {
-			t = &target{key: k, bySource: map[string]Target{}, fromFirstAnswer: firstAnswer}
-			m.targets[k] = t
+			t = &target{key: key, bySource: map[string]Target{}, fromFirstAnswer: firstAnswer}
+			m.targets[key] = t
 		}
-		if said, ok := targets[k]; ok {
+		if said, ok := targets[key]; ok {
 			t.bySource[name] = said
 		} else {
 			delete(t.bySource, name)
