--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -10,197 +10,197 @@
 )
 
 const (
-	ownGap    = 400 * time.Millisecond // between our ticks: it was we who stood still
-	longGap   = 20 * time.Second       // after it our table is old, and the others' counts
-	spreadFor = 600 * time.Millisecond // then a leaving server is told yes, whoever is silent
-	againIn   = 100 * time.Millisecond
-	roundIn   = 250 * time.Millisecond // without an answer, news goes round by others
-	assureFor = 800 * time.Millisecond // then a leaving server is told to ask another gateway
-	recently  = 5 * time.Second        // news this young is pushed to those that come up
-	repairIn  = time.Second
-	soonIn    = 100 * time.Millisecond // where somebody has come up
-	lookIn    = 250 * time.Millisecond
-	buried    = 90 * time.Second // tombstones
-	giveUp    = 10 * time.Minute // a silent server is ended
-	mostSwift = 4                // news sent at once between two ticks; the rest go together
-	lazyFor   = time.Second      // the end of a server that nobody sends to any more waits for other news so long
+	maxTickGap           = 400 * time.Millisecond // a longer gap between ticks means that this process itself was stopped
+	outdatedAfter        = 20 * time.Second       // after a longer absence this table is outdated, and the others' counts
+	confirmTimeout       = 600 * time.Millisecond // after this time a majority of the voters suffices for a leaving server's call
+	resendInterval       = 100 * time.Millisecond
+	indirectAfter        = 250 * time.Millisecond // without a confirmation by then, an update is also sent through other processes
+	quiesceCallTimeout   = 800 * time.Millisecond // after this time a leaving server is told to ask another gateway
+	catchUpWindow        = 5 * time.Second        // updates this recent are sent to processes that come up
+	reconcileInterval    = time.Second
+	reconcileDelay       = 100 * time.Millisecond // until the next reconciliation when a process has come up
+	silenceCheckInterval = 250 * time.Millisecond
+	tombstoneLifetime    = 90 * time.Second
+	endSilentAfter       = 10 * time.Minute // a server silent for so long is ended
+	maxImmediateFlushes  = 4                // updates sent at once between two ticks; further ones wait for the tick
+	endDelay             = time.Second      // the end of a server that gets no requests any more waits so long for another update
 )
 
-// item is a server with what is known of it here alone.
+// item is a server with what this process alone knows of it.
 type item struct {
 	Server
-	last  uint64   // highest sequence number heard from it
-	beat  fsm.Time // when; for a home also when its wait began
-	came  fsm.Time // when the last one came here
-	ended fsm.Time // since when it is ended or silent
-	due   fsm.Time // when it is looked at next; 0: it is not at home here, or ended
-	mark  uint64   // of Server
-	place *place
-	next  *item  // at the same address, or one with the same hash
-	key   uint32 // of its ID, as in an Index
-	slot  int32  // in the place's items
-	heard bool   // a beat came here at all
-	old   bool   // from before a long absence, and not seen by others since
+	lastSeq     uint64   // highest sequence number in its heartbeats
+	lastBeat    fsm.Time // when it was heard; at a home also when the wait for it began
+	lastArrival fsm.Time // when the last heartbeat arrived at this process
+	phaseSince  fsm.Time // since when it is ended or silent
+	checkAt     fsm.Time // next check for silence; 0: this process is not its home, or it has ended
+	digest      uint64   // of Server
+	group       *serverGroup
+	nextAtAddr  *item  // next with the same address, or the same hash of it
+	idHash      uint32 // hash of its ID, as in an Index
+	groupIndex  int32  // index in the group's servers
+	heardHere   bool   // a heartbeat arrived at this process
+	outdated    bool   // from before a long absence, and not confirmed by others since
 }
 
-// Machine is one process's part.
+// Machine is the state machine of one process's registry.
 type Machine struct {
-	self, zone string
-	wait       time.Duration // a server silent for so long is Silent
-	rand       *rand.Rand
+	self, zone     string
+	silenceTimeout time.Duration // a server without heartbeats for so long is Silent
+	rand           *rand.Rand
 
-	items map[string]*item
-	all   []*item                       // the same by ID
-	sum   uint64                        // the marks of those not ended: tombstones go at each process's own time
-	at    map[uint32]*item              // those not ended by the hash of their address, a chain
-	kinds map[uint32]*service           // by the hash of the name
-	nodes map[string]*memberlist.Node   // not gone, without self
-	peers []string                      // their addresses, sorted,
-	fleet []*memberlist.Node            // they themselves in that order,
-	zones map[string][]*memberlist.Node // and those of each zone
-	me    memberlist.Node
-	homes map[spot]*place
-	dues  dues // of those at home here
+	items       map[string]*item
+	sorted      []*item                     // the items by ID
+	tableDigest uint64                      // XOR of the digests of servers not ended; tombstones don't count, as each process drops them at its own time
+	byAddr      map[uint32]*item            // servers not ended, chained by the hash of their address
+	services    map[uint32]*serviceInfo     // by the hash of their name
+	nodes       map[string]*memberlist.Node // nodes not gone, without self
+	peers       []string                    // addresses of nodes, sorted
+	peerNodes   []*memberlist.Node          // nodes in the order of peers
+	peersByZone map[string][]*memberlist.Node
+	selfNode    memberlist.Node
+	groups      map[serviceZone]*serverGroup
+	checks      checkHeap // of the servers whose home is this process
 
-	spreads map[string]*spread
-	live    map[string]bool // spreads that wait, or are young
-	posts   map[uint64]*post
-	no      uint64
-	relays  map[passage]*relay
-	groups  [][]string      // of peers; nil: to be made
-	queue   map[string]bool // news that waits for the tick
-	ending  map[string]bool // ended, and nobody sends to them: it goes with the next news
-	lazy    fsm.Time        // or then
-	swift   int
+	propagations       map[string]*propagation
+	activePropagations map[string]bool // propagations that are waiting or recent
+	unconfirmed        map[uint64]*unconfirmedUpdate
+	lastNumber         uint64
+	pendingRelays      map[relayKey]*relay
+	relayGroups        [][]string      // of peers; nil: to be rebuilt
+	queued             map[string]bool // IDs of updates to be sent
+	pendingEnds        map[string]bool // IDs of ended servers that get no requests; sent with the next update
+	pendingEndsDue     fsm.Time        // or at this time
+	immediateFlushes   int
 
-	now, ticked, began fsm.Time
-	repair, look       fsm.Time
-	learnt             fsm.Time // when news last changed the table
-	compared, calm     fsm.Time // when tables were last compared from here, and until when they aren't again
-	grave              fsm.Time // when the ended are looked at next
-	returns            returns
-	fetch              fsm.Time // next one, while not filled
-	alone              fsm.Time // since when there is nobody else
-	filled, partly     bool
-	restored           bool     // rows from disk, for when nobody has a table
-	core               []string // the seats of agreement, as of the newest epoch known; nil: not told of any
-	bug                Bug
-	out                Out
+	now, lastTick, startedAt          fsm.Time
+	nextReconcile, nextSilenceCheck   fsm.Time
+	lastUpdate                        fsm.Time // when an update last changed the table
+	lastComparison, noComparisonUntil fsm.Time // of tables by this process
+	nextTombstoneSweep                fsm.Time
+	rejoins                           rejoinTracker
+	nextFetch                         fsm.Time // while not complete
+	aloneSince                        fsm.Time // since when there is no other process; -1: there is one
+	complete, gotPartialTable         bool
+	hasRestored                       bool     // rows from disk, for when no process has a table
+	voters                            []string // of consensus in the newest known epoch; nil: not known
+	bug                               Bug
+	out                               Out
 }
 
-// New knows nothing. The heartbeat is the pace of the servers' beats; the seed must
-// be another at each start.
+// New returns a machine with an empty table. The heartbeat is the interval of the servers'
+// heartbeats; the seed must differ at each start.
 func New(self, zone string, heartbeat time.Duration, seed uint64, now fsm.Time) *Machine {
 	m := &Machine{
-		self: self, zone: zone, wait: heartbeat * 7 / 2, rand: rand.New(rand.NewPCG(seed, 0x1076)),
-		items: map[string]*item{}, nodes: map[string]*memberlist.Node{}, homes: map[spot]*place{},
-		at: map[uint32]*item{}, kinds: map[uint32]*service{}, ending: map[string]bool{},
-		spreads: map[string]*spread{}, live: map[string]bool{}, posts: map[uint64]*post{}, relays: map[passage]*relay{}, queue: map[string]bool{},
-		me:  memberlist.Node{Addr: self, Zone: zone},
-		now: now, ticked: now, began: now, fetch: now, alone: now, learnt: now, compared: now,
-	}
-	m.no = m.rand.Uint64() >> 32 // late confirmations for an earlier life mean nothing
+		self: self, zone: zone, silenceTimeout: heartbeat * 7 / 2, rand: rand.New(rand.NewPCG(seed, 0x1076)),
+		items: map[string]*item{}, nodes: map[string]*memberlist.Node{}, groups: map[serviceZone]*serverGroup{},
+		byAddr: map[uint32]*item{}, services: map[uint32]*serviceInfo{}, pendingEnds: map[string]bool{},
+		propagations: map[string]*propagation{}, activePropagations: map[string]bool{}, unconfirmed: map[uint64]*unconfirmedUpdate{}, pendingRelays: map[relayKey]*relay{}, queued: map[string]bool{},
+		selfNode: memberlist.Node{Addr: self, Zone: zone},
+		now:      now, lastTick: now, startedAt: now, nextFetch: now, aloneSince: now, lastUpdate: now, lastComparison: now,
+	}
+	m.lastNumber = m.rand.Uint64() >> 32 // confirmations for an earlier start must not match
 	return m
 }
 
-// Beat takes a server's call.
+// Heartbeat handles a server's call.
 func (m *Machine) Heartbeat(now fsm.Time, call uint64, b Heartbeat) Out {
-	m.begins(now)
+	m.startInput(now)
 	s := b.server(now)
 	it := m.items[b.ID]
-	if it != nil && s.Phase == Serving && (it.Phase == Ended || b.Seq <= it.stand()) {
-		m.answer(call, b.ID) // late, or of one that is gone: it changes nothing
-		return m.take()
+	if it != nil && s.Phase == Serving && (it.Phase == Ended || b.Seq <= it.latestSeq()) {
+		m.answerCall(call, b.ID) // late, or of a server that has ended: nothing changes
+		return m.takeOutput()
 	}
 	if it != nil && it.Phase == Ended {
-		m.assure(call, b.ID)
-		return m.take()
+		m.answerWhenConfirmed(call, b.ID)
+		return m.takeOutput()
 	}
-	if m.hear(s) {
-		m.tell(b.ID)
-	} else if home := m.home(s); home != m.self {
+	if m.recordHeartbeat(s) {
+		m.queueUpdate(b.ID)
+	} else if home := m.homeOf(s); home != m.self {
 		m.send(home, ForwardedHeartbeat{Row: s.row(now)})
 	}
 	if s.Phase == Quiescing {
-		m.assure(call, b.ID)
+		m.answerWhenConfirmed(call, b.ID)
 	} else {
-		m.answer(call, b.ID)
+		m.answerCall(call, b.ID)
 	}
-	return m.take()
+	return m.takeOutput()
 }
 
-// stand is the highest sequence number known.
-func (it *item) stand() uint64 { return max(it.last, it.Seq) }
+// latestSeq is the highest known sequence number.
+func (it *item) latestSeq() uint64 { return max(it.lastSeq, it.Seq) }
 
-// hear takes a beat, and says whether it is news.
-func (m *Machine) hear(s Server) bool {
-	m.oust(s)
+// recordHeartbeat records a heartbeat, and reports whether it changes the server.
+func (m *Machine) recordHeartbeat(s Server) bool {
+	m.endServersAtAddress(s)
 	it := m.items[s.ID]
-	news := it == nil || !it.same(s) && s.newer(it.Server)
-	if news {
-		m.put(s)
+	isNew := it == nil || !it.equalIgnoringSeq(s) && s.supersedes(it.Server)
+	if isNew {
+		m.apply(s)
 		it = m.items[s.ID]
 	}
-	if s.Seq >= it.last {
-		it.last, it.beat, it.came, it.heard, it.old = s.Seq, m.now, m.now, true, false
+	if s.Seq >= it.lastSeq {
+		it.lastSeq, it.lastBeat, it.lastArrival, it.heardHere, it.outdated = s.Seq, m.now, m.now, true, false
 	}
-	return news
+	return isNew
 }
 
-// oust ends servers whose address this one has now: no two live at one address, and
-// it is this one that was heard.
-func (m *Machine) oust(s Server) {
+// endServersAtAddress ends other servers with the same address: no two servers share one, and this
+// one was heard.
+func (m *Machine) endServersAtAddress(s Server) {
 	if s.Addr == "" {
 		return
 	}
 	it := m.items[s.ID]
-	var out []string
-	for o := m.at[short(s.Addr)]; o != nil; o = o.next {
-		if o.Addr == s.Addr && o.ID != s.ID && (it == nil || !o.heard || m.now-o.beat >= m.wait) {
-			out = append(out, o.ID)
+	var ended []string
+	for o := m.byAddr[hash32(s.Addr)]; o != nil; o = o.nextAtAddr {
+		if o.Addr == s.Addr && o.ID != s.ID && (it == nil || !o.heardHere || m.now-o.lastBeat >= m.silenceTimeout) {
+			ended = append(ended, o.ID)
 		}
 	}
-	slices.Sort(out)
-	for _, id := range out {
-		m.end(id)
+	slices.Sort(ended)
+	for _, id := range ended {
+		m.endServer(id)
 	}
 }
 
-// Delete takes a server's last call.
+// Deregister handles a server's last call.
 func (m *Machine) Deregister(now fsm.Time, call uint64, id string) Out {
-	m.begins(now)
+	m.startInput(now)
 	it := m.items[id]
-	if it != nil && it.Phase == Quiescing && m.unused(id) {
-		if len(m.ending) == 0 {
-			m.lazy = now + lazyFor
+	if it != nil && it.Phase == Quiescing && m.quiesceConfirmed(id) {
+		if len(m.pendingEnds) == 0 {
+			m.pendingEndsDue = now + endDelay
 		}
-		m.ending[id] = true
-		m.answer(call, id)
-		return m.take()
+		m.pendingEnds[id] = true
+		m.answerCall(call, id)
+		return m.takeOutput()
 	}
 	if it == nil || it.Phase != Ended {
-		m.end(id)
+		m.endServer(id)
 	}
-	m.assure(call, id)
-	return m.take()
+	m.answerWhenConfirmed(call, id)
+	return m.takeOutput()
 }
 
-// end is the word that a server has ended.
-func (m *Machine) end(id string) {
+// endServer marks a server as ended.
+func (m *Machine) endServer(id string) {
 	s := Server{ID: id, Phase: Ended}
 	if it := m.items[id]; it != nil {
 		s = it.Server
 		s.Phase = Ended
 	}
-	m.put(s)
-	m.tell(id)
+	m.apply(s)
+	m.queueUpdate(id)
 }
 
-// put stores the newer word, and hands it to the data plane.
-func (m *Machine) put(s Server) {
+// apply stores the newer version of a server and passes it to the data plane.
+func (m *Machine) apply(s Server) {
 	it := m.items[s.ID]
 	if it == nil {
-		it = m.enter(s)
+		it = m.addItem(s)
 	}
 	if s.Phase == Ended && s.Service == "" {
 		id, seq := s.ID, s.Seq
@@ -208,139 +208,139 @@
 		s.ID, s.Phase, s.Seq = id, Ended, max(seq, s.Seq)
 	}
 	if it.Phase != s.Phase {
-		it.ended = m.now
+		it.phaseSince = m.now
 	}
 	if it.Phase == Silent && s.Phase == Serving {
-		it.beat = m.now
+		it.lastBeat = m.now
 	}
-	m.set(it, s)
-	it.old = false
+	m.setServer(it, s)
+	it.outdated = false
 	m.out.Changes = append(m.out.Changes, s)
 }
 
-// merge takes a row from another process, and says whether it was news.
+// merge takes a row from another process, and reports whether it was new.
 func (m *Machine) merge(r Row) bool {
 	s := r.server(m.now)
 	it := m.items[r.ID]
 	if it == nil {
-		m.put(s)
+		m.apply(s)
 		return true
 	}
-	it.old = false
-	if !s.newer(it.Server) {
-		if !m.filled && s.Phase == Serving && it.same(s) {
+	it.outdated = false
+	if !s.supersedes(it.Server) {
+		if !m.complete && s.Phase == Serving && it.equalIgnoringSeq(s) {
 			s.WarmUntil = it.WarmUntil
-			m.set(it, s) // it was no news
-			delete(m.queue, r.ID)
+			m.setServer(it, s) // it is not new to others
+			delete(m.queued, r.ID)
 		}
 		return false
 	}
-	if s.Phase == Silent && it.heard && it.last > s.Seq && m.now-it.beat < m.wait && it.Phase < Quiescing {
+	if s.Phase == Silent && it.heardHere && it.lastSeq > s.Seq && m.now-it.lastBeat < m.silenceTimeout && it.Phase < Quiescing {
 		heard := it.Server
-		heard.Seq = it.last
-		m.set(it, heard) // it was the teller who didn't hear it
+		heard.Seq = it.lastSeq
+		m.setServer(it, heard) // only the sender didn't hear the server
 		m.out.Changes = append(m.out.Changes, it.Server)
-		m.tell(r.ID)
+		m.queueUpdate(r.ID)
 		return false
 	}
-	m.put(s)
+	m.apply(s)
 	return true
 }
 
-// answer says yes, and where the server shall call from now on.
-func (m *Machine) answer(call uint64, id string) {
+// answerCall confirms a call and tells the server which process to call from now on.
+func (m *Machine) answerCall(call uint64, id string) {
 	a := Answer{Call: call, OK: true}
 	if it := m.items[id]; it != nil && it.Phase != Ended {
-		if m.mine(it) {
-			a.Target = m.me.Control
+		if m.isHome(it) {
+			a.Target = m.selfNode.Control
 		} else {
-			a.Target = m.nodes[it.place.home].Control
+			a.Target = m.nodes[it.group.home].Control
 		}
 	}
 	m.out.Answers = append(m.out.Answers, a)
 }
 
-// Tick watches servers, sends what waits, and repairs.
+// Tick checks servers for silence, sends queued updates and reconciles tables.
 func (m *Machine) Tick(now fsm.Time) Out {
-	m.begins(now)
-	m.ticked, m.swift = now, 0
-	if now >= m.look {
-		m.look = now + lookIn
-		m.watch()
+	m.startInput(now)
+	m.lastTick, m.immediateFlushes = now, 0
+	if now >= m.nextSilenceCheck {
+		m.nextSilenceCheck = now + silenceCheckInterval
+		m.checkSilence()
 	}
-	if len(m.ending) > 0 && now >= m.lazy {
-		m.finished()
+	if len(m.pendingEnds) > 0 && now >= m.pendingEndsDue {
+		m.flushPendingEnds()
 	}
-	m.retell()
+	m.reannounce()
 	m.flush()
-	m.push()
-	m.relayed()
-	m.fill()
-	if now >= m.repair {
-		m.repair = now + repairIn
-		m.mend(1)
-		m.bury()
-	}
-	return m.take()
+	m.resendUnconfirmed()
+	m.expireRelays()
+	m.fetchTable()
+	if now >= m.nextReconcile {
+		m.nextReconcile = now + reconcileInterval
+		m.requestComparison(1)
+		m.sweepTombstones()
+	}
+	return m.takeOutput()
 }
 
-// begins begins an input, and notices our own freeze.
-func (m *Machine) begins(now fsm.Time) {
+// startInput begins handling an input, and detects that this process itself was stopped.
+func (m *Machine) startInput(now fsm.Time) {
 	m.now = now
-	gap := now - m.ticked
-	if gap <= ownGap {
+	gap := now - m.lastTick
+	if gap <= maxTickGap {
 		return
 	}
-	m.ticked = now
-	if gap > longGap {
-		m.age()
+	m.lastTick = now
+	if gap > outdatedAfter {
+		m.markOutdated()
 	}
-	for _, it := range m.all {
-		it.beat = now
+	for _, it := range m.sorted {
+		it.lastBeat = now
 	}
-	m.mend(2)
+	m.requestComparison(2)
 }
 
-// bury forgets the long ended.
-func (m *Machine) bury() {
-	if m.now < m.grave {
+// sweepTombstones removes servers that ended long ago.
+func (m *Machine) sweepTombstones() {
+	if m.now < m.nextTombstoneSweep {
 		return
 	}
-	m.grave = m.now + buried/9
-	m.returns.forgets(m.now)
-	over := func(it *item) bool { return it.Phase == Ended && m.now-it.ended > buried }
-	for _, it := range m.all {
-		if over(it) {
-			m.forget(it)
-			delete(m.spreads, it.ID)
-			delete(m.live, it.ID)
+	m.nextTombstoneSweep = m.now + tombstoneLifetime/9
+	m.rejoins.expire(m.now)
+	expired := func(it *item) bool { return it.Phase == Ended && m.now-it.phaseSince > tombstoneLifetime }
+	for _, it := range m.sorted {
+		if expired(it) {
+			m.detach(it)
+			delete(m.propagations, it.ID)
+			delete(m.activePropagations, it.ID)
 		}
 	}
-	m.all = slices.DeleteFunc(m.all, over)
+	m.sorted = slices.DeleteFunc(m.sorted, expired)
 }
 
-// Servers is all that are known, the ended ones too for a while, sorted by ID.
+// Servers returns all known servers sorted by ID, including recently ended ones.
 func (m *Machine) Servers() []Server {
-	v := make([]Server, 0, len(m.all))
-	for _, it := range m.all {
+	v := make([]Server, 0, len(m.sorted))
+	for _, it := range m.sorted {
 		v = append(v, it.Server)
 	}
 	return v
 }
 
-// Status is for people.
+// Status counts servers for operators.
 type Status struct {
 	Serving, Silent, Quiescing, Ended int
 
-	Unconfirmed int // news messages that some process hasn't confirmed
+	Unconfirmed int // updates that some process hasn't confirmed
 	Complete    bool
 	Hash        uint64
 }
 
-// Status counts.
+// Status returns the current counts.
 func (m *Machine) Status() Status {
-	st := Status{Unconfirmed: len(m.posts), Complete: m.filled, Hash: m.sum}
-	for _, it := range m.all {
+	st := Status{Unconfirmed: len(m.unconfirmed), Complete: m.complete, Hash: m.tableDigest}
+	for _, it := range m.sorted {
 		*[]*int{&st.Serving, &st.Silent, &st.Quiescing, &st.Ended}[it.Phase]++
 	}
 	return st
@@ -352,9 +352,11 @@
 	}
 }
 
-func (m *Machine) take() Out {
-	if m.swift < mostSwift && len(m.queue) > 0 {
-		m.swift++
+// takeOutput returns the collected output and clears it. A few times between two ticks it sends
+// queued updates first.
+func (m *Machine) takeOutput() Out {
+	if m.immediateFlushes < maxImmediateFlushes && len(m.queued) > 0 {
+		m.immediateFlushes++
 		m.flush()
 	}
 	o := m.out
