--- a/internal/registry/script_test.go
+++ b/internal/registry/script_test.go
@@ -22,100 +22,101 @@
 	heartbeat = 1500 * time.Millisecond
 )
 
-// gate is a process with both machines.
-type gate struct {
-	w     *world
-	no    int
-	addr  string
-	bond  *memberlist.Machine
-	lore  *Machine
-	silly int // nodes it has reported gone
+// gateway is a process with its membership and its registry.
+type gateway struct {
+	w            *world
+	number       int
+	addr         string
+	members      *memberlist.Machine
+	registry     *Machine
+	reportedGone int // nodes that it has reported gone
 }
 
-func (g *gate) member(now fsm.Time, o memberlist.Out) []fsm.Send {
-	g.silly += len(o.Failed)
+func (g *gateway) applyMembers(now fsm.Time, o memberlist.Out) []fsm.Send {
+	g.reportedGone += len(o.Failed)
 	sends := o.Send
 	if o.Changed {
-		sends = append(sends, g.table(g.lore.SetNodes(now, g.bond.View()))...)
+		sends = append(sends, g.applyRegistry(g.registry.SetNodes(now, g.members.View()))...)
 	}
 	return sends
 }
 
-func (g *gate) table(o Out) []fsm.Send {
+func (g *gateway) applyRegistry(o Out) []fsm.Send {
 	for _, a := range o.Answers {
 		g.w.answered(g, a)
 	}
 	for _, s := range o.Changes {
-		g.w.said[s.ID+" "+s.Phase.String()]++
+		g.w.changes[s.ID+" "+s.Phase.String()]++
 	}
 	return o.Send
 }
 
-func (g *gate) Tick(now fsm.Time) []fsm.Send {
-	return append(g.member(now, g.bond.Tick(now)), g.table(g.lore.Tick(now))...)
+func (g *gateway) Tick(now fsm.Time) []fsm.Send {
+	return append(g.applyMembers(now, g.members.Tick(now)), g.applyRegistry(g.registry.Tick(now))...)
 }
 
-func (g *gate) Receive(now fsm.Time, from string, msg any) []fsm.Send {
+func (g *gateway) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	if strings.HasPrefix(fmt.Sprintf("%T", msg), "memberlist.") {
-		return g.member(now, g.bond.Receive(now, from, msg))
+		return g.applyMembers(now, g.members.Receive(now, from, msg))
 	}
-	return g.table(g.lore.Receive(now, from, msg))
+	return g.applyRegistry(g.registry.Receive(now, from, msg))
 }
 
-// server beats like one: it goes where it was told, and elsewhere if that fails.
+// server sends heartbeats: to the gateway that it was told, and to another one if that fails.
 type server struct {
 	Heartbeat
-	gate int
-	next fsm.Time
-	over bool
+	gatewayNumber int
+	next          fsm.Time
+	stopped       bool
 }
 
 type world struct {
-	t       *testing.T
-	net     *links.Network
-	gates   []*gate
-	rand    *rand.Rand
-	up      map[int]bool // running, not frozen
-	ice     map[int]bool // frozen
-	seeds   []string
-	shut    map[[2]int]bool
-	calm    map[int]fsm.Time // since when there's no trouble
-	servers map[string]*server
-	calls   map[uint64]string
-	ok      map[string]fsm.Time // calls answered
-	said    map[string]int      // changes told to data planes, by ID and phase
-	call    uint64
+	t               *testing.T
+	net             *links.Network
+	gateways        []*gateway
+	rand            *rand.Rand
+	up              map[int]bool // running, not paused
+	frozen          map[int]bool // paused
+	seeds           []string
+	blocked         map[[2]int]bool
+	untroubledSince map[int]fsm.Time // time of the last fault
+	servers         map[string]*server
+	calls           map[uint64]string
+	confirmedAt     map[string]fsm.Time // when a leaving server's call succeeded
+	changes         map[string]int      // changes passed to data planes, by ID and phase
+	lastCall        uint64
 }
 
-func address(no int) string { return fmt.Sprintf("10.%d.0.%d:7000", no%3, no) }
+func address(number int) string { return fmt.Sprintf("10.%d.0.%d:7000", number%3, number) }
 
-func (w *world) boot(no int) {
-	g := &gate{w: w, no: no, addr: address(no)}
-	self := memberlist.Node{Addr: g.addr, Name: fmt.Sprintf("edge-%d", no), Zone: fmt.Sprintf("z%d", no%3),
-		Control: fmt.Sprintf("10.%d.0.%d:8042", no%3, no), Member: no < 3, Incarnation: 1}
-	g.bond = memberlist.New(self, w.seeds, w.rand.Uint64(), w.net.Now)
-	g.lore = New(g.addr, self.Zone, heartbeat, w.rand.Uint64(), w.net.Now)
-	if no < len(w.gates) {
-		g.silly = w.gates[no].silly
-		w.gates[no] = g
+func (w *world) startGateway(number int) {
+	g := &gateway{w: w, number: number, addr: address(number)}
+	self := memberlist.Node{Addr: g.addr, Name: fmt.Sprintf("edge-%d", number), Zone: fmt.Sprintf("z%d", number%3),
+		Control: fmt.Sprintf("10.%d.0.%d:8042", number%3, number), Member: number < 3, Incarnation: 1}
+	g.members = memberlist.New(self, w.seeds, w.rand.Uint64(), w.net.Now)
+	g.registry = New(g.addr, self.Zone, heartbeat, w.rand.Uint64(), w.net.Now)
+	if number < len(w.gateways) {
+		g.reportedGone = w.gateways[number].reportedGone
+		w.gateways[number] = g
 	} else {
-		w.gates = append(w.gates, g)
+		w.gateways = append(w.gateways, g)
 	}
-	w.up[no], w.calm[no] = true, w.net.Now
+	w.up[number], w.untroubledSince[number] = true, w.net.Now
 	w.net.Start(g.addr, g)
 }
 
-// answered checks the promise: who was told yes is known to leave by all in touch.
-func (w *world) answered(by *gate, a Answer) {
+// answered checks that a leaving server's call only succeeds if all gateways in contact know of
+// it.
+func (w *world) answered(by *gateway, a Answer) {
 	id := w.calls[a.Call]
 	delete(w.calls, a.Call)
 	if !a.OK {
 		return
 	}
 	if s := w.servers[id]; s != nil && a.Target != "" {
-		for _, g := range w.gates {
-			if fmt.Sprintf("10.%d.0.%d:8042", g.no%3, g.no) == a.Target {
-				s.gate = g.no
+		for _, g := range w.gateways {
+			if fmt.Sprintf("10.%d.0.%d:8042", g.number%3, g.number) == a.Target {
+				s.gatewayNumber = g.number
 			}
 		}
 	}
@@ -123,92 +124,92 @@
 	if !leaves {
 		return
 	}
-	w.ok[name] = w.net.Now
-	for _, g := range w.gates {
-		if !w.up[g.no] || w.shut[[2]int{by.no, g.no}] || w.shut[[2]int{g.no, by.no}] ||
-			w.net.Now-w.calm[g.no] < 3*time.Second || w.net.Now-w.calm[by.no] < 3*time.Second {
+	w.confirmedAt[name] = w.net.Now
+	for _, g := range w.gateways {
+		if !w.up[g.number] || w.blocked[[2]int{by.number, g.number}] || w.blocked[[2]int{g.number, by.number}] ||
+			w.net.Now-w.untroubledSince[g.number] < 3*time.Second || w.net.Now-w.untroubledSince[by.number] < 3*time.Second {
 			continue
 		}
-		if it := g.lore.items[name]; it == nil || it.Phase < Quiescing {
-			w.t.Errorf("%v: %s was told yes, and gate %d doesn't know it", w.net.Now, name, g.no)
+		if it := g.registry.items[name]; it == nil || it.Phase < Quiescing {
+			w.t.Errorf("%v: the call of %s succeeded, and gateway %d doesn't know it", w.net.Now, name, g.number)
 		}
 	}
 }
 
-func (w *world) beats() {
+func (w *world) sendHeartbeats() {
 	for _, id := range slices.Sorted(maps.Keys(w.servers)) {
-		if s := w.servers[id]; !s.over && w.net.Now >= s.next {
-			w.beat(s)
+		if s := w.servers[id]; !s.stopped && w.net.Now >= s.next {
+			w.sendHeartbeat(s)
 		}
 	}
 }
 
-func (w *world) beat(s *server) {
+func (w *world) sendHeartbeat(s *server) {
 	s.next = w.net.Now + heartbeat
-	for try := 0; !w.up[s.gate]; try++ {
-		s.gate = (s.gate + 1) % len(w.gates)
-		if try > len(w.gates) {
+	for try := 0; !w.up[s.gatewayNumber]; try++ {
+		s.gatewayNumber = (s.gatewayNumber + 1) % len(w.gateways)
+		if try > len(w.gateways) {
 			return
 		}
 	}
 	s.Seq++
-	w.call++
-	w.calls[w.call] = s.ID
+	w.lastCall++
+	w.calls[w.lastCall] = s.ID
 	if s.Quiescing {
-		w.calls[w.call] = "-" + s.ID
+		w.calls[w.lastCall] = "-" + s.ID
 	}
-	g := w.gates[s.gate]
-	w.net.Send(g.addr, g.table(g.lore.Heartbeat(w.net.Now, w.call, s.Heartbeat)))
+	g := w.gateways[s.gatewayNumber]
+	w.net.Send(g.addr, g.applyRegistry(g.registry.Heartbeat(w.net.Now, w.lastCall, s.Heartbeat)))
 }
 
 func (w *world) run(d time.Duration) {
 	for end := w.net.Now + d; w.net.Now < end; {
-		w.beats()
+		w.sendHeartbeats()
 		w.net.Run(min(10*time.Millisecond, end-w.net.Now))
 	}
 }
 
-// until lets time pass until it holds.
-func (w *world) until(line string, within time.Duration, holds func() string) {
+// waitFor lets time pass until the condition holds.
+func (w *world) waitFor(line string, within time.Duration, condition func() string) {
 	w.t.Helper()
-	why := ""
+	problem := ""
 	for end := w.net.Now + within; w.net.Now <= end; w.run(10 * time.Millisecond) {
-		if why = holds(); why == "" {
+		if problem = condition(); problem == "" {
 			w.t.Logf("%s: %v", line, w.net.Now-end+within)
 			return
 		}
 	}
-	w.t.Fatalf("%v: %s: %s", w.net.Now, line, why)
+	w.t.Fatalf("%v: %s: %s", w.net.Now, line, problem)
 }
 
-func (w *world) eachUp(check func(g *gate) string) string {
-	for _, g := range w.gates {
-		if w.up[g.no] {
-			if why := check(g); why != "" {
-				return fmt.Sprintf("gate %d %s", g.no, why)
+func (w *world) eachUp(check func(g *gateway) string) string {
+	for _, g := range w.gateways {
+		if w.up[g.number] {
+			if problem := check(g); problem != "" {
+				return fmt.Sprintf("gateway %d %s", g.number, problem)
 			}
 		}
 	}
 	return ""
 }
 
-func numbers(list string) (nos []int) {
+func numbers(list string) (result []int) {
 	for _, f := range strings.Split(list, ",") {
 		from, to, ok := strings.Cut(f, "-")
-		a, _ := strconv.Atoi(from)
-		b := a
+		first, _ := strconv.Atoi(from)
+		last := first
 		if ok {
-			b, _ = strconv.Atoi(to)
+			last, _ = strconv.Atoi(to)
 		}
-		for ; a <= b; a++ {
-			nos = append(nos, a)
+		for ; first <= last; first++ {
+			result = append(result, first)
 		}
 	}
-	return nos
+	return result
 }
 
-// do runs one line. The scripts in testdata say what each one is for.
-func (w *world) do(line string) {
+// execute runs one line. The scripts in testdata say what each one is for.
+func (w *world) execute(line string) {
 	f := strings.Fields(line)
 	arg := func(i int) string {
 		if i < len(f) {
@@ -223,202 +224,202 @@
 		}
 		return d
 	}
-	trouble := func(no int) { w.calm[no] = w.net.Now }
+	trouble := func(number int) { w.untroubledSince[number] = w.net.Now }
 	switch f[0] {
 	case "seeds":
 		w.seeds = nil
-		for _, no := range numbers(f[1]) {
-			w.seeds = append(w.seeds, address(no))
+		for _, number := range numbers(f[1]) {
+			w.seeds = append(w.seeds, address(number))
 		}
 	case "boot":
-		for _, no := range numbers(f[1]) {
-			w.boot(no)
+		for _, number := range numbers(f[1]) {
+			w.startGateway(number)
 			w.net.Run(time.Millisecond)
 		}
 	case "kill", "freeze", "thaw":
-		for _, no := range numbers(f[1]) {
-			w.up[no] = f[0] == "thaw"
-			trouble(no)
-			map[string]func(string){"kill": w.net.Kill, "freeze": w.net.Pause, "thaw": w.net.Resume}[f[0]](address(no))
+		for _, number := range numbers(f[1]) {
+			w.up[number] = f[0] == "thaw"
+			trouble(number)
+			map[string]func(string){"kill": w.net.Kill, "freeze": w.net.Pause, "thaw": w.net.Resume}[f[0]](address(number))
 		}
-	case "cut": // cut 0-2 3-10: both ways; cut 0-2 > 3-10: what the first say doesn't arrive
-		one := f[2] == ">"
+	case "cut": // cut 0-2 3-10: both ways; cut 0-2 > 3-10: messages of the first group are lost
+		oneWay := f[2] == ">"
 		for _, a := range numbers(f[1]) {
 			for _, b := range numbers(f[len(f)-1]) {
-				w.shut[[2]int{a, b}] = true
-				w.shut[[2]int{b, a}] = w.shut[[2]int{b, a}] || !one
+				w.blocked[[2]int{a, b}] = true
+				w.blocked[[2]int{b, a}] = w.blocked[[2]int{b, a}] || !oneWay
 				trouble(a)
 				trouble(b)
 			}
 		}
 	case "heal":
-		for l := range w.shut {
+		for l := range w.blocked {
 			trouble(l[0])
 			trouble(l[1])
 		}
-		clear(w.shut)
+		clear(w.blocked)
 	case "loss":
 		w.net.Loss, _ = strconv.ParseFloat(f[1], 64)
 	case "run":
 		w.run(span(1))
 	case "leave":
-		g := w.gates[numbers(f[1])[0]]
-		w.net.Send(g.addr, g.member(w.net.Now, g.bond.Leave(w.net.Now)))
+		g := w.gateways[numbers(f[1])[0]]
+		w.net.Send(g.addr, g.applyMembers(w.net.Now, g.members.Leave(w.net.Now)))
 	case "held":
-		w.gates[numbers(f[1])[0]].bond.SetConfigVersion(uint32(numbers(f[2])[0]))
-	case "server": // server ID service zone addr gate
-		w.servers[f[1]] = &server{gate: numbers(f[5])[0], next: w.net.Now, Heartbeat: Heartbeat{ID: f[1],
+		w.gateways[numbers(f[1])[0]].members.SetConfigVersion(uint32(numbers(f[2])[0]))
+	case "server": // server ID service zone addr gateway
+		w.servers[f[1]] = &server{gatewayNumber: numbers(f[5])[0], next: w.net.Now, Heartbeat: Heartbeat{ID: f[1],
 			Service: f[2], Zone: f[3], Addr: f[4], Epoch: "v1", Capacity: 4, WarmMs: 2000}}
 	case "servers": // servers N: of nine services, over the zones
 		n, _ := strconv.Atoi(f[1])
 		for i := range n {
-			w.do(fmt.Sprintf("server s%d svc%d z%d 10.9.%d.%d:80 %d", i, i%9, i%3, i/250, i%250, i%len(w.gates)))
+			w.execute(fmt.Sprintf("server s%d svc%d z%d 10.9.%d.%d:80 %d", i, i%9, i%3, i/250, i%250, i%len(w.gateways)))
 			w.run(10 * time.Millisecond)
 		}
 	case "crash":
-		w.servers[f[1]].over = true
-	case "quiesce": // quiesce ID [gate]
+		w.servers[f[1]].stopped = true
+	case "quiesce": // quiesce ID [gateway]
 		s := w.servers[f[1]]
 		s.Quiescing = true
 		if len(f) > 2 {
-			s.gate = numbers(f[2])[0]
+			s.gatewayNumber = numbers(f[2])[0]
 		}
-		w.beat(s)
-	case "delete": // delete ID gate
-		w.call++
-		w.calls[w.call] = "-" + f[1]
+		w.sendHeartbeat(s)
+	case "delete": // delete ID gateway
+		w.lastCall++
+		w.calls[w.lastCall] = "-" + f[1]
 		if s := w.servers[f[1]]; s != nil {
-			s.over = true
+			s.stopped = true
 		}
-		g := w.gates[numbers(f[2])[0]]
-		w.net.Send(g.addr, g.table(g.lore.Deregister(w.net.Now, w.call, f[1])))
-	case "late": // late ID seq gate: an old beat arrives
+		g := w.gateways[numbers(f[2])[0]]
+		w.net.Send(g.addr, g.applyRegistry(g.registry.Deregister(w.net.Now, w.lastCall, f[1])))
+	case "late": // late ID seq gateway: an old heartbeat arrives
 		s := *w.servers[f[1]]
 		s.Quiescing, s.Seq = false, uint64(numbers(f[2])[0])
-		g := w.gates[numbers(f[3])[0]]
-		w.net.Send(g.addr, g.table(g.lore.Heartbeat(w.net.Now, 0, s.Heartbeat)))
+		g := w.gateways[numbers(f[3])[0]]
+		w.net.Send(g.addr, g.applyRegistry(g.registry.Heartbeat(w.net.Now, 0, s.Heartbeat)))
 	case "release": // release N D: N of the servers replaced in D
-		w.release(numbers(f[1])[0], span(2))
+		w.replaceServers(numbers(f[1])[0], span(2))
 	case "spent": // spent MOST: bytes that one process has sent since last asked
-		most := 0
+		maxBytes := 0
 		for _, b := range w.net.BytesSent {
-			most = max(most, b)
+			maxBytes = max(maxBytes, b)
 		}
 		clear(w.net.BytesSent)
-		w.t.Logf("%s: at most %d bytes by one process", line, most)
-		if most > numbers(f[1])[0] {
-			w.t.Errorf("%s: %d", line, most)
+		w.t.Logf("%s: at most %d bytes by one process", line, maxBytes)
+		if maxBytes > numbers(f[1])[0] {
+			w.t.Errorf("%s: %d", line, maxBytes)
 		}
-		w.kinds()
-	case "storm": // storm D: anything may happen; then all are well again
+		w.logMessageCounts()
+	case "storm": // storm D: random faults, then all recover
 		w.storm(span(1))
 	case "expect":
 		w.expect(line, f)
-	case "rest": // rest D MOST: bytes a second and node
-		w.rest(line, span(1), numbers(f[2])[0])
+	case "rest": // rest D MOST: bytes per second and process while idle
+		w.measureIdle(line, span(1), numbers(f[2])[0])
 	default:
-		w.t.Fatalf("%s: what?", line)
+		w.t.Fatalf("%s: unknown command", line)
 	}
 }
 
-func (w *world) release(n int, d time.Duration) {
+func (w *world) replaceServers(n int, d time.Duration) {
 	clear(w.net.BytesSent)
 	w.net.TakeMessageCounts()
 	each := d / time.Duration(n)
 	for i := range n {
 		old := w.servers[fmt.Sprintf("s%d", i)]
 		id := fmt.Sprintf("n%d", i)
-		w.do(fmt.Sprintf("server %s %s %s 10.8.%d.%d:80 %d", id, old.Service, old.Zone, i/250, i%250, i%len(w.gates)))
-		w.do("quiesce " + old.ID)
+		w.execute(fmt.Sprintf("server %s %s %s 10.8.%d.%d:80 %d", id, old.Service, old.Zone, i/250, i%250, i%len(w.gateways)))
+		w.execute("quiesce " + old.ID)
 		w.run(each)
-		w.do(fmt.Sprintf("delete %s %d", old.ID, old.gate))
+		w.execute(fmt.Sprintf("delete %s %d", old.ID, old.gatewayNumber))
 	}
-	most := 0
+	maxBytes := 0
 	for _, b := range w.net.BytesSent {
-		most = max(most, b)
+		maxBytes = max(maxBytes, b)
 	}
-	rate := float64(most) / d.Seconds()
-	w.t.Logf("release of %d in %v: at most %.0f bytes a second from one process", n, d, rate)
+	rate := float64(maxBytes) / d.Seconds()
+	w.t.Logf("replacement of %d in %v: at most %.0f bytes/s from one process", n, d, rate)
 	if rate > 60_000 {
-		w.t.Errorf("that is too much for 2 Mbit/s beside the traffic")
+		w.t.Errorf("more than 60 kB/s from one process, which 2 Mbit/s with traffic can't carry")
 	}
 }
 
 func (w *world) storm(d time.Duration) {
-	n, made := len(w.gates), 0
+	n, started := len(w.gateways), 0
 	list := func(k int) string { return strconv.Itoa(k) }
 	for end := w.net.Now + d; w.net.Now < end; w.run(time.Duration(100+w.rand.IntN(900)) * time.Millisecond) {
 		a, b := w.rand.IntN(n), w.rand.IntN(n)
 		half := fmt.Sprintf("0-%d %s%d-%d", n/2, [...]string{"", "> "}[w.rand.IntN(2)], n/2+1, n-1)
 		switch w.rand.IntN(9) {
 		case 0:
-			if w.up[a] && !w.ice[a] {
-				w.do("kill " + list(a))
+			if w.up[a] && !w.frozen[a] {
+				w.execute("kill " + list(a))
 			}
 		case 1:
 			if w.up[a] {
-				w.ice[a] = true
-				w.do("freeze " + list(a))
+				w.frozen[a] = true
+				w.execute("freeze " + list(a))
 			}
 		case 2:
-			w.well(a)
+			w.recoverGateway(a)
 		case 3:
-			w.do("cut " + list(a) + " > " + list(b))
+			w.execute("cut " + list(a) + " > " + list(b))
 		case 4:
-			w.do("cut " + half)
+			w.execute("cut " + half)
 		case 5, 6:
-			w.do("heal")
+			w.execute("heal")
 		case 7, 8:
-			made++
-			w.do(fmt.Sprintf("server r%d svc%d z%d 10.7.0.%d:80 %d", made, made%4, made%3, made%9, a))
-			if old := w.servers[fmt.Sprintf("r%d", made-5)]; old != nil {
-				w.do("quiesce " + old.ID)
-				old.over = true
+			started++
+			w.execute(fmt.Sprintf("server r%d svc%d z%d 10.7.0.%d:80 %d", started, started%4, started%3, started%9, a))
+			if old := w.servers[fmt.Sprintf("r%d", started-5)]; old != nil {
+				w.execute("quiesce " + old.ID)
+				old.stopped = true
 			}
 		}
 	}
-	w.do("heal")
-	for no := range n {
-		w.well(no)
+	w.execute("heal")
+	for number := range n {
+		w.recoverGateway(number)
 	}
 }
 
-func (w *world) well(no int) {
+func (w *world) recoverGateway(number int) {
 	switch {
-	case w.ice[no]:
-		w.do("thaw " + strconv.Itoa(no))
-		delete(w.ice, no)
-	case !w.up[no]:
-		w.do("boot " + strconv.Itoa(no))
+	case w.frozen[number]:
+		w.execute("thaw " + strconv.Itoa(number))
+		delete(w.frozen, number)
+	case !w.up[number]:
+		w.execute("boot " + strconv.Itoa(number))
 	}
 }
 
-func (w *world) kinds() {
+func (w *world) logMessageCounts() {
 	count, length := w.net.TakeMessageCounts()
 	for _, k := range slices.Sorted(maps.Keys(count)) {
 		w.t.Logf("  %-12s %6d of %4d bytes", k, count[k], length[k]/count[k])
 	}
 }
 
-func (w *world) rest(line string, d time.Duration, most int) {
+func (w *world) measureIdle(line string, d time.Duration, limit int) {
 	clear(w.net.BytesSent)
 	w.net.TakeMessageCounts()
 	w.run(d)
-	sum, top := 0, 0
+	sum, maxBytes := 0, 0
 	for _, b := range w.net.BytesSent {
 		sum += b
-		top = max(top, b)
+		maxBytes = max(maxBytes, b)
 	}
-	mean := float64(sum) / d.Seconds() / float64(len(w.gates))
-	w.t.Logf("%s: %d processes, %d servers: %.0f bytes a second each (frames counted), most %.0f", line,
-		len(w.gates), len(w.servers), mean, float64(top)/d.Seconds())
-	w.kinds()
-	if int(mean) > most {
-		w.t.Errorf("%s: %.0f bytes a second", line, mean)
+	mean := float64(sum) / d.Seconds() / float64(len(w.gateways))
+	w.t.Logf("%s: %d processes, %d servers: %.0f bytes/s each (with frame overhead), at most %.0f", line,
+		len(w.gateways), len(w.servers), mean, float64(maxBytes)/d.Seconds())
+	w.logMessageCounts()
+	if int(mean) > limit {
+		w.t.Errorf("%s: %.0f bytes/s", line, mean)
 	}
 }
 
-// expect checks; "within D" waits for it that long.
+// expect checks a condition; with "within D" it waits for it at most that long.
 func (w *world) expect(line string, f []string) {
 	w.t.Helper()
 	within := time.Duration(0)
@@ -426,34 +427,34 @@
 		within, _ = time.ParseDuration(f[n-1])
 		f = f[:n-2]
 	}
-	var holds func() string
+	var condition func() string
 	switch f[1] {
 	case "up": // up NODES: all running ones see exactly these
 		var want []string
-		for _, no := range numbers(f[2]) {
-			want = append(want, address(no))
+		for _, number := range numbers(f[2]) {
+			want = append(want, address(number))
 		}
 		slices.Sort(want)
 		among := numbers(f[2])
 		if len(f) > 4 { // up NODES at NODES
 			among = numbers(f[4])
 		}
-		holds = func() string {
-			return w.eachUp(func(g *gate) string {
+		condition = func() string {
+			return w.eachUp(func(g *gateway) string {
 				var got []string
-				for _, n := range g.bond.UpNodes() {
+				for _, n := range g.members.UpNodes() {
 					got = append(got, n.Addr)
 				}
-				if slices.Contains(among, g.no) && !slices.Equal(got, want) {
+				if slices.Contains(among, g.number) && !slices.Equal(got, want) {
 					return fmt.Sprintf("sees %d up, not %d: %v", len(got), len(want), got)
 				}
 				return ""
 			})
 		}
 	case "node": // node NODE life|held N
-		holds = func() string {
-			return w.eachUp(func(g *gate) string {
-				for _, n := range g.bond.View() {
+		condition = func() string {
+			return w.eachUp(func(g *gateway) string {
+				for _, n := range g.members.View() {
 					got := map[string]string{"life": fmt.Sprint(n.Incarnation), "held": fmt.Sprint(n.ConfigVersion)}[f[3]]
 					if n.Addr == address(numbers(f[2])[0]) && got != f[4] {
 						return "sees " + got
@@ -462,14 +463,14 @@
 				return ""
 			})
 		}
-	case "gone": // gone N [at NODES]: so many were reported gone, by all together, since last asked
-		holds = func() string {
+	case "gone": // gone N [at NODES]: number of nodes reported gone, by all together, since the last check
+		condition = func() string {
 			sum := 0
-			for _, g := range w.gates {
-				if len(f) < 5 || slices.Contains(numbers(f[4]), g.no) {
-					sum += g.silly
+			for _, g := range w.gateways {
+				if len(f) < 5 || slices.Contains(numbers(f[4]), g.number) {
+					sum += g.reportedGone
 				}
-				g.silly = 0
+				g.reportedGone = 0
 			}
 			if fmt.Sprint(sum) != f[2] && (f[2] != "some" || sum == 0) {
 				return fmt.Sprintf("%d reported gone", sum)
@@ -477,10 +478,10 @@
 			return ""
 		}
 	case "server": // server ID PHASE|none
-		holds = func() string {
-			return w.eachUp(func(g *gate) string {
+		condition = func() string {
+			return w.eachUp(func(g *gateway) string {
 				got := "none"
-				if it := g.lore.items[f[2]]; it != nil {
+				if it := g.registry.items[f[2]]; it != nil {
 					got = it.Phase.String()
 				}
 				if got != f[3] {
@@ -489,60 +490,60 @@
 				return ""
 			})
 		}
-	case "same": // all tables are alike
-		holds = func() string {
+	case "same": // all tables are equal
+		condition = func() string {
 			want, first := uint64(0), true
-			return w.eachUp(func(g *gate) string {
+			return w.eachUp(func(g *gateway) string {
 				if first {
-					want, first = g.lore.sum, false
+					want, first = g.registry.tableDigest, false
 				}
-				if !g.lore.Complete() {
-					return "isn't filled"
+				if !g.registry.Complete() {
+					return "has no complete table"
 				}
-				if g.lore.sum != want {
+				if g.registry.tableDigest != want {
 					return "has another table"
 				}
 				return ""
 			})
 		}
 	case "answered": // answered ID
-		holds = func() string {
-			if _, ok := w.ok[f[2]]; !ok {
+		condition = func() string {
+			if _, ok := w.confirmedAt[f[2]]; !ok {
 				return "no answer yet"
 			}
 			return ""
 		}
-	case "never": // never ID PHASE: nobody has said so since last asked
-		holds = func() string {
-			n := w.said[f[2]+" "+f[3]]
-			clear(w.said)
+	case "never": // never ID PHASE: no gateway has reported it since the last check
+		condition = func() string {
+			n := w.changes[f[2]+" "+f[3]]
+			clear(w.changes)
 			if n > 0 {
-				return fmt.Sprintf("said %d times", n)
+				return fmt.Sprintf("reported %d times", n)
 			}
 			return ""
 		}
-	case "home": // home ID: it beats to its home, at most
-		holds = func() string {
+	case "home": // home ID: its heartbeats go to its home
+		condition = func() string {
 			s := w.servers[f[2]]
-			it := w.gates[s.gate].lore.items[s.ID]
-			if h := w.gates[s.gate].lore.home(it.Server); h != address(s.gate) {
-				return fmt.Sprintf("beats to gate %d, not %s", s.gate, h)
+			it := w.gateways[s.gatewayNumber].registry.items[s.ID]
+			if h := w.gateways[s.gatewayNumber].registry.homeOf(it.Server); h != address(s.gatewayNumber) {
+				return fmt.Sprintf("sends heartbeats to gateway %d, not %s", s.gatewayNumber, h)
 			}
 			return ""
 		}
 	case "total": // total N servers serving, everywhere
-		holds = func() string {
-			return w.eachUp(func(g *gate) string {
-				if st := g.lore.Status(); fmt.Sprint(st.Serving) != f[2] {
+		condition = func() string {
+			return w.eachUp(func(g *gateway) string {
+				if st := g.registry.Status(); fmt.Sprint(st.Serving) != f[2] {
 					return fmt.Sprintf("has %+v", st)
 				}
 				return ""
 			})
 		}
 	default:
-		w.t.Fatalf("%s: what?", line)
+		w.t.Fatalf("%s: unknown command", line)
 	}
-	w.until(line, within, holds)
+	w.waitFor(line, within, condition)
 }
 
 func TestScripts(t *testing.T) {
@@ -557,21 +558,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := &world{t: t, up: map[int]bool{}, ice: map[int]bool{}, rand: rand.New(rand.NewPCG(seed, 2)),
-				shut: map[[2]int]bool{}, calm: map[int]fsm.Time{},
-				servers: map[string]*server{}, calls: map[uint64]string{}, ok: map[string]fsm.Time{},
-				said: map[string]int{}}
+			w := &world{t: t, up: map[int]bool{}, frozen: map[int]bool{}, rand: rand.New(rand.NewPCG(seed, 2)),
+				blocked: map[[2]int]bool{}, untroubledSince: map[int]fsm.Time{},
+				servers: map[string]*server{}, calls: map[uint64]string{}, confirmedAt: map[string]fsm.Time{},
+				changes: map[string]int{}}
 			w.net = links.New(seed, func(err error) { t.Error(err) })
 			w.net.Blocked = func(from, to string) bool {
 				var a, b, x int
 				fmt.Sscanf(from, "10.%d.0.%d:", &x, &a)
 				fmt.Sscanf(to, "10.%d.0.%d:", &x, &b)
-				return w.shut[[2]int{a, b}]
+				return w.blocked[[2]int{a, b}]
 			}
 			for line := range strings.Lines(string(text)) {
 				line, _, _ = strings.Cut(strings.TrimSpace(line), "#")
 				if line != "" {
-					w.do(line)
+					w.execute(line)
 				}
 			}
 		})
