--- a/internal/quotas/active.go
+++ b/internal/quotas/active.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// activeSet is the entries that may have something to tell or to ask, by tenant. Of thousands of
-// tenants few have at any moment, and a tick walks only these. All are gone through again where
-// a holder is to be told all sums, and with a new period, to which each entry that counts has to move.
+// activeSet holds the tenants that may have something to send, by name. Of thousands of tenants only a few
+// do at any moment, and a tick visits only these. All are visited when a holder is to be told all sums, and
+// at a new period, to which every tenant with a sum has to move.
 type activeSet struct {
 	list     []*tenantState
-	added    []*tenantState // touched since the last tick, not in the list
-	period   uint64         // that the list was made in
-	complete bool           // the list has all that it must have
+	added    []*tenantState // active since the last tick, not in list yet
+	period   uint64         // the period in which list was made
+	complete bool           // list has every active tenant that is not in added
 }
 
-// add notes an entry that may have something to say now.
+// add marks a tenant as active.
 func (a *activeSet) add(e *tenantState) {
 	if !e.active {
 		e.active = true
@@ -23,7 +23,7 @@
 	}
 }
 
-// activeTenants brings the list up to date before a tick's messages are made.
+// activeTenants updates the list before a tick's messages are made.
 func (m *Meter) activeTenants() []*tenantState {
 	a := &m.active
 	if a.complete && a.period == m.period && !m.holders[0].resendAll && !m.holders[1].resendAll {
@@ -40,7 +40,7 @@
 	return a.list
 }
 
-// dropSettled drops what has been told, after a tick's messages are made.
+// dropSettled removes tenants with nothing left to send, after a tick's messages are made.
 func (m *Meter) dropSettled() {
 	m.active.list = slices.DeleteFunc(m.active.list, func(e *tenantState) bool {
 		e.active = m.hasPending(e)
@@ -48,7 +48,7 @@
 	})
 }
 
-// hasPending says that an add may have to name the entry, though nothing happens to it.
+// hasPending reports whether an add may have to include the tenant even without new requests.
 func (m *Meter) hasPending(e *tenantState) bool {
 	if e.readWanted || e.prev.period != 0 || e.cur.sum > e.cur.acked || e.cur.sum > 0 && e.cur.period != m.period {
 		return true
@@ -61,10 +61,10 @@
 	return false
 }
 
-// byPlace is the order of names, in which places are.
+// byPlace orders tenants by place, which is their order by name.
 func byPlace(a, b *tenantState) int { return cmp.Compare(a.place, b.place) }
 
-// mergeSorted joins two lists that are in order, and have no entry in common.
+// mergeSorted merges two sorted lists without common elements.
 func mergeSorted(list, more []*tenantState) []*tenantState {
 	i, j := len(list)-1, len(more)-1
 	list = append(list, more...)
--- a/internal/quotas/basis.go
+++ b/internal/quotas/basis.go
@@ -2,26 +2,27 @@
 
 import "asterwell/internal/fsm"
 
-// Basis is what a gateway goes by when it decides a request: whose sums it reads, or its own share.
+// Basis is what a decision of a gateway relies on: the sums of one of the holders, or an allowance of its
+// own.
 type Basis uint8
 
 const (
-	FirstHolder  Basis = iota // the first holder's sums
-	SecondHolder              // the second holder's, since the first doesn't answer
-	Unread                    // it hasn't read the tenant yet: a start allowance
-	OwnShare                  // no holder answers: its even share
+	FirstHolder  Basis = iota // the sums of the first holder
+	SecondHolder              // the sums of the second holder, as the first doesn't answer
+	Unread                    // a start allowance: the tenant's level has not been read yet
+	OwnShare                  // the even share of the quota: no holder answers
 	bases
 )
 
-// String names a basis as metrics and traces do.
+// String returns the name in metrics and traces.
 func (b Basis) String() string {
 	return [bases]string{"first_holder", "second_holder", "unread", "own_share"}[b]
 }
 
-// Bases are all there are.
+// Bases returns all values.
 func Bases() []Basis { return []Basis{FirstHolder, SecondHolder, Unread, OwnShare} }
 
-// basis is what the next decision about a tenant goes by.
+// basis is what the next decision about a tenant will rely on.
 func (m *Meter) basis(now fsm.Time, e *tenantState) Basis {
 	switch {
 	case e.holdersSilent || m.reader < 0 && m.holdersSilent(now):
@@ -34,25 +35,26 @@
 	return FirstHolder
 }
 
-// Decisions counts the requests decided by one basis since the start.
+// Decisions counts the decisions with one basis since the start.
 type Decisions struct{ Passed, Refused uint64 }
 
-// Stats is what a meter shows of its quotas: which basis its decisions had, and what it knows of the fleet.
+// Stats shows what a meter's decisions relied on, and what it knows of the fleet.
 type Stats struct {
 	Decided       [bases]Decisions
 	Holder        string // the one that is read; "": none answers
-	HolderChanges uint64 // of the holder that is read, since the start
-	Gateways      int    // that shares are made for,
-	Reachable     int    // of these, in sight
-	UnansweredMS  int64  // since the oldest read that is not answered
+	HolderChanges uint64 // changes of that holder since the start
+	Gateways      int    // among which quotas are shared
+	Reachable     int    // of these, how many are in contact
+	UnansweredMS  int64  // age of the oldest unanswered read
 
-	// Behind is by how many units a holder's level was above what this gateway reckoned with, at the most in
-	// one answer; Answers is how many answers were a unit or more above it.
+	// MaxBehind is the largest difference in units, within one answer, between a holder's level and the
+	// lower one that this gateway assumed; AnswersBehind counts the answers with a difference of at least a
+	// unit.
 	MaxBehind     float64
 	AnswersBehind uint64
 }
 
-// Stats tells them.
+// Stats returns the current statistics.
 func (m *Meter) Stats(now fsm.Time) Stats {
 	a := Stats{Decided: m.decided, HolderChanges: m.holderChanges, MaxBehind: m.maxBehind, AnswersBehind: m.answersBehind, Gateways: m.shareCount(now), Reachable: m.reachableGateways()}
 	if m.reader >= 0 {
@@ -65,7 +67,7 @@
 	return a
 }
 
-// BasisOf is what a tenant's next request would be decided by; false: it has no limit here.
+// BasisOf returns what the next decision about a tenant will rely on; false: the tenant has no limit here.
 func (m *Meter) BasisOf(now fsm.Time, tenant string) (Basis, bool) {
 	e := m.tenants[tenant]
 	if e == nil {
@@ -74,7 +76,7 @@
 	return m.basis(now, e), true
 }
 
-// noteBehind notes by how much a holder's level is above what is reckoned with here.
+// noteBehind records by how much a holder's level exceeds the usage assumed here.
 func (m *Meter) noteBehind(e *tenantState, t Total, stamp fsm.Time) {
 	if !e.levelRead || !t.LevelKnown {
 		return
--- a/internal/quotas/batch.go
+++ b/internal/quotas/batch.go
@@ -8,24 +8,25 @@
 	"asterwell/internal/fsm"
 )
 
-// What one add may hold. A gateway before 12,000 tenants has thousands of them to tell where a holder is new, a period
-// begins or answers stay out. All of that in each add, repeated until it is answered, is more than a holder reads: its
-// answers stay out the longer, and the adds grow with what hasn't been answered. So an add has a bound, and what
-// it has no room for goes with the next ones, in turn. Up to the bound nothing differs.
+// Bounds on the size of adds. A gateway with 12,000 tenants has thousands of items to send when a holder is
+// new, a period begins or answers are missing. All of them in each add, repeated until it is answered, is
+// more than a holder can read: its answers are delayed further, and the adds grow with what is unanswered.
+// So an add has a bounded number of items, and the rest goes in turn with the following adds. Below the
+// bound nothing changes.
 
 const (
-	maxItems           = 256                    // of an add
-	maxItemsLargeFleet = 64                     // of hundreds of gateways: a holder counts 600,000 items a second, not 2.5 million
-	prevPart           = 8                      // of these, where there are more than the bound, sums of the period before:
-	maxPrevItems       = maxItems / prevPart    // so many
-	maxBackoff         = 4                      // doublings of that
-	retryPerGateway    = 400 * time.Microsecond // for each gateway: between repetitions, of which a holder gets 2,500 a second
+	maxItems           = 256                    // in an add
+	maxItemsLargeFleet = 64                     // with more than largeFleet gateways: a holder counts 600,000 items a second, not 2.5 million
+	prevPart           = 8                      // above the bound, one item in 8 may be a sum of the previous period:
+	maxPrevItems       = maxItems / prevPart    // at most this many
+	maxBackoff         = 4                      // highest number of doublings of the gap between repetitions
+	retryPerGateway    = 400 * time.Microsecond // base of that gap for each gateway: a holder gets 2,500 repetitions a second
 )
 
-// pendingItems is what there is to tell a holder, in order of tenants.
+// pendingItems holds the tenants to report to a holder, from the previous and the current period, by name.
 type pendingItems struct{ prev, cur []*tenantState }
 
-// itemLimit is how many items an add has room for.
+// itemLimit is the highest number of items in an add.
 func itemLimit(gateways int) int {
 	if gateways > largeFleet {
 		return maxItemsLargeFleet
@@ -33,8 +34,8 @@
 	return maxItems
 }
 
-// trim is what an add has room for: what was passed and told to nobody, and what somebody waits for, goes before the
-// rest; all of a kind go in turn.
+// trim selects the tenants that fit in an add. Sums that no holder has and tenants with a pending decision
+// go first; within each kind tenants go in turn.
 func (t *pendingItems) trim(now fsm.Time, s *holderState, most int) {
 	if t.len() <= most {
 		return
@@ -63,7 +64,7 @@
 
 func (t *pendingItems) len() int { return len(t.prev) + len(t.cur) }
 
-// rotate is so many entries behind a tenant, and from the first on where there are no more; in order.
+// rotate returns the n tenants that follow the given one, wrapping around, in order.
 func rotate(list []*tenantState, after string, n int) (some []*tenantState, last string) {
 	if len(list) <= n {
 		return list, after
@@ -79,14 +80,16 @@
 	return some, list[end-1].tenant
 }
 
-// inFlight: what was told lately of a tenant can't have been answered yet. Only where there are many, and the way is
-// long: elsewhere all that isn't answered goes with each add, so that a lost one costs less time.
+// inFlight reports whether the tenant was reported so recently that there can't be an answer yet. It only
+// applies to many tenants and a far holder. Otherwise each add repeats all that is unanswered, so that a
+// lost one costs less time.
 func (m *Meter) inFlight(now fsm.Time, e *tenantState, s *holderState) bool {
 	return len(m.ordered) > maxItems && s.far() && !s.retryDue(now) && now-e.reportedAt < s.rtt.extend(retryGap)
 }
 
-// retryBackoff is between two adds to a holder that doesn't answer, twice as long after each (exponential backoff): what
-// many gateways repeat keeps a holder that fell behind from ever answering. In small fleets it is below any gap.
+// retryBackoff is the gap between two adds to a holder that doesn't answer; it doubles with each
+// (exponential backoff). Repetitions of many gateways keep an overloaded holder from ever answering. In
+// small fleets it is below any other gap.
 func (m *Meter) retryBackoff() fsm.Time {
 	once := fsm.Time(m.gateways) * retryPerGateway
 	if once <= minGap {
--- a/internal/quotas/compact.go
+++ b/internal/quotas/compact.go
@@ -6,10 +6,10 @@
 	"asterwell/internal/fsm"
 )
 
-// Where a gateway sees thousands of tenants, nearly all of its messages hold a few items, and
-// most of their bytes were the head. A gateway and a holder that have shown each other that they
-// read it send head and items as one string: a life as four bytes of it, by which the holder knows
-// the one that it has heard, and flags, numbers and roster without the keys of a map.
+// With thousands of tenants, nearly all messages of a gateway hold a few items, and the header was most of
+// their bytes. A gateway and a holder that have shown each other that they support it send header and items
+// as one string: four bytes identify the incarnation, which the holder knows from an earlier add, and
+// flags, numbers and roster hash come without the keys of a CBOR map.
 
 const (
 	compactRead = 1 << iota
@@ -21,14 +21,14 @@
 const (
 	compactHeardOthers = 1 << iota
 	compactPackedAccepted
-	compactMissing            // how many follows
-	compactRosterHash         // the holder's roster follows
-	compactUnknownIncarnation // the holder doesn't know the life: it took nothing
-	compactSendInterval       // follows
+	compactMissing            // their number follows
+	compactRosterHash         // the holder's roster hash follows
+	compactUnknownIncarnation // the holder doesn't know the incarnation, and took nothing
+	compactSendInterval       // the interval follows
 )
 
-// foldIncarnation is a life in four bytes. Two lives of a gateway that share one are as rare as two rosters
-// that share a hash.
+// foldIncarnation reduces an incarnation to four bytes. Collisions between incarnations of a gateway are as
+// rare as those between hashes of rosters.
 func foldIncarnation(life uint64) uint32 { return uint32(life) ^ uint32(life>>32) }
 
 func flagIf(of bool, bit byte) byte {
@@ -38,7 +38,7 @@
 	return 0
 }
 
-// compact is an add of a gateway whose life the holder knows; the whole of it is packed.
+// compact encodes an add whose items are all packed, for a holder that knows the incarnation.
 func (a Add) compact() Add {
 	b := make([]byte, 0, 24+len(a.Packed))
 	b = append(b, flagIf(a.Read, compactRead)|flagIf(a.Ping, compactPing)|flagIf(a.NearLimit, compactNearLimit)|flagIf(a.AnswersProbes, compactAnswersProbes))
@@ -49,7 +49,7 @@
 	return Add{Compact: append(b, a.Packed...)}
 }
 
-// foldedIncarnation is which life a shortened add is of.
+// foldedIncarnation returns the incarnation of a compact add.
 func (a Add) foldedIncarnation() (folded uint32, ok bool) {
 	if len(a.Compact) < 9 {
 		return 0, false
@@ -57,7 +57,7 @@
 	return binary.BigEndian.Uint32(a.Compact[1:]), true
 }
 
-// Expand is a shortened add as the life's that it is of; any other is as it was.
+// Expand decodes a compact add of a known incarnation; any other is returned as it is.
 func (a Add) Expand(life uint64) (long Add, ok bool) {
 	if len(a.Compact) == 0 {
 		return a, true
@@ -74,7 +74,7 @@
 	return long, !u.invalid && long.Timestamp >= 0
 }
 
-// compact is an answer to a shortened add, if nothing of it has to go by names.
+// compact encodes an answer to a compact add, unless it has totals that are not packed.
 func (a Answer) compact() Answer {
 	if len(a.Totals) > 0 {
 		return a
@@ -82,7 +82,7 @@
 	return Answer{Compact: a.compactHead(0)}
 }
 
-// unknownIncarnation is the answer to a shortened add of a life that the holder hasn't heard.
+// unknownIncarnation is the answer to a compact add of an incarnation that the holder doesn't know.
 func (a Answer) unknownIncarnation(folded uint32) Answer {
 	b := a.compactHead(compactUnknownIncarnation)
 	binary.BigEndian.PutUint32(b[1:], folded)
@@ -107,7 +107,7 @@
 	return append(b, a.Packed...)
 }
 
-// RequestTimestamp is the stamp of the add that an answer is to.
+// RequestTimestamp returns the timestamp of the add that is answered.
 func (a Answer) RequestTimestamp() (stamp fsm.Time, ok bool) {
 	switch {
 	case len(a.Compact) == 0:
@@ -116,13 +116,13 @@
 		return 0, false
 	}
 	u := unpacker{b: a.Compact[5:]}
-	u.uvarint() // the period
+	u.uvarint() // skip the period
 	stamp = fsm.Time(u.uvarint())
 	return stamp, !u.invalid
 }
 
-// expand is a shortened answer to a life; any other is as it was. lost: the holder doesn't know
-// that life, and has taken nothing.
+// expand decodes a compact answer; any other is returned as it is. lost: the holder doesn't know the
+// incarnation, and took nothing.
 func (a Answer) expand(life uint64) (long Answer, lost, ok bool) {
 	if len(a.Compact) == 0 {
 		return a, false, true
--- a/internal/quotas/counter.go
+++ b/internal/quotas/counter.go
@@ -12,100 +12,99 @@
 const (
 	periodLength    = 20 * time.Second
 	periodRetention = 2 * periodLength
-	largeFleet      = 250                    // gateways, above which it is half of that,
-	maxPeriods      = 4                      // and a tenant has no more of them: where gateways go to and fro between holders, each issues period after period
-	issueInterval   = 500 * time.Millisecond // between periods, where holders disagree
+	largeFleet      = 250                    // gateways; in larger fleets periods are kept for half the time,
+	maxPeriods      = 4                      // and a tenant has at most so many: gateways that alternate between holders make each of them issue period after period
+	issueInterval   = 500 * time.Millisecond // between two periods where holders disagree
 	listenTime      = 500 * time.Millisecond // after which a holder knows the levels
-	levelExpiry     = 5 * time.Second        // without any add, what is known of levels is void
+	levelExpiry     = 5 * time.Second        // without any add, levels are unknown again
 
-	probeAfter         = 90 * time.Millisecond  // without a sign of a gateway, it is asked for one
-	holderProbeTimeout = 40 * time.Millisecond  // without an answer of the other holder, all are asked
-	probeTimeout       = 90 * time.Millisecond  // without an answer, a gateway is out of sight
-	watchTime          = time.Second            // since a tenant was near its limit
-	reportedWithin     = 2 * time.Second        // since gateways told anything
-	scarceGap          = 40 * time.Millisecond  // between what a gateway is told unasked
-	tickStall          = 200 * time.Millisecond // between ticks: this process stood still
+	probeAfter         = 90 * time.Millisecond  // without a message, a gateway is probed
+	holderProbeTimeout = 40 * time.Millisecond  // without an answer of the other holder, all gateways are probed
+	probeTimeout       = 90 * time.Millisecond  // without an answer to a probe, a gateway counts as missing
+	watchTime          = time.Second            // for which all are probed after a tenant was near its limit
+	reportedWithin     = 2 * time.Second        // for which the holders probe each other after an add
+	scarceGap          = 40 * time.Millisecond  // between unrequested totals to one gateway
+	tickStall          = 200 * time.Millisecond // between ticks: this process was frozen
 )
 
-// periodTotals is one name: what each life of a gateway has passed in it.
+// periodTotals holds the sums of one tenant in one period, by gateway incarnation.
 type periodTotals struct {
 	period    uint64
 	total     uint64
-	sums      sumTable // by the life's number
+	sums      sumTable // by number of the incarnation
 	usedAt    fsm.Time
 	startedAt fsm.Time
 }
 
-// tenantUsage is one tenant.
+// tenantUsage is what a counter knows of one tenant.
 type tenantUsage struct {
 	periods   []periodTotals // few, the newest last
 	level     float64        // units of the burst in use, draining at the tenant's rate
 	updatedAt fsm.Time
-	interval  uint64 // of its limit, as last told
+	interval  uint64 // emission interval of its limit in microseconds, as last told
 
-	levelSince fsm.Time // the counter's, when level began
+	levelSince fsm.Time // listeningSince of the counter when level was last reset
 }
 
-// sender is when a gateway was heard.
+// sender is a gateway and when its last add came.
 type sender struct {
 	gateway string
 	at      fsm.Time
 }
 
-// Counter sums what the gateways say that they have passed.
+// Counter sums the units that gateways report as passed.
 //
-// Periods are numbers that only grow, and each is issued by one holder, whose
-// tag is in the lower bits: a holder that is read while a number of another is
-// in use issues its own above it. So a name's sums start at nothing for all
-// gateways at the holder that answers for it, and no sum of another holder is
-// ever measured against them.
+// Periods are increasing numbers. Each is issued by one holder, whose tag is in the lower bits: a holder
+// that is read while another holder's period is in use issues a higher one. So the sums of a period start
+// at 0 for all gateways at the holder that answers for it, and are never compared with sums of another
+// holder.
 type Counter struct {
 	tag     uint64
 	tenants map[string]*tenantUsage
 
 	highestPeriod, ownPeriod uint64
 	issuedAt                 fsm.Time
-	listeningSince           fsm.Time // listening without a gap
+	listeningSince           fsm.Time // since when adds have come without a gap of levelExpiry
 	heardAt                  fsm.Time
 	sweptAt                  fsm.Time
 	tickAt                   fsm.Time
-	lastSenders              [2]sender // the last two gateways that were heard
+	lastSenders              [2]sender // the last two different gateways
 	heard                    bool
-	resumed                  bool // since then, it was frozen before
+	resumed                  bool // at listeningSince the process had been frozen
 	detector                 failureDetector
 	scarce                   scarceTenants
-	offsets                  map[string]offset // of gateways
+	offsets                  map[string]offset // by gateway
 	rosters                  rosters
-	byPlace                  []*tenantUsage // by their places in the newest roster, as far as they were told so
+	byPlace                  []*tenantUsage // tenants by their places in the newest roster, as far as adds have named them so
 	incarnations             incarnations
-	sendInterval             time.Duration // that it asks of gateways; 0: none
+	sendInterval             time.Duration // the gap between adds that gateways are asked for; 0: none
 	intervalRaisedAt         fsm.Time      // when it was last raised
 }
 
 const tagBits = 16
 
-// NewCounter makes the counter of one life of a process.
+// NewCounter makes the counter of one incarnation of a process.
 func NewCounter(self string, life uint64) *Counter {
 	tag := (xxhash.Sum64String(self) ^ life*0x9e3779b97f4a7c15) >> (64 - tagBits)
 	return &Counter{tag: tag, tenants: map[string]*tenantUsage{}, offsets: map[string]offset{}, detector: failureDetector{self: self, peers: map[string]peer{}}}
 }
 
-// SetGateways takes the gateways there are. A counter serves who asks; but it tells how many
-// of these it doesn't hear.
+// SetGateways sets the known gateways. A counter serves any gateway; its answers say how many of these are
+// missing.
 func (c *Counter) SetGateways(gateways []string) { c.detector.setGateways(gateways) }
 
-// SetLimits takes the limits of the configuration: gateways that have the same may say numbers
-// in place of names.
+// SetLimits sets the limits of the configuration. Gateways with the same limits may send places in the
+// roster in place of names.
 func (c *Counter) SetLimits(limits map[string]Limit) { c.SetRoster(NewRoster(limits)) }
 
-// SetRoster is Limits with the roster made already.
+// SetRoster is SetLimits with a roster that was made beforehand.
 func (c *Counter) SetRoster(r *Roster) {
 	if c.rosters.update(r) {
 		c.byPlace = make([]*tenantUsage, len(r.names))
 	}
 }
 
-// usageOf is a tenant's, by its place where an add has told that.
+// usageOf returns a tenant's usage, by its place in the newest roster if that is known (-1: it isn't).
 func (c *Counter) usageOf(now fsm.Time, tenant string, place int32) *tenantUsage {
 	if place >= 0 && c.byPlace[place] != nil {
 		return c.byPlace[place]
@@ -121,7 +120,7 @@
 	return l
 }
 
-// periodOf is the tally of a period; nil: there is none.
+// periodOf returns the totals of a period, or nil.
 func (l *tenantUsage) periodOf(period uint64) *periodTotals {
 	for i := len(l.periods) - 1; i >= 0; i-- {
 		if l.periods[i].period == period {
@@ -131,13 +130,13 @@
 	return nil
 }
 
-// ProbeOverdue reports whether a gateway leaves a question unanswered, so that another way to it
-// should be tried.
+// ProbeOverdue reports whether a gateway leaves a probe unanswered, so that another route to it should be
+// tried.
 func (c *Counter) ProbeOverdue(now fsm.Time, gateway string) bool {
 	return c.detector.probeOverdue(now, gateway)
 }
 
-// Receive sums an add, and answers if it is to be answered.
+// Receive takes an add into the sums, and returns the answer to it, if it wants one.
 func (c *Counter) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	if ask, ok := msg.(Answer); ok && ask.Probe {
 		c.detector.heartbeat(now, from, true)
@@ -154,15 +153,15 @@
 		if a, ok = a.Expand(o.life); !there || !ok {
 			return nil
 		}
-		if !known || foldIncarnation(o.life) != folded { // this process, or what it remembered, is gone since
+		if !known || foldIncarnation(o.life) != folded { // this process has restarted, or forgotten the gateway, since it answered a full add
 			return []fsm.Send{{To: from, Msg: Answer{Period: c.highestPeriod, Timestamp: a.Timestamp}.unknownIncarnation(folded)}}
 		}
-	} else if a.Incarnation == 0 { // one that was shortened, by way of a process that doesn't know that
+	} else if a.Incarnation == 0 { // a compact add that was relayed by a process of a version without them
 		return nil
 	}
 	roster := c.rosters.byHash(a.RosterHash)
 	taken := len(a.Packed) == 0
-	var places []int32 // of the first items and totals
+	var places []int32 // of the first items and totals in the roster
 	if roster != nil && !taken {
 		var items []Item
 		if items, places, taken = roster.items(a.Period, a.Packed); taken {
@@ -202,7 +201,7 @@
 			place = places[i]
 		}
 		usage := c.usageOf(now, item.Tenant, place)
-		if item.Period == 0 { // the asker doesn't know the period yet: it gets the sums to start from
+		if item.Period == 0 { // the gateway doesn't know the period yet: the answer has the sums to start from
 			item = Item{Tenant: item.Tenant, Period: c.highestPeriod, Interval: item.Interval}
 		}
 		usage.drain(now, c.listeningSince, item)
@@ -212,14 +211,14 @@
 			usage.periods = slices.Delete(usage.periods, 0, 1)
 		}
 		if c.resumed && now-c.listeningSince < listenTime {
-			usage.level = level // seconds of adds in a lump
+			usage.level = level // adds of several seconds arrive at once
 		} else if late > 0 {
 			usage.level = level + drained(usage.level-level, late, item.Interval)
 		}
 		if item.NearLimit {
 			c.scarce.note(now, item.Tenant)
 		}
-		if item.Used > 0 && late == 0 { // a holder that is new or told at times only may have missed some
+		if item.Used > 0 && late == 0 { // a new holder, or one that is told only now and then, may have missed some usage
 			usage.level = max(usage.level, float64(item.Used-1)/milliUnits)
 		}
 		out.Totals = append(out.Totals, Total{Tenant: item.Tenant, Period: item.Period, Others: others, Own: mine,
@@ -246,7 +245,7 @@
 	return []fsm.Send{{To: from, Msg: out}}
 }
 
-// issuePeriod begins a period when the last one is over or is another holder's.
+// issuePeriod starts a period when the last one has ended or is another holder's.
 func (c *Counter) issuePeriod(now fsm.Time) {
 	age := now - c.issuedAt
 	if c.ownPeriod != 0 && (age < issueInterval || c.ownPeriod == c.highestPeriod && age < periodLength) {
@@ -256,7 +255,7 @@
 	c.ownPeriod, c.issuedAt = c.highestPeriod, now
 }
 
-// drain brings the level up to now.
+// drain lowers the level by what has drained since the last item.
 func (l *tenantUsage) drain(now, since fsm.Time, it Item) {
 	if l.levelSince != since {
 		l.levelSince, l.level = since, 0
@@ -267,14 +266,14 @@
 	}
 }
 
-// add takes in an item, and returns what others have in the name, and what this
-// life of the gateway has. What is new to this holder need not be new: Fresh tells,
-// and the rest was drained long ago.
+// add takes an item into its period, and returns the sum of the other gateways and that of this
+// incarnation. Units that this holder sees for the first time need not be recent: only Unreported is added
+// to the level, the rest has drained long ago.
 func (l *tenantUsage) add(now fsm.Time, incarnations []incarnation, it Item) (others, mine uint64) {
 	period := l.periodOf(it.Period)
 	if period == nil {
 		next := periodTotals{period: it.Period, startedAt: now}
-		if k := len(l.periods); k > 0 && now-l.periods[k-1].startedAt >= periodLength/2 { // as many will have a sum as had
+		if k := len(l.periods); k > 0 && now-l.periods[k-1].startedAt >= periodLength/2 { // as many gateways as in the period before are expected
 			next.sums = newSumTable(l.periods[k-1].sums.used)
 		}
 		l.periods = append(l.periods, next)
@@ -297,7 +296,7 @@
 	return others, mine
 }
 
-// others is the sum without all lives of a gateway.
+// others is the sum without any incarnation of a gateway.
 func (n *periodTotals) others(incarnations []incarnation) uint64 {
 	sum := n.total
 	for _, v := range incarnations {
@@ -307,17 +306,16 @@
 	return sum
 }
 
-// Tick asks for signs of life where they matter, and forgets names that nobody has
-// used for two periods, or one.
+// Tick probes gateways where that is necessary, and forgets periods that have not been used for retention.
 func (c *Counter) Tick(now fsm.Time) []fsm.Send {
 	c.tickAt = now
 	c.sweep(now)
 	return c.detector.tick(now)
 }
 
-// retention is how long a name that nobody uses is kept. The names of a period are most of a holder's memory where gateways
-// are hundreds, and all have left one some seconds after its end. Who was cut off for longer and says what it had in it
-// is told no others' sums of that time; it learns from the level.
+// retention is how long an unused period is kept. With hundreds of gateways the periods take most of a
+// holder's memory, and all gateways have left one some seconds after its end. A gateway that was
+// partitioned for longer gets no sums of that time; it learns from the level.
 func (c *Counter) retention() fsm.Time {
 	if len(c.detector.gateways) > largeFleet {
 		return periodLength
--- a/internal/quotas/detector.go
+++ b/internal/quotas/detector.go
@@ -6,46 +6,46 @@
 	"asterwell/internal/fsm"
 )
 
-// Among more gateways than few it is counted once in countGap who is missing.
+// With more gateways than smallFleet the missing ones are counted once in recountGap.
 const (
 	smallFleet        = 100
 	recountGap        = 10 * time.Millisecond
-	probeOverdueAfter = 50 * time.Millisecond  // from tick to tick
-	probePerGateway   = 360 * time.Microsecond // for each gateway, between questions: some 2,800 of them a second at the most
+	probeOverdueAfter = 50 * time.Millisecond  // one tick
+	probePerGateway   = 360 * time.Microsecond // for each gateway, between probes: about 2,800 probes a second at most
 )
 
-// failureDetector is which gateways a counter hears, so that a cut is known before the members
-// are told of it: what is passed on the other side is in no sum here. The two holders
-// ask each other for signs of life while they are told anything. Where that one is
-// silent, or a tenant is near its limit, all that are silent are asked.
+// failureDetector tracks from which gateways a counter gets messages, so that a partition is noticed before
+// membership reports it: units passed on the other side are in no sum here. The two holders probe each
+// other while they get adds. If the other holder is silent, or a tenant is near its limit, all silent
+// gateways are probed.
 type failureDetector struct {
 	self         string
 	gateways     []string
 	peers        map[string]peer
-	reportedAt   fsm.Time // a gateway last told this counter what it has passed
-	watchAt      fsm.Time // it last mattered who is out of sight
+	reportedAt   fsm.Time // when a gateway last sent an add with items
+	watchAt      fsm.Time // when missing gateways last mattered
 	tickAt       fsm.Time
 	repeatAt     fsm.Time
-	probing      bool // all were, at the last tick
+	probing      bool // all silent gateways were probed at the last tick
 	missingCount uint32
-	countedAt    fsm.Time // when that was counted
+	countedAt    fsm.Time // when missingCount was counted
 }
 
-// peer is of one gateway. asked is the first time since the last sign; 0: not asked.
+// peer is the state of one gateway. probedAt is the first probe since its last message; 0: none.
 type peer struct {
 	heardAt, probedAt fsm.Time
-	answersProbes     bool // it answers
+	answersProbes     bool // it answers probes
 	rtt               roundTrip
 }
 
-// worthProbing says that a question is worth asking. Who was never heard here may be out of reach since before this holder
-// began: it counts as missing until it has shown that it is not.
+// worthProbing reports whether to probe a gateway. One that was never heard may have been unreachable since
+// before this holder started: it counts as missing until it answers.
 func (v peer) worthProbing() bool { return v.answersProbes || v.heardAt == 0 }
 
-// watch looks for all at once: a holder that is new knows of nobody who is out of reach.
+// watch starts probing all gateways: a new holder doesn't know which of them are unreachable.
 func (s *failureDetector) watch(now fsm.Time) { s.watchAt = now }
 
-// setGateways takes the gateways there are, the two holders first.
+// setGateways sets the known gateways, the two holders first.
 func (s *failureDetector) setGateways(nodes []string) {
 	s.gateways = nodes
 	next := make(map[string]peer, len(nodes))
@@ -76,7 +76,7 @@
 	}
 }
 
-// otherHolder is the other holder, if this process is one.
+// otherHolder is the other holder's address, if this process is a holder.
 func (s *failureDetector) otherHolder() string {
 	switch {
 	case len(s.gateways) < 2:
@@ -88,7 +88,7 @@
 	return ""
 }
 
-// forgiveStall: where it was this process that stood still, nobody has failed to answer.
+// forgiveStall drops open probes if this process itself was frozen: then their answers are not overdue.
 func (s *failureDetector) forgiveStall(now fsm.Time) {
 	if now-s.tickAt <= tickStall {
 		return
@@ -103,7 +103,7 @@
 	return s.watchAt != 0 && now-s.watchAt < watchTime
 }
 
-// tick asks those that are silent.
+// tick returns probes to gateways that are silent.
 func (s *failureDetector) tick(now fsm.Time) (out []fsm.Send) {
 	s.forgiveStall(now)
 	s.tickAt = now
@@ -139,13 +139,13 @@
 	return out
 }
 
-// scaled is a gap between questions, longer where there are more than 250 gateways to be asked.
+// scaled lengthens a gap between probes where there are more than 250 gateways.
 func (s *failureDetector) scaled(gap time.Duration) time.Duration {
 	return max(gap, time.Duration(len(s.gateways))*probePerGateway)
 }
 
-// probeOverdue says that a gateway was asked before and hasn't answered: one near by at the tick before, one that is far for
-// as long as its answer may take.
+// probeOverdue reports whether a probe of a gateway is unanswered: of a near one since the previous tick,
+// of a far one for as long as its answer may take.
 func (s *failureDetector) probeOverdue(now fsm.Time, node string) bool {
 	v := s.peers[node]
 	if v.probedAt == 0 || v.probedAt == now {
@@ -157,12 +157,12 @@
 	return true
 }
 
-// missing is how many gateways are out of sight.
+// missing is the number of gateways that don't answer probes.
 func (s *failureDetector) missing(now fsm.Time) (n uint32) {
 	if !s.watching(now) {
 		return 0
 	}
-	if len(s.peers) > smallFleet && now-s.countedAt < recountGap && s.countedAt != 0 { // it is asked for with each answer
+	if len(s.peers) > smallFleet && now-s.countedAt < recountGap && s.countedAt != 0 { // each answer needs the count
 		return s.missingCount
 	}
 	defer func() { s.missingCount, s.countedAt = n, now }()
--- a/internal/quotas/incarnations.go
+++ b/internal/quotas/incarnations.go
@@ -6,26 +6,27 @@
 	"asterwell/internal/fsm"
 )
 
-// Sums of 490 gateways in 12,000 tenants' names are millions. So each life of a gateway has a number here, and a name
-// has four bytes for whose a sum is.
+// 490 gateways with 12,000 tenants have millions of sums. So each incarnation of a gateway is numbered, and
+// the key of a sum takes four bytes.
 
-// incarnation is a life that a counter has heard.
+// incarnation is one incarnation of a gateway that a counter has heard.
 type incarnation struct {
 	id      uint64
 	number  uint32
 	heardAt fsm.Time // when it was last heard
 }
 
-// incarnations are those of each gateway, the one that was heard last at the end.
+// incarnations holds those of each gateway; the one that was heard last is at the end.
 type incarnations struct {
 	byGateway  map[string][]incarnation
 	lastNumber uint32
 }
 
-// incarnationRetention is longer than any name is kept: no sum has the number of who was not heard for so long.
+// incarnationRetention is longer than any period is kept, so no sum has the number of a forgotten
+// incarnation.
 const incarnationRetention = 4 * periodRetention
 
-// observe is a gateway's lives, of which this one is the last.
+// observe records an incarnation as the gateway's latest, and returns all of the gateway's.
 func (l *incarnations) observe(now fsm.Time, gateway string, id uint64) []incarnation {
 	if l.byGateway == nil {
 		l.byGateway = map[string][]incarnation{}
@@ -45,7 +46,7 @@
 	return who
 }
 
-// sweep forgets those that were not heard for long.
+// sweep removes incarnations that have not been heard for incarnationRetention.
 func (l *incarnations) sweep(now fsm.Time) {
 	for gateway, who := range l.byGateway {
 		if who = slices.DeleteFunc(who, func(v incarnation) bool { return now-v.heardAt > incarnationRetention }); len(who) == 0 {
--- a/internal/quotas/late.go
+++ b/internal/quotas/late.go
@@ -6,21 +6,21 @@
 	"asterwell/internal/fsm"
 )
 
-// An add that was held up tells of units that have drained since: where a cut or a standstill
-// ends, seconds of them come in a lump, and a tenant would be refused for as long again. How
-// late one is shows by its stamp, against the least that lay between the two clocks lately.
+// A delayed add reports units that have drained since. When a partition or a freeze ends, the units of
+// several seconds arrive at once, and counted as new they would block the tenant for as long again. The
+// delay of an add is its timestamp against the smallest recent offset between the two clocks.
 const (
-	lateAdd   = time.Second      // what a lossy link does is below it
-	minWindow = 30 * time.Second // clocks drift apart: an offset counts for so long, and as long again
+	lateAdd   = time.Second      // a lossy link delays by less
+	minWindow = 30 * time.Second // clocks drift: a minimum counts for this long, and as long again
 )
 
-// offset is between a gateway's clock and the counter's.
+// offset is the difference between the clock of the counter and that of a gateway.
 type offset struct {
 	life uint64
 	windowedMin
 }
 
-// lateness is how much later than its fellows an add has come; 0: it is in time.
+// lateness is how much longer an add was under way than others of the gateway; 0 below lateAdd.
 func (c *Counter) lateness(now fsm.Time, from string, a Add) time.Duration {
 	by := now - a.Timestamp
 	o := c.offsets[from]
@@ -35,7 +35,7 @@
 	return 0
 }
 
-// drained is what is left of so many units after a time.
+// drained is what is left of this many units after a time.
 func drained(units float64, after time.Duration, gap uint64) float64 {
 	if gap == 0 {
 		return units
--- a/internal/quotas/message.go
+++ b/internal/quotas/message.go
@@ -2,29 +2,29 @@
 
 import "asterwell/internal/fsm"
 
-// Add tells a holder what a gateway has passed. Sums are cumulative within a
-// name, so that a lost, late or doubled add does no harm.
+// Add reports to a holder what a gateway has passed. Sums are cumulative within a period, so lost, late or
+// duplicate adds do no harm.
 type Add struct {
 	Incarnation   uint64   `cbor:"1,keyasint,omitempty"`
-	Period        uint64   `cbor:"2,keyasint,omitempty"` // the newest that the gateway knows
-	Timestamp     fsm.Time `cbor:"3,keyasint,omitempty"` // the gateway's clock, given back
-	Read          bool     `cbor:"4,keyasint,omitempty"` // an answer is wanted
+	Period        uint64   `cbor:"2,keyasint,omitempty"` // newest period that the gateway knows
+	Timestamp     fsm.Time `cbor:"3,keyasint,omitempty"` // the gateway's clock, echoed in the answer
+	Read          bool     `cbor:"4,keyasint,omitempty"` // totals are wanted
 	Items         []Item   `cbor:"5,keyasint,omitempty"`
-	Ping          bool     `cbor:"6,keyasint,omitempty"` // only a sign of life is wanted
-	NearLimit     bool     `cbor:"7,keyasint,omitempty"` // a tenant is near its limit: who is out of sight matters
-	AnswersProbes bool     `cbor:"8,keyasint,omitempty"` // the gateway answers where it is asked for a sign of life
-	// Packed has the items of tenants in the roster whose hash List is. A holder that doesn't
-	// know the roster, or of packing, doesn't say Taken. Where nothing is packed, List is the
-	// gateway's own roster; 0: it packs none.
+	Ping          bool     `cbor:"6,keyasint,omitempty"` // an answer without totals is wanted
+	NearLimit     bool     `cbor:"7,keyasint,omitempty"` // a tenant is near its limit, so missing gateways matter
+	AnswersProbes bool     `cbor:"8,keyasint,omitempty"` // the gateway answers probes
+	// Packed encodes the items of tenants in the roster with hash RosterHash. A holder that doesn't know
+	// the roster, or the encoding, leaves PackedAccepted unset. Without packed items, RosterHash is the
+	// gateway's own roster; 0: it doesn't pack.
 	Packed     []byte `cbor:"9,keyasint,omitempty"`
 	RosterHash uint32 `cbor:"10,keyasint,omitempty"`
-	// Asked is the Stamp of the question that this is the sign of life for; 0: it had none.
+	// ProbeTimestamp is the Timestamp of the probe that this add answers; 0: none.
 	ProbeTimestamp fsm.Time `cbor:"11,keyasint,omitempty"`
-	// Brief is all of the above in one string (brief.go), for a holder that reads it.
+	// Compact encodes all other fields in one string (compact.go), for holders that can read it.
 	Compact []byte `cbor:"12,keyasint,omitempty"`
 }
 
-// WithoutItems is an add without all that it tells: whether the holder is there. One that is shortened stays as it is.
+// WithoutItems reduces an add to a ping. A compact one is returned as it is.
 func (a Add) WithoutItems() Add {
 	if len(a.Compact) > 0 {
 		return a
@@ -33,50 +33,53 @@
 	return a
 }
 
-// Item is one gateway's sum in one name. Units are thousandths.
+// Item is a gateway's sum for one tenant in one period. Units are thousandths.
 type Item struct {
 	Tenant     string `cbor:"1,keyasint"`
 	Period     uint64 `cbor:"2,keyasint"`
 	Sum        uint64 `cbor:"3,keyasint,omitempty"`
-	Unreported uint64 `cbor:"4,keyasint,omitempty"` // new to the holder, if nothing was lost
-	Interval   uint64 `cbor:"5,keyasint,omitempty"` // microseconds a unit, for the level
-	Used       uint64 `cbor:"6,keyasint,omitempty"` // of the burst, as the gateway sees it, and 1; 0: not seen
-	NearLimit  bool   `cbor:"7,keyasint,omitempty"` // it is near its limit, and small for so many gateways
+	Unreported uint64 `cbor:"4,keyasint,omitempty"` // units not reported to this holder yet, if no message was lost
+	Interval   uint64 `cbor:"5,keyasint,omitempty"` // emission interval in microseconds, for the level
+	Used       uint64 `cbor:"6,keyasint,omitempty"` // units of the burst in use as the gateway sees it, plus 1; 0: unknown
+	NearLimit  bool   `cbor:"7,keyasint,omitempty"` // the tenant is near its limit, and its burst is small for the number of gateways
 }
 
-// Answer gives the sums of the names that an Add has named.
+// Answer gives the totals for the items of an Add.
 type Answer struct {
-	Incarnation uint64   `cbor:"1,keyasint,omitempty"` // the asker's
+	Incarnation uint64   `cbor:"1,keyasint,omitempty"` // of the gateway that is answered
 	Period      uint64   `cbor:"2,keyasint,omitempty"`
 	Timestamp   fsm.Time `cbor:"3,keyasint,omitempty"`
 	Totals      []Total  `cbor:"4,keyasint,omitempty"`
-	// Company says that the holder has heard other gateways lately.
+	// HeardOthers reports whether the holder has lately received adds of other gateways.
 	HeardOthers bool `cbor:"5,keyasint,omitempty"`
-	// Missing is how many of the gateways that there should be are out of the holder's sight.
+	// Missing is the number of gateways that the holder's failure detector misses.
 	Missing uint32 `cbor:"6,keyasint,omitempty"`
-	// Ask: this is no answer, but wants a sign of life, an Add without items. A process that
-	// doesn't know it takes no notice; one that met a new kind of message would hang up.
+	// Probe marks a request for an Add without items, as a sign of life, in place of an answer. It is a
+	// field since processes that don't know it ignore it, but would close the connection at an unknown
+	// message type.
 	Probe bool `cbor:"7,keyasint,omitempty"`
-	// Packed has the totals of tenants in the roster of the add's List.
+	// Packed encodes the totals of tenants in the roster of the add's RosterHash.
 	Packed         []byte `cbor:"8,keyasint,omitempty"`
-	PackedAccepted bool   `cbor:"9,keyasint,omitempty"`  // what the add had packed
-	RosterHash     uint32 `cbor:"10,keyasint,omitempty"` // the holder's own roster; 0: the add's, or none
-	// Briefs: the holder reads adds that are shortened. Brief is an answer to such a one.
+	PackedAccepted bool   `cbor:"9,keyasint,omitempty"`  // the packed items of the add were read
+	RosterHash     uint32 `cbor:"10,keyasint,omitempty"` // the holder's own roster; 0: the same as the add's, or none
+	// ReadsCompact reports whether the holder can read compact adds. Compact is the answer to such an add.
 	ReadsCompact bool   `cbor:"11,keyasint,omitempty"`
 	Compact      []byte `cbor:"12,keyasint,omitempty"`
-	// Pace is how far apart the holder wants a gateway's adds, in units of paceUnit; 0: as they come.
+	// SendInterval is the gap between adds that the holder asks for, in units of sendIntervalUnit; 0: no
+	// limit.
 	SendInterval uint8 `cbor:"13,keyasint,omitempty"`
 }
 
-// Total is what a holder knows of one name.
+// Total is what a holder knows of one tenant in one period.
 type Total struct {
 	Tenant     string `cbor:"1,keyasint"`
 	Period     uint64 `cbor:"2,keyasint"`
-	Others     uint64 `cbor:"3,keyasint,omitempty"` // without all lives of the asker
-	Own        uint64 `cbor:"4,keyasint,omitempty"` // of this life of the asker
-	Level      uint64 `cbor:"5,keyasint,omitempty"` // of the burst, in use by all gateways
+	Others     uint64 `cbor:"3,keyasint,omitempty"` // units of other gateways, without any incarnation of the one that is answered
+	Own        uint64 `cbor:"4,keyasint,omitempty"` // units of this incarnation
+	Level      uint64 `cbor:"5,keyasint,omitempty"` // units of the burst in use by all gateways
 	LevelKnown bool   `cbor:"6,keyasint,omitempty"` // the holder has listened for long enough to know Level
 }
 
-// Messages lists what the machines of this package receive; the order stays.
+// Messages lists the messages that meters and counters receive. The wire numbers them by position, so the
+// order must not change.
 func Messages() []any { return []any{Add{}, Answer{}} }
--- a/internal/quotas/meter.go
+++ b/internal/quotas/meter.go
@@ -12,59 +12,59 @@
 )
 
 const (
-	relaxedGap            = 200 * time.Millisecond // between adds of a tenant far from its limit
+	relaxedGap            = 200 * time.Millisecond // between two adds for a tenant that is far from its limit
 	minGap                = 50 * time.Millisecond  // between any two adds
-	retryGap              = 60 * time.Millisecond  // an unanswered read is repeated
-	silentAfter           = 200 * time.Millisecond // a holder that leaves reads unanswered is silent
-	stallThreshold        = 400 * time.Millisecond // between ticks: a gateway that froze doesn't know what others did
-	standbyGap            = time.Second            // between adds to the holder that is not read
-	rosterCheckGap        = 5 * time.Second        // between questions which roster it has
+	retryGap              = 60 * time.Millisecond  // after which an unanswered read is repeated
+	silentAfter           = 200 * time.Millisecond // without an answer to a read, a holder counts as silent
+	stallThreshold        = 400 * time.Millisecond // between ticks: a gateway that was frozen for longer doesn't know what others passed
+	standbyGap            = time.Second            // between adds to the holder that is not the reader's
+	rosterCheckGap        = 5 * time.Second        // between requests for the hash of a holder's roster
 	earlyReadGap          = 10 * time.Millisecond  // before the first read of a tenant, after any add
-	batchedReadGap        = 25 * time.Millisecond  // the same, where first reads would fill the wire with heads of messages:
-	earlyReadRate         = 10.0                   // so many a second may come after firstGap,
-	earlyReadBurst        = 10.0                   // and so many at once
-	batchedReadPerGateway = 100 * time.Microsecond // for each gateway, of many: a holder gets no more than 10,000 of them a second,
-	earlyReadFleetRate    = 2500.0                 // so many of those that follow closely,
-	standbyPerGateway     = 200 * time.Microsecond // and the one that is not read 5,000 adds
-
-	lossSettleTime    = 2 * time.Second         // after which what gateways passed while they were lost unknown is worked off
-	freshAnswer       = 30 * time.Millisecond   // within which an answer is back that is not late
-	trustAfter        = time.Second             // after which a holder that is read anew has been told what it missed
-	reportUsedFor     = 1500 * time.Millisecond // in which a holder that is read anew is told what others' holders knew
-	othersHeardWithin = 300 * time.Millisecond  // without adds of others a holder may be cut off
-	periodSettleTime  = 300 * time.Millisecond  // after a change of period, before the old name is reread
-	peakRetention     = time.Minute             // after which gateways that are missing are taken as gone
-	startupWindow     = 3 * time.Second         // in which one that has met no other gateway may be cut off
-	assumedGateways   = 32                      // gateways, at least, that a young meter reckons with
-	nearLimitWindow   = 500 * time.Millisecond  // so long after it, holders are told that a tenant was near its limit
+	batchedReadGap        = 25 * time.Millisecond  // the same above earlyReadRate: message headers would dominate the traffic
+	earlyReadRate         = 10.0                   // first reads a second that may follow after earlyReadGap,
+	earlyReadBurst        = 10.0                   // and their burst
+	batchedReadPerGateway = 100 * time.Microsecond // for each gateway in large fleets: a holder gets at most 10,000 batched reads a second,
+	earlyReadFleetRate    = 2500.0                 // early reads a second,
+	standbyPerGateway     = 200 * time.Microsecond // and 5,000 adds a second where it is not the one that is read
+
+	lossSettleTime    = 2 * time.Second         // time in which units passed by unreachable gateways before their loss was noticed drain
+	freshAnswer       = 30 * time.Millisecond   // an answer within this round trip is not delayed
+	trustAfter        = time.Second             // time until a holder that has just become the reader has received what it missed
+	reportUsedFor     = 1500 * time.Millisecond // time in which a new reader is also told the usage known from other holders
+	othersHeardWithin = 300 * time.Millisecond  // a holder that received no adds of others for longer may be partitioned
+	periodSettleTime  = 300 * time.Millisecond  // after a change of period, before the previous period is read for the last time
+	peakRetention     = time.Minute             // after which missing gateways count as removed
+	startupWindow     = 3 * time.Second         // in which a gateway that has met no other one may be partitioned
+	assumedGateways   = 32                      // number of gateways that a meter assumes, at least, during startupWindow
+	nearLimitWindow   = 500 * time.Millisecond  // time after which holders are no longer told that a tenant was near its limit
 )
 
-// holderState is one of the two holders.
+// holderState is what a meter knows of one of the two holders.
 type holderState struct {
 	addr            string
 	self            bool
-	unansweredSince fsm.Time // the first read without an answer; 0: none
+	unansweredSince fsm.Time // when the oldest unanswered read was sent; 0: none is open
 	lastAddAt       fsm.Time
-	resendAll       bool   // it may be new: it is told all sums again
-	rosterHash      uint32 // the roster that it is told numbers of; 0: it is told names
-	prevRosterHash  uint32 // the one before, in adds before listAt,
+	resendAll       bool   // the holder may be new: send it all sums again
+	rosterHash      uint32 // the roster by whose places it is told tenants; 0: by names
+	prevRosterHash  uint32 // the previous one, which applies to adds between prevRosterSince
 	rosterSince     fsm.Time
-	prevRosterSince fsm.Time // and since then
-	rosterCheckAt   fsm.Time // when it was last asked which it has, without a read
-	missing         uint32   // gateways out of its sight, as it last said
-	readsCompact    bool     // it reads adds that are shortened
-	sendInterval    uint8    // how far apart it wants adds
-	retries         int      // adds repeated since its last answer
-
-	last [4]string // tenants that it was told of last, of each kind, where not all had room
+	prevRosterSince fsm.Time // and rosterSince
+	rosterCheckAt   fsm.Time // when its roster was last asked for without a read
+	missing         uint32   // gateways that its failure detector misses, by its last answer
+	readsCompact    bool     // it understands compact adds
+	sendInterval    uint8    // the gap between adds that it asks for, in sendIntervalUnit
+	retries         int      // repeated adds since its last answer
+
+	last [4]string // the last tenant sent of each kind of items, where not all fitted
 	rtt  roundTrip
 }
 
-// far: what it tells is older than what near ones tell ever is.
+// far reports whether answers take longer than freshAnswer even at the best.
 func (s *holderState) far() bool { return s.rtt.excess(freshAnswer) > 0 }
 
-// unreportedSpan is for how long others may have passed units that aren't in an answer: nothing
-// where it is near, since what the quota's margin bears is reckoned with that.
+// unreportedSpan is the time in which other gateways may have passed units that the answer doesn't have. It
+// is 0 for a near holder, whose delay is within the margin of the quota.
 func (s *holderState) unreportedSpan(now, stamp fsm.Time) fsm.Time {
 	if s.far() {
 		return now - stamp
@@ -72,32 +72,32 @@
 	return 0
 }
 
-// retryDue: a read of it has been without an answer for so long that it is repeated.
+// retryDue reports whether a read has gone unanswered for long enough to be repeated.
 func (s *holderState) retryDue(now fsm.Time) bool {
 	return s.unansweredSince != 0 && now-s.unansweredSince >= s.rtt.extend(retryGap)
 }
 
-// silent: so long that the holder is silent. One repetition may be lost, as near by.
+// silent reports whether the holder counts as unreachable. The timeout leaves time for one lost repetition.
 func (s *holderState) silent(now fsm.Time) bool {
 	return s.unansweredSince != 0 && now-s.unansweredSince >= silentAfter+s.rtt.excess(retryGap)
 }
 
-// Meter decides at one gateway which requests of which tenants pass.
+// Meter decides at one gateway which requests are within their tenants' quotas.
 type Meter struct {
 	self        string
 	incarnation uint64
 
 	tenants map[string]*tenantState
-	ordered []*tenantState // by tenant: messages must not depend on a map's order
+	ordered []*tenantState // by name: messages must not depend on the order of a map
 	active  activeSet
 
 	holders     [2]holderState
-	reader      int      // the slot that is read; -1: none answers
-	readerSince fsm.Time // since when
-	reachable   int      // gateways in touch
-	lostAt      fsm.Time // when many were last lost
-	gateways    int      // as told
-	peak        int      // the most that were told, until the others are taken as gone
+	reader      int      // index of the holder that is read; -1: none answers
+	readerSince fsm.Time // when it became the reader
+	reachable   int      // gateways that are not missing, at the last count
+	lostAt      fsm.Time // when more than an eighth of the gateways last became unreachable at once
+	gateways    int      // members, as told by SetGateways
+	peak        int      // the highest number of gateways within peakRetention
 	peakAt      fsm.Time
 	startedAt   fsm.Time
 
@@ -106,22 +106,22 @@
 	sentAt        fsm.Time
 	relaxedAt     fsm.Time
 	tickAt        fsm.Time
-	othersHeardAt fsm.Time // when the counter here had heard others lately
+	othersHeardAt fsm.Time // when the counter of this process had last heard other gateways
 	due           bool
-	nearLimitAt   fsm.Time // when a tenant was near its limit
-	newDemand     bool     // a tenant that is not seen is in demand
+	nearLimitAt   fsm.Time // when any tenant was last near its limit
+	newDemand     bool     // a request came for a tenant whose level has not been read
 	earlyReads    earlyReads
 	rosters       rosters
 
 	decided       [bases]Decisions
-	holderChanges uint64 // of the reader
+	holderChanges uint64 // how often the reader has changed
 
-	maxBehind     float64 // see Account
+	maxBehind     float64 // see Stats
 	answersBehind uint64
 }
 
-// NewMeter makes the meter of one life of a gateway. The seed shifts its adds
-// against those of the others.
+// NewMeter makes the meter of one incarnation of a gateway. The seed spreads the times of its adds against
+// those of other gateways.
 func NewMeter(self string, life uint64, seed uint64) *Meter {
 	rng := rand.New(rand.NewPCG(seed, life))
 	return &Meter{
@@ -130,12 +130,12 @@
 	}
 }
 
-// SetLimits takes the limits of the configuration. See entry.change for what a
-// change leaves; a tenant that had no limit starts as one that was not seen.
+// SetLimits sets the limits of the configuration. For a changed limit see tenantState.changeLimit; a new
+// tenant starts as unread.
 func (m *Meter) SetLimits(now fsm.Time, limits map[string]Limit) { m.SetRoster(now, NewRoster(limits)) }
 
-// SetRoster is Limits with the roster made already: most configurations change none of them, and to go
-// through thousands of tenants would hold requests up.
+// SetRoster is SetLimits with a roster that was made beforehand. Most configurations don't change the
+// limits, and going through thousands of tenants would delay requests.
 func (m *Meter) SetRoster(now fsm.Time, r *Roster) {
 	if !m.rosters.update(r) {
 		return
@@ -166,7 +166,7 @@
 	return float64(xxhash.Sum64String(gateway+" "+tenant)>>11) / (1 << 53)
 }
 
-// SetGateways takes the number of gateways and the holders in the agreed order.
+// SetGateways sets the number of gateways and the addresses of the holders in the agreed order.
 func (m *Meter) SetGateways(now fsm.Time, gateways int, holders []string) {
 	if m.gateways == 0 {
 		m.startedAt = now
@@ -193,7 +193,7 @@
 	m.holders, m.reader = next, -1
 	for _, e := range m.ordered {
 		told, again := e.reported, e.resend
-		e.reported, e.resend = [2]uint64{e.cur.sum, e.cur.sum}, [2]bool{} // for a new holder, nothing of it is fresh
+		e.reported, e.resend = [2]uint64{e.cur.sum, e.cur.sum}, [2]bool{} // nothing counts as unreported to a new holder
 		for i, j := range from {
 			if j >= 0 {
 				e.reported[i], e.resend[i] = told[j], again[j]
@@ -203,15 +203,15 @@
 	m.active.complete = false
 }
 
-// updatePeak keeps the peak: gateways that are missing may only be out of reach, and
-// go on passing their even share.
+// updatePeak tracks the highest number of gateways. Missing ones may only be unreachable, and go on passing
+// their even share.
 func (m *Meter) updatePeak(now fsm.Time) {
 	if m.gateways >= m.peak || now-m.peakAt >= peakRetention {
 		m.peak, m.peakAt = m.gateways, now
 	}
 }
 
-// shareCount is the number of gateways that shares are made for.
+// shareCount is the number of gateways among which quotas are shared.
 func (m *Meter) shareCount(now fsm.Time) int {
 	if m.gateways == 0 || m.peak == 1 && now-m.startedAt < startupWindow {
 		return max(m.peak, assumedGateways)
@@ -219,8 +219,8 @@
 	return m.peak
 }
 
-// reachableGateways is how many gateways are in touch, by the members or by the holder that is
-// read: whoever of both knows sooner.
+// reachableGateways is the number of gateways that are in contact, by the membership or by the reader's
+// failure detector, whichever notices a loss first.
 func (m *Meter) reachableGateways() int {
 	if m.reader < 0 {
 		return m.gateways
@@ -228,7 +228,7 @@
 	return max(1, m.gateways-int(m.holders[m.reader].missing))
 }
 
-// noteLosses notes when many go out of touch at once.
+// noteLosses notes the time when many gateways become unreachable at once.
 func (m *Meter) noteLosses(now fsm.Time) {
 	n := m.reachableGateways()
 	if 8*(m.reachable-n) > m.peak {
@@ -237,8 +237,8 @@
 	m.reachable = n
 }
 
-// reservedPart is the part of a tenant's rate and burst that is kept for gateways that are
-// missing. The margin of the quota bears a few of them, on one side of a cut.
+// reservedPart is the part of a tenant's rate and burst that is reserved for missing gateways. The margin
+// of the quota covers a few of them, on the larger side of a partition.
 func (m *Meter) reservedPart(e *tenantState) float64 {
 	if m.peak == 0 {
 		return 0
@@ -254,7 +254,7 @@
 	return slices.IndexFunc(m.holders[:], func(s holderState) bool { return s.addr != "" && s.addr == addr })
 }
 
-// Allow decides a request; a refusal says after which time to come back.
+// Allow decides a request; a refusal comes with the time after which to retry.
 func (m *Meter) Allow(now fsm.Time, tenant string, units float64) (bool, time.Duration) {
 	e := m.tenants[tenant]
 	if e == nil {
@@ -270,7 +270,7 @@
 	return ok, after
 }
 
-// decide tests an entry that is up to date, and takes the units if they may pass.
+// decide tests a refreshed tenant state, and takes the units if they may pass.
 func (m *Meter) decide(now fsm.Time, e *tenantState, units float64) (bool, time.Duration) {
 	if !e.levelRead {
 		e.readWanted = true
@@ -285,11 +285,11 @@
 	if now < e.tat+e.duration(units-1)-e.tau {
 		m.requestRead(e)
 		m.due = m.due || !e.levelRead && !e.holdersSilent
-		if !e.levelRead && !e.holdersSilent { // what the counter says may let it pass at once
+		if !e.levelRead && !e.holdersSilent { // the first read may allow it
 			return false, min(e.retryAfter(now, units, 0), 2*minGap)
 		}
 		part := 0.0
-		if e.levelRead { // one that isn't may be told more of any moment
+		if e.levelRead { // an unread tenant may be told of more units at any moment
 			part = m.reservedPart(e)
 		}
 		return false, e.retryAfter(now, units, part)
@@ -306,12 +306,13 @@
 	return true, 0
 }
 
-// requestRead asks at once for a tenant that is not seen, if there is someone who knows.
+// requestRead asks for an early read of an unread tenant, if a holder can answer it.
 func (m *Meter) requestRead(e *tenantState) {
 	m.newDemand = m.newDemand || !e.levelRead && !e.holdersSilent && !e.levelUnknown
 }
 
-// AdjustCost moves TAT by what an answer cost more, or less, than was taken.
+// AdjustCost corrects TAT by the difference between the actual cost of a request and the units taken for
+// it.
 func (m *Meter) AdjustCost(now fsm.Time, tenant string, units float64) {
 	e := m.tenants[tenant]
 	if e == nil {
@@ -327,7 +328,7 @@
 	e.credit += uint64(math.Round(-units * milliUnits))
 }
 
-// urgent says whether the others should hear of a tenant at once.
+// urgent reports whether the other gateways should learn of a tenant's usage at once.
 func (m *Meter) urgent(now fsm.Time, e *tenantState, room float64) bool {
 	if !e.levelRead {
 		return room < e.evenShare(m.shareCount(now))*3/4
@@ -342,12 +343,12 @@
 	return unsent >= max(2, 2*part) || e.unacked() > e.maxUnacked(now, m.shareCount(now))/2
 }
 
-// refresh brings an entry up to now before it is judged.
+// refresh brings a tenant's state up to date before a decision.
 func (m *Meter) refresh(now fsm.Time, e *tenantState) {
 	m.active.add(e)
 	e.rollPeriod(now, m.period, m.prev)
 	switch silent := m.holdersSilent(now); {
-	case silent && !e.holdersSilent: // what was passed unheard comes out of the share of the burst
+	case silent && !e.holdersSilent: // units that no holder has counted are taken out of the share of the burst
 		e.holdersSilent = true
 		e.capAvailable(now, e.evenShare(m.shareCount(now))-e.unacked())
 		e.markUnread(now)
@@ -357,14 +358,14 @@
 	case e.levelRead && now-m.tickAt > stallThreshold:
 		e.resetToStartAllowance(now, m.shareCount(now))
 	case e.levelRead && e.available(now) < -2*e.limit.Burst-e.limit.Rate:
-		e.markUnread(now) // so deep in debt that what was read can hardly be true
+		e.markUnread(now) // a debt this deep can't be right: the level was misread
 	case e.levelRead && e.tat < now-e.tau:
 		e.resetToStartAllowance(now, m.shareCount(now))
 		if m.readerFar(now) {
 			e.grantIdleAllowance(now, m.shareCount(now))
 		}
 	}
-	e.tat = max(e.tat, e.knownTAT) // a start allowance is no second burst
+	e.tat = max(e.tat, e.knownTAT) // the start allowance is not a second burst
 	if e.levelRead {
 		part := m.reservedPart(e)
 		e.assumeOthers(now, part)
@@ -373,7 +374,7 @@
 			e.missing = away
 		}
 		if part > 0 {
-			e.capAvailable(now, max(1, e.limit.Burst*(1-part))) // less than one unit would be none, for a minute
+			e.capAvailable(now, max(1, e.limit.Burst*(1-part))) // with less than one unit nothing would pass for as long as the peak is kept
 		}
 		return
 	}
@@ -383,19 +384,19 @@
 	e.capAvailable(now, max(e.evenShare(even), e.idleUnits))
 }
 
-// readerFar says that a first read takes long where a tenant has only rested, and that nobody is
-// or was just out of touch.
+// readerFar reports whether first reads take long, while no gateway is or was lately unreachable. Idle
+// tenants get an allowance then.
 func (m *Meter) readerFar(now fsm.Time) bool {
 	return m.reader >= 0 && m.holders[m.reader].far() && m.readerTrusted(now) && m.reachableGateways() >= m.peak
 }
 
-// readerTrusted: the holder that is read has heard of all that was passed lately.
+// readerTrusted reports whether the reader has counted all that was passed lately.
 func (m *Meter) readerTrusted(now fsm.Time) bool {
 	return now-m.readerSince >= trustAfter && (m.lostAt == 0 || now-m.lostAt >= lossSettleTime)
 }
 
-// holdersSilent says that no holder answers: the gateway has its even share. A holder is
-// not silent before it was asked.
+// holdersSilent reports whether no holder answers, so that the gateway falls back to its even share. A
+// holder that has not been asked yet is not silent.
 func (m *Meter) holdersSilent(now fsm.Time) bool {
 	for i := range m.holders {
 		if m.holderAnswers(now, i) {
@@ -417,6 +418,6 @@
 	return other.addr != "" && !other.silent(now)
 }
 
-// isHolder says that this gateway's own process is a holder. It always answers, even
-// when it is cut off; so the other holder is asked as well, or others must be heard.
+// isHolder reports whether this gateway's own process is a holder. It always answers itself, even when it
+// is partitioned; so it needs answers of the other holder too, or adds of other gateways.
 func (m *Meter) isHolder() bool { return m.holders[0].self || m.holders[1].self }
--- a/internal/quotas/pace.go
+++ b/internal/quotas/pace.go
@@ -6,23 +6,24 @@
 	"asterwell/internal/fsm"
 )
 
-// Back-pressure: a holder that is told more than it can count says in its answers how far apart adds should be. Those who
-// are told so do; else its answers would come too late to be believed, all would repeat what it hasn't
-// answered, and turn to the second holder with as much. What is passed unheard for longer is bounded by
-// each gateway's lead; below the strain nothing differs.
+// Back-pressure: an overloaded holder says in its answers how far apart a gateway's adds should be.
+// Otherwise its answers would come too late to be used, and all gateways would repeat what it hasn't
+// answered and send the same load to the second holder. Units that stay unacknowledged for longer are
+// bounded by maxUnacked of each gateway. Without overload nothing changes.
 
 const (
-	maxQueueDelay    = 20 * time.Millisecond  // adds that have waited for so long are too many
-	maxSendInterval  = 400 * time.Millisecond // between adds of a gateway, at the most
-	sendIntervalUnit = 4 * time.Millisecond   // on the wire
+	maxQueueDelay    = 20 * time.Millisecond  // of an add, above which the counter is overloaded
+	maxSendInterval  = 400 * time.Millisecond // longest gap that gateways are asked for
+	sendIntervalUnit = 4 * time.Millisecond   // resolution on the wire
 
-	overloadedTimeout = time.Second // after which one that was under strain is taken as out of reach
+	overloadedTimeout = time.Second // after which a holder that had asked for fewer adds counts as unreachable
 )
 
-// ReportQueueDelay tells the counter how long, lately, an add had to wait among many others: every 50 ms or so.
+// ReportQueueDelay tells the counter how long, lately, an add had to wait in the queue. It is called about
+// every 50 ms.
 func (c *Counter) ReportQueueDelay(now fsm.Time, waited time.Duration) {
 	switch {
-	case waited >= maxQueueDelay && now-c.intervalRaisedAt > 2*c.sendInterval: // what was asked for has to be heard first
+	case waited >= maxQueueDelay && now-c.intervalRaisedAt > 2*c.sendInterval: // the last change has to take effect first
 		c.sendInterval, c.intervalRaisedAt = min(max(c.sendInterval, minGap)*5/4, maxSendInterval), now
 	case waited < maxQueueDelay:
 		if c.sendInterval -= c.sendInterval / 64; c.sendInterval <= minGap {
@@ -31,10 +32,10 @@
 	}
 }
 
-// encodedInterval is the gap as an answer says it.
+// encodedInterval is sendInterval as answers encode it.
 func (c *Counter) encodedInterval() uint8 { return uint8(c.sendInterval / sendIntervalUnit) }
 
-// sendGap is how far apart adds to a holder should be.
+// sendGap is the gap between adds that the holder asks for, at least the given one.
 func (s *holderState) sendGap(least time.Duration) time.Duration {
 	return max(least, time.Duration(s.sendInterval)*sendIntervalUnit)
 }
--- a/internal/quotas/pack.go
+++ b/internal/quotas/pack.go
@@ -8,20 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Roster numbers the tenants that have limits in a configuration, by their names in order.
-// Who holds the same one can say numbers in place of names, and leave out the rates; its
-// hash tells. Two configurations with the same limits have the same one. It never changes: a process's meter and
-// its counter share one, which can be made beside them.
+// Roster numbers the tenants with limits in a configuration, in the order of their names. Processes with
+// the same roster, as its hash shows, send places in place of names and leave out the rates; configurations
+// with the same limits have the same roster. It is immutable, so a process's meter and counter share one,
+// which may be made in another goroutine.
 type Roster struct {
 	limits     map[string]Limit
 	limitsHash uint64 // of all limits
-	hash       uint32 // never 0
+	hash       uint32 // first four bytes of limitsHash; never 0
 	names      []string
-	intervals  []uint64 // microseconds a unit
+	intervals  []uint64 // emission intervals in microseconds
 	index      map[string]int
 }
 
-// NewRoster keeps the limits, which must not change any more.
+// NewRoster makes a roster. It keeps the map, which must not be changed afterwards.
 func NewRoster(limits map[string]Limit) *Roster {
 	r := &Roster{limits: limits, index: make(map[string]int, len(limits)), names: make([]string, 0, len(limits))}
 	for tenant, l := range limits {
@@ -46,13 +46,13 @@
 	return r
 }
 
-// intervalOf is a rate as messages say it.
+// intervalOf returns the emission interval of a rate as messages encode it.
 func intervalOf(rate float64) uint64 { return uint64(1e9 / rate / 1e3) }
 
-// rosters are the newest and the one before: messages of it may be under way.
+// rosters are the newest one and the previous one, which messages under way may use.
 type rosters [2]*Roster
 
-// update takes in a configuration's, and says whether it is another one.
+// update sets the newest roster, and reports whether the limits differ.
 func (r *rosters) update(next *Roster) bool {
 	if r[0] != nil && r[0].limitsHash == next.limitsHash {
 		return false
@@ -61,7 +61,7 @@
 	return true
 }
 
-// newestHash is the hash of the newest.
+// newestHash is the hash of the newest roster; 0: there is none.
 func (r *rosters) newestHash() uint32 {
 	if r[0] == nil {
 		return 0
@@ -69,7 +69,7 @@
 	return r[0].hash
 }
 
-// byHash is the roster with a hash, if it is known here.
+// byHash returns the roster with a hash, or nil.
 func (r *rosters) byHash(hash uint32) *Roster {
 	for _, one := range r {
 		if hash != 0 && one != nil && one.hash == hash {
@@ -79,31 +79,32 @@
 	return nil
 }
 
-// What a packed item or total starts with, after its number (the difference to the one before).
+// Flags of a packed item or total. They follow its place, which is encoded as the difference to the place
+// before.
 const (
-	packWhole  = 1 << iota // sums are whole units
-	packPeriod             // it has a period of its own, which follows
+	packWhole  = 1 << iota // sums are in whole units
+	packPeriod             // a period of its own follows
 	packNear
-	packGap      // another gap than the roster's follows
-	packUsed     // units in use follow
-	packFresh    // what is fresh follows,
-	packOne      // or is one unit; without either it is the sum
-	packBackward // it is before the one before
+	packGap      // an interval other than the roster's follows
+	packUsed     // the units in use follow
+	packFresh    // the unreported units follow,
+	packOne      // or are one unit; without either flag they are the whole sum
+	packBackward // the difference of the places is negative
 )
 
 const (
-	packSure  = packNear // in totals
+	packSure  = packNear // flags of totals
 	packLevel = packUsed
 	packMine  = packFresh
 )
 
-// levels on the wire are eighths of units, rounded up.
+// Levels on the wire are in eighths of a unit, rounded up.
 const levelUnit = milliUnits / 8
 
 // levelRounding is by how many units a level may have been rounded up.
 const levelRounding = 1.0 / 8
 
-// place is a tenant's in the newest roster.
+// place is a tenant's place in the newest roster.
 func (r *rosters) place(tenant string) (i int, ok bool) {
 	if r[0] == nil {
 		return 0, false
@@ -112,7 +113,7 @@
 	return i, ok
 }
 
-// placeOf is a tenant's place, which is probably the k-th of these: to ask the map costs far more.
+// placeOf is a tenant's place, which is probably the k-th of these: a look-up in the map costs far more.
 func (r *Roster) placeOf(tenant string, places []int32, k int) (i int, ok bool) {
 	if k < len(places) {
 		if i = int(places[k]); i < len(r.names) && r.names[i] == tenant {
@@ -123,8 +124,8 @@
 	return i, ok
 }
 
-// pack codes the items of tenants in the roster, and returns those of others. Places are where the items'
-// tenants probably are in it.
+// pack encodes the items of tenants in the roster, and returns the others. places has the probable places
+// of the items' tenants.
 func (r *Roster) pack(period uint64, items []Item, places []int32) (packed []byte, rest []Item) {
 	last := 0
 	for k, it := range items {
@@ -147,7 +148,7 @@
 		if it.Interval != r.intervals[i] {
 			flags |= packGap
 		}
-		used := (max(it.Used, 1) - 1) / milliUnits // it only lifts a level, so that less is no harm
+		used := (max(it.Used, 1) - 1) / milliUnits // rounding down is safe, as this only raises a level
 		if used > 0 {
 			flags |= packUsed
 		}
@@ -176,7 +177,7 @@
 	return packed, rest
 }
 
-// next writes a number and flags.
+// next appends a place and flags.
 func (r *Roster) next(packed []byte, last *int, i int, flags byte) []byte {
 	step := i - *last
 	if *last = i; step < 0 {
@@ -185,7 +186,7 @@
 	return append(binary.AppendUvarint(packed, uint64(step)), flags)
 }
 
-// unpacker reads what was packed; once it is spoilt it stays so.
+// unpacker decodes packed data. After an error it stays invalid.
 type unpacker struct {
 	b       []byte
 	last    int
@@ -202,7 +203,7 @@
 	return v
 }
 
-// next is a number in the roster, and flags.
+// next returns a place in the roster and flags.
 func (u *unpacker) next(r *Roster) (i int, flags byte) {
 	step := u.uvarint()
 	if len(u.b) == 0 || step > uint64(len(r.names)) {
@@ -222,7 +223,7 @@
 	return u.last, flags
 }
 
-// unit is the grain of sums by the flags.
+// unit is the resolution of sums by the flags.
 func unit(flags byte) uint64 {
 	if flags&packWhole != 0 {
 		return milliUnits
@@ -230,7 +231,7 @@
 	return 1
 }
 
-// items reads what pack has written, with each one's place in the roster.
+// items decodes what pack has encoded, with the place of each item.
 func (r *Roster) items(period uint64, packed []byte) (out []Item, places []int32, ok bool) {
 	if len(packed) > 0 {
 		out, places = make([]Item, 0, len(packed)/3), make([]int32, 0, len(packed)/3)
@@ -265,7 +266,7 @@
 	return out, places, true
 }
 
-// packTotals codes the totals of tenants in the roster, and returns those of others; places as in pack.
+// packTotals encodes the totals of tenants in the roster, and returns the others; places as in pack.
 func (r *Roster) packTotals(period uint64, totals []Total, places []int32) (packed []byte, rest []Total) {
 	last := 0
 	if len(totals) > 0 {
@@ -309,7 +310,7 @@
 	return packed, rest
 }
 
-// totals reads what packTotals has written.
+// totals decodes what packTotals has encoded.
 func (r *Roster) totals(period uint64, packed []byte) (out []Total, ok bool) {
 	for u := (unpacker{b: packed}); len(u.b) > 0 || u.invalid; {
 		i, flags := u.next(r)
--- a/internal/quotas/roundtrip.go
+++ b/internal/quotas/roundtrip.go
@@ -6,11 +6,10 @@
 	"asterwell/internal/fsm"
 )
 
-// windowedMin is the least of what was measured lately: what was held up, or lost and repeated,
-// doesn't count.
+// windowedMin is the minimum of recent measurements. Delayed or repeated messages don't affect it.
 type windowedMin struct {
 	known             bool
-	current, previous time.Duration // of this span and of the one before
+	current, previous time.Duration // of this window and of the one before
 	since             fsm.Time
 }
 
@@ -26,14 +25,14 @@
 
 func (l windowedMin) value() time.Duration { return min(l.current, l.previous) }
 
-// maxRoundTrip is the longest way there and back that is reckoned with.
+// maxRoundTrip is the longest round trip that timeouts are extended for.
 const maxRoundTrip = 250 * time.Millisecond
 
-// roundTrip is the way to another process and back, from asked to answered.
+// roundTrip is the recent minimal round trip time to another process.
 type roundTrip struct{ windowedMin }
 
-// excess is by how much a wait for an answer is longer than the gap that near ones have:
-// nothing where the way is within the gap. A quarter is for what is late.
+// excess is by how much a timeout for near processes has to be extended: 0 for a round trip within it. A
+// quarter is added for variation.
 func (r roundTrip) excess(gap time.Duration) time.Duration {
 	return 5 * max(0, min(r.value(), maxRoundTrip)-gap) / 4
 }
--- a/internal/quotas/scarce.go
+++ b/internal/quotas/scarce.go
@@ -6,13 +6,13 @@
 	"asterwell/internal/fsm"
 )
 
-// scarceTenants is the tenants that are near their limits and small for so many gateways: one
-// unit at each gateway that hasn't read would be too much. Who asks for others is told
-// of these too.
+// scarceTenants holds the tenants near their limits whose burst is small for the number of gateways: one
+// unit passed at each gateway without a read would be too much. Gateways are told of them unrequested, with
+// the answer to any read.
 type scarceTenants struct {
-	names       []string // sorted: messages must not depend on a map's order
+	names       []string // sorted: messages must not depend on the order of a map
 	nearLimitAt map[string]fsm.Time
-	sentAt      map[string]fsm.Time // to gateways
+	sentAt      map[string]fsm.Time // by gateway
 }
 
 func (c *scarceTenants) note(now fsm.Time, tenant string) {
@@ -25,7 +25,7 @@
 	c.nearLimitAt[tenant] = now
 }
 
-// due lists them for a gateway, each so often.
+// due returns these tenants for a gateway, at most once in scarceGap.
 func (c *scarceTenants) due(now fsm.Time, gateway string) []string {
 	c.names = slices.DeleteFunc(c.names, func(t string) bool {
 		over := now-c.nearLimitAt[t] >= nearLimitWindow
@@ -45,7 +45,7 @@
 	return c.names
 }
 
-// unrequestedTotals gives the sums of tenants that an add doesn't name.
+// unrequestedTotals returns the totals of scarce tenants that an add doesn't name.
 func (c *Counter) unrequestedTotals(now fsm.Time, from string, a Add) (out []Total) {
 	for _, tenant := range c.scarce.due(now, from) {
 		l := c.tenants[tenant]
--- a/internal/quotas/sums.go
+++ b/internal/quotas/sums.go
@@ -2,30 +2,31 @@
 
 import "math/bits"
 
-// sumTable is what each life has passed in one name, by the lives' numbers: an open-addressed table, since a holder of a large
-// fleet looks one up for each item that it is told, and millions of them lie far from any cache. One look is
-// mostly one line of memory, and there is nothing in it that a collection has to follow. A cell has eight bytes: the
-// table is most of the memory of a holder, and one that comes near its bound spends its processor on collections. A
-// sum of 4.3 million units and more has the rest of it in another table.
+// sumTable maps numbers of incarnations to the sums of one period. It is an open-addressed hash table: a
+// holder of a large fleet looks up a sum for each item it receives, among millions that are far from any
+// cache. A look-up mostly reads one cache line, and the garbage collector has no pointers to follow. A cell
+// takes eight bytes, since the tables are most of a holder's memory, and near its memory limit a process
+// spends its CPU time on collections. The high bits of sums from 4.3 million units on are in a second
+// array.
 type sumTable struct {
-	cells []sumCell // a power of two of them, or none; at most three quarters are in use
-	high  []uint32  // of the same; nil: all are 0
+	cells []sumCell // the length is 0 or a power of two; at most three quarters are in use
+	high  []uint32  // high bits by cell; nil: all are 0
 	used  int
 }
 
-// sumCell is one; of is never 0 in one that is in use.
+// sumCell is one cell; owner is 0 if it is free.
 type sumCell struct {
 	owner, low uint32
 }
 
 const minCells = 4
 
-// newSumTable makes a table for so many sums.
+// newSumTable makes a table with room for n sums.
 func newSumTable(n int) sumTable {
 	return sumTable{cells: make([]sumCell, max(minCells, 1<<bits.Len(uint(4*n/3))))}
 }
 
-// slot is the place of a life, or the free one where it would be.
+// slot is the index of the incarnation's cell, or of the free one where it would go.
 func (s *sumTable) slot(life uint32) uint32 {
 	mask := uint32(len(s.cells) - 1)
 	i := life * 0x9e3779b1
@@ -34,7 +35,7 @@
 	return i
 }
 
-// value at a place.
+// value is the sum in a cell.
 func (s *sumTable) value(i uint32) uint64 {
 	if s.high != nil {
 		return uint64(s.high[i])<<32 | uint64(s.cells[i].low)
@@ -42,7 +43,7 @@
 	return uint64(s.cells[i].low)
 }
 
-// get is a life's sum, and whether there is one.
+// get returns the incarnation's sum, and whether there is one.
 func (s *sumTable) get(life uint32) (units uint64, known bool) {
 	if len(s.cells) == 0 {
 		return 0, false
@@ -51,7 +52,7 @@
 	return s.value(i), s.cells[i].owner != 0
 }
 
-// set keeps a life's sum.
+// set stores the incarnation's sum.
 func (s *sumTable) set(life uint32, units uint64) {
 	if 4*(s.used+1) > 3*len(s.cells) {
 		was := *s
--- a/internal/quotas/sync.go
+++ b/internal/quotas/sync.go
@@ -4,21 +4,21 @@
 	"asterwell/internal/fsm"
 )
 
-// Due says that an add should go out before the next tick, and may.
+// Due reports whether an add should be sent before the next tick, and may be.
 func (m *Meter) Due(now fsm.Time) bool {
 	return (m.due || m.newDemand) && (m.sentAt == 0 || now-m.sentAt >= m.minSendGap(now))
 }
 
-// minSendGap is what lies between the last add and the next at least.
+// minSendGap is the shortest gap between two adds at this moment.
 func (m *Meter) minSendGap(now fsm.Time) fsm.Time {
 	least := minGap
 	if m.newDemand {
 		least = m.earlyReads.gap(now, m.gateways)
 	}
 	switch {
-	case m.reader >= 0 && !m.holders[m.reader].retryDue(now): // a repetition isn't paced: the holder would be taken as mute
+	case m.reader >= 0 && !m.holders[m.reader].retryDue(now): // repetitions keep their pace: a holder slowed down by more would count as silent
 		return m.holders[m.reader].sendGap(least)
-	case m.retryBackoff() > minGap: // but of many gateways none repeats often
+	case m.retryBackoff() > minGap: // in large fleets repetitions are rare
 		return m.retryBackoff()
 	}
 	return least
@@ -51,7 +51,7 @@
 		if echo {
 			gap = relaxedGap
 		}
-		if now-m.nearLimitAt < nearLimitWindow && m.nearLimitAt != 0 { // others may read the other holder: it must know as much
+		if now-m.nearLimitAt < nearLimitWindow && m.nearLimitAt != 0 { // others may read the other holder, which must know as much
 			gap = s.sendGap(max(minGap, fsm.Time(m.gateways)*standbyPerGateway))
 		}
 		switch {
@@ -82,7 +82,7 @@
 		if r := m.rosters.byHash(s.rosterHash); r != nil {
 			add.RosterHash = r.hash
 			add.Packed, add.Items = r.pack(m.period, items, places)
-			if s.readsCompact = s.readsCompact && !late; s.readsCompact && len(add.Items) == 0 { // what isn't answered may not have been read
+			if s.readsCompact = s.readsCompact && !late; s.readsCompact && len(add.Items) == 0 { // the holder may not have been able to read what it didn't answer
 				add = add.compact()
 			}
 		}
@@ -102,10 +102,10 @@
 	return out
 }
 
-// earlyReads is how many first reads may still follow another message closely. Where a gateway sees few
-// tenants that is all of them; where it sees thousands, each of them once, a message for each would be
-// most of what control sends, and those of some 25 ms go together; of more than 250 gateways, of as
-// long as the holder has for one add of each, up to what lies between any two adds.
+// earlyReads is a token bucket for first reads sent shortly after another message. Where a gateway sees few
+// tenants it covers all first reads. Where it sees thousands, each once, a message for each would be most
+// of the control traffic, so the reads of some 25 ms are sent together; with more than 250 gateways those
+// of a longer time, in which the holder can take one add of each, but at most minGap.
 type earlyReads struct {
 	left float64
 	at   fsm.Time
@@ -119,8 +119,8 @@
 	return earlyReadGap
 }
 
-// chooseReader takes the first holder that answers. One that was not read before is
-// told everything again: it may be new.
+// chooseReader selects the first holder that answers. A newly selected one is told everything again, as it
+// may be new.
 func (m *Meter) chooseReader(now fsm.Time) {
 	reader := -1
 	for i := range m.holders {
@@ -138,7 +138,8 @@
 	m.reader = reader
 }
 
-// collectItems is what a holder is told, and whether there was more than an add has room for.
+// collectItems returns the items for a holder with their places, and whether there are more than fit in one
+// add.
 func (m *Meter) collectItems(now fsm.Time, walk []*tenantState, i int, read bool) (out []Item, places []int32, more bool) {
 	s := &m.holders[i]
 	var t pendingItems
@@ -155,7 +156,7 @@
 			t.cur = append(t.cur, e)
 		}
 	}
-	s.resendAll = false // walk was all there are
+	s.resendAll = false // walk had all tenants
 	all := t.len()
 	t.trim(now, s, itemLimit(m.gateways))
 	out, places = make([]Item, 0, t.len()), make([]int32, 0, t.len())
@@ -183,8 +184,8 @@
 	return out, places, len(out) < all
 }
 
-// usedToReport is what a holder is told to be in use of a tenant's burst: by one that hasn't learned it from that holder.
-// What a holder has told is not told back to it, or what each gateway reckons with on top would add up.
+// usedToReport is the usage reported to a holder by a gateway that hasn't learned it from this holder. A
+// holder's own level isn't reported back to it: what each gateway adds on top would accumulate.
 func (m *Meter) usedToReport(now fsm.Time, e *tenantState, i int) uint64 {
 	if i == m.reader && now-m.readerSince >= reportUsedFor {
 		return 0
@@ -192,7 +193,7 @@
 	return e.usedUnits(now)
 }
 
-// Receive hears an answer of a holder.
+// Receive handles an answer or a probe of a holder.
 func (m *Meter) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	a, ok := msg.(Answer)
 	if ok && a.Probe {
@@ -207,7 +208,7 @@
 		return nil
 	}
 	s := &m.holders[i]
-	if s.readsCompact = a.ReadsCompact && !lost; lost { // it lives, and is told again, with the whole life
+	if s.readsCompact = a.ReadsCompact && !lost; lost { // the holder lives: it gets a full add with the whole incarnation
 		s.resendAll, m.due = true, true
 		if s.unansweredSince != 0 && a.Timestamp >= s.unansweredSince {
 			s.unansweredSince, s.retries = 0, 0
@@ -215,7 +216,7 @@
 		return nil
 	}
 	totals := m.unpack(now, i, a)
-	for _, t := range totals { // up to now, by what was known
+	for _, t := range totals { // up to now by the state before the answer
 		if e := m.tenants[t.Tenant]; e != nil {
 			m.refresh(now, e)
 		}
@@ -240,7 +241,7 @@
 	return nil
 }
 
-// unpack returns an answer's totals, and notes which roster the holder has.
+// unpack returns the totals of an answer, and records which roster the holder has.
 func (m *Meter) unpack(now fsm.Time, i int, a Answer) []Total {
 	s := &m.holders[i]
 	used := s.rosterHash
@@ -262,7 +263,7 @@
 	switch {
 	case m.rosters.byHash(a.RosterHash) != nil:
 		next = a.RosterHash
-	case !a.PackedAccepted && a.Timestamp >= s.rosterSince: // it had numbers that it doesn't know, or can't know the names' numbers
+	case !a.PackedAccepted && a.Timestamp >= s.rosterSince: // the holder didn't know the roster of the add, or lacks that of the names
 		next = 0
 	}
 	if next == s.rosterHash {
@@ -281,7 +282,7 @@
 	if t.Period == 0 || t.Period != e.cur.period {
 		m.applyPrevTotal(now, e, t)
 		if e.readWanted && t.LevelKnown {
-			m.requestRead(e) // by the name that it has now
+			m.requestRead(e) // by the current period
 		}
 		return
 	}
@@ -297,7 +298,7 @@
 	}
 	fresh := t.LevelKnown && c.hasBase && t.Others >= c.others
 	c.others, c.hasBase, c.answered = max(c.others, t.Others), true, true
-	since := s.unreportedSpan(now, stamp) // others pass their rate meanwhile
+	since := s.unreportedSpan(now, stamp) // in which others pass units at the tenant's rate
 	if m.applyFirstRead(now, e, t, stamp) {
 		e.tat += since
 	} else if e.levelRead {
@@ -305,7 +306,7 @@
 		if fresh && now-stamp <= s.rtt.extend(freshAnswer) && m.readerTrusted(now) {
 			e.lowerToLevel(now+since, float64(t.Level)/milliUnits)
 		}
-		if t.LevelKnown { // sums only tell what was added since the answer before, which may have been another holder's
+		if t.LevelKnown { // sums only have what was added since the previous answer, which may have been another holder's
 			e.raiseToLevel(stamp, float64(t.Level)/milliUnits-levelRounding)
 		}
 	}
@@ -313,8 +314,8 @@
 	e.noteTraffic(now, own, n)
 }
 
-// applyFirstRead sets TAT of an unseen tenant by the level that the holder knows, and by
-// what was passed here and isn't in that level.
+// applyFirstRead sets TAT of an unread tenant by the level that the holder knows, and the units passed here
+// that are not in it.
 func (m *Meter) applyFirstRead(now fsm.Time, e *tenantState, t Total, stamp fsm.Time) bool {
 	if e.levelRead || !t.LevelKnown || stamp < e.unreadSince || e.holdersSilent {
 		return false
@@ -327,7 +328,7 @@
 	return true
 }
 
-// applyPrevTotal takes the last of what the others added under the period before.
+// applyPrevTotal takes the last units that others added in the previous period.
 func (m *Meter) applyPrevTotal(now fsm.Time, e *tenantState, t Total) {
 	o := &e.prev
 	if t.Period == 0 || t.Period != o.period {
@@ -347,9 +348,9 @@
 	}
 }
 
-// ReadOverdue reports whether a holder leaves adds unanswered, so that another way to it
-// should be tried. What is late by a few ways there and back may be lost; one that has said
-// that it is told more than it can count drops adds, and ways round bring it more of them.
+// ReadOverdue reports whether a holder leaves adds unanswered, so that another route to it should be tried.
+// After several round trips an answer is probably lost. A holder that has asked for fewer adds is
+// overloaded and drops some; further routes would only bring it more of them.
 func (m *Meter) ReadOverdue(now fsm.Time, holder string) bool {
 	i := m.holderIndex(holder)
 	if i < 0 || !m.holders[i].retryDue(now) {
@@ -359,7 +360,7 @@
 	switch unanswered := now - s.unansweredSince; {
 	case s.sendInterval > 0:
 		return unanswered >= overloadedTimeout
-	case s.far(): // what goes through other regions varies by more than what stays in one
+	case s.far(): // routes through other regions vary by more than those within one
 		return unanswered >= s.rtt.extend(retryGap)+retryGap
 	}
 	return true
--- a/internal/quotas/tenant.go
+++ b/internal/quotas/tenant.go
@@ -7,65 +7,65 @@
 	"asterwell/internal/fsm"
 )
 
-// Limit is what a tenant may pass: units a second, and a burst on top.
+// Limit is a tenant's quota: a rate in units a second, and a burst.
 type Limit struct{ Rate, Burst float64 }
 
-// milliUnits is the grain of sums on the wire: whole numbers add up exactly.
+// milliUnits is the resolution of sums on the wire: integers add up exactly.
 const milliUnits = 1000
 
-// leadFactor is by how much a gateway may outrun its part before the others hear of it.
+// leadFactor is by how much a gateway may exceed its part of the quota before others learn of it.
 const leadFactor = 1.2
 
-// detectionTime is for about how long, in seconds, gateways may be out of sight unknown.
+// detectionTime is roughly how long, in seconds, gateways can be unreachable before it is noticed.
 const detectionTime = 0.4
 
-// evenPrior is how many units an even spread weighs against what was seen.
+// evenPrior is the weight, in units, of an even distribution of traffic against the observed one.
 const evenPrior = 8
 
-// periodSum is a gateway's view of one counter name.
+// periodSum is a gateway's view of one tenant in one period.
 type periodSum struct {
 	period   uint64
-	sum      uint64  // passed here
-	acked    uint64  // of that, known to a holder
-	others   uint64  // the most that any holder has said
-	hasBase  bool    // others can be measured from here
-	answered bool    // a holder has answered for it
-	maxNew   float64 // of a name that none answered for, as much can be new; 0: all
+	sum      uint64  // passed by this gateway
+	acked    uint64  // part of sum that a holder has counted
+	others   uint64  // the highest sum of others that any holder has answered
+	hasBase  bool    // increases of others are measured from here on
+	answered bool    // a holder has answered for this period
+	maxNew   float64 // bound on units of others that are still new, for a period without an answer; 0: none
 }
 
-// tenantState is one tenant at one gateway.
+// tenantState is the GCRA state of one tenant at one gateway.
 type tenantState struct {
 	tenant   string
-	place    int32 // in the meter's order, which is that of its newest roster
+	place    int32 // index in Meter.ordered and in the newest roster
 	limit    Limit
-	interval float64 // T, in nanoseconds
+	interval float64 // emission interval T, in nanoseconds
 	tau      fsm.Time
 	tat      fsm.Time
 
-	levelRead     bool     // the counter has said how much of the burst is in use
-	unreadSince   fsm.Time // when it became unseen
-	readWanted    bool     // a request came while unseen: there is something to read
-	levelUnknown  bool     // the counter doesn't know yet
-	holdersSilent bool     // the counter was silent
-	assumedUntil  fsm.Time // up to when use by others was assumed
-	knownTAT      fsm.Time // TAT as a holder told it last, and by what was passed here since: nothing is assumed in it
-	nearLimitAt   fsm.Time // when it was near its limit, if others should hear of it who don't ask
-	missing       int      // gateways out of sight, as was taken in
-	idleUnits     float64  // units that may pass unread, where it has only rested and the holder is far; 0: its share
-	roundingDraw  float64  // below 1, drawn by gateway and tenant: who has the parts of a unit
+	levelRead     bool     // the level has been read from a holder
+	unreadSince   fsm.Time // when it became unread
+	readWanted    bool     // a request came while unread
+	levelUnknown  bool     // the holder doesn't know the level yet
+	holdersSilent bool     // no holder answered at the last refresh
+	assumedUntil  fsm.Time // time up to which usage by others has been assumed
+	knownTAT      fsm.Time // TAT by the last answer of a holder and the units passed since, without assumed usage
+	nearLimitAt   fsm.Time // when it was last near its limit, if gateways that don't ask should learn of it
+	missing       int      // number of missing gateways that has been taken into account
+	idleUnits     float64  // units that may pass before a read, for an idle tenant with a far holder; 0: its even share
+	roundingDraw  float64  // from 0 to 1 by gateway and tenant: rounds fractions of units
 
-	active bool // it is in the meter's list of those that may have something to say
+	active bool // in the meter's list of tenants with something to send
 
 	cur, prev  periodSum
-	sent       uint64    // of cur, told to any holder
-	reported   [2]uint64 // of cur, told to each holder
-	resend     [2]bool   // it is to be told once more: it may be new
-	reportedAt fsm.Time  // when the holder that is read was last told, or asked
-	credit     uint64    // units settled back, not yet used up
+	sent       uint64    // part of cur that any holder was told
+	reported   [2]uint64 // part of cur that each holder was told
+	resend     [2]bool   // each holder is to be told again, as it may be new
+	reportedAt fsm.Time  // when the reader was last told, or asked
+	credit     uint64    // units given back by AdjustCost, not used up yet
 
 	readAt                  fsm.Time
 	availableAtRead         float64
-	ownRecent, othersRecent float64 // recent units, fading: which part of the fleet's is ours
+	ownRecent, othersRecent float64 // recent units, decaying: they give this gateway's part of the traffic
 }
 
 func (e *tenantState) setLimit(l Limit) {
@@ -75,8 +75,8 @@
 	e.tau = e.duration(e.limit.Burst - 1)
 }
 
-// changeLimit carries TAT over: the room left afterwards is at most the room left
-// before, and at most the new burst. What a higher limit adds has to accrue.
+// changeLimit carries TAT over: the units available afterwards are at most those available before, and at
+// most the new burst. What a higher limit adds has to accrue.
 func (e *tenantState) changeLimit(now fsm.Time, l Limit) {
 	room, known := min(e.available(now), e.limit.Burst), float64(e.knownTAT-now)/e.interval
 	e.setLimit(l)
@@ -87,28 +87,28 @@
 
 func (e *tenantState) duration(units float64) fsm.Time { return fsm.Time(units * e.interval) }
 
-// available is the number of units that the test lets through now.
+// available is the number of units that would pass now.
 func (e *tenantState) available(now fsm.Time) float64 {
 	return float64(now+e.tau-e.tat)/e.interval + 1
 }
 
-// capAvailable sets TAT so that so many units are left, if there are more.
+// capAvailable raises TAT so that at most this many units are available.
 func (e *tenantState) capAvailable(now fsm.Time, units float64) {
 	e.tat = max(e.tat, now+e.tau-e.duration(units-1))
 }
 
-// resetToStartAllowance is the allowance of a tenant whose use elsewhere is not known.
+// resetToStartAllowance grants the even share of the burst to a tenant whose usage elsewhere is unknown.
 func (e *tenantState) resetToStartAllowance(now fsm.Time, gateways int) {
 	e.tat = now + e.tau - e.duration(e.evenShare(gateways)-1)
 	e.markUnread(now)
 }
 
-// markUnread makes the tenant unseen: the next read says how much of the burst is in use.
+// markUnread makes the next read set how much of the burst is in use.
 func (e *tenantState) markUnread(now fsm.Time) {
 	e.levelRead, e.unreadSince, e.assumedUntil, e.cur.hasBase, e.prev.hasBase, e.idleUnits = false, now, now, false, false, 0
 }
 
-// assumeOthers takes a part of the rate as used by others since the last time.
+// assumeOthers counts a part of the rate as used by others since the last call.
 func (e *tenantState) assumeOthers(now fsm.Time, part float64) {
 	e.tat += fsm.Time(float64(max(0, now-e.assumedUntil)) * part)
 	e.assumedUntil = max(e.assumedUntil, now)
@@ -118,24 +118,24 @@
 	return max(1, e.limit.Burst/float64(gateways))
 }
 
-// grantIdleAllowance gives a tenant that has only rested a unit and its even share of the burst, as if it were
-// seen and all of it free, in whole units: of gateways that have 1.4 each, two in five have 2.
+// grantIdleAllowance grants an idle tenant one unit and its even share of the burst, as if the level had
+// been read as 0. Fractions are rounded by roundingDraw: at an average of 1.4 units, two gateways in five
+// get 2.
 func (e *tenantState) grantIdleAllowance(now fsm.Time, gateways int) {
 	e.idleUnits = math.Floor(1 + e.limit.Burst/float64(gateways) + e.roundingDraw)
 	e.tat = now + e.tau - e.duration(e.idleUnits-1)
 }
 
-// toleratedPart is the part of the rate that gateways out of touch may pass without a reserve
-// for them: a quarter of what the quota's margin is worth in 5 s, a tenth and 20 units. The rest bears what nobody has heard
-// of yet, at each of several changes of contact within 5 s.
+// toleratedPart is the part of the rate that unreachable gateways may pass without a reservation: a quarter
+// of the quota's margin in 5 s, which is a tenth and 20 units. The other three quarters cover units not
+// reported yet, at several changes of contact within 5 s.
 func (e *tenantState) toleratedPart() float64 {
 	return (0.1*(5*e.limit.Rate+e.limit.Burst) + 20) / 4 / (5 * e.limit.Rate)
 }
 
-// chargeMissing takes in that so many gateways have gone out of sight. Before that was known
-// they passed their part of the rate, and as much of a crowd as those that are in sight,
-// to each; a crowd of long ago has been heard of. What is left here is this side's part of
-// what is left in all.
+// chargeMissing accounts for gateways that have become unreachable. Before that was noticed they passed
+// their part of the rate, and each of them as much of a recent surge as a reachable one; an older surge has
+// been reported. Of the rest, this side of the partition keeps its own part.
 func (e *tenantState) chargeMissing(now fsm.Time, gone, present, peak int, reserve float64) {
 	if gone <= 0 {
 		return
@@ -145,7 +145,7 @@
 	e.capAvailable(now, (e.available(now)-unknown)*(1-reserve))
 }
 
-// consume is the update of a pass.
+// consume takes the units of a request that passes.
 func (e *tenantState) consume(now fsm.Time, units float64) {
 	e.tat = max(now, e.tat) + e.duration(units)
 	e.knownTAT = max(now, e.knownTAT) + e.duration(units)
@@ -155,19 +155,19 @@
 	e.cur.sum += add - back
 }
 
-// addOthers takes in units that others have added.
+// addOthers takes units passed by other gateways.
 func (e *tenantState) addOthers(now fsm.Time, units float64) {
 	e.tat = max(now-e.tau, e.tat) + e.duration(units)
 }
 
-// lowerToLevel takes back what a lump of others' units has made too much: they came over the
-// time since the last read, in which room accrued that this gateway had forgotten at
-// its own pass. The holder saw them come one by one.
+// lowerToLevel corrects TAT down to the level. Units of others come in one sum for the whole time since the
+// last read, though room accrued in that time, which this gateway discards when its own request raises TAT
+// to now. The holder saw the units one by one.
 func (e *tenantState) lowerToLevel(now fsm.Time, level float64) {
 	e.tat = min(e.tat, now+e.duration(level+e.unacked()))
 }
 
-// raiseToLevel takes in what a holder knew to be in use at a time, where that is more than is reckoned with here.
+// raiseToLevel raises TAT to the level that a holder knew at a time, if TAT is lower.
 func (e *tenantState) raiseToLevel(at fsm.Time, level float64) {
 	e.knownTAT = max(e.knownTAT, at+e.duration(level+e.unacked()))
 	e.tat = max(e.tat, e.knownTAT)
@@ -175,14 +175,14 @@
 
 func (e *tenantState) unsent() float64 { return float64(e.cur.sum-e.sent) / milliUnits }
 
-// unacked is what was passed and no holder is known to have counted.
+// unacked is the number of passed units that no holder is known to have counted.
 func (e *tenantState) unacked() float64 {
 	return float64(e.cur.sum-e.cur.acked+e.prev.sum-e.prev.acked) / milliUnits
 }
 
-// maxUnacked is how much may be unheard: a bit more than this gateway's part of the
-// room at the last read, and of what has accrued since. It keeps eleven
-// gateways that are open at the same moment from passing eleven bursts.
+// maxUnacked bounds unacked: slightly more than this gateway's part of the units that were available at the
+// last read and have accrued since. Without it, eleven gateways that get requests at the same moment would
+// pass eleven bursts.
 func (e *tenantState) maxUnacked(now fsm.Time, gateways int) float64 {
 	room := e.availableAtRead + (now-e.readAt).Seconds()*e.limit.Rate
 	return 1 + leadFactor*e.trafficPart(gateways)*min(max(0, room), e.limit.Burst)
@@ -193,7 +193,7 @@
 	return max(even, (e.ownRecent+evenPrior*even)/(e.ownRecent+e.othersRecent+evenPrior))
 }
 
-// noteTraffic notes whose the newest units are; older ones fade within about a second.
+// noteTraffic records who passed the newest units; older ones decay within about a second.
 func (e *tenantState) noteTraffic(now fsm.Time, mine, theirs float64) {
 	fade := decay(now - e.readAt)
 	e.ownRecent, e.othersRecent = e.ownRecent*fade+mine, e.othersRecent*fade+theirs
@@ -202,9 +202,9 @@
 
 func decay(age time.Duration) float64 { return 1 / (1 + age.Seconds()) }
 
-// rollPeriod moves on to a new period. What no holder has counted under a name that
-// nobody reads any more is counted again under the new one. A tenant that has
-// rested for longer than a period is unseen.
+// rollPeriod moves the state to a new period. Units that no holder has counted in a period that nobody
+// reads any more are counted again in the new one. A tenant that was idle for longer than a period becomes
+// unread.
 func (e *tenantState) rollPeriod(now fsm.Time, period, prev uint64) {
 	if e.cur.period == period {
 		return
@@ -212,12 +212,12 @@
 	next := periodSum{period: period, hasBase: e.levelRead}
 	next.sum = e.prev.sum - e.prev.acked
 	switch e.cur.period {
-	case 0: // no holder counts the name without a period
+	case 0: // holders don't count sums without a period
 		next.sum += e.cur.sum
 		e.prev = periodSum{}
 	case prev:
 		e.prev = e.cur
-		if !e.cur.answered { // maybe another holder's, of long ago: what is new of it came since the last read
+		if !e.cur.answered { // the period may be another holder's, of long ago: what is new in it came since the last read
 			e.prev.maxNew = e.limit.Rate * (now - e.readAt + periodSettleTime).Seconds()
 		}
 	default:
@@ -231,8 +231,8 @@
 	e.cur, e.sent, e.reported, e.resend = next, 0, [2]uint64{}, [2]bool{}
 }
 
-// usedUnits is the part of the burst in use, as messages say it. One that goes by its own share says what it knew before, and
-// has passed since: the holders that come after may have been told by nobody else.
+// usedUnits is the part of the burst in use as messages encode it, plus 1; 0: unknown. A gateway that uses
+// its own share reports what it knew before and has passed since: a later holder may have no other source.
 func (e *tenantState) usedUnits(now fsm.Time) uint64 {
 	tat := e.tat
 	if !e.levelRead || e.holdersSilent {
@@ -244,7 +244,7 @@
 	return 1 + uint64(min(max(0, float64(tat-now)/e.interval), e.limit.Burst)*milliUnits)
 }
 
-// retryAfter is how long until so many units pass where a part of the rate is kept for others.
+// retryAfter is the time until this many units pass if a part of the rate is reserved for others.
 func (e *tenantState) retryAfter(now fsm.Time, units, part float64) time.Duration {
 	return max(0, time.Duration(math.Ceil(float64(e.tat+e.duration(units-1)-e.tau-now)/(1-part))))
 }
