--- a/internal/quotas/batch.go
+++ b/internal/quotas/batch.go
@@ -36,48 +36,48 @@
 
 // trim selects the tenants that fit in an add. Sums that no holder has and tenants with a pending decision
 // go first; within each kind tenants go in turn.
-func (t *pendingItems) trim(now fsm.Time, s *holderState, most int) {
-	if t.len() <= most {
+func (t *pendingItems) trim(now fsm.Time, s *holderState, limit int) {
+	if t.len() <= limit {
 		return
 	}
-	untold, over := partition(t.prev, func(e *tenantState) bool { return e.prev.sum > e.prev.acked })
+	untold, acked := partition(t.prev, func(e *tenantState) bool { return e.prev.sum > e.prev.acked })
 	urgent, rest := partition(t.cur, func(e *tenantState) bool { return e.readWanted || e.levelRead && e.available(now) < e.limit.Burst/4 })
-	over, s.last[0] = rotate(over, s.last[0], most/prevPart)
-	room := most - len(over)
-	untold, s.last[1] = rotate(untold, s.last[1], max(room/2, room-len(t.cur)))
-	room -= len(untold)
-	urgent, s.last[2] = rotate(urgent, s.last[2], max(room/2, room-len(rest)))
-	rest, s.last[3] = rotate(rest, s.last[3], room-len(urgent))
-	t.prev, t.cur = mergeSorted(untold, over), mergeSorted(urgent, rest)
+	acked, s.last[0] = rotate(acked, s.last[0], limit/prevPart)
+	left := limit - len(acked)
+	untold, s.last[1] = rotate(untold, s.last[1], max(left/2, left-len(t.cur)))
+	left -= len(untold)
+	urgent, s.last[2] = rotate(urgent, s.last[2], max(left/2, left-len(rest)))
+	rest, s.last[3] = rotate(rest, s.last[3], left-len(urgent))
+	t.prev, t.cur = mergeSorted(untold, acked), mergeSorted(urgent, rest)
 }
 
-func partition(list []*tenantState, first func(e *tenantState) bool) (one, other []*tenantState) {
+func partition(list []*tenantState, first func(e *tenantState) bool) (matching, rest []*tenantState) {
 	for _, e := range list {
 		if first(e) {
-			one = append(one, e)
+			matching = append(matching, e)
 		} else {
-			other = append(other, e)
+			rest = append(rest, e)
 		}
 	}
-	return one, other
+	return matching, rest
 }
 
 func (t *pendingItems) len() int { return len(t.prev) + len(t.cur) }
 
 // rotate returns the n tenants that follow the given one, wrapping around, in order.
-func rotate(list []*tenantState, after string, n int) (some []*tenantState, last string) {
+func rotate(list []*tenantState, after string, n int) (selected []*tenantState, last string) {
 	if len(list) <= n {
 		return list, after
 	}
 	i, _ := slices.BinarySearchFunc(list, after, func(e *tenantState, t string) int { return strings.Compare(e.tenant, t+"\x00") })
 	end := i + n
 	if end <= len(list) {
-		some = slices.Clone(list[i:end])
+		selected = slices.Clone(list[i:end])
 	} else {
 		end -= len(list)
-		some = append(slices.Clone(list[:end]), list[i:]...)
+		selected = append(slices.Clone(list[:end]), list[i:]...)
 	}
-	return some, list[end-1].tenant
+	return selected, list[end-1].tenant
 }
 
 // inFlight reports whether the tenant was reported so recently that there can't be an answer yet. It only
--- a/internal/quotas/compact.go
+++ b/internal/quotas/compact.go
@@ -29,10 +29,10 @@
 
 // foldIncarnation reduces an incarnation to four bytes. Collisions between incarnations of a gateway are as
 // rare as those between hashes of rosters.
-func foldIncarnation(life uint64) uint32 { return uint32(life) ^ uint32(life>>32) }
+func foldIncarnation(incarnation uint64) uint32 { return uint32(incarnation) ^ uint32(incarnation>>32) }
 
-func flagIf(of bool, bit byte) byte {
-	if of {
+func flagIf(on bool, bit byte) byte {
+	if on {
 		return bit
 	}
 	return 0
@@ -58,7 +58,7 @@
 }
 
 // Expand decodes a compact add of a known incarnation; any other is returned as it is.
-func (a Add) Expand(life uint64) (long Add, ok bool) {
+func (a Add) Expand(incarnation uint64) (expanded Add, ok bool) {
 	if len(a.Compact) == 0 {
 		return a, true
 	}
@@ -67,11 +67,11 @@
 	}
 	u := unpacker{b: a.Compact[9:]}
 	flags := a.Compact[0]
-	long = Add{Incarnation: life, RosterHash: binary.BigEndian.Uint32(a.Compact[5:]), Read: flags&compactRead != 0, Ping: flags&compactPing != 0,
+	expanded = Add{Incarnation: incarnation, RosterHash: binary.BigEndian.Uint32(a.Compact[5:]), Read: flags&compactRead != 0, Ping: flags&compactPing != 0,
 		NearLimit: flags&compactNearLimit != 0, AnswersProbes: flags&compactAnswersProbes != 0}
-	long.Period, long.Timestamp = u.uvarint(), fsm.Time(u.uvarint())
-	long.Packed = u.b
-	return long, !u.invalid && long.Timestamp >= 0
+	expanded.Period, expanded.Timestamp = u.uvarint(), fsm.Time(u.uvarint())
+	expanded.Packed = u.b
+	return expanded, !u.invalid && expanded.Timestamp >= 0
 }
 
 // compact encodes an answer to a compact add, unless it has totals that are not packed.
@@ -123,29 +123,29 @@
 
 // expand decodes a compact answer; any other is returned as it is. lost: the holder doesn't know the
 // incarnation, and took nothing.
-func (a Answer) expand(life uint64) (long Answer, lost, ok bool) {
+func (a Answer) expand(incarnation uint64) (expanded Answer, lost, ok bool) {
 	if len(a.Compact) == 0 {
 		return a, false, true
 	}
-	if len(a.Compact) < 5 || binary.BigEndian.Uint32(a.Compact[1:]) != foldIncarnation(life) {
+	if len(a.Compact) < 5 || binary.BigEndian.Uint32(a.Compact[1:]) != foldIncarnation(incarnation) {
 		return a, false, false
 	}
 	u := unpacker{b: a.Compact[5:]}
 	flags := a.Compact[0]
-	long = Answer{Incarnation: life, HeardOthers: flags&compactHeardOthers != 0, PackedAccepted: flags&compactPackedAccepted != 0, ReadsCompact: true}
-	long.Period, long.Timestamp = u.uvarint(), fsm.Time(u.uvarint())
+	expanded = Answer{Incarnation: incarnation, HeardOthers: flags&compactHeardOthers != 0, PackedAccepted: flags&compactPackedAccepted != 0, ReadsCompact: true}
+	expanded.Period, expanded.Timestamp = u.uvarint(), fsm.Time(u.uvarint())
 	if flags&compactSendInterval != 0 && len(u.b) > 0 {
-		long.SendInterval, u.b = u.b[0], u.b[1:]
+		expanded.SendInterval, u.b = u.b[0], u.b[1:]
 	}
 	if flags&compactMissing != 0 {
-		long.Missing = uint32(u.uvarint())
+		expanded.Missing = uint32(u.uvarint())
 	}
 	if flags&compactRosterHash != 0 {
 		if len(u.b) < 4 {
 			return a, false, false
 		}
-		long.RosterHash, u.b = binary.BigEndian.Uint32(u.b), u.b[4:]
+		expanded.RosterHash, u.b = binary.BigEndian.Uint32(u.b), u.b[4:]
 	}
-	long.Packed = u.b
-	return long, flags&compactUnknownIncarnation != 0, !u.invalid && long.Timestamp >= 0
+	expanded.Packed = u.b
+	return expanded, flags&compactUnknownIncarnation != 0, !u.invalid && expanded.Timestamp >= 0
 }
--- a/internal/quotas/counter.go
+++ b/internal/quotas/counter.go
@@ -84,8 +84,8 @@
 const tagBits = 16
 
 // NewCounter makes the counter of one incarnation of a process.
-func NewCounter(self string, life uint64) *Counter {
-	tag := (xxhash.Sum64String(self) ^ life*0x9e3779b97f4a7c15) >> (64 - tagBits)
+func NewCounter(self string, incarnation uint64) *Counter {
+	tag := (xxhash.Sum64String(self) ^ incarnation*0x9e3779b97f4a7c15) >> (64 - tagBits)
 	return &Counter{tag: tag, tenants: map[string]*tenantUsage{}, offsets: map[string]offset{}, detector: failureDetector{self: self, peers: map[string]peer{}}}
 }
 
@@ -160,11 +160,11 @@
 		return nil
 	}
 	roster := c.rosters.byHash(a.RosterHash)
-	taken := len(a.Packed) == 0
+	accepted := len(a.Packed) == 0
 	var places []int32 // of the first items and totals in the roster
-	if roster != nil && !taken {
+	if roster != nil && !accepted {
 		var items []Item
-		if items, places, taken = roster.items(a.Period, a.Packed); taken {
+		if items, places, accepted = roster.items(a.Period, a.Packed); accepted {
 			a.Items = append(items, a.Items...)
 		} else {
 			places = nil
@@ -229,13 +229,13 @@
 	}
 	if a.Ping {
 		out.Totals = nil
-	} else if !a.Read && taken {
+	} else if !a.Read && accepted {
 		return nil
 	}
 	if own := c.rosters.newestHash(); a.RosterHash != 0 && (len(a.Packed) == 0 || own != a.RosterHash) {
 		out.RosterHash = own
 	}
-	if len(a.Packed) > 0 && taken {
+	if len(a.Packed) > 0 && accepted {
 		out.PackedAccepted = true
 		out.Packed, out.Totals = roster.packTotals(out.Period, out.Totals, places)
 	}
--- a/internal/quotas/detector.go
+++ b/internal/quotas/detector.go
@@ -107,24 +107,24 @@
 func (s *failureDetector) tick(now fsm.Time) (out []fsm.Send) {
 	s.forgiveStall(now)
 	s.tickAt = now
-	fellow, used := s.otherHolder(), s.reportedAt != 0 && now-s.reportedAt < reportedWithin
-	if v := s.peers[fellow]; used && v.probedAt != 0 && now-v.probedAt >= v.rtt.extend(holderProbeTimeout) {
+	other, active := s.otherHolder(), s.reportedAt != 0 && now-s.reportedAt < reportedWithin
+	if v := s.peers[other]; active && v.probedAt != 0 && now-v.probedAt >= v.rtt.extend(holderProbeTimeout) {
 		s.watchAt = now
 	}
 	watching := s.watching(now)
-	if !watching && !s.probing && !(used && fellow != "") {
+	if !watching && !s.probing && !(active && other != "") {
 		return nil
 	}
 	s.probing = watching
-	again := now-s.repeatAt >= s.scaled(probeTimeout)
+	repeat := now-s.repeatAt >= s.scaled(probeTimeout)
 	for _, n := range s.gateways {
 		v := s.peers[n]
-		if !watching && !(used && n == fellow) {
+		if !watching && !(active && n == other) {
 			v.probedAt = 0
 			s.peers[n] = v
 			continue
 		}
-		if n == s.self || !v.worthProbing() || now-v.heardAt < s.scaled(probeAfter) || v.probedAt != 0 && !again {
+		if n == s.self || !v.worthProbing() || now-v.heardAt < s.scaled(probeAfter) || v.probedAt != 0 && !repeat {
 			continue
 		}
 		if v.probedAt == 0 {
@@ -133,7 +133,7 @@
 		}
 		out = append(out, fsm.Send{To: n, Msg: Answer{Probe: true, Timestamp: now}})
 	}
-	if again {
+	if repeat {
 		s.repeatAt = now
 	}
 	return out
--- a/internal/quotas/incarnations.go
+++ b/internal/quotas/incarnations.go
@@ -31,28 +31,28 @@
 	if l.byGateway == nil {
 		l.byGateway = map[string][]incarnation{}
 	}
-	who := l.byGateway[gateway]
-	i := slices.IndexFunc(who, func(v incarnation) bool { return v.id == id })
+	all := l.byGateway[gateway]
+	i := slices.IndexFunc(all, func(v incarnation) bool { return v.id == id })
 	switch {
 	case i < 0:
 		l.lastNumber++
-		who = append(who, incarnation{id: id, number: l.lastNumber})
-	case i < len(who)-1:
-		v := who[i]
-		who = append(slices.Delete(who, i, i+1), v)
+		all = append(all, incarnation{id: id, number: l.lastNumber})
+	case i < len(all)-1:
+		v := all[i]
+		all = append(slices.Delete(all, i, i+1), v)
 	}
-	who[len(who)-1].heardAt = now
-	l.byGateway[gateway] = who
-	return who
+	all[len(all)-1].heardAt = now
+	l.byGateway[gateway] = all
+	return all
 }
 
 // sweep removes incarnations that have not been heard for incarnationRetention.
 func (l *incarnations) sweep(now fsm.Time) {
-	for gateway, who := range l.byGateway {
-		if who = slices.DeleteFunc(who, func(v incarnation) bool { return now-v.heardAt > incarnationRetention }); len(who) == 0 {
+	for gateway, all := range l.byGateway {
+		if all = slices.DeleteFunc(all, func(v incarnation) bool { return now-v.heardAt > incarnationRetention }); len(all) == 0 {
 			delete(l.byGateway, gateway)
 		} else {
-			l.byGateway[gateway] = who
+			l.byGateway[gateway] = all
 		}
 	}
 }
--- a/internal/quotas/meter.go
+++ b/internal/quotas/meter.go
@@ -122,10 +122,10 @@
 
 // NewMeter makes the meter of one incarnation of a gateway. The seed spreads the times of its adds against
 // those of other gateways.
-func NewMeter(self string, life uint64, seed uint64) *Meter {
-	rng := rand.New(rand.NewPCG(seed, life))
+func NewMeter(self string, incarnation uint64, seed uint64) *Meter {
+	rng := rand.New(rand.NewPCG(seed, incarnation))
 	return &Meter{
-		self: self, incarnation: life, tenants: map[string]*tenantState{}, reader: -1,
+		self: self, incarnation: incarnation, tenants: map[string]*tenantState{}, reader: -1,
 		relaxedAt: fsm.Time(rng.Int64N(int64(relaxedGap))),
 	}
 }
@@ -369,9 +369,9 @@
 	if e.levelRead {
 		part := m.reservedPart(e)
 		e.assumeOthers(now, part)
-		if away := m.peak - m.reachableGateways(); away != e.missing {
-			e.chargeMissing(now, away-e.missing, m.reachableGateways(), m.peak, part)
-			e.missing = away
+		if missing := m.peak - m.reachableGateways(); missing != e.missing {
+			e.chargeMissing(now, missing-e.missing, m.reachableGateways(), m.peak, part)
+			e.missing = missing
 		}
 		if part > 0 {
 			e.capAvailable(now, max(1, e.limit.Burst*(1-part))) // with less than one unit nothing would pass for as long as the peak is kept
--- a/internal/quotas/pack.go
+++ b/internal/quotas/pack.go
@@ -15,7 +15,7 @@
 type Roster struct {
 	limits     map[string]Limit
 	limitsHash uint64 // of all limits
-	hash       uint32 // first four bytes of limitsHash; never 0
+	hash       uint32 // low 32 bits of limitsHash; never 0
 	names      []string
 	intervals  []uint64 // emission intervals in microseconds
 	index      map[string]int
@@ -84,18 +84,18 @@
 const (
 	packWhole  = 1 << iota // sums are in whole units
 	packPeriod             // a period of its own follows
-	packNear
-	packGap      // an interval other than the roster's follows
-	packUsed     // the units in use follow
-	packFresh    // the unreported units follow,
-	packOne      // or are one unit; without either flag they are the whole sum
-	packBackward // the difference of the places is negative
+	packNearLimit
+	packInterval      // an interval other than the roster's follows
+	packUsed          // the units in use follow
+	packUnreported    // the unreported units follow,
+	packOneUnreported // or are one unit; without either flag they are the whole sum
+	packBackward      // the difference of the places is negative
 )
 
 const (
-	packSure  = packNear // flags of totals
-	packLevel = packUsed
-	packMine  = packFresh
+	packLevelKnown = packNearLimit // flags of totals
+	packLevel      = packUsed
+	packMine       = packUnreported
 )
 
 // Levels on the wire are in eighths of a unit, rounded up.
@@ -143,10 +143,10 @@
 			flags |= packPeriod
 		}
 		if it.NearLimit {
-			flags |= packNear
+			flags |= packNearLimit
 		}
 		if it.Interval != r.intervals[i] {
-			flags |= packGap
+			flags |= packInterval
 		}
 		used := (max(it.Used, 1) - 1) / milliUnits // rounding down is safe, as this only raises a level
 		if used > 0 {
@@ -155,19 +155,19 @@
 		switch it.Unreported {
 		case it.Sum:
 		case milliUnits:
-			flags |= packOne
+			flags |= packOneUnreported
 		default:
-			flags |= packFresh
+			flags |= packUnreported
 		}
 		packed = r.next(packed, &last, i, flags)
 		if flags&packPeriod != 0 {
 			packed = binary.AppendUvarint(packed, it.Period)
 		}
 		packed = binary.AppendUvarint(packed, it.Sum/unit)
-		if flags&packFresh != 0 {
+		if flags&packUnreported != 0 {
 			packed = binary.AppendUvarint(packed, it.Unreported/unit)
 		}
-		if flags&packGap != 0 {
+		if flags&packInterval != 0 {
 			packed = binary.AppendUvarint(packed, it.Interval)
 		}
 		if flags&packUsed != 0 {
@@ -241,18 +241,18 @@
 		if u.invalid {
 			return nil, nil, false
 		}
-		it := Item{Tenant: r.names[i], Period: period, Interval: r.intervals[i], NearLimit: flags&packNear != 0}
+		it := Item{Tenant: r.names[i], Period: period, Interval: r.intervals[i], NearLimit: flags&packNearLimit != 0}
 		if flags&packPeriod != 0 {
 			it.Period = u.uvarint()
 		}
 		it.Sum = u.uvarint() * unit(flags)
 		switch it.Unreported = it.Sum; {
-		case flags&packOne != 0:
+		case flags&packOneUnreported != 0:
 			it.Unreported = milliUnits
-		case flags&packFresh != 0:
+		case flags&packUnreported != 0:
 			it.Unreported = u.uvarint() * unit(flags)
 		}
-		if flags&packGap != 0 {
+		if flags&packInterval != 0 {
 			it.Interval = u.uvarint()
 		}
 		if flags&packUsed != 0 {
@@ -287,7 +287,7 @@
 			flags |= packPeriod
 		}
 		if t.LevelKnown {
-			flags |= packSure
+			flags |= packLevelKnown
 		}
 		if t.Level > 0 {
 			flags |= packLevel
@@ -317,7 +317,7 @@
 		if u.invalid {
 			return nil, false
 		}
-		t := Total{Tenant: r.names[i], Period: period, LevelKnown: flags&packSure != 0}
+		t := Total{Tenant: r.names[i], Period: period, LevelKnown: flags&packLevelKnown != 0}
 		if flags&packPeriod != 0 {
 			t.Period = u.uvarint()
 		}
--- a/internal/quotas/sums.go
+++ b/internal/quotas/sums.go
@@ -27,10 +27,10 @@
 }
 
 // slot is the index of the incarnation's cell, or of the free one where it would go.
-func (s *sumTable) slot(life uint32) uint32 {
+func (s *sumTable) slot(number uint32) uint32 {
 	mask := uint32(len(s.cells) - 1)
-	i := life * 0x9e3779b1
-	for i = (i ^ i>>15) & mask; s.cells[i].owner != life && s.cells[i].owner != 0; i = (i + 1) & mask {
+	i := number * 0x9e3779b1
+	for i = (i ^ i>>15) & mask; s.cells[i].owner != number && s.cells[i].owner != 0; i = (i + 1) & mask {
 	}
 	return i
 }
@@ -44,37 +44,37 @@
 }
 
 // get returns the incarnation's sum, and whether there is one.
-func (s *sumTable) get(life uint32) (units uint64, known bool) {
+func (s *sumTable) get(number uint32) (units uint64, known bool) {
 	if len(s.cells) == 0 {
 		return 0, false
 	}
-	i := s.slot(life)
+	i := s.slot(number)
 	return s.value(i), s.cells[i].owner != 0
 }
 
 // set stores the incarnation's sum.
-func (s *sumTable) set(life uint32, units uint64) {
+func (s *sumTable) set(number uint32, units uint64) {
 	if 4*(s.used+1) > 3*len(s.cells) {
-		was := *s
-		*s = sumTable{cells: make([]sumCell, max(minCells, 2*len(was.cells)))}
-		for i, c := range was.cells {
+		old := *s
+		*s = sumTable{cells: make([]sumCell, max(minCells, 2*len(old.cells)))}
+		for i, c := range old.cells {
 			if c.owner != 0 {
-				s.put(c.owner, was.value(uint32(i)))
+				s.put(c.owner, old.value(uint32(i)))
 			}
 		}
 	}
-	s.put(life, units)
+	s.put(number, units)
 }
 
-func (s *sumTable) put(life uint32, units uint64) {
-	i := s.slot(life)
+func (s *sumTable) put(number uint32, units uint64) {
+	i := s.slot(number)
 	if s.cells[i].owner == 0 {
 		s.used++
 	}
 	if s.high == nil && units>>32 != 0 {
 		s.high = make([]uint32, len(s.cells))
 	}
-	if s.cells[i] = (sumCell{life, uint32(units)}); s.high != nil {
+	if s.cells[i] = (sumCell{number, uint32(units)}); s.high != nil {
 		s.high[i] = uint32(units >> 32)
 	}
 }
--- a/internal/quotas/sync.go
+++ b/internal/quotas/sync.go
@@ -31,18 +31,18 @@
 	if since < m.minSendGap(now) && m.sentAt != 0 {
 		return nil
 	}
-	ease := now >= m.relaxedAt
+	relaxed := now >= m.relaxedAt
 	retry := m.reader >= 0 && m.holders[m.reader].retryDue(now)
-	if !ease && !m.due && !m.newDemand && !retry {
+	if !relaxed && !m.due && !m.newDemand && !retry {
 		return nil
 	}
 	m.due, m.newDemand = false, false
 	m.updatePeak(now)
-	if ease {
+	if relaxed {
 		m.relaxedAt = max(m.relaxedAt, now-relaxedGap) + relaxedGap
 	}
 	m.chooseReader(now)
-	walk := m.activeTenants()
+	tenants := m.activeTenants()
 	var out []fsm.Send
 	for i := range m.holders {
 		s := &m.holders[i]
@@ -58,14 +58,14 @@
 		case s.addr == "":
 			continue
 		case i == m.reader:
-		case now-s.lastAddAt < gap && !(read && ease):
+		case now-s.lastAddAt < gap && !(read && relaxed):
 			continue
 		}
-		items, places, more := m.collectItems(now, walk, i, read)
+		items, places, moreItems := m.collectItems(now, tenants, i, read)
 		if len(items) == 0 {
 			continue
 		}
-		m.due = m.due || more && read
+		m.due = m.due || moreItems && read
 		late := s.retryDue(now)
 		if late {
 			s.retries++
@@ -88,7 +88,7 @@
 		}
 		out = append(out, fsm.Send{To: s.addr, Msg: add})
 	}
-	for _, e := range walk {
+	for _, e := range tenants {
 		for _, told := range e.reported {
 			e.sent = max(e.sent, told)
 		}
@@ -140,10 +140,10 @@
 
 // collectItems returns the items for a holder with their places, and whether there are more than fit in one
 // add.
-func (m *Meter) collectItems(now fsm.Time, walk []*tenantState, i int, read bool) (out []Item, places []int32, more bool) {
+func (m *Meter) collectItems(now fsm.Time, tenants []*tenantState, i int, read bool) (out []Item, places []int32, more bool) {
 	s := &m.holders[i]
 	var t pendingItems
-	for _, e := range walk {
+	for _, e := range tenants {
 		if e.cur.sum == 0 && e.prev.period == 0 && !e.readWanted {
 			continue
 		}
@@ -287,13 +287,13 @@
 		return
 	}
 	c := &e.cur
-	var n float64
+	var newOthers float64
 	if c.hasBase && t.Others > c.others {
-		n = float64(t.Others-c.others) / milliUnits
+		newOthers = float64(t.Others-c.others) / milliUnits
 	}
-	var own float64
+	var newOwn float64
 	if mine := min(t.Own, c.sum); mine > c.acked {
-		own = float64(mine-c.acked) / milliUnits
+		newOwn = float64(mine-c.acked) / milliUnits
 		c.acked = mine
 	}
 	fresh := t.LevelKnown && c.hasBase && t.Others >= c.others
@@ -302,7 +302,7 @@
 	if m.applyFirstRead(now, e, t, stamp) {
 		e.tat += since
 	} else if e.levelRead {
-		e.addOthers(now, n)
+		e.addOthers(now, newOthers)
 		if fresh && now-stamp <= s.rtt.extend(freshAnswer) && m.readerTrusted(now) {
 			e.lowerToLevel(now+since, float64(t.Level)/milliUnits)
 		}
@@ -311,7 +311,7 @@
 		}
 	}
 	m.noteBehind(e, t, stamp)
-	e.noteTraffic(now, own, n)
+	e.noteTraffic(now, newOwn, newOthers)
 }
 
 // applyFirstRead sets TAT of an unread tenant by the level that the holder knows, and the units passed here
--- a/internal/quotas/tenant.go
+++ b/internal/quotas/tenant.go
@@ -78,10 +78,10 @@
 // changeLimit carries TAT over: the units available afterwards are at most those available before, and at
 // most the new burst. What a higher limit adds has to accrue.
 func (e *tenantState) changeLimit(now fsm.Time, l Limit) {
-	room, known := min(e.available(now), e.limit.Burst), float64(e.knownTAT-now)/e.interval
+	available, known := min(e.available(now), e.limit.Burst), float64(e.knownTAT-now)/e.interval
 	e.setLimit(l)
 	e.knownTAT = now + e.duration(min(known, e.limit.Burst))
-	e.tat = now + e.tau - e.duration(min(room, e.limit.Burst)-1)
+	e.tat = now + e.tau - e.duration(min(available, e.limit.Burst)-1)
 	e.availableAtRead = min(e.availableAtRead, e.limit.Burst)
 }
 
@@ -136,13 +136,13 @@
 // chargeMissing accounts for gateways that have become unreachable. Before that was noticed they passed
 // their part of the rate, and each of them as much of a recent surge as a reachable one; an older surge has
 // been reported. Of the rest, this side of the partition keeps its own part.
-func (e *tenantState) chargeMissing(now fsm.Time, gone, present, peak int, reserve float64) {
-	if gone <= 0 {
+func (e *tenantState) chargeMissing(now fsm.Time, newlyMissing, reachable, peak int, reserve float64) {
+	if newlyMissing <= 0 {
 		return
 	}
 	recent, rate := (e.ownRecent+e.othersRecent)*decay(now-e.readAt), e.limit.Rate
-	unknown := min(recent, rate)*detectionTime*float64(gone)/float64(peak) + max(0, recent-rate)*float64(gone)/float64(present)
-	e.capAvailable(now, (e.available(now)-unknown)*(1-reserve))
+	unreported := min(recent, rate)*detectionTime*float64(newlyMissing)/float64(peak) + max(0, recent-rate)*float64(newlyMissing)/float64(reachable)
+	e.capAvailable(now, (e.available(now)-unreported)*(1-reserve))
 }
 
 // consume takes the units of a request that passes.
