--- a/internal/quotas/active_test.go
+++ b/internal/quotas/active_test.go
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestActive: over drawn schedules, every message is the same to the byte as where each tick
-// goes through all tenants; and the list stays shorter than these.
+// TestActive checks, over random schedules, that all messages are the same to the byte as when each tick
+// visits all tenants, and that the list stays shorter than that.
 func TestActive(t *testing.T) {
 	for seed := range uint64(3) {
 		var sums [2]uint64
@@ -68,18 +68,18 @@
 			to(50)
 			sums[i] = hash.Sum64()
 		}
-		t.Logf("seed %d: %d of %d entries walked", seed, walked, all)
+		t.Logf("seed %d: %d of %d tenants visited", seed, walked, all)
 		if sums[0] != sums[1] {
-			t.Errorf("seed %d: messages differ from those of a walk over all", seed)
+			t.Errorf("seed %d: messages differ from those of a visit to all tenants", seed)
 		}
 		if walked >= all*3/4 {
-			t.Errorf("seed %d: %d of %d entries are walked", seed, walked, all)
+			t.Errorf("seed %d: %d of %d tenants are visited", seed, walked, all)
 		}
 	}
 }
 
-// BenchmarkTick: 50 ms of a gateway with 12,000 tenants and 2,650 requests a second, of which
-// the first tenants have most; its holder is at hand.
+// BenchmarkTick measures 50 ms of a gateway with 12,000 tenants and 2,650 requests a second, most of them
+// for the first tenants; its holder is in the same process.
 func BenchmarkTick(b *testing.B) {
 	const tenants = 12000
 	limits, names := map[string]Limit{}, make([]string, tenants)
--- a/internal/quotas/back_test.go
+++ b/internal/quotas/back_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestBack: a gateway whose own process is a holder comes back from a cut. It is told a
-// name of the other holder's, and that holder's sums, before its own next one: what
-// the others passed under that is drained long since.
+// TestBack guards against a second count of old units. A gateway whose own process is a holder comes back
+// from a partition, and reads a period of the other holder, with its sums, before its own next one: what
+// the others passed in that period has long drained.
 func TestBack(t *testing.T) {
 	m := NewMeter("a", 1, 1)
 	m.SetGateways(0, 10, []string{"a", "b"})
@@ -22,13 +22,13 @@
 	hear(1, Total{Tenant: "t", Period: 1, Others: 500000, LevelKnown: true})
 	hear(1, Total{Tenant: "t", Period: 1, Others: 500000, LevelKnown: true})
 	if !e.levelRead {
-		t.Fatal("unseen")
+		t.Fatal("the tenant is unread")
 	}
-	hear(2) // told by the others' adds
+	hear(2) // by adds of the others
 	m.refresh(now, e)
 	hear(3)
 	hear(3, Total{Tenant: "t", Period: 3, LevelKnown: true}, Total{Tenant: "t", Period: 2, Others: 300000})
 	if room := e.available(now); room < 50 {
-		t.Errorf("room %.0f of 100 after 300 units of long ago", room)
+		t.Errorf("%.0f of 100 units are available after 300 units of long ago", room)
 	}
 }
--- a/internal/quotas/batch_test.go
+++ b/internal/quotas/batch_test.go
@@ -8,7 +8,7 @@
 	"asterwell/internal/fsm"
 )
 
-// crowded is a gateway before many tenants, of so many gateways.
+// crowded returns the meter of one of many gateways with many tenants.
 func crowded(tenants, gateways int) (*Meter, []string, map[string]Limit) {
 	limits, names := map[string]Limit{}, make([]string, tenants)
 	for i := range names {
@@ -21,26 +21,26 @@
 	return m, names, limits
 }
 
-// itemsOf is what an add tells, whatever its form.
+// itemsOf returns the items of an add in any encoding.
 func itemsOf(t *testing.T, m *Meter, a Add) []Item {
 	t.Helper()
 	a, ok := a.Expand(m.incarnation)
 	if !ok {
-		t.Fatal("an add can't be read")
+		t.Fatal("the add can't be decoded")
 	}
 	if len(a.Packed) == 0 {
 		return a.Items
 	}
 	items, _, ok := m.rosters.byHash(a.RosterHash).items(a.Period, a.Packed)
 	if !ok {
-		t.Fatal("an add can't be unpacked")
+		t.Fatal("the items of the add can't be unpacked")
 	}
 	return append(items, a.Items...)
 }
 
-// TestAddsHaveBound: a holder that answers nothing is told of all tenants, but of no more at once than an add has room
-// for; once it answers it knows all. Another one that takes its place is told all again, and what was passed
-// long ago counts for nothing of its levels.
+// TestAddsHaveBound checks that adds to a holder that doesn't answer cover all tenants without exceeding
+// the bound, and that the holder knows all once it answers. A second holder that takes over is told all
+// again, and its levels don't include units of long ago.
 func TestAddsHaveBound(t *testing.T) {
 	m, names, limits := crowded(3000, 23)
 	c := NewCounter("h", 1)
@@ -71,9 +71,9 @@
 		}
 	}
 	pass()
-	run(4*time.Second, nil) // who is silent is told five times a second
+	run(4*time.Second, nil) // five adds a second to a silent holder
 	if most > maxItems || len(told) != len(names) {
-		t.Errorf("%d items in an add, %d of %d tenants told", most, len(told), len(names))
+		t.Errorf("%d items in an add, %d of %d tenants reported", most, len(told), len(names))
 	}
 	run(3*time.Second, map[string]*Counter{"h": c})
 	pass()
@@ -87,9 +87,9 @@
 		return n
 	}
 	if n := unheard(); n > 0 {
-		t.Errorf("a holder that answers has not heard of %d tenants", n)
+		t.Errorf("a holder that answers has not counted %d tenants", n)
 	}
-	run(20*time.Second, map[string]*Counter{"h": c}) // a period later, all have drained
+	run(20*time.Second, map[string]*Counter{"h": c}) // a period later, all units have drained
 	for range 10 {
 		pass()
 		run(time.Second, map[string]*Counter{"h": c})
@@ -101,11 +101,11 @@
 	pass()
 	run(3*time.Second, map[string]*Counter{"i": other})
 	if n := unheard(); n > 0 {
-		t.Errorf("the second holder has not heard of %d tenants", n)
+		t.Errorf("the second holder has not counted %d tenants", n)
 	}
 	for _, n := range names {
 		if l := other.tenants[n]; l == nil || l.level > 1.5 { // one unit was passed seconds ago
-			t.Fatalf("the second holder takes %+v of %s for in use", l, n)
+			t.Fatalf("the second holder's usage is %+v for %s", l, n)
 		}
 	}
 	if most > maxItems {
@@ -113,7 +113,8 @@
 	}
 }
 
-// TestOldInTurns: the sums of a period that is over go a few at a time where there are many, and all go.
+// TestOldInTurns checks that with many tenants the sums of an ended period are sent a few at a time, and
+// that all are sent.
 func TestOldInTurns(t *testing.T) {
 	m, names, limits := crowded(3000, 23)
 	c := NewCounter("h", 1)
@@ -132,7 +133,7 @@
 				}
 			}
 			if s.To == "h" {
-				if now > end-20*time.Second { // all had been heard before the period ended
+				if now > end-20*time.Second { // all had been counted before the period ended
 					if most = max(most, old); old > maxPrevItems {
 						lumps++
 					}
@@ -150,12 +151,13 @@
 			left++
 		}
 	}
-	if most == 0 || most > maxItems || lumps > 1 || left > 0 { // the last of them that an add has room for go at once
-		t.Errorf("%d sums of a period before in an add, more than %d in %d, %d left in the end", most, maxPrevItems, lumps, left)
+	if most == 0 || most > maxItems || lumps > 1 || left > 0 { // the last ones that fit in an add go at once
+		t.Errorf("%d sums of an earlier period in an add, more than %d in %d adds, %d left at the end", most, maxPrevItems, lumps, left)
 	}
 }
 
-// TestPatience: who gets no answer repeats as often as ever in a small fleet, and ever more seldom in a large one.
+// TestPatience checks that an unanswered gateway repeats its adds at the usual rate in a small fleet, and
+// ever more rarely in a large one.
 func TestPatience(t *testing.T) {
 	for gateways, bounds := range map[int][2]int{23: {55, 75}, 125: {55, 75}, 490: {8, 16}} {
 		m, names, _ := crowded(20, gateways)
@@ -169,12 +171,12 @@
 			}
 		}
 		if adds < bounds[0] || adds > bounds[1] {
-			t.Errorf("%d gateways: one sends %d adds in 10 s without an answer, not %v", gateways, adds, bounds)
+			t.Errorf("%d gateways: one sends %d adds in 10 s without an answer, want %v", gateways, adds, bounds)
 		}
 	}
 }
 
-// TestRestsIdle: a gateway that no request comes to goes through none of its tenants at a tick.
+// TestRestsIdle checks that a tick without new requests visits no tenants.
 func TestRestsIdle(t *testing.T) {
 	m, _, _ := crowded(12000, 490)
 	now := time.Hour
@@ -183,12 +185,12 @@
 		m.Tick(now)
 	}
 	if n := len(m.activeTenants()); n > 0 || m.holders[0].resendAll || m.holders[1].resendAll {
-		t.Errorf("%d tenants are gone through at rest", n)
+		t.Errorf("%d tenants are visited without requests", n)
 	}
 }
 
-// TestOnItsWay: where there are many tenants and the holder is 55 ms away, what is on its way isn't sent again and again;
-// one that is lost is.
+// TestOnItsWay checks that with many tenants and a holder 55 ms away an unanswered unit isn't sent again
+// and again, but a lost one is.
 func TestOnItsWay(t *testing.T) {
 	for _, far := range []bool{false, true} {
 		m, names, limits := crowded(600, 23)
@@ -234,7 +236,7 @@
 			passed, told = 0, 0
 			for i := range steps {
 				m.Allow(now, names[(i*7)%len(names)], 1)
-				m.Allow(now, "t00000", 1) // four times its rate: adds don't wait for each other
+				m.Allow(now, "t00000", 1) // at four times its rate: adds don't wait for each other
 				passed++
 				step(lose)
 			}
@@ -242,7 +244,7 @@
 		}
 		play(800, false)
 		if often := play(800, false); often > 1.6 {
-			t.Errorf("far %v: a unit is told %.2f times", far, often)
+			t.Errorf("far %v: a unit is reported %.2f times", far, often)
 		}
 		play(800, true)
 		for range 200 {
@@ -250,15 +252,16 @@
 		}
 		for _, e := range m.ordered {
 			if e.unacked() > 0 {
-				t.Fatalf("far %v: of %s %.0f units were never heard", far, e.tenant, e.unacked())
+				t.Fatalf("far %v: of %s %.0f units were never counted", far, e.tenant, e.unacked())
 			}
 		}
 	}
 }
 
-// TestAfterStandstill: a holder that stood still for five seconds is told of all that was passed meanwhile by forty
-// gateways before 2,000 tenants. What it can count is bounded: 50 µs an add, 8 µs an item, and half of that for those that it only
-// reads and drops. All is heard soon after; adds without a bound would be dropped for ever, each larger than the one before.
+// TestAfterStandstill checks that a holder that was frozen for five seconds catches up with forty gateways
+// and 2,000 tenants. Its capacity is bounded: 50 µs for an add, 8 µs for an item, and half of that for adds
+// that it only reads and drops. Without a bound on adds it would drop them forever, as each is larger than
+// the one before.
 func TestAfterStandstill(t *testing.T) {
 	t.Parallel()
 	const gateways, tenants = 40, 2000
@@ -282,7 +285,7 @@
 		now += 10 * time.Millisecond
 		for g, m := range meters {
 			for k := range 4 {
-				if pass { // 400 a second at each
+				if pass { // 400 a second at each gateway
 					m.Allow(now, names[(int(now/(10*time.Millisecond))*4+k+g*37)%tenants], 1)
 				}
 			}
@@ -328,7 +331,7 @@
 		step(true)
 	}
 	if n := unheard(); n > 0 || dropped > 0 {
-		t.Errorf("in ordinary traffic %d tenants are not heard of, %d adds are dropped", n, dropped)
+		t.Errorf("without a fault %d tenants are not counted, %d adds are dropped", n, dropped)
 	}
 	stands = true
 	for range 500 {
@@ -342,13 +345,14 @@
 			break
 		}
 	}
-	if t.Logf("all is heard %v after the standstill, %d adds dropped", now-began, dropped); now-began > 6*time.Second {
-		t.Errorf("%d tenants are not heard of %v after the standstill, %d adds wait", unheard(), now-began, len(wait))
+	if t.Logf("all is counted %v after the freeze, %d adds dropped", now-began, dropped); now-began > 6*time.Second {
+		t.Errorf("%d tenants are not counted %v after the freeze, %d adds wait", unheard(), now-began, len(wait))
 	}
 }
 
-// TestWayRound: ways round are looked for after the usual time; to a holder in another region when an answer is later than
-// its ways vary; to one that has said that it is under strain only after a second.
+// TestWayRound checks when another route to a holder is tried: for a near one after the usual time, for one
+// in another region when an answer is later than the round trip varies, for an overloaded one only after a
+// second.
 func TestWayRound(t *testing.T) {
 	for _, c := range []struct {
 		paced uint8
@@ -365,13 +369,14 @@
 		m.holders[0].sendInterval = c.paced
 		began := m.holders[0].unansweredSince
 		if m.ReadOverdue(began+c.after-3*time.Millisecond, "h") || !m.ReadOverdue(began+c.after, "h") {
-			t.Errorf("%+v: not mute from then on", c)
+			t.Errorf("%+v: the read is not overdue from then on", c)
 		}
 	}
 }
 
-// TestCrowdGap: first reads beyond some a second go together, of many gateways over as long as lies between any two adds;
-// of up to 250 as ever, and those that are few aren't held up by the size of the fleet.
+// TestCrowdGap checks that first reads above the early rate are sent together: with many gateways over up
+// to the shortest gap between adds, with up to 250 over the usual time. Rare first reads are not delayed in
+// large fleets.
 func TestCrowdGap(t *testing.T) {
 	for gateways, want := range map[int]fsm.Time{1: 25, 91: 25, 250: 25, 300: 30, 490: 49, 1000: 50} {
 		var q earlyReads
@@ -383,13 +388,14 @@
 			q.left--
 		}
 		if got := q.gap(now, gateways); got != want*time.Millisecond {
-			t.Errorf("%d gateways: first reads go together over %v, not %d ms", gateways, got, want)
+			t.Errorf("%d gateways: first reads are sent together over %v, want %d ms", gateways, got, want)
 		}
 	}
 }
 
-// TestBackoff: gateways of a large fleet that get no answer repeat ever more seldom, so that a holder that fell behind
-// is told less than it can count; one answer, and they tell it as often as before. In a small fleet nothing differs.
+// TestBackoff checks that unanswered gateways of a large fleet repeat ever more rarely, so that an
+// overloaded holder gets less than it can count, and that they return to the usual rate after one answer.
+// In a small fleet nothing changes.
 func TestBackoff(t *testing.T) {
 	for gateways, most := range map[int]int{11: 200, 125: 200, 490: 10} {
 		m := NewMeter("g", 1, 1)
@@ -414,7 +420,7 @@
 		before := spend(2*time.Second, true)
 		spend(10*time.Second, false)
 		if n := spend(10*time.Second, false); n > most {
-			t.Errorf("%d gateways: %d adds in 10 s to a holder that hasn't answered for as long, %d at the most", gateways, n, most)
+			t.Errorf("%d gateways: %d adds in 10 s to a holder that hasn't answered for as long, at most %d allowed", gateways, n, most)
 		}
 		spend(4*time.Second, true)
 		if after := spend(2*time.Second, true); after < before/2 {
--- a/internal/quotas/compact_test.go
+++ b/internal/quotas/compact_test.go
@@ -12,7 +12,8 @@
 	"asterwell/internal/fsm"
 )
 
-// TestBrief: what is shortened comes back whole; a part of it is nothing, or something, but never harm.
+// TestBrief checks that compact messages decode to the original, and that truncated ones are rejected or at
+// least harmless.
 func TestBrief(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	coin := func() bool { return rng.IntN(2) == 0 }
@@ -35,14 +36,14 @@
 		}
 		for _, a := range []Answer{w, back} {
 			if stamp, ok := a.RequestTimestamp(); !ok || stamp != w.Timestamp {
-				t.Fatal("its stamp is told as", stamp, ok)
+				t.Fatal("the timestamp is decoded as", stamp, ok)
 			}
 		}
 		if _, _, ok := back.expand(life + 1); ok {
-			t.Fatal("an answer to another life is taken")
+			t.Fatal("an answer to another incarnation is accepted")
 		}
 		if _, lost, ok := w.unknownIncarnation(foldIncarnation(life)).expand(life); !ok || !lost {
-			t.Fatal("a lost life is not told", lost, ok)
+			t.Fatal("the unknown incarnation is not reported", lost, ok)
 		}
 		for cut := range len(short.Compact) {
 			Add{Compact: short.Compact[:cut]}.Expand(life)
@@ -53,16 +54,17 @@
 	}
 }
 
-// TestBriefLost: a holder that has forgotten a gateway's life counts nothing of what is short, says so, and
-// is told all again; also one that does not understand it, and one that only hears.
+// TestBriefLost checks that a holder that has forgotten a gateway's incarnation counts nothing of its
+// compact adds, says so, and is told everything again; also a holder of a version without compact adds, and
+// one that is not read.
 func TestBriefLost(t *testing.T) {
-	for _, which := range []int{0, 1} { // the one that is read, and the other
+	for _, which := range []int{0, 1} { // the holder that is read, and the other one
 		t.Run(fmt.Sprint("holder ", which), func(t *testing.T) {
 			calm := &tenantTraffic{tenant: "calm", limit: Limit{129, 129}, rate: 60}
 			other := &tenantTraffic{tenant: "other", limit: Limit{60, 60}, rate: 20}
 			f := newTestFleet(t, 5, 1, calm, other)
 			f.run(10*time.Second, "")
-			for was := f.machines[2].meter.period; f.machines[2].meter.period == was; { // then it lasts for a while
+			for was := f.machines[2].meter.period; f.machines[2].meter.period == was; { // so that the period lasts for a while
 				f.run(f.now+time.Second, "")
 			}
 			holder := f.machines[which]
@@ -77,19 +79,19 @@
 			}
 			f.run(f.now+5*time.Second, "")
 			if short < 20 || lost > 0 {
-				t.Fatalf("%d short adds, %d lost", short, lost)
+				t.Fatalf("%d compact adds, %d of unknown incarnations", short, lost)
 			}
-			holder.counter = NewCounter(holder.addr, 77) // it has forgotten all
+			holder.counter = NewCounter(holder.addr, 77) // it has forgotten everything
 			holder.counter.SetLimits(f.limits())
 			f.announceGateways()
-			other.rate = 0 // nothing more of it is said by itself
+			other.rate = 0 // no further requests of the tenant trigger adds
 			f.run(f.now+2500*time.Millisecond, "")
 			calm.rate = 0
 			f.run(f.now+1500*time.Millisecond, "")
 			if lost == 0 || lost > len(f.machines) {
-				t.Errorf("%d adds of lives that it has forgotten", lost)
+				t.Errorf("%d adds of forgotten incarnations", lost)
 			}
-			for _, b := range f.machines { // all that gateways have passed in the period it knows
+			for _, b := range f.machines { // all that gateways have passed in its period
 				for _, e := range b.meter.ordered {
 					if got := holder.counter.knows(e.tenant, b.addr, b.incarnation, e.cur.period); got < e.cur.sum {
 						t.Errorf("of %s at %s it knows %d of %d", e.tenant, b.addr, got, e.cur.sum)
@@ -100,7 +102,7 @@
 	}
 }
 
-// knows is a life's sum in a name.
+// knows returns the sum of an incarnation in a period.
 func (c *Counter) knows(tenant, gateway string, id, period uint64) uint64 {
 	l := c.tenants[tenant]
 	if l == nil || l.periodOf(period) == nil {
@@ -115,13 +117,13 @@
 	return 0
 }
 
-// TestBriefPassedOn: a process of the version before that passes a short add on leaves nothing of it. It counts for
-// nothing, and spoils nothing of the life that it came from.
+// TestBriefPassedOn checks that a compact add that is relayed by a process of the previous version, which
+// drops its content, isn't counted and leaves the state of its incarnation unchanged.
 func TestBriefPassedOn(t *testing.T) {
 	c := NewCounter("h", 1)
 	c.Receive(time.Second, "g", Add{Incarnation: 9, Timestamp: time.Second, Read: true, Items: []Item{{Tenant: "t", Sum: 5 * milliUnits, Unreported: 5 * milliUnits, Interval: 1e5}}})
 	if out := c.Receive(time.Second, "g", Add{}); out != nil || c.offsets["g"].life != 9 {
-		t.Errorf("%+v, life %d", out, c.offsets["g"].life)
+		t.Errorf("%+v, incarnation %d", out, c.offsets["g"].life)
 	}
 	short := Add{Incarnation: 9, Timestamp: 2 * time.Second, Read: true, Period: c.highestPeriod, RosterHash: 7}.compact()
 	out := c.Receive(2*time.Second, "g", short)
--- a/internal/quotas/cut_test.go
+++ b/internal/quotas/cut_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// last lets two of three gateways be killed at 13 s and the third be told; a tenant's requests
-// come at its rate, and a burst at 8 s.
+// last kills two of three gateways at 13 s and lets the third learn of it; a tenant's requests come at its
+// rate, with a burst at 8 s.
 func last(t *testing.T, l *tenantTraffic) (*testFleet, *Meter) {
 	l.burstInterval = time.Hour
 	f := newTestFleet(t, 3, 1, l)
@@ -19,8 +19,8 @@
 	return f, f.machines[2].meter
 }
 
-// TestRested: at a cut, a burst of seconds ago costs a tenant nothing, of which there is room
-// again; one of this moment may have come to the others too.
+// TestRested checks that a burst that was passed seconds before a partition, for which units are available
+// again, costs a tenant nothing; the same burst right before it may have come to the other gateways too.
 func TestRested(t *testing.T) {
 	for _, c := range []struct {
 		ago     time.Duration
@@ -34,15 +34,15 @@
 		m.SetGateways(now, 1, []string{"a"})
 		m.tickAt = now
 		if ok, after := m.Allow(now, "t", 1); ok == c.refused {
-			t.Errorf("70 of 100 units are left, 60 came %v ago: %v, %v", c.ago, ok, after)
+			t.Errorf("70 of 100 units are available, 60 came %v ago: %v, %v", c.ago, ok, after)
 		}
 	}
 }
 
-// TestReturn: who is refused by the last of three gateways, and comes back after the time that
-// it is told, is served and not a moment sooner, however small its burst is. That time is no longer
-// than a unit of its part of the rate takes, and the bound of doc.go on what may have been passed
-// unknown, 2 s. What is unseen is asked for, which takes no longer than is told.
+// TestReturn checks that a request refused by the last of three gateways is allowed after the retry time
+// that it was told, and not before, however small the burst is. That time is at most what a unit takes at
+// the gateway's part of the rate, and 2 s for units passed before the partition was detected (doc.go). An
+// unread tenant is read, which takes no longer than the retry time.
 func TestReturn(t *testing.T) {
 	for _, l := range []*tenantTraffic{
 		{tenant: "ten", limit: Limit{5, 10}, rate: 2},
@@ -63,20 +63,20 @@
 				}
 				refused++
 				if most := 2*time.Second + time.Duration(3e9/l.limit.Rate); after > most {
-					t.Errorf("refused for %v, %v at most", after, most)
+					t.Errorf("refused for %v, at most %v allowed", after, most)
 				}
 				e := m.tenants[l.tenant]
 				seen := e.levelRead
 				f.run(now+after-time.Millisecond, "")
 				if ok, _ := m.Allow(now+after-10*time.Microsecond, l.tenant, 1); ok && seen && e.levelRead && after != minGap {
-					t.Errorf("served before %v", after)
+					t.Errorf("allowed before %v", after)
 				}
 				if ok, more := m.Allow(now+after, l.tenant, 1); !ok && seen && e.levelRead {
 					t.Fatalf("refused for %v, then for %v", after, more)
 				}
 				f.run(now+after+time.Millisecond, "")
 				if !seen && !e.levelRead {
-					t.Errorf("still unseen after %v", after)
+					t.Errorf("still unread after %v", after)
 				}
 			}
 			if refused < 10 {
--- a/internal/quotas/detector_test.go
+++ b/internal/quotas/detector_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestSight: who answers questions and falls silent is missed, and who was never heard by this counter; a process that
-// knows no questions is not, and nobody is after the counter itself stood still.
+// TestSight checks which gateways count as missing: those that answered probes and fall silent, and those
+// that were never heard; not those that don't know probes, and none after the counter itself was frozen.
 func TestSight(t *testing.T) {
 	c := NewCounter("a", 1)
 	c.SetGateways([]string{"a", "b", "c", "d", "e"})
@@ -26,7 +26,7 @@
 	c.Receive(now, "c", Add{Incarnation: 1})
 	c.Receive(now, "d", Add{Incarnation: 1, AnswersProbes: true})
 	if n := pass(400 * time.Millisecond); n != 2 || !asked["b"] || asked["c"] || asked["d"] || !asked["e"] {
-		t.Errorf("%d missing, asked %v", n, asked)
+		t.Errorf("%d missing, probed %v", n, asked)
 	}
 	now += time.Second
 	if n := c.Receive(now, "d", Add{Incarnation: 1, Read: true, NearLimit: true, AnswersProbes: true})[0].Msg.(Answer).Missing; n != 0 {
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestBlind: one near by that leaves a question unanswered is asked round at the next tick, as ever; one that is 110 ms away
-// not before its sign could have come.
+// TestBlind checks when another route to a gateway is tried: for a near one that leaves a probe unanswered
+// at the next tick, for one with a round trip of 110 ms not before its answer could have come.
 func TestBlind(t *testing.T) {
 	for _, way := range []time.Duration{2 * time.Millisecond, 40 * time.Millisecond, 110 * time.Millisecond} {
 		c := NewCounter("a", 1)
@@ -57,13 +57,13 @@
 			}
 		}
 		if want := map[bool]time.Duration{false: 50 * time.Millisecond, true: 150 * time.Millisecond}[way > 50*time.Millisecond]; blind != want {
-			t.Errorf("%v there and back: asked round after %v, not %v", way, blind, want)
+			t.Errorf("round trip %v: overdue after %v, want %v", way, blind, want)
 		}
 	}
 }
 
-// TestAsksBounded: what a holder asks doesn't grow with the fleet beyond some 2,800 questions a second; at sites as they
-// are nothing differs.
+// TestAsksBounded checks that a holder sends about 2,800 probes a second at most in large fleets, and at
+// the usual rate in small ones.
 func TestAsksBounded(t *testing.T) {
 	for gateways, most := range map[int]int{11: 11 * 10, 91: 91 * 10, 490: 2800, 1000: 2800} {
 		c := NewCounter("a", 1)
@@ -84,7 +84,7 @@
 			asks += len(c.Tick(now))
 		}
 		if asks /= 4; asks > most || asks < most/3 {
-			t.Errorf("%d silent gateways are asked %d times a second, %d at the most", gateways, asks, most)
+			t.Errorf("%d silent gateways are probed %d times a second, at most %d allowed", gateways, asks, most)
 		}
 	}
 }
--- a/internal/quotas/drawn_test.go
+++ b/internal/quotas/drawn_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// drawn writes a schedule of faults of one gateway each, the members told within 1.3 to 3 s.
+// drawn returns a random schedule of faults of one gateway each, of which the members learn within 1.3 to 3
+// s.
 func drawn(rng *rand.Rand, n int) string {
 	script := fmt.Sprintf("0 kill %d\n0.1 nodes %d 0 1\n", n-1, n-1) // this one joins later
 	alive := n - 1
@@ -35,9 +36,9 @@
 	return script
 }
 
-// TestDrawn lets one gateway after another be cut off, freeze, be killed or join, while a few of
-// 85 tenants are hot or refused clients come back at once, and holds both bounds of doc.go: units
-// that pass, and units of tenants below their rate that are refused.
+// TestDrawn partitions, freezes, kills or adds one gateway after another, while a few of 85 tenants exceed
+// their rates or their clients retry at once. It checks both bounds of doc.go: on units that pass, and on
+// refused requests of tenants below their rate.
 func TestDrawn(t *testing.T) {
 	for n, seeds := range map[int]uint64{11: 2, 91: 1} {
 		for seed := range seeds {
@@ -62,7 +63,7 @@
 				if i < 4 {
 					l.rate = 10 * l.limit.Rate
 				}
-				l.offered, l.refused = 0, 0 // the start of all is another matter
+				l.offered, l.refused = 0, 0 // the start is not measured
 			}
 			f.run(32*time.Second, rest)
 			fill, worst, refused, offered := 0.0, 0.0, 0, 0
@@ -76,9 +77,9 @@
 				}
 			}
 			if in := float64(refused) / float64(offered); in > 0.004 {
-				t.Errorf("%d gateways, seed %d: %.4f of the requests in quota refused", n, seed, in)
+				t.Errorf("%d gateways, seed %d: %.4f of the requests within quotas refused", n, seed, in)
 			}
-			t.Logf("%d gateways, seed %d: %.3f of the bound; in quota refused %.5f, of one tenant %.4f; %d messages a second",
+			t.Logf("%d gateways, seed %d: %.3f of the bound; within quotas refused %.5f, of one tenant %.4f; %d messages a second",
 				n, seed, fill, float64(refused)/float64(offered), worst, f.sends/32)
 		}
 	}
--- a/internal/quotas/late_test.go
+++ b/internal/quotas/late_test.go
@@ -7,8 +7,8 @@
 	"asterwell/internal/fsm"
 )
 
-// Twenty seconds of adds that were held up tell of units that have drained; those of the last
-// moments, and all that come in time, count.
+// Adds delayed by twenty seconds report units that have drained; units of the last moments, and all in adds
+// without delay, must count.
 func TestLate(t *testing.T) {
 	c := NewCounter("h", 1)
 	const begin, gap = time.Hour, 20000 // 50 units a second
@@ -24,7 +24,7 @@
 	for i := range 30 {
 		sum += 4 * milliUnits
 		if l := add(at(i), i, sum); i > 5 && l < 3 {
-			t.Fatalf("add %d, in time: level %.1f", i, l)
+			t.Fatalf("add %d without delay: level %.1f", i, l)
 		}
 	}
 	most := 0.0
@@ -33,10 +33,10 @@
 		most = max(most, add(at(230), i, sum))
 	}
 	if most < 4 || most > 60 {
-		t.Errorf("a lump of 800 units, held up for 20 s, makes a level of %.1f", most)
+		t.Errorf("800 units that arrive 20 s late raise the level to %.1f", most)
 	}
 	sum += 4 * milliUnits
 	if before := most; add(at(231), 231, sum) < min(before, 3) {
-		t.Error("what comes in time again does not count")
+		t.Error("adds without delay don't count again")
 	}
 }
--- a/internal/quotas/names_test.go
+++ b/internal/quotas/names_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestFewItems: of hundreds of gateways that turn to a holder that may be new each tells some of what it knows in an add, and
-// all of it soon: were it a whole add each, the holder would be late again, and they would turn back.
+// TestFewItems checks that hundreds of gateways that turn to a holder that may be new report some of their
+// tenants in each add, and all of them soon. With full adds from each gateway that holder would be late as
+// well, and the gateways would turn back.
 func TestFewItems(t *testing.T) {
 	for gateways, want := range map[int]int{250: maxItems, 490: maxItemsLargeFleet} {
 		m, names, limits := crowded(2000, gateways)
@@ -38,17 +39,17 @@
 		run(18*time.Second, "h", c)
 		run(10*time.Second, "i", other)
 		if most != want {
-			t.Errorf("%d gateways: up to %d items in an add, not %d", gateways, most, want)
+			t.Errorf("%d gateways: up to %d items in an add, want %d", gateways, most, want)
 		}
-		if len(heard) < 1700 { // of the 1,800 and more that were passed in this period
-			t.Errorf("%d gateways: the new holder has heard of %d tenants", gateways, len(heard))
+		if len(heard) < 1700 { // of more than 1,800 that were passed in this period
+			t.Errorf("%d gateways: the new holder has counted %d tenants", gateways, len(heard))
 		}
 	}
 }
 
-// TestNamesToAndFro: where hundreds of gateways go to and fro between two holders, each of which issues its own period above the
-// other's, a tenant has a few names at each holder all the same; the sums in the newest are right. In a small fleet all
-// names are kept for their time.
+// TestNamesToAndFro checks that the number of periods at a holder is bounded when hundreds of gateways
+// alternate between two holders, each of which issues a period above the other's, and that the sums of the
+// newest are right. In a small fleet all periods are kept for their time.
 func TestNamesToAndFro(t *testing.T) {
 	for gateways, most := range map[int]int{91: 100, 490: maxPeriods} {
 		names := make([]string, gateways)
@@ -64,7 +65,7 @@
 		for turn := range 40 {
 			c := holders[turn%2]
 			now += 510 * time.Millisecond
-			for again := range 2 { // then all say what they have in the number that was issued for the first of them
+			for again := range 2 { // then all report their sums in the period that was issued for the first of them
 				for g, from := range names[2:] {
 					for _, s := range c.Receive(now, from, Add{Incarnation: uint64(g + 1), Period: period, Timestamp: now, Read: true,
 						Items: []Item{{Tenant: "t", Period: period, Sum: milliUnits, Unreported: milliUnits, Interval: 1e4}}}) {
@@ -79,7 +80,7 @@
 			had = max(had, len(c.tenants["t"].periods))
 		}
 		if had > most || had < min(most, 20) {
-			t.Errorf("%d gateways: a tenant has %d names at a holder", gateways, had)
+			t.Errorf("%d gateways: a tenant has %d periods at a holder", gateways, had)
 		}
 	}
 }
--- a/internal/quotas/pace_test.go
+++ b/internal/quotas/pace_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestPace: a holder that can count a third of what it is told. Adds wait, and those that are too old are dropped,
-// as daemon does it. By pace the gateways tell it as much as it can count, nearly nothing is dropped, and the quota
-// holds; without, most is. Once it can count all again, nothing differs from before.
+// TestPace runs a holder that can count a third of what it is told. Adds wait, and too old ones are
+// dropped, as in package daemon. With back-pressure the gateways send as much as it can count, hardly any
+// add is dropped, and the quota holds; without it most are dropped. Once the holder can count everything
+// again, adds are as frequent as before.
 func TestPace(t *testing.T) {
 	const gateways, few = 60, 20
 	play := func(t *testing.T, pace bool) (dropped, taken float64) {
@@ -53,22 +54,22 @@
 		}
 		f.run(10*time.Second, "")
 		slow = true
-		f.run(20*time.Second, "") // it settles
+		f.run(20*time.Second, "") // until the gap is stable
 		dropped, taken = 0, 0
 		for _, l := range f.traffic {
 			l.offered, l.refused = 0, 0
 		}
 		f.run(40*time.Second, "")
 		for _, l := range []*tenantTraffic{hot, calm} {
-			t.Logf("pace %v: %-4s worst 5 s %d of %d, %.4f refused", pace, l.tenant, l.maxInWindow(), l.bound(), l.refusedPart())
+			t.Logf("back-pressure %v: %-4s worst 5 s %d of %d, %.4f refused", pace, l.tenant, l.maxInWindow(), l.bound(), l.refusedPart())
 			if pace && l.maxInWindow() > l.bound() {
 				t.Errorf("%s passes %d in 5 s, bound %d", l.tenant, l.maxInWindow(), l.bound())
 			}
 		}
-		t.Logf("pace %v: %.0f of %.0f adds dropped; the pace is %v", pace, dropped, dropped+taken, f.machines[0].counter.sendInterval)
+		t.Logf("back-pressure %v: %.0f of %.0f adds dropped; the gap is %v", pace, dropped, dropped+taken, f.machines[0].counter.sendInterval)
 		if pace {
 			if calm.refusedPart() > 0.05 {
-				t.Errorf("calm is refused %.4f", calm.refusedPart())
+				t.Errorf("%.4f of the requests of tenant calm are refused", calm.refusedPart())
 			}
 			slow = false
 			for _, l := range wait {
@@ -77,7 +78,7 @@
 			wait = nil
 			f.run(50*time.Second, "")
 			if p := f.machines[0].counter.sendInterval; p != 0 {
-				t.Errorf("the pace is still %v", p)
+				t.Errorf("the gap is still %v", p)
 			}
 		}
 		return dropped, taken
@@ -87,6 +88,6 @@
 		t.Errorf("%.0f dropped, %.0f counted", dropped, taken)
 	}
 	if dropped, taken := play(t, false); dropped < taken/2 {
-		t.Errorf("without a pace %.0f dropped, %.0f counted: the holder is not slow", dropped, taken)
+		t.Errorf("without back-pressure %.0f dropped, %.0f counted: the holder is not overloaded", dropped, taken)
 	}
 }
--- a/internal/quotas/pack_test.go
+++ b/internal/quotas/pack_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestPack: what is packed comes back; only what is in use may be less, and a level more, by
-// less than a grain. Spoilt bytes are no items, and harm nobody.
+// TestPack checks that packed items decode to the original; only the units in use may be lower, and a level
+// higher, by less than their resolution. Corrupt bytes are rejected without harm.
 func TestPack(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	limits := map[string]Limit{}
@@ -28,7 +28,7 @@
 	for range 300 {
 		var items, back []Item
 		var totals, sums []Total
-		guesses := make([]int32, rng.IntN(20)) // right or not, as where a place is of another roster
+		guesses := make([]int32, rng.IntN(20)) // right or wrong, as places in another roster
 		for i := range guesses {
 			guesses[i] = rng.Int32N(400)
 		}
@@ -71,7 +71,7 @@
 	}
 }
 
-// old makes a message what a program of the version before understands of it.
+// old reduces a message to what the previous version of the program understands of it.
 func old(msg any) any {
 	switch m := msg.(type) {
 	case Add:
@@ -84,14 +84,13 @@
 	return msg
 }
 
-// TestMixed: gateways and holders of the version before among new ones, programs that are put
-// back, and gateways that have a configuration earlier than the holders: all units count, and
-// requests in quota pass.
+// TestMixed runs gateways and holders of the previous version among new ones, downgrades, and gateways with
+// an earlier configuration than the holders: all units count, and requests within quotas pass.
 func TestMixed(t *testing.T) {
 	for name, c := range map[string]struct {
-		olds   []int // boxes
+		olds   []int // machines
 		script string
-		later  bool // the holders' configuration comes late, and again another
+		later  bool // the holders get the configuration late, and then another one
 		byName float64
 	}{
 		"all new":             {nil, "", false, 0.05},
@@ -128,7 +127,7 @@
 				c.script = scriptFrom(c.script, until)
 				if c.later {
 					more := f.limits()
-					more[fmt.Sprintf("a%d", n)] = Limit{1 + float64(n), 5} // all numbers move
+					more[fmt.Sprintf("a%d", n)] = Limit{1 + float64(n), 5} // all places change
 					for i, b := range f.machines {
 						b.meter.SetLimits(f.now, more)
 						if i > 1 || n%3 == 0 {
@@ -144,13 +143,13 @@
 				}
 			}
 			if calm.refusedPart() > 0.01 || len(hot.passed) < 129*35*9/10 {
-				t.Errorf("calm refused %.4f, hot passed %d", calm.refusedPart(), len(hot.passed))
+				t.Errorf("%.4f of tenant calm refused, %d of tenant hot passed", calm.refusedPart(), len(hot.passed))
 			}
 			if by := float64(named) / float64(named+packed); by > c.byName {
-				t.Errorf("%.3f of the adds by names", by)
+				t.Errorf("%.3f of the adds name tenants", by)
 			}
 			if name == "all new" && brief < packed*9/10 {
-				t.Errorf("%d of %d packed adds are short", brief, packed)
+				t.Errorf("%d of %d packed adds are compact", brief, packed)
 			}
 		})
 	}
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -9,13 +9,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestBound lets tenants send many times their rate while others keep to
-// theirs, and brings about what the system must bear meanwhile.
+// TestBound lets some tenants send many times their rate while others stay below it, under the faults that
+// the system must tolerate.
 func TestBound(t *testing.T) {
 	const cut, healed = "18 nodes 6 0 1\n18 there 5 6 7", "35 heal 6 7 8 9 10\n36 nodes 11 0 1"
 	cases := []struct {
 		name, script string
-		calm         float64 // part of the requests in quota that may be refused
+		calm         float64 // part of the requests within quotas that may be refused
 	}{
 		{"quiet", "", 0.0005},
 		{"lossy", "0 loss 5", 0.001},
@@ -53,10 +53,10 @@
 					}
 				}
 				if calm.refusedPart() > c.calm {
-					t.Errorf("seed %d: %.4f of the requests in quota refused", seed, calm.refusedPart())
+					t.Errorf("seed %d: %.4f of the requests within quotas refused", seed, calm.refusedPart())
 				}
 				if len(hot.passed) < 129*40*9/10 {
-					t.Errorf("seed %d: of the hot tenant only %d pass", seed, len(hot.passed))
+					t.Errorf("seed %d: only %d requests of the overloaded tenant pass", seed, len(hot.passed))
 				}
 				t.Logf("%d messages a second", f.sends/45)
 			}
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestHunt lets faults follow one another in any order, holders among them.
+// TestHunt runs random sequences of faults, also of holders.
 func TestHunt(t *testing.T) {
 	const n = 13
 	for seed := range uint64(12) {
@@ -107,13 +107,13 @@
 	for _, s := range []struct {
 		ms    int
 		units float64
-		after int // 0: passes
+		after int // 0: allowed
 	}{
 		{1000, 1, 0}, {1000, 1, 0}, {1000, 1, 0}, {1000, 1, 100}, {1050, 1, 50}, {1050, 2, 150},
 		{1100, 1, 0}, {1100, 1, 100}, {1300, 2, 0}, {1350, 1, 50}, {1500, 3, 100}, {1600, 3, 0},
 	} {
 		m.tickAt = time.Duration(s.ms) * time.Millisecond
-		e.cur.acked = e.cur.sum // neither stalls nor the lead are what is judged here
+		e.cur.acked = e.cur.sum // only the test is checked here: nothing is unacknowledged, and there is no stall
 		ok, after := m.Allow(time.Duration(s.ms)*time.Millisecond, "t", s.units)
 		if want := time.Duration(s.after) * time.Millisecond; ok != (s.after == 0) || after != want {
 			t.Fatalf("%v units at %d ms: %v, after %v, want %v", s.units, s.ms, ok, after, want)
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestChange moves a limit to and fro: no change leaves more room than there was.
+// TestChange changes a limit in both directions: no change makes more units available.
 func TestChange(t *testing.T) {
 	m := NewMeter("a", 1, 1)
 	now := time.Hour
@@ -138,12 +138,12 @@
 		{10, 10, 6}, {100, 100, 6}, {1, 100, 6}, {10, 4, 4}, {10, 10, 4}, {0.5, 1, 1}, {50, 500, 1},
 	} {
 		if room := set(l.rate, l.burst); room < l.room-1e-3 || room > l.room+1e-3 {
-			t.Fatalf("%v a second, burst %v: room %v, want %v", l.rate, l.burst, room, l.room)
+			t.Fatalf("%v a second, burst %v: %v units available, want %v", l.rate, l.burst, room, l.room)
 		}
 	}
 }
 
-// TestSums gives a counter adds that come late, twice, and from earlier lives.
+// TestSums gives a counter adds that are late, duplicate, or from earlier incarnations.
 func TestSums(t *testing.T) {
 	c := NewCounter("h", 1)
 	ask := func(from string, life, sum uint64) Total {
@@ -161,10 +161,10 @@
 	}{
 		{"a", 1, 5000, Total{Own: 5000}},
 		{"b", 1, 2000, Total{Others: 5000, Own: 2000}},
-		{"a", 1, 5000, Total{Others: 2000, Own: 5000}}, // twice
+		{"a", 1, 5000, Total{Others: 2000, Own: 5000}}, // duplicate
 		{"a", 1, 3000, Total{Others: 2000, Own: 5000}}, // late
-		{"a", 2, 1000, Total{Others: 2000, Own: 1000}}, // restarted: its own past is not others'
-		{"a", 1, 6000, Total{Others: 2000, Own: 6000}}, // late, of the earlier life
+		{"a", 2, 1000, Total{Others: 2000, Own: 1000}}, // restarted: the sum of its earlier incarnation is not others'
+		{"a", 1, 6000, Total{Others: 2000, Own: 6000}}, // late, of the earlier incarnation
 		{"b", 1, 2000, Total{Others: 7000, Own: 2000}},
 	} {
 		if diff := cmp.Diff(s.want, ask(s.from, s.life, s.sum)); diff != "" {
@@ -172,15 +172,15 @@
 		}
 	}
 	if l := c.tenants["t"].level; l < 8.9 || l > 9.1 {
-		t.Errorf("level %v of 9 units passed", l)
+		t.Errorf("level %v after 9 units passed", l)
 	}
 	c.Tick(2 * time.Minute)
 	if len(c.tenants) > 0 {
-		t.Error("names outlive their periods")
+		t.Error("periods are kept after their time")
 	}
 }
 
-// TestPeriods: a period is over after 20 s, or where another holder's is in use.
+// TestPeriods checks that a new period is issued after 20 s, or where another holder's is in use.
 func TestPeriods(t *testing.T) {
 	one, two := NewCounter("one", 1), NewCounter("two", 1)
 	var last uint64
@@ -201,7 +201,8 @@
 	}
 }
 
-// TestLevel: what a holder has missed is no news to those it was told by.
+// TestLevel checks that units which a holder sees late, but which had been reported to others, don't raise
+// its level.
 func TestLevel(t *testing.T) {
 	c := NewCounter("h", 1)
 	level := func(it Item) float64 {
@@ -224,8 +225,8 @@
 	}
 }
 
-// TestLead: a gateway doesn't take all that is left before others hear of it, and
-// knows nothing of a tenant whose names have come and gone.
+// TestLead checks that a gateway doesn't pass all available units before others learn of it, and that a
+// tenant whose periods have ended is unread.
 func TestLead(t *testing.T) {
 	m := NewMeter("a", 1, 1)
 	m.SetGateways(0, 10, []string{"b", "c"})
@@ -244,16 +245,16 @@
 		m.prev, m.period = m.period, period
 		m.refresh(now, e)
 		if !e.levelRead {
-			t.Fatalf("unseen in period %d", period)
+			t.Fatalf("unread in period %d", period)
 		}
 	}
 	m.prev, m.period = 4, 5
 	if m.refresh(now, e); e.levelRead {
-		t.Error("seen after two periods at once")
+		t.Error("still read after two periods at once")
 	}
 }
 
-// TestRest: once all has been told, nothing is sent for tenants that rest.
+// TestRest checks that nothing is sent for idle tenants once all has been reported.
 func TestRest(t *testing.T) {
 	f := newTestFleet(t, 3, 1, &tenantTraffic{tenant: "t", limit: Limit{10, 10}, burst: 20, burstInterval: 5 * time.Second})
 	f.run(6*time.Second, "")
@@ -263,11 +264,11 @@
 	settled := f.sends
 	f.run(60*time.Second, "")
 	if before == 0 || f.sends != settled {
-		t.Errorf("%d messages, then %d more for a tenant at rest", before, f.sends-settled)
+		t.Errorf("%d messages, then %d more for an idle tenant", before, f.sends-settled)
 	}
 }
 
-// BenchmarkFleet is a second of 91 gateways and 85 tenants, 2,000 requests.
+// BenchmarkFleet measures a second of 91 gateways and 85 tenants with 2,000 requests.
 func BenchmarkFleet(b *testing.B) {
 	var flows []*tenantTraffic
 	for i := range 85 {
--- a/internal/quotas/region_test.go
+++ b/internal/quotas/region_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// TestRegions: three regions 55 ms apart, the holders in two of them. What is passed beyond a
-// quota within 5 s stays within its margin, with tenants at ten times their rate from one
-// moment to the next and clients that come back at once.
+// TestRegions checks the bound with three regions 55 ms apart and the holders in two of them, tenants that
+// start to send ten times their rate in an instant, and clients that retry at once.
 func TestRegions(t *testing.T) {
 	for _, n := range []int{12, 30, 90} {
 		f := regions(t, n, 1)
@@ -22,9 +21,9 @@
 	}
 }
 
-// TestRegionsServe: the same, and of each tenant below its rate at most 1% is refused, in the
-// first play and over eight plays: one offers the small tenant 280 requests, of which three
-// may be refused, so that one alone tells little.
+// TestRegionsServe checks in the same runs that at most 1% of the requests of each tenant below its rate
+// are refused, in the first run and over eight runs together: in one the small tenant sends 280 requests,
+// of which three may be refused, which alone tells little.
 func TestRegionsServe(t *testing.T) {
 	for _, n := range []int{12, 30, 90} {
 		sums := map[string]*tenantTraffic{}
@@ -41,14 +40,15 @@
 				sum.offered, sum.refused = sum.offered+l.offered, sum.refused+l.refused
 				t.Logf("%d gateways, seed %d: %-10s %d of %d refused, %.5f; over all %.5f", n, 1+seed, l.tenant, l.refused, l.offered, l.refusedPart(), sum.refusedPart())
 				if (seed == 0 || seed == 7) && sum.refusedPart() > 0.01 {
-					t.Errorf("%s is refused %.5f below its rate", l.tenant, sum.refusedPart())
+					t.Errorf("%s is below its rate, and %.5f of its requests are refused", l.tenant, sum.refusedPart())
 				}
 			}
 		}
 	}
 }
 
-// regions plays 10 s in quota, and 20 s more, of which the flows tell what is offered and refused.
+// regions runs 10 s within quotas, and 20 s more, for which the traffic has the counts of offered and
+// refused requests.
 func regions(t *testing.T, n int, seed uint64) *testFleet {
 	flows := []*tenantTraffic{
 		{tenant: "hot", limit: Limit{129, 129}, rate: 90},
--- a/internal/quotas/roundtrip_test.go
+++ b/internal/quotas/roundtrip_test.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// TestGaps: a way within a gap leaves it as it is, to the bit; a longer one, measured by the
-// least of a while, makes it longer, up to a bound.
+// TestGaps checks that a round trip within a timeout leaves it exactly unchanged, and that a longer one,
+// the minimum of a while, extends it up to a bound.
 func TestGaps(t *testing.T) {
 	const ms = time.Millisecond
 	var w roundTrip
 	is := func(gap, want time.Duration) {
 		t.Helper()
 		if got := w.extend(gap); got != want {
-			t.Errorf("way %v: gap %v is %v, want %v", w.value(), gap, got, want)
+			t.Errorf("round trip %v: timeout %v is %v, want %v", w.value(), gap, got, want)
 		}
 	}
 	is(retryGap, retryGap) // nothing measured
 	w.observe(0, 900*ms)
 	is(retryGap, retryGap+(maxRoundTrip-retryGap)*5/4)
 	w.observe(10*ms, 110*ms)
-	w.observe(20*ms, 400*ms) // held up
+	w.observe(20*ms, 400*ms) // delayed
 	is(retryGap, 60*ms+50*ms*5/4)
 	is(probeTimeout, 90*ms+20*ms*5/4)
 	is(silentAfter, silentAfter)
 	w.observe(30*ms, 30*ms)
 	is(freshAnswer, freshAnswer)
-	w.observe(31*time.Second, 110*ms) // the way has become longer
+	w.observe(31*time.Second, 110*ms) // the round trip has become longer
 	is(retryGap, retryGap)
 	w.observe(62*time.Second, 110*ms)
 	is(retryGap, 60*ms+50*ms*5/4)
 }
 
-// TestMute: a holder 110 ms away isn't mute before its answer can be back, and is soon after.
+// TestMute checks that a holder with a round trip of 110 ms isn't silent before its answer could have come,
+// and is soon after.
 func TestMute(t *testing.T) {
 	const way = 110 * time.Millisecond
 	now := time.Second
@@ -50,19 +51,19 @@
 		}
 		m.Receive(now+way, "b", Answer{Incarnation: 1, Timestamp: now})
 	}
-	// by 60 ms more than a repetition waits: what goes through other regions varies by more than what stays in one
+	// 60 ms more than a repetition waits: routes through other regions vary by more than those within one
 	for after, mute := range map[time.Duration]bool{retryGap: false, way: false, 182 * time.Millisecond: false, 183 * time.Millisecond: true} {
 		if m.ReadOverdue(now+after, "b") != mute {
-			t.Errorf("mute %v after %v", !mute, after)
+			t.Errorf("overdue %v after %v", !mute, after)
 		}
 	}
 	if m.holdersSilent(now+silentAfter) || m.holderAnswers(now+silentAfter+63*time.Millisecond, 0) {
-		t.Error("taken as silent too early, or never")
+		t.Error("counts as silent too early, or never")
 	}
 }
 
-// TestAsked: a gateway 110 ms away is out of sight only after its sign could have come, where
-// it gives the question's stamp back; signs that nobody asked for tell nothing of the way.
+// TestAsked checks that a gateway with a round trip of 110 ms is missing only after its answer could have
+// come, if it echoes the timestamp of the probe; adds that answer no probe don't measure the round trip.
 func TestAsked(t *testing.T) {
 	for _, stamped := range []bool{true, false} {
 		now := time.Second
@@ -83,13 +84,13 @@
 				}
 			}
 			if c.detector.missing(asked+80*time.Millisecond) != 0 {
-				t.Error("out of sight before the gap is over")
+				t.Error("missing before the timeout")
 			}
 			if lost := c.detector.missing(asked+100*time.Millisecond) > 0; lost != (c.detector.peers["b"].rtt.value() == 0) {
-				t.Errorf("stamped %v: out of sight after 100 ms: %v", stamped, lost)
+				t.Errorf("echoed timestamp %v: missing after 100 ms: %v", stamped, lost)
 			}
 			if c.detector.missing(asked+120*time.Millisecond) != 1 {
-				t.Error("in sight after 120 ms")
+				t.Error("not missing after 120 ms")
 			}
 			sign := Add{Incarnation: 1, AnswersProbes: true}
 			if stamped {
@@ -99,7 +100,7 @@
 			c.Receive(now, "b", sign)
 		}
 		if known := c.detector.peers["b"].rtt.value() == 110*time.Millisecond; known != stamped {
-			t.Errorf("stamped %v: the way is known: %v", stamped, known)
+			t.Errorf("echoed timestamp %v: the round trip is known: %v", stamped, known)
 		}
 	}
 }
--- a/internal/quotas/sim_test.go
+++ b/internal/quotas/sim_test.go
@@ -13,14 +13,14 @@
 	"asterwell/internal/fsm"
 )
 
-// testMachine is one machine: a gateway, and a counter that may be a holder.
+// testMachine is one simulated machine: a gateway, and a counter that may be a holder.
 type testMachine struct {
 	addr                      string
 	incarnation               uint64
 	meter                     *Meter
 	counter                   *Counter
-	dead, partitioned, frozen bool // those cut off reach each other
-	oldVersion                bool // runs the program of the version before, as far as messages tell
+	dead, partitioned, frozen bool // partitioned machines reach each other
+	oldVersion                bool // understands messages as the previous version of the program does
 	undelivered               []delivery
 	waiting                   []string // requests that wait for a frozen gateway
 	tickAt                    time.Duration
@@ -32,17 +32,17 @@
 	msg      any
 }
 
-// tenantTraffic offers requests of a tenant: at a rate, or in bursts every so often.
+// tenantTraffic sends requests of a tenant: at a rate, or in bursts.
 type tenantTraffic struct {
 	tenant           string
 	limit            Limit
 	rate             float64
-	firstGatewayPart float64 // part of it that goes to the first gateway
+	firstGatewayPart float64 // part of the requests that goes to the first gateway
 	burst            int
 	burstInterval    time.Duration // between bursts
-	burstSpread      time.Duration // a burst is spread over
+	burstSpread      time.Duration // time over which a burst is spread
 	burstToOne       bool          // a burst goes to one gateway
-	clientRetries    int           // how often a client that is refused comes back at once
+	clientRetries    int           // how often a client retries a refused request at once
 	target           *testMachine
 
 	passed  []time.Duration
@@ -63,14 +63,14 @@
 	sends      int
 	retries    []clientRetry
 	byAddr     map[string]*testMachine
-	onSend     func(from, to *testMachine, msg any)      // of each message that is sent, once
-	beforeTick func(b *testMachine)                      // before each tick of a meter
-	delay      func(from, to *testMachine) time.Duration // one way, above the millisecond or two of all
-	holdBack   func(to *testMachine, l delivery) bool    // says whether it takes a letter for later
-	eachStep   func()                                    // each ms
+	onSend     func(from, to *testMachine, msg any)      // called once for each message that is sent
+	beforeTick func(b *testMachine)                      // called before each tick of a meter
+	delay      func(from, to *testMachine) time.Duration // one way, beyond the base delay of 1 to 2 ms
+	holdBack   func(to *testMachine, l delivery) bool    // reports whether it keeps the delivery for later
+	eachStep   func()                                    // called each millisecond
 }
 
-// clientRetry is a refused request that comes back.
+// clientRetry is a refused request that is sent again.
 type clientRetry struct {
 	at   time.Duration
 	flow *tenantTraffic
@@ -110,7 +110,7 @@
 	b.tickAt = f.now + time.Duration(f.rng.IntN(50))*time.Millisecond
 }
 
-// announceGateways tells the counters which gateways there are, as those in touch see it.
+// announceGateways tells the counters which gateways there are, as each side of a partition sees it.
 func (f *testFleet) announceGateways() {
 	for _, b := range f.machines {
 		var there []string
@@ -132,7 +132,7 @@
 		nums = append(nums, n)
 	}
 	switch w[0] {
-	case "nodes", "there": // as those in touch, or those cut off, see it
+	case "nodes", "there": // for the machines that are not partitioned, or those that are
 		var holders []string
 		for _, n := range nums[1:] {
 			holders = append(holders, f.machines[n].addr)
@@ -172,7 +172,7 @@
 			for _, l := range b.undelivered {
 				f.deliver(b, l)
 			}
-			for _, tenant := range b.waiting { // late for their clients: refusing them is no loss
+			for _, tenant := range b.waiting { // too late for their clients: refusals don't count
 				l := f.trafficOf(tenant)
 				offered, refused := l.offered, l.refused
 				f.pass(b, tenant)
@@ -196,13 +196,13 @@
 		if f.onSend != nil {
 			f.onSend(b, f.machineAt(s.To), s.Msg)
 		}
-		for range 1 + f.rng.IntN(50)/49 { // some come twice
+		for range 1 + f.rng.IntN(50)/49 { // some are duplicated
 			if f.rng.Float64() < f.loss {
 				continue
 			}
 			d := time.Millisecond + time.Duration(f.rng.IntN(1000))*time.Microsecond
 			if f.loss > 0 && f.rng.IntN(50) == 0 {
-				d += 300 * time.Millisecond // and some late
+				d += 300 * time.Millisecond // and some delayed
 			}
 			if f.delay != nil {
 				d += f.delay(b, f.machineAt(s.To))
@@ -236,13 +236,13 @@
 	} else {
 		l.refused++
 		if after <= 0 {
-			f.t.Errorf("refused with no time to come back after")
+			f.t.Errorf("refused without a retry time")
 		}
 	}
 	return ok
 }
 
-// offer sends a request to a gateway that is up, as the clients' side would.
+// offer sends a request to a gateway that is up, as a load balancer would.
 func (f *testFleet) offer(l *tenantTraffic, to *testMachine) {
 	f.offerWithRetries(l, to, l.clientRetries)
 }
@@ -298,7 +298,7 @@
 		if f.now < 5*time.Second {
 			break // traffic starts after the machines
 		}
-		for p := l.rate / 1000; f.rng.Float64() < p/(1+p); { // about Poisson
+		for p := l.rate / 1000; f.rng.Float64() < p/(1+p); { // approximately Poisson
 			f.offer(l, f.pickGateway(l))
 		}
 		if l.burst == 0 {
@@ -335,7 +335,7 @@
 	}
 }
 
-// run plays a script of lines "SECONDS order" up to a time.
+// run executes a script of lines "SECONDS COMMAND" up to a time.
 func (f *testFleet) run(until time.Duration, script string) {
 	type order struct {
 		at   time.Duration
@@ -360,11 +360,11 @@
 	}
 }
 
-// scriptFrom is what a script has left after a time.
+// scriptFrom returns the lines of a script from a time on.
 func scriptFrom(script string, at time.Duration) (left string) {
 	for line := range strings.Lines(script) {
 		s, _, _ := strings.Cut(strings.TrimSpace(line), " ")
-		if n, err := strconv.ParseFloat(s, 64); err == nil && time.Duration(n*1e9) >= at { // what is due at the end of a run is left
+		if n, err := strconv.ParseFloat(s, 64); err == nil && time.Duration(n*1e9) >= at { // what is due at the very end of a run was not executed
 			left += line
 		}
 	}
@@ -373,7 +373,7 @@
 
 const window = 5 * time.Second
 
-// maxInWindow is the largest number of passes in a window.
+// maxInWindow is the largest number of passed requests in a window.
 func (l *tenantTraffic) maxInWindow() int {
 	most, i := 0, 0
 	for j, at := range l.passed {
--- a/internal/quotas/slow_test.go
+++ b/internal/quotas/slow_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// A hundred real processes on a busy machine passed 436 and 447 requests of a tenant within 5 s, of 416, and none of them
-// was cut off (soak, seeds 301 and 302). Answers took some hundred milliseconds there. Until the first one is back each
-// gateway passes a unit, whatever the quota, and one more with each read that is late: a hundred of them pass more than the margin bears.
+// A hundred real processes on a busy machine passed 436 and 447 requests of a tenant within 5 s, of 416,
+// without any partition (soak, seeds 301 and 302). Answers took some hundred milliseconds. Until the first
+// one is back each gateway passes a unit, whatever the quota, and one more with each late read: a hundred
+// of them pass more than the margin covers.
 func TestManySlowGateways(t *testing.T) {
 	for seed := range uint64(3) {
 		hot := &tenantTraffic{tenant: "t", limit: Limit{60, 60}}
--- a/internal/quotas/sums_test.go
+++ b/internal/quotas/sums_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestSumsTable: the table says what a map would, with few lives and many, also where their numbers lie apart.
+// TestSumsTable compares the table with a map, for few and many incarnations, also with sparse numbers.
 func TestSumsTable(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -23,7 +23,7 @@
 			}
 			units, known := s.get(life)
 			if was, there := like[life]; was != units || there != known {
-				t.Fatalf("seed %d: life %d has %d %v, not %d %v", seed, life, units, known, was, there)
+				t.Fatalf("seed %d: incarnation %d has %d %v, want %d %v", seed, life, units, known, was, there)
 			}
 			units = rng.Uint64() >> rng.IntN(64)
 			s.set(life, units)
@@ -31,7 +31,7 @@
 		}
 		for life, units := range like {
 			if is, known := s.get(life); !known || is != units {
-				t.Fatalf("seed %d: life %d has %d %v, not %d", seed, life, is, known, units)
+				t.Fatalf("seed %d: incarnation %d has %d %v, want %d", seed, life, is, known, units)
 			}
 		}
 		if s.used != len(like) || 4*s.used > 3*len(s.cells) {
@@ -40,8 +40,9 @@
 	}
 }
 
-// TestNamesSize: what a holder keeps of a fleet of the size to design for, 0.93 million sums in each of two periods, is within 42 MB, so that
-// with all else that it has it stays below what its collector is bound to. Of the period before the last but one nothing is left.
+// TestNamesSize checks that the sums of the largest supported fleet, 0.93 million in each of two periods,
+// take at most 42 MB, so that a holder with all its other data stays below its memory limit. Nothing is
+// left of the period before the previous one.
 func TestNamesSize(t *testing.T) {
 	var c *Counter
 	heap := func() uint64 {
@@ -71,7 +72,7 @@
 		for g, from := range names {
 			var items []Item
 			for i, tenant := range r.names {
-				if rng.Float64() > math.Exp(-531/float64(i+1)) { // as the plan's peak lets a gateway see it in 20 s
+				if rng.Float64() > math.Exp(-531/float64(i+1)) { // the part of the tenants that a gateway sees within 20 s at the planned peak
 					items = append(items, Item{Tenant: tenant, Period: period << tagBits, Sum: milliUnits, Unreported: milliUnits, Interval: r.intervals[i]})
 				}
 			}
@@ -87,13 +88,13 @@
 	}
 	now += periodLength * 3 / 2
 	if c.Tick(now); len(c.tenants) > 0 && len(c.tenants[r.names[0]].periods) > 0 {
-		t.Errorf("%d names are left after a period and a half without traffic", len(c.tenants[r.names[0]].periods))
+		t.Errorf("%d periods are left after a period and a half without traffic", len(c.tenants[r.names[0]].periods))
 	}
 	runtime.KeepAlive(c)
 }
 
-// BenchmarkCount is what a holder does for an add of ten items, of 12,000 tenants and 490 gateways: by index of a
-// roster, and far from any cache.
+// BenchmarkCount measures a holder's work for an add of ten items, with 12,000 tenants and 490 gateways: by
+// places in a roster, and far from any cache.
 func BenchmarkCount(b *testing.B) {
 	f := newTestFleet(nil, 2, 1, size{490, 12000, 265, 2}.flows()...)
 	c, roster := f.machines[0].counter, f.machines[0].counter.rosters[0]
--- a/internal/quotas/wire_test.go
+++ b/internal/quotas/wire_test.go
@@ -9,18 +9,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// wired is what a fleet's counters cost on the wire in a second, in frames as daemon makes
-// them: 7 bytes, the sender's address, and the message in cbor.
+// wired is the traffic of a fleet's counters in a second, in frames as package daemon makes them: 7 bytes,
+// the sender's address, and the message in CBOR.
 type wired struct {
-	gateway       float64 // sent and received by one that holds nothing, the middle of all
+	gateway       float64 // sent and received by a gateway that is no holder (the median)
 	messages      float64
 	first, second float64 // by the holders
-	adds, answers float64 // of gateway
+	adds, answers float64 // per gateway
 	refused       float64 // part of the requests
 }
 
-// size is a fleet's: requests a second at each gateway, tenants of whom the first have most
-// (as in a scale run), and each quota so many times what its tenant sends.
+// size describes a fleet: requests a second at each gateway, tenants of which the first get most (as in a
+// scale run), and each quota as a multiple of what its tenant sends.
 type size struct {
 	gateways, tenants int
 	rate, quota       float64
@@ -85,7 +85,7 @@
 		w.gateway, w.adds, w.answers, w.messages, w.first, w.second, w.refused)
 }
 
-// BenchmarkWire is the table of docs/results/quota.md: go test -bench Wire -benchtime 1x.
+// BenchmarkWire makes the table of docs/results/quota.md: go test -bench Wire -benchtime 1x.
 func BenchmarkWire(b *testing.B) {
 	for _, s := range []size{{23, 85, 20, 2}, {23, 85, 100, 2}, {23, 85, 265, 2}, {23, 3000, 265, 2}, {23, 12000, 265, 2},
 		{91, 85, 20, 2}, {91, 85, 265, 2}, {91, 12000, 265, 2}, {91, 85, 20, 1.28}, {490, 85, 265, 2}, {490, 12000, 265, 2}} {
