--- a/internal/quotas/basis.go
+++ b/internal/quotas/basis.go
@@ -77,11 +77,11 @@
 }
 
 // noteBehind records by how much a holder's level exceeds the usage assumed here.
-func (m *Meter) noteBehind(e *tenantState, t Total, stamp fsm.Time) {
+func (m *Meter) noteBehind(e *tenantState, t Total, timestamp fsm.Time) {
 	if !e.levelRead || !t.LevelKnown {
 		return
 	}
-	behind := float64(t.Level)/milliUnits + e.unacked() - float64(e.tat-stamp)/e.interval
+	behind := float64(t.Level)/milliUnits + e.unacked() - float64(e.tat-timestamp)/e.interval
 	if behind < 1 {
 		return
 	}
--- a/internal/quotas/compact.go
+++ b/internal/quotas/compact.go
@@ -108,7 +108,7 @@
 }
 
 // RequestTimestamp returns the timestamp of the add that is answered.
-func (a Answer) RequestTimestamp() (stamp fsm.Time, ok bool) {
+func (a Answer) RequestTimestamp() (timestamp fsm.Time, ok bool) {
 	switch {
 	case len(a.Compact) == 0:
 		return a.Timestamp, true
@@ -117,13 +117,13 @@
 	}
 	u := unpacker{b: a.Compact[5:]}
 	u.uvarint() // skip the period
-	stamp = fsm.Time(u.uvarint())
-	return stamp, !u.invalid
+	timestamp = fsm.Time(u.uvarint())
+	return timestamp, !u.invalid
 }
 
 // expand decodes a compact answer; any other is returned as it is. lost: the holder doesn't know the
 // incarnation, and took nothing.
-func (a Answer) expand(incarnation uint64) (expanded Answer, lost, ok bool) {
+func (a Answer) expand(incarnation uint64) (expanded Answer, unknown, ok bool) {
 	if len(a.Compact) == 0 {
 		return a, false, true
 	}
--- a/internal/quotas/compact_test.go
+++ b/internal/quotas/compact_test.go
@@ -122,8 +122,8 @@
 func TestBriefPassedOn(t *testing.T) {
 	c := NewCounter("h", 1)
 	c.Receive(time.Second, "g", Add{Incarnation: 9, Timestamp: time.Second, Read: true, Items: []Item{{Tenant: "t", Sum: 5 * milliUnits, Unreported: 5 * milliUnits, Interval: 1e5}}})
-	if out := c.Receive(time.Second, "g", Add{}); out != nil || c.offsets["g"].life != 9 {
-		t.Errorf("%+v, incarnation %d", out, c.offsets["g"].life)
+	if out := c.Receive(time.Second, "g", Add{}); out != nil || c.offsets["g"].incarnation != 9 {
+		t.Errorf("%+v, incarnation %d", out, c.offsets["g"].incarnation)
 	}
 	short := Add{Incarnation: 9, Timestamp: 2 * time.Second, Read: true, Period: c.highestPeriod, RosterHash: 7}.compact()
 	out := c.Receive(2*time.Second, "g", short)
--- a/internal/quotas/counter.go
+++ b/internal/quotas/counter.go
@@ -138,7 +138,7 @@
 
 // Receive takes an add into the sums, and returns the answer to it, if it wants one.
 func (c *Counter) Receive(now fsm.Time, from string, msg any) []fsm.Send {
-	if ask, ok := msg.(Answer); ok && ask.Probe {
+	if probe, ok := msg.(Answer); ok && probe.Probe {
 		c.detector.heartbeat(now, from, true)
 		return nil
 	}
@@ -146,14 +146,14 @@
 	if !ok {
 		return nil
 	}
-	brief := len(a.Compact) > 0
-	if brief {
-		folded, there := a.foldedIncarnation()
+	compact := len(a.Compact) > 0
+	if compact {
+		folded, valid := a.foldedIncarnation()
 		o, known := c.offsets[from]
-		if a, ok = a.Expand(o.life); !there || !ok {
+		if a, ok = a.Expand(o.incarnation); !valid || !ok {
 			return nil
 		}
-		if !known || foldIncarnation(o.life) != folded { // this process has restarted, or forgotten the gateway, since it answered a full add
+		if !known || foldIncarnation(o.incarnation) != folded { // this process has restarted, or forgotten the gateway, since it answered a full add
 			return []fsm.Send{{To: from, Msg: Answer{Period: c.highestPeriod, Timestamp: a.Timestamp}.unknownIncarnation(folded)}}
 		}
 	} else if a.Incarnation == 0 { // a compact add that was relayed by a process of a version without them
@@ -171,9 +171,9 @@
 		}
 	}
 	newest := roster != nil && roster == c.rosters[0]
-	thawed := c.tickAt != 0 && now-c.tickAt > listenTime
-	if !c.heard || now-c.heardAt > levelExpiry || thawed {
-		c.heard, c.listeningSince, c.resumed = true, now, thawed
+	resumed := c.tickAt != 0 && now-c.tickAt > listenTime
+	if !c.heard || now-c.heardAt > levelExpiry || resumed {
+		c.heard, c.listeningSince, c.resumed = true, now, resumed
 		c.detector.watch(now)
 	}
 	c.heardAt = now
@@ -206,7 +206,7 @@
 		}
 		usage.drain(now, c.listeningSince, item)
 		level := usage.level
-		others, mine := usage.add(now, incarnations, item)
+		others, own := usage.add(now, incarnations, item)
 		if len(usage.periods) > maxPeriods && len(c.detector.gateways) > largeFleet {
 			usage.periods = slices.Delete(usage.periods, 0, 1)
 		}
@@ -221,7 +221,7 @@
 		if item.Used > 0 && late == 0 { // a new holder, or one that is told only now and then, may have missed some usage
 			usage.level = max(usage.level, float64(item.Used-1)/milliUnits)
 		}
-		out.Totals = append(out.Totals, Total{Tenant: item.Tenant, Period: item.Period, Others: others, Own: mine,
+		out.Totals = append(out.Totals, Total{Tenant: item.Tenant, Period: item.Period, Others: others, Own: own,
 			Level: uint64(usage.level * milliUnits), LevelKnown: now-c.listeningSince >= listenTime && item.Interval > 0})
 	}
 	if a.Read {
@@ -239,7 +239,7 @@
 		out.PackedAccepted = true
 		out.Packed, out.Totals = roster.packTotals(out.Period, out.Totals, places)
 	}
-	if out.ReadsCompact = true; brief {
+	if out.ReadsCompact = true; compact {
 		out = out.compact()
 	}
 	return []fsm.Send{{To: from, Msg: out}}
@@ -269,7 +269,7 @@
 // add takes an item into its period, and returns the sum of the other gateways and that of this
 // incarnation. Units that this holder sees for the first time need not be recent: only Unreported is added
 // to the level, the rest has drained long ago.
-func (l *tenantUsage) add(now fsm.Time, incarnations []incarnation, it Item) (others, mine uint64) {
+func (l *tenantUsage) add(now fsm.Time, incarnations []incarnation, it Item) (others, own uint64) {
 	period := l.periodOf(it.Period)
 	if period == nil {
 		next := periodTotals{period: it.Period, startedAt: now}
@@ -281,19 +281,19 @@
 	}
 	period.usedAt = now
 	last := incarnations[len(incarnations)-1].number
-	was, known := period.sums.get(last)
-	if more := it.Sum - min(it.Sum, was); more > 0 || !known {
-		l.level += float64(min(more, it.Unreported)) / milliUnits
-		period.sums.set(last, was+more)
-		period.total += more
+	old, known := period.sums.get(last)
+	if increase := it.Sum - min(it.Sum, old); increase > 0 || !known {
+		l.level += float64(min(increase, it.Unreported)) / milliUnits
+		period.sums.set(last, old+increase)
+		period.total += increase
 	}
-	mine = was + it.Sum - min(it.Sum, was)
-	others = period.total - mine
+	own = old + it.Sum - min(it.Sum, old)
+	others = period.total - own
 	for _, v := range incarnations[:len(incarnations)-1] {
 		units, _ := period.sums.get(v.number)
 		others -= units
 	}
-	return others, mine
+	return others, own
 }
 
 // others is the sum without any incarnation of a gateway.
--- a/internal/quotas/detector.go
+++ b/internal/quotas/detector.go
@@ -108,7 +108,7 @@
 	s.forgiveStall(now)
 	s.tickAt = now
 	other, active := s.otherHolder(), s.reportedAt != 0 && now-s.reportedAt < reportedWithin
-	if v := s.peers[other]; active && v.probedAt != 0 && now-v.probedAt >= v.rtt.extend(holderProbeTimeout) {
+	if p := s.peers[other]; active && p.probedAt != 0 && now-p.probedAt >= p.rtt.extend(holderProbeTimeout) {
 		s.watchAt = now
 	}
 	watching := s.watching(now)
@@ -118,18 +118,18 @@
 	s.probing = watching
 	repeat := now-s.repeatAt >= s.scaled(probeTimeout)
 	for _, n := range s.gateways {
-		v := s.peers[n]
+		p := s.peers[n]
 		if !watching && !(active && n == other) {
-			v.probedAt = 0
-			s.peers[n] = v
+			p.probedAt = 0
+			s.peers[n] = p
 			continue
 		}
-		if n == s.self || !v.worthProbing() || now-v.heardAt < s.scaled(probeAfter) || v.probedAt != 0 && !repeat {
+		if n == s.self || !p.worthProbing() || now-p.heardAt < s.scaled(probeAfter) || p.probedAt != 0 && !repeat {
 			continue
 		}
-		if v.probedAt == 0 {
-			v.probedAt = now
-			s.peers[n] = v
+		if p.probedAt == 0 {
+			p.probedAt = now
+			s.peers[n] = p
 		}
 		out = append(out, fsm.Send{To: n, Msg: Answer{Probe: true, Timestamp: now}})
 	}
--- a/internal/quotas/late.go
+++ b/internal/quotas/late.go
@@ -16,20 +16,20 @@
 
 // offset is the difference between the clock of the counter and that of a gateway.
 type offset struct {
-	life uint64
+	incarnation uint64
 	windowedMin
 }
 
 // lateness is how much longer an add was under way than others of the gateway; 0 below lateAdd.
 func (c *Counter) lateness(now fsm.Time, from string, a Add) time.Duration {
-	by := now - a.Timestamp
+	delta := now - a.Timestamp
 	o := c.offsets[from]
-	if o.life != a.Incarnation {
-		o = offset{life: a.Incarnation}
+	if o.incarnation != a.Incarnation {
+		o = offset{incarnation: a.Incarnation}
 	}
-	o.observe(now, by)
+	o.observe(now, delta)
 	c.offsets[from] = o
-	if late := by - o.value(); late > lateAdd {
+	if late := delta - o.value(); late > lateAdd {
 		return late
 	}
 	return 0
--- a/internal/quotas/meter.go
+++ b/internal/quotas/meter.go
@@ -65,9 +65,9 @@
 
 // unreportedSpan is the time in which other gateways may have passed units that the answer doesn't have. It
 // is 0 for a near holder, whose delay is within the margin of the quota.
-func (s *holderState) unreportedSpan(now, stamp fsm.Time) fsm.Time {
+func (s *holderState) unreportedSpan(now, timestamp fsm.Time) fsm.Time {
 	if s.far() {
-		return now - stamp
+		return now - timestamp
 	}
 	return 0
 }
@@ -175,28 +175,28 @@
 	m.updatePeak(now)
 	m.noteLosses(now)
 	var next [2]holderState
-	var from [2]int
+	var previous [2]int
 	for i := range next {
-		from[i] = -1
+		previous[i] = -1
 		if i >= len(holders) {
 			continue
 		}
 		next[i].resendAll = true
 		next[i].addr, next[i].self = holders[i], holders[i] == m.self
 		if j := m.holderIndex(holders[i]); j >= 0 {
-			next[i], from[i] = m.holders[j], j
+			next[i], previous[i] = m.holders[j], j
 		}
 	}
-	if from == [2]int{0, 1} {
+	if previous == [2]int{0, 1} {
 		return
 	}
 	m.holders, m.reader = next, -1
 	for _, e := range m.ordered {
-		told, again := e.reported, e.resend
+		reported, resend := e.reported, e.resend
 		e.reported, e.resend = [2]uint64{e.cur.sum, e.cur.sum}, [2]bool{} // nothing counts as unreported to a new holder
-		for i, j := range from {
+		for i, j := range previous {
 			if j >= 0 {
-				e.reported[i], e.resend[i] = told[j], again[j]
+				e.reported[i], e.resend[i] = reported[j], resend[j]
 			}
 		}
 	}
@@ -275,8 +275,8 @@
 	if !e.levelRead {
 		e.readWanted = true
 	}
-	room := e.available(now)
-	if e.levelRead && room < e.limit.Burst/2 {
+	available := e.available(now)
+	if e.levelRead && available < e.limit.Burst/2 {
 		m.nearLimitAt = now
 		if e.limit.Burst < 2*float64(m.shareCount(now)) {
 			e.nearLimitAt = now
@@ -288,18 +288,18 @@
 		if !e.levelRead && !e.holdersSilent { // the first read may allow it
 			return false, min(e.retryAfter(now, units, 0), 2*minGap)
 		}
-		part := 0.0
+		reserved := 0.0
 		if e.levelRead { // an unread tenant may be told of more units at any moment
-			part = m.reservedPart(e)
+			reserved = m.reservedPart(e)
 		}
-		return false, e.retryAfter(now, units, part)
+		return false, e.retryAfter(now, units, reserved)
 	}
 	if e.levelRead && e.unacked() > 0 && e.unacked()+units > e.maxUnacked(now, m.shareCount(now)) {
 		m.due = true
 		return false, minGap
 	}
 	e.consume(now, units)
-	if m.urgent(now, e, room-units) {
+	if m.urgent(now, e, available-units) {
 		m.due = true
 		m.requestRead(e)
 	}
@@ -329,15 +329,15 @@
 }
 
 // urgent reports whether the other gateways should learn of a tenant's usage at once.
-func (m *Meter) urgent(now fsm.Time, e *tenantState, room float64) bool {
+func (m *Meter) urgent(now fsm.Time, e *tenantState, available float64) bool {
 	if !e.levelRead {
-		return room < e.evenShare(m.shareCount(now))*3/4
+		return available < e.evenShare(m.shareCount(now))*3/4
 	}
 	part, unsent := e.limit.Burst/float64(8*m.shareCount(now)), e.unsent()
 	switch {
-	case room < e.limit.Burst/4:
+	case available < e.limit.Burst/4:
 		return true
-	case room < e.limit.Burst*3/4 && unsent >= max(1, part):
+	case available < e.limit.Burst*3/4 && unsent >= max(1, part):
 		return true
 	}
 	return unsent >= max(2, 2*part) || e.unacked() > e.maxUnacked(now, m.shareCount(now))/2
@@ -367,21 +367,21 @@
 	}
 	e.tat = max(e.tat, e.knownTAT) // the start allowance is not a second burst
 	if e.levelRead {
-		part := m.reservedPart(e)
-		e.assumeOthers(now, part)
+		reserved := m.reservedPart(e)
+		e.assumeOthers(now, reserved)
 		if missing := m.peak - m.reachableGateways(); missing != e.missing {
-			e.chargeMissing(now, missing-e.missing, m.reachableGateways(), m.peak, part)
+			e.chargeMissing(now, missing-e.missing, m.reachableGateways(), m.peak, reserved)
 			e.missing = missing
 		}
-		if part > 0 {
-			e.capAvailable(now, max(1, e.limit.Burst*(1-part))) // with less than one unit nothing would pass for as long as the peak is kept
+		if reserved > 0 {
+			e.capAvailable(now, max(1, e.limit.Burst*(1-reserved))) // with less than one unit nothing would pass for as long as the peak is kept
 		}
 		return
 	}
 	e.missing = m.peak - m.reachableGateways()
-	even := m.shareCount(now)
-	e.assumeOthers(now, 1-1/float64(even))
-	e.capAvailable(now, max(e.evenShare(even), e.idleUnits))
+	share := m.shareCount(now)
+	e.assumeOthers(now, 1-1/float64(share))
+	e.capAvailable(now, max(e.evenShare(share), e.idleUnits))
 }
 
 // readerFar reports whether first reads take long, while no gateway is or was lately unreachable. Idle
--- a/internal/quotas/scarce.go
+++ b/internal/quotas/scarce.go
@@ -54,8 +54,8 @@
 		}
 		l.drain(now, c.listeningSince, Item{Interval: l.interval})
 		n, incarnations := l.periodOf(c.highestPeriod), c.incarnations.observe(now, from, a.Incarnation)
-		mine, _ := n.sums.get(incarnations[len(incarnations)-1].number)
-		out = append(out, Total{Tenant: tenant, Period: c.highestPeriod, Others: n.others(incarnations), Own: mine,
+		own, _ := n.sums.get(incarnations[len(incarnations)-1].number)
+		out = append(out, Total{Tenant: tenant, Period: c.highestPeriod, Others: n.others(incarnations), Own: own,
 			Level: uint64(l.level * milliUnits), LevelKnown: now-c.listeningSince >= listenTime})
 	}
 	return out
--- a/internal/quotas/sync.go
+++ b/internal/quotas/sync.go
@@ -16,7 +16,7 @@
 		least = m.earlyReads.gap(now, m.gateways)
 	}
 	switch {
-	case m.reader >= 0 && !m.holders[m.reader].retryDue(now): // repetitions keep their pace: a holder slowed down by more would count as silent
+	case m.reader >= 0 && !m.holders[m.reader].retryDue(now): // a repetition isn't delayed by the requested gap, or the holder would count as silent
 		return m.holders[m.reader].sendGap(least)
 	case m.retryBackoff() > minGap: // in large fleets repetitions are rare
 		return m.retryBackoff()
@@ -47,8 +47,8 @@
 	for i := range m.holders {
 		s := &m.holders[i]
 		gap, read := standbyGap, i == m.reader || !m.holderAnswers(now, i)
-		echo := !read && m.isHolder()
-		if echo {
+		ping := !read && m.isHolder()
+		if ping {
 			gap = relaxedGap
 		}
 		if now-m.nearLimitAt < nearLimitWindow && m.nearLimitAt != 0 { // others may read the other holder, which must know as much
@@ -70,14 +70,14 @@
 		if late {
 			s.retries++
 		}
-		if (read || echo) && s.unansweredSince == 0 {
+		if (read || ping) && s.unansweredSince == 0 {
 			s.unansweredSince = now
 		}
 		if !read && now-s.rosterCheckAt >= rosterCheckGap {
-			s.rosterCheckAt, echo = now, true
+			s.rosterCheckAt, ping = now, true
 		}
 		s.lastAddAt = now
-		add := Add{Incarnation: m.incarnation, Period: m.period, Timestamp: now, Read: read, Ping: echo, NearLimit: now-m.nearLimitAt < nearLimitWindow, AnswersProbes: true,
+		add := Add{Incarnation: m.incarnation, Period: m.period, Timestamp: now, Read: read, Ping: ping, NearLimit: now-m.nearLimitAt < nearLimitWindow, AnswersProbes: true,
 			Items: items, RosterHash: m.rosters.newestHash()}
 		if r := m.rosters.byHash(s.rosterHash); r != nil {
 			add.RosterHash = r.hash
@@ -156,7 +156,7 @@
 			t.cur = append(t.cur, e)
 		}
 	}
-	s.resendAll = false // walk had all tenants
+	s.resendAll = false // tenants had all of them
 	all := t.len()
 	t.trim(now, s, itemLimit(m.gateways))
 	out, places = make([]Item, 0, t.len()), make([]int32, 0, t.len())
@@ -203,12 +203,12 @@
 	if !ok || i < 0 {
 		return nil
 	}
-	a, lost, ok := a.expand(m.incarnation)
+	a, unknown, ok := a.expand(m.incarnation)
 	if !ok || a.Incarnation != m.incarnation || a.Timestamp > now {
 		return nil
 	}
 	s := &m.holders[i]
-	if s.readsCompact = a.ReadsCompact && !lost; lost { // the holder lives: it gets a full add with the whole incarnation
+	if s.readsCompact = a.ReadsCompact && !unknown; unknown { // the holder lives: it gets a full add with the whole incarnation
 		s.resendAll, m.due = true, true
 		if s.unansweredSince != 0 && a.Timestamp >= s.unansweredSince {
 			s.unansweredSince, s.retries = 0, 0
@@ -253,17 +253,17 @@
 	}
 	totals := a.Totals
 	if r := m.rosters.byHash(used); r != nil && a.PackedAccepted {
-		more, ok := r.totals(a.Period, a.Packed)
+		packed, ok := r.totals(a.Period, a.Packed)
 		if !ok {
 			return nil
 		}
-		totals = append(more, totals...)
+		totals = append(packed, totals...)
 	}
 	next := s.rosterHash
 	switch {
 	case m.rosters.byHash(a.RosterHash) != nil:
 		next = a.RosterHash
-	case !a.PackedAccepted && a.Timestamp >= s.rosterSince: // the holder didn't know the roster of the add, or lacks that of the names
+	case !a.PackedAccepted && a.Timestamp >= s.rosterSince: // the holder could not use the roster of the add, or named no known one
 		next = 0
 	}
 	if next == s.rosterHash {
@@ -276,7 +276,7 @@
 	return totals
 }
 
-func (m *Meter) applyTotal(now fsm.Time, e *tenantState, t Total, stamp fsm.Time, s *holderState) {
+func (m *Meter) applyTotal(now fsm.Time, e *tenantState, t Total, timestamp fsm.Time, s *holderState) {
 	m.refresh(now, e)
 	e.levelUnknown = !t.LevelKnown && t.Period == e.cur.period
 	if t.Period == 0 || t.Period != e.cur.period {
@@ -286,38 +286,38 @@
 		}
 		return
 	}
-	c := &e.cur
+	cur := &e.cur
 	var newOthers float64
-	if c.hasBase && t.Others > c.others {
-		newOthers = float64(t.Others-c.others) / milliUnits
+	if cur.hasBase && t.Others > cur.others {
+		newOthers = float64(t.Others-cur.others) / milliUnits
 	}
 	var newOwn float64
-	if mine := min(t.Own, c.sum); mine > c.acked {
-		newOwn = float64(mine-c.acked) / milliUnits
-		c.acked = mine
-	}
-	fresh := t.LevelKnown && c.hasBase && t.Others >= c.others
-	c.others, c.hasBase, c.answered = max(c.others, t.Others), true, true
-	since := s.unreportedSpan(now, stamp) // in which others pass units at the tenant's rate
-	if m.applyFirstRead(now, e, t, stamp) {
-		e.tat += since
+	if own := min(t.Own, cur.sum); own > cur.acked {
+		newOwn = float64(own-cur.acked) / milliUnits
+		cur.acked = own
+	}
+	fresh := t.LevelKnown && cur.hasBase && t.Others >= cur.others
+	cur.others, cur.hasBase, cur.answered = max(cur.others, t.Others), true, true
+	staleness := s.unreportedSpan(now, timestamp) // in which others pass units at the tenant's rate
+	if m.applyFirstRead(now, e, t, timestamp) {
+		e.tat += staleness
 	} else if e.levelRead {
 		e.addOthers(now, newOthers)
-		if fresh && now-stamp <= s.rtt.extend(freshAnswer) && m.readerTrusted(now) {
-			e.lowerToLevel(now+since, float64(t.Level)/milliUnits)
+		if fresh && now-timestamp <= s.rtt.extend(freshAnswer) && m.readerTrusted(now) {
+			e.lowerToLevel(now+staleness, float64(t.Level)/milliUnits)
 		}
 		if t.LevelKnown { // sums only have what was added since the previous answer, which may have been another holder's
-			e.raiseToLevel(stamp, float64(t.Level)/milliUnits-levelRounding)
+			e.raiseToLevel(timestamp, float64(t.Level)/milliUnits-levelRounding)
 		}
 	}
-	m.noteBehind(e, t, stamp)
+	m.noteBehind(e, t, timestamp)
 	e.noteTraffic(now, newOwn, newOthers)
 }
 
 // applyFirstRead sets TAT of an unread tenant by the level that the holder knows, and the units passed here
 // that are not in it.
-func (m *Meter) applyFirstRead(now fsm.Time, e *tenantState, t Total, stamp fsm.Time) bool {
-	if e.levelRead || !t.LevelKnown || stamp < e.unreadSince || e.holdersSilent {
+func (m *Meter) applyFirstRead(now fsm.Time, e *tenantState, t Total, timestamp fsm.Time) bool {
+	if e.levelRead || !t.LevelKnown || timestamp < e.unreadSince || e.holdersSilent {
 		return false
 	}
 	e.levelRead, e.readWanted = true, false
@@ -330,20 +330,20 @@
 
 // applyPrevTotal takes the last units that others added in the previous period.
 func (m *Meter) applyPrevTotal(now fsm.Time, e *tenantState, t Total) {
-	o := &e.prev
-	if t.Period == 0 || t.Period != o.period {
+	prev := &e.prev
+	if t.Period == 0 || t.Period != prev.period {
 		return
 	}
-	o.acked = max(o.acked, min(t.Own, o.sum))
-	if o.hasBase && e.levelRead && t.Others > o.others {
-		n := float64(t.Others-o.others) / milliUnits
-		if o.maxNew > 0 {
-			n, o.maxNew = min(n, o.maxNew), max(1e-9, o.maxNew-n)
+	prev.acked = max(prev.acked, min(t.Own, prev.sum))
+	if prev.hasBase && e.levelRead && t.Others > prev.others {
+		units := float64(t.Others-prev.others) / milliUnits
+		if prev.maxNew > 0 {
+			units, prev.maxNew = min(units, prev.maxNew), max(1e-9, prev.maxNew-units)
 		}
-		e.addOthers(now, n)
+		e.addOthers(now, units)
 	}
-	o.others = max(o.others, t.Others)
-	if now-m.periodAt >= periodSettleTime && o.acked >= o.sum {
+	prev.others = max(prev.others, t.Others)
+	if now-m.periodAt >= periodSettleTime && prev.acked >= prev.sum {
 		e.prev = periodSum{}
 	}
 }
--- a/internal/quotas/tenant.go
+++ b/internal/quotas/tenant.go
@@ -149,10 +149,10 @@
 func (e *tenantState) consume(now fsm.Time, units float64) {
 	e.tat = max(now, e.tat) + e.duration(units)
 	e.knownTAT = max(now, e.knownTAT) + e.duration(units)
-	add := uint64(math.Round(units * milliUnits))
-	back := min(add, e.credit)
-	e.credit -= back
-	e.cur.sum += add - back
+	added := uint64(math.Round(units * milliUnits))
+	credited := min(added, e.credit)
+	e.credit -= credited
+	e.cur.sum += added - credited
 }
 
 // addOthers takes units passed by other gateways.
@@ -184,8 +184,8 @@
 // last read and have accrued since. Without it, eleven gateways that get requests at the same moment would
 // pass eleven bursts.
 func (e *tenantState) maxUnacked(now fsm.Time, gateways int) float64 {
-	room := e.availableAtRead + (now-e.readAt).Seconds()*e.limit.Rate
-	return 1 + leadFactor*e.trafficPart(gateways)*min(max(0, room), e.limit.Burst)
+	available := e.availableAtRead + (now-e.readAt).Seconds()*e.limit.Rate
+	return 1 + leadFactor*e.trafficPart(gateways)*min(max(0, available), e.limit.Burst)
 }
 
 func (e *tenantState) trafficPart(gateways int) float64 {
@@ -194,9 +194,9 @@
 }
 
 // noteTraffic records who passed the newest units; older ones decay within about a second.
-func (e *tenantState) noteTraffic(now fsm.Time, mine, theirs float64) {
-	fade := decay(now - e.readAt)
-	e.ownRecent, e.othersRecent = e.ownRecent*fade+mine, e.othersRecent*fade+theirs
+func (e *tenantState) noteTraffic(now fsm.Time, own, others float64) {
+	factor := decay(now - e.readAt)
+	e.ownRecent, e.othersRecent = e.ownRecent*factor+own, e.othersRecent*factor+others
 	e.readAt, e.availableAtRead = now, e.available(now)
 }
 
