--- a/internal/rollout/lead.go
+++ b/internal/rollout/lead.go
@@ -9,90 +9,90 @@
 	"asterwell/internal/policy"
 )
 
-// lead is the primary's part in one epoch. All of it may be lost: a successor finds in
+// leadership is the primary's part in one epoch. All of it may be lost: a successor finds in
 // the document whether a version is live, and asks the nodes anew for the rest.
-type lead struct {
-	epoch   consensus.Ballot
-	c       *policy.Conduct // nil: what is live is taken up by each
-	reg     policy.Register
-	addrs   map[uint64]string // of the nodes' lives
-	reads   bool              // the conduct wants the writers' confirmation, which is not asked for yet
-	round   uint64            // of the one that it waits for
-	pending uint32
-	since   fsm.Time          // of pending, here
-	asks    []asks            // to withdraw, that wait for the document
-	ended   []WithdrawRequest // the last of them that have been answered
+type leadership struct {
+	epoch         consensus.Ballot
+	conduct       *policy.Conduct // nil: what is live is taken up by each
+	register      policy.Register
+	addrs         map[uint64]string // of the nodes' lives
+	confirmWanted bool              // the conduct wants the writers' confirmation, which is not asked for yet
+	confirmRound  uint64            // of the one that it waits for
+	pending       uint32
+	pendingSince  fsm.Time             // of pending, here
+	withdrawals   []receivedWithdrawal // to withdraw, that wait for the document
+	answered      []WithdrawRequest    // the last of them that have been answered
 }
 
-// turn takes over what is kept.
-func (m *Machine) turn(now fsm.Time) {
+// updateLead takes over what is kept.
+func (m *Machine) updateLead(now fsm.Time) {
 	l := m.lead
-	m.settle()
-	if !m.rollout.Together || m.side.Version == 0 {
-		l.c, l.addrs = nil, map[uint64]string{}
+	m.answerWithdrawals()
+	if !m.rollout.Together || m.state.Version == 0 {
+		l.conduct, l.addrs = nil, map[uint64]string{}
 		return
 	}
-	live := int64(m.side.Version)
-	l.reg = policy.Register{Format: policy.Format, Version: live,
+	live := int64(m.state.Version)
+	l.register = policy.Register{Format: policy.Format, Version: live,
 		Changes: []policy.Change{{ID: uint64(live), Version: live, Fate: policy.Committed}}}
-	if m.side.Fate == Prepared {
-		l.reg.Under = uint64(m.doc.Version)
-		l.reg.Changes = append(l.reg.Changes, policy.Change{ID: l.reg.Under, Base: live, Fate: policy.UnderWay})
+	if m.state.Fate == Prepared {
+		l.register.Under = uint64(m.doc.Version)
+		l.register.Changes = append(l.register.Changes, policy.Change{ID: l.register.Under, Base: live, Fate: policy.UnderWay})
 		if l.pending != m.doc.Version {
-			l.pending, l.since = m.doc.Version, now
+			l.pending, l.pendingSince = m.doc.Version, now
 		}
 	}
-	if l.c == nil {
+	if l.conduct == nil {
 		since := now
 		if m.bug == BugSuccessorSkipsWait {
 			since -= 2 * Terms.Lease
 		}
-		l.c = policy.Lead(m.terms(), &l.reg, l.epoch.N, since)
-		l.c.Enough = func() bool { return m.enough(m.seen) }
+		l.conduct = policy.Lead(m.terms(), &l.register, l.epoch.N, since)
+		l.conduct.Enough = func() bool { return m.enoughConfirmed(m.leadSeenAt) }
 		if m.bug != BugEmptyHoldCounts {
-			l.c.Still = l.c.Enough
+			l.conduct.Still = l.conduct.Enough
 		}
 	}
-	m.seen = now
-	l.c.Applied(now)
-	m.carry(now)
+	m.leadSeenAt = now
+	l.conduct.Applied(now)
+	m.applyConduct(now)
 }
 
-func (m *Machine) asked(now fsm.Time, from string, a LeaseRequest) {
+func (m *Machine) handleLeaseRequest(now fsm.Time, from string, a LeaseRequest) {
 	l := m.lead
-	if l == nil || l.c == nil {
+	if l == nil || l.conduct == nil {
 		return
 	}
 	l.addrs[a.ID] = from
-	a.HeldRound = l.held(a)
-	m.seen = now
-	l.c.Renew(now, a.ID, a.renew())
-	if l.c.Stage() == policy.Holding { // everybody waits for the last one's word
-		l.c.Tick(now)
+	a.HeldRound = l.heldRound(a)
+	m.leadSeenAt = now
+	l.conduct.Renew(now, a.ID, a.policyRenew())
+	if l.conduct.Stage() == policy.Holding { // everybody waits for the last one's word
+		l.conduct.Tick(now)
 	}
-	m.carry(now)
+	m.applyConduct(now)
 }
 
-// held is the round in which a node decides nothing. Another primary's may have the same
+// heldRound is the round in which a node decides nothing. Another primary's may have the same
 // number.
-func (l *lead) held(a LeaseRequest) uint64 {
+func (l *leadership) heldRound(a LeaseRequest) uint64 {
 	if a.Epoch != l.epoch {
 		return 0
 	}
 	return a.HeldRound
 }
 
-func (m *Machine) tick(now fsm.Time) {
+func (m *Machine) tickLead(now fsm.Time) {
 	l := m.lead
-	l.lapse(now)
-	if l.c == nil {
+	l.expireWithdrawals(now)
+	if l.conduct == nil {
 		return
 	}
-	m.seen = now
-	l.c.Tick(now)
-	m.carry(now)
-	if m.side.Fate == Prepared && m.rollout.Within > 0 && now-l.since > m.rollout.Within {
-		if l.c.Stage() == policy.Checking {
+	m.leadSeenAt = now
+	l.conduct.Tick(now)
+	m.applyConduct(now)
+	if m.state.Fate == Prepared && m.rollout.Within > 0 && now-l.pendingSince > m.rollout.Within {
+		if l.conduct.Stage() == policy.Checking {
 			m.withdraw(m.doc.Version, fmt.Sprintf("not enough have confirmed within %v", m.rollout.Within))
 		}
 	}
@@ -105,15 +105,15 @@
 	if l == nil {
 		return
 	}
-	if l.c != nil && l.reads {
-		if l.round = round; round == 0 {
-			l.c.Unconfirmed()
+	if l.conduct != nil && l.confirmWanted {
+		if l.confirmRound = round; round == 0 {
+			l.conduct.Unconfirmed()
 		}
 	}
-	l.reads = false
-	for i := range l.asks {
-		if a := &l.asks[i]; a.round == 0 {
-			a.round = round
+	l.confirmWanted = false
+	for i := range l.withdrawals {
+		if a := &l.withdrawals[i]; a.confirmRound == 0 {
+			a.confirmRound = round
 		}
 	}
 }
@@ -121,52 +121,52 @@
 // LeadConfirmed tells that the writers have confirmed that round.
 func (m *Machine) LeadConfirmed(now fsm.Time, round uint64) Out {
 	l := m.lead
-	if l != nil && l.c != nil && l.round != 0 && round >= l.round {
-		l.round = 0
-		m.seen = now
-		l.c.Confirmed(now)
-		m.carry(now)
+	if l != nil && l.conduct != nil && l.confirmRound != 0 && round >= l.confirmRound {
+		l.confirmRound = 0
+		m.leadSeenAt = now
+		l.conduct.Confirmed(now)
+		m.applyConduct(now)
 	}
 	if l != nil {
-		for i := range l.asks {
-			a := &l.asks[i]
-			a.sure = a.sure || a.round != 0 && round >= a.round
+		for i := range l.withdrawals {
+			a := &l.withdrawals[i]
+			a.confirmed = a.confirmed || a.confirmRound != 0 && round >= a.confirmRound
 		}
-		m.settle()
+		m.answerWithdrawals()
 	}
-	return m.end()
+	return m.takeOut()
 }
 
 // AmendmentRejected tells that an amendment could not be made, as another document is on its way.
 func (m *Machine) AmendmentRejected(now fsm.Time, d consensus.Doc) Out {
-	if l := m.lead; l != nil && l.c != nil && ReadState(d).Fate == Live {
-		l.c.Dropped(now)
-		m.carry(now)
+	if l := m.lead; l != nil && l.conduct != nil && ReadState(d).Fate == Live {
+		l.conduct.Dropped(now)
+		m.applyConduct(now)
 	}
-	return m.end()
+	return m.takeOut()
 }
 
-// carry carries out what the conduct wants.
-func (m *Machine) carry(now fsm.Time) {
+// applyConduct carries out what the conduct wants.
+func (m *Machine) applyConduct(now fsm.Time) {
 	l := m.lead
 	for again := true; again; {
-		o := l.c.Out()
+		o := l.conduct.Out()
 		again = false
 		for _, p := range o.Propose {
 			switch {
-			case p.ID != uint64(m.doc.Version) || m.side.Fate != Prepared:
+			case p.ID != uint64(m.doc.Version) || m.state.Fate != Prepared:
 			case p.Kind == policy.Turn:
-				d := turned(m.doc)
+				d := madeLive(m.doc)
 				m.out.Amend = &d
 			case p.Kind == policy.Withdraw:
 				m.withdraw(m.doc.Version, p.Why)
 			}
 		}
 		if o.Read && m.bug == BugGrantUnconfirmed {
-			l.c.Confirmed(now)
+			l.conduct.Confirmed(now)
 			again = true
 		} else if o.Read {
-			m.out.ConfirmLead, l.reads = true, true
+			m.out.ConfirmLead, l.confirmWanted = true, true
 		}
 		for _, g := range o.Grants {
 			if m.bug == BugTurnIgnoresLeases && g.Seq != 0 && g.Hold == 0 && g.Fenced == "" {
@@ -178,13 +178,13 @@
 	}
 }
 
-// enough says whether as many nodes hold the version as it needs: the number that is
+// enoughConfirmed says whether as many nodes hold the version as it needs: the number that is
 // asked for, and most of those that live in each zone. A node has confirmed if all
 // lives of it have that may still go by anything: an earlier one's word is not this one's.
 // A word counts only with a lease, so only if the writers took this one for the primary
 // after it; and in a hold only if it was said again in that round, as who has a lease must.
-func (m *Machine) enough(now fsm.Time) bool {
-	_, all := m.lead.c.Status(now)
+func (m *Machine) enoughConfirmed(now fsm.Time) bool {
+	_, all := m.lead.conduct.Status(now)
 	held := map[string]bool{}
 	for _, s := range all {
 		has := s.Checked == uint64(m.doc.Version) && s.Refusal == ""
@@ -224,8 +224,8 @@
 	return t
 }
 
-// names are sorted, so that what is shown stays in its place.
-func names(all []string) []string {
+// sortedUnique are sorted, so that what is shown stays in its place.
+func sortedUnique(all []string) []string {
 	slices.Sort(all)
 	return slices.Compact(all)
 }
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -34,31 +34,31 @@
 
 // Machine is one process's part.
 type Machine struct {
-	c       Config
-	id      uint64 // of this life
-	doc     consensus.Doc
-	side    State
-	rollout sysconfig.Rollout // of what is live
-	synced  bool              // doc is on disk, where there is one
-	adopted uint32
-	reading uint32  // the newest that is to be read
-	verdict verdict // on what is prepared
-	primary string
-	nodes   []Node
-
-	holder *policy.Holder
-	epoch  consensus.Ballot // whose round the holder holds
-	pulled fsm.Time
-	lacks  fsm.Time // since when the primary is known to have a newer document; 0: it has none
-	sought fsm.Time // when another process was last asked who leads
-	turns  int
-
-	wishes []wish // to withdraw, made here
-
-	lead *lead
-	seen fsm.Time // when lead was last told the time
-	bug  Bug
-	out  Out
+	config      Config
+	incarnation uint64 // of this life
+	doc         consensus.Doc
+	state       State
+	rollout     sysconfig.Rollout // of what is live
+	synced      bool              // doc is on disk, where there is one
+	adopted     uint32
+	reading     uint32  // the newest that is to be read
+	verdict     verdict // on what is prepared
+	primary     string
+	nodes       []Node
+
+	holder      *policy.Holder
+	holdEpoch   consensus.Ballot // whose round the holder holds
+	pulledAt    fsm.Time
+	behindSince fsm.Time // since when the primary is known to have a newer document; 0: it has none
+	soughtAt    fsm.Time // when another process was last asked who leads
+	seekIndex   int
+
+	withdrawCalls []withdrawCall // to withdraw, made here
+
+	lead       *leadership
+	leadSeenAt fsm.Time // when lead was last told the time
+	bug        Bug
+	out        Out
 }
 
 // Node is a process that lives, as membership sees it.
@@ -97,7 +97,7 @@
 // New starts a process.
 func New(c Config) *Machine {
 	rng := rand.New(rand.NewPCG(c.Seed, 0xacc0))
-	return &Machine{c: c, id: rng.Uint64() | 1, holder: policy.NewHolder(Terms, c.Name, c.Zone, "")}
+	return &Machine{config: c, incarnation: rng.Uint64() | 1, holder: policy.NewHolder(Terms, c.Name, c.Zone, "")}
 }
 
 // SetBug switches a guard off.
@@ -106,8 +106,8 @@
 // SetDocument takes the newest document that is kept. Synced says that no disk has to have it
 // first; else Synced is called once it has.
 func (m *Machine) SetDocument(now fsm.Time, d consensus.Doc, synced bool) Out {
-	m.doc, m.side, m.synced, m.lacks = d, ReadState(d), synced, 0
-	live := &consensus.Doc{Version: m.side.Version, Body: m.side.Body}
+	m.doc, m.state, m.synced, m.behindSince = d, ReadState(d), synced, 0
+	live := &consensus.Doc{Version: m.state.Version, Body: m.state.Body}
 	switch {
 	case live.Version <= m.adopted:
 	case !m.rollout.Together: // each takes it up when it can, so it may be read first
@@ -119,11 +119,11 @@
 	default: // missed while it was prepared
 		m.adopt(live, sysconfig.RolloutOf(live.Body))
 	}
-	m.prepare(now)
+	m.confirmPrepared(now)
 	if m.lead != nil {
-		m.turn(now)
+		m.updateLead(now)
 	}
-	return m.end()
+	return m.takeOut()
 }
 
 func (m *Machine) adopt(live *consensus.Doc, r sysconfig.Rollout) {
@@ -135,30 +135,30 @@
 // TextRead tells that a text has been read that was to be, and which rollout it wants. One that has been overtaken meanwhile is
 // put in force as well, so that a row of changes holds up none of them, unless it was to be in force together.
 func (m *Machine) TextRead(now fsm.Time, read consensus.Doc, r sysconfig.Rollout) Out {
-	if read.Version > m.adopted && !m.rollout.Together && (read.Version == m.side.Version || !r.Together) {
+	if read.Version > m.adopted && !m.rollout.Together && (read.Version == m.state.Version || !r.Together) {
 		m.adopt(&read, r)
-		m.prepare(now)
+		m.confirmPrepared(now)
 		if m.lead != nil {
-			m.turn(now)
+			m.updateLead(now)
 		}
 	}
-	return m.end()
+	return m.takeOut()
 }
 
 // TextChecked tells what came of a text that was to be checked; refusal "" is that it can be taken.
 func (m *Machine) TextChecked(now fsm.Time, version uint32, r sysconfig.Rollout, refusal string) Out {
 	if version == m.verdict.version {
 		m.verdict.known, m.verdict.rollout, m.verdict.refusal = true, r, refusal
-		m.prepare(now)
+		m.confirmPrepared(now)
 	}
-	return m.end()
+	return m.takeOut()
 }
 
 // DocumentSynced says that the document is on this process's disk.
 func (m *Machine) DocumentSynced(now fsm.Time) Out {
 	m.synced = true
-	m.prepare(now)
-	return m.end()
+	m.confirmPrepared(now)
+	return m.takeOut()
 }
 
 // SetUnable says that what was to be in force here can't be.
@@ -181,37 +181,37 @@
 	case !leads:
 		m.lead = nil
 	case m.lead == nil || m.lead.epoch != epoch:
-		m.lead = &lead{epoch: epoch, addrs: map[uint64]string{}}
-		m.turn(now)
+		m.lead = &leadership{epoch: epoch, addrs: map[uint64]string{}}
+		m.updateLead(now)
 	}
-	return m.end()
+	return m.takeOut()
 }
 
 // Receive takes a message.
 func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
 	switch t := msg.(type) {
 	case LeaseRequest:
-		m.asked(now, from, t)
+		m.handleLeaseRequest(now, from, t)
 	case LeaseGrant:
-		m.granted(now, from, t)
+		m.handleGrant(now, from, t)
 	case WithdrawRequest:
-		m.wished(now, from, t)
+		m.handleWithdraw(now, from, t)
 	case WithdrawReply:
-		m.told(t)
+		m.handleWithdrawReply(t)
 	}
-	return m.end()
+	return m.takeOut()
 }
 
 // Tick lets time pass.
 func (m *Machine) Tick(now fsm.Time) Out {
 	if m.rollout.Together {
-		m.ask(now)
+		m.requestLease(now)
 	}
-	m.urge(now)
+	m.sendWithdrawCalls(now)
 	if m.lead != nil {
-		m.tick(now)
+		m.tickLead(now)
 	}
-	return m.end()
+	return m.takeOut()
 }
 
 func (m *Machine) send(to string, msg any) {
@@ -220,7 +220,7 @@
 	}
 }
 
-func (m *Machine) end() Out {
+func (m *Machine) takeOut() Out {
 	out := m.out
 	m.out = Out{}
 	return out
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -57,11 +57,11 @@
 // Messages lists what a Machine takes; the order stays.
 func Messages() []any { return []any{LeaseRequest{}, LeaseGrant{}, WithdrawRequest{}, WithdrawReply{}} }
 
-func (a LeaseRequest) renew() policy.Renew {
+func (a LeaseRequest) policyRenew() policy.Renew {
 	return policy.Renew{Seq: a.Seq, Name: a.Name, Zone: a.Zone, Version: a.Version, Checked: a.Checked, Refusal: a.Refusal,
 		Held: a.HeldRound, Format: policy.Format}
 }
 
-func (g LeaseGrant) grant() policy.Grant {
+func (g LeaseGrant) policyGrant() policy.Grant {
 	return policy.Grant{Seq: g.Seq, Version: g.Version, Lease: g.Lease, Change: g.Change, Hold: g.HoldRound, Fenced: g.Fenced}
 }
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -28,29 +28,29 @@
 	return Gate{Version: m.adopted, Together: m.rollout.Together, Reads: m.rollout.Reads, Lease: l, ReopensSoon: holds}
 }
 
-// pullEvery is how often a node asks for a document that the primary has and it lacks, and
+// pullInterval is how often a node asks for a document that the primary has and it lacks, and
 // how long it waits for it to come by itself: longer where documents are large.
-const pullEvery = 100 * time.Millisecond
+const pullInterval = 100 * time.Millisecond
 
 // pull asks for what the primary has kept. What is prepared comes with the text of what is
 // live, so it takes twice as long as that.
 func (m *Machine) pull(now fsm.Time, from string, kept consensus.Doc) {
 	if !kept.Above(m.doc) {
-		m.lacks = 0
+		m.behindSince = 0
 		return
 	}
-	if m.lacks == 0 {
-		m.lacks = now
+	if m.behindSince == 0 {
+		m.behindSince = now
 	}
-	if wait := pullEvery + 2*consensus.Way(len(m.doc.Body)); now-m.lacks >= wait && now-m.pulled >= wait {
-		m.pulled = now
+	if wait := pullInterval + 2*consensus.Way(len(m.doc.Body)); now-m.behindSince >= wait && now-m.pulledAt >= wait {
+		m.pulledAt = now
 		m.send(from, consensus.Pull{Held: kept.Version - 1}) // or higher, and so the amended one too
 	}
 }
 
-// prepare confirms or refuses what is prepared, once it is held and has been read.
-func (m *Machine) prepare(now fsm.Time) {
-	if m.side.Fate != Prepared || !m.synced || !m.rollout.Together {
+// confirmPrepared confirms or refuses what is prepared, once it is held and has been read.
+func (m *Machine) confirmPrepared(now fsm.Time) {
+	if m.state.Fate != Prepared || !m.synced || !m.rollout.Together {
 		return
 	}
 	switch v := &m.verdict; {
@@ -64,13 +64,13 @@
 
 func (m *Machine) confirm(now fsm.Time, change uint64, refusal string) {
 	m.holder.Checked(change, []byte{}, refusal)
-	m.ask(now)
+	m.requestLease(now)
 }
 
-// ask sends the call that is due.
-func (m *Machine) ask(now fsm.Time) {
+// requestLease sends the call that is due.
+func (m *Machine) requestLease(now fsm.Time) {
 	if m.primary == "" {
-		m.seek(now)
+		m.seekPrimary(now)
 		return
 	}
 	r := m.holder.Tick(now)
@@ -78,45 +78,45 @@
 		return
 	}
 	if m.holder.Missed() > 1 {
-		m.seek(now)
+		m.seekPrimary(now)
 	}
-	m.send(m.primary, LeaseRequest{ID: m.id, Seq: r.Seq, Version: r.Version, Checked: r.Checked, Refusal: r.Refusal, HeldRound: r.Held,
-		Epoch: m.epoch, Name: r.Name, Zone: r.Zone})
+	m.send(m.primary, LeaseRequest{ID: m.incarnation, Seq: r.Seq, Version: r.Version, Checked: r.Checked, Refusal: r.Refusal, HeldRound: r.Held,
+		Epoch: m.holdEpoch, Name: r.Name, Zone: r.Zone})
 }
 
-const seekEvery = 200 * time.Millisecond
+const seekInterval = 200 * time.Millisecond
 
-// seek asks one after the other of those with a disk who leads.
-func (m *Machine) seek(now fsm.Time) {
-	if now-m.sought < seekEvery {
+// seekPrimary asks one after the other of those with a disk who leads.
+func (m *Machine) seekPrimary(now fsm.Time) {
+	if now-m.soughtAt < seekInterval {
 		return
 	}
-	m.sought = now
+	m.soughtAt = now
 	for range m.nodes {
-		m.turns++
-		if n := m.nodes[m.turns%len(m.nodes)]; n.Member && n.Addr != m.c.Self {
+		m.seekIndex++
+		if n := m.nodes[m.seekIndex%len(m.nodes)]; n.Member && n.Addr != m.config.Self {
 			m.send(n.Addr, consensus.Ask{})
 			return
 		}
 	}
 }
 
-// granted takes what the primary says.
-func (m *Machine) granted(now fsm.Time, from string, g LeaseGrant) {
-	if g.ID != m.id || !m.rollout.Together {
+// handleGrant takes what the primary says.
+func (m *Machine) handleGrant(now fsm.Time, from string, g LeaseGrant) {
+	if g.ID != m.incarnation || !m.rollout.Together {
 		return
 	}
 	m.pull(now, from, consensus.Doc{Version: g.Newest, Rev: g.Rev})
 	if g.HoldRound != 0 {
-		m.epoch = g.Epoch
+		m.holdEpoch = g.Epoch
 	}
-	p := g.grant()
+	p := g.policyGrant()
 	if g.Version == int64(m.adopted) {
-		p.Text = m.side.Body
+		p.Text = m.state.Body
 	}
 	if w := m.holder.Grant(now, p); w.Check && m.bug == BugConfirmBeforeHeld {
 		m.confirm(now, g.Change, "")
 	}
 	m.out.Gate = true
-	m.ask(now)
+	m.requestLease(now)
 }
--- a/internal/rollout/side.go
+++ b/internal/rollout/state.go
@@ -42,12 +42,12 @@
 // PrepareDocument is what a primary keeps of a new document: live at once, or prepared where the
 // one in force asks for that.
 func PrepareDocument(kept, next consensus.Doc) consensus.Doc {
-	return enter(kept, next, func(s State) sysconfig.Rollout { return sysconfig.RolloutOf(s.Body) })
+	return prepareDocument(kept, next, func(s State) sysconfig.Rollout { return sysconfig.RolloutOf(s.Body) })
 }
 
 // PrepareDocument is the same at a primary, which mostly has read what is live.
 func (m *Machine) PrepareDocument(kept, next consensus.Doc) consensus.Doc {
-	return enter(kept, next, func(s State) sysconfig.Rollout {
+	return prepareDocument(kept, next, func(s State) sysconfig.Rollout {
 		if s.Version == m.adopted {
 			return m.rollout
 		}
@@ -55,26 +55,26 @@
 	})
 }
 
-func enter(kept, next consensus.Doc, rollout func(State) sysconfig.Rollout) consensus.Doc {
-	next.Rev, next.Side, next.Past = 0, nil, past(kept)
+func prepareDocument(kept, next consensus.Doc, rollout func(State) sysconfig.Rollout) consensus.Doc {
+	next.Rev, next.Side, next.Past = 0, nil, withdrawnVersions(kept)
 	if was := ReadState(kept); was.Version != 0 && rollout(was).Together {
-		next.Side = write(State{Fate: Prepared, Version: was.Version, Body: was.Body})
+		next.Side = encodeState(State{Fate: Prepared, Version: was.Version, Body: was.Body})
 	}
 	return next
 }
 
-// pastMost is how many withdrawn versions are remembered.
-const pastMost = 256
+// maxWithdrawnVersions is how many withdrawn versions are remembered.
+const maxWithdrawnVersions = 256
 
-// past remembers which versions have been withdrawn, so that the same wish again, whenever and
+// withdrawnVersions remembers which versions have been withdrawn, so that the same wish again, whenever and
 // through whoever leads then, has the same outcome.
-func past(kept consensus.Doc) []byte {
+func withdrawnVersions(kept consensus.Doc) []byte {
 	all := withdrawnBefore(kept)
 	if ReadState(kept).Fate != Withdrawn {
 		return kept.Past
 	}
 	all = append(all, kept.Version)
-	data, err := cbor.Marshal(all[max(0, len(all)-pastMost):])
+	data, err := cbor.Marshal(all[max(0, len(all)-maxWithdrawnVersions):])
 	if err != nil {
 		panic(err) // nothing in it can fail to be written
 	}
@@ -90,7 +90,7 @@
 	return all
 }
 
-func turned(d consensus.Doc) consensus.Doc {
+func madeLive(d consensus.Doc) consensus.Doc {
 	d.Rev, d.Side = d.Rev+1, nil
 	return d
 }
@@ -98,11 +98,11 @@
 func withdrawn(d consensus.Doc, why string) consensus.Doc {
 	s := ReadState(d)
 	s.Fate, s.Why = Withdrawn, why
-	d.Rev, d.Side = d.Rev+1, write(s)
+	d.Rev, d.Side = d.Rev+1, encodeState(s)
 	return d
 }
 
-func write(s State) []byte {
+func encodeState(s State) []byte {
 	data, err := cbor.Marshal(s)
 	if err != nil {
 		panic(err) // nothing in it can fail to be written
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -26,18 +26,18 @@
 
 // Status tells it.
 func (m *Machine) Status(now fsm.Time) Status {
-	s := Status{Mode: "each", Live: m.side.Version, Newest: m.doc.Version, Fate: m.side.Fate.String(), Why: m.side.Why,
+	s := Status{Mode: "each", Live: m.state.Version, Newest: m.doc.Version, Fate: m.state.Fate.String(), Why: m.state.Why,
 		WithinMs: m.rollout.Within.Milliseconds()}
 	if !m.rollout.Together {
 		return s
 	}
 	s.Mode = "together"
 	_, s.Here = m.holder.State(now)
-	if m.lead == nil || m.lead.c == nil {
+	if m.lead == nil || m.lead.conduct == nil {
 		return s
 	}
 	s.Leads = true
-	stage, all := m.lead.c.Status(now)
+	stage, all := m.lead.conduct.Status(now)
 	leased, held, refused := map[string]bool{}, map[string]bool{}, map[string]string{}
 	for _, n := range all {
 		leased[n.Name] = leased[n.Name] || n.Leased
@@ -46,9 +46,9 @@
 			refused[n.Name] = n.Refusal
 		}
 	}
-	pending := m.side.Fate == Prepared
+	pending := m.state.Fate == Prepared
 	if pending {
-		s.Stage, s.Enough, s.SinceMs = stage.String(), m.enough(now), (now - m.lead.since).Milliseconds()
+		s.Stage, s.Enough, s.SinceMs = stage.String(), m.enoughConfirmed(now), (now - m.lead.pendingSince).Milliseconds()
 	}
 	for _, n := range m.nodes {
 		if !leased[n.Name] {
@@ -64,12 +64,12 @@
 			s.Missing = append(s.Missing, n.Name)
 		}
 	}
-	s.Prepared, s.Missing, s.Lapsed = names(s.Prepared), names(s.Missing), names(s.Lapsed)
+	s.Prepared, s.Missing, s.Lapsed = sortedUnique(s.Prepared), sortedUnique(s.Missing), sortedUnique(s.Lapsed)
 	return s
 }
 
 // Newest is the newest version held here, and what has become of it.
-func (m *Machine) Newest() (version uint32, fate Fate) { return m.doc.Version, m.side.Fate }
+func (m *Machine) Newest() (version uint32, fate Fate) { return m.doc.Version, m.state.Fate }
 
 // LiveText is that of what is live.
-func (m *Machine) LiveText() []byte { return m.side.Body }
+func (m *Machine) LiveText() []byte { return m.state.Body }
--- a/internal/rollout/world/hard_test.go
+++ b/internal/rollout/world/hard_test.go
@@ -19,15 +19,15 @@
 			}
 			w.Put(w.nodes[4], 3, 0, 0, name)
 			w.Run(3 * time.Second)
-			if w.fates[3] != rollout.Withdrawn || w.newest != 2 {
-				t.Errorf("%s refuses: 3 is %v, requests go by %d", name, w.fates[3], w.newest)
+			if w.fates[3] != rollout.Withdrawn || w.newestDecided != 2 {
+				t.Errorf("%s refuses: 3 is %v, requests go by %d", name, w.fates[3], w.newestDecided)
 			}
 			w.Put(w.nodes[4], 4, 0, 0, "")
 			w.within(t, 4, 3500*ms)
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
-			w.settled()
-			for _, b := range w.res.Violations {
+			w.checkSettled()
+			for _, b := range w.result.Violations {
 				t.Error(b)
 			}
 		}
@@ -57,12 +57,12 @@
 				if deaf {
 					from, to = to, from
 				}
-				w.cut(from, to, true)
-				for end := w.now + 7*time.Second; w.now < end && w.newest < 3; w.Run(time.Second) {
+				w.setBlocked(from, to, true)
+				for end := w.now + 7*time.Second; w.now < end && w.newestDecided < 3; w.Run(time.Second) {
 					w.Put(w.nodes[4], 3, 0, 0, "") // an operator without an answer calls again
 				}
 				w.Run(time.Second)
-				w.calm()
+				w.endFaults()
 				w.Run(SettleTime)
 				w.want(t, rollout.Live)
 				if t.Failed() {
@@ -80,20 +80,20 @@
 	for seed := range uint64(2) {
 		for _, lost := range []bool{false, true} {
 			w := open(t, Options{Seed: seed, RequestInterval: ms / 2}, 0, 0) // 22 000 a second
-			cutoff, refused, turned := w.now+2*time.Second, w.res.Refused, w.res.RefusedInTurn
+			cutoff, refused, turned := w.now+2*time.Second, w.result.Refused, w.result.RefusedInTurn
 			if lost {
 				w.nodes[9].kill()
 			}
 			w.Put(w.nodes[4], 3, 0, 0, "")
 			w.within(t, 3, cutoff-w.now)
 			w.Run(cutoff - w.now)
-			if w.res.Refused != refused || w.res.RefusedInTurn != turned {
-				t.Errorf("seed %d, one lost: %v: %d refused, %d of them in the turn", seed, lost, w.res.Refused-refused, w.res.RefusedInTurn-turned)
+			if w.result.Refused != refused || w.result.RefusedInTurn != turned {
+				t.Errorf("seed %d, one lost: %v: %d refused, %d of them in the turn", seed, lost, w.result.Refused-refused, w.result.RefusedInTurn-turned)
 			}
-			if w.res.LongestHold > 50*ms {
-				t.Errorf("seed %d: held for %v", seed, w.res.LongestHold)
+			if w.result.LongestHold > 50*ms {
+				t.Errorf("seed %d: held for %v", seed, w.result.LongestHold)
 			}
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
 			w.want(t, rollout.Live)
 		}
@@ -105,13 +105,13 @@
 func TestLargeOnSlowLinks(t *testing.T) {
 	t.Parallel()
 	w := open(t, Options{Seed: 1, Nodes: 91, RequestInterval: 200 * ms, Mbit: 2, CoreMbit: 100, Routes: 300}, 0, 0)
-	refused := w.res.Refused
+	refused := w.result.Refused
 	w.Put(w.nodes[4], 3, 0, 0, "")
 	w.within(t, 3, 3*time.Second)
 	w.Run(3 * time.Second)
-	t.Logf("live after %v, at all after %v, a message took %v at most", w.first[3]-w.puts[3], w.res.ServedByAll[3], w.res.LongestQueue)
-	if w.res.Refused != refused || w.res.ServedByAll[3] == 0 {
-		t.Errorf("%d refused, at all nodes after %v", w.res.Refused-refused, w.res.ServedByAll[3])
+	t.Logf("live after %v, at all after %v, a message took %v at most", w.firstDecided[3]-w.putAt[3], w.result.ServedByAll[3], w.result.LongestQueue)
+	if w.result.Refused != refused || w.result.ServedByAll[3] == 0 {
+		t.Errorf("%d refused, at all nodes after %v", w.result.Refused-refused, w.result.ServedByAll[3])
 	}
 	w.want(t, rollout.Live)
 }
--- a/internal/rollout/world/hold_test.go
+++ b/internal/rollout/world/hold_test.go
@@ -13,18 +13,18 @@
 	t.Parallel()
 	for _, still := range []time.Duration{200 * ms, time.Second, 1700 * ms, 3 * time.Second, 6 * time.Second} {
 		for seed := range uint64(10) {
-			w := stilled(seed, 0, still)
-			if w.newest != 2 || w.fates[3] != rollout.Prepared {
-				t.Errorf("seed %d, still for %v: goes by %d, 3 is %v", seed, still, w.newest, w.fates[3])
+			w := frozenCore(seed, 0, still)
+			if w.newestDecided != 2 || w.fates[3] != rollout.Prepared {
+				t.Errorf("seed %d, still for %v: goes by %d, 3 is %v", seed, still, w.newestDecided, w.fates[3])
 			}
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
 			w.want(t, rollout.Live)
 		}
 	}
 	for seed := range uint64(10) {
-		if w := stilled(seed, rollout.BugEmptyHoldCounts, 3*time.Second); len(w.res.Violations) > 0 && w.res.Violations[0].Rule == "FEW" {
-			t.Logf("seed %d: %v", seed, w.res.Violations[0])
+		if w := frozenCore(seed, rollout.BugEmptyHoldCounts, 3*time.Second); len(w.result.Violations) > 0 && w.result.Violations[0].Rule == "FEW" {
+			t.Logf("seed %d: %v", seed, w.result.Violations[0])
 			return
 		}
 	}
--- a/internal/rollout/world/orders.go
+++ b/internal/rollout/world/orders.go
@@ -7,23 +7,23 @@
 	"asterwell/internal/rollout"
 )
 
-// holds runs until the primary has told everybody to decide nothing, and ends before any word
+// runUntilHold runs until the primary has told everybody to decide nothing, and ends before any word
 // on it has come back.
-func (w *World) holds() {
+func (w *World) runUntilHold() {
 	for end := w.now + time.Second; w.now < end; w.Run(50 * time.Microsecond) {
-		if p := w.primary(); p.k.Rollout(p.clock()).Stage == "holding" {
+		if p := w.primary(); p.control.Rollout(p.clock()).Stage == "holding" {
 			return
 		}
 	}
-	w.breaks("STUCK", "no hold within a second")
+	w.violate("STUCK", "no hold within a second")
 }
 
-// stilled is a core that stands still in the moment of a turn that eleven have to confirm;
+// frozenCore is a core that stands still in the moment of a turn that eleven have to confirm;
 // two of the others end meanwhile.
-func stilled(seed uint64, bug rollout.Bug, still time.Duration) *World {
-	w := stage(Options{Seed: seed, Bug: bug}, 11, 0)
+func frozenCore(seed uint64, bug rollout.Bug, still time.Duration) *World {
+	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.Put(w.primary(), 3, 0, 0, "")
-	w.holds()
+	w.runUntilHold()
 	for _, n := range w.nodes[:3] {
 		n.freeze(still)
 	}
@@ -35,34 +35,34 @@
 
 // FreezeDuringHold plays a core that stands still in a hold for longer than any lease.
 func FreezeDuringHold(seed uint64, bug rollout.Bug) []Violation {
-	w := stilled(seed, bug, 3*time.Second)
-	w.heal()
-	return w.res.Violations
+	w := frozenCore(seed, bug, 3*time.Second)
+	w.recover()
+	return w.result.Violations
 }
 
-// waits is a fleet in which version 3 waits for one that is down.
-func waits(seed uint64, bug rollout.Bug) *World {
-	w := stage(Options{Seed: seed, Bug: bug}, 11, 0)
+// waitingForNode is a fleet in which version 3 waits for one that is down.
+func waitingForNode(seed uint64, bug rollout.Bug) *World {
+	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.nodes[8].kill()
 	w.Put(w.primary(), 3, 0, 0, "")
 	w.Run(time.Second)
 	return w
 }
 
-// restart kills all, and starts them.
-func (w *World) restart() {
+// restartAll kills all, and starts them.
+func (w *World) restartAll() {
 	for _, n := range w.nodes {
 		n.kill()
 	}
 	w.Run(time.Second)
-	w.calm()
+	w.endFaults()
 	w.Run(SettleTime)
 }
 
 // RepeatedOrders has a version withdrawn and put at three processes at once while the primary is
 // killed, and again once a higher one is live, and once more after all have started anew.
 func RepeatedOrders(seed uint64, bug rollout.Bug) []Violation {
-	w := waits(seed, bug)
+	w := waitingForNode(seed, bug)
 	orders := func(from int) {
 		for _, n := range w.nodes[from : from+3] {
 			w.Withdraw(n, 3)
@@ -70,47 +70,47 @@
 		}
 	}
 	orders(3)
-	w.Run(w.upTo(10 * ms))
+	w.Run(w.randomUpTo(10 * ms))
 	w.primary().kill()
 	for range 4 { // a caller without an answer calls again
 		w.Run(time.Second)
 		orders(4)
 	}
-	w.calm()
+	w.endFaults()
 	w.Run(SettleTime)
 	w.Put(w.nodes[5], 4, 0, 0, "")
 	w.Run(2 * time.Second)
 	orders(5)
 	w.Run(time.Second)
-	w.restart()
+	w.restartAll()
 	orders(6)
-	w.heal()
-	return w.res.Violations
+	w.recover()
+	return w.result.Violations
 }
 
 // DelayedWithdrawal has a version withdrawn that is not there, and put once another leads; then copies of
 // that wish arrive at it which the network has held up.
 func DelayedWithdrawal(seed uint64, bug rollout.Bug) []Violation {
-	w := stage(Options{Seed: seed, Bug: bug}, 11, 0)
+	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.nodes[8].kill()
-	w.late = []rollout.WithdrawRequest{}
+	w.delayed = []rollout.WithdrawRequest{}
 	asker := w.nodes[7]
 	w.Withdraw(asker, 3)
 	w.Run(time.Second)
 	w.primary().kill()
 	w.Run(3 * time.Second)
-	copies := w.late
-	w.late = nil
+	copies := w.delayed
+	w.delayed = nil
 	w.Put(w.nodes[5], 3, 0, 0, "")
 	w.Run(time.Second)
 	for _, wish := range copies {
 		p := w.primary()
-		p.input(func() controlplane.Out { return p.k.Take(p.clock(), asker.addr, wish) })
+		p.deliver(func() controlplane.Out { return p.control.Take(p.clock(), asker.addr, wish) })
 	}
 	w.Run(time.Second)
-	if p := w.primary(); len(copies) == 0 || p.k.Rollout(p.clock()).Fate == rollout.Withdrawn.String() {
-		w.breaks("LATE", "version 3 is withdrawn by %d copies of a wish from before it came", len(copies))
+	if p := w.primary(); len(copies) == 0 || p.control.Rollout(p.clock()).Fate == rollout.Withdrawn.String() {
+		w.violate("LATE", "version 3 is withdrawn by %d copies of a wish from before it came", len(copies))
 	}
-	w.heal()
-	return w.res.Violations
+	w.recover()
+	return w.result.Violations
 }
--- a/internal/rollout/world/cutoff_test.go
+++ b/internal/rollout/world/partition_test.go
@@ -53,8 +53,8 @@
 	for seed := range uint64(20) {
 		w := open(t, Options{Seed: seed}, 0, 0)
 		p, from := w.primary(), w.now
-		alone(w, p)
-		for p.k.Rollout(p.clock()).Leads && w.now < from+5*time.Second {
+		isolate(w, p)
+		for p.control.Rollout(p.clock()).Leads && w.now < from+5*time.Second {
 			w.Run(10 * ms)
 		}
 		worst = max(worst, w.now-from)
--- /dev/null
+++ b/internal/rollout/world/process.go
@@ -0,0 +1,404 @@
+package world
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/samber/lo"
+
+	"asterwell/internal/consensus"
+	"asterwell/internal/controlplane"
+	"asterwell/internal/fsm"
+	"asterwell/internal/quotas"
+	"asterwell/internal/rollout"
+	"asterwell/internal/sysconfig"
+)
+
+// Process is a process, and what is left of it when it is gone.
+type Process struct {
+	w                         *World
+	name, addr, zone          string
+	core                      bool
+	clockRate                 float64 // of its clock
+	clockBase                 time.Duration
+	control                   *controlplane.Knot
+	up                        bool
+	incarnation               int
+	frozenUntil               time.Duration
+	deferred                  []func()
+	disk                      []byte
+	diskIdleAt                time.Duration // when it is through with what it has
+	started                   bool          // once
+	gate                      rollout.Gate
+	waiting                   []time.Duration // when the requests that wait at the gate came
+	sendIdleAt, receiveIdleAt time.Duration   // when its link is through with what it has, each way
+	calls                     uint64
+	withdrawCalls             map[uint64]withdrawOrder   // calls to withdraw
+	putCalls                  map[uint64]uint32          // calls to put, and what
+	reports                   map[string]processedReport // of each node, in this life
+}
+
+func (p *Process) clock() fsm.Time { return p.clockBase + time.Duration(float64(p.w.now)*p.clockRate) }
+
+func (p *Process) frozen() bool { return p.frozenUntil > p.w.now }
+
+func (p *Process) start() {
+	if p.up {
+		return
+	}
+	w := p.w
+	p.up, p.frozenUntil, p.deferred, p.waiting, p.gate, p.withdrawCalls = true, 0, nil, nil, rollout.Gate{}, map[uint64]withdrawOrder{}
+	p.putCalls = map[uint64]uint32{}
+	p.incarnation, p.reports = p.incarnation+1, map[string]processedReport{}
+	var kept *consensus.Disk
+	if p.disk != nil {
+		kept = &consensus.Disk{}
+		if err := cbor.Unmarshal(p.disk, kept); err != nil {
+			panic(err)
+		}
+	}
+	seed := w.rng.Uint64()
+	p.control = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core, Genesis: !p.started,
+		Losses: 1, Heartbeat: time.Second, Seeds: []string{w.nodes[0].addr, w.nodes[1].addr, w.nodes[2].addr},
+		Life: uint64(1e12) + uint64(w.now), Seed: seed, Check: p.check}, quotas.NewMeter(p.addr, uint64(p.incarnation), seed), kept, p.clock())
+	p.started = true
+	p.control.Accord().SetBug(w.opt.Bug)
+	w.trace("%s starts", p.name)
+	p.tick(p.incarnation)
+	w.schedule(w.randomUpTo(w.opt.RequestInterval), func() { p.sendRequests(p.incarnation) })
+}
+
+// check is this process's view of a text: one that refuses names it.
+func (p *Process) check(body []byte) error {
+	if _, err := sysconfig.Parse(body); err != nil {
+		return err
+	}
+	var c struct{ Refused string }
+	if json.Unmarshal(body, &c); c.Refused == p.name {
+		return fmt.Errorf("%s knows better", p.name)
+	}
+	return nil
+}
+
+func (p *Process) kill() {
+	if p.up {
+		p.w.trace("%s is killed", p.name)
+		p.up, p.deferred, p.waiting = false, nil, nil
+	}
+}
+
+func (p *Process) freeze(d time.Duration) {
+	if !p.up || p.frozen() {
+		return
+	}
+	w, life := p.w, p.incarnation
+	w.trace("%s stands still for %v", p.name, d)
+	p.frozenUntil = w.now + d
+	w.schedule(d, func() {
+		if !p.up || p.incarnation != life {
+			return
+		}
+		ice := p.deferred
+		p.deferred = nil
+		w.rng.Shuffle(len(ice), func(i, j int) { ice[i], ice[j] = ice[j], ice[i] }) // links are not in order here
+		for _, do := range ice {
+			do()
+		}
+	})
+}
+
+func (p *Process) deliver(do func() controlplane.Out) {
+	switch {
+	case !p.up:
+	case p.frozen():
+		p.deferred = append(p.deferred, func() { p.execute(do()) })
+	default:
+		p.execute(do())
+	}
+}
+
+func (p *Process) tick(life int) {
+	if !p.up || p.incarnation != life {
+		return
+	}
+	p.deliver(func() controlplane.Out { return p.control.Tick(p.clock()) })
+	next := 50 * ms
+	if p.frozen() {
+		next = p.frozenUntil - p.w.now
+	}
+	p.w.schedule(next, func() { p.tick(life) })
+}
+
+func (p *Process) execute(out controlplane.Out) {
+	w := p.w
+	if out.Write != nil {
+		data, err := cbor.Marshal(out.Write.Disk)
+		if err != nil {
+			panic(err)
+		}
+		life, seq := p.incarnation, out.Write.Seq
+		p.diskIdleAt = max(p.diskIdleAt, w.now) + ms + w.randomUpTo(3*ms) // one after the other
+		w.schedule(p.diskIdleAt-w.now, func() {
+			if p.up && p.incarnation == life {
+				p.disk = data
+				p.deliver(func() controlplane.Out { return p.control.Written(p.clock(), seq) })
+			}
+		})
+	}
+	if t := out.Text; t != nil {
+		life := p.incarnation
+		w.schedule(w.randomUpTo(20*ms), func() {
+			if p.incarnation == life {
+				p.deliver(func() controlplane.Out { return p.control.Read(p.clock(), t.Read()) })
+			}
+		})
+	}
+	if out.Gate || out.Adopt != nil {
+		p.updateGate()
+	}
+	if v, fate := p.control.Accord().Newest(); v != 0 {
+		w.checkFate(p, v, fate)
+	}
+	for _, r := range out.Replies {
+		switch t := r.Value.(type) {
+		case rollout.WithdrawReply:
+			w.checkWithdrawReply(p, p.withdrawCalls[r.Call], t.Outcome)
+		case consensus.Answer:
+			switch version := p.putCalls[r.Call]; t.Verdict {
+			case consensus.Kept:
+				w.checkAcknowledged(p, version)
+			case consensus.Busy: // no clear answer
+			case consensus.Differs:
+				if !w.conflicting[version] {
+					w.violate("AGAIN", "put of %d at %s: another text has its number, and there is none", version, p.name)
+				}
+			default:
+				w.violate("AGAIN", "put of %d at %s is refused: %v", version, p.name, t.Verdict)
+			}
+		}
+	}
+	for _, s := range out.Send {
+		w.send(p, s)
+	}
+}
+
+// updateGate goes by the gate as it stands now, and takes up what waits there.
+func (p *Process) updateGate() {
+	p.gate = p.control.Gate()
+	if p.gate.Allows(p.clock(), p.gate.Version) {
+		p.w.noteServing(p, p.gate.Version)
+	}
+	waiting := p.waiting
+	p.waiting = nil
+	for _, came := range waiting {
+		p.decide(came)
+	}
+}
+
+const maxWait = 100 * ms
+
+// decide takes up a request that came at a moment, or refuses it, or lets it wait.
+func (p *Process) decide(came time.Duration) {
+	w := p.w
+	now := p.clock()
+	if w.opt.Bug == rollout.BugStaleLeaseCheck {
+		now = p.clockBase + time.Duration(float64(came)*p.clockRate)
+	}
+	g := p.gate
+	switch {
+	case g.Version == 0:
+		w.result.Refused++
+	case g.Allows(now, g.Version):
+		w.result.LongestHold = max(w.result.LongestHold, min(w.now-came, maxWait))
+		w.checkDecision(p, g.Version)
+	case g.ReopensSoon && w.now-came < maxWait:
+		p.waiting = append(p.waiting, came)
+		if len(p.waiting) == 1 {
+			life := p.incarnation
+			w.schedule(maxWait, func() {
+				if p.up && p.incarnation == life && !p.frozen() {
+					p.updateGate()
+				}
+			})
+		}
+	default:
+		w.result.Refused++
+		if g.ReopensSoon {
+			w.result.RefusedInTurn++
+		}
+	}
+}
+
+// sendRequests send requests as long as the process lives.
+func (p *Process) sendRequests(life int) {
+	w := p.w
+	if !p.up || p.incarnation != life {
+		return
+	}
+	if came := w.now; !w.quiet {
+		if p.frozen() {
+			p.deferred = append(p.deferred, func() { p.decide(came) })
+		} else {
+			p.decide(came)
+		}
+	}
+	w.schedule(w.opt.RequestInterval/2+w.randomUpTo(w.opt.RequestInterval), func() { p.sendRequests(life) })
+}
+
+// send brings a message to a process, late, twice, or not at all.
+func (w *World) send(p *Process, s fsm.Send) {
+	to := w.byAddr[s.To]
+	if to == nil {
+		return
+	}
+	w.checkMessage(p, to, s.Msg)
+	if wish, ok := s.Msg.(rollout.WithdrawRequest); ok && w.delayed != nil {
+		w.delayed = append(w.delayed, wish)
+	}
+	if to == p {
+		life, sent := p.incarnation, w.now
+		w.schedule(0, func() {
+			if p.incarnation == life {
+				p.deliver(func() controlplane.Out {
+					w.noteProcessed(p.addr, p, s.Msg, sent)
+					return p.control.Take(p.clock(), p.addr, s.Msg)
+				})
+			}
+		})
+		return
+	}
+	size := 0
+	if w.opt.CountBytes || w.opt.Mbit > 0 {
+		if data, err := cbor.Marshal(s.Msg); err == nil {
+			size = len(data) + 40
+		}
+		w.bytes += size
+	}
+	n := 1
+	if w.rng.Float64() < w.duplication {
+		n = 2
+	}
+	for range n {
+		if w.rng.Float64() < w.loss {
+			continue
+		}
+		d := w.linkDelay(p, to, size) + 100*time.Microsecond + w.randomUpTo(300*time.Microsecond+w.extraDelay)
+		if to.zone != p.zone {
+			d += 800 * time.Microsecond
+		}
+		life, from, sent := to.incarnation, p.addr, w.now
+		w.schedule(d, func() {
+			if to.incarnation == life && !w.blocked[[2]string{from, to.addr}] {
+				w.noteReceived(from, to, s.Msg)
+				to.deliver(func() controlplane.Out {
+					w.noteProcessed(from, to, s.Msg, sent)
+					return to.control.Take(to.clock(), from, s.Msg)
+				})
+			}
+		})
+	}
+}
+
+// linkDelay is how long a message takes on the links of its sender and its receiver, behind
+// what is on them already: a slow link sends one after the other.
+func (w *World) linkDelay(p, to *Process, size int) time.Duration {
+	if w.opt.Mbit == 0 {
+		return 0
+	}
+	takes := func(x *Process) time.Duration {
+		return time.Duration(float64(size) * 8 / lo.Ternary(x.core, w.opt.CoreMbit, w.opt.Mbit) * float64(time.Microsecond))
+	}
+	p.sendIdleAt = max(p.sendIdleAt, w.now) + takes(p)
+	to.receiveIdleAt = max(to.receiveIdleAt, p.sendIdleAt) + takes(to)
+	w.result.LongestQueue = max(w.result.LongestQueue, to.receiveIdleAt-w.now)
+	return to.receiveIdleAt - w.now
+}
+
+// setBlocked cuts one way between processes.
+func (w *World) setBlocked(from, to []*Process, on bool) {
+	for _, a := range from {
+		for _, b := range to {
+			if a == b {
+				continue
+			}
+			if on {
+				w.blocked[[2]string{a.addr, b.addr}] = true
+			} else {
+				delete(w.blocked, [2]string{a.addr, b.addr})
+			}
+		}
+	}
+}
+
+// primary is the process that leads, as it sees it itself; nil: none.
+func (w *World) primary() *Process {
+	for _, p := range w.nodes {
+		if p.up && p.control.Pact().Role == "primary" {
+			return p
+		}
+	}
+	return nil
+}
+
+// configuration is a configuration. refused names a node that can't take it.
+func (w *World) configuration(version uint32, confirm, within int, refused string) []byte {
+	var b bytes.Buffer
+	fmt.Fprintf(&b, `{"Epoch":"%08x","Rollout":{"Mode":"together"`, version)
+	if confirm > 0 {
+		fmt.Fprintf(&b, `,"Confirm":%d`, confirm)
+	}
+	if within > 0 {
+		fmt.Fprintf(&b, `,"WithinMs":%d`, within)
+	}
+	fmt.Fprintf(&b, `},"Refused":%q`, refused)
+	for i := range w.opt.Routes {
+		fmt.Fprintf(&b, `%s{"Name":"route-%03d","RouteClass":"effectful","TargetMs":250,"Rank":1,"Anonymous":false,
+ "Predicate":{"PathPrefix":"/gas-day/%03d/nominations/"},"Effect":{"Backend":"pool","DeadlineMs":600,"Tries":2}}`,
+			[]string{`,"Pools":[{"Name":"pool"}],"Sockets":[{"Authority":"a.example","Policy":[`, ","}[min(i, 1)], i, i)
+	}
+	if w.opt.Routes > 0 {
+		b.WriteString("]}]")
+	}
+	b.WriteString("}")
+	return b.Bytes()
+}
+
+// Put is an operator's call at a process. Confirm and within are for the change after
+// this one.
+func (w *World) Put(p *Process, version uint32, confirm, within int, refused string) {
+	if p == nil || !p.up {
+		return
+	}
+	w.trace("put %d at %s: confirm %d within %d refused by %q", version, p.name, confirm, within, refused)
+	if _, ok := w.putAt[version]; !ok {
+		w.putAt[version] = w.now
+		w.result.Puts++
+	}
+	w.highestPut = max(w.highestPut, version)
+	p.calls++
+	id := p.calls
+	p.putCalls[id] = version
+	body := w.configuration(version, confirm, within, refused)
+	if w.texts[version] == nil {
+		w.texts[version] = body
+	}
+	w.conflicting[version] = w.conflicting[version] || !bytes.Equal(w.texts[version], body)
+	p.deliver(func() controlplane.Out {
+		return p.control.Put(p.clock(), id, consensus.Doc{Version: version, Body: body})
+	})
+}
+
+// Withdraw is an operator's call.
+func (w *World) Withdraw(p *Process, version uint32) {
+	if p != nil && p.up {
+		w.trace("withdraw %d at %s", version, p.name)
+		p.calls++
+		id := p.calls
+		_, known := w.fates[version]
+		p.withdrawCalls[id] = withdrawOrder{version, known}
+		p.deliver(func() controlplane.Out { return p.control.Withdraw(p.clock(), id, version, "ops") })
+	}
+}
--- a/internal/rollout/world/scenario_test.go
+++ b/internal/rollout/world/scenario_test.go
@@ -20,9 +20,9 @@
 	if testing.Verbose() {
 		o.Trace = func(at time.Duration, text string) { t.Logf("%12v %s", at, text) }
 	}
-	w := stage(o, confirm, within)
-	if w.newest != 2 {
-		t.Fatalf("goes by %d", w.newest)
+	w := startTogether(o, confirm, within)
+	if w.newestDecided != 2 {
+		t.Fatalf("goes by %d", w.newestDecided)
 	}
 	return w
 }
@@ -30,26 +30,26 @@
 // want runs until all is calm, and holds what came of version 3 against what should have.
 func (w *World) want(t *testing.T, fate rollout.Fate) {
 	t.Helper()
-	w.settled()
-	for _, b := range w.res.Violations {
+	w.checkSettled()
+	for _, b := range w.result.Violations {
 		t.Error(b)
 	}
 	if got := w.fates[3]; got != fate {
 		t.Errorf("3 is %v, want %v", got, fate)
 	}
-	if (fate == rollout.Live) != (w.newest >= 3) {
-		t.Errorf("requests go by %d", w.newest)
+	if (fate == rollout.Live) != (w.newestDecided >= 3) {
+		t.Errorf("requests go by %d", w.newestDecided)
 	}
 }
 
 // within runs until a request went by a version.
 func (w *World) within(t *testing.T, version uint32, d time.Duration) {
 	t.Helper()
-	for end := w.now + d; w.now < end && w.newest < version && len(w.res.Violations) == 0; {
+	for end := w.now + d; w.now < end && w.newestDecided < version && len(w.result.Violations) == 0; {
 		w.Run(10 * ms)
 	}
-	if w.newest < version {
-		t.Errorf("after %v requests go by %d, want %d", d, w.newest, version)
+	if w.newestDecided < version {
+		t.Errorf("after %v requests go by %d, want %d", d, w.newestDecided, version)
 	}
 }
 
@@ -72,10 +72,10 @@
 					}
 				}
 				w.Run(2 * time.Second)
-				w.calm()
+				w.endFaults()
 				w.Run(SettleTime)
-				w.settled()
-				for _, b := range w.res.Violations {
+				w.checkSettled()
+				for _, b := range w.result.Violations {
 					t.Errorf("killed after %v, the backup too: %v: %v", at, both, b)
 				}
 			})
@@ -87,13 +87,16 @@
 func TestLeftOut(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]func(w *World, x *Process){
-		"cut off":                  func(w *World, x *Process) { w.cut(w.nodes, []*Process{x}, true); w.cut([]*Process{x}, w.nodes, true) },
-		"hears nothing":            func(w *World, x *Process) { w.cut(w.nodes, []*Process{x}, true) },
-		"says nothing":             func(w *World, x *Process) { w.cut([]*Process{x}, w.nodes, true) },
+		"cut off": func(w *World, x *Process) {
+			w.setBlocked(w.nodes, []*Process{x}, true)
+			w.setBlocked([]*Process{x}, w.nodes, true)
+		},
+		"hears nothing":            func(w *World, x *Process) { w.setBlocked(w.nodes, []*Process{x}, true) },
+		"says nothing":             func(w *World, x *Process) { w.setBlocked([]*Process{x}, w.nodes, true) },
 		"stands still":             func(w *World, x *Process) { x.freeze(4 * time.Second) },
 		"killed":                   func(w *World, x *Process) { x.kill() },
-		"restarted":                func(w *World, x *Process) { w.after(5*ms, func() { x.kill(); x.boot() }) },
-		"stands still in the turn": func(w *World, x *Process) { w.after(15*ms, func() { x.freeze(4 * time.Second) }) },
+		"restarted":                func(w *World, x *Process) { w.schedule(5*ms, func() { x.kill(); x.start() }) },
+		"stands still in the turn": func(w *World, x *Process) { w.schedule(15*ms, func() { x.freeze(4 * time.Second) }) },
 		"a third": func(w *World, x *Process) {
 			w.nodes[5].kill()
 			w.nodes[7].kill()
@@ -109,14 +112,14 @@
 			c(w, x)
 			w.Put(w.primary(), 3, 0, 0, "")
 			w.within(t, 3, 3500*ms)
-			mark := len(w.res.Decisions)
+			mark := len(w.result.Decisions)
 			w.Run(time.Second)
 			if strings.HasSuffix(name, "nothing") || name == "cut off" {
-				if slices.ContainsFunc(w.res.Decisions[mark:], func(m Decision) bool { return m.Node == x.name }) {
+				if slices.ContainsFunc(w.result.Decisions[mark:], func(m Decision) bool { return m.Node == x.name }) {
 					t.Error("it decides")
 				}
 			}
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
 			w.want(t, rollout.Live)
 		})
@@ -131,14 +134,14 @@
 	x.kill()
 	w.Put(w.primary(), 3, 0, 0, "")
 	w.Run(5 * time.Second)
-	if w.newest != 2 || w.fates[3] != rollout.Prepared {
-		t.Fatalf("goes by %d, 3 is %v", w.newest, w.fates[3])
+	if w.newestDecided != 2 || w.fates[3] != rollout.Prepared {
+		t.Fatalf("goes by %d, 3 is %v", w.newestDecided, w.fates[3])
 	}
-	s := w.primary().k.Rollout(w.primary().clock())
+	s := w.primary().control.Rollout(w.primary().clock())
 	if s.Enough || len(s.Prepared) != 10 || s.Newest != 3 || s.Live != 2 {
 		t.Errorf("%+v", s)
 	}
-	x.boot()
+	x.start()
 	w.within(t, 3, 2*time.Second)
 	w.Run(SettleTime)
 	w.want(t, rollout.Live)
@@ -163,7 +166,7 @@
 			w.Run(time.Second)
 			back(w)
 			w.Run(3 * time.Second)
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
 			w.want(t, rollout.Withdrawn)
 			w.Put(w.nodes[3], 4, 0, 0, "") // the next one goes through
@@ -181,18 +184,18 @@
 			w := stageOf(t, seed, 0, 0, 0)
 			w.Put(w.nodes[5], 3, 0, 0, "")
 			w.Put(w.nodes[6], 3, 5, 0, "")
-			w.Run(w.upTo(20 * ms))
+			w.Run(w.randomUpTo(20 * ms))
 			w.Put(w.nodes[7], 5, 0, 0, "")
 			w.Put(w.nodes[8], 4, 0, 0, "")
-			w.Run(w.upTo(30 * ms))
+			w.Run(w.randomUpTo(30 * ms))
 			for _, n := range w.nodes {
 				n.kill()
 			}
 			w.Run(time.Second)
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
-			w.settled()
-			for _, b := range w.res.Violations {
+			w.checkSettled()
+			for _, b := range w.result.Violations {
 				t.Error(b)
 			}
 		})
@@ -204,8 +207,8 @@
 	w := stageOf(t, seed, bug, 0, 0)
 	p, x := w.primary(), w.nodes[9]
 	rest := slices.DeleteFunc(slices.Clone(w.nodes), func(n *Process) bool { return n == p || n == x })
-	w.cut(rest, []*Process{x}, true)
-	w.cut([]*Process{x}, rest, true)
+	w.setBlocked(rest, []*Process{x}, true)
+	w.setBlocked([]*Process{x}, rest, true)
 	p.freeze(5 * time.Second)
 	w.Run(1500 * ms)
 	w.Put(w.nodes[4], 3, 0, 0, "")
@@ -219,7 +222,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := oldPrimary(t, seed, 0)
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
 			w.want(t, rollout.Live)
 		})
@@ -253,12 +256,12 @@
 			c.before(w)
 			w.Withdraw(w.nodes[7], c.version)
 			w.Run(1500 * ms)
-			if len(w.res.WithdrawReplies) != 1 || w.res.WithdrawReplies[0].Version != c.version || w.res.WithdrawReplies[0].Outcome != c.want {
-				t.Errorf("told %v, want %v", w.res.WithdrawReplies, c.want)
+			if len(w.result.WithdrawReplies) != 1 || w.result.WithdrawReplies[0].Version != c.version || w.result.WithdrawReplies[0].Outcome != c.want {
+				t.Errorf("told %v, want %v", w.result.WithdrawReplies, c.want)
 			}
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
-			for _, b := range w.res.Violations {
+			for _, b := range w.result.Violations {
 				t.Error(b)
 			}
 		})
--- a/internal/rollout/world/seeds_test.go
+++ b/internal/rollout/world/seeds_test.go
@@ -86,8 +86,8 @@
 	t.Run("unaffirmed", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(100) {
-			if w := oldPrimary(t, seed, rollout.BugGrantUnconfirmed); len(w.res.Violations) > 0 {
-				t.Logf("seed %d: %v", seed, w.res.Violations[0])
+			if w := oldPrimary(t, seed, rollout.BugGrantUnconfirmed); len(w.result.Violations) > 0 {
+				t.Logf("seed %d: %v", seed, w.result.Violations[0])
 				return
 			}
 		}
--- /dev/null
+++ b/internal/rollout/world/simulate.go
@@ -0,0 +1,203 @@
+package world
+
+import (
+	"slices"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"asterwell/internal/consensus"
+	"asterwell/internal/rollout"
+)
+
+func diskVersion(data []byte) uint32 {
+	var d consensus.Disk
+	if err := cbor.Unmarshal(data, &d); err != nil {
+		panic(err)
+	}
+	return d.Kept.Version
+}
+
+// Bootstrap brings the first versions into force: the second is the first that is taken up
+// together.
+func (w *World) Bootstrap() {
+	w.Run(3 * time.Second)
+	w.Put(w.nodes[0], 1, 0, 0, "")
+	w.Run(3 * time.Second)
+}
+
+// startTogether is a fleet that goes by version 2, whose change is taken up together, with so many to
+// confirm it.
+func startTogether(o Options, confirm, within int) *World {
+	w := New(o)
+	w.Bootstrap()
+	w.Put(w.nodes[4], 2, confirm, within, "")
+	w.Run(4 * time.Second)
+	return w
+}
+
+// Simulate draws faults and operators from a seed, then lets all come back, and judges that
+// the newest version has had its outcome everywhere.
+func Simulate(o Options) Result {
+	w := New(o)
+	w.loss, w.duplication = 0.01, 0.02
+	w.Bootstrap()
+	until := w.now + 14*time.Second
+	w.injectFaults(until)
+	w.operators(until)
+	w.Run(until - w.now)
+	w.endFaults()
+	w.Run(SettleTime)
+	w.checkSettled()
+	return w.Finish()
+}
+
+// SettleTime is the time after which, without faults, all have the outcome of the newest
+// version, and serve: an election, what a primary before granted, a fenced node's lease.
+const SettleTime = 7 * time.Second
+
+// Finish is what the play has shown.
+func (w *World) Finish() Result {
+	for v := range w.putAt {
+		switch at, lived := w.firstDecided[v]; {
+		case lived:
+			w.result.Live++
+			w.result.LiveAfter = append(w.result.LiveAfter, at-w.putAt[v])
+		case w.fates[v] == rollout.Withdrawn:
+			w.result.Withdrawn++
+		default:
+			w.result.Overtaken++
+		}
+	}
+	slices.Sort(w.result.LiveAfter)
+	return w.result
+}
+
+func (w *World) endFaults() {
+	clear(w.blocked)
+	w.loss, w.duplication, w.extraDelay = 0, 0, 0
+	for _, p := range w.nodes {
+		p.start()
+	}
+}
+
+// checkSettled judges that nobody is stuck.
+func (w *World) checkSettled() {
+	if len(w.result.Violations) > 0 {
+		return
+	}
+	for _, p := range w.nodes {
+		switch v, fate := p.control.Accord().Newest(); {
+		case p.frozen():
+		case fate == rollout.Prepared:
+			w.violate("STUCK", "%s has %d as prepared", p.name, v)
+		case v != w.newestVersion():
+			w.violate("STUCK", "%s holds %d, the newest is %d", p.name, v, w.newestVersion())
+		case !p.gate.Allows(p.clock(), p.gate.Version):
+			w.violate("STUCK", "%s decides nothing: %+v at %v", p.name, p.gate, p.clock())
+		}
+	}
+}
+
+func (w *World) newestVersion() (top uint32) {
+	for v := range w.fates {
+		top = max(top, v)
+	}
+	return top
+}
+
+// operators put versions, at times two at once, some of which a node refuses, and
+// withdraw some.
+func (w *World) operators(until time.Duration) {
+	if w.now >= until {
+		return
+	}
+	n := w.highestPut + 1
+	refused := ""
+	if w.rng.IntN(5) == 0 {
+		refused = w.randomNode().name
+	}
+	confirm, within := 0, 0
+	if w.rng.IntN(2) == 0 {
+		confirm = 1 + w.rng.IntN(len(w.nodes))
+	}
+	if confirm > 0 || w.rng.IntN(3) == 0 {
+		within = 1000 + w.rng.IntN(3000)
+	}
+	w.Put(w.randomNode(), n, confirm, within, refused)
+	if w.opt.RepeatOrders && w.rng.IntN(2) == 0 {
+		w.repeatOrders(n, func(p *Process) { w.Put(p, n, confirm, within, refused) })
+	}
+	switch w.rng.IntN(5) {
+	case 0: // two at once
+		w.Put(w.randomNode(), n+1, 0, 0, "")
+	case 1:
+		p := w.randomNode()
+		w.schedule(w.randomUpTo(300*ms), func() { w.Withdraw(p, n) })
+	}
+	w.schedule(200*ms+w.randomUpTo(2500*ms), func() { w.operators(until) })
+}
+
+// repeatOrders has an operator without an answer, or who mistrusts it, send the same orders once more.
+func (w *World) repeatOrders(n uint32, put func(p *Process)) {
+	for range 3 {
+		w.schedule(w.randomUpTo(5*time.Second), func() { w.Withdraw(w.randomNode(), n) })
+		w.schedule(w.randomUpTo(5*time.Second), func() { put(w.randomNode()) })
+	}
+}
+
+func (w *World) randomNode() *Process { return w.nodes[w.rng.IntN(len(w.nodes))] }
+
+// injectFaults brings one failure about, and the next one later.
+func (w *World) injectFaults(until time.Duration) {
+	if w.now >= until {
+		return
+	}
+	p := w.randomNode()
+	if lead := w.primary(); lead != nil && w.rng.IntN(3) == 0 {
+		p = lead
+	}
+	switch w.rng.IntN(7) {
+	case 0, 1:
+		w.result.Kills++
+		p.kill()
+		w.schedule(100*ms+w.randomUpTo(3*time.Second), p.start)
+	case 2, 3:
+		w.result.Freezes++
+		p.freeze(100*ms + w.randomUpTo(4*time.Second))
+	case 4:
+		w.result.Cuts++
+		all, one := w.randomNodes(), []*Process{p}
+		w.setBlocked(one, all, true)
+		w.schedule(200*ms+w.randomUpTo(3*time.Second), func() { w.setBlocked(one, all, false) })
+	case 5:
+		w.result.Cuts++
+		all, one := w.randomNodes(), []*Process{p}
+		w.setBlocked(all, one, true)
+		w.schedule(200*ms+w.randomUpTo(3*time.Second), func() { w.setBlocked(all, one, false) })
+	case 6:
+		w.result.Cuts++
+		all, one := w.randomNodes(), w.randomNodes()
+		w.setBlocked(all, one, true)
+		w.setBlocked(one, all, true)
+		w.schedule(200*ms+w.randomUpTo(3*time.Second), func() { w.setBlocked(all, one, false); w.setBlocked(one, all, false) })
+	}
+	if w.rng.IntN(4) == 0 {
+		w.extraDelay = w.randomUpTo(80 * ms)
+	}
+	w.schedule(50*ms+w.randomUpTo(1500*ms), func() { w.injectFaults(until) })
+}
+
+// randomNodes are all processes, or about half.
+func (w *World) randomNodes() []*Process {
+	if w.rng.IntN(3) == 0 {
+		return w.nodes
+	}
+	var half []*Process
+	for _, p := range w.nodes {
+		if w.rng.IntN(2) == 0 {
+			half = append(half, p)
+		}
+	}
+	return half
+}
--- a/internal/rollout/world/withdraw_test.go
+++ b/internal/rollout/world/withdraw_test.go
@@ -17,13 +17,13 @@
 		"a higher one":   func(w *World) { w.Put(w.nodes[5], 4, 0, 0, ""); w.Run(3 * time.Second) },
 		"one under way":  func(w *World) { w.Put(w.nodes[5], 4, 11, 0, ""); w.Run(10 * ms) },
 		"another taken":  func(w *World) { w.primary().kill(); w.Run(4 * time.Second) },
-		"all start anew": func(w *World) { w.restart() },
+		"all start anew": func(w *World) { w.restartAll() },
 		"six more, and then all start anew": func(w *World) {
 			for v := uint32(4); v < 10; v++ {
 				w.Put(w.nodes[v], v, 0, 0, "")
 				w.Run(2 * time.Second)
 			}
-			w.restart()
+			w.restartAll()
 		},
 		"a higher one withdrawn, one live": func(w *World) {
 			w.Put(w.nodes[5], 4, 0, 0, "n01")
@@ -33,23 +33,23 @@
 		},
 	} {
 		for _, bug := range []rollout.Bug{0, rollout.BugForgetWithdrawn} {
-			w := waits(3, bug)
+			w := waitingForNode(3, bug)
 			w.Withdraw(w.nodes[7], 3)
 			w.Run(time.Second)
-			w.nodes[8].boot()
+			w.nodes[8].start()
 			w.Run(time.Second)
 			since(w)
 			w.Withdraw(w.nodes[9], 3)
 			w.Withdraw(w.nodes[4], 3)
 			w.Run(1500 * ms)
-			met := slices.ContainsFunc(w.res.Violations, func(b Violation) bool { return b.Rule == "AGAIN" })
-			if higher := w.top > 3; bug != 0 && met != higher {
+			met := slices.ContainsFunc(w.result.Violations, func(b Violation) bool { return b.Rule == "AGAIN" })
+			if higher := w.highestPut > 3; bug != 0 && met != higher {
 				t.Errorf("%s: the mutant is found: %v", name, met)
 			}
-			if bug == 0 && (len(w.res.WithdrawReplies) != 3 || slices.ContainsFunc(w.res.WithdrawReplies, notBack)) {
-				t.Errorf("%s: told %v", name, w.res.WithdrawReplies)
+			if bug == 0 && (len(w.result.WithdrawReplies) != 3 || slices.ContainsFunc(w.result.WithdrawReplies, notBack)) {
+				t.Errorf("%s: told %v", name, w.result.WithdrawReplies)
 			}
-			for _, b := range w.res.Violations {
+			for _, b := range w.result.Violations {
 				if bug == 0 {
 					t.Errorf("%s: %v", name, b)
 				}
@@ -68,7 +68,7 @@
 		for name, strike := range map[string]func(p *Process){
 			"nothing": func(*Process) {}, "killed": (*Process).kill, "frozen": func(p *Process) { p.freeze(3 * time.Second) },
 		} {
-			w := waits(uint64(at), 0)
+			w := waitingForNode(uint64(at), 0)
 			round := func() {
 				for i, n := range w.nodes {
 					if n != w.nodes[8] && i < 9 {
@@ -84,10 +84,10 @@
 				round()
 			}
 			w.Run(time.Second)
-			if len(w.res.WithdrawReplies) < 8 || slices.ContainsFunc(w.res.WithdrawReplies, notBack) {
-				t.Errorf("%s after %v: told %v", name, at, w.res.WithdrawReplies)
+			if len(w.result.WithdrawReplies) < 8 || slices.ContainsFunc(w.result.WithdrawReplies, notBack) {
+				t.Errorf("%s after %v: told %v", name, at, w.result.WithdrawReplies)
 			}
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
 			w.want(t, rollout.Withdrawn)
 		}
@@ -115,11 +115,11 @@
 				w.Run(time.Second)
 				puts()
 			}
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
 			w.want(t, rollout.Live)
 			told := map[string]bool{}
-			for _, k := range w.res.Acknowledged {
+			for _, k := range w.result.Acknowledged {
 				told[k.Node] = told[k.Node] || k.Version == 3
 			}
 			if len(told) < 8 {
@@ -139,23 +139,23 @@
 			w := stageOf(t, seed, bug, 0, 0)
 			p, x := w.primary(), w.nodes[9]
 			rest := slices.DeleteFunc(slices.Clone(w.nodes), func(n *Process) bool { return n == p || n == x })
-			w.cut(rest, []*Process{p, x}, true)
-			w.cut([]*Process{p, x}, rest, true)
+			w.setBlocked(rest, []*Process{p, x}, true)
+			w.setBlocked([]*Process{p, x}, rest, true)
 			p.freeze(3 * time.Second)
 			w.Run(1500 * ms)
 			w.Put(w.nodes[4], 3, 0, 0, "")
 			w.Run(1400 * ms)
 			w.Withdraw(x, 3)
 			w.Run(2 * time.Second)
-			met := len(w.res.Violations) > 0 && w.res.Violations[0].Rule == "TOLD"
+			met := len(w.result.Violations) > 0 && w.result.Violations[0].Rule == "TOLD"
 			if found = found || met && bug != 0; bug != 0 {
 				continue
 			}
-			w.calm()
+			w.endFaults()
 			w.Run(SettleTime)
 			w.want(t, rollout.Live)
-			if len(w.res.WithdrawReplies) > 0 {
-				t.Errorf("seed %d: told %v", seed, w.res.WithdrawReplies)
+			if len(w.result.WithdrawReplies) > 0 {
+				t.Errorf("seed %d: told %v", seed, w.result.WithdrawReplies)
 			}
 		}
 	}
--- a/internal/rollout/world/world.go
+++ b/internal/rollout/world/world.go
@@ -79,66 +79,66 @@
 
 // World is one play.
 type World struct {
-	opt    Options
-	rng    *rand.Rand
-	now    time.Duration
-	queue  fsm.Events
-	order  uint64
-	nodes  []*Process
-	byAddr map[string]*Process
-	cuts   map[[2]string]bool
-	loss   float64
-	twice  float64
-	slow   time.Duration
-	res    Result
-
-	newest  uint32 // version decided by so far
-	first   map[uint32]time.Duration
-	puts    map[uint32]time.Duration
-	bodies  map[uint32]string
-	fates   map[uint32]rollout.Fate
-	words   map[string]word // the newest word of each node that the primary has heard
-	confirm map[uint32]int
-	top     uint32
-	open    map[uint32]map[*Process]bool
-	bytes   int
-	late    []rollout.WithdrawRequest // copies that the network holds up
-	quiet   bool                      // no clients
-	never   map[uint32]bool           // versions of which an operator was told so
-	texts   map[uint32][]byte
-	other   map[uint32]bool // versions that were put with another text too
-	back    map[uint32]bool // versions that an operator was told to be withdrawn
+	opt         Options
+	rng         *rand.Rand
+	now         time.Duration
+	queue       fsm.Events
+	eventCount  uint64
+	nodes       []*Process
+	byAddr      map[string]*Process
+	blocked     map[[2]string]bool
+	loss        float64
+	duplication float64
+	extraDelay  time.Duration
+	result      Result
+
+	newestDecided uint32 // version decided by so far
+	firstDecided  map[uint32]time.Duration
+	putAt         map[uint32]time.Duration
+	bodies        map[uint32]string
+	fates         map[uint32]rollout.Fate
+	reports       map[string]receivedReport // the newest word of each node that the primary has heard
+	judged        map[uint32]int
+	highestPut    uint32
+	serving       map[uint32]map[*Process]bool
+	bytes         int
+	delayed       []rollout.WithdrawRequest // copies that the network holds up
+	quiet         bool                      // no clients
+	toldNever     map[uint32]bool           // versions of which an operator was told so
+	texts         map[uint32][]byte
+	conflicting   map[uint32]bool // versions that were put with another text too
+	toldWithdrawn map[uint32]bool // versions that an operator was told to be withdrawn
 }
 
 // New makes processes in three zones, and starts them.
 func New(o Options) *World {
 	o.Nodes, o.RequestInterval = cmp.Or(o.Nodes, 11), cmp.Or(o.RequestInterval, 6*ms)
-	w := &World{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 27)), byAddr: map[string]*Process{}, cuts: map[[2]string]bool{},
-		first: map[uint32]time.Duration{}, puts: map[uint32]time.Duration{}, bodies: map[uint32]string{},
-		fates: map[uint32]rollout.Fate{}, words: map[string]word{}, confirm: map[uint32]int{}}
-	w.texts, w.other = map[uint32][]byte{}, map[uint32]bool{}
-	w.never, w.back = map[uint32]bool{}, map[uint32]bool{}
-	w.open, w.res.ServedByAll, w.res.PutAt = map[uint32]map[*Process]bool{}, map[uint32]time.Duration{}, w.puts
+	w := &World{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 27)), byAddr: map[string]*Process{}, blocked: map[[2]string]bool{},
+		firstDecided: map[uint32]time.Duration{}, putAt: map[uint32]time.Duration{}, bodies: map[uint32]string{},
+		fates: map[uint32]rollout.Fate{}, reports: map[string]receivedReport{}, judged: map[uint32]int{}}
+	w.texts, w.conflicting = map[uint32][]byte{}, map[uint32]bool{}
+	w.toldNever, w.toldWithdrawn = map[uint32]bool{}, map[uint32]bool{}
+	w.serving, w.result.ServedByAll, w.result.PutAt = map[uint32]map[*Process]bool{}, map[uint32]time.Duration{}, w.putAt
 	for i := range o.Nodes {
 		p := &Process{w: w, name: fmt.Sprintf("n%02d", i), addr: fmt.Sprintf("10.0.%d.%d:7000", i%3, i), zone: string(rune('a' + i%3)),
-			core: i < 3, rate: 1 + (w.rng.Float64()-0.5)*0.04, base: time.Hour + time.Duration(w.rng.Int64N(int64(time.Hour)))}
+			core: i < 3, clockRate: 1 + (w.rng.Float64()-0.5)*0.04, clockBase: time.Hour + time.Duration(w.rng.Int64N(int64(time.Hour)))}
 		w.nodes, w.byAddr[p.addr] = append(w.nodes, p), p
 	}
 	for _, p := range w.nodes {
-		p.boot()
+		p.start()
 	}
 	return w
 }
 
-func (w *World) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.order, Do: do})
+func (w *World) schedule(d time.Duration, do func()) {
+	w.eventCount++
+	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.eventCount, Do: do})
 }
 
 // Run lets time pass; it ends early once a rule broke.
 func (w *World) Run(d time.Duration) {
 	end := w.now + d
-	for len(w.queue) > 0 && w.queue[0].At <= end && len(w.res.Violations) == 0 {
+	for len(w.queue) > 0 && w.queue[0].At <= end && len(w.result.Violations) == 0 {
 		e := heap.Pop(&w.queue).(fsm.Event)
 		w.now = e.At
 		e.Do()
@@ -146,15 +146,17 @@
 	w.now = end
 }
 
-func (w *World) breaks(rule, form string, args ...any) {
-	w.note("%s: %s", rule, fmt.Sprintf(form, args...))
-	w.res.Violations = append(w.res.Violations, Violation{rule, w.now, fmt.Sprintf(form, args...)})
+func (w *World) violate(rule, form string, args ...any) {
+	w.trace("%s: %s", rule, fmt.Sprintf(form, args...))
+	w.result.Violations = append(w.result.Violations, Violation{rule, w.now, fmt.Sprintf(form, args...)})
 }
 
-func (w *World) note(form string, args ...any) {
+func (w *World) trace(form string, args ...any) {
 	if w.opt.Trace != nil {
 		w.opt.Trace(w.now, fmt.Sprintf(form, args...))
 	}
 }
 
-func (w *World) upTo(d time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(d) + 1)) }
+func (w *World) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(w.rng.Int64N(int64(d) + 1))
+}
