--- a/internal/rollout/lead.go
+++ b/internal/rollout/lead.go
@@ -9,22 +9,22 @@
 	"asterwell/internal/policy"
 )
 
-// leadership is the primary's part in one epoch. All of it may be lost: a successor finds in
-// the document whether a version is live, and asks the nodes anew for the rest.
+// leadership is the state of the primary in one epoch. It may be lost at any time: a successor finds in the
+// document whether a version is live, and asks the nodes again for the rest.
 type leadership struct {
 	epoch         consensus.Ballot
-	conduct       *policy.Conduct // nil: what is live is taken up by each
+	conduct       *policy.Conduct // nil: each node puts what is live in force by itself
 	register      policy.Register
-	addrs         map[uint64]string // of the nodes' lives
-	confirmWanted bool              // the conduct wants the writers' confirmation, which is not asked for yet
-	confirmRound  uint64            // of the one that it waits for
+	addrs         map[uint64]string // by incarnation of the node
+	confirmWanted bool              // the conduct needs a confirmation of the writers that has not been started yet
+	confirmRound  uint64            // the round of confirmation that the conduct waits for
 	pending       uint32
-	pendingSince  fsm.Time             // of pending, here
-	withdrawals   []receivedWithdrawal // to withdraw, that wait for the document
-	answered      []WithdrawRequest    // the last of them that have been answered
+	pendingSince  fsm.Time             // when this process first saw pending
+	withdrawals   []receivedWithdrawal // waiting for their outcome in the document
+	answered      []WithdrawRequest    // the latest of those that were answered
 }
 
-// updateLead takes over what is kept.
+// updateLead applies the current document to the primary's state.
 func (m *Machine) updateLead(now fsm.Time) {
 	l := m.lead
 	m.answerWithdrawals()
@@ -67,13 +67,13 @@
 	a.HeldRound = l.heldRound(a)
 	m.leadSeenAt = now
 	l.conduct.Renew(now, a.ID, a.policyRenew())
-	if l.conduct.Stage() == policy.Holding { // everybody waits for the last one's word
+	if l.conduct.Stage() == policy.Holding { // nodes wait for the last confirmation of the hold
 		l.conduct.Tick(now)
 	}
 	m.applyConduct(now)
 }
 
-// heldRound is the round in which a node decides nothing. Another primary's may have the same
+// heldRound is the hold in which a node decides nothing. A hold of another primary may have the same
 // number.
 func (l *leadership) heldRound(a LeaseRequest) uint64 {
 	if a.Epoch != l.epoch {
@@ -98,8 +98,8 @@
 	}
 }
 
-// ConfirmationStarted tells the round of the writers' confirmation that was asked for; 0: this is
-// no primary any more.
+// ConfirmationStarted reports the round of the writers' confirmation that was requested; 0: this process is
+// no longer the primary.
 func (m *Machine) ConfirmationStarted(round uint64) {
 	l := m.lead
 	if l == nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// LeadConfirmed tells that the writers have confirmed that round.
+// LeadConfirmed reports that the writers have confirmed this process as primary in that round.
 func (m *Machine) LeadConfirmed(now fsm.Time, round uint64) Out {
 	l := m.lead
 	if l != nil && l.conduct != nil && l.confirmRound != 0 && round >= l.confirmRound {
@@ -137,7 +137,8 @@
 	return m.takeOut()
 }
 
-// AmendmentRejected tells that an amendment could not be made, as another document is on its way.
+// AmendmentRejected reports that an amendment could not be proposed, because another document is being
+// agreed on.
 func (m *Machine) AmendmentRejected(now fsm.Time, d consensus.Doc) Out {
 	if l := m.lead; l != nil && l.conduct != nil && ReadState(d).Fate == Live {
 		l.conduct.Dropped(now)
@@ -146,7 +147,7 @@
 	return m.takeOut()
 }
 
-// applyConduct carries out what the conduct wants.
+// applyConduct carries out the requests of the conduct.
 func (m *Machine) applyConduct(now fsm.Time) {
 	l := m.lead
 	for again := true; again; {
@@ -178,11 +179,11 @@
 	}
 }
 
-// enoughConfirmed says whether as many nodes hold the version as it needs: the number that is
-// asked for, and most of those that live in each zone. A node has confirmed if all
-// lives of it have that may still go by anything: an earlier one's word is not this one's.
-// A word counts only with a lease, so only if the writers took this one for the primary
-// after it; and in a hold only if it was said again in that round, as who has a lease must.
+// enoughConfirmed reports whether enough nodes hold the version: the required number, and the majority of
+// the live ones in each zone. A node has confirmed if all of its incarnations have that may still decide by
+// any version: a confirmation of an earlier incarnation doesn't count for the current one. A confirmation
+// only counts with a lease, so only if the writers took this process for the primary after it; and during a
+// hold only if it was repeated in that round, as nodes with a lease must.
 func (m *Machine) enoughConfirmed(now fsm.Time) bool {
 	_, all := m.lead.conduct.Status(now)
 	held := map[string]bool{}
@@ -219,12 +220,12 @@
 func (m *Machine) terms() policy.Terms {
 	t := Terms
 	if m.bug == BugTurnIgnoresLeases {
-		t.Lease = Terms.Lease / 8 // none at all would count no word, and nothing would turn
+		t.Lease = Terms.Lease / 8 // without any lease no confirmation would count, and no version would become live
 	}
 	return t
 }
 
-// sortedUnique are sorted, so that what is shown stays in its place.
+// sortedUnique keeps the order of names in the status stable.
 func sortedUnique(all []string) []string {
 	slices.Sort(all)
 	return slices.Compact(all)
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -10,113 +10,113 @@
 	"asterwell/internal/sysconfig"
 )
 
-// Terms are the times of leases and turns, the same at every node.
+// Terms are the times of leases and holds, the same at every node.
 var Terms = policy.Terms{Lease: 1500 * time.Millisecond, Drift: 0.05, Renew: 400 * time.Millisecond,
 	CheckWithin: time.Second, HoldWithin: 150 * time.Millisecond}
 
-// Config is what a process knows about itself.
+// Config identifies the process.
 type Config struct {
 	Self, Name, Zone string
 	Seed             uint64
 }
 
-// Out is what follows from an input.
+// Out is the result of an input: what the caller has to do.
 type Out struct {
 	Send            []fsm.Send
-	Adopt           *consensus.Doc  // to be in force here
-	Read            *consensus.Doc  // to be read, then tell Taken; a newer one takes its place
-	Check           *consensus.Doc  // the same, then tell Checked
+	Adopt           *consensus.Doc  // to put in force here
+	Read            *consensus.Doc  // to read, then call TextRead; replaces an earlier one
+	Check           *consensus.Doc  // to check, then call TextChecked; replaces an earlier one
 	Gate            bool            // Gate may have changed
-	ConfirmLead     bool            // ask the writers whether this is the primary still, then tell Affirming
-	WithdrawReplies []WithdrawReply // to those who made the calls
-	Amend           *consensus.Doc  // to be kept by agreement; tell Dropped if it can't be
+	ConfirmLead     bool            // have the writers confirm this primary, then call ConfirmationStarted
+	WithdrawReplies []WithdrawReply // for calls made at this process
+	Amend           *consensus.Doc  // to agree on; call AmendmentRejected if it can't be proposed
 }
 
-// Machine is one process's part.
+// Machine is the state machine of one process.
 type Machine struct {
 	config      Config
-	incarnation uint64 // of this life
+	incarnation uint64 // random, of this process
 	doc         consensus.Doc
 	state       State
-	rollout     sysconfig.Rollout // of what is live
-	synced      bool              // doc is on disk, where there is one
+	rollout     sysconfig.Rollout // of the live version
+	synced      bool              // doc is on disk, or needn't be
 	adopted     uint32
-	reading     uint32  // the newest that is to be read
-	verdict     verdict // on what is prepared
+	reading     uint32  // the newest version that is being read
+	verdict     verdict // on the prepared version
 	primary     string
 	nodes       []Node
 
 	holder      *policy.Holder
-	holdEpoch   consensus.Ballot // whose round the holder holds
+	holdEpoch   consensus.Ballot // to which the hold of holder belongs
 	pulledAt    fsm.Time
 	behindSince fsm.Time // since when the primary is known to have a newer document; 0: it has none
-	soughtAt    fsm.Time // when another process was last asked who leads
+	soughtAt    fsm.Time // when another process was last asked for the primary
 	seekIndex   int
 
-	withdrawCalls []withdrawCall // to withdraw, made here
+	withdrawCalls []withdrawCall // made at this process
 
 	lead       *leadership
-	leadSeenAt fsm.Time // when lead was last told the time
+	leadSeenAt fsm.Time // the time of the last input to lead
 	bug        Bug
 	out        Out
 }
 
-// Node is a process that lives, as membership sees it.
+// Node is a live process, as membership sees it.
 type Node struct {
 	Name, Zone, Addr string
 	Member           bool // has a disk
 }
 
-// Bug switches a guard off, to show that the judge misses it.
+// Bug disables a safeguard, to check that the simulator finds its absence.
 type Bug uint8
 
 // The bugs.
 const (
-	BugOneConfirmationShort    Bug = iota + 1 // one confirmation short is enough
-	BugTurnIgnoresLeases                      // the turn doesn't wait for leases
-	BugConfirmBeforeHeld                      // confirmed before it is held
-	BugCountEarlierIncarnation                // the word of a node's earlier life counts
-	BugStaleLeaseCheck                        // a lease is looked at with the time before the freeze
-	BugSuccessorSkipsWait                     // a new primary doesn't wait out the leases of the one before
-	BugGrantUnconfirmed                       // leases are granted without asking the writers
-	BugReplyBeforeKept                        // a withdrawal is told before it is kept
-	BugAbsentUnconfirmed                      // that a version is not there is told without asking the writers
-	BugForgetWithdrawn                        // what was withdrawn before the newest version is not remembered
-	BugIgnoreFence                            // a wish withdraws what came after it
-	BugEmptyHoldCounts                        // a hold in which all leases ran out counts as agreed
+	BugOneConfirmationShort    Bug = iota + 1 // one confirmation less than required is enough
+	BugTurnIgnoresLeases                      // a version becomes live without waiting for leases
+	BugConfirmBeforeHeld                      // a node confirms a version before it holds it
+	BugCountEarlierIncarnation                // confirmations of a node's earlier incarnation count
+	BugStaleLeaseCheck                        // a lease is checked against the time before a freeze
+	BugSuccessorSkipsWait                     // a new primary doesn't wait for the leases of the one before to expire
+	BugGrantUnconfirmed                       // leases are granted without confirmation by the writers
+	BugReplyBeforeKept                        // a withdrawal is reported before it is kept
+	BugAbsentUnconfirmed                      // a version is reported absent without confirmation by the writers
+	BugForgetWithdrawn                        // versions withdrawn before the newest one are forgotten
+	BugIgnoreFence                            // a delayed call withdraws a version that came after it
+	BugEmptyHoldCounts                        // a hold counts as agreed although all leases expired in it
 )
 
-// verdict is what this process makes of a text that is prepared.
+// verdict is the result of checking a prepared version.
 type verdict struct {
-	version uint32 // that is looked at
+	version uint32 // being checked
 	known   bool
 	refusal string
 	rollout sysconfig.Rollout
 }
 
-// New starts a process.
+// New returns the state machine of a starting process.
 func New(c Config) *Machine {
 	rng := rand.New(rand.NewPCG(c.Seed, 0xacc0))
 	return &Machine{config: c, incarnation: rng.Uint64() | 1, holder: policy.NewHolder(Terms, c.Name, c.Zone, "")}
 }
 
-// SetBug switches a guard off.
+// SetBug disables a safeguard.
 func (m *Machine) SetBug(b Bug) { m.bug = b }
 
-// SetDocument takes the newest document that is kept. Synced says that no disk has to have it
-// first; else Synced is called once it has.
+// SetDocument sets the newest agreed document. synced: it is on disk, or needn't be; else DocumentSynced
+// follows once it is.
 func (m *Machine) SetDocument(now fsm.Time, d consensus.Doc, synced bool) Out {
 	m.doc, m.state, m.synced, m.behindSince = d, ReadState(d), synced, 0
 	live := &consensus.Doc{Version: m.state.Version, Body: m.state.Body}
 	switch {
 	case live.Version <= m.adopted:
-	case !m.rollout.Together: // each takes it up when it can, so it may be read first
+	case !m.rollout.Together: // nodes put versions in force separately, so this one may be read first
 		if live.Version > m.reading {
 			m.reading, m.out.Read = live.Version, live
 		}
 	case m.verdict.known && m.verdict.version == live.Version:
 		m.adopt(live, m.verdict.rollout)
-	default: // missed while it was prepared
+	default: // this process never saw it as prepared
 		m.adopt(live, sysconfig.RolloutOf(live.Body))
 	}
 	m.confirmPrepared(now)
@@ -132,8 +132,9 @@
 	m.holder.Again()
 }
 
-// TextRead tells that a text has been read that was to be, and which rollout it wants. One that has been overtaken meanwhile is
-// put in force as well, so that a row of changes holds up none of them, unless it was to be in force together.
+// TextRead reports that a text has been read, and its rollout. A version that has been overtaken meanwhile
+// is put in force as well, so that a series of changes delays none of them, unless it asks for mode
+// "together".
 func (m *Machine) TextRead(now fsm.Time, read consensus.Doc, r sysconfig.Rollout) Out {
 	if read.Version > m.adopted && !m.rollout.Together && (read.Version == m.state.Version || !r.Together) {
 		m.adopt(&read, r)
@@ -145,7 +146,7 @@
 	return m.takeOut()
 }
 
-// TextChecked tells what came of a text that was to be checked; refusal "" is that it can be taken.
+// TextChecked reports the result of checking a text; an empty refusal means that it can be put in force.
 func (m *Machine) TextChecked(now fsm.Time, version uint32, r sysconfig.Rollout, refusal string) Out {
 	if version == m.verdict.version {
 		m.verdict.known, m.verdict.rollout, m.verdict.refusal = true, r, refusal
@@ -154,20 +155,20 @@
 	return m.takeOut()
 }
 
-// DocumentSynced says that the document is on this process's disk.
+// DocumentSynced reports that the document is on this process's disk.
 func (m *Machine) DocumentSynced(now fsm.Time) Out {
 	m.synced = true
 	m.confirmPrepared(now)
 	return m.takeOut()
 }
 
-// SetUnable says that what was to be in force here can't be.
+// SetUnable reports that this process can't put the live version in force.
 func (m *Machine) SetUnable() { m.holder.Unable() }
 
-// SetNodes takes the processes that live.
+// SetNodes sets the live processes.
 func (m *Machine) SetNodes(nodes []Node) { m.nodes = nodes }
 
-// SetPrimary takes the address of the one that is thought to lead.
+// SetPrimary sets the address of the process that is believed to be the primary.
 func (m *Machine) SetPrimary(addr string) {
 	if addr != m.primary {
 		m.primary = addr
@@ -175,7 +176,7 @@
 	}
 }
 
-// SetLead says whether this process is the primary, and of which epoch.
+// SetLead reports whether this process is the primary, and of which epoch.
 func (m *Machine) SetLead(now fsm.Time, epoch consensus.Ballot, leads bool) Out {
 	switch {
 	case !leads:
@@ -187,7 +188,7 @@
 	return m.takeOut()
 }
 
-// Receive takes a message.
+// Receive handles a message.
 func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
 	switch t := msg.(type) {
 	case LeaseRequest:
@@ -202,7 +203,7 @@
 	return m.takeOut()
 }
 
-// Tick lets time pass.
+// Tick does what is due: lease requests, repeated calls, the primary's steps.
 func (m *Machine) Tick(now fsm.Time) Out {
 	if m.rollout.Together {
 		m.requestLease(now)
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -7,30 +7,31 @@
 	"asterwell/internal/policy"
 )
 
-// LeaseRequest is a node's call to the primary for a lease, with what it says of the change.
+// LeaseRequest asks the primary for a lease, and reports the node's view of the prepared version.
 type LeaseRequest struct {
-	ID        uint64           `cbor:"1,keyasint"` // of this life
+	ID        uint64           `cbor:"1,keyasint"` // incarnation of the node
 	Seq       uint64           `cbor:"2,keyasint"`
 	Version   int64            `cbor:"3,keyasint"`
 	Checked   uint64           `cbor:"4,keyasint,omitempty"`
 	Refusal   string           `cbor:"5,keyasint,omitempty"`
 	HeldRound uint64           `cbor:"6,keyasint,omitempty"`
-	Epoch     consensus.Ballot `cbor:"7,keyasint"` // that Held is a round of
+	Epoch     consensus.Ballot `cbor:"7,keyasint"` // to which HeldRound belongs
 	Name      string           `cbor:"8,keyasint,omitempty"`
 	Zone      string           `cbor:"9,keyasint,omitempty"`
 }
 
-// LeaseGrant is the primary's answer, or with Seq 0 its call. Texts come by consensus.
+// LeaseGrant answers a LeaseRequest; with Seq 0 the primary sends it unrequested. Texts are sent by package
+// consensus.
 type LeaseGrant struct {
 	ID        uint64           `cbor:"1,keyasint"`
 	Seq       uint64           `cbor:"2,keyasint,omitempty"`
 	Epoch     consensus.Ballot `cbor:"3,keyasint"`
-	Version   int64            `cbor:"4,keyasint"` // live
+	Version   int64            `cbor:"4,keyasint"` // the live version
 	Lease     time.Duration    `cbor:"5,keyasint,omitempty"`
-	Change    uint64           `cbor:"6,keyasint,omitempty"` // to be checked
+	Change    uint64           `cbor:"6,keyasint,omitempty"` // the prepared version, to be checked
 	HoldRound uint64           `cbor:"7,keyasint,omitempty"`
 	Fenced    string           `cbor:"8,keyasint,omitempty"`
-	Newest    uint32           `cbor:"9,keyasint,omitempty"` // the newest document, and
+	Newest    uint32           `cbor:"9,keyasint,omitempty"` // the newest version of the document, with Rev
 	Rev       uint32           `cbor:"10,keyasint,omitempty"`
 }
 
@@ -38,10 +39,10 @@
 type WithdrawRequest struct {
 	Version uint32 `cbor:"1,keyasint"`
 	By      string `cbor:"2,keyasint,omitempty"`
-	ID      uint64 `cbor:"3,keyasint,omitempty"` // of the life that asks
-	Call    uint64 `cbor:"4,keyasint,omitempty"` // that the answer is for
-	// Fence is the newest version that the caller knew to be kept, and 1: a copy that comes late
-	// withdraws none that came since. 0: from one of the version before.
+	ID      uint64 `cbor:"3,keyasint,omitempty"` // incarnation of the caller
+	Call    uint64 `cbor:"4,keyasint,omitempty"` // identifies the call in the reply
+	// Fence is the newest version that the caller knew, plus 1: a delayed copy withdraws no version that
+	// came later. 0: the caller runs the previous version of the program.
 	Fence uint32 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -54,7 +55,8 @@
 	Newest  uint32  `cbor:"5,keyasint"`
 }
 
-// Messages lists what a Machine takes; the order stays.
+// Messages lists the messages that a Machine receives. The wire numbers them by position, so the order must
+// not change.
 func Messages() []any { return []any{LeaseRequest{}, LeaseGrant{}, WithdrawRequest{}, WithdrawReply{}} }
 
 func (a LeaseRequest) policyRenew() policy.Renew {
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -8,32 +8,32 @@
 	"asterwell/internal/policy"
 )
 
-// Gate tells whether a request may be decided by the rules in force here.
+// Gate decides whether a request may be decided by the configuration in force here.
 type Gate struct {
-	Version     uint32 // of those rules
+	Version     uint32 // of the configuration in force
 	Together    bool
-	Reads       bool // pure requests too
+	Reads       bool // applies to pure requests too
 	Lease       policy.Lease
-	ReopensSoon bool // it will be open again in a moment
+	ReopensSoon bool // a hold is in progress
 }
 
-// Allows is asked with a time that was taken after the request has come.
+// Allows reports whether a request may be decided. The time must have been read after the request arrived.
 func (g Gate) Allows(now fsm.Time, version uint32) bool {
 	return version == g.Version && (!g.Together || g.Lease.Version == int64(version) && now < g.Lease.Until)
 }
 
-// Gate is how it stands.
+// Gate returns the current gate.
 func (m *Machine) Gate() Gate {
 	l, holds := m.holder.Lease()
 	return Gate{Version: m.adopted, Together: m.rollout.Together, Reads: m.rollout.Reads, Lease: l, ReopensSoon: holds}
 }
 
-// pullInterval is how often a node asks for a document that the primary has and it lacks, and
-// how long it waits for it to come by itself: longer where documents are large.
+// pullInterval is the interval in which a node asks for a document that the primary has and it lacks, and
+// the time it first waits for the document to arrive unrequested; both are longer for large documents.
 const pullInterval = 100 * time.Millisecond
 
-// pull asks for what the primary has kept. What is prepared comes with the text of what is
-// live, so it takes twice as long as that.
+// pull asks for the primary's document. A prepared one comes with the text of the live one, so it may take
+// twice as long.
 func (m *Machine) pull(now fsm.Time, from string, kept consensus.Doc) {
 	if !kept.Above(m.doc) {
 		m.behindSince = 0
@@ -44,11 +44,11 @@
 	}
 	if wait := pullInterval + 2*consensus.Way(len(m.doc.Body)); now-m.behindSince >= wait && now-m.pulledAt >= wait {
 		m.pulledAt = now
-		m.send(from, consensus.Pull{Held: kept.Version - 1}) // or higher, and so the amended one too
+		m.send(from, consensus.Pull{Held: kept.Version - 1}) // this version or higher, so the amended one too
 	}
 }
 
-// confirmPrepared confirms or refuses what is prepared, once it is held and has been read.
+// confirmPrepared confirms or refuses the prepared version, once it is on disk and has been checked.
 func (m *Machine) confirmPrepared(now fsm.Time) {
 	if m.state.Fate != Prepared || !m.synced || !m.rollout.Together {
 		return
@@ -67,7 +67,7 @@
 	m.requestLease(now)
 }
 
-// requestLease sends the call that is due.
+// requestLease sends the lease request that is due.
 func (m *Machine) requestLease(now fsm.Time) {
 	if m.primary == "" {
 		m.seekPrimary(now)
@@ -86,7 +86,7 @@
 
 const seekInterval = 200 * time.Millisecond
 
-// seekPrimary asks one after the other of those with a disk who leads.
+// seekPrimary asks the nodes with a disk, one after the other, which process is the primary.
 func (m *Machine) seekPrimary(now fsm.Time) {
 	if now-m.soughtAt < seekInterval {
 		return
@@ -101,7 +101,7 @@
 	}
 }
 
-// handleGrant takes what the primary says.
+// handleGrant handles a message of the primary.
 func (m *Machine) handleGrant(now fsm.Time, from string, g LeaseGrant) {
 	if g.ID != m.incarnation || !m.rollout.Together {
 		return
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -14,7 +14,7 @@
 	return consensus.Doc{Version: version, Body: fmt.Appendf(nil, `{"Epoch":"%08x","Rollout":{%s}}`, version, rollout)}
 }
 
-// setDocument is Doc where what is to be read is read at once.
+// setDocument sets a document, and reads and checks its text at once.
 func setDocument(m *Machine, now fsm.Time, d consensus.Doc) {
 	out := m.SetDocument(now, d, true)
 	if r := out.Read; r != nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-// What is kept of a document goes by what is live when it comes, and has one outcome.
+// The state of a new document depends on what is live when it comes, and has one outcome.
 func TestEnter(t *testing.T) {
 	const together, each = `"Mode":"together"`, `"Mode":"each"`
 	one := PrepareDocument(consensus.Doc{}, doc(1, together))
@@ -51,11 +51,11 @@
 		}
 	}
 	if two.Above(madeLive(two)) || !doc(3, each).Above(madeLive(two)) {
-		t.Error("order")
+		t.Error("the prepared document is above the amended one, or the next one is not")
 	}
 }
 
-// primaryWithNodes is a primary with version 2 prepared, and three nodes that it knows of.
+// primaryWithNodes returns a primary with version 2 prepared, and three known nodes.
 func primaryWithNodes(bug Bug) (*Machine, fsm.Time) {
 	m, now := New(Config{Self: "a", Name: "a", Zone: "x"}), time.Hour
 	m.SetBug(bug)
@@ -67,7 +67,7 @@
 	return m, now
 }
 
-// receiveLeaseRequest has a node call, and the writers take this one for the primary still.
+// receiveLeaseRequest delivers a node's request, and has the writers confirm the primary.
 func receiveLeaseRequest(m *Machine, now fsm.Time, a LeaseRequest) {
 	a.Version = 1
 	m.Receive(now, a.Name, a)
@@ -79,8 +79,8 @@
 	m.LeadConfirmed(now, 1)
 }
 
-// The word of a node's earlier life is not this one's; of a second life that confirms
-// too, both count as one.
+// A confirmation of a node's earlier incarnation doesn't count for the current one; if both have confirmed,
+// they count as one node.
 func TestEarlierLife(t *testing.T) {
 	play := func(bug Bug) (before, after, again bool) {
 		m, now := primaryWithNodes(bug)
@@ -98,11 +98,11 @@
 		t.Errorf("enough before the restart: %v, after it: %v, once it has confirmed: %v", before, after, again)
 	}
 	if _, after, _ := play(BugCountEarlierIncarnation); !after {
-		t.Error("the mutant is not found")
+		t.Error("the injected bug is not found")
 	}
 }
 
-// Most in each zone have to confirm, and one's refusal is no word for it.
+// The majority of each zone has to confirm, and a refusal is no confirmation.
 func TestEnough(t *testing.T) {
 	m, now := primaryWithNodes(0)
 	m.rollout.Confirm = 0
@@ -121,7 +121,7 @@
 	}
 }
 
-// A hold's round counts for the primary that named it only: another's may have the same number.
+// The round of a hold only counts for the primary that started it: another one's may have the same number.
 func TestRound(t *testing.T) {
 	m, now := primaryWithNodes(0)
 	a := LeaseRequest{ID: 7, Seq: 1, Version: 1, HeldRound: m.lead.epoch.N<<24 + 1, Epoch: consensus.Ballot{N: 3, By: "b"}, Name: "c", Checked: 2}
@@ -137,8 +137,8 @@
 	}
 }
 
-// A late copy of a wish that was told that there is no such version withdraws none that came since;
-// the same wish, made anew, does.
+// A delayed copy of a call that was told that the version is absent must not withdraw the version when it
+// comes; the same call made again must.
 func TestLateWish(t *testing.T) {
 	m, now := primaryWithNodes(0)
 	setDocument(m, now, madeLive(m.doc))
@@ -151,16 +151,16 @@
 	}
 	setDocument(m, now, PrepareDocument(consensus.Doc{Version: 2, Body: doc(2, `"Mode":"together"`).Body}, doc(3, "")))
 	if out := m.Receive(now, "b", wish); m.state.Fate != Prepared || out.Amend != nil {
-		t.Errorf("%v: the late copy withdraws: %v", m.state.Fate, out.Amend)
+		t.Errorf("%v: the delayed copy withdraws: %v", m.state.Fate, out.Amend)
 	}
 	wish.Call++
 	if out := m.Receive(now, "b", wish); out.Amend == nil {
-		t.Error("the wish made anew does not withdraw")
+		t.Error("the call made again does not withdraw")
 	}
 }
 
-// The same at a primary that was not asked before: a wish is for what was kept when it was made. One
-// that finds the version there is told so, and comes again.
+// The same at a primary that has not seen the call before: a call refers to what was kept when it was made.
+// If the version has come since, the caller is told so, and repeats the call.
 func TestFencedWish(t *testing.T) {
 	for _, bug := range []Bug{0, BugIgnoreFence} {
 		m, now := primaryWithNodes(0)
@@ -169,7 +169,7 @@
 		out := m.Receive(now, "b", wish)
 		if bug != 0 {
 			if out.Amend == nil {
-				t.Error("the guard taken out withdraws nothing")
+				t.Error("without the fence nothing is withdrawn")
 			}
 			continue
 		}
@@ -178,13 +178,13 @@
 		}
 		wish.Fence++
 		if out := m.Receive(now, "b", wish); out.Amend == nil {
-			t.Error("the wish for what is there does not withdraw")
+			t.Error("the repeated call does not withdraw")
 		}
 	}
 }
 
-// A word counts once the writers have confirmed the primary after it, and no longer than the
-// lease that goes with it.
+// A confirmation counts once the writers have confirmed the primary after it, and no longer than the lease
+// that goes with it.
 func TestWordWithoutLease(t *testing.T) {
 	m, now := primaryWithNodes(0)
 	for i, name := range []string{"a", "b", "c"} {
@@ -192,15 +192,15 @@
 	}
 	before := m.Status(now).Enough
 	confirmLead(m, now)
-	confirmLead(m, now) // those that came while the first was under way
+	confirmLead(m, now) // requests that came during the first confirmation
 	after, later := m.Status(now).Enough, m.Status(now+2*Terms.Lease).Enough
 	if before || !after || later {
-		t.Errorf("enough before the writers' word: %v, after it: %v, with all leases out: %v", before, after, later)
+		t.Errorf("enough before the writers' confirmation: %v, after it: %v, with all leases expired: %v", before, after, later)
 	}
 }
 
-// TestTaken: what is read beside the loop is put in force in order, the gate goes by it only then, and one that was to be taken
-// up together and has been overtaken meanwhile is left out.
+// TestTaken checks that texts read in another goroutine are put in force in order, that the gate follows
+// only then, and that an overtaken version with mode "together" is skipped.
 func TestTaken(t *testing.T) {
 	m, now := New(Config{Self: "a", Name: "a", Zone: "x"}), time.Hour
 	keep := func(d consensus.Doc, reads uint32) {
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -7,28 +7,28 @@
 	"asterwell/internal/sysconfig"
 )
 
-// Fate is what has become of a version.
+// Fate is the state of a version.
 type Fate uint8
 
-// The fates. Prepared becomes one of the others, once, unless a higher version comes.
+// The fates. A prepared version becomes live or withdrawn, once, unless a higher one overtakes it.
 const (
-	Live Fate = iota // nothing is kept beside it
+	Live Fate = iota // no state is stored beside the document
 	Prepared
 	Withdrawn
 )
 
 func (f Fate) String() string { return [...]string{"live", "prepared", "withdrawn"}[min(f, Withdrawn)] }
 
-// State is what is kept beside a document that is not live.
+// State is stored beside a document that is not live.
 type State struct {
 	Fate    Fate   `cbor:"1,keyasint"`
-	Version uint32 `cbor:"2,keyasint"` // that is live meanwhile
+	Version uint32 `cbor:"2,keyasint"` // the version that is live meanwhile
 	Body    []byte `cbor:"3,keyasint"` // its text
 	Why     string `cbor:"4,keyasint,omitempty"`
 }
 
-// ReadState is what is kept beside a document. What can't be read counts as withdrawn with
-// nothing live, so that nobody goes by it; no program writes such a thing.
+// ReadState decodes the state stored beside a document. An unreadable one counts as withdrawn with nothing
+// live, so that no request is decided by it; no program writes one.
 func ReadState(d consensus.Doc) (s State) {
 	if len(d.Side) == 0 {
 		return State{Version: d.Version, Body: d.Body}
@@ -39,13 +39,13 @@
 	return s
 }
 
-// PrepareDocument is what a primary keeps of a new document: live at once, or prepared where the
-// one in force asks for that.
+// PrepareDocument returns a new document as a primary keeps it: live at once, or prepared if the live one
+// asks for that.
 func PrepareDocument(kept, next consensus.Doc) consensus.Doc {
 	return prepareDocument(kept, next, func(s State) sysconfig.Rollout { return sysconfig.RolloutOf(s.Body) })
 }
 
-// PrepareDocument is the same at a primary, which mostly has read what is live.
+// PrepareDocument does the same at a primary, which usually has read the live one already.
 func (m *Machine) PrepareDocument(kept, next consensus.Doc) consensus.Doc {
 	return prepareDocument(kept, next, func(s State) sysconfig.Rollout {
 		if s.Version == m.adopted {
@@ -66,8 +66,8 @@
 // maxWithdrawnVersions is how many withdrawn versions are remembered.
 const maxWithdrawnVersions = 256
 
-// withdrawnVersions remembers which versions have been withdrawn, so that the same wish again, whenever and
-// through whoever leads then, has the same outcome.
+// withdrawnVersions encodes which versions have been withdrawn, so that a repeated call has the same
+// outcome at any later time and primary.
 func withdrawnVersions(kept consensus.Doc) []byte {
 	all := withdrawnBefore(kept)
 	if ReadState(kept).Fate != Withdrawn {
@@ -76,13 +76,13 @@
 	all = append(all, kept.Version)
 	data, err := cbor.Marshal(all[max(0, len(all)-maxWithdrawnVersions):])
 	if err != nil {
-		panic(err) // nothing in it can fail to be written
+		panic(err) // its types can't fail to encode
 	}
 	return data
 }
 
-// withdrawnBefore are the versions below a document's that have been withdrawn, the newest last.
-// What can't be read counts as none: their wishes hear that they are overtaken.
+// withdrawnBefore returns the withdrawn versions below the document's, the newest last. An unreadable list
+// counts as empty: calls for those versions are told that they are overtaken.
 func withdrawnBefore(d consensus.Doc) (all []uint32) {
 	if len(d.Past) > 0 && cbor.Unmarshal(d.Past, &all) != nil {
 		return nil
@@ -105,7 +105,7 @@
 func encodeState(s State) []byte {
 	data, err := cbor.Marshal(s)
 	if err != nil {
-		panic(err) // nothing in it can fail to be written
+		panic(err) // its types can't fail to encode
 	}
 	return data
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -2,29 +2,29 @@
 
 import "asterwell/internal/fsm"
 
-// Status is how a rollout stands, for operators. Only the primary knows the nodes.
+// Status is the state of the rollout for operators. Only the primary knows about other nodes.
 type Status struct {
-	Mode     string // of what is live
+	Mode     string // of the live version
 	Live     uint32
 	Newest   uint32 // not live if it differs from Live
-	Fate     string // of the newest
+	Fate     string // of the newest version
 	Why      string `json:",omitempty"`
-	Stage    string `json:",omitempty"` // of a change under way
+	Stage    string `json:",omitempty"` // of the rollout in progress
 	Leads    bool
-	Enough   bool      // have confirmed
-	SinceMs  int64     `json:",omitempty"` // the primary has seen the change
+	Enough   bool      // enough nodes have confirmed
+	SinceMs  int64     `json:",omitempty"` // since the primary saw the change
 	WithinMs int64     `json:",omitempty"`
 	Prepared []string  `json:",omitempty"`
 	Refused  []Refusal `json:",omitempty"`
-	Missing  []string  `json:",omitempty"` // live nodes that have not said a word on it
+	Missing  []string  `json:",omitempty"` // live nodes that have neither confirmed nor refused it
 	Lapsed   []string  `json:",omitempty"` // nodes without a lease: they refuse effectful requests
-	Here     string    `json:",omitempty"` // what this node itself may do
+	Here     string    `json:",omitempty"` // what this node may decide
 }
 
-// Refusal is a node's reason.
+// Refusal is a node's reason to refuse a version.
 type Refusal struct{ Name, Why string }
 
-// Status tells it.
+// Status returns the current status.
 func (m *Machine) Status(now fsm.Time) Status {
 	s := Status{Mode: "each", Live: m.state.Version, Newest: m.doc.Version, Fate: m.state.Fate.String(), Why: m.state.Why,
 		WithinMs: m.rollout.Within.Milliseconds()}
@@ -68,8 +68,8 @@
 	return s
 }
 
-// Newest is the newest version held here, and what has become of it.
+// Newest returns the newest version held here and its fate.
 func (m *Machine) Newest() (version uint32, fate Fate) { return m.doc.Version, m.state.Fate }
 
-// LiveText is that of what is live.
+// LiveText returns the text of the live version.
 func (m *Machine) LiveText() []byte { return m.state.Body }
--- a/internal/rollout/withdraw.go
+++ b/internal/rollout/withdraw.go
@@ -7,11 +7,11 @@
 	"asterwell/internal/fsm"
 )
 
-// Outcome is what has come of an operator's wish that a version never be live.
+// Outcome is the result of an operator's call to withdraw a version.
 type Outcome uint8
 
-// The outcomes. None of the last three changes any more, except that a withdrawn version, once
-// pastMost later ones have been withdrawn, counts as overtaken; one that is not there may still come.
+// The outcomes. The last three are final, except that a withdrawn version counts as overtaken once
+// maxWithdrawnVersions later ones have been withdrawn; an absent version may still come.
 const (
 	OutcomeUndecided Outcome = iota
 	OutcomeAbsent            // no such version is kept
@@ -24,36 +24,36 @@
 	return [...]string{"", "absent", "withdrawn", "live", "overtaken"}[min(o, OutcomeOvertaken)]
 }
 
-// withdrawCall is a call made here, which goes to the primary until that answers.
+// withdrawCall is a call made at this process, which is sent to the primary until that answers.
 type withdrawCall struct {
 	WithdrawRequest
 	madeAt, sentAt fsm.Time
 }
 
-// receivedWithdrawal is a call that the primary has taken.
+// receivedWithdrawal is a call received by the primary.
 type receivedWithdrawal struct {
 	from string
 	WithdrawRequest
 	receivedAt   fsm.Time
-	confirmRound uint64 // of the writers' confirmation that was asked for since; 0: none yet
-	confirmed    bool   // they have confirmed it
+	confirmRound uint64 // of the confirmation requested after the call; 0: none yet
+	confirmed    bool   // the writers have confirmed it
 }
 
 const (
 	withdrawTimeout       = time.Second
 	withdrawRetryInterval = 150 * time.Millisecond
-	maxWithdrawals        = 32 // that wait at the primary; others come again
+	maxWithdrawals        = 32 // calls waiting at the primary; others are repeated by their callers
 )
 
-// Withdraw asks that a version which is not live yet never be. The answer comes in some
-// Out.Told; without one nothing can be said.
+// Withdraw asks the primary to withdraw a version that is not live yet. The reply comes in
+// Out.WithdrawReplies; without one the outcome is unknown.
 func (m *Machine) Withdraw(now fsm.Time, call uint64, version uint32, by string) Out {
 	m.withdrawCalls = append(m.withdrawCalls, withdrawCall{WithdrawRequest{version, by, m.incarnation, call, m.doc.Version + 1}, now, now - withdrawRetryInterval})
 	m.sendWithdrawCalls(now)
 	return m.takeOut()
 }
 
-// sendWithdrawCalls sends what has no answer yet, and forgets what nobody waits for any more.
+// sendWithdrawCalls sends the unanswered calls, and drops those that have timed out.
 func (m *Machine) sendWithdrawCalls(now fsm.Time) {
 	m.withdrawCalls = slices.DeleteFunc(m.withdrawCalls, func(w withdrawCall) bool { return now-w.madeAt > withdrawTimeout })
 	for i := range m.withdrawCalls {
@@ -71,7 +71,7 @@
 
 func (m *Machine) handleWithdrawReply(t WithdrawReply) {
 	i := slices.IndexFunc(m.withdrawCalls, func(w withdrawCall) bool { return t.ID == m.incarnation && t.Call == w.Call })
-	if i >= 0 && t.Outcome == OutcomeUndecided { // the version is there: now it is meant
+	if i >= 0 && t.Outcome == OutcomeUndecided { // the version has come: the repeated call refers to it
 		if w := &m.withdrawCalls[i]; t.Newest >= w.Fence {
 			w.Fence, w.sentAt = t.Newest+1, w.sentAt-withdrawRetryInterval
 		}
@@ -81,17 +81,17 @@
 	}
 }
 
-// handleWithdraw takes a call at the primary. Until the document tells the outcome it waits.
+// handleWithdraw receives a call at the primary. It waits until the document shows the outcome.
 func (m *Machine) handleWithdraw(now fsm.Time, from string, t WithdrawRequest) {
 	l := m.lead
 	if l == nil {
 		return
 	}
 	if t.Fence != 0 && m.doc.Version >= t.Fence && m.outcome(t.Version) == OutcomeUndecided && m.bug != BugIgnoreFence {
-		m.send(from, WithdrawReply{t.ID, t.Call, OutcomeUndecided, m.state.Version, m.doc.Version}) // the caller decides anew
+		m.send(from, WithdrawReply{t.ID, t.Call, OutcomeUndecided, m.state.Version, m.doc.Version}) // the caller decides whether to repeat it
 		return
 	}
-	if !slices.Contains(l.answered, t) { // a late copy of one that was told "absent" does nothing to what came since
+	if !slices.Contains(l.answered, t) { // a delayed copy of a call that was told "absent" must not withdraw a version that came later
 		m.withdraw(t.Version, "by "+t.By)
 	}
 	same := func(a receivedWithdrawal) bool {
@@ -103,9 +103,9 @@
 	m.answerWithdrawals()
 }
 
-// answerWithdrawals answers the calls whose outcome the document tells. It is kept by all writers of
-// this epoch: what it tells is true, though a successor may know more. That a version is not
-// there is what a successor may know better: the writers are asked before it is said.
+// answerWithdrawals answers the calls whose outcome the document shows. All writers of this epoch keep the
+// document, so the outcome is true, though a successor may know more. A version absent here may be known to
+// a successor: the writers have to confirm this primary before "absent" is replied.
 func (m *Machine) answerWithdrawals() {
 	l := m.lead
 	l.withdrawals = slices.DeleteFunc(l.withdrawals, func(a receivedWithdrawal) bool {
@@ -124,7 +124,7 @@
 	})
 }
 
-// expireWithdrawals forgets calls that nobody waits for any more.
+// expireWithdrawals drops calls that have timed out at their callers.
 func (l *leadership) expireWithdrawals(now fsm.Time) {
 	l.withdrawals = slices.DeleteFunc(l.withdrawals, func(a receivedWithdrawal) bool { return now-a.receivedAt > 2*withdrawTimeout })
 }
