--- a/internal/rollout/world/check.go
+++ b/internal/rollout/world/check.go
@@ -8,7 +8,7 @@
 	"asterwell/internal/sysconfig"
 )
 
-// receivedReport is what a node has last said to a primary.
+// receivedReport is the newest report of a node that has reached a primary.
 type receivedReport struct {
 	incarnation int
 	id, seq     uint64
@@ -17,7 +17,7 @@
 	receivedAt  time.Duration
 }
 
-// processedReport is a node's word as a primary has taken it, which may be long after it came.
+// processedReport is a node's report that a primary has processed, maybe long after it was received.
 type processedReport struct {
 	change  uint64
 	refused bool
@@ -27,38 +27,38 @@
 // withdrawOrder is an operator's call to withdraw a version.
 type withdrawOrder struct {
 	version uint32
-	kept    bool // kept by somebody when the call was made
+	kept    bool // some process kept the version when the call was made
 }
 
-// checkAcknowledged notes that an operator was told that a version is kept, or not above what is.
+// checkAcknowledged checks the acknowledgement of a put: the version is kept, or a higher one is.
 func (w *World) checkAcknowledged(p *Process, version uint32) {
 	w.trace("%s: %d is kept", p.name, version)
 	w.result.Acknowledged = append(w.result.Acknowledged, Acknowledgement{w.now, p.name, version})
 	if _, known := w.fates[version]; !known && w.newestVersion() < version {
-		w.violate("LOST", "%d is acknowledged at %s, nobody keeps it", version, p.name)
+		w.violate("LOST", "%d is acknowledged at %s, no process keeps it", version, p.name)
 	}
 }
 
-// checkDecision judges a request that was taken up.
+// checkDecision checks a decided request.
 func (w *World) checkDecision(p *Process, version uint32) {
 	w.result.Decided++
 	switch {
 	case version < w.newestDecided:
-		w.violate("MIXED", "%s takes a request up by %d, one was by %d", p.name, version, w.newestDecided)
+		w.violate("MIXED", "%s decides a request by %d, one was decided by %d", p.name, version, w.newestDecided)
 	case version > w.newestDecided:
-		w.trace("%s is the first to go by %d", p.name, version)
+		w.trace("%s is the first to decide by %d", p.name, version)
 		if w.toldNever[version] {
-			w.violate("TOLD", "%d is live, its operator was told that it never would be", version)
+			w.violate("TOLD", "%d is live, its operator was told that it never would be live", version)
 		}
 		w.newestDecided, w.firstDecided[version] = version, w.now
 	}
 	if w.fates[version] == rollout.Withdrawn {
-		w.violate("DEAD", "%s takes a request up by %d, which is withdrawn", p.name, version)
+		w.violate("DEAD", "%s decides a request by %d, which is withdrawn", p.name, version)
 	}
 	w.result.Decisions = append(w.result.Decisions, Decision{w.now, version, p.name})
 }
 
-// checkWithdrawReply holds an operator's answer against what is so.
+// checkWithdrawReply compares a reply to an operator with the facts.
 func (w *World) checkWithdrawReply(p *Process, wish withdrawOrder, o rollout.Outcome) {
 	version := wish.version
 	w.trace("%s: %d is %v", p.name, version, o)
@@ -66,7 +66,7 @@
 	case o == rollout.OutcomeAbsent && wish.kept:
 		w.violate("TOLD", "%d was kept, its operator was told: %v", version, o)
 	case o != rollout.OutcomeWithdrawn && w.toldWithdrawn[version]:
-		w.violate("AGAIN", "%d was withdrawn, the same wish again was told: %v", version, o)
+		w.violate("AGAIN", "%d was withdrawn, the repeated call was told: %v", version, o)
 	}
 	w.toldWithdrawn[version] = w.toldWithdrawn[version] || o == rollout.OutcomeWithdrawn
 	w.result.WithdrawReplies = append(w.result.WithdrawReplies, WithdrawReply{w.now, p.name, version, o})
@@ -79,7 +79,7 @@
 	}
 }
 
-// noteServing notes when all that live can go by a version.
+// noteServing records when all live processes can decide by a version.
 func (w *World) noteServing(p *Process, version uint32) {
 	if w.result.ServedByAll[version] != 0 {
 		return
@@ -96,7 +96,7 @@
 	w.result.ServedByAll[version] = w.now - w.putAt[version]
 }
 
-// checkFate judges what a process holds for a version's fate: it comes once.
+// checkFate checks a process's view of a version's fate: it is final once known.
 func (w *World) checkFate(p *Process, version uint32, fate rollout.Fate) {
 	was, known := w.fates[version]
 	if known && was != rollout.Prepared && fate != was && fate != rollout.Prepared {
@@ -105,13 +105,13 @@
 	if !known || was == rollout.Prepared {
 		w.fates[version] = fate
 		if fate == rollout.Withdrawn && w.newestDecided >= version && w.firstDecided[version] != 0 {
-			w.violate("DEAD", "%d is withdrawn, and requests went by it", version)
+			w.violate("DEAD", "%d is withdrawn, and requests were decided by it", version)
 		}
 	}
 }
 
-// checkMessage judges messages as they go out: who confirms must hold it, and a turn needs
-// enough that have confirmed.
+// checkMessage checks outgoing messages: a node that confirms a version must hold it, and a version becomes
+// live only after enough confirmations.
 func (w *World) checkMessage(p, to *Process, msg any) {
 	switch t := msg.(type) {
 	case rollout.LeaseRequest:
@@ -130,18 +130,18 @@
 	}
 }
 
-// noteReceived notes a node's word that reaches a process.
+// noteReceived records a node's report when it reaches a process.
 func (w *World) noteReceived(from string, to *Process, msg any) {
 	if a, ok := msg.(rollout.LeaseRequest); ok && !to.frozen() {
 		p := w.byAddr[from]
 		if x := w.reports[p.name]; x.id == a.ID && x.seq > a.Seq {
-			return // overtaken on the way
+			return // reordered by the network
 		}
 		w.reports[p.name] = receivedReport{p.incarnation, a.ID, a.Seq, a.Checked, a.Refusal != "", w.now}
 	}
 }
 
-// noteProcessed notes a node's word that a process takes up now.
+// noteProcessed records a node's report when a process handles it.
 func (w *World) noteProcessed(from string, to *Process, msg any, sent time.Duration) {
 	if a, ok := msg.(rollout.LeaseRequest); ok {
 		name := w.byAddr[from].name
@@ -151,10 +151,11 @@
 	}
 }
 
-// confirmationMaxAge is how old a word may be that a turn counts on: it was said in the hold before it.
+// confirmationMaxAge is the highest age of a confirmation that makes a version live: it must be from the
+// hold before.
 var confirmationMaxAge = rollout.Terms.HoldWithin + 10*ms
 
-// recentConfirmations counts those whose word a primary has taken that they had said just now.
+// recentConfirmations counts the nodes with a recent confirmation that the primary has processed.
 func (w *World) recentConfirmations(p *Process, version uint32) (n int) {
 	for _, x := range p.reports {
 		if x.change == uint64(version) && !x.refused && w.now-x.sentAt <= confirmationMaxAge {
@@ -165,11 +166,11 @@
 }
 
 func (w *World) checkConfirmations(p *Process, d consensus.Doc) {
-	if w.judged[d.Version] != 0 || w.fates[d.Version] == rollout.Live { // judged at its first proposal
+	if w.judged[d.Version] != 0 || w.fates[d.Version] == rollout.Live { // checked at its first proposal
 		return
 	}
 	w.judged[d.Version] = 1
-	held, zones := 1, map[string][2]int{} // it itself
+	held, zones := 1, map[string][2]int{} // the primary itself
 	zones[p.zone] = [2]int{1, 1}
 	for _, n := range w.nodes {
 		if n == p {
@@ -187,10 +188,10 @@
 	}
 	need := sysconfig.RolloutOf(w.liveText(p)).Confirm
 	if held < need {
-		w.violate("FEW", "%d is to be live, %d have confirmed it, %d must have", d.Version, held, need)
+		w.violate("FEW", "%d is to become live, %d nodes have confirmed it, %d are required", d.Version, held, need)
 	}
 	if n := w.recentConfirmations(p, d.Version); n < need {
-		w.violate("FEW", "%d is to be live, %d have said within %v that they hold it, %d must have", d.Version, n, confirmationMaxAge, need)
+		w.violate("FEW", "%d is to become live, %d nodes have confirmed it within %v, %d are required", d.Version, n, confirmationMaxAge, need)
 	}
 }
 
--- a/internal/rollout/world/hard_test.go
+++ b/internal/rollout/world/hard_test.go
@@ -7,7 +7,7 @@
 	"asterwell/internal/rollout"
 )
 
-// A node that refuses ends it, wherever it is and whoever else is away; the next goes through.
+// A refusal by any node ends the rollout, whichever other nodes are missing; the next version becomes live.
 func TestRefused(t *testing.T) {
 	t.Parallel()
 	for i, name := range []string{"n00", "n01", "n05", "n10"} {
@@ -20,7 +20,7 @@
 			w.Put(w.nodes[4], 3, 0, 0, name)
 			w.Run(3 * time.Second)
 			if w.fates[3] != rollout.Withdrawn || w.newestDecided != 2 {
-				t.Errorf("%s refuses: 3 is %v, requests go by %d", name, w.fates[3], w.newestDecided)
+				t.Errorf("%s refuses: 3 is %v, requests are decided by %d", name, w.fates[3], w.newestDecided)
 			}
 			w.Put(w.nodes[4], 4, 0, 0, "")
 			w.within(t, 4, 3500*ms)
@@ -34,7 +34,8 @@
 	}
 }
 
-// A node is cut one way at each step of the change, and hears or says nothing for a while.
+// A node is cut off in one direction at each step of the rollout, and receives or sends nothing for a
+// while.
 func TestCutAtEachStep(t *testing.T) {
 	t.Parallel()
 	for at := ms / 2; at < 60*ms; at += at/2 + ms {
@@ -73,8 +74,8 @@
 	}
 }
 
-// Two seconds before a cutoff, with requests at their peak, a change refuses nobody; with a
-// node lost in that moment only those are refused that its silence leaves without a lease.
+// Two seconds before a cutoff, at peak load, a rollout refuses no requests; if a node is lost in that
+// moment, only those are refused that come while it has no lease.
 func TestBeforeCutoff(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -88,10 +89,10 @@
 			w.within(t, 3, cutoff-w.now)
 			w.Run(cutoff - w.now)
 			if w.result.Refused != refused || w.result.RefusedInTurn != turned {
-				t.Errorf("seed %d, one lost: %v: %d refused, %d of them in the turn", seed, lost, w.result.Refused-refused, w.result.RefusedInTurn-turned)
+				t.Errorf("seed %d, one lost: %v: %d refused, %d of them in the hold", seed, lost, w.result.Refused-refused, w.result.RefusedInTurn-turned)
 			}
 			if w.result.LongestHold > 50*ms {
-				t.Errorf("seed %d: held for %v", seed, w.result.LongestHold)
+				t.Errorf("seed %d: requests waited for %v", seed, w.result.LongestHold)
 			}
 			w.endFaults()
 			w.Run(SettleTime)
@@ -100,8 +101,9 @@
 	}
 }
 
-// 300 routes (60 kB) for 91 nodes on links of 2 Mbit/s, the core's 100: nobody is refused for
-// it. What is asked for before it can have come, or sent where it is held, costs leases.
+// 300 routes (60 kB) for 91 nodes on links of 2 Mbit/s, the core's 100 Mbit/s, cause no refusals. Documents
+// requested before they can have arrived, or sent to nodes that have them, would delay lease requests until
+// leases expire.
 func TestLargeOnSlowLinks(t *testing.T) {
 	t.Parallel()
 	w := open(t, Options{Seed: 1, Nodes: 91, RequestInterval: 200 * ms, Mbit: 2, CoreMbit: 100, Routes: 300}, 0, 0)
@@ -109,7 +111,7 @@
 	w.Put(w.nodes[4], 3, 0, 0, "")
 	w.within(t, 3, 3*time.Second)
 	w.Run(3 * time.Second)
-	t.Logf("live after %v, at all after %v, a message took %v at most", w.firstDecided[3]-w.putAt[3], w.result.ServedByAll[3], w.result.LongestQueue)
+	t.Logf("live after %v, at all nodes after %v, a message took %v at most", w.firstDecided[3]-w.putAt[3], w.result.ServedByAll[3], w.result.LongestQueue)
 	if w.result.Refused != refused || w.result.ServedByAll[3] == 0 {
 		t.Errorf("%d refused, at all nodes after %v", w.result.Refused-refused, w.result.ServedByAll[3])
 	}
--- a/internal/rollout/world/hold_test.go
+++ b/internal/rollout/world/hold_test.go
@@ -7,15 +7,15 @@
 	"asterwell/internal/rollout"
 )
 
-// Once nobody has a lease any more nobody is missing in a hold. That is no confirmation: the
-// version waits until the two are there again.
+// Once all leases have expired in a hold, no node is missing in it. That is no confirmation: the version
+// waits until the two stopped nodes are back.
 func TestHoldOutlivesLeases(t *testing.T) {
 	t.Parallel()
 	for _, still := range []time.Duration{200 * ms, time.Second, 1700 * ms, 3 * time.Second, 6 * time.Second} {
 		for seed := range uint64(10) {
 			w := frozenCore(seed, 0, still)
 			if w.newestDecided != 2 || w.fates[3] != rollout.Prepared {
-				t.Errorf("seed %d, still for %v: goes by %d, 3 is %v", seed, still, w.newestDecided, w.fates[3])
+				t.Errorf("seed %d, frozen for %v: requests are decided by %d, 3 is %v", seed, still, w.newestDecided, w.fates[3])
 			}
 			w.endFaults()
 			w.Run(SettleTime)
@@ -28,5 +28,5 @@
 			return
 		}
 	}
-	t.Error("the mutant is not found")
+	t.Error("the injected bug is not found")
 }
--- a/internal/rollout/world/measure.go
+++ b/internal/rollout/world/measure.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Summary is what rollouts without drawn faults cost.
+// Summary has the cost of rollouts without random faults.
 type Summary struct {
-	Live, ServedByAll      []time.Duration // until the first request goes by a version; until all nodes do
+	Live, ServedByAll      []time.Duration // until the first request is decided by a version; until all nodes can decide by it
 	Refused, RefusedInTurn int
 	LongestHold            time.Duration
-	Bytes, IdleBytes       float64 // of a rollout at each node, and of a second of rest
+	Bytes, IdleBytes       float64 // of a rollout, and of a second without one; for each node
 	Violations             []Violation
 	Decisions              []Decision
 	Puts                   map[uint32]time.Duration
 }
 
-const liveWithin = 4 * time.Second // in which a version has to be live
+const liveWithin = 4 * time.Second // time in which a version has to become live
 
-// Measure takes versions up one after the other. With down, every so many-th node is
-// killed just before the first, and before each of the others one more.
+// Measure rolls out versions one after the other. With down, every down-th node is killed before the first
+// one, and one more before each of the others.
 func Measure(o Options, versions, down int) Summary {
 	o.CountBytes = true
 	w := New(o)
@@ -62,7 +62,8 @@
 	return s
 }
 
-// runUntilServed runs until all that live serve by the newest version, and a bit longer.
+// runUntilServed runs until all live processes can decide by the newest version, and for half a second
+// more.
 func (w *World) runUntilServed(most time.Duration) {
 	for end := w.now + most; w.now < end && w.result.ServedByAll[w.highestPut] == 0 && len(w.result.Violations) == 0; {
 		w.Run(10 * ms)
--- a/internal/rollout/world/orders.go
+++ b/internal/rollout/world/orders.go
@@ -7,8 +7,8 @@
 	"asterwell/internal/rollout"
 )
 
-// runUntilHold runs until the primary has told everybody to decide nothing, and ends before any word
-// on it has come back.
+// runUntilHold runs until the primary has started a hold, and ends before any confirmation in it has come
+// back.
 func (w *World) runUntilHold() {
 	for end := w.now + time.Second; w.now < end; w.Run(50 * time.Microsecond) {
 		if p := w.primary(); p.control.Rollout(p.clock()).Stage == "holding" {
@@ -18,8 +18,8 @@
 	w.violate("STUCK", "no hold within a second")
 }
 
-// frozenCore is a core that stands still in the moment of a turn that eleven have to confirm;
-// two of the others end meanwhile.
+// frozenCore freezes the core in the moment of a hold that eleven nodes have to confirm; two of the others
+// are killed meanwhile.
 func frozenCore(seed uint64, bug rollout.Bug, still time.Duration) *World {
 	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.Put(w.primary(), 3, 0, 0, "")
@@ -33,14 +33,14 @@
 	return w
 }
 
-// FreezeDuringHold plays a core that stands still in a hold for longer than any lease.
+// FreezeDuringHold freezes the core in a hold for longer than any lease.
 func FreezeDuringHold(seed uint64, bug rollout.Bug) []Violation {
 	w := frozenCore(seed, bug, 3*time.Second)
 	w.recover()
 	return w.result.Violations
 }
 
-// waitingForNode is a fleet in which version 3 waits for one that is down.
+// waitingForNode returns a fleet in which version 3 waits for a stopped node.
 func waitingForNode(seed uint64, bug rollout.Bug) *World {
 	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.nodes[8].kill()
@@ -49,7 +49,7 @@
 	return w
 }
 
-// restartAll kills all, and starts them.
+// restartAll kills and restarts all processes.
 func (w *World) restartAll() {
 	for _, n := range w.nodes {
 		n.kill()
@@ -59,8 +59,8 @@
 	w.Run(SettleTime)
 }
 
-// RepeatedOrders has a version withdrawn and put at three processes at once while the primary is
-// killed, and again once a higher one is live, and once more after all have started anew.
+// RepeatedOrders withdraws and puts a version at three processes at once while the primary is killed, again
+// once a higher one is live, and once more after all processes have restarted.
 func RepeatedOrders(seed uint64, bug rollout.Bug) []Violation {
 	w := waitingForNode(seed, bug)
 	orders := func(from int) {
@@ -88,8 +88,8 @@
 	return w.result.Violations
 }
 
-// DelayedWithdrawal has a version withdrawn that is not there, and put once another leads; then copies of
-// that wish arrive at it which the network has held up.
+// DelayedWithdrawal withdraws an absent version, and puts it once there is another primary; then delayed
+// copies of the withdrawal arrive there.
 func DelayedWithdrawal(seed uint64, bug rollout.Bug) []Violation {
 	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.nodes[8].kill()
@@ -109,7 +109,7 @@
 	}
 	w.Run(time.Second)
 	if p := w.primary(); len(copies) == 0 || p.control.Rollout(p.clock()).Fate == rollout.Withdrawn.String() {
-		w.violate("LATE", "version 3 is withdrawn by %d copies of a wish from before it came", len(copies))
+		w.violate("LATE", "version 3 is withdrawn by %d delayed copies of a call from before it came", len(copies))
 	}
 	w.recover()
 	return w.result.Violations
--- a/internal/rollout/world/partition.go
+++ b/internal/rollout/world/partition.go
@@ -7,14 +7,14 @@
 	"asterwell/internal/rollout"
 )
 
-// cutSettleTime is a time that covers what is under way at the moment of a cut: syncs and answers.
+// cutSettleTime covers what is in progress at the moment of a cut: syncs and answers.
 const cutSettleTime = 50 * ms
 
 // partitionCase cuts the primary off in one way.
 type partitionCase struct {
 	name   string
-	cut    func(w *World, p *Process) (side []*Process) // those that have no quorum any more
-	inside func(w *World, p *Process)                   // after some seconds of it
+	cut    func(w *World, p *Process) (side []*Process) // returns the processes without a quorum
+	inside func(w *World, p *Process)                   // called after some seconds of the cut
 }
 
 func isolate(w *World, p *Process) []*Process {
@@ -51,17 +51,17 @@
 	}},
 }
 
-// Partition is what a cut of 20 s has shown.
+// Partition is the result of a cut of 20 s.
 type Partition struct {
 	Name           string
 	Violations     []Violation
-	RecoveredAfter time.Duration // from its end until all had the newest version
-	Live           uint32        // the newest version that requests went by in it
+	RecoveredAfter time.Duration // from its end until all processes hold the newest version
+	Live           uint32        // the newest version that requests were decided by during the cut
 }
 
-// PartitionPrimary cuts the primary off for 20 s, in each way, at a moment after a version was put; operators
-// on both sides put and withdraw, the same again and again. What an operator is told without a
-// quorum breaks ALONE.
+// PartitionPrimary cuts the primary off for 20 s, in each way, at a given time after a version was put,
+// while operators on both sides put and withdraw versions repeatedly. What they are told on the side
+// without a quorum must not violate ALONE.
 func PartitionPrimary(seed uint64, at time.Duration, bug rollout.Bug) (all []Partition) {
 	for _, c := range partitionCases {
 		all = append(all, c.run(startTogether(Options{Seed: seed, Bug: bug}, 0, 0), at))
@@ -79,7 +79,7 @@
 		rest = side
 	}
 	from, top := w.now, uint32(3)
-	for d := 60 * ms; d < 600*ms; d += 60 * ms { // while it may still take itself for the primary
+	for d := 60 * ms; d < 600*ms; d += 60 * ms { // while it may still consider itself the primary
 		w.schedule(d, func() { w.Withdraw(p, top+20); w.Put(p, top+1, 0, 0, "") })
 	}
 	for i := range 40 {
@@ -87,7 +87,7 @@
 			c.inside(w, p)
 		}
 		w.Withdraw(side[i%len(side)], top)
-		w.Withdraw(side[i%len(side)], top+20) // which nobody keeps
+		w.Withdraw(side[i%len(side)], top+20) // which does not exist
 		if i%8 == 5 {
 			w.Withdraw(rest[i%len(rest)], top)
 		}
@@ -105,7 +105,7 @@
 	return r
 }
 
-// checkWithoutQuorum judges what processes without a quorum have said and done since a moment.
+// checkWithoutQuorum checks what processes without a quorum have replied and decided since a moment.
 func (w *World) checkWithoutQuorum(side []*Process, from time.Duration) {
 	in := func(name string) bool {
 		return slices.ContainsFunc(side, func(p *Process) bool { return p.name == name })
@@ -116,8 +116,8 @@
 		}
 	}
 	for _, k := range w.result.WithdrawReplies {
-		if in(k.Node) && k.At > from+cutSettleTime && k.Outcome == rollout.OutcomeAbsent { // the others never change any more
-			w.violate("ALONE", "%s tells that %d is %v, %v into the cut", k.Node, k.Version, k.Outcome, k.At-from)
+		if in(k.Node) && k.At > from+cutSettleTime && k.Outcome == rollout.OutcomeAbsent { // the other outcomes are final
+			w.violate("ALONE", "%s reports %d as %v, %v into the cut", k.Node, k.Version, k.Outcome, k.At-from)
 		}
 	}
 	longest := time.Duration(float64(rollout.Terms.Lease) * (1 + rollout.Terms.Drift)) // by the slowest clock
@@ -129,7 +129,7 @@
 	}
 }
 
-// recover ends all that is wrong, and tells how long it took until all held the newest version.
+// recover ends all faults, and returns the time until all processes hold the newest version.
 func (w *World) recover() time.Duration {
 	from := w.now
 	w.endFaults()
@@ -150,7 +150,7 @@
 	return slices.DeleteFunc(slices.Clone(w.nodes), func(n *Process) bool { return slices.Contains(those, n) })
 }
 
-// separate cuts both ways between processes.
+// separate cuts the links between processes in both directions.
 func (w *World) separate(one, all []*Process) {
 	w.setBlocked(one, all, true)
 	w.setBlocked(all, one, true)
--- a/internal/rollout/world/partition_test.go
+++ b/internal/rollout/world/partition_test.go
@@ -8,9 +8,9 @@
 	"asterwell/internal/rollout"
 )
 
-// A primary of rollouts that is cut off for 20 s confirms nothing, declares nothing live and tells
-// nobody that a version is not there; nor does it once it has been started anew in the cut. The
-// others go on meanwhile, and all have the newest version soon after it.
+// A primary that is cut off for 20 s confirms nothing, makes nothing live and reports no version as absent;
+// nor does it after a restart during the cut. The other side goes on meanwhile, and all processes have the
+// newest version soon after the cut.
 func TestCutOff(t *testing.T) {
 	t.Parallel()
 	for i, at := range []time.Duration{0, 7 * ms, 13 * ms, time.Second} {
@@ -19,10 +19,10 @@
 				t.Errorf("%s at %v: %v", c.Name, at, b)
 			}
 			if c.RecoveredAfter > 2*time.Second {
-				t.Errorf("%s at %v: %v from the heal to the newest version at all", c.Name, at, c.RecoveredAfter)
+				t.Errorf("%s at %v: %v from the end of the cut to the newest version at all processes", c.Name, at, c.RecoveredAfter)
 			}
 			if quorum := !strings.HasPrefix(c.Name, "each"); quorum && c.Live < 10 || !quorum && c.Live > 3 {
-				t.Errorf("%s at %v: requests go by %d at its end", c.Name, at, c.Live)
+				t.Errorf("%s at %v: requests are decided by %d at its end", c.Name, at, c.Live)
 			}
 		}
 	}
@@ -45,8 +45,8 @@
 	}
 }
 
-// What operators are shown of a rollout is no promise, but a primary that is cut off from all does
-// not go on for long telling that it is one.
+// The status shown to operators guarantees nothing, but a primary that is cut off from all must soon stop
+// claiming to be the primary.
 func TestAloneStatus(t *testing.T) {
 	t.Parallel()
 	worst := time.Duration(0)
@@ -60,6 +60,6 @@
 		worst = max(worst, w.now-from)
 	}
 	if t.Logf("%v", worst); worst > time.Second {
-		t.Errorf("it tells so for %v", worst)
+		t.Errorf("it claims so for %v", worst)
 	}
 }
--- a/internal/rollout/world/process.go
+++ b/internal/rollout/world/process.go
@@ -17,12 +17,12 @@
 	"asterwell/internal/sysconfig"
 )
 
-// Process is a process, and what is left of it when it is gone.
+// Process is a simulated process, with the disk that outlives it.
 type Process struct {
 	w                         *World
 	name, addr, zone          string
 	core                      bool
-	clockRate                 float64 // of its clock
+	clockRate                 float64 // relative to the time of the simulation
 	clockBase                 time.Duration
 	control                   *controlplane.Knot
 	up                        bool
@@ -30,15 +30,15 @@
 	frozenUntil               time.Duration
 	deferred                  []func()
 	disk                      []byte
-	diskIdleAt                time.Duration // when it is through with what it has
-	started                   bool          // once
+	diskIdleAt                time.Duration // when all its writes are done
+	started                   bool          // at least once
 	gate                      rollout.Gate
-	waiting                   []time.Duration // when the requests that wait at the gate came
-	sendIdleAt, receiveIdleAt time.Duration   // when its link is through with what it has, each way
+	waiting                   []time.Duration // arrival times of the requests that wait at the gate
+	sendIdleAt, receiveIdleAt time.Duration   // when its link has sent and received all queued messages
 	calls                     uint64
-	withdrawCalls             map[uint64]withdrawOrder   // calls to withdraw
-	putCalls                  map[uint64]uint32          // calls to put, and what
-	reports                   map[string]processedReport // of each node, in this life
+	withdrawCalls             map[uint64]withdrawOrder   // operators' calls to withdraw a version
+	putCalls                  map[uint64]uint32          // versions of operators' calls to put one
+	reports                   map[string]processedReport // of each node, since this process started
 }
 
 func (p *Process) clock() fsm.Time { return p.clockBase + time.Duration(float64(p.w.now)*p.clockRate) }
@@ -71,14 +71,14 @@
 	w.schedule(w.randomUpTo(w.opt.RequestInterval), func() { p.sendRequests(p.incarnation) })
 }
 
-// check is this process's view of a text: one that refuses names it.
+// check checks a text as this process would. A text for tests names a process that refuses it.
 func (p *Process) check(body []byte) error {
 	if _, err := sysconfig.Parse(body); err != nil {
 		return err
 	}
 	var c struct{ Refused string }
 	if json.Unmarshal(body, &c); c.Refused == p.name {
-		return fmt.Errorf("%s knows better", p.name)
+		return fmt.Errorf("%s refuses this text", p.name)
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 		return
 	}
 	w, life := p.w, p.incarnation
-	w.trace("%s stands still for %v", p.name, d)
+	w.trace("%s is frozen for %v", p.name, d)
 	p.frozenUntil = w.now + d
 	w.schedule(d, func() {
 		if !p.up || p.incarnation != life {
@@ -103,7 +103,7 @@
 		}
 		ice := p.deferred
 		p.deferred = nil
-		w.rng.Shuffle(len(ice), func(i, j int) { ice[i], ice[j] = ice[j], ice[i] }) // links are not in order here
+		w.rng.Shuffle(len(ice), func(i, j int) { ice[i], ice[j] = ice[j], ice[i] }) // links don't preserve the order
 		for _, do := range ice {
 			do()
 		}
@@ -140,7 +140,7 @@
 			panic(err)
 		}
 		life, seq := p.incarnation, out.Write.Seq
-		p.diskIdleAt = max(p.diskIdleAt, w.now) + ms + w.randomUpTo(3*ms) // one after the other
+		p.diskIdleAt = max(p.diskIdleAt, w.now) + ms + w.randomUpTo(3*ms) // writes are sequential
 		w.schedule(p.diskIdleAt-w.now, func() {
 			if p.up && p.incarnation == life {
 				p.disk = data
@@ -170,10 +170,10 @@
 			switch version := p.putCalls[r.Call]; t.Verdict {
 			case consensus.Kept:
 				w.checkAcknowledged(p, version)
-			case consensus.Busy: // no clear answer
+			case consensus.Busy: // no definite answer
 			case consensus.Differs:
 				if !w.conflicting[version] {
-					w.violate("AGAIN", "put of %d at %s: another text has its number, and there is none", version, p.name)
+					w.violate("AGAIN", "put of %d at %s: reported as a different text, and there is none", version, p.name)
 				}
 			default:
 				w.violate("AGAIN", "put of %d at %s is refused: %v", version, p.name, t.Verdict)
@@ -185,7 +185,7 @@
 	}
 }
 
-// updateGate goes by the gate as it stands now, and takes up what waits there.
+// updateGate applies a change of the gate, and decides the requests waiting there.
 func (p *Process) updateGate() {
 	p.gate = p.control.Gate()
 	if p.gate.Allows(p.clock(), p.gate.Version) {
@@ -200,7 +200,7 @@
 
 const maxWait = 100 * ms
 
-// decide takes up a request that came at a moment, or refuses it, or lets it wait.
+// decide decides a request that arrived at a given time, refuses it, or lets it wait.
 func (p *Process) decide(came time.Duration) {
 	w := p.w
 	now := p.clock()
@@ -232,7 +232,7 @@
 	}
 }
 
-// sendRequests send requests as long as the process lives.
+// sendRequests sends requests as long as the process lives.
 func (p *Process) sendRequests(life int) {
 	w := p.w
 	if !p.up || p.incarnation != life {
@@ -248,7 +248,7 @@
 	w.schedule(w.opt.RequestInterval/2+w.randomUpTo(w.opt.RequestInterval), func() { p.sendRequests(life) })
 }
 
-// send brings a message to a process, late, twice, or not at all.
+// send delivers a message, with delays, duplicates and losses.
 func (w *World) send(p *Process, s fsm.Send) {
 	to := w.byAddr[s.To]
 	if to == nil {
@@ -302,8 +302,8 @@
 	}
 }
 
-// linkDelay is how long a message takes on the links of its sender and its receiver, behind
-// what is on them already: a slow link sends one after the other.
+// linkDelay is how long a message takes on the links of its sender and its receiver, queued behind earlier
+// ones.
 func (w *World) linkDelay(p, to *Process, size int) time.Duration {
 	if w.opt.Mbit == 0 {
 		return 0
@@ -317,7 +317,7 @@
 	return to.receiveIdleAt - w.now
 }
 
-// setBlocked cuts one way between processes.
+// setBlocked blocks or unblocks messages in one direction.
 func (w *World) setBlocked(from, to []*Process, on bool) {
 	for _, a := range from {
 		for _, b := range to {
@@ -333,7 +333,7 @@
 	}
 }
 
-// primary is the process that leads, as it sees it itself; nil: none.
+// primary is the process that considers itself the primary; nil: none.
 func (w *World) primary() *Process {
 	for _, p := range w.nodes {
 		if p.up && p.control.Pact().Role == "primary" {
@@ -343,7 +343,7 @@
 	return nil
 }
 
-// configuration is a configuration. refused names a node that can't take it.
+// configuration returns the text of a version. refused names a process that can't put it in force.
 func (w *World) configuration(version uint32, confirm, within int, refused string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"Epoch":"%08x","Rollout":{"Mode":"together"`, version)
@@ -366,8 +366,7 @@
 	return b.Bytes()
 }
 
-// Put is an operator's call at a process. Confirm and within are for the change after
-// this one.
+// Put is an operator's call at a process. confirm and within apply to the next rollout.
 func (w *World) Put(p *Process, version uint32, confirm, within int, refused string) {
 	if p == nil || !p.up {
 		return
@@ -391,7 +390,7 @@
 	})
 }
 
-// Withdraw is an operator's call.
+// Withdraw is an operator's call at a process.
 func (w *World) Withdraw(p *Process, version uint32) {
 	if p != nil && p.up {
 		w.trace("withdraw %d at %s", version, p.name)
--- a/internal/rollout/world/scenario_test.go
+++ b/internal/rollout/world/scenario_test.go
@@ -22,12 +22,12 @@
 	}
 	w := startTogether(o, confirm, within)
 	if w.newestDecided != 2 {
-		t.Fatalf("goes by %d", w.newestDecided)
+		t.Fatalf("requests are decided by %d", w.newestDecided)
 	}
 	return w
 }
 
-// want runs until all is calm, and holds what came of version 3 against what should have.
+// want runs until the faults have ended and everything is settled, and checks the fate of version 3.
 func (w *World) want(t *testing.T, fate rollout.Fate) {
 	t.Helper()
 	w.checkSettled()
@@ -38,22 +38,22 @@
 		t.Errorf("3 is %v, want %v", got, fate)
 	}
 	if (fate == rollout.Live) != (w.newestDecided >= 3) {
-		t.Errorf("requests go by %d", w.newestDecided)
+		t.Errorf("requests are decided by %d", w.newestDecided)
 	}
 }
 
-// within runs until a request went by a version.
+// within runs until a request was decided by a version.
 func (w *World) within(t *testing.T, version uint32, d time.Duration) {
 	t.Helper()
 	for end := w.now + d; w.now < end && w.newestDecided < version && len(w.result.Violations) == 0; {
 		w.Run(10 * ms)
 	}
 	if w.newestDecided < version {
-		t.Errorf("after %v requests go by %d, want %d", d, w.newestDecided, version)
+		t.Errorf("after %v requests are decided by %d, want %d", d, w.newestDecided, version)
 	}
 }
 
-// The primary is killed in each phase, and so is its backup a bit later.
+// The primary is killed in each phase of a rollout, and in some runs its backup a bit later.
 func TestPrimaryKilled(t *testing.T) {
 	t.Parallel()
 	for at := ms / 2; at < 80*ms; at += at/3 + ms/2 {
@@ -83,7 +83,8 @@
 	}
 }
 
-// Whoever can't take part is waited for by nobody, and refuses until it holds what is live.
+// A rollout doesn't wait for a node that can't take part, and that node refuses requests until it holds the
+// live version.
 func TestLeftOut(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]func(w *World, x *Process){
@@ -126,7 +127,7 @@
 	}
 }
 
-// Without enough nothing changes; then it goes on, or is withdrawn, once.
+// Without enough confirmations nothing changes; later the version becomes live or is withdrawn, once.
 func TestNotEnough(t *testing.T) {
 	t.Parallel()
 	w := stageOf(t, 1, 0, 11, 0)
@@ -135,7 +136,7 @@
 	w.Put(w.primary(), 3, 0, 0, "")
 	w.Run(5 * time.Second)
 	if w.newestDecided != 2 || w.fates[3] != rollout.Prepared {
-		t.Fatalf("goes by %d, 3 is %v", w.newestDecided, w.fates[3])
+		t.Fatalf("requests are decided by %d, 3 is %v", w.newestDecided, w.fates[3])
 	}
 	s := w.primary().control.Rollout(w.primary().clock())
 	if s.Enough || len(s.Prepared) != 10 || s.Newest != 3 || s.Live != 2 {
@@ -169,13 +170,13 @@
 			w.endFaults()
 			w.Run(SettleTime)
 			w.want(t, rollout.Withdrawn)
-			w.Put(w.nodes[3], 4, 0, 0, "") // the next one goes through
+			w.Put(w.nodes[3], 4, 0, 0, "") // the next version becomes live
 			w.within(t, 4, 2*time.Second)
 		})
 	}
 }
 
-// Two operators at once, overtaking, and all killed in the middle.
+// Two operators at once, overtaking versions, and a kill of all processes in between.
 func TestOneOrder(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
@@ -202,7 +203,7 @@
 	}
 }
 
-// An old primary thaws and is asked by a node that sees nobody else.
+// An old primary resumes after a freeze, and gets requests of a node that reaches no other process.
 func oldPrimary(t *testing.T, seed uint64, bug rollout.Bug) *World {
 	w := stageOf(t, seed, bug, 0, 0)
 	p, x := w.primary(), w.nodes[9]
@@ -229,7 +230,7 @@
 	}
 }
 
-// An operator hears how its wish has ended, whatever befalls the primary meanwhile.
+// An operator is told the outcome of a withdrawal, whatever happens to the primary meanwhile.
 func TestWithdrawTold(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/rollout/world/seeds_test.go
+++ b/internal/rollout/world/seeds_test.go
@@ -7,7 +7,7 @@
 	"asterwell/internal/rollout"
 )
 
-// plays plays seeds side by side; it ends once bad says so.
+// plays runs simulations of seeds in parallel; it ends once each returns true.
 func plays(bug rollout.Bug, count int, each func(seed uint64, r Result) (end bool)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestMutants shows that the judge misses none of the guards; package rollout's own test
-// has one more.
+// TestMutants checks that the simulator finds the absence of each safeguard; package rollout's own test
+// covers one more.
 func TestMutants(t *testing.T) {
 	t.Parallel()
 	for name, bug := range map[string]rollout.Bug{"early": rollout.BugOneConfirmationShort, "impatient": rollout.BugTurnIgnoresLeases, "careless": rollout.BugConfirmBeforeHeld,
@@ -73,7 +73,7 @@
 			}
 		})
 	}
-	t.Run("vacuous", func(t *testing.T) { // one drawn day in some hundreds meets it, so it has a scenario
+	t.Run("vacuous", func(t *testing.T) { // one random run in some hundreds meets it, so it has a scenario
 		t.Parallel()
 		for seed := range uint64(10) {
 			if all := FreezeDuringHold(seed, rollout.BugEmptyHoldCounts); len(all) > 0 && all[0].Rule == "FEW" {
--- a/internal/rollout/world/simulate.go
+++ b/internal/rollout/world/simulate.go
@@ -18,16 +18,15 @@
 	return d.Kept.Version
 }
 
-// Bootstrap brings the first versions into force: the second is the first that is taken up
-// together.
+// Bootstrap puts version 1 in force. It asks for mode "together", so version 2 is the first one rolled out that way.
 func (w *World) Bootstrap() {
 	w.Run(3 * time.Second)
 	w.Put(w.nodes[0], 1, 0, 0, "")
 	w.Run(3 * time.Second)
 }
 
-// startTogether is a fleet that goes by version 2, whose change is taken up together, with so many to
-// confirm it.
+// startTogether returns a fleet with version 2 in force, whose successor is rolled out with mode "together"
+// and the given number of confirmations.
 func startTogether(o Options, confirm, within int) *World {
 	w := New(o)
 	w.Bootstrap()
@@ -36,8 +35,8 @@
 	return w
 }
 
-// Simulate draws faults and operators from a seed, then lets all come back, and judges that
-// the newest version has had its outcome everywhere.
+// Simulate runs random faults and operators from a seed, then ends the faults, and checks that the newest
+// version has its outcome at all processes.
 func Simulate(o Options) Result {
 	w := New(o)
 	w.loss, w.duplication = 0.01, 0.02
@@ -52,11 +51,12 @@
 	return w.Finish()
 }
 
-// SettleTime is the time after which, without faults, all have the outcome of the newest
-// version, and serve: an election, what a primary before granted, a fenced node's lease.
+// SettleTime is the time after which, without faults, all processes have the outcome of the newest version,
+// and serve: it covers an election, the leases granted by the previous primary, and the lease of a fenced
+// node.
 const SettleTime = 7 * time.Second
 
-// Finish is what the play has shown.
+// Finish returns the result of the run.
 func (w *World) Finish() Result {
 	for v := range w.putAt {
 		switch at, lived := w.firstDecided[v]; {
@@ -81,7 +81,7 @@
 	}
 }
 
-// checkSettled judges that nobody is stuck.
+// checkSettled checks that no process is stuck.
 func (w *World) checkSettled() {
 	if len(w.result.Violations) > 0 {
 		return
@@ -90,7 +90,7 @@
 		switch v, fate := p.control.Accord().Newest(); {
 		case p.frozen():
 		case fate == rollout.Prepared:
-			w.violate("STUCK", "%s has %d as prepared", p.name, v)
+			w.violate("STUCK", "%s still has %d as prepared", p.name, v)
 		case v != w.newestVersion():
 			w.violate("STUCK", "%s holds %d, the newest is %d", p.name, v, w.newestVersion())
 		case !p.gate.Allows(p.clock(), p.gate.Version):
@@ -106,8 +106,7 @@
 	return top
 }
 
-// operators put versions, at times two at once, some of which a node refuses, and
-// withdraw some.
+// operators puts versions, at times two at once, some of which a node refuses, and withdraws some.
 func (w *World) operators(until time.Duration) {
 	if w.now >= until {
 		return
@@ -138,7 +137,7 @@
 	w.schedule(200*ms+w.randomUpTo(2500*ms), func() { w.operators(until) })
 }
 
-// repeatOrders has an operator without an answer, or who mistrusts it, send the same orders once more.
+// repeatOrders sends the same orders again, like an operator who got no answer, or doubts it.
 func (w *World) repeatOrders(n uint32, put func(p *Process)) {
 	for range 3 {
 		w.schedule(w.randomUpTo(5*time.Second), func() { w.Withdraw(w.randomNode(), n) })
@@ -148,7 +147,7 @@
 
 func (w *World) randomNode() *Process { return w.nodes[w.rng.IntN(len(w.nodes))] }
 
-// injectFaults brings one failure about, and the next one later.
+// injectFaults causes one failure, and schedules the next.
 func (w *World) injectFaults(until time.Duration) {
 	if w.now >= until {
 		return
@@ -188,7 +187,7 @@
 	w.schedule(50*ms+w.randomUpTo(1500*ms), func() { w.injectFaults(until) })
 }
 
-// randomNodes are all processes, or about half.
+// randomNodes returns all processes, or about half of them.
 func (w *World) randomNodes() []*Process {
 	if w.rng.IntN(3) == 0 {
 		return w.nodes
--- a/internal/rollout/world/withdraw_test.go
+++ b/internal/rollout/world/withdraw_test.go
@@ -8,8 +8,8 @@
 	"asterwell/internal/rollout"
 )
 
-// The wish that was granted is granted again, whatever has come since its first answer, which
-// may have been lost.
+// A successful withdrawal succeeds again when it is repeated, whatever has happened since its first reply,
+// which may have been lost.
 func TestWithdrawAgain(t *testing.T) {
 	t.Parallel()
 	for name, since := range map[string]func(w *World){
@@ -44,7 +44,7 @@
 			w.Run(1500 * ms)
 			met := slices.ContainsFunc(w.result.Violations, func(b Violation) bool { return b.Rule == "AGAIN" })
 			if higher := w.highestPut > 3; bug != 0 && met != higher {
-				t.Errorf("%s: the mutant is found: %v", name, met)
+				t.Errorf("%s: the injected bug is found: %v", name, met)
 			}
 			if bug == 0 && (len(w.result.WithdrawReplies) != 3 || slices.ContainsFunc(w.result.WithdrawReplies, notBack)) {
 				t.Errorf("%s: told %v", name, w.result.WithdrawReplies)
@@ -60,8 +60,8 @@
 
 func notBack(x WithdrawReply) bool { return x.Version != 3 || x.Outcome != rollout.OutcomeWithdrawn }
 
-// Eight send the same wish at once, each through another gateway, and again until they have an
-// answer; the primary is killed or stands still at any moment of it.
+// Eight callers send the same withdrawal at once, each through another gateway, and repeat it until they
+// have an answer; the primary is killed or frozen at any moment of it.
 func TestWithdrawAtOnce(t *testing.T) {
 	t.Parallel()
 	for at := time.Duration(0); at < 16*ms; at += 1500 * time.Microsecond {
@@ -94,8 +94,8 @@
 	}
 }
 
-// The same version put again, through any process and at any moment of its rollout, is acknowledged
-// or gets no clear answer; in the end each that asked has been told that it is kept.
+// The same version put again, through any process and at any moment of its rollout, is acknowledged or gets
+// no definite answer; in the end each caller has been told that it is kept.
 func TestPutAgain(t *testing.T) {
 	t.Parallel()
 	for at := time.Duration(0); at < 20*ms; at += 2 * ms {
@@ -129,8 +129,7 @@
 	}
 }
 
-// A primary that has been replaced does not say that there is no such version: it asks its
-// writers first.
+// A primary that has been replaced must not report a version as absent: it asks its writers first.
 func TestWithdrawAtOldPrimary(t *testing.T) {
 	t.Parallel()
 	found := false
@@ -160,11 +159,11 @@
 		}
 	}
 	if !found {
-		t.Error("the mutant is not found")
+		t.Error("the injected bug is not found")
 	}
 }
 
-// Copies of a wish that the network has held up withdraw nothing that came after it, whoever leads.
+// Delayed copies of a withdrawal withdraw no version that came later, at any primary.
 func TestLateWish(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
@@ -173,6 +172,6 @@
 		}
 	}
 	if all := DelayedWithdrawal(1, rollout.BugIgnoreFence); len(all) == 0 || all[0].Rule != "LATE" {
-		t.Errorf("the guard taken out is not met: %v", all)
+		t.Errorf("the absence of the fence is not found: %v", all)
 	}
 }
--- a/internal/rollout/world/world.go
+++ b/internal/rollout/world/world.go
@@ -1,6 +1,6 @@
-// Package world plays rollouts among whole processes (package controlplane) in a virtual time:
-// a seed draws what goes wrong, and the same seed plays the same again. Links, disks,
-// clocks and clients are this package's; so is the judge.
+// Package world simulates rollouts among whole processes (package controlplane) in virtual time. A seed
+// determines the faults, and the same seed repeats the same run. The package simulates links, disks, clocks
+// and clients, and checks the guarantees.
 package world
 
 import (
@@ -16,44 +16,44 @@
 
 const ms = time.Millisecond
 
-// Options of a play.
+// Options of a simulation.
 type Options struct {
 	Seed            uint64
 	Nodes           int // the first three are the core; default 11
 	Bug             rollout.Bug
-	RepeatOrders    bool // operators send the same orders again, at other processes
-	CountBytes      bool // count what goes over the wire
+	RepeatOrders    bool // operators repeat their orders at other processes
+	CountBytes      bool // count the bytes of messages
 	RequestInterval time.Duration
-	Mbit            float64 // of each process's link, each way; 0: no bound
-	CoreMbit        float64 // the same of the core's
-	Routes          int     // routes of each configuration
+	Mbit            float64 // bandwidth of each process's link, each way; 0: unlimited
+	CoreMbit        float64 // the same for the core
+	Routes          int     // routes in each configuration
 	Trace           func(at time.Duration, text string)
 }
 
-// Result is what a play showed.
+// Result is the result of a simulation.
 type Result struct {
 	Violations                       []Violation
 	Puts, Live, Withdrawn, Overtaken int
 	Decided, Refused, RefusedInTurn  int
 	Kills, Freezes, Cuts             int
-	LiveAfter                        []time.Duration          // from the operator's call until all that can serve by it
-	LongestQueue                     time.Duration            // the longest that a message took on slow links
-	LongestHold                      time.Duration            // that a request waited in a turn
-	ServedByAll                      map[uint32]time.Duration // until all that live serve by it
+	LiveAfter                        []time.Duration          // from the operator's call to the first request decided by the version
+	LongestQueue                     time.Duration            // the longest time that a message took on slow links
+	LongestHold                      time.Duration            // the longest time that a request waited in a hold
+	ServedByAll                      map[uint32]time.Duration // until all live processes can decide by it
 	PutAt                            map[uint32]time.Duration
 	Decisions                        []Decision
 	WithdrawReplies                  []WithdrawReply
 	Acknowledged                     []Acknowledgement
 }
 
-// Acknowledgement is a version whose put was acknowledged, and where.
+// Acknowledgement is an acknowledged put of a version.
 type Acknowledgement struct {
 	At      time.Duration
 	Node    string
 	Version uint32
 }
 
-// WithdrawReply is what an operator was told of a version that was to be withdrawn.
+// WithdrawReply is a reply to an operator's withdrawal of a version.
 type WithdrawReply struct {
 	At      time.Duration
 	Node    string
@@ -61,14 +61,14 @@
 	Outcome rollout.Outcome
 }
 
-// Decision is a request that was decided.
+// Decision is a decided request.
 type Decision struct {
 	At      time.Duration
 	Version uint32
 	Node    string
 }
 
-// Violation is a promise that did not hold.
+// Violation is a guarantee that was violated.
 type Violation struct {
 	Rule   string // MIXED, DEAD, FEW, HELD, SPLIT, STUCK, TOLD, AGAIN, LOST, ALONE
 	At     time.Duration
@@ -77,7 +77,7 @@
 
 func (b Violation) String() string { return fmt.Sprintf("%s after %v: %s", b.Rule, b.At, b.Detail) }
 
-// World is one play.
+// World is one simulation.
 type World struct {
 	opt         Options
 	rng         *rand.Rand
@@ -92,25 +92,25 @@
 	extraDelay  time.Duration
 	result      Result
 
-	newestDecided uint32 // version decided by so far
+	newestDecided uint32 // the highest version that a request was decided by
 	firstDecided  map[uint32]time.Duration
 	putAt         map[uint32]time.Duration
 	bodies        map[uint32]string
 	fates         map[uint32]rollout.Fate
-	reports       map[string]receivedReport // the newest word of each node that the primary has heard
+	reports       map[string]receivedReport // the newest report of each node that has reached a primary
 	judged        map[uint32]int
 	highestPut    uint32
 	serving       map[uint32]map[*Process]bool
 	bytes         int
-	delayed       []rollout.WithdrawRequest // copies that the network holds up
+	delayed       []rollout.WithdrawRequest // copies held back by the network
 	quiet         bool                      // no clients
-	toldNever     map[uint32]bool           // versions of which an operator was told so
+	toldNever     map[uint32]bool           // versions of which an operator was told that they never will be live
 	texts         map[uint32][]byte
-	conflicting   map[uint32]bool // versions that were put with another text too
+	conflicting   map[uint32]bool // versions that were put with different texts
 	toldWithdrawn map[uint32]bool // versions that an operator was told to be withdrawn
 }
 
-// New makes processes in three zones, and starts them.
+// New starts processes in three zones.
 func New(o Options) *World {
 	o.Nodes, o.RequestInterval = cmp.Or(o.Nodes, 11), cmp.Or(o.RequestInterval, 6*ms)
 	w := &World{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 27)), byAddr: map[string]*Process{}, blocked: map[[2]string]bool{},
@@ -135,7 +135,7 @@
 	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.eventCount, Do: do})
 }
 
-// Run lets time pass; it ends early once a rule broke.
+// Run runs the simulation for a time; it ends at the first violation.
 func (w *World) Run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].At <= end && len(w.result.Violations) == 0 {
