--- a/internal/rollout/lead.go
+++ b/internal/rollout/lead.go
@@ -26,73 +26,73 @@
 
 // updateLead applies the current document to the primary's state.
 func (m *Machine) updateLead(now fsm.Time) {
-	l := m.lead
+	lead := m.lead
 	m.answerWithdrawals()
 	if !m.rollout.Together || m.state.Version == 0 {
-		l.conduct, l.addrs = nil, map[uint64]string{}
+		lead.conduct, lead.addrs = nil, map[uint64]string{}
 		return
 	}
 	live := int64(m.state.Version)
-	l.register = policy.Register{Format: policy.Format, Version: live,
+	lead.register = policy.Register{Format: policy.Format, Version: live,
 		Changes: []policy.Change{{ID: uint64(live), Version: live, Fate: policy.Committed}}}
 	if m.state.Fate == Prepared {
-		l.register.Under = uint64(m.doc.Version)
-		l.register.Changes = append(l.register.Changes, policy.Change{ID: l.register.Under, Base: live, Fate: policy.UnderWay})
-		if l.pending != m.doc.Version {
-			l.pending, l.pendingSince = m.doc.Version, now
+		lead.register.Under = uint64(m.doc.Version)
+		lead.register.Changes = append(lead.register.Changes, policy.Change{ID: lead.register.Under, Base: live, Fate: policy.UnderWay})
+		if lead.pending != m.doc.Version {
+			lead.pending, lead.pendingSince = m.doc.Version, now
 		}
 	}
-	if l.conduct == nil {
+	if lead.conduct == nil {
 		since := now
 		if m.bug == BugSuccessorSkipsWait {
 			since -= 2 * Terms.Lease
 		}
-		l.conduct = policy.Lead(m.terms(), &l.register, l.epoch.N, since)
-		l.conduct.Enough = func() bool { return m.enoughConfirmed(m.leadSeenAt) }
+		lead.conduct = policy.Lead(m.terms(), &lead.register, lead.epoch.N, since)
+		lead.conduct.Enough = func() bool { return m.enoughConfirmed(m.leadSeenAt) }
 		if m.bug != BugEmptyHoldCounts {
-			l.conduct.Still = l.conduct.Enough
+			lead.conduct.Still = lead.conduct.Enough
 		}
 	}
 	m.leadSeenAt = now
-	l.conduct.Applied(now)
+	lead.conduct.Applied(now)
 	m.applyConduct(now)
 }
 
-func (m *Machine) handleLeaseRequest(now fsm.Time, from string, a LeaseRequest) {
-	l := m.lead
-	if l == nil || l.conduct == nil {
+func (m *Machine) handleLeaseRequest(now fsm.Time, from string, request LeaseRequest) {
+	lead := m.lead
+	if lead == nil || lead.conduct == nil {
 		return
 	}
-	l.addrs[a.ID] = from
-	a.HeldRound = l.heldRound(a)
+	lead.addrs[request.ID] = from
+	request.HeldRound = lead.heldRound(request)
 	m.leadSeenAt = now
-	l.conduct.Renew(now, a.ID, a.policyRenew())
-	if l.conduct.Stage() == policy.Holding { // nodes wait for the last confirmation of the hold
-		l.conduct.Tick(now)
+	lead.conduct.Renew(now, request.ID, request.policyRenew())
+	if lead.conduct.Stage() == policy.Holding { // nodes wait for the last confirmation of the hold
+		lead.conduct.Tick(now)
 	}
 	m.applyConduct(now)
 }
 
 // heldRound is the hold in which a node decides nothing. A hold of another primary may have the same
 // number.
-func (l *leadership) heldRound(a LeaseRequest) uint64 {
-	if a.Epoch != l.epoch {
+func (l *leadership) heldRound(request LeaseRequest) uint64 {
+	if request.Epoch != l.epoch {
 		return 0
 	}
-	return a.HeldRound
+	return request.HeldRound
 }
 
 func (m *Machine) tickLead(now fsm.Time) {
-	l := m.lead
-	l.expireWithdrawals(now)
-	if l.conduct == nil {
+	lead := m.lead
+	lead.expireWithdrawals(now)
+	if lead.conduct == nil {
 		return
 	}
 	m.leadSeenAt = now
-	l.conduct.Tick(now)
+	lead.conduct.Tick(now)
 	m.applyConduct(now)
-	if m.state.Fate == Prepared && m.rollout.Within > 0 && now-l.pendingSince > m.rollout.Within {
-		if l.conduct.Stage() == policy.Checking {
+	if m.state.Fate == Prepared && m.rollout.Within > 0 && now-lead.pendingSince > m.rollout.Within {
+		if lead.conduct.Stage() == policy.Checking {
 			m.withdraw(m.doc.Version, fmt.Sprintf("not enough have confirmed within %v", m.rollout.Within))
 		}
 	}
@@ -101,36 +101,36 @@
 // ConfirmationStarted reports the round of the writers' confirmation that was requested; 0: this process is
 // no longer the primary.
 func (m *Machine) ConfirmationStarted(round uint64) {
-	l := m.lead
-	if l == nil {
+	lead := m.lead
+	if lead == nil {
 		return
 	}
-	if l.conduct != nil && l.confirmWanted {
-		if l.confirmRound = round; round == 0 {
-			l.conduct.Unconfirmed()
+	if lead.conduct != nil && lead.confirmWanted {
+		if lead.confirmRound = round; round == 0 {
+			lead.conduct.Unconfirmed()
 		}
 	}
-	l.confirmWanted = false
-	for i := range l.withdrawals {
-		if a := &l.withdrawals[i]; a.confirmRound == 0 {
-			a.confirmRound = round
+	lead.confirmWanted = false
+	for i := range lead.withdrawals {
+		if withdrawal := &lead.withdrawals[i]; withdrawal.confirmRound == 0 {
+			withdrawal.confirmRound = round
 		}
 	}
 }
 
 // LeadConfirmed reports that the writers have confirmed this process as primary in that round.
 func (m *Machine) LeadConfirmed(now fsm.Time, round uint64) Out {
-	l := m.lead
-	if l != nil && l.conduct != nil && l.confirmRound != 0 && round >= l.confirmRound {
-		l.confirmRound = 0
+	lead := m.lead
+	if lead != nil && lead.conduct != nil && lead.confirmRound != 0 && round >= lead.confirmRound {
+		lead.confirmRound = 0
 		m.leadSeenAt = now
-		l.conduct.Confirmed(now)
+		lead.conduct.Confirmed(now)
 		m.applyConduct(now)
 	}
-	if l != nil {
-		for i := range l.withdrawals {
-			a := &l.withdrawals[i]
-			a.confirmed = a.confirmed || a.confirmRound != 0 && round >= a.confirmRound
+	if lead != nil {
+		for i := range lead.withdrawals {
+			withdrawal := &lead.withdrawals[i]
+			withdrawal.confirmed = withdrawal.confirmed || withdrawal.confirmRound != 0 && round >= withdrawal.confirmRound
 		}
 		m.answerWithdrawals()
 	}
@@ -140,8 +140,8 @@
 // AmendmentRejected reports that an amendment could not be proposed, because another document is being
 // agreed on.
 func (m *Machine) AmendmentRejected(now fsm.Time, d consensus.Doc) Out {
-	if l := m.lead; l != nil && l.conduct != nil && ReadState(d).Fate == Live {
-		l.conduct.Dropped(now)
+	if lead := m.lead; lead != nil && lead.conduct != nil && ReadState(d).Fate == Live {
+		lead.conduct.Dropped(now)
 		m.applyConduct(now)
 	}
 	return m.takeOut()
@@ -149,9 +149,9 @@
 
 // applyConduct carries out the requests of the conduct.
 func (m *Machine) applyConduct(now fsm.Time) {
-	l := m.lead
+	lead := m.lead
 	for again := true; again; {
-		o := l.conduct.Out()
+		o := lead.conduct.Out()
 		again = false
 		for _, p := range o.Propose {
 			switch {
@@ -164,16 +164,16 @@
 			}
 		}
 		if o.Read && m.bug == BugGrantUnconfirmed {
-			l.conduct.Confirmed(now)
+			lead.conduct.Confirmed(now)
 			again = true
 		} else if o.Read {
-			m.out.ConfirmLead, l.confirmWanted = true, true
+			m.out.ConfirmLead, lead.confirmWanted = true, true
 		}
 		for _, g := range o.Grants {
 			if m.bug == BugTurnIgnoresLeases && g.Seq != 0 && g.Hold == 0 && g.Fenced == "" {
 				g.Lease = Terms.Lease
 			}
-			m.send(l.addrs[g.To], LeaseGrant{ID: g.To, Seq: g.Seq, Epoch: l.epoch, Version: g.Version, Lease: g.Lease,
+			m.send(lead.addrs[g.To], LeaseGrant{ID: g.To, Seq: g.Seq, Epoch: lead.epoch, Version: g.Version, Lease: g.Lease,
 				Change: g.Change, HoldRound: g.Hold, Fenced: g.Fenced, Newest: m.doc.Version, Rev: m.doc.Rev})
 		}
 	}
@@ -188,12 +188,12 @@
 	_, all := m.lead.conduct.Status(now)
 	held := map[string]bool{}
 	for _, s := range all {
-		has := s.Checked == uint64(m.doc.Version) && s.Refusal == ""
-		if !s.Leased && (has || s.Ago > Terms.Lease) {
+		confirmed := s.Checked == uint64(m.doc.Version) && s.Refusal == ""
+		if !s.Leased && (confirmed || s.Ago > Terms.Lease) {
 			continue
 		}
 		ok, known := held[s.Name]
-		held[s.Name] = has && (ok || !known) || m.bug == BugCountEarlierIncarnation && (has || ok)
+		held[s.Name] = confirmed && (ok || !known) || m.bug == BugCountEarlierIncarnation && (confirmed || ok)
 	}
 	zones, sum := map[string][2]int{}, 0
 	for _, n := range m.nodes {
@@ -205,7 +205,7 @@
 		}
 		zones[n.Zone] = z
 	}
-	need := max(m.rollout.Confirm, 1)
+	required := max(m.rollout.Confirm, 1)
 	if m.bug == BugOneConfirmationShort {
 		sum++
 	}
@@ -214,7 +214,7 @@
 			return false
 		}
 	}
-	return sum >= need
+	return sum >= required
 }
 
 func (m *Machine) terms() policy.Terms {
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -59,9 +59,9 @@
 // not change.
 func Messages() []any { return []any{LeaseRequest{}, LeaseGrant{}, WithdrawRequest{}, WithdrawReply{}} }
 
-func (a LeaseRequest) policyRenew() policy.Renew {
-	return policy.Renew{Seq: a.Seq, Name: a.Name, Zone: a.Zone, Version: a.Version, Checked: a.Checked, Refusal: a.Refusal,
-		Held: a.HeldRound, Format: policy.Format}
+func (r LeaseRequest) policyRenew() policy.Renew {
+	return policy.Renew{Seq: r.Seq, Name: r.Name, Zone: r.Zone, Version: r.Version, Checked: r.Checked, Refusal: r.Refusal,
+		Held: r.HeldRound, Format: policy.Format}
 }
 
 func (g LeaseGrant) policyGrant() policy.Grant {
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -73,15 +73,15 @@
 		m.seekPrimary(now)
 		return
 	}
-	r := m.holder.Tick(now)
-	if r == nil {
+	renew := m.holder.Tick(now)
+	if renew == nil {
 		return
 	}
 	if m.holder.Missed() > 1 {
 		m.seekPrimary(now)
 	}
-	m.send(m.primary, LeaseRequest{ID: m.incarnation, Seq: r.Seq, Version: r.Version, Checked: r.Checked, Refusal: r.Refusal, HeldRound: r.Held,
-		Epoch: m.holdEpoch, Name: r.Name, Zone: r.Zone})
+	m.send(m.primary, LeaseRequest{ID: m.incarnation, Seq: renew.Seq, Version: renew.Version, Checked: renew.Checked, Refusal: renew.Refusal, HeldRound: renew.Held,
+		Epoch: m.holdEpoch, Name: renew.Name, Zone: renew.Zone})
 }
 
 const seekInterval = 200 * time.Millisecond
@@ -102,20 +102,20 @@
 }
 
 // handleGrant handles a message of the primary.
-func (m *Machine) handleGrant(now fsm.Time, from string, g LeaseGrant) {
-	if g.ID != m.incarnation || !m.rollout.Together {
+func (m *Machine) handleGrant(now fsm.Time, from string, grant LeaseGrant) {
+	if grant.ID != m.incarnation || !m.rollout.Together {
 		return
 	}
-	m.pull(now, from, consensus.Doc{Version: g.Newest, Rev: g.Rev})
-	if g.HoldRound != 0 {
-		m.holdEpoch = g.Epoch
+	m.pull(now, from, consensus.Doc{Version: grant.Newest, Rev: grant.Rev})
+	if grant.HoldRound != 0 {
+		m.holdEpoch = grant.Epoch
 	}
-	p := g.policyGrant()
-	if g.Version == int64(m.adopted) {
-		p.Text = m.state.Body
+	policyGrant := grant.policyGrant()
+	if grant.Version == int64(m.adopted) {
+		policyGrant.Text = m.state.Body
 	}
-	if w := m.holder.Grant(now, p); w.Check && m.bug == BugConfirmBeforeHeld {
-		m.confirm(now, g.Change, "")
+	if result := m.holder.Grant(now, policyGrant); result.Check && m.bug == BugConfirmBeforeHeld {
+		m.confirm(now, grant.Change, "")
 	}
 	m.out.Gate = true
 	m.requestLease(now)
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -26,17 +26,17 @@
 
 // Status returns the current status.
 func (m *Machine) Status(now fsm.Time) Status {
-	s := Status{Mode: "each", Live: m.state.Version, Newest: m.doc.Version, Fate: m.state.Fate.String(), Why: m.state.Why,
+	status := Status{Mode: "each", Live: m.state.Version, Newest: m.doc.Version, Fate: m.state.Fate.String(), Why: m.state.Why,
 		WithinMs: m.rollout.Within.Milliseconds()}
 	if !m.rollout.Together {
-		return s
+		return status
 	}
-	s.Mode = "together"
-	_, s.Here = m.holder.State(now)
+	status.Mode = "together"
+	_, status.Here = m.holder.State(now)
 	if m.lead == nil || m.lead.conduct == nil {
-		return s
+		return status
 	}
-	s.Leads = true
+	status.Leads = true
 	stage, all := m.lead.conduct.Status(now)
 	leased, held, refused := map[string]bool{}, map[string]bool{}, map[string]string{}
 	for _, n := range all {
@@ -48,24 +48,24 @@
 	}
 	pending := m.state.Fate == Prepared
 	if pending {
-		s.Stage, s.Enough, s.SinceMs = stage.String(), m.enoughConfirmed(now), (now - m.lead.pendingSince).Milliseconds()
+		status.Stage, status.Enough, status.SinceMs = stage.String(), m.enoughConfirmed(now), (now - m.lead.pendingSince).Milliseconds()
 	}
 	for _, n := range m.nodes {
 		if !leased[n.Name] {
-			s.Lapsed = append(s.Lapsed, n.Name)
+			status.Lapsed = append(status.Lapsed, n.Name)
 		}
 		switch {
 		case !pending:
 		case held[n.Name]:
-			s.Prepared = append(s.Prepared, n.Name)
+			status.Prepared = append(status.Prepared, n.Name)
 		case refused[n.Name] != "":
-			s.Refused = append(s.Refused, Refusal{n.Name, refused[n.Name]})
+			status.Refused = append(status.Refused, Refusal{n.Name, refused[n.Name]})
 		default:
-			s.Missing = append(s.Missing, n.Name)
+			status.Missing = append(status.Missing, n.Name)
 		}
 	}
-	s.Prepared, s.Missing, s.Lapsed = sortedUnique(s.Prepared), sortedUnique(s.Missing), sortedUnique(s.Lapsed)
-	return s
+	status.Prepared, status.Missing, status.Lapsed = sortedUnique(status.Prepared), sortedUnique(status.Missing), sortedUnique(status.Lapsed)
+	return status
 }
 
 // Newest returns the newest version held here and its fate.
--- a/internal/rollout/withdraw.go
+++ b/internal/rollout/withdraw.go
@@ -69,36 +69,36 @@
 	}
 }
 
-func (m *Machine) handleWithdrawReply(t WithdrawReply) {
-	i := slices.IndexFunc(m.withdrawCalls, func(w withdrawCall) bool { return t.ID == m.incarnation && t.Call == w.Call })
-	if i >= 0 && t.Outcome == OutcomeUndecided { // the version has come: the repeated call refers to it
-		if w := &m.withdrawCalls[i]; t.Newest >= w.Fence {
-			w.Fence, w.sentAt = t.Newest+1, w.sentAt-withdrawRetryInterval
+func (m *Machine) handleWithdrawReply(reply WithdrawReply) {
+	i := slices.IndexFunc(m.withdrawCalls, func(w withdrawCall) bool { return reply.ID == m.incarnation && reply.Call == w.Call })
+	if i >= 0 && reply.Outcome == OutcomeUndecided { // the version has come: the repeated call refers to it
+		if w := &m.withdrawCalls[i]; reply.Newest >= w.Fence {
+			w.Fence, w.sentAt = reply.Newest+1, w.sentAt-withdrawRetryInterval
 		}
 	} else if i >= 0 {
 		m.withdrawCalls = slices.Delete(m.withdrawCalls, i, i+1)
-		m.out.WithdrawReplies = append(m.out.WithdrawReplies, t)
+		m.out.WithdrawReplies = append(m.out.WithdrawReplies, reply)
 	}
 }
 
 // handleWithdraw receives a call at the primary. It waits until the document shows the outcome.
-func (m *Machine) handleWithdraw(now fsm.Time, from string, t WithdrawRequest) {
-	l := m.lead
-	if l == nil {
+func (m *Machine) handleWithdraw(now fsm.Time, from string, request WithdrawRequest) {
+	lead := m.lead
+	if lead == nil {
 		return
 	}
-	if t.Fence != 0 && m.doc.Version >= t.Fence && m.outcome(t.Version) == OutcomeUndecided && m.bug != BugIgnoreFence {
-		m.send(from, WithdrawReply{t.ID, t.Call, OutcomeUndecided, m.state.Version, m.doc.Version}) // the caller decides whether to repeat it
+	if request.Fence != 0 && m.doc.Version >= request.Fence && m.outcome(request.Version) == OutcomeUndecided && m.bug != BugIgnoreFence {
+		m.send(from, WithdrawReply{request.ID, request.Call, OutcomeUndecided, m.state.Version, m.doc.Version}) // the caller decides whether to repeat it
 		return
 	}
-	if !slices.Contains(l.answered, t) { // a delayed copy of a call that was told "absent" must not withdraw a version that came later
-		m.withdraw(t.Version, "by "+t.By)
+	if !slices.Contains(lead.answered, request) { // a delayed copy of a call that was told "absent" must not withdraw a version that came later
+		m.withdraw(request.Version, "by "+request.By)
 	}
-	same := func(a receivedWithdrawal) bool {
-		return a.from == from && a.ID == t.ID && a.Call == t.Call && a.Version == t.Version
+	same := func(w receivedWithdrawal) bool {
+		return w.from == from && w.ID == request.ID && w.Call == request.Call && w.Version == request.Version
 	}
-	if !slices.ContainsFunc(l.withdrawals, same) && len(l.withdrawals) < maxWithdrawals {
-		l.withdrawals = append(l.withdrawals, receivedWithdrawal{from: from, WithdrawRequest: t, receivedAt: now})
+	if !slices.ContainsFunc(lead.withdrawals, same) && len(lead.withdrawals) < maxWithdrawals {
+		lead.withdrawals = append(lead.withdrawals, receivedWithdrawal{from: from, WithdrawRequest: request, receivedAt: now})
 	}
 	m.answerWithdrawals()
 }
@@ -107,26 +107,26 @@
 // document, so the outcome is true, though a successor may know more. A version absent here may be known to
 // a successor: the writers have to confirm this primary before "absent" is replied.
 func (m *Machine) answerWithdrawals() {
-	l := m.lead
-	l.withdrawals = slices.DeleteFunc(l.withdrawals, func(a receivedWithdrawal) bool {
-		o := m.outcome(a.Version)
-		if o == OutcomeAbsent && !a.confirmed && m.bug != BugAbsentUnconfirmed {
-			m.out.ConfirmLead = m.out.ConfirmLead || a.confirmRound == 0
+	lead := m.lead
+	lead.withdrawals = slices.DeleteFunc(lead.withdrawals, func(w receivedWithdrawal) bool {
+		outcome := m.outcome(w.Version)
+		if outcome == OutcomeAbsent && !w.confirmed && m.bug != BugAbsentUnconfirmed {
+			m.out.ConfirmLead = m.out.ConfirmLead || w.confirmRound == 0
 			return false
 		}
-		if o != OutcomeUndecided && a.ID != 0 {
-			if l.answered = append(l.answered, a.WithdrawRequest); len(l.answered) > 2*maxWithdrawals {
-				l.answered = l.answered[maxWithdrawals:]
+		if outcome != OutcomeUndecided && w.ID != 0 {
+			if lead.answered = append(lead.answered, w.WithdrawRequest); len(lead.answered) > 2*maxWithdrawals {
+				lead.answered = lead.answered[maxWithdrawals:]
 			}
-			m.send(a.from, WithdrawReply{a.ID, a.Call, o, m.state.Version, m.doc.Version})
+			m.send(w.from, WithdrawReply{w.ID, w.Call, outcome, m.state.Version, m.doc.Version})
 		}
-		return o != OutcomeUndecided
+		return outcome != OutcomeUndecided
 	})
 }
 
 // expireWithdrawals drops calls that have timed out at their callers.
 func (l *leadership) expireWithdrawals(now fsm.Time) {
-	l.withdrawals = slices.DeleteFunc(l.withdrawals, func(a receivedWithdrawal) bool { return now-a.receivedAt > 2*withdrawTimeout })
+	l.withdrawals = slices.DeleteFunc(l.withdrawals, func(w receivedWithdrawal) bool { return now-w.receivedAt > 2*withdrawTimeout })
 }
 
 func (m *Machine) outcome(version uint32) Outcome {
--- a/internal/rollout/world/check.go
+++ b/internal/rollout/world/check.go
@@ -12,14 +12,14 @@
 type receivedReport struct {
 	incarnation int
 	id, seq     uint64
-	change      uint64
+	version     uint64
 	refused     bool
 	receivedAt  time.Duration
 }
 
 // processedReport is a node's report that a primary has processed, maybe long after it was received.
 type processedReport struct {
-	change  uint64
+	version uint64
 	refused bool
 	sentAt  time.Duration
 }
@@ -59,22 +59,22 @@
 }
 
 // checkWithdrawReply compares a reply to an operator with the facts.
-func (w *World) checkWithdrawReply(p *Process, wish withdrawOrder, o rollout.Outcome) {
-	version := wish.version
-	w.trace("%s: %d is %v", p.name, version, o)
+func (w *World) checkWithdrawReply(p *Process, order withdrawOrder, outcome rollout.Outcome) {
+	version := order.version
+	w.trace("%s: %d is %v", p.name, version, outcome)
 	switch {
-	case o == rollout.OutcomeAbsent && wish.kept:
-		w.violate("TOLD", "%d was kept, its operator was told: %v", version, o)
-	case o != rollout.OutcomeWithdrawn && w.toldWithdrawn[version]:
-		w.violate("AGAIN", "%d was withdrawn, the repeated call was told: %v", version, o)
-	}
-	w.toldWithdrawn[version] = w.toldWithdrawn[version] || o == rollout.OutcomeWithdrawn
-	w.result.WithdrawReplies = append(w.result.WithdrawReplies, WithdrawReply{w.now, p.name, version, o})
-	switch is, known := w.fates[version]; {
-	case o == rollout.OutcomeLive && (is != rollout.Live || !known), o == rollout.OutcomeWithdrawn && is != rollout.Withdrawn,
-		o == rollout.OutcomeOvertaken && w.newestVersion() <= version:
-		w.violate("TOLD", "%d is %v, its operator was told: %v", version, is, o)
-	case (o == rollout.OutcomeWithdrawn || o == rollout.OutcomeOvertaken) && w.firstDecided[version] == 0 && (is != rollout.Live || !known):
+	case outcome == rollout.OutcomeAbsent && order.kept:
+		w.violate("TOLD", "%d was kept, its operator was told: %v", version, outcome)
+	case outcome != rollout.OutcomeWithdrawn && w.toldWithdrawn[version]:
+		w.violate("AGAIN", "%d was withdrawn, the repeated call was told: %v", version, outcome)
+	}
+	w.toldWithdrawn[version] = w.toldWithdrawn[version] || outcome == rollout.OutcomeWithdrawn
+	w.result.WithdrawReplies = append(w.result.WithdrawReplies, WithdrawReply{w.now, p.name, version, outcome})
+	switch fate, known := w.fates[version]; {
+	case outcome == rollout.OutcomeLive && (fate != rollout.Live || !known), outcome == rollout.OutcomeWithdrawn && fate != rollout.Withdrawn,
+		outcome == rollout.OutcomeOvertaken && w.newestVersion() <= version:
+		w.violate("TOLD", "%d is %v, its operator was told: %v", version, fate, outcome)
+	case (outcome == rollout.OutcomeWithdrawn || outcome == rollout.OutcomeOvertaken) && w.firstDecided[version] == 0 && (fate != rollout.Live || !known):
 		w.toldNever[version] = true
 	}
 }
@@ -98,11 +98,11 @@
 
 // checkFate checks a process's view of a version's fate: it is final once known.
 func (w *World) checkFate(p *Process, version uint32, fate rollout.Fate) {
-	was, known := w.fates[version]
-	if known && was != rollout.Prepared && fate != was && fate != rollout.Prepared {
-		w.violate("SPLIT", "%s has %d as %v, it was %v", p.name, version, fate, was)
+	previous, known := w.fates[version]
+	if known && previous != rollout.Prepared && fate != previous && fate != rollout.Prepared {
+		w.violate("SPLIT", "%s has %d as %v, it was %v", p.name, version, fate, previous)
 	}
-	if !known || was == rollout.Prepared {
+	if !known || previous == rollout.Prepared {
 		w.fates[version] = fate
 		if fate == rollout.Withdrawn && w.newestDecided >= version && w.firstDecided[version] != 0 {
 			w.violate("DEAD", "%d is withdrawn, and requests were decided by it", version)
@@ -134,7 +134,7 @@
 func (w *World) noteReceived(from string, to *Process, msg any) {
 	if a, ok := msg.(rollout.LeaseRequest); ok && !to.frozen() {
 		p := w.byAddr[from]
-		if x := w.reports[p.name]; x.id == a.ID && x.seq > a.Seq {
+		if last := w.reports[p.name]; last.id == a.ID && last.seq > a.Seq {
 			return // reordered by the network
 		}
 		w.reports[p.name] = receivedReport{p.incarnation, a.ID, a.Seq, a.Checked, a.Refusal != "", w.now}
@@ -145,7 +145,7 @@
 func (w *World) noteProcessed(from string, to *Process, msg any, sent time.Duration) {
 	if a, ok := msg.(rollout.LeaseRequest); ok {
 		name := w.byAddr[from].name
-		if x := to.reports[name]; x.sentAt <= sent {
+		if last := to.reports[name]; last.sentAt <= sent {
 			to.reports[name] = processedReport{a.Checked, a.Refusal != "", sent}
 		}
 	}
@@ -157,8 +157,8 @@
 
 // recentConfirmations counts the nodes with a recent confirmation that the primary has processed.
 func (w *World) recentConfirmations(p *Process, version uint32) (n int) {
-	for _, x := range p.reports {
-		if x.change == uint64(version) && !x.refused && w.now-x.sentAt <= confirmationMaxAge {
+	for _, report := range p.reports {
+		if report.version == uint64(version) && !report.refused && w.now-report.sentAt <= confirmationMaxAge {
 			n++
 		}
 	}
@@ -170,7 +170,7 @@
 		return
 	}
 	w.judged[d.Version] = 1
-	held, zones := 1, map[string][2]int{} // the primary itself
+	confirmed, zones := 1, map[string][2]int{} // the primary itself
 	zones[p.zone] = [2]int{1, 1}
 	for _, n := range w.nodes {
 		if n == p {
@@ -180,18 +180,18 @@
 		if n.up && !n.frozen() && !w.blocked[[2]string{n.addr, p.addr}] {
 			z[0]++
 		}
-		if x := w.reports[n.name]; x.change == uint64(d.Version) && !x.refused {
-			held++
+		if report := w.reports[n.name]; report.version == uint64(d.Version) && !report.refused {
+			confirmed++
 			z[1]++
 		}
 		zones[n.zone] = z
 	}
-	need := sysconfig.RolloutOf(w.liveText(p)).Confirm
-	if held < need {
-		w.violate("FEW", "%d is to become live, %d nodes have confirmed it, %d are required", d.Version, held, need)
+	required := sysconfig.RolloutOf(w.liveText(p)).Confirm
+	if confirmed < required {
+		w.violate("FEW", "%d is to become live, %d nodes have confirmed it, %d are required", d.Version, confirmed, required)
 	}
-	if n := w.recentConfirmations(p, d.Version); n < need {
-		w.violate("FEW", "%d is to become live, %d nodes have confirmed it within %v, %d are required", d.Version, n, confirmationMaxAge, need)
+	if n := w.recentConfirmations(p, d.Version); n < required {
+		w.violate("FEW", "%d is to become live, %d nodes have confirmed it within %v, %d are required", d.Version, n, confirmationMaxAge, required)
 	}
 }
 
--- a/internal/rollout/world/measure.go
+++ b/internal/rollout/world/measure.go
@@ -24,9 +24,9 @@
 	w.Run(liveWithin)
 	up, at := len(w.nodes), w.bytes
 	w.Run(liveWithin)
-	var s Summary
-	s.IdleBytes = float64(w.bytes-at) / float64(up) / liveWithin.Seconds()
-	refused, turn, began := w.result.Refused, w.result.RefusedInTurn, w.now
+	var summary Summary
+	summary.IdleBytes = float64(w.bytes-at) / float64(up) / liveWithin.Seconds()
+	refused, refusedInTurn, began := w.result.Refused, w.result.RefusedInTurn, w.now
 	at = w.bytes
 	first := w.highestPut + 1
 	for n := range versions {
@@ -46,26 +46,26 @@
 		}
 		w.Run(w.randomUpTo(time.Second))
 	}
-	s.Bytes = (float64(w.bytes-at)/float64(up) - s.IdleBytes*(w.now-began).Seconds()) / float64(max(versions, 1))
+	summary.Bytes = (float64(w.bytes-at)/float64(up) - summary.IdleBytes*(w.now-began).Seconds()) / float64(max(versions, 1))
 	for v := first; v <= w.highestPut; v++ {
 		if f, ok := w.firstDecided[v]; ok {
-			s.Live = append(s.Live, f-w.putAt[v])
+			summary.Live = append(summary.Live, f-w.putAt[v])
 		} else {
 			w.violate("STUCK", "%d is not live after %v", v, liveWithin)
 		}
 		if a := w.result.ServedByAll[v]; a != 0 {
-			s.ServedByAll = append(s.ServedByAll, a)
+			summary.ServedByAll = append(summary.ServedByAll, a)
 		}
 	}
-	s.Refused, s.RefusedInTurn, s.LongestHold = w.result.Refused-refused, w.result.RefusedInTurn-turn, w.result.LongestHold
-	s.Violations, s.Decisions, s.Puts = w.result.Violations, w.result.Decisions, w.putAt
-	return s
+	summary.Refused, summary.RefusedInTurn, summary.LongestHold = w.result.Refused-refused, w.result.RefusedInTurn-refusedInTurn, w.result.LongestHold
+	summary.Violations, summary.Decisions, summary.Puts = w.result.Violations, w.result.Decisions, w.putAt
+	return summary
 }
 
 // runUntilServed runs until all live processes can decide by the newest version, and for half a second
 // more.
-func (w *World) runUntilServed(most time.Duration) {
-	for end := w.now + most; w.now < end && w.result.ServedByAll[w.highestPut] == 0 && len(w.result.Violations) == 0; {
+func (w *World) runUntilServed(limit time.Duration) {
+	for end := w.now + limit; w.now < end && w.result.ServedByAll[w.highestPut] == 0 && len(w.result.Violations) == 0; {
 		w.Run(10 * ms)
 	}
 	w.Run(500 * ms)
--- a/internal/rollout/world/orders.go
+++ b/internal/rollout/world/orders.go
@@ -20,16 +20,16 @@
 
 // frozenCore freezes the core in the moment of a hold that eleven nodes have to confirm; two of the others
 // are killed meanwhile.
-func frozenCore(seed uint64, bug rollout.Bug, still time.Duration) *World {
+func frozenCore(seed uint64, bug rollout.Bug, duration time.Duration) *World {
 	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.Put(w.primary(), 3, 0, 0, "")
 	w.runUntilHold()
 	for _, n := range w.nodes[:3] {
-		n.freeze(still)
+		n.freeze(duration)
 	}
 	w.nodes[8].kill()
 	w.nodes[9].kill()
-	w.Run(still + 3*time.Second)
+	w.Run(duration + 3*time.Second)
 	return w
 }
 
@@ -63,27 +63,27 @@
 // once a higher one is live, and once more after all processes have restarted.
 func RepeatedOrders(seed uint64, bug rollout.Bug) []Violation {
 	w := waitingForNode(seed, bug)
-	orders := func(from int) {
+	order := func(from int) {
 		for _, n := range w.nodes[from : from+3] {
 			w.Withdraw(n, 3)
 			w.Put(n, 3, 0, 0, "")
 		}
 	}
-	orders(3)
+	order(3)
 	w.Run(w.randomUpTo(10 * ms))
 	w.primary().kill()
 	for range 4 { // a caller without an answer calls again
 		w.Run(time.Second)
-		orders(4)
+		order(4)
 	}
 	w.endFaults()
 	w.Run(SettleTime)
 	w.Put(w.nodes[5], 4, 0, 0, "")
 	w.Run(2 * time.Second)
-	orders(5)
+	order(5)
 	w.Run(time.Second)
 	w.restartAll()
-	orders(6)
+	order(6)
 	w.recover()
 	return w.result.Violations
 }
@@ -94,8 +94,8 @@
 	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.nodes[8].kill()
 	w.delayed = []rollout.WithdrawRequest{}
-	asker := w.nodes[7]
-	w.Withdraw(asker, 3)
+	caller := w.nodes[7]
+	w.Withdraw(caller, 3)
 	w.Run(time.Second)
 	w.primary().kill()
 	w.Run(3 * time.Second)
@@ -103,9 +103,9 @@
 	w.delayed = nil
 	w.Put(w.nodes[5], 3, 0, 0, "")
 	w.Run(time.Second)
-	for _, wish := range copies {
+	for _, call := range copies {
 		p := w.primary()
-		p.deliver(func() controlplane.Out { return p.control.Take(p.clock(), asker.addr, wish) })
+		p.deliver(func() controlplane.Out { return p.control.Take(p.clock(), caller.addr, call) })
 	}
 	w.Run(time.Second)
 	if p := w.primary(); len(copies) == 0 || p.control.Rollout(p.clock()).Fate == rollout.Withdrawn.String() {
--- a/internal/rollout/world/partition.go
+++ b/internal/rollout/world/partition.go
@@ -107,22 +107,22 @@
 
 // checkWithoutQuorum checks what processes without a quorum have replied and decided since a moment.
 func (w *World) checkWithoutQuorum(side []*Process, from time.Duration) {
-	in := func(name string) bool {
+	within := func(name string) bool {
 		return slices.ContainsFunc(side, func(p *Process) bool { return p.name == name })
 	}
-	for _, k := range w.result.Acknowledged {
-		if in(k.Node) && k.At > from+cutSettleTime {
-			w.violate("ALONE", "%s acknowledges %d, %v into the cut", k.Node, k.Version, k.At-from)
+	for _, reply := range w.result.Acknowledged {
+		if within(reply.Node) && reply.At > from+cutSettleTime {
+			w.violate("ALONE", "%s acknowledges %d, %v into the cut", reply.Node, reply.Version, reply.At-from)
 		}
 	}
-	for _, k := range w.result.WithdrawReplies {
-		if in(k.Node) && k.At > from+cutSettleTime && k.Outcome == rollout.OutcomeAbsent { // the other outcomes are final
-			w.violate("ALONE", "%s reports %d as %v, %v into the cut", k.Node, k.Version, k.Outcome, k.At-from)
+	for _, reply := range w.result.WithdrawReplies {
+		if within(reply.Node) && reply.At > from+cutSettleTime && reply.Outcome == rollout.OutcomeAbsent { // the other outcomes are final
+			w.violate("ALONE", "%s reports %d as %v, %v into the cut", reply.Node, reply.Version, reply.Outcome, reply.At-from)
 		}
 	}
 	longest := time.Duration(float64(rollout.Terms.Lease) * (1 + rollout.Terms.Drift)) // by the slowest clock
 	for _, m := range w.result.Decisions {
-		if in(m.Node) && m.At > from+longest {
+		if within(m.Node) && m.At > from+longest {
 			w.violate("ALONE", "%s decides by %d, %v into the cut", m.Node, m.Version, m.At-from)
 			return
 		}
@@ -136,10 +136,10 @@
 	for end := w.now + SettleTime; w.now < end && !w.allHoldNewest(); {
 		w.Run(10 * ms)
 	}
-	took := w.now - from
+	duration := w.now - from
 	w.Run(SettleTime)
 	w.checkSettled()
-	return took
+	return duration
 }
 
 func (w *World) allHoldNewest() bool {
@@ -151,7 +151,7 @@
 }
 
 // separate cuts the links between processes in both directions.
-func (w *World) separate(one, all []*Process) {
-	w.setBlocked(one, all, true)
-	w.setBlocked(all, one, true)
+func (w *World) separate(side, others []*Process) {
+	w.setBlocked(side, others, true)
+	w.setBlocked(others, side, true)
 }
--- a/internal/rollout/world/process.go
+++ b/internal/rollout/world/process.go
@@ -94,17 +94,17 @@
 	if !p.up || p.frozen() {
 		return
 	}
-	w, life := p.w, p.incarnation
+	w, incarnation := p.w, p.incarnation
 	w.trace("%s is frozen for %v", p.name, d)
 	p.frozenUntil = w.now + d
 	w.schedule(d, func() {
-		if !p.up || p.incarnation != life {
+		if !p.up || p.incarnation != incarnation {
 			return
 		}
-		ice := p.deferred
+		deferred := p.deferred
 		p.deferred = nil
-		w.rng.Shuffle(len(ice), func(i, j int) { ice[i], ice[j] = ice[j], ice[i] }) // links don't preserve the order
-		for _, do := range ice {
+		w.rng.Shuffle(len(deferred), func(i, j int) { deferred[i], deferred[j] = deferred[j], deferred[i] }) // links don't preserve the order
+		for _, do := range deferred {
 			do()
 		}
 	})
@@ -120,8 +120,8 @@
 	}
 }
 
-func (p *Process) tick(life int) {
-	if !p.up || p.incarnation != life {
+func (p *Process) tick(incarnation int) {
+	if !p.up || p.incarnation != incarnation {
 		return
 	}
 	p.deliver(func() controlplane.Out { return p.control.Tick(p.clock()) })
@@ -129,7 +129,7 @@
 	if p.frozen() {
 		next = p.frozenUntil - p.w.now
 	}
-	p.w.schedule(next, func() { p.tick(life) })
+	p.w.schedule(next, func() { p.tick(incarnation) })
 }
 
 func (p *Process) execute(out controlplane.Out) {
@@ -139,19 +139,19 @@
 		if err != nil {
 			panic(err)
 		}
-		life, seq := p.incarnation, out.Write.Seq
+		incarnation, seq := p.incarnation, out.Write.Seq
 		p.diskIdleAt = max(p.diskIdleAt, w.now) + ms + w.randomUpTo(3*ms) // writes are sequential
 		w.schedule(p.diskIdleAt-w.now, func() {
-			if p.up && p.incarnation == life {
+			if p.up && p.incarnation == incarnation {
 				p.disk = data
 				p.deliver(func() controlplane.Out { return p.control.Written(p.clock(), seq) })
 			}
 		})
 	}
 	if t := out.Text; t != nil {
-		life := p.incarnation
+		incarnation := p.incarnation
 		w.schedule(w.randomUpTo(20*ms), func() {
-			if p.incarnation == life {
+			if p.incarnation == incarnation {
 				p.deliver(func() controlplane.Out { return p.control.Read(p.clock(), t.Read()) })
 			}
 		})
@@ -193,59 +193,59 @@
 	}
 	waiting := p.waiting
 	p.waiting = nil
-	for _, came := range waiting {
-		p.decide(came)
+	for _, arrived := range waiting {
+		p.decide(arrived)
 	}
 }
 
 const maxWait = 100 * ms
 
 // decide decides a request that arrived at a given time, refuses it, or lets it wait.
-func (p *Process) decide(came time.Duration) {
+func (p *Process) decide(arrived time.Duration) {
 	w := p.w
 	now := p.clock()
 	if w.opt.Bug == rollout.BugStaleLeaseCheck {
-		now = p.clockBase + time.Duration(float64(came)*p.clockRate)
+		now = p.clockBase + time.Duration(float64(arrived)*p.clockRate)
 	}
-	g := p.gate
+	gate := p.gate
 	switch {
-	case g.Version == 0:
+	case gate.Version == 0:
 		w.result.Refused++
-	case g.Allows(now, g.Version):
-		w.result.LongestHold = max(w.result.LongestHold, min(w.now-came, maxWait))
-		w.checkDecision(p, g.Version)
-	case g.ReopensSoon && w.now-came < maxWait:
-		p.waiting = append(p.waiting, came)
+	case gate.Allows(now, gate.Version):
+		w.result.LongestHold = max(w.result.LongestHold, min(w.now-arrived, maxWait))
+		w.checkDecision(p, gate.Version)
+	case gate.ReopensSoon && w.now-arrived < maxWait:
+		p.waiting = append(p.waiting, arrived)
 		if len(p.waiting) == 1 {
-			life := p.incarnation
+			incarnation := p.incarnation
 			w.schedule(maxWait, func() {
-				if p.up && p.incarnation == life && !p.frozen() {
+				if p.up && p.incarnation == incarnation && !p.frozen() {
 					p.updateGate()
 				}
 			})
 		}
 	default:
 		w.result.Refused++
-		if g.ReopensSoon {
+		if gate.ReopensSoon {
 			w.result.RefusedInTurn++
 		}
 	}
 }
 
 // sendRequests sends requests as long as the process lives.
-func (p *Process) sendRequests(life int) {
+func (p *Process) sendRequests(incarnation int) {
 	w := p.w
-	if !p.up || p.incarnation != life {
+	if !p.up || p.incarnation != incarnation {
 		return
 	}
-	if came := w.now; !w.quiet {
+	if arrived := w.now; !w.quiet {
 		if p.frozen() {
-			p.deferred = append(p.deferred, func() { p.decide(came) })
+			p.deferred = append(p.deferred, func() { p.decide(arrived) })
 		} else {
-			p.decide(came)
+			p.decide(arrived)
 		}
 	}
-	w.schedule(w.opt.RequestInterval/2+w.randomUpTo(w.opt.RequestInterval), func() { p.sendRequests(life) })
+	w.schedule(w.opt.RequestInterval/2+w.randomUpTo(w.opt.RequestInterval), func() { p.sendRequests(incarnation) })
 }
 
 // send delivers a message, with delays, duplicates and losses.
@@ -255,13 +255,13 @@
 		return
 	}
 	w.checkMessage(p, to, s.Msg)
-	if wish, ok := s.Msg.(rollout.WithdrawRequest); ok && w.delayed != nil {
-		w.delayed = append(w.delayed, wish)
+	if call, ok := s.Msg.(rollout.WithdrawRequest); ok && w.delayed != nil {
+		w.delayed = append(w.delayed, call)
 	}
 	if to == p {
-		life, sent := p.incarnation, w.now
+		incarnation, sent := p.incarnation, w.now
 		w.schedule(0, func() {
-			if p.incarnation == life {
+			if p.incarnation == incarnation {
 				p.deliver(func() controlplane.Out {
 					w.noteProcessed(p.addr, p, s.Msg, sent)
 					return p.control.Take(p.clock(), p.addr, s.Msg)
@@ -289,9 +289,9 @@
 		if to.zone != p.zone {
 			d += 800 * time.Microsecond
 		}
-		life, from, sent := to.incarnation, p.addr, w.now
+		incarnation, from, sent := to.incarnation, p.addr, w.now
 		w.schedule(d, func() {
-			if to.incarnation == life && !w.blocked[[2]string{from, to.addr}] {
+			if to.incarnation == incarnation && !w.blocked[[2]string{from, to.addr}] {
 				w.noteReceived(from, to, s.Msg)
 				to.deliver(func() controlplane.Out {
 					w.noteProcessed(from, to, s.Msg, sent)
@@ -308,23 +308,23 @@
 	if w.opt.Mbit == 0 {
 		return 0
 	}
-	takes := func(x *Process) time.Duration {
-		return time.Duration(float64(size) * 8 / lo.Ternary(x.core, w.opt.CoreMbit, w.opt.Mbit) * float64(time.Microsecond))
+	transmission := func(q *Process) time.Duration {
+		return time.Duration(float64(size) * 8 / lo.Ternary(q.core, w.opt.CoreMbit, w.opt.Mbit) * float64(time.Microsecond))
 	}
-	p.sendIdleAt = max(p.sendIdleAt, w.now) + takes(p)
-	to.receiveIdleAt = max(to.receiveIdleAt, p.sendIdleAt) + takes(to)
+	p.sendIdleAt = max(p.sendIdleAt, w.now) + transmission(p)
+	to.receiveIdleAt = max(to.receiveIdleAt, p.sendIdleAt) + transmission(to)
 	w.result.LongestQueue = max(w.result.LongestQueue, to.receiveIdleAt-w.now)
 	return to.receiveIdleAt - w.now
 }
 
 // setBlocked blocks or unblocks messages in one direction.
-func (w *World) setBlocked(from, to []*Process, on bool) {
+func (w *World) setBlocked(from, to []*Process, blocked bool) {
 	for _, a := range from {
 		for _, b := range to {
 			if a == b {
 				continue
 			}
-			if on {
+			if blocked {
 				w.blocked[[2]string{a.addr, b.addr}] = true
 			} else {
 				delete(w.blocked, [2]string{a.addr, b.addr})
--- a/internal/rollout/world/simulate.go
+++ b/internal/rollout/world/simulate.go
@@ -153,8 +153,8 @@
 		return
 	}
 	p := w.randomNode()
-	if lead := w.primary(); lead != nil && w.rng.IntN(3) == 0 {
-		p = lead
+	if primary := w.primary(); primary != nil && w.rng.IntN(3) == 0 {
+		p = primary
 	}
 	switch w.rng.IntN(7) {
 	case 0, 1:
