--- a/internal/rollout/lead.go
+++ b/internal/rollout/lead.go
@@ -73,8 +73,8 @@
 	m.applyConduct(now)
 }
 
-// heldRound is the hold in which a node decides nothing. A hold of another primary may have the same
-// number.
+// heldRound is the round of the hold in which the node decides nothing, or 0: a hold of another primary may
+// have the same number.
 func (l *leadership) heldRound(request LeaseRequest) uint64 {
 	if request.Epoch != l.epoch {
 		return 0
