--- a/internal/controlplane/message_test.go
+++ b/internal/controlplane/message_test.go
@@ -12,71 +12,71 @@
 	"asterwell/internal/rollout"
 )
 
-// The kinds in the answer of GET /api/frames, with the message that each one counts.
+// outerNames pairs each message type with its name in the answer of GET /api/frames.
 var outerNames = [][]struct {
 	msg  any
 	name string
 }{
 	{
-		{memberlist.Beat{}, "bond.Beat"},
+		{memberlist.Heartbeat{}, "bond.Beat"},
 		{memberlist.Hello{}, "bond.Hello"},
-		{memberlist.Rumour{}, "bond.Rumour"},
+		{memberlist.Gossip{}, "bond.Rumour"},
 		{memberlist.Index{}, "bond.Index"},
 		{memberlist.Diff{}, "bond.Diff"},
 		{memberlist.Ping{}, "bond.Ping"},
-		{memberlist.Probe{}, "bond.Probe"},
-		{memberlist.Pong{}, "bond.Pong"},
-		{memberlist.Doubt{}, "bond.Doubt"},
+		{memberlist.IndirectPing{}, "bond.Probe"},
+		{memberlist.IndirectAck{}, "bond.Pong"},
+		{memberlist.Suspect{}, "bond.Doubt"},
 	},
 	{
-		{registry.News{}, "lore.News"},
+		{registry.Update{}, "lore.News"},
 		{registry.Ack{}, "lore.Ack"},
-		{registry.Pass{}, "lore.Pass"},
-		{registry.Sum{}, "lore.Sum"},
-		{registry.Parts{}, "lore.Parts"},
+		{registry.ForwardedHeartbeat{}, "lore.Pass"},
+		{registry.TableDigest{}, "lore.Sum"},
+		{registry.ServiceDigests{}, "lore.Parts"},
 		{registry.Index{}, "lore.Index"},
 		{registry.Diff{}, "lore.Diff"},
 		{registry.Fetch{}, "lore.Fetch"},
-		{registry.Whole{}, "lore.Whole"},
+		{registry.FullTable{}, "lore.Whole"},
 	},
 	{
-		{consensus.Hello{}, "pact.Hello"},
-		{consensus.Found{}, "pact.Found"},
-		{consensus.Ask{}, "pact.Ask"},
+		{consensus.JoinRequest{}, "pact.Hello"},
+		{consensus.FirstEpoch{}, "pact.Found"},
+		{consensus.ViewRequest{}, "pact.Ask"},
 		{consensus.View{}, "pact.View"},
-		{consensus.Beat{}, "pact.Beat"},
-		{consensus.Beaten{}, "pact.Beaten"},
+		{consensus.Heartbeat{}, "pact.Beat"},
+		{consensus.HeartbeatReply{}, "pact.Beaten"},
 		{consensus.Resign{}, "pact.Resign"},
-		{consensus.Probe{}, "pact.Probe"},
-		{consensus.Probed{}, "pact.Probed"},
+		{consensus.PreVote{}, "pact.Probe"},
+		{consensus.PreVoteReply{}, "pact.Probed"},
 		{consensus.Prepare{}, "pact.Prepare"},
 		{consensus.Promise{}, "pact.Promise"},
-		{consensus.Refuse{}, "pact.Refuse"},
-		{consensus.Copy{}, "pact.Copy"},
-		{consensus.Copied{}, "pact.Copied"},
-		{consensus.Enact{}, "pact.Enact"},
-		{consensus.Enacted{}, "pact.Enacted"},
+		{consensus.Reject{}, "pact.Refuse"},
+		{consensus.InstallState{}, "pact.Copy"},
+		{consensus.StateInstalled{}, "pact.Copied"},
+		{consensus.RecordEpoch{}, "pact.Enact"},
+		{consensus.EpochRecorded{}, "pact.Enacted"},
 		{consensus.Append{}, "pact.Append"},
 		{consensus.Appended{}, "pact.Appended"},
 		{consensus.Confirm{}, "pact.Confirm"},
 		{consensus.Confirmed{}, "pact.Confirmed"},
 		{consensus.Forward{}, "pact.Forward"},
-		{consensus.Answered{}, "pact.Answered"},
+		{consensus.ForwardReply{}, "pact.Answered"},
 		{consensus.Push{}, "pact.Push"},
 		{consensus.Pull{}, "pact.Pull"},
-		{consensus.Amended{}, "pact.Amended"},
-		{consensus.Fenced{}, "pact.Fenced"},
+		{consensus.CommitAmendment{}, "pact.Amended"},
+		{consensus.FenceNotice{}, "pact.Fenced"},
 		{consensus.Leave{}, "pact.Leave"},
-		{consensus.Released{}, "pact.Released"},
+		{consensus.LeaveGranted{}, "pact.Released"},
 		{consensus.Handover{}, "pact.Handover"},
-		{consensus.Void{}, "pact.Void"},
+		{consensus.MemberLost{}, "pact.Void"},
 	},
 	{
 		{quotas.Add{}, "toll.Add"},
 		{quotas.Answer{}, "toll.Answer"},
 	},
 	{
-		{Via{}, "knot.Via"},
+		{Relay{}, "knot.Via"},
 	},
 	{
 		{faultrules.Claim{}, "bane.Claim"},
@@ -99,7 +99,7 @@
 	},
 }
 
-// Operators' tools read the names of messages, which stay as they are whatever the Go types are called.
+// Operators' tools match these names, so they must not follow the names of the Go types.
 func TestMessageNames(t *testing.T) {
 	all := Messages()
 	if len(all) != len(outerNames) || len(messageNames) != len(all) {
--- a/internal/daemon/shed_test.go
+++ b/internal/daemon/shed_test.go
@@ -27,7 +27,7 @@
 			}
 		}
 	}
-	if a.put(&frame{Msg: memberlist.Beat{}}, start) {
+	if a.put(&frame{Msg: memberlist.Heartbeat{}}, start) {
 		t.Fatal("a sign of life waits among adds")
 	}
 	taken := func(now time.Time) (got []int) {
@@ -73,10 +73,10 @@
 	}
 	r := bufio.NewReader(&wire)
 	codec := in.codec(func() bool { return true })
-	if f, size, err := codec.Read(r); f != nil || size == 0 || err != nil {
+	if f, size, err := codec.Decode(r); f != nil || size == 0 || err != nil {
 		t.Errorf("%+v, %d, %v", f, size, err)
 	}
-	if f, _, err := codec.Read(r); err != nil || f.Msg != (memberlist.Ping{}) {
+	if f, _, err := codec.Decode(r); err != nil || f.Msg != (memberlist.Ping{}) {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
--- a/internal/dataplane/front.go
+++ b/internal/dataplane/front.go
@@ -29,7 +29,7 @@
 
 func (p *Plane) handle(ctx *fasthttp.RequestCtx) {
 	var times *protocol.Times
-	if p.opt.Times != nil {
+	if p.opt.OnRequestTimes != nil {
 		times = &protocol.Times{Clock: func() int64 { return time.Now().UnixNano() }}
 		times.Mark(protocol.Begun)
 	}
@@ -76,7 +76,7 @@
 		return
 	}
 	call.Transparent, call.Times = true, times
-	r := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: plan, Units: 1, Width: 1, Fit: p.bound(t, route)}
+	r := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: plan, Units: 1, Gateways: 1, ResolveTerms: p.bound(t, route)}
 	l := (*p.lanes.Load())[route.Pick(xxhash.Sum64String(id))]
 	rank := route.Rank
 	if t.Keyed() && !route.Anonymous {
@@ -96,7 +96,7 @@
 				refuse(ctx, fasthttp.StatusServiceUnavailable, untilReady)
 				return
 			}
-			if ok, after := p.opt.Pass(tenant.Name, 1); !ok {
+			if ok, after := p.opt.TakeQuota(tenant.Name, 1); !ok {
 				p.refused.Add(1)
 				refuse(ctx, fasthttp.StatusTooManyRequests, after)
 				return
@@ -123,7 +123,7 @@
 	p.answer(ctx, final)
 	if times != nil {
 		times.Mark(protocol.Ended)
-		p.opt.Times(id, times)
+		p.opt.OnRequestTimes(id, times)
 	}
 }
 
@@ -134,7 +134,7 @@
 		ctx.SetStatusCode(a.Answer.StatusCode())
 		protocol.PassOn(ctx, a.Answer)
 	case protocol.Refused:
-		if a.Verdict == routing.MayHaveRun { // no promise can be given
+		if a.Verdict == routing.MayHaveExecuted { // no promise can be given
 			ctx.SetStatusCode(fasthttp.StatusBadGateway)
 			return
 		}
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -35,16 +35,16 @@
 // pull asks for the primary's document. A prepared one comes with the text of the live one, so it may take
 // twice as long.
 func (m *Machine) pull(now fsm.Time, from string, kept consensus.Doc) {
-	if !kept.Above(m.doc) {
+	if !kept.Supersedes(m.doc) {
 		m.behindSince = 0
 		return
 	}
 	if m.behindSince == 0 {
 		m.behindSince = now
 	}
-	if wait := pullInterval + 2*consensus.Way(len(m.doc.Body)); now-m.behindSince >= wait && now-m.pulledAt >= wait {
+	if wait := pullInterval + 2*consensus.TransferTime(len(m.doc.Body)); now-m.behindSince >= wait && now-m.pulledAt >= wait {
 		m.pulledAt = now
-		m.send(from, consensus.Pull{Held: kept.Version - 1}) // this version or higher, so the amended one too
+		m.send(from, consensus.Pull{Version: kept.Version - 1}) // this version or higher, so the amended one too
 	}
 }
 
@@ -95,7 +95,7 @@
 	for range m.nodes {
 		m.seekIndex++
 		if n := m.nodes[m.seekIndex%len(m.nodes)]; n.Member && n.Addr != m.config.Self {
-			m.send(n.Addr, consensus.Ask{})
+			m.send(n.Addr, consensus.ViewRequest{})
 			return
 		}
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -43,14 +43,14 @@
 		{"overtaking", PrepareDocument(two, doc(5, each)), Prepared, 1},
 		{"after a withdrawn one", PrepareDocument(withdrawn(two, "why"), doc(3, each)), Prepared, 1},
 		{"after each again", PrepareDocument(madeLive(two), doc(3, together)), Live, 3},
-		{"an operator's own words beside it", PrepareDocument(one, consensus.Doc{Version: 2, Rev: 9, Side: []byte{1}}), Prepared, 1},
-		{"unreadable", consensus.Doc{Version: 2, Side: []byte{0xff}}, Withdrawn, 0},
+		{"an operator's own words beside it", PrepareDocument(one, consensus.Doc{Version: 2, Rev: 9, Attachment: []byte{1}}), Prepared, 1},
+		{"unreadable", consensus.Doc{Version: 2, Attachment: []byte{0xff}}, Withdrawn, 0},
 	} {
 		if s := ReadState(c.doc); s.Fate != c.fate || s.Version != c.live {
 			t.Errorf("%s: %v, live %d", c.name, s.Fate, s.Version)
 		}
 	}
-	if two.Above(madeLive(two)) || !doc(3, each).Above(madeLive(two)) {
+	if two.Supersedes(madeLive(two)) || !doc(3, each).Supersedes(madeLive(two)) {
 		t.Error("the prepared document is above the amended one, or the next one is not")
 	}
 }
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -30,10 +30,10 @@
 // ReadState decodes the state stored beside a document. An unreadable one counts as withdrawn with nothing
 // live, so that no request is decided by it; no program writes one.
 func ReadState(d consensus.Doc) (s State) {
-	if len(d.Side) == 0 {
+	if len(d.Attachment) == 0 {
 		return State{Version: d.Version, Body: d.Body}
 	}
-	if err := cbor.Unmarshal(d.Side, &s); err != nil {
+	if err := cbor.Unmarshal(d.Attachment, &s); err != nil {
 		return State{Fate: Withdrawn, Why: err.Error()}
 	}
 	return s
@@ -56,9 +56,9 @@
 }
 
 func prepareDocument(kept, next consensus.Doc, rollout func(State) sysconfig.Rollout) consensus.Doc {
-	next.Rev, next.Side, next.Past = 0, nil, withdrawnVersions(kept)
+	next.Rev, next.Attachment, next.History = 0, nil, withdrawnVersions(kept)
 	if was := ReadState(kept); was.Version != 0 && rollout(was).Together {
-		next.Side = encodeState(State{Fate: Prepared, Version: was.Version, Body: was.Body})
+		next.Attachment = encodeState(State{Fate: Prepared, Version: was.Version, Body: was.Body})
 	}
 	return next
 }
@@ -71,7 +71,7 @@
 func withdrawnVersions(kept consensus.Doc) []byte {
 	all := withdrawnBefore(kept)
 	if ReadState(kept).Fate != Withdrawn {
-		return kept.Past
+		return kept.History
 	}
 	all = append(all, kept.Version)
 	data, err := cbor.Marshal(all[max(0, len(all)-maxWithdrawnVersions):])
@@ -84,21 +84,21 @@
 // withdrawnBefore returns the withdrawn versions below the document's, the newest last. An unreadable list
 // counts as empty: calls for those versions are told that they are overtaken.
 func withdrawnBefore(d consensus.Doc) (all []uint32) {
-	if len(d.Past) > 0 && cbor.Unmarshal(d.Past, &all) != nil {
+	if len(d.History) > 0 && cbor.Unmarshal(d.History, &all) != nil {
 		return nil
 	}
 	return all
 }
 
 func madeLive(d consensus.Doc) consensus.Doc {
-	d.Rev, d.Side = d.Rev+1, nil
+	d.Rev, d.Attachment = d.Rev+1, nil
 	return d
 }
 
 func withdrawn(d consensus.Doc, why string) consensus.Doc {
 	s := ReadState(d)
 	s.Fate, s.Why = Withdrawn, why
-	d.Rev, d.Side = d.Rev+1, encodeState(s)
+	d.Rev, d.Attachment = d.Rev+1, encodeState(s)
 	return d
 }
 
--- a/internal/rollout/world/check.go
+++ b/internal/rollout/world/check.go
@@ -118,13 +118,13 @@
 		if t.Checked == 0 || t.Refusal != "" {
 			return
 		}
-		if v := p.control.Pact().Version; uint64(v) < t.Checked {
+		if v := p.control.ConsensusStatus().Version; uint64(v) < t.Checked {
 			w.violate("HELD", "%s confirms %d and holds %d", p.name, t.Checked, v)
 		} else if p.core && uint64(versionOnDisk(p.disk)) < t.Checked {
 			w.violate("HELD", "%s confirms %d and has %d on disk", p.name, t.Checked, versionOnDisk(p.disk))
 		}
 	case consensus.Append:
-		if t.Doc.Rev > 0 && len(t.Doc.Side) == 0 {
+		if t.Doc.Rev > 0 && len(t.Doc.Attachment) == 0 {
 			w.checkConfirmations(p, t.Doc)
 		}
 	}
@@ -196,7 +196,7 @@
 }
 
 // liveText is the text in force at a process.
-func (w *World) liveText(p *Process) []byte { return p.control.Accord().LiveText() }
+func (w *World) liveText(p *Process) []byte { return p.control.RolloutMachine().LiveText() }
 
 func versionOnDisk(disk []byte) uint32 {
 	if disk == nil {
--- a/internal/rollout/world/orders.go
+++ b/internal/rollout/world/orders.go
@@ -11,7 +11,7 @@
 // back.
 func (w *World) runUntilHold() {
 	for end := w.now + time.Second; w.now < end; w.Run(50 * time.Microsecond) {
-		if p := w.primary(); p.control.Rollout(p.clock()).Stage == "holding" {
+		if p := w.primary(); p.control.RolloutStatus(p.clock()).Stage == "holding" {
 			return
 		}
 	}
@@ -105,10 +105,10 @@
 	w.Run(time.Second)
 	for _, call := range copies {
 		p := w.primary()
-		p.deliver(func() controlplane.Out { return p.control.Take(p.clock(), caller.addr, call) })
+		p.deliver(func() controlplane.Output { return p.control.Receive(p.clock(), caller.addr, call) })
 	}
 	w.Run(time.Second)
-	if p := w.primary(); len(copies) == 0 || p.control.Rollout(p.clock()).Fate == rollout.Withdrawn.String() {
+	if p := w.primary(); len(copies) == 0 || p.control.RolloutStatus(p.clock()).Fate == rollout.Withdrawn.String() {
 		w.violate("LATE", "version 3 is withdrawn by %d delayed copies of a call from before it came", len(copies))
 	}
 	w.recover()
--- a/internal/rollout/world/partition.go
+++ b/internal/rollout/world/partition.go
@@ -143,7 +143,7 @@
 }
 
 func (w *World) allHoldNewest() bool {
-	return !slices.ContainsFunc(w.nodes, func(n *Process) bool { v, _ := n.control.Accord().Newest(); return v != w.newestVersion() })
+	return !slices.ContainsFunc(w.nodes, func(n *Process) bool { v, _ := n.control.RolloutMachine().Newest(); return v != w.newestVersion() })
 }
 
 func (w *World) except(those ...*Process) []*Process {
--- a/internal/rollout/world/process.go
+++ b/internal/rollout/world/process.go
@@ -24,7 +24,7 @@
 	core                      bool
 	clockRate                 float64 // relative to the time of the simulation
 	clockBase                 time.Duration
-	control                   *controlplane.Knot
+	control                   *controlplane.Machine
 	up                        bool
 	incarnation               int
 	frozenUntil               time.Duration
@@ -53,19 +53,19 @@
 	p.up, p.frozenUntil, p.deferred, p.waiting, p.gate, p.withdrawCalls = true, 0, nil, nil, rollout.Gate{}, map[uint64]withdrawOrder{}
 	p.putCalls = map[uint64]uint32{}
 	p.incarnation, p.reports = p.incarnation+1, map[string]processedReport{}
-	var kept *consensus.Disk
+	var kept *consensus.DurableState
 	if p.disk != nil {
-		kept = &consensus.Disk{}
+		kept = &consensus.DurableState{}
 		if err := cbor.Unmarshal(p.disk, kept); err != nil {
 			panic(err)
 		}
 	}
 	seed := w.rng.Uint64()
-	p.control = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, Control: p.addr + "0", Member: p.core, Genesis: !p.started,
-		Losses: 1, Heartbeat: time.Second, Seeds: []string{w.nodes[0].addr, w.nodes[1].addr, w.nodes[2].addr},
-		Life: uint64(1e12) + uint64(w.now), Seed: seed, Check: p.check}, quotas.NewMeter(p.addr, uint64(p.incarnation), seed), kept, p.clock())
+	p.control = controlplane.New(controlplane.Config{Self: p.addr, Name: p.name, Zone: p.zone, ControlAddr: p.addr + "0", Member: p.core, Genesis: !p.started,
+		ToleratedLosses: 1, HeartbeatInterval: time.Second, Seeds: []string{w.nodes[0].addr, w.nodes[1].addr, w.nodes[2].addr},
+		Incarnation: uint64(1e12) + uint64(w.now), Seed: seed, CheckConfig: p.check}, quotas.NewMeter(p.addr, uint64(p.incarnation), seed), kept, p.clock())
 	p.started = true
-	p.control.Accord().SetBug(w.opt.Bug)
+	p.control.RolloutMachine().SetBug(w.opt.Bug)
 	w.trace("%s starts", p.name)
 	p.tick(p.incarnation)
 	w.schedule(w.randomUpTo(w.opt.RequestInterval), func() { p.sendRequests(p.incarnation) })
@@ -110,7 +110,7 @@
 	})
 }
 
-func (p *Process) deliver(do func() controlplane.Out) {
+func (p *Process) deliver(do func() controlplane.Output) {
 	switch {
 	case !p.up:
 	case p.frozen():
@@ -124,7 +124,7 @@
 	if !p.up || p.incarnation != incarnation {
 		return
 	}
-	p.deliver(func() controlplane.Out { return p.control.Tick(p.clock()) })
+	p.deliver(func() controlplane.Output { return p.control.Tick(p.clock()) })
 	next := 50 * ms
 	if p.frozen() {
 		next = p.frozenUntil - p.w.now
@@ -132,10 +132,10 @@
 	p.w.schedule(next, func() { p.tick(incarnation) })
 }
 
-func (p *Process) execute(out controlplane.Out) {
+func (p *Process) execute(out controlplane.Output) {
 	w := p.w
 	if out.Write != nil {
-		data, err := cbor.Marshal(out.Write.Disk)
+		data, err := cbor.Marshal(out.Write.State)
 		if err != nil {
 			panic(err)
 		}
@@ -144,39 +144,39 @@
 		w.schedule(p.diskIdleAt-w.now, func() {
 			if p.up && p.incarnation == incarnation {
 				p.disk = data
-				p.deliver(func() controlplane.Out { return p.control.Written(p.clock(), seq) })
+				p.deliver(func() controlplane.Output { return p.control.Written(p.clock(), seq) })
 			}
 		})
 	}
-	if t := out.Text; t != nil {
+	if t := out.Parse; t != nil {
 		incarnation := p.incarnation
 		w.schedule(w.randomUpTo(20*ms), func() {
 			if p.incarnation == incarnation {
-				p.deliver(func() controlplane.Out { return p.control.Read(p.clock(), t.Read()) })
+				p.deliver(func() controlplane.Output { return p.control.ConfigParsed(p.clock(), t.Parse()) })
 			}
 		})
 	}
-	if out.Gate || out.Adopt != nil {
+	if out.GateChanged || out.Adopt != nil {
 		p.updateGate()
 	}
-	if v, fate := p.control.Accord().Newest(); v != 0 {
+	if v, fate := p.control.RolloutMachine().Newest(); v != 0 {
 		w.checkFate(p, v, fate)
 	}
 	for _, r := range out.Replies {
 		switch t := r.Value.(type) {
 		case rollout.WithdrawReply:
-			w.checkWithdrawReply(p, p.withdrawCalls[r.Call], t.Outcome)
+			w.checkWithdrawReply(p, p.withdrawCalls[r.CallID], t.Outcome)
 		case consensus.Answer:
-			switch version := p.putCalls[r.Call]; t.Verdict {
-			case consensus.Kept:
+			switch version := p.putCalls[r.CallID]; t.Result {
+			case consensus.ResultAccepted:
 				w.checkAcknowledged(p, version)
-			case consensus.Busy: // no definite answer
-			case consensus.Differs:
+			case consensus.ResultBusy: // no definite answer
+			case consensus.ResultConflict:
 				if !w.conflicting[version] {
 					w.violate("AGAIN", "put of %d at %s: reported as a different text, and there is none", version, p.name)
 				}
 			default:
-				w.violate("AGAIN", "put of %d at %s is refused: %v", version, p.name, t.Verdict)
+				w.violate("AGAIN", "put of %d at %s is refused: %v", version, p.name, t.Result)
 			}
 		}
 	}
@@ -262,9 +262,9 @@
 		incarnation, sent := p.incarnation, w.now
 		w.schedule(0, func() {
 			if p.incarnation == incarnation {
-				p.deliver(func() controlplane.Out {
+				p.deliver(func() controlplane.Output {
 					w.noteProcessed(p.addr, p, s.Msg, sent)
-					return p.control.Take(p.clock(), p.addr, s.Msg)
+					return p.control.Receive(p.clock(), p.addr, s.Msg)
 				})
 			}
 		})
@@ -293,9 +293,9 @@
 		w.schedule(d, func() {
 			if to.incarnation == incarnation && !w.blocked[[2]string{from, to.addr}] {
 				w.noteReceived(from, to, s.Msg)
-				to.deliver(func() controlplane.Out {
+				to.deliver(func() controlplane.Output {
 					w.noteProcessed(from, to, s.Msg, sent)
-					return to.control.Take(to.clock(), from, s.Msg)
+					return to.control.Receive(to.clock(), from, s.Msg)
 				})
 			}
 		})
@@ -336,7 +336,7 @@
 // primary is the process that considers itself the primary; nil: none.
 func (w *World) primary() *Process {
 	for _, p := range w.nodes {
-		if p.up && p.control.Pact().Role == "primary" {
+		if p.up && p.control.ConsensusStatus().Role == "primary" {
 			return p
 		}
 	}
@@ -385,8 +385,8 @@
 		w.texts[version] = body
 	}
 	w.conflicting[version] = w.conflicting[version] || !bytes.Equal(w.texts[version], body)
-	p.deliver(func() controlplane.Out {
-		return p.control.Put(p.clock(), id, consensus.Doc{Version: version, Body: body})
+	p.deliver(func() controlplane.Output {
+		return p.control.PutConfig(p.clock(), id, consensus.Doc{Version: version, Body: body})
 	})
 }
 
@@ -398,6 +398,6 @@
 		id := p.calls
 		_, known := w.fates[version]
 		p.withdrawCalls[id] = withdrawOrder{version, known}
-		p.deliver(func() controlplane.Out { return p.control.Withdraw(p.clock(), id, version, "ops") })
+		p.deliver(func() controlplane.Output { return p.control.Withdraw(p.clock(), id, version, "ops") })
 	}
 }
--- a/internal/rollout/world/scenario_test.go
+++ b/internal/rollout/world/scenario_test.go
@@ -138,7 +138,7 @@
 	if w.newestDecided != 2 || w.fates[3] != rollout.Prepared {
 		t.Fatalf("requests are decided by %d, 3 is %v", w.newestDecided, w.fates[3])
 	}
-	s := w.primary().control.Rollout(w.primary().clock())
+	s := w.primary().control.RolloutStatus(w.primary().clock())
 	if s.Enough || len(s.Prepared) != 10 || s.Newest != 3 || s.Live != 2 {
 		t.Errorf("%+v", s)
 	}
--- a/internal/rollout/world/simulate.go
+++ b/internal/rollout/world/simulate.go
@@ -11,11 +11,11 @@
 )
 
 func diskVersion(data []byte) uint32 {
-	var d consensus.Disk
+	var d consensus.DurableState
 	if err := cbor.Unmarshal(data, &d); err != nil {
 		panic(err)
 	}
-	return d.Kept.Version
+	return d.Committed.Version
 }
 
 // Bootstrap puts version 1 in force. It asks for mode "together", so version 2 is the first one rolled out that way.
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, p := range w.nodes {
-		switch v, fate := p.control.Accord().Newest(); {
+		switch v, fate := p.control.RolloutMachine().Newest(); {
 		case p.frozen():
 		case fate == rollout.Prepared:
 			w.violate("STUCK", "%s still has %d as prepared", p.name, v)
--- a/internal/rollout/world/world.go
+++ b/internal/rollout/world/world.go
@@ -82,7 +82,7 @@
 	opt         Options
 	rng         *rand.Rand
 	now         time.Duration
-	queue       fsm.Events
+	queue       fsm.EventQueue
 	eventCount  uint64
 	nodes       []*Process
 	byAddr      map[string]*Process
@@ -132,7 +132,7 @@
 
 func (w *World) schedule(d time.Duration, do func()) {
 	w.eventCount++
-	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.eventCount, Do: do})
+	heap.Push(&w.queue, fsm.Event{At: w.now + d, Sequence: w.eventCount, Run: do})
 }
 
 // Run runs the simulation for a time; it ends at the first violation.
@@ -141,7 +141,7 @@
 	for len(w.queue) > 0 && w.queue[0].At <= end && len(w.result.Violations) == 0 {
 		e := heap.Pop(&w.queue).(fsm.Event)
 		w.now = e.At
-		e.Do()
+		e.Run()
 	}
 	w.now = end
 }
