--- a/internal/quotas/active_test.go
+++ b/internal/quotas/active_test.go
@@ -27,7 +27,7 @@
 				}
 				flows = append(flows, l)
 			}
-			script := drawn(rng, 7)
+			script := randomFaults(rng, 7)
 			f := newTestFleet(t, 7, seed, flows...)
 			hash := xxhash.New()
 			f.onSend = func(from, to *testMachine, msg any) {
--- a/internal/quotas/batch_test.go
+++ b/internal/quotas/batch_test.go
@@ -8,8 +8,8 @@
 	"asterwell/internal/fsm"
 )
 
-// crowded returns the meter of one of many gateways with many tenants.
-func crowded(tenants, gateways int) (*Meter, []string, map[string]Limit) {
+// newCrowdedMeter returns the meter of one of many gateways with many tenants.
+func newCrowdedMeter(tenants, gateways int) (*Meter, []string, map[string]Limit) {
 	limits, names := map[string]Limit{}, make([]string, tenants)
 	for i := range names {
 		names[i] = fmt.Sprintf("t%05d", i)
@@ -42,17 +42,17 @@
 // the bound, and that the holder knows all once it answers. A second holder that takes over is told all
 // again, and its levels don't include units of long ago.
 func TestAddsHaveBound(t *testing.T) {
-	m, names, limits := crowded(3000, 23)
+	m, names, limits := newCrowdedMeter(3000, 23)
 	c := NewCounter("h", 1)
 	c.SetLimits(limits)
-	now, told, most := time.Hour, map[string]bool{}, 0
+	now, reported, maxInAdd := time.Hour, map[string]bool{}, 0
 	run := func(span time.Duration, holders map[string]*Counter) {
 		for end := now + span; now < end; now += 10 * time.Millisecond {
 			for _, s := range m.Tick(now) {
 				items := itemsOf(t, m, s.Msg.(Add))
-				most = max(most, len(items))
+				maxInAdd = max(maxInAdd, len(items))
 				for _, it := range items {
-					told[it.Tenant] = true
+					reported[it.Tenant] = true
 				}
 				if to := holders[s.To]; to != nil {
 					for _, back := range to.Receive(now, "g", s.Msg) {
@@ -72,13 +72,13 @@
 	}
 	pass()
 	run(4*time.Second, nil) // five adds a second to a silent holder
-	if most > maxItems || len(told) != len(names) {
-		t.Errorf("%d items in an add, %d of %d tenants reported", most, len(told), len(names))
+	if maxInAdd > maxItems || len(reported) != len(names) {
+		t.Errorf("%d items in an add, %d of %d tenants reported", maxInAdd, len(reported), len(names))
 	}
 	run(3*time.Second, map[string]*Counter{"h": c})
 	pass()
 	run(3*time.Second, map[string]*Counter{"h": c})
-	unheard := func() (n int) {
+	uncounted := func() (n int) {
 		for _, e := range m.ordered {
 			if e.unacked() > 0 {
 				n++
@@ -86,7 +86,7 @@
 		}
 		return n
 	}
-	if n := unheard(); n > 0 {
+	if n := uncounted(); n > 0 {
 		t.Errorf("a holder that answers has not counted %d tenants", n)
 	}
 	run(20*time.Second, map[string]*Counter{"h": c}) // a period later, all units have drained
@@ -100,7 +100,7 @@
 	run(4*time.Second, map[string]*Counter{"i": other})
 	pass()
 	run(3*time.Second, map[string]*Counter{"i": other})
-	if n := unheard(); n > 0 {
+	if n := uncounted(); n > 0 {
 		t.Errorf("the second holder has not counted %d tenants", n)
 	}
 	for _, n := range names {
@@ -108,15 +108,15 @@
 			t.Fatalf("the second holder's usage is %+v for %s", l, n)
 		}
 	}
-	if most > maxItems {
-		t.Errorf("%d items in an add", most)
+	if maxInAdd > maxItems {
+		t.Errorf("%d items in an add", maxInAdd)
 	}
 }
 
 // TestOldInTurns checks that with many tenants the sums of an ended period are sent a few at a time, and
 // that all are sent.
 func TestOldInTurns(t *testing.T) {
-	m, names, limits := crowded(3000, 23)
+	m, names, limits := newCrowdedMeter(3000, 23)
 	c := NewCounter("h", 1)
 	c.SetLimits(limits)
 	now, most, lumps := time.Hour, 0, 0
@@ -160,7 +160,7 @@
 // ever more rarely in a large one.
 func TestPatience(t *testing.T) {
 	for gateways, bounds := range map[int][2]int{23: {55, 75}, 125: {55, 75}, 490: {8, 16}} {
-		m, names, _ := crowded(20, gateways)
+		m, names, _ := newCrowdedMeter(20, gateways)
 		now, adds := time.Hour, 0
 		for end := now + 10*time.Second; now < end; now += 10 * time.Millisecond {
 			m.Allow(now, names[int(now/time.Millisecond)%20], 1)
@@ -178,7 +178,7 @@
 
 // TestRestsIdle checks that a tick without new requests visits no tenants.
 func TestRestsIdle(t *testing.T) {
-	m, _, _ := crowded(12000, 490)
+	m, _, _ := newCrowdedMeter(12000, 490)
 	now := time.Hour
 	for range 100 {
 		now += 50 * time.Millisecond
@@ -193,7 +193,7 @@
 // and again, but a lost one is.
 func TestOnItsWay(t *testing.T) {
 	for _, far := range []bool{false, true} {
-		m, names, limits := crowded(600, 23)
+		m, names, limits := newCrowdedMeter(600, 23)
 		c := NewCounter("h", 1)
 		c.SetLimits(limits)
 		type letter struct {
@@ -205,7 +205,7 @@
 		if far {
 			way = 55 * time.Millisecond
 		}
-		now, passed, told, adds := time.Hour, 0, 0, 0
+		now, passed, reported, adds := time.Hour, 0, 0, 0
 		step := func(lose bool) {
 			now += 5 * time.Millisecond
 			for _, s := range m.Tick(now) {
@@ -213,7 +213,7 @@
 					continue
 				}
 				adds++
-				told += len(itemsOf(t, m, s.Msg.(Add)))
+				reported += len(itemsOf(t, m, s.Msg.(Add)))
 				if !lose || adds%10 > 0 {
 					there = append(there, letter{now + way, s.Msg})
 				}
@@ -232,21 +232,21 @@
 				c.Tick(now)
 			}
 		}
-		play := func(steps int, lose bool) float64 {
-			passed, told = 0, 0
+		measure := func(steps int, lose bool) float64 {
+			passed, reported = 0, 0
 			for i := range steps {
 				m.Allow(now, names[(i*7)%len(names)], 1)
 				m.Allow(now, "t00000", 1) // at four times its rate: adds don't wait for each other
 				passed++
 				step(lose)
 			}
-			return float64(told) / float64(passed)
+			return float64(reported) / float64(passed)
 		}
-		play(800, false)
-		if often := play(800, false); often > 1.6 {
+		measure(800, false)
+		if often := measure(800, false); often > 1.6 {
 			t.Errorf("far %v: a unit is reported %.2f times", far, often)
 		}
-		play(800, true)
+		measure(800, true)
 		for range 200 {
 			step(false)
 		}
@@ -270,7 +270,7 @@
 	var names []string
 	for i := range meters {
 		var limits map[string]Limit
-		meters[i], names, limits = crowded(tenants, gateways)
+		meters[i], names, limits = newCrowdedMeter(tenants, gateways)
 		c.SetLimits(limits)
 	}
 	type letter struct {
@@ -317,7 +317,7 @@
 			waited = 0
 		}
 	}
-	unheard := func() (n int) {
+	uncounted := func() (n int) {
 		for _, m := range meters {
 			for _, e := range m.ordered {
 				if e.unacked() > 2 {
@@ -330,7 +330,7 @@
 	for range 500 {
 		step(true)
 	}
-	if n := unheard(); n > 0 || dropped > 0 {
+	if n := uncounted(); n > 0 || dropped > 0 {
 		t.Errorf("without a fault %d tenants are not counted, %d adds are dropped", n, dropped)
 	}
 	stands = true
@@ -341,12 +341,12 @@
 	began := now
 	for now-began < 10*time.Second {
 		step(true)
-		if now%(100*time.Millisecond) == 0 && len(wait) < 100 && unheard() == 0 {
+		if now%(100*time.Millisecond) == 0 && len(wait) < 100 && uncounted() == 0 {
 			break
 		}
 	}
 	if t.Logf("all is counted %v after the freeze, %d adds dropped", now-began, dropped); now-began > 6*time.Second {
-		t.Errorf("%d tenants are not counted %v after the freeze, %d adds wait", unheard(), now-began, len(wait))
+		t.Errorf("%d tenants are not counted %v after the freeze, %d adds wait", uncounted(), now-began, len(wait))
 	}
 }
 
@@ -359,7 +359,7 @@
 		way   time.Duration
 		after time.Duration
 	}{{0, 0, retryGap}, {0, 2 * time.Millisecond, retryGap}, {0, 110 * time.Millisecond, 185 * time.Millisecond}, {25, 0, time.Second}} {
-		m, names, _ := crowded(20, 490)
+		m, names, _ := newCrowdedMeter(20, 490)
 		now := time.Hour
 		if c.way > 0 {
 			m.holders[0].rtt.observe(now, c.way)
--- a/internal/quotas/compact_test.go
+++ b/internal/quotas/compact_test.go
@@ -18,19 +18,19 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	coin := func() bool { return rng.IntN(2) == 0 }
 	for range 2000 {
-		life := rng.Uint64() >> rng.IntN(60)
-		a := Add{Incarnation: life, Period: rng.Uint64() >> rng.IntN(64), Timestamp: fsm.Time(rng.Int64() >> rng.IntN(63)), Read: coin(), Ping: coin(),
+		incarnation := rng.Uint64() >> rng.IntN(60)
+		a := Add{Incarnation: incarnation, Period: rng.Uint64() >> rng.IntN(64), Timestamp: fsm.Time(rng.Int64() >> rng.IntN(63)), Read: coin(), Ping: coin(),
 			NearLimit: coin(), AnswersProbes: coin(), RosterHash: rng.Uint32(), Packed: []byte("items")}
 		short := a.compact()
-		if got, ok := short.Expand(life); !ok || cmp.Diff(a, got) != "" {
+		if got, ok := short.Expand(incarnation); !ok || cmp.Diff(a, got) != "" {
 			t.Fatal(ok, cmp.Diff(a, got))
 		}
-		w := Answer{Incarnation: life, Period: a.Period, Timestamp: a.Timestamp, HeardOthers: coin(), PackedAccepted: coin(), ReadsCompact: true, Packed: []byte("totals")}
+		w := Answer{Incarnation: incarnation, Period: a.Period, Timestamp: a.Timestamp, HeardOthers: coin(), PackedAccepted: coin(), ReadsCompact: true, Packed: []byte("totals")}
 		if coin() {
 			w.Missing, w.RosterHash, w.SendInterval = rng.Uint32(), rng.Uint32(), uint8(rng.IntN(256))
 		}
 		back := w.compact()
-		got, lost, ok := back.expand(life)
+		got, lost, ok := back.expand(incarnation)
 		if !ok || lost || cmp.Diff(w, got) != "" {
 			t.Fatal(ok, lost, cmp.Diff(w, got))
 		}
@@ -39,16 +39,16 @@
 				t.Fatal("the timestamp is decoded as", stamp, ok)
 			}
 		}
-		if _, _, ok := back.expand(life + 1); ok {
+		if _, _, ok := back.expand(incarnation + 1); ok {
 			t.Fatal("an answer to another incarnation is accepted")
 		}
-		if _, lost, ok := w.unknownIncarnation(foldIncarnation(life)).expand(life); !ok || !lost {
+		if _, lost, ok := w.unknownIncarnation(foldIncarnation(incarnation)).expand(incarnation); !ok || !lost {
 			t.Fatal("the unknown incarnation is not reported", lost, ok)
 		}
 		for cut := range len(short.Compact) {
-			Add{Compact: short.Compact[:cut]}.Expand(life)
+			Add{Compact: short.Compact[:cut]}.Expand(incarnation)
 			part := Answer{Compact: back.Compact[:min(cut, len(back.Compact))]}
-			part.expand(life)
+			part.expand(incarnation)
 			part.RequestTimestamp()
 		}
 	}
--- a/internal/quotas/cut_test.go
+++ b/internal/quotas/cut_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// last kills two of three gateways at 13 s and lets the third learn of it; a tenant's requests come at its
+// lastOfThree kills two of three gateways at 13 s and lets the third learn of it; a tenant's requests come at its
 // rate, with a burst at 8 s.
-func last(t *testing.T, l *tenantTraffic) (*testFleet, *Meter) {
+func lastOfThree(t *testing.T, l *tenantTraffic) (*testFleet, *Meter) {
 	l.burstInterval = time.Hour
 	f := newTestFleet(t, 3, 1, l)
 	f.run(8*time.Second, "")
@@ -51,7 +51,7 @@
 		{tenant: "many", limit: Limit{60, 60}, rate: 40},
 	} {
 		t.Run(l.tenant, func(t *testing.T) {
-			f, m := last(t, l)
+			f, m := lastOfThree(t, l)
 			f.run(17*time.Second, "")
 			l.rate = 0
 			refused := 0
--- a/internal/quotas/detector_test.go
+++ b/internal/quotas/detector_test.go
@@ -37,27 +37,27 @@
 // TestBlind checks when another route to a gateway is tried: for a near one that leaves a probe unanswered
 // at the next tick, for one with a round trip of 110 ms not before its answer could have come.
 func TestBlind(t *testing.T) {
-	for _, way := range []time.Duration{2 * time.Millisecond, 40 * time.Millisecond, 110 * time.Millisecond} {
+	for _, rtt := range []time.Duration{2 * time.Millisecond, 40 * time.Millisecond, 110 * time.Millisecond} {
 		c := NewCounter("a", 1)
 		c.SetGateways([]string{"a", "b", "c"})
 		now := time.Minute
 		c.Tick(now)
-		c.Receive(now, "b", Add{Incarnation: 1, AnswersProbes: true, ProbeTimestamp: now - way})
-		var asked, blind time.Duration
-		for end := now + time.Second; now < end && blind == 0; {
+		c.Receive(now, "b", Add{Incarnation: 1, AnswersProbes: true, ProbeTimestamp: now - rtt})
+		var probed, overdue time.Duration
+		for end := now + time.Second; now < end && overdue == 0; {
 			now += 50 * time.Millisecond
 			c.Receive(now, "c", Add{Incarnation: 1, AnswersProbes: true, NearLimit: true})
 			for _, s := range c.Tick(now) {
-				if s.To == "b" && asked == 0 {
-					asked = now
+				if s.To == "b" && probed == 0 {
+					probed = now
 				}
 			}
 			if c.ProbeOverdue(now, "b") {
-				blind = now - asked
+				overdue = now - probed
 			}
 		}
-		if want := map[bool]time.Duration{false: 50 * time.Millisecond, true: 150 * time.Millisecond}[way > 50*time.Millisecond]; blind != want {
-			t.Errorf("round trip %v: overdue after %v, want %v", way, blind, want)
+		if want := map[bool]time.Duration{false: 50 * time.Millisecond, true: 150 * time.Millisecond}[rtt > 50*time.Millisecond]; overdue != want {
+			t.Errorf("round trip %v: overdue after %v, want %v", rtt, overdue, want)
 		}
 	}
 }
--- a/internal/quotas/drawn_test.go
+++ b/internal/quotas/drawn_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// drawn returns a random schedule of faults of one gateway each, of which the members learn within 1.3 to 3
+// randomFaults returns a random schedule of faults of one gateway each, of which the members learn within 1.3 to 3
 // s.
-func drawn(rng *rand.Rand, n int) string {
+func randomFaults(rng *rand.Rand, n int) string {
 	script := fmt.Sprintf("0 kill %d\n0.1 nodes %d 0 1\n", n-1, n-1) // this one joins later
 	alive := n - 1
 	for at := 12.0; at < 28; at += 2 + rng.Float64()*2 {
-		x, last, told := 2+rng.IntN(n-3), 0.3+rng.Float64()*6, 1.3+rng.Float64()*1.7
+		x, last, noticed := 2+rng.IntN(n-3), 0.3+rng.Float64()*6, 1.3+rng.Float64()*1.7
 		switch fault := rng.IntN(4); {
 		case fault == 3 && alive < n:
 			alive = n
@@ -23,10 +23,10 @@
 		default:
 			do := [][2]string{{"kill", "boot"}, {"freeze", "thaw"}, {"cut", "heal"}, {"cut", "heal"}}[fault]
 			script += fmt.Sprintf("%f %s %d\n", at, do[0], x)
-			if last > told {
-				script += fmt.Sprintf("%f nodes %d 0 1\n", at+told, alive-1)
+			if last > noticed {
+				script += fmt.Sprintf("%f nodes %d 0 1\n", at+noticed, alive-1)
 				if do[0] == "cut" {
-					script += fmt.Sprintf("%f there 1 %d\n", at+told, x)
+					script += fmt.Sprintf("%f there 1 %d\n", at+noticed, x)
 				}
 			}
 			script += fmt.Sprintf("%f %s %d\n%f nodes %d 0 1\n", at+last, do[1], x, at+last+0.5, alive)
@@ -55,7 +55,7 @@
 				}
 				flows = append(flows, l)
 			}
-			script := drawn(rng, n)
+			script := randomFaults(rng, n)
 			f := newTestFleet(t, n, seed, flows...)
 			first, rest := script[:strings.Index(script, "\n12")], script[strings.Index(script, "\n12")+1:]
 			f.run(10*time.Second, first)
--- a/internal/quotas/names_test.go
+++ b/internal/quotas/names_test.go
@@ -11,7 +11,7 @@
 // well, and the gateways would turn back.
 func TestFewItems(t *testing.T) {
 	for gateways, want := range map[int]int{250: maxItems, 490: maxItemsLargeFleet} {
-		m, names, limits := crowded(2000, gateways)
+		m, names, limits := newCrowdedMeter(2000, gateways)
 		now, most, heard := time.Hour, 0, map[string]bool{}
 		run := func(d time.Duration, holder string, c *Counter) {
 			for end := now + d; now < end; now += 10 * time.Millisecond {
--- a/internal/quotas/pace_test.go
+++ b/internal/quotas/pace_test.go
@@ -11,7 +11,7 @@
 // again, adds are as frequent as before.
 func TestPace(t *testing.T) {
 	const gateways, few = 60, 20
-	play := func(t *testing.T, pace bool) (dropped, taken float64) {
+	run := func(t *testing.T, backPressure bool) (dropped, taken float64) {
 		hot := &tenantTraffic{tenant: "hot", limit: Limit{129, 129}, rate: 300}
 		calm := &tenantTraffic{tenant: "calm", limit: Limit{129, 129}, rate: 90}
 		flows := []*tenantTraffic{hot, calm}
@@ -46,7 +46,7 @@
 				f.deliver(f.machines[0], l)
 			}
 			if f.now%(50*time.Millisecond) == 0 {
-				if pace {
+				if backPressure {
 					f.machines[0].counter.ReportQueueDelay(f.now, waited)
 				}
 				waited = 0
@@ -61,13 +61,13 @@
 		}
 		f.run(40*time.Second, "")
 		for _, l := range []*tenantTraffic{hot, calm} {
-			t.Logf("back-pressure %v: %-4s worst 5 s %d of %d, %.4f refused", pace, l.tenant, l.maxInWindow(), l.bound(), l.refusedPart())
-			if pace && l.maxInWindow() > l.bound() {
+			t.Logf("back-pressure %v: %-4s worst 5 s %d of %d, %.4f refused", backPressure, l.tenant, l.maxInWindow(), l.bound(), l.refusedPart())
+			if backPressure && l.maxInWindow() > l.bound() {
 				t.Errorf("%s passes %d in 5 s, bound %d", l.tenant, l.maxInWindow(), l.bound())
 			}
 		}
-		t.Logf("back-pressure %v: %.0f of %.0f adds dropped; the gap is %v", pace, dropped, dropped+taken, f.machines[0].counter.sendInterval)
-		if pace {
+		t.Logf("back-pressure %v: %.0f of %.0f adds dropped; the gap is %v", backPressure, dropped, dropped+taken, f.machines[0].counter.sendInterval)
+		if backPressure {
 			if calm.refusedPart() > 0.05 {
 				t.Errorf("%.4f of the requests of tenant calm are refused", calm.refusedPart())
 			}
@@ -83,11 +83,11 @@
 		}
 		return dropped, taken
 	}
-	dropped, taken := play(t, true)
+	dropped, taken := run(t, true)
 	if dropped > 0.1*taken {
 		t.Errorf("%.0f dropped, %.0f counted", dropped, taken)
 	}
-	if dropped, taken := play(t, false); dropped < taken/2 {
+	if dropped, taken := run(t, false); dropped < taken/2 {
 		t.Errorf("without back-pressure %.0f dropped, %.0f counted: the holder is not overloaded", dropped, taken)
 	}
 }
--- a/internal/quotas/pack_test.go
+++ b/internal/quotas/pack_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// old reduces a message to what the previous version of the program understands of it.
-func old(msg any) any {
+// asPreviousVersion reduces a message to what the previous version of the program understands of it.
+func asPreviousVersion(msg any) any {
 	switch m := msg.(type) {
 	case Add:
 		m.Packed, m.RosterHash, m.ProbeTimestamp, m.Compact = nil, 0, 0, nil
@@ -108,7 +108,7 @@
 			for _, i := range c.olds {
 				f.machines[i].oldVersion = true
 			}
-			named, packed, brief := 0, 0, 0
+			named, packed, compact := 0, 0, 0
 			f.onSend = func(from, to *testMachine, msg any) {
 				if a, ok := msg.(Add); ok && from != to {
 					if len(a.Items) > 0 {
@@ -118,7 +118,7 @@
 						packed++
 					}
 					if len(a.Compact) > 0 {
-						brief++
+						compact++
 					}
 				}
 			}
@@ -148,8 +148,8 @@
 			if by := float64(named) / float64(named+packed); by > c.byName {
 				t.Errorf("%.3f of the adds name tenants", by)
 			}
-			if name == "all new" && brief < packed*9/10 {
-				t.Errorf("%d of %d packed adds are compact", brief, packed)
+			if name == "all new" && compact < packed*9/10 {
+				t.Errorf("%d of %d packed adds are compact", compact, packed)
 			}
 		})
 	}
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -146,14 +146,14 @@
 // TestSums gives a counter adds that are late, duplicate, or from earlier incarnations.
 func TestSums(t *testing.T) {
 	c := NewCounter("h", 1)
-	ask := func(from string, life, sum uint64) Total {
+	report := func(from string, incarnation, sum uint64) Total {
 		p := c.highestPeriod
-		out := c.Receive(time.Minute, from, Add{Incarnation: life, Period: p, Read: true,
+		out := c.Receive(time.Minute, from, Add{Incarnation: incarnation, Period: p, Read: true,
 			Items: []Item{{Tenant: "t", Period: p, Sum: sum, Unreported: sum, Interval: 1000}}})
 		got := out[0].Msg.(Answer).Totals[0]
 		return Total{Others: got.Others, Own: got.Own}
 	}
-	ask("a", 1, 0) // issues the period
+	report("a", 1, 0) // issues the period
 	for i, s := range []struct {
 		from      string
 		life, sum uint64
@@ -167,7 +167,7 @@
 		{"a", 1, 6000, Total{Others: 2000, Own: 6000}}, // late, of the earlier incarnation
 		{"b", 1, 2000, Total{Others: 7000, Own: 2000}},
 	} {
-		if diff := cmp.Diff(s.want, ask(s.from, s.life, s.sum)); diff != "" {
+		if diff := cmp.Diff(s.want, report(s.from, s.life, s.sum)); diff != "" {
 			t.Fatalf("step %d: %s", i, diff)
 		}
 	}
--- a/internal/quotas/roundtrip_test.go
+++ b/internal/quotas/roundtrip_test.go
@@ -35,7 +35,7 @@
 // TestMute checks that a holder with a round trip of 110 ms isn't silent before its answer could have come,
 // and is soon after.
 func TestMute(t *testing.T) {
-	const way = 110 * time.Millisecond
+	const rtt = 110 * time.Millisecond
 	now := time.Second
 	m := NewMeter("a", 1, 1)
 	m.SetLimits(now, map[string]Limit{"t": {30, 30}})
@@ -49,12 +49,12 @@
 		if i == 4 {
 			break
 		}
-		m.Receive(now+way, "b", Answer{Incarnation: 1, Timestamp: now})
+		m.Receive(now+rtt, "b", Answer{Incarnation: 1, Timestamp: now})
 	}
 	// 60 ms more than a repetition waits: routes through other regions vary by more than those within one
-	for after, mute := range map[time.Duration]bool{retryGap: false, way: false, 182 * time.Millisecond: false, 183 * time.Millisecond: true} {
-		if m.ReadOverdue(now+after, "b") != mute {
-			t.Errorf("overdue %v after %v", !mute, after)
+	for after, overdue := range map[time.Duration]bool{retryGap: false, rtt: false, 182 * time.Millisecond: false, 183 * time.Millisecond: true} {
+		if m.ReadOverdue(now+after, "b") != overdue {
+			t.Errorf("overdue %v after %v", !overdue, after)
 		}
 	}
 	if m.holdersSilent(now+silentAfter) || m.holderAnswers(now+silentAfter+63*time.Millisecond, 0) {
--- a/internal/quotas/sim_test.go
+++ b/internal/quotas/sim_test.go
@@ -191,7 +191,7 @@
 	for _, s := range sends {
 		f.sends++
 		if b.oldVersion {
-			s.Msg = old(s.Msg)
+			s.Msg = asPreviousVersion(s.Msg)
 		}
 		if f.onSend != nil {
 			f.onSend(b, f.machineAt(s.To), s.Msg)
@@ -217,7 +217,7 @@
 
 func (f *testFleet) deliver(b *testMachine, l delivery) {
 	if b.oldVersion {
-		l.msg = old(l.msg)
+		l.msg = asPreviousVersion(l.msg)
 	}
 	f.send(b, b.counter.Receive(f.now, l.from, l.msg))
 	f.send(b, b.meter.Receive(f.now, l.from, l.msg))
@@ -271,9 +271,9 @@
 
 func (f *testFleet) step() {
 	f.now += time.Millisecond
-	air := f.inFlight
+	inFlight := f.inFlight
 	f.inFlight = nil
-	for _, l := range air {
+	for _, l := range inFlight {
 		to := f.machineAt(l.to)
 		switch {
 		case l.at > f.now:
@@ -290,9 +290,9 @@
 		f.eachStep()
 	}
 	for len(f.retries) > 0 && f.retries[0].at <= f.now {
-		a := f.retries[0]
+		retry := f.retries[0]
 		f.retries = f.retries[1:]
-		f.offerWithRetries(a.flow, f.pickGateway(a.flow), a.left)
+		f.offerWithRetries(retry.flow, f.pickGateway(retry.flow), retry.left)
 	}
 	for _, l := range f.traffic {
 		if f.now < 5*time.Second {
--- a/internal/quotas/sums_test.go
+++ b/internal/quotas/sums_test.go
@@ -14,28 +14,28 @@
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var s sumTable
-		like := map[uint32]uint64{}
+		model := map[uint32]uint64{}
 		most := uint32(1 + rng.IntN(2000))
 		for range rng.IntN(3000) {
-			life := 1 + rng.Uint32N(most)
+			number := 1 + rng.Uint32N(most)
 			if rng.IntN(4) == 0 {
-				life = max(1, rng.Uint32())
+				number = max(1, rng.Uint32())
 			}
-			units, known := s.get(life)
-			if was, there := like[life]; was != units || there != known {
-				t.Fatalf("seed %d: incarnation %d has %d %v, want %d %v", seed, life, units, known, was, there)
+			units, known := s.get(number)
+			if want, there := model[number]; want != units || there != known {
+				t.Fatalf("seed %d: incarnation %d has %d %v, want %d %v", seed, number, units, known, want, there)
 			}
 			units = rng.Uint64() >> rng.IntN(64)
-			s.set(life, units)
-			like[life] = units
+			s.set(number, units)
+			model[number] = units
 		}
-		for life, units := range like {
-			if is, known := s.get(life); !known || is != units {
-				t.Fatalf("seed %d: incarnation %d has %d %v, want %d", seed, life, is, known, units)
+		for number, units := range model {
+			if got, known := s.get(number); !known || got != units {
+				t.Fatalf("seed %d: incarnation %d has %d %v, want %d", seed, number, got, known, units)
 			}
 		}
-		if s.used != len(like) || 4*s.used > 3*len(s.cells) {
-			t.Fatalf("seed %d: %d of %d in %d cells", seed, s.used, len(like), len(s.cells))
+		if s.used != len(model) || 4*s.used > 3*len(s.cells) {
+			t.Fatalf("seed %d: %d of %d in %d cells", seed, s.used, len(model), len(s.cells))
 		}
 	}
 }
@@ -96,7 +96,7 @@
 // BenchmarkCount measures a holder's work for an add of ten items, with 12,000 tenants and 490 gateways: by
 // places in a roster, and far from any cache.
 func BenchmarkCount(b *testing.B) {
-	f := newTestFleet(nil, 2, 1, size{490, 12000, 265, 2}.flows()...)
+	f := newTestFleet(nil, 2, 1, fleetSize{490, 12000, 265, 2}.flows()...)
 	c, roster := f.machines[0].counter, f.machines[0].counter.rosters[0]
 	rng := rand.New(rand.NewPCG(1, 1))
 	adds := make([]Add, 200_000)
--- a/internal/quotas/wire_test.go
+++ b/internal/quotas/wire_test.go
@@ -9,9 +9,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// wired is the traffic of a fleet's counters in a second, in frames as package daemon makes them: 7 bytes,
+// wireTraffic is the traffic of a fleet's counters in a second, in frames as package daemon makes them: 7 bytes,
 // the sender's address, and the message in CBOR.
-type wired struct {
+type wireTraffic struct {
 	gateway       float64 // sent and received by a gateway that is no holder (the median)
 	messages      float64
 	first, second float64 // by the holders
@@ -19,14 +19,14 @@
 	refused       float64 // part of the requests
 }
 
-// size describes a fleet: requests a second at each gateway, tenants of which the first get most (as in a
+// fleetSize describes a fleet: requests a second at each gateway, tenants of which the first get most (as in a
 // scale run), and each quota as a multiple of what its tenant sends.
-type size struct {
+type fleetSize struct {
 	gateways, tenants int
 	rate, quota       float64
 }
 
-func (s size) flows() (flows []*tenantTraffic) {
+func (s fleetSize) flows() (flows []*tenantTraffic) {
 	sum := 0.0
 	for i := range s.tenants {
 		sum += 1 / float64(i+1)
@@ -39,7 +39,7 @@
 	return flows
 }
 
-func (s size) play(t *testing.T, seed uint64, warm, span time.Duration) (w wired) {
+func (s fleetSize) run(t *testing.T, seed uint64, warm, span time.Duration) (w wireTraffic) {
 	f := newTestFleet(t, s.gateways, seed, s.flows()...)
 	f.run(5*time.Second+warm, "")
 	for _, l := range f.traffic {
@@ -80,19 +80,19 @@
 	return w
 }
 
-func (w wired) String() string {
+func (w wireTraffic) String() string {
 	return fmt.Sprintf("a gateway %.0f B/s (adds %.0f, answers %.0f) in %.0f messages; holders %.0f, %.0f B/s; %.5f refused",
 		w.gateway, w.adds, w.answers, w.messages, w.first, w.second, w.refused)
 }
 
 // BenchmarkWire makes the table of docs/results/quota.md: go test -bench Wire -benchtime 1x.
 func BenchmarkWire(b *testing.B) {
-	for _, s := range []size{{23, 85, 20, 2}, {23, 85, 100, 2}, {23, 85, 265, 2}, {23, 3000, 265, 2}, {23, 12000, 265, 2},
+	for _, s := range []fleetSize{{23, 85, 20, 2}, {23, 85, 100, 2}, {23, 85, 265, 2}, {23, 3000, 265, 2}, {23, 12000, 265, 2},
 		{91, 85, 20, 2}, {91, 85, 265, 2}, {91, 12000, 265, 2}, {91, 85, 20, 1.28}, {490, 85, 265, 2}, {490, 12000, 265, 2}} {
 		b.Run(fmt.Sprintf("%d gateways, %d tenants of %g times, %g a second", s.gateways, s.tenants, s.quota, s.rate), func(b *testing.B) {
-			var w wired
+			var w wireTraffic
 			for b.Loop() {
-				w = s.play(nil, 1, 4*time.Second, 6*time.Second)
+				w = s.run(nil, 1, 4*time.Second, 6*time.Second)
 			}
 			b.ReportMetric(w.gateway, "B/s")
 			b.ReportMetric(w.messages, "messages/s")
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -82,7 +82,7 @@
 // A confirmation of a node's earlier incarnation doesn't count for the current one; if both have confirmed,
 // they count as one node.
 func TestEarlierLife(t *testing.T) {
-	play := func(bug Bug) (before, after, again bool) {
+	run := func(bug Bug) (before, after, again bool) {
 		m, now := primaryWithNodes(bug)
 		for i, name := range []string{"a", "b", "c"} {
 			receiveLeaseRequest(m, now, LeaseRequest{ID: uint64(i + 1), Seq: 1, Checked: 2, Name: name})
@@ -94,10 +94,10 @@
 		receiveLeaseRequest(m, now, LeaseRequest{ID: 9, Seq: 2, Checked: 2, Name: "b"})
 		return before, after, m.Status(now).Enough
 	}
-	if before, after, again := play(0); !before || after || !again {
+	if before, after, again := run(0); !before || after || !again {
 		t.Errorf("enough before the restart: %v, after it: %v, once it has confirmed: %v", before, after, again)
 	}
-	if _, after, _ := play(BugCountEarlierIncarnation); !after {
+	if _, after, _ := run(BugCountEarlierIncarnation); !after {
 		t.Error("the injected bug is not found")
 	}
 }
@@ -142,19 +142,19 @@
 func TestLateWish(t *testing.T) {
 	m, now := primaryWithNodes(0)
 	setDocument(m, now, madeLive(m.doc))
-	wish := WithdrawRequest{Version: 3, ID: 9, Call: 1}
-	m.Receive(now, "b", wish)
+	call := WithdrawRequest{Version: 3, ID: 9, Call: 1}
+	m.Receive(now, "b", call)
 	m.ConfirmationStarted(1)
-	told := m.LeadConfirmed(now, 1).Send
-	if len(told) != 1 || told[0].Msg.(WithdrawReply).Outcome != OutcomeAbsent {
-		t.Fatal(told)
+	replies := m.LeadConfirmed(now, 1).Send
+	if len(replies) != 1 || replies[0].Msg.(WithdrawReply).Outcome != OutcomeAbsent {
+		t.Fatal(replies)
 	}
 	setDocument(m, now, PrepareDocument(consensus.Doc{Version: 2, Body: doc(2, `"Mode":"together"`).Body}, doc(3, "")))
-	if out := m.Receive(now, "b", wish); m.state.Fate != Prepared || out.Amend != nil {
+	if out := m.Receive(now, "b", call); m.state.Fate != Prepared || out.Amend != nil {
 		t.Errorf("%v: the delayed copy withdraws: %v", m.state.Fate, out.Amend)
 	}
-	wish.Call++
-	if out := m.Receive(now, "b", wish); out.Amend == nil {
+	call.Call++
+	if out := m.Receive(now, "b", call); out.Amend == nil {
 		t.Error("the call made again does not withdraw")
 	}
 }
@@ -165,8 +165,8 @@
 	for _, bug := range []Bug{0, BugIgnoreFence} {
 		m, now := primaryWithNodes(0)
 		m.SetBug(bug)
-		wish := WithdrawRequest{Version: m.doc.Version, ID: 9, Call: 1, Fence: m.doc.Version}
-		out := m.Receive(now, "b", wish)
+		call := WithdrawRequest{Version: m.doc.Version, ID: 9, Call: 1, Fence: m.doc.Version}
+		out := m.Receive(now, "b", call)
 		if bug != 0 {
 			if out.Amend == nil {
 				t.Error("without the fence nothing is withdrawn")
@@ -176,8 +176,8 @@
 		if len(out.Send) != 1 || out.Send[0].Msg != (WithdrawReply{9, 1, OutcomeUndecided, m.state.Version, m.doc.Version}) || out.Amend != nil {
 			t.Errorf("%+v", out)
 		}
-		wish.Fence++
-		if out := m.Receive(now, "b", wish); out.Amend == nil {
+		call.Fence++
+		if out := m.Receive(now, "b", call); out.Amend == nil {
 			t.Error("the repeated call does not withdraw")
 		}
 	}
--- a/internal/rollout/world/hard_test.go
+++ b/internal/rollout/world/hard_test.go
@@ -12,7 +12,7 @@
 	t.Parallel()
 	for i, name := range []string{"n00", "n01", "n05", "n10"} {
 		for _, down := range []bool{false, true} {
-			w := stageOf(t, uint64(i), 0, 0, 0)
+			w := startTogetherTraced(t, uint64(i), 0, 0, 0)
 			if down {
 				w.nodes[7].kill()
 				w.nodes[8].freeze(3 * time.Second)
@@ -23,7 +23,7 @@
 				t.Errorf("%s refuses: 3 is %v, requests are decided by %d", name, w.fates[3], w.newestDecided)
 			}
 			w.Put(w.nodes[4], 4, 0, 0, "")
-			w.within(t, 4, 3500*ms)
+			w.runUntilDecidedBy(t, 4, 3500*ms)
 			w.endFaults()
 			w.Run(SettleTime)
 			w.checkSettled()
@@ -50,7 +50,7 @@
 			"another": func(w *World) *Process { return w.nodes[9] },
 		} {
 			for _, deaf := range []bool{false, true} {
-				w := stageOf(t, uint64(at), 0, 0, 0)
+				w := startTogetherTraced(t, uint64(at), 0, 0, 0)
 				one := []*Process{x(w)}
 				w.Put(w.nodes[4], 3, 0, 0, "")
 				w.Run(at)
@@ -65,7 +65,7 @@
 				w.Run(time.Second)
 				w.endFaults()
 				w.Run(SettleTime)
-				w.want(t, rollout.Live)
+				w.expectFate(t, rollout.Live)
 				if t.Failed() {
 					t.Fatalf("%s cut after %v, deaf: %v", who, at, deaf)
 				}
@@ -80,13 +80,13 @@
 	t.Parallel()
 	for seed := range uint64(2) {
 		for _, lost := range []bool{false, true} {
-			w := open(t, Options{Seed: seed, RequestInterval: ms / 2}, 0, 0) // 22 000 a second
+			w := startTraced(t, Options{Seed: seed, RequestInterval: ms / 2}, 0, 0) // 22 000 a second
 			cutoff, refused, turned := w.now+2*time.Second, w.result.Refused, w.result.RefusedInTurn
 			if lost {
 				w.nodes[9].kill()
 			}
 			w.Put(w.nodes[4], 3, 0, 0, "")
-			w.within(t, 3, cutoff-w.now)
+			w.runUntilDecidedBy(t, 3, cutoff-w.now)
 			w.Run(cutoff - w.now)
 			if w.result.Refused != refused || w.result.RefusedInTurn != turned {
 				t.Errorf("seed %d, one lost: %v: %d refused, %d of them in the hold", seed, lost, w.result.Refused-refused, w.result.RefusedInTurn-turned)
@@ -96,7 +96,7 @@
 			}
 			w.endFaults()
 			w.Run(SettleTime)
-			w.want(t, rollout.Live)
+			w.expectFate(t, rollout.Live)
 		}
 	}
 }
@@ -106,14 +106,14 @@
 // leases expire.
 func TestLargeOnSlowLinks(t *testing.T) {
 	t.Parallel()
-	w := open(t, Options{Seed: 1, Nodes: 91, RequestInterval: 200 * ms, Mbit: 2, CoreMbit: 100, Routes: 300}, 0, 0)
+	w := startTraced(t, Options{Seed: 1, Nodes: 91, RequestInterval: 200 * ms, Mbit: 2, CoreMbit: 100, Routes: 300}, 0, 0)
 	refused := w.result.Refused
 	w.Put(w.nodes[4], 3, 0, 0, "")
-	w.within(t, 3, 3*time.Second)
+	w.runUntilDecidedBy(t, 3, 3*time.Second)
 	w.Run(3 * time.Second)
 	t.Logf("live after %v, at all nodes after %v, a message took %v at most", w.firstDecided[3]-w.putAt[3], w.result.ServedByAll[3], w.result.LongestQueue)
 	if w.result.Refused != refused || w.result.ServedByAll[3] == 0 {
 		t.Errorf("%d refused, at all nodes after %v", w.result.Refused-refused, w.result.ServedByAll[3])
 	}
-	w.want(t, rollout.Live)
+	w.expectFate(t, rollout.Live)
 }
--- a/internal/rollout/world/hold_test.go
+++ b/internal/rollout/world/hold_test.go
@@ -19,7 +19,7 @@
 			}
 			w.endFaults()
 			w.Run(SettleTime)
-			w.want(t, rollout.Live)
+			w.expectFate(t, rollout.Live)
 		}
 	}
 	for seed := range uint64(10) {
--- a/internal/rollout/world/partition_test.go
+++ b/internal/rollout/world/partition_test.go
@@ -51,7 +51,7 @@
 	t.Parallel()
 	worst := time.Duration(0)
 	for seed := range uint64(20) {
-		w := open(t, Options{Seed: seed}, 0, 0)
+		w := startTraced(t, Options{Seed: seed}, 0, 0)
 		p, from := w.primary(), w.now
 		isolate(w, p)
 		for p.control.RolloutStatus(p.clock()).Leads && w.now < from+5*time.Second {
--- a/internal/rollout/world/scenario_test.go
+++ b/internal/rollout/world/scenario_test.go
@@ -10,12 +10,12 @@
 	"asterwell/internal/rollout"
 )
 
-func stageOf(t *testing.T, seed uint64, bug rollout.Bug, confirm, within int) *World {
+func startTogetherTraced(t *testing.T, seed uint64, bug rollout.Bug, confirm, within int) *World {
 	t.Helper()
-	return open(t, Options{Seed: seed, Bug: bug}, confirm, within)
+	return startTraced(t, Options{Seed: seed, Bug: bug}, confirm, within)
 }
 
-func open(t *testing.T, o Options, confirm, within int) *World {
+func startTraced(t *testing.T, o Options, confirm, within int) *World {
 	t.Helper()
 	if testing.Verbose() {
 		o.Trace = func(at time.Duration, text string) { t.Logf("%12v %s", at, text) }
@@ -27,8 +27,8 @@
 	return w
 }
 
-// want runs until the faults have ended and everything is settled, and checks the fate of version 3.
-func (w *World) want(t *testing.T, fate rollout.Fate) {
+// expectFate runs until the faults have ended and everything is settled, and checks the fate of version 3.
+func (w *World) expectFate(t *testing.T, fate rollout.Fate) {
 	t.Helper()
 	w.checkSettled()
 	for _, b := range w.result.Violations {
@@ -42,8 +42,8 @@
 	}
 }
 
-// within runs until a request was decided by a version.
-func (w *World) within(t *testing.T, version uint32, d time.Duration) {
+// runUntilDecidedBy runs until a request was decided by a version.
+func (w *World) runUntilDecidedBy(t *testing.T, version uint32, d time.Duration) {
 	t.Helper()
 	for end := w.now + d; w.now < end && w.newestDecided < version && len(w.result.Violations) == 0; {
 		w.Run(10 * ms)
@@ -60,7 +60,7 @@
 		for _, both := range []bool{false, true} {
 			t.Run(fmt.Sprint(at, " ", both), func(t *testing.T) {
 				t.Parallel()
-				w := stageOf(t, uint64(at), 0, 0, 0)
+				w := startTogetherTraced(t, uint64(at), 0, 0, 0)
 				p := w.primary()
 				w.Put(p, 3, 0, 0, "")
 				w.Run(at)
@@ -92,12 +92,12 @@
 			w.setBlocked(w.nodes, []*Process{x}, true)
 			w.setBlocked([]*Process{x}, w.nodes, true)
 		},
-		"hears nothing":            func(w *World, x *Process) { w.setBlocked(w.nodes, []*Process{x}, true) },
-		"says nothing":             func(w *World, x *Process) { w.setBlocked([]*Process{x}, w.nodes, true) },
-		"stands still":             func(w *World, x *Process) { x.freeze(4 * time.Second) },
-		"killed":                   func(w *World, x *Process) { x.kill() },
-		"restarted":                func(w *World, x *Process) { w.schedule(5*ms, func() { x.kill(); x.start() }) },
-		"stands still in the turn": func(w *World, x *Process) { w.schedule(15*ms, func() { x.freeze(4 * time.Second) }) },
+		"receives nothing":   func(w *World, x *Process) { w.setBlocked(w.nodes, []*Process{x}, true) },
+		"sends nothing":      func(w *World, x *Process) { w.setBlocked([]*Process{x}, w.nodes, true) },
+		"frozen":             func(w *World, x *Process) { x.freeze(4 * time.Second) },
+		"killed":             func(w *World, x *Process) { x.kill() },
+		"restarted":          func(w *World, x *Process) { w.schedule(5*ms, func() { x.kill(); x.start() }) },
+		"frozen in the hold": func(w *World, x *Process) { w.schedule(15*ms, func() { x.freeze(4 * time.Second) }) },
 		"a third": func(w *World, x *Process) {
 			w.nodes[5].kill()
 			w.nodes[7].kill()
@@ -108,11 +108,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := stageOf(t, 5, 0, 0, 0)
+			w := startTogetherTraced(t, 5, 0, 0, 0)
 			x := w.nodes[10]
 			c(w, x)
 			w.Put(w.primary(), 3, 0, 0, "")
-			w.within(t, 3, 3500*ms)
+			w.runUntilDecidedBy(t, 3, 3500*ms)
 			mark := len(w.result.Decisions)
 			w.Run(time.Second)
 			if strings.HasSuffix(name, "nothing") || name == "cut off" {
@@ -122,7 +122,7 @@
 			}
 			w.endFaults()
 			w.Run(SettleTime)
-			w.want(t, rollout.Live)
+			w.expectFate(t, rollout.Live)
 		})
 	}
 }
@@ -130,7 +130,7 @@
 // Without enough confirmations nothing changes; later the version becomes live or is withdrawn, once.
 func TestNotEnough(t *testing.T) {
 	t.Parallel()
-	w := stageOf(t, 1, 0, 11, 0)
+	w := startTogetherTraced(t, 1, 0, 11, 0)
 	x := w.nodes[8]
 	x.kill()
 	w.Put(w.primary(), 3, 0, 0, "")
@@ -143,12 +143,12 @@
 		t.Errorf("%+v", s)
 	}
 	x.start()
-	w.within(t, 3, 2*time.Second)
+	w.runUntilDecidedBy(t, 3, 2*time.Second)
 	w.Run(SettleTime)
-	w.want(t, rollout.Live)
+	w.expectFate(t, rollout.Live)
 
 	for name, back := range map[string]func(w *World){
-		"after its time":  func(*World) {},
+		"timed out":       func(*World) {},
 		"by its operator": func(w *World) { w.Withdraw(w.nodes[7], 3) },
 		"one refuses":     func(*World) {},
 	} {
@@ -156,12 +156,12 @@
 			t.Parallel()
 			within, refused := 0, ""
 			switch name {
-			case "after its time":
+			case "timed out":
 				within = 2000
 			case "one refuses":
 				refused = "n06"
 			}
-			w := stageOf(t, 1, 0, 11, within)
+			w := startTogetherTraced(t, 1, 0, 11, within)
 			w.nodes[8].kill()
 			w.Put(w.primary(), 3, 0, 0, refused)
 			w.Run(time.Second)
@@ -169,9 +169,9 @@
 			w.Run(3 * time.Second)
 			w.endFaults()
 			w.Run(SettleTime)
-			w.want(t, rollout.Withdrawn)
+			w.expectFate(t, rollout.Withdrawn)
 			w.Put(w.nodes[3], 4, 0, 0, "") // the next version becomes live
-			w.within(t, 4, 2*time.Second)
+			w.runUntilDecidedBy(t, 4, 2*time.Second)
 		})
 	}
 }
@@ -182,7 +182,7 @@
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := stageOf(t, seed, 0, 0, 0)
+			w := startTogetherTraced(t, seed, 0, 0, 0)
 			w.Put(w.nodes[5], 3, 0, 0, "")
 			w.Put(w.nodes[6], 3, 5, 0, "")
 			w.Run(w.randomUpTo(20 * ms))
@@ -205,7 +205,7 @@
 
 // An old primary resumes after a freeze, and gets requests of a node that reaches no other process.
 func oldPrimary(t *testing.T, seed uint64, bug rollout.Bug) *World {
-	w := stageOf(t, seed, bug, 0, 0)
+	w := startTogetherTraced(t, seed, bug, 0, 0)
 	p, x := w.primary(), w.nodes[9]
 	rest := slices.DeleteFunc(slices.Clone(w.nodes), func(n *Process) bool { return n == p || n == x })
 	w.setBlocked(rest, []*Process{x}, true)
@@ -225,7 +225,7 @@
 			w := oldPrimary(t, seed, 0)
 			w.endFaults()
 			w.Run(SettleTime)
-			w.want(t, rollout.Live)
+			w.expectFate(t, rollout.Live)
 		})
 	}
 }
@@ -238,12 +238,12 @@
 		version uint32
 		want    rollout.Outcome
 	}{
-		"prepared":    {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 3, rollout.OutcomeWithdrawn},
-		"live":        {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Run(3 * time.Second) }, 3, rollout.OutcomeLive},
-		"not there":   {func(w *World) { w.Run(time.Second) }, 3, rollout.OutcomeAbsent},
-		"overtaken":   {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Put(w.nodes[4], 4, 0, 0, ""); w.Run(3 * time.Second) }, 3, rollout.OutcomeOvertaken},
-		"the old one": {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 2, rollout.OutcomeLive},
-		"the primary stands still": {func(w *World) {
+		"prepared":           {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 3, rollout.OutcomeWithdrawn},
+		"live":               {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Run(3 * time.Second) }, 3, rollout.OutcomeLive},
+		"absent":             {func(w *World) { w.Run(time.Second) }, 3, rollout.OutcomeAbsent},
+		"overtaken":          {func(w *World) { w.Put(w.nodes[4], 3, 0, 0, ""); w.Put(w.nodes[4], 4, 0, 0, ""); w.Run(3 * time.Second) }, 3, rollout.OutcomeOvertaken},
+		"the version before": {func(w *World) { w.nodes[8].kill(); w.Put(w.primary(), 3, 0, 0, ""); w.Run(time.Second) }, 2, rollout.OutcomeLive},
+		"the primary frozen": {func(w *World) {
 			w.nodes[8].kill()
 			w.Put(w.primary(), 3, 0, 0, "")
 			w.Run(time.Second)
@@ -253,7 +253,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := stageOf(t, 1, 0, 11, 0)
+			w := startTogetherTraced(t, 1, 0, 11, 0)
 			c.before(w)
 			w.Withdraw(w.nodes[7], c.version)
 			w.Run(1500 * ms)
--- a/internal/rollout/world/seeds_test.go
+++ b/internal/rollout/world/seeds_test.go
@@ -7,8 +7,8 @@
 	"asterwell/internal/rollout"
 )
 
-// plays runs simulations of seeds in parallel; it ends once each returns true.
-func plays(bug rollout.Bug, count int, each func(seed uint64, r Result) (end bool)) {
+// runSeeds runs simulations of seeds in parallel; it ends once each returns true.
+func runSeeds(bug rollout.Bug, count int, each func(seed uint64, r Result) (end bool)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next, over := uint64(0), false
@@ -39,7 +39,7 @@
 	if testing.Short() {
 		count = 30
 	}
-	plays(0, count, func(seed uint64, r Result) bool {
+	runSeeds(0, count, func(seed uint64, r Result) bool {
 		for _, b := range r.Violations {
 			t.Errorf("seed %d: %v", seed, b)
 		}
@@ -56,12 +56,12 @@
 // covers one more.
 func TestMutants(t *testing.T) {
 	t.Parallel()
-	for name, bug := range map[string]rollout.Bug{"early": rollout.BugOneConfirmationShort, "impatient": rollout.BugTurnIgnoresLeases, "careless": rollout.BugConfirmBeforeHeld,
-		"lasting": rollout.BugStaleLeaseCheck, "successor": rollout.BugSuccessorSkipsWait, "hasty": rollout.BugReplyBeforeKept} {
+	for name, bug := range map[string]rollout.Bug{"one confirmation short": rollout.BugOneConfirmationShort, "turn ignores leases": rollout.BugTurnIgnoresLeases, "confirmed before held": rollout.BugConfirmBeforeHeld,
+		"stale lease check": rollout.BugStaleLeaseCheck, "successor skips wait": rollout.BugSuccessorSkipsWait, "reply before kept": rollout.BugReplyBeforeKept} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			found := false
-			plays(bug, 400, func(seed uint64, r Result) bool {
+			runSeeds(bug, 400, func(seed uint64, r Result) bool {
 				if len(r.Violations) > 0 && r.Violations[0].Rule != "STUCK" {
 					found = true
 					t.Logf("seed %d: %v", seed, r.Violations[0])
@@ -73,7 +73,7 @@
 			}
 		})
 	}
-	t.Run("vacuous", func(t *testing.T) { // one random run in some hundreds meets it, so it has a scenario
+	t.Run("empty hold counts", func(t *testing.T) { // one random run in some hundreds meets it, so it has a scenario
 		t.Parallel()
 		for seed := range uint64(10) {
 			if all := FreezeDuringHold(seed, rollout.BugEmptyHoldCounts); len(all) > 0 && all[0].Rule == "FEW" {
@@ -83,7 +83,7 @@
 		}
 		t.Error("not found")
 	})
-	t.Run("unaffirmed", func(t *testing.T) {
+	t.Run("grant unconfirmed", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(100) {
 			if w := oldPrimary(t, seed, rollout.BugGrantUnconfirmed); len(w.result.Violations) > 0 {
--- a/internal/rollout/world/withdraw_test.go
+++ b/internal/rollout/world/withdraw_test.go
@@ -13,12 +13,12 @@
 func TestWithdrawAgain(t *testing.T) {
 	t.Parallel()
 	for name, since := range map[string]func(w *World){
-		"nothing":        func(*World) {},
-		"a higher one":   func(w *World) { w.Put(w.nodes[5], 4, 0, 0, ""); w.Run(3 * time.Second) },
-		"one under way":  func(w *World) { w.Put(w.nodes[5], 4, 11, 0, ""); w.Run(10 * ms) },
-		"another taken":  func(w *World) { w.primary().kill(); w.Run(4 * time.Second) },
-		"all start anew": func(w *World) { w.restartAll() },
-		"six more, and then all start anew": func(w *World) {
+		"nothing":                  func(*World) {},
+		"a higher one":             func(w *World) { w.Put(w.nodes[5], 4, 0, 0, ""); w.Run(3 * time.Second) },
+		"a higher one in progress": func(w *World) { w.Put(w.nodes[5], 4, 11, 0, ""); w.Run(10 * ms) },
+		"another primary":          func(w *World) { w.primary().kill(); w.Run(4 * time.Second) },
+		"all restarted":            func(w *World) { w.restartAll() },
+		"six more, then all restarted": func(w *World) {
 			for v := uint32(4); v < 10; v++ {
 				w.Put(w.nodes[v], v, 0, 0, "")
 				w.Run(2 * time.Second)
@@ -46,7 +46,7 @@
 			if higher := w.highestPut > 3; bug != 0 && met != higher {
 				t.Errorf("%s: the injected bug is found: %v", name, met)
 			}
-			if bug == 0 && (len(w.result.WithdrawReplies) != 3 || slices.ContainsFunc(w.result.WithdrawReplies, notBack)) {
+			if bug == 0 && (len(w.result.WithdrawReplies) != 3 || slices.ContainsFunc(w.result.WithdrawReplies, notWithdrawn)) {
 				t.Errorf("%s: told %v", name, w.result.WithdrawReplies)
 			}
 			for _, b := range w.result.Violations {
@@ -58,7 +58,9 @@
 	}
 }
 
-func notBack(x WithdrawReply) bool { return x.Version != 3 || x.Outcome != rollout.OutcomeWithdrawn }
+func notWithdrawn(x WithdrawReply) bool {
+	return x.Version != 3 || x.Outcome != rollout.OutcomeWithdrawn
+}
 
 // Eight callers send the same withdrawal at once, each through another gateway, and repeat it until they
 // have an answer; the primary is killed or frozen at any moment of it.
@@ -84,12 +86,12 @@
 				round()
 			}
 			w.Run(time.Second)
-			if len(w.result.WithdrawReplies) < 8 || slices.ContainsFunc(w.result.WithdrawReplies, notBack) {
+			if len(w.result.WithdrawReplies) < 8 || slices.ContainsFunc(w.result.WithdrawReplies, notWithdrawn) {
 				t.Errorf("%s after %v: told %v", name, at, w.result.WithdrawReplies)
 			}
 			w.endFaults()
 			w.Run(SettleTime)
-			w.want(t, rollout.Withdrawn)
+			w.expectFate(t, rollout.Withdrawn)
 		}
 	}
 }
@@ -102,7 +104,7 @@
 		for name, strike := range map[string]func(p *Process){
 			"nothing": func(*Process) {}, "killed": (*Process).kill, "frozen": func(p *Process) { p.freeze(3 * time.Second) },
 		} {
-			w := stageOf(t, uint64(at), 0, 0, 0)
+			w := startTogetherTraced(t, uint64(at), 0, 0, 0)
 			puts := func() {
 				for _, n := range w.nodes[3:] {
 					w.Put(n, 3, 0, 0, "")
@@ -117,13 +119,13 @@
 			}
 			w.endFaults()
 			w.Run(SettleTime)
-			w.want(t, rollout.Live)
-			told := map[string]bool{}
+			w.expectFate(t, rollout.Live)
+			acknowledged := map[string]bool{}
 			for _, k := range w.result.Acknowledged {
-				told[k.Node] = told[k.Node] || k.Version == 3
+				acknowledged[k.Node] = acknowledged[k.Node] || k.Version == 3
 			}
-			if len(told) < 8 {
-				t.Errorf("%s after %v: only %v were told", name, at, told)
+			if len(acknowledged) < 8 {
+				t.Errorf("%s after %v: only %v were told", name, at, acknowledged)
 			}
 		}
 	}
@@ -135,7 +137,7 @@
 	found := false
 	for seed := range uint64(20) {
 		for _, bug := range []rollout.Bug{0, rollout.BugAbsentUnconfirmed} {
-			w := stageOf(t, seed, bug, 0, 0)
+			w := startTogetherTraced(t, seed, bug, 0, 0)
 			p, x := w.primary(), w.nodes[9]
 			rest := slices.DeleteFunc(slices.Clone(w.nodes), func(n *Process) bool { return n == p || n == x })
 			w.setBlocked(rest, []*Process{p, x}, true)
@@ -152,7 +154,7 @@
 			}
 			w.endFaults()
 			w.Run(SettleTime)
-			w.want(t, rollout.Live)
+			w.expectFate(t, rollout.Live)
 			if len(w.result.WithdrawReplies) > 0 {
 				t.Errorf("seed %d: told %v", seed, w.result.WithdrawReplies)
 			}
