--- a/internal/quotas/batch.go
+++ b/internal/quotas/batch.go
@@ -16,7 +16,7 @@
 
 const (
 	maxItems           = 256                    // in an add
-	maxItemsLargeFleet = 64                     // with more than largeFleet gateways: a holder counts 600,000 items a second, not 2.5 million
+	maxItemsLargeFleet = 64                     // above largeFleet gateways: a holder counts 600,000 items a second, not 2.5 million
 	prevPart           = 8                      // above the bound, one item in 8 may be a sum of the previous period:
 	maxPrevItems       = maxItems / prevPart    // at most this many
 	maxBackoff         = 4                      // highest number of doublings of the gap between repetitions
--- a/internal/quotas/counter.go
+++ b/internal/quotas/counter.go
@@ -13,7 +13,7 @@
 	periodLength    = 20 * time.Second
 	periodRetention = 2 * periodLength
 	largeFleet      = 250                    // gateways; in larger fleets periods are kept for half the time,
-	maxPeriods      = 4                      // and a tenant has at most so many: gateways that alternate between holders make each of them issue period after period
+	maxPeriods      = 4                      // periods of a tenant in larger fleets: gateways that alternate make holders issue many
 	issueInterval   = 500 * time.Millisecond // between two periods where holders disagree
 	listenTime      = 500 * time.Millisecond // after which a holder knows the levels
 	levelExpiry     = 5 * time.Second        // without any add, levels are unknown again
@@ -153,7 +153,8 @@
 		if a, ok = a.Expand(o.incarnation); !valid || !ok {
 			return nil
 		}
-		if !known || foldIncarnation(o.incarnation) != folded { // this process has restarted, or forgotten the gateway, since it answered a full add
+		// This process has restarted, or forgotten the gateway, since it answered a full add.
+		if !known || foldIncarnation(o.incarnation) != folded {
 			return []fsm.Send{{To: from, Msg: Answer{Period: c.highestPeriod, Timestamp: a.Timestamp}.unknownIncarnation(folded)}}
 		}
 	} else if a.Incarnation == 0 { // a compact add that was relayed by a process of a version without them
@@ -273,7 +274,8 @@
 	period := l.periodOf(it.Period)
 	if period == nil {
 		next := periodTotals{period: it.Period, startedAt: now}
-		if k := len(l.periods); k > 0 && now-l.periods[k-1].startedAt >= periodLength/2 { // as many gateways as in the period before are expected
+		// As many gateways as in the period before are expected.
+		if k := len(l.periods); k > 0 && now-l.periods[k-1].startedAt >= periodLength/2 {
 			next.sums = newSumTable(l.periods[k-1].sums.used)
 		}
 		l.periods = append(l.periods, next)
--- a/internal/quotas/detector.go
+++ b/internal/quotas/detector.go
@@ -34,7 +34,7 @@
 // peer is the state of one gateway. probedAt is the first probe since its last message; 0: none.
 type peer struct {
 	heardAt, probedAt fsm.Time
-	answersProbes     bool // it answers probes
+	answersProbes     bool
 	rtt               roundTrip
 }
 
--- a/internal/quotas/meter.go
+++ b/internal/quotas/meter.go
@@ -16,23 +16,23 @@
 	minGap                = 50 * time.Millisecond  // between any two adds
 	retryGap              = 60 * time.Millisecond  // after which an unanswered read is repeated
 	silentAfter           = 200 * time.Millisecond // without an answer to a read, a holder counts as silent
-	stallThreshold        = 400 * time.Millisecond // between ticks: a gateway that was frozen for longer doesn't know what others passed
+	stallThreshold        = 400 * time.Millisecond // between ticks: a gateway frozen for longer missed what others passed
 	standbyGap            = time.Second            // between adds to the holder that is not the reader's
 	rosterCheckGap        = 5 * time.Second        // between requests for the hash of a holder's roster
 	earlyReadGap          = 10 * time.Millisecond  // before the first read of a tenant, after any add
 	batchedReadGap        = 25 * time.Millisecond  // the same above earlyReadRate: message headers would dominate the traffic
 	earlyReadRate         = 10.0                   // first reads a second that may follow after earlyReadGap,
 	earlyReadBurst        = 10.0                   // and their burst
-	batchedReadPerGateway = 100 * time.Microsecond // for each gateway in large fleets: a holder gets at most 10,000 batched reads a second,
+	batchedReadPerGateway = 100 * time.Microsecond // for each gateway in large fleets: a holder gets 10,000 batched reads a second at most,
 	earlyReadFleetRate    = 2500.0                 // early reads a second,
 	standbyPerGateway     = 200 * time.Microsecond // and 5,000 adds a second where it is not the one that is read
 
-	lossSettleTime    = 2 * time.Second         // time in which units passed by unreachable gateways before their loss was noticed drain
+	lossSettleTime    = 2 * time.Second         // for units that gateways passed before their loss was noticed to drain
 	freshAnswer       = 30 * time.Millisecond   // an answer within this round trip is not delayed
-	trustAfter        = time.Second             // time until a holder that has just become the reader has received what it missed
-	reportUsedFor     = 1500 * time.Millisecond // time in which a new reader is also told the usage known from other holders
+	trustAfter        = time.Second             // after which a new reader has received what it missed
+	reportUsedFor     = 1500 * time.Millisecond // in which a new reader is also sent the usage known from other holders
 	othersHeardWithin = 300 * time.Millisecond  // a holder that received no adds of others for longer may be partitioned
-	periodSettleTime  = 300 * time.Millisecond  // after a change of period, before the previous period is read for the last time
+	periodSettleTime  = 300 * time.Millisecond  // after a change of period, before the last read of the previous one
 	peakRetention     = time.Minute             // after which missing gateways count as removed
 	startupWindow     = 3 * time.Second         // in which a gateway that has met no other one may be partitioned
 	assumedGateways   = 32                      // number of gateways that a meter assumes, at least, during startupWindow
@@ -374,7 +374,8 @@
 			e.missing = missing
 		}
 		if reserved > 0 {
-			e.capAvailable(now, max(1, e.limit.Burst*(1-reserved))) // with less than one unit nothing would pass for as long as the peak is kept
+			// With less than one unit nothing would pass for as long as the peak is kept.
+			e.capAvailable(now, max(1, e.limit.Burst*(1-reserved)))
 		}
 		return
 	}
--- a/internal/quotas/sync.go
+++ b/internal/quotas/sync.go
@@ -16,7 +16,8 @@
 		least = m.earlyReads.gap(now, m.gateways)
 	}
 	switch {
-	case m.reader >= 0 && !m.holders[m.reader].retryDue(now): // a repetition isn't delayed by the requested gap, or the holder would count as silent
+	// A repetition isn't delayed by the requested gap, or the holder would count as silent.
+	case m.reader >= 0 && !m.holders[m.reader].retryDue(now):
 		return m.holders[m.reader].sendGap(least)
 	case m.retryBackoff() > minGap: // in large fleets repetitions are rare
 		return m.retryBackoff()
@@ -82,7 +83,8 @@
 		if r := m.rosters.byHash(s.rosterHash); r != nil {
 			add.RosterHash = r.hash
 			add.Packed, add.Items = r.pack(m.period, items, places)
-			if s.readsCompact = s.readsCompact && !late; s.readsCompact && len(add.Items) == 0 { // the holder may not have been able to read what it didn't answer
+			// The holder may not have been able to read a compact add that it didn't answer.
+			if s.readsCompact = s.readsCompact && !late; s.readsCompact && len(add.Items) == 0 {
 				add = add.compact()
 			}
 		}
@@ -263,7 +265,8 @@
 	switch {
 	case m.rosters.byHash(a.RosterHash) != nil:
 		next = a.RosterHash
-	case !a.PackedAccepted && a.Timestamp >= s.rosterSince: // the holder could not use the roster of the add, or named no known one
+	// The holder could not use the roster of the add, or named no known one.
+	case !a.PackedAccepted && a.Timestamp >= s.rosterSince:
 		next = 0
 	}
 	if next == s.rosterHash {
--- a/internal/rollout/withdraw.go
+++ b/internal/rollout/withdraw.go
@@ -88,10 +88,12 @@
 		return
 	}
 	if request.Fence != 0 && m.doc.Version >= request.Fence && m.outcome(request.Version) == OutcomeUndecided && m.bug != BugIgnoreFence {
-		m.send(from, WithdrawReply{request.ID, request.Call, OutcomeUndecided, m.state.Version, m.doc.Version}) // the caller decides whether to repeat it
+		// The caller decides whether to repeat it.
+		m.send(from, WithdrawReply{request.ID, request.Call, OutcomeUndecided, m.state.Version, m.doc.Version})
 		return
 	}
-	if !slices.Contains(lead.answered, request) { // a delayed copy of a call that was told "absent" must not withdraw a version that came later
+	// A delayed copy of a call that was told "absent" must not withdraw a version that came later.
+	if !slices.Contains(lead.answered, request) {
 		m.withdraw(request.Version, "by "+request.By)
 	}
 	same := func(w receivedWithdrawal) bool {
--- a/internal/rollout/world/partition.go
+++ b/internal/rollout/world/partition.go
@@ -116,7 +116,8 @@
 		}
 	}
 	for _, reply := range w.result.WithdrawReplies {
-		if within(reply.Node) && reply.At > from+cutSettleTime && reply.Outcome == rollout.OutcomeAbsent { // the other outcomes are final
+		// The other outcomes are final.
+		if within(reply.Node) && reply.At > from+cutSettleTime && reply.Outcome == rollout.OutcomeAbsent {
 			w.violate("ALONE", "%s reports %d as %v, %v into the cut", reply.Node, reply.Version, reply.Outcome, reply.At-from)
 		}
 	}
--- a/internal/rollout/world/process.go
+++ b/internal/rollout/world/process.go
@@ -103,7 +103,8 @@
 		}
 		deferred := p.deferred
 		p.deferred = nil
-		w.rng.Shuffle(len(deferred), func(i, j int) { deferred[i], deferred[j] = deferred[j], deferred[i] }) // links don't preserve the order
+		// Links don't preserve the order.
+		w.rng.Shuffle(len(deferred), func(i, j int) { deferred[i], deferred[j] = deferred[j], deferred[i] })
 		for _, do := range deferred {
 			do()
 		}
