--- a/internal/quotas/counter.go
+++ b/internal/quotas/counter.go
@@ -12,7 +12,7 @@
 const (
 	periodLength    = 20 * time.Second
 	periodRetention = 2 * periodLength
-	largeFleet      = 250                    // gateways; in larger fleets periods are kept for half the time,
+	largeFleet      = 250                    // gateways; in larger fleets periods are kept for half the time
 	maxPeriods      = 4                      // periods of a tenant in larger fleets: gateways that alternate make holders issue many
 	issueInterval   = 500 * time.Millisecond // between two periods where holders disagree
 	listenTime      = 500 * time.Millisecond // after which a holder knows the levels
--- a/internal/quotas/meter.go
+++ b/internal/quotas/meter.go
@@ -17,7 +17,7 @@
 	retryGap              = 60 * time.Millisecond  // after which an unanswered read is repeated
 	silentAfter           = 200 * time.Millisecond // without an answer to a read, a holder counts as silent
 	stallThreshold        = 400 * time.Millisecond // between ticks: a gateway frozen for longer missed what others passed
-	standbyGap            = time.Second            // between adds to the holder that is not the reader's
+	standbyGap            = time.Second            // between adds to the holder that is not read
 	rosterCheckGap        = 5 * time.Second        // between requests for the hash of a holder's roster
 	earlyReadGap          = 10 * time.Millisecond  // before the first read of a tenant, after any add
 	batchedReadGap        = 25 * time.Millisecond  // the same above earlyReadRate: message headers would dominate the traffic
