--- a/internal/quotas/active.go
+++ b/internal/quotas/active.go
@@ -16,10 +16,10 @@
 }
 
 // add marks a tenant as active.
-func (a *activeSet) add(e *tenantState) {
-	if !e.active {
-		e.active = true
-		a.added = append(a.added, e)
+func (a *activeSet) add(state *tenantState) {
+	if !state.active {
+		state.active = true
+		a.added = append(a.added, state)
 	}
 }
 
@@ -31,8 +31,8 @@
 		a.list = mergeSorted(a.list, a.added)
 	} else {
 		a.list = append(a.list[:0], m.ordered...)
-		for _, e := range a.list {
-			e.active = true
+		for _, state := range a.list {
+			state.active = true
 		}
 	}
 	clear(a.added)
@@ -42,19 +42,19 @@
 
 // dropSettled removes tenants with nothing left to send, after a tick's messages are made.
 func (m *Meter) dropSettled() {
-	m.active.list = slices.DeleteFunc(m.active.list, func(e *tenantState) bool {
-		e.active = m.hasPending(e)
-		return !e.active
+	m.active.list = slices.DeleteFunc(m.active.list, func(state *tenantState) bool {
+		state.active = m.hasPending(state)
+		return !state.active
 	})
 }
 
 // hasPending reports whether an add may have to include the tenant even without new requests.
-func (m *Meter) hasPending(e *tenantState) bool {
-	if e.readWanted || e.prev.period != 0 || e.cur.sum > e.cur.acked || e.cur.sum > 0 && e.cur.period != m.period {
+func (m *Meter) hasPending(state *tenantState) bool {
+	if state.readWanted || state.prev.period != 0 || state.cur.sum > state.cur.acked || state.cur.sum > 0 && state.cur.period != m.period {
 		return true
 	}
-	for i, told := range e.reported {
-		if m.holders[i].addr != "" && (told != e.cur.sum || e.resend[i]) {
+	for i, told := range state.reported {
+		if m.holders[i].addr != "" && (told != state.cur.sum || state.resend[i]) {
 			return true
 		}
 	}
--- a/internal/quotas/basis.go
+++ b/internal/quotas/basis.go
@@ -23,11 +23,11 @@
 func Bases() []Basis { return []Basis{FirstHolder, SecondHolder, Unread, OwnShare} }
 
 // basis is what the next decision about a tenant will rely on.
-func (m *Meter) basis(now fsm.Time, e *tenantState) Basis {
+func (m *Meter) basis(now fsm.Time, state *tenantState) Basis {
 	switch {
-	case e.holdersSilent || m.reader < 0 && m.holdersSilent(now):
+	case state.holdersSilent || m.reader < 0 && m.holdersSilent(now):
 		return OwnShare
-	case !e.levelRead:
+	case !state.levelRead:
 		return Unread
 	case m.reader == 1:
 		return SecondHolder
@@ -58,10 +58,10 @@
 func (m *Meter) Stats(now fsm.Time) Stats {
 	a := Stats{Decided: m.decided, HolderChanges: m.holderChanges, MaxBehind: m.maxBehind, AnswersBehind: m.answersBehind, Gateways: m.shareCount(now), Reachable: m.reachableGateways()}
 	if m.reader >= 0 {
-		s := &m.holders[m.reader]
-		a.Holder = s.addr
-		if s.unansweredSince != 0 {
-			a.UnansweredMS = (now - s.unansweredSince).Milliseconds()
+		holder := &m.holders[m.reader]
+		a.Holder = holder.addr
+		if holder.unansweredSince != 0 {
+			a.UnansweredMS = (now - holder.unansweredSince).Milliseconds()
 		}
 	}
 	return a
@@ -69,19 +69,19 @@
 
 // BasisOf returns what the next decision about a tenant will rely on; false: the tenant has no limit here.
 func (m *Meter) BasisOf(now fsm.Time, tenant string) (Basis, bool) {
-	e := m.tenants[tenant]
-	if e == nil {
+	state := m.tenants[tenant]
+	if state == nil {
 		return 0, false
 	}
-	return m.basis(now, e), true
+	return m.basis(now, state), true
 }
 
 // noteBehind records by how much a holder's level exceeds the usage assumed here.
-func (m *Meter) noteBehind(e *tenantState, t Total, timestamp fsm.Time) {
-	if !e.levelRead || !t.LevelKnown {
+func (m *Meter) noteBehind(state *tenantState, t Total, timestamp fsm.Time) {
+	if !state.levelRead || !t.LevelKnown {
 		return
 	}
-	behind := float64(t.Level)/milliUnits + e.unacked() - float64(e.tat-timestamp)/e.interval
+	behind := float64(t.Level)/milliUnits + state.unacked() - float64(state.tat-timestamp)/state.interval
 	if behind < 1 {
 		return
 	}
--- a/internal/quotas/batch.go
+++ b/internal/quotas/batch.go
@@ -36,40 +36,42 @@
 
 // trim selects the tenants that fit in an add. Sums that no holder has and tenants with a pending decision
 // go first; within each kind tenants go in turn.
-func (t *pendingItems) trim(now fsm.Time, s *holderState, limit int) {
-	if t.len() <= limit {
+func (pending *pendingItems) trim(now fsm.Time, holder *holderState, limit int) {
+	if pending.len() <= limit {
 		return
 	}
-	untold, acked := partition(t.prev, func(e *tenantState) bool { return e.prev.sum > e.prev.acked })
-	urgent, rest := partition(t.cur, func(e *tenantState) bool { return e.readWanted || e.levelRead && e.available(now) < e.limit.Burst/4 })
-	acked, s.last[0] = rotate(acked, s.last[0], limit/prevPart)
+	untold, acked := partition(pending.prev, func(state *tenantState) bool { return state.prev.sum > state.prev.acked })
+	urgent, rest := partition(pending.cur, func(state *tenantState) bool {
+		return state.readWanted || state.levelRead && state.available(now) < state.limit.Burst/4
+	})
+	acked, holder.last[0] = rotate(acked, holder.last[0], limit/prevPart)
 	left := limit - len(acked)
-	untold, s.last[1] = rotate(untold, s.last[1], max(left/2, left-len(t.cur)))
+	untold, holder.last[1] = rotate(untold, holder.last[1], max(left/2, left-len(pending.cur)))
 	left -= len(untold)
-	urgent, s.last[2] = rotate(urgent, s.last[2], max(left/2, left-len(rest)))
-	rest, s.last[3] = rotate(rest, s.last[3], left-len(urgent))
-	t.prev, t.cur = mergeSorted(untold, acked), mergeSorted(urgent, rest)
+	urgent, holder.last[2] = rotate(urgent, holder.last[2], max(left/2, left-len(rest)))
+	rest, holder.last[3] = rotate(rest, holder.last[3], left-len(urgent))
+	pending.prev, pending.cur = mergeSorted(untold, acked), mergeSorted(urgent, rest)
 }
 
-func partition(list []*tenantState, first func(e *tenantState) bool) (matching, rest []*tenantState) {
-	for _, e := range list {
-		if first(e) {
-			matching = append(matching, e)
+func partition(list []*tenantState, first func(state *tenantState) bool) (matching, rest []*tenantState) {
+	for _, state := range list {
+		if first(state) {
+			matching = append(matching, state)
 		} else {
-			rest = append(rest, e)
+			rest = append(rest, state)
 		}
 	}
 	return matching, rest
 }
 
-func (t *pendingItems) len() int { return len(t.prev) + len(t.cur) }
+func (pending *pendingItems) len() int { return len(pending.prev) + len(pending.cur) }
 
 // rotate returns the n tenants that follow the given one, wrapping around, in order.
 func rotate(list []*tenantState, after string, n int) (selected []*tenantState, last string) {
 	if len(list) <= n {
 		return list, after
 	}
-	i, _ := slices.BinarySearchFunc(list, after, func(e *tenantState, t string) int { return strings.Compare(e.tenant, t+"\x00") })
+	i, _ := slices.BinarySearchFunc(list, after, func(state *tenantState, t string) int { return strings.Compare(state.tenant, t+"\x00") })
 	end := i + n
 	if end <= len(list) {
 		selected = slices.Clone(list[i:end])
@@ -83,8 +85,8 @@
 // inFlight reports whether the tenant was reported so recently that there can't be an answer yet. It only
 // applies to many tenants and a far holder. Otherwise each add repeats all that is unanswered, so that a
 // lost one costs less time.
-func (m *Meter) inFlight(now fsm.Time, e *tenantState, s *holderState) bool {
-	return len(m.ordered) > maxItems && s.far() && !s.retryDue(now) && now-e.reportedAt < s.rtt.extend(retryGap)
+func (m *Meter) inFlight(now fsm.Time, state *tenantState, holder *holderState) bool {
+	return len(m.ordered) > maxItems && holder.far() && !holder.retryDue(now) && now-state.reportedAt < holder.rtt.extend(retryGap)
 }
 
 // retryBackoff is the gap between two adds to a holder that doesn't answer; it doubles with each
--- a/internal/quotas/counter.go
+++ b/internal/quotas/counter.go
@@ -109,22 +109,22 @@
 	if place >= 0 && c.byPlace[place] != nil {
 		return c.byPlace[place]
 	}
-	l := c.tenants[tenant]
-	if l == nil {
-		l = &tenantUsage{updatedAt: now}
-		c.tenants[tenant] = l
+	usage := c.tenants[tenant]
+	if usage == nil {
+		usage = &tenantUsage{updatedAt: now}
+		c.tenants[tenant] = usage
 	}
 	if place >= 0 {
-		c.byPlace[place] = l
+		c.byPlace[place] = usage
 	}
-	return l
+	return usage
 }
 
 // periodOf returns the totals of a period, or nil.
-func (l *tenantUsage) periodOf(period uint64) *periodTotals {
-	for i := len(l.periods) - 1; i >= 0; i-- {
-		if l.periods[i].period == period {
-			return &l.periods[i]
+func (usage *tenantUsage) periodOf(period uint64) *periodTotals {
+	for i := len(usage.periods) - 1; i >= 0; i-- {
+		if usage.periods[i].period == period {
+			return &usage.periods[i]
 		}
 	}
 	return nil
@@ -149,12 +149,12 @@
 	compact := len(a.Compact) > 0
 	if compact {
 		folded, valid := a.foldedIncarnation()
-		o, known := c.offsets[from]
-		if a, ok = a.Expand(o.incarnation); !valid || !ok {
+		off, known := c.offsets[from]
+		if a, ok = a.Expand(off.incarnation); !valid || !ok {
 			return nil
 		}
 		// This process has restarted, or forgotten the gateway, since it answered a full add.
-		if !known || foldIncarnation(o.incarnation) != folded {
+		if !known || foldIncarnation(off.incarnation) != folded {
 			return []fsm.Send{{To: from, Msg: Answer{Period: c.highestPeriod, Timestamp: a.Timestamp}.unknownIncarnation(folded)}}
 		}
 	} else if a.Incarnation == 0 { // a compact add that was relayed by a process of a version without them
@@ -257,52 +257,52 @@
 }
 
 // drain lowers the level by what has drained since the last item.
-func (l *tenantUsage) drain(now, since fsm.Time, it Item) {
-	if l.levelSince != since {
-		l.levelSince, l.level = since, 0
+func (usage *tenantUsage) drain(now, since fsm.Time, item Item) {
+	if usage.levelSince != since {
+		usage.levelSince, usage.level = since, 0
 	}
-	if it.Interval > 0 {
-		l.level = max(0, l.level-float64(now-l.updatedAt)/1e3/float64(it.Interval))
-		l.updatedAt, l.interval = now, it.Interval
+	if item.Interval > 0 {
+		usage.level = max(0, usage.level-float64(now-usage.updatedAt)/1e3/float64(item.Interval))
+		usage.updatedAt, usage.interval = now, item.Interval
 	}
 }
 
 // add takes an item into its period, and returns the sum of the other gateways and that of this
 // incarnation. Units that this holder sees for the first time need not be recent: only Unreported is added
 // to the level, the rest has drained long ago.
-func (l *tenantUsage) add(now fsm.Time, incarnations []incarnation, it Item) (others, own uint64) {
-	period := l.periodOf(it.Period)
+func (usage *tenantUsage) add(now fsm.Time, incarnations []incarnation, item Item) (others, own uint64) {
+	period := usage.periodOf(item.Period)
 	if period == nil {
-		next := periodTotals{period: it.Period, startedAt: now}
+		next := periodTotals{period: item.Period, startedAt: now}
 		// As many gateways as in the period before are expected.
-		if k := len(l.periods); k > 0 && now-l.periods[k-1].startedAt >= periodLength/2 {
-			next.sums = newSumTable(l.periods[k-1].sums.used)
+		if k := len(usage.periods); k > 0 && now-usage.periods[k-1].startedAt >= periodLength/2 {
+			next.sums = newSumTable(usage.periods[k-1].sums.used)
 		}
-		l.periods = append(l.periods, next)
-		period = &l.periods[len(l.periods)-1]
+		usage.periods = append(usage.periods, next)
+		period = &usage.periods[len(usage.periods)-1]
 	}
 	period.usedAt = now
 	last := incarnations[len(incarnations)-1].number
 	old, known := period.sums.get(last)
-	if increase := it.Sum - min(it.Sum, old); increase > 0 || !known {
-		l.level += float64(min(increase, it.Unreported)) / milliUnits
+	if increase := item.Sum - min(item.Sum, old); increase > 0 || !known {
+		usage.level += float64(min(increase, item.Unreported)) / milliUnits
 		period.sums.set(last, old+increase)
 		period.total += increase
 	}
-	own = old + it.Sum - min(it.Sum, old)
+	own = old + item.Sum - min(item.Sum, old)
 	others = period.total - own
-	for _, v := range incarnations[:len(incarnations)-1] {
-		units, _ := period.sums.get(v.number)
+	for _, in := range incarnations[:len(incarnations)-1] {
+		units, _ := period.sums.get(in.number)
 		others -= units
 	}
 	return others, own
 }
 
 // others is the sum without any incarnation of a gateway.
-func (n *periodTotals) others(incarnations []incarnation) uint64 {
-	sum := n.total
-	for _, v := range incarnations {
-		units, _ := n.sums.get(v.number)
+func (period *periodTotals) others(incarnations []incarnation) uint64 {
+	sum := period.total
+	for _, in := range incarnations {
+		units, _ := period.sums.get(in.number)
 		sum -= units
 	}
 	return sum
@@ -330,15 +330,15 @@
 		return
 	}
 	c.sweptAt = now
-	for gateway, o := range c.offsets {
-		if now-o.since > 4*minWindow {
+	for gateway, off := range c.offsets {
+		if now-off.since > 4*minWindow {
 			delete(c.offsets, gateway)
 		}
 	}
 	c.incarnations.sweep(now)
-	for tenant, l := range c.tenants {
-		l.periods = slices.DeleteFunc(l.periods, func(n periodTotals) bool { return now-n.usedAt > c.retention() })
-		if len(l.periods) == 0 && now-l.updatedAt > periodRetention {
+	for tenant, usage := range c.tenants {
+		usage.periods = slices.DeleteFunc(usage.periods, func(period periodTotals) bool { return now-period.usedAt > c.retention() })
+		if len(usage.periods) == 0 && now-usage.updatedAt > periodRetention {
 			delete(c.tenants, tenant)
 			if i, ok := c.rosters.place(tenant); ok {
 				c.byPlace[i] = nil
--- a/internal/quotas/detector.go
+++ b/internal/quotas/detector.go
@@ -40,134 +40,134 @@
 
 // worthProbing reports whether to probe a gateway. One that was never heard may have been unreachable since
 // before this holder started: it counts as missing until it answers.
-func (v peer) worthProbing() bool { return v.answersProbes || v.heardAt == 0 }
+func (p peer) worthProbing() bool { return p.answersProbes || p.heardAt == 0 }
 
 // watch starts probing all gateways: a new holder doesn't know which of them are unreachable.
-func (s *failureDetector) watch(now fsm.Time) { s.watchAt = now }
+func (d *failureDetector) watch(now fsm.Time) { d.watchAt = now }
 
 // setGateways sets the known gateways, the two holders first.
-func (s *failureDetector) setGateways(nodes []string) {
-	s.gateways = nodes
+func (d *failureDetector) setGateways(nodes []string) {
+	d.gateways = nodes
 	next := make(map[string]peer, len(nodes))
 	for _, n := range nodes {
-		next[n] = s.peers[n]
+		next[n] = d.peers[n]
 	}
-	s.peers = next
+	d.peers = next
 }
 
-func (s *failureDetector) receive(now fsm.Time, from string, a Add) {
-	s.heartbeat(now, from, a.AnswersProbes)
-	if v, ok := s.peers[from]; ok && a.ProbeTimestamp > 0 && a.ProbeTimestamp <= now {
-		v.rtt.observe(now, now-a.ProbeTimestamp)
-		s.peers[from] = v
+func (d *failureDetector) receive(now fsm.Time, from string, a Add) {
+	d.heartbeat(now, from, a.AnswersProbes)
+	if p, ok := d.peers[from]; ok && a.ProbeTimestamp > 0 && a.ProbeTimestamp <= now {
+		p.rtt.observe(now, now-a.ProbeTimestamp)
+		d.peers[from] = p
 	}
-	if len(a.Items) > 0 && from != s.self {
-		s.reportedAt = now
+	if len(a.Items) > 0 && from != d.self {
+		d.reportedAt = now
 	}
 	if a.NearLimit {
-		s.watchAt = now
+		d.watchAt = now
 	}
 }
 
-func (s *failureDetector) heartbeat(now fsm.Time, from string, signs bool) {
-	s.forgiveStall(now)
-	if v, ok := s.peers[from]; ok {
-		s.peers[from] = peer{heardAt: now, answersProbes: signs, rtt: v.rtt}
+func (d *failureDetector) heartbeat(now fsm.Time, from string, signs bool) {
+	d.forgiveStall(now)
+	if p, ok := d.peers[from]; ok {
+		d.peers[from] = peer{heardAt: now, answersProbes: signs, rtt: p.rtt}
 	}
 }
 
 // otherHolder is the other holder's address, if this process is a holder.
-func (s *failureDetector) otherHolder() string {
+func (d *failureDetector) otherHolder() string {
 	switch {
-	case len(s.gateways) < 2:
-	case s.gateways[0] == s.self:
-		return s.gateways[1]
-	case s.gateways[1] == s.self:
-		return s.gateways[0]
+	case len(d.gateways) < 2:
+	case d.gateways[0] == d.self:
+		return d.gateways[1]
+	case d.gateways[1] == d.self:
+		return d.gateways[0]
 	}
 	return ""
 }
 
 // forgiveStall drops open probes if this process itself was frozen: then their answers are not overdue.
-func (s *failureDetector) forgiveStall(now fsm.Time) {
-	if now-s.tickAt <= tickStall {
+func (d *failureDetector) forgiveStall(now fsm.Time) {
+	if now-d.tickAt <= tickStall {
 		return
 	}
-	for n, v := range s.peers {
-		v.probedAt = 0
-		s.peers[n] = v
+	for n, p := range d.peers {
+		p.probedAt = 0
+		d.peers[n] = p
 	}
 }
 
-func (s *failureDetector) watching(now fsm.Time) bool {
-	return s.watchAt != 0 && now-s.watchAt < watchTime
+func (d *failureDetector) watching(now fsm.Time) bool {
+	return d.watchAt != 0 && now-d.watchAt < watchTime
 }
 
 // tick returns probes to gateways that are silent.
-func (s *failureDetector) tick(now fsm.Time) (out []fsm.Send) {
-	s.forgiveStall(now)
-	s.tickAt = now
-	other, active := s.otherHolder(), s.reportedAt != 0 && now-s.reportedAt < reportedWithin
-	if p := s.peers[other]; active && p.probedAt != 0 && now-p.probedAt >= p.rtt.extend(holderProbeTimeout) {
-		s.watchAt = now
-	}
-	watching := s.watching(now)
-	if !watching && !s.probing && !(active && other != "") {
+func (d *failureDetector) tick(now fsm.Time) (out []fsm.Send) {
+	d.forgiveStall(now)
+	d.tickAt = now
+	other, active := d.otherHolder(), d.reportedAt != 0 && now-d.reportedAt < reportedWithin
+	if p := d.peers[other]; active && p.probedAt != 0 && now-p.probedAt >= p.rtt.extend(holderProbeTimeout) {
+		d.watchAt = now
+	}
+	watching := d.watching(now)
+	if !watching && !d.probing && !(active && other != "") {
 		return nil
 	}
-	s.probing = watching
-	repeat := now-s.repeatAt >= s.scaled(probeTimeout)
-	for _, n := range s.gateways {
-		p := s.peers[n]
+	d.probing = watching
+	repeat := now-d.repeatAt >= d.scaled(probeTimeout)
+	for _, n := range d.gateways {
+		p := d.peers[n]
 		if !watching && !(active && n == other) {
 			p.probedAt = 0
-			s.peers[n] = p
+			d.peers[n] = p
 			continue
 		}
-		if n == s.self || !p.worthProbing() || now-p.heardAt < s.scaled(probeAfter) || p.probedAt != 0 && !repeat {
+		if n == d.self || !p.worthProbing() || now-p.heardAt < d.scaled(probeAfter) || p.probedAt != 0 && !repeat {
 			continue
 		}
 		if p.probedAt == 0 {
 			p.probedAt = now
-			s.peers[n] = p
+			d.peers[n] = p
 		}
 		out = append(out, fsm.Send{To: n, Msg: Answer{Probe: true, Timestamp: now}})
 	}
 	if repeat {
-		s.repeatAt = now
+		d.repeatAt = now
 	}
 	return out
 }
 
 // scaled lengthens a gap between probes where there are more than 250 gateways.
-func (s *failureDetector) scaled(gap time.Duration) time.Duration {
-	return max(gap, time.Duration(len(s.gateways))*probePerGateway)
+func (d *failureDetector) scaled(gap time.Duration) time.Duration {
+	return max(gap, time.Duration(len(d.gateways))*probePerGateway)
 }
 
 // probeOverdue reports whether a probe of a gateway is unanswered: of a near one since the previous tick,
 // of a far one for as long as its answer may take.
-func (s *failureDetector) probeOverdue(now fsm.Time, node string) bool {
-	v := s.peers[node]
-	if v.probedAt == 0 || v.probedAt == now {
+func (d *failureDetector) probeOverdue(now fsm.Time, node string) bool {
+	p := d.peers[node]
+	if p.probedAt == 0 || p.probedAt == now {
 		return false
 	}
-	if v.rtt.excess(probeOverdueAfter) > 0 {
-		return now-v.probedAt >= v.rtt.extend(probeOverdueAfter)
+	if p.rtt.excess(probeOverdueAfter) > 0 {
+		return now-p.probedAt >= p.rtt.extend(probeOverdueAfter)
 	}
 	return true
 }
 
 // missing is the number of gateways that don't answer probes.
-func (s *failureDetector) missing(now fsm.Time) (n uint32) {
-	if !s.watching(now) {
+func (d *failureDetector) missing(now fsm.Time) (n uint32) {
+	if !d.watching(now) {
 		return 0
 	}
-	if len(s.peers) > smallFleet && now-s.countedAt < recountGap && s.countedAt != 0 { // each answer needs the count
-		return s.missingCount
+	if len(d.peers) > smallFleet && now-d.countedAt < recountGap && d.countedAt != 0 { // each answer needs the count
+		return d.missingCount
 	}
-	defer func() { s.missingCount, s.countedAt = n, now }()
-	for _, v := range s.peers {
-		if v.worthProbing() && v.probedAt != 0 && now-v.probedAt >= v.rtt.extend(probeTimeout) {
+	defer func() { d.missingCount, d.countedAt = n, now }()
+	for _, p := range d.peers {
+		if p.worthProbing() && p.probedAt != 0 && now-p.probedAt >= p.rtt.extend(probeTimeout) {
 			n++
 		}
 	}
--- a/internal/quotas/incarnations.go
+++ b/internal/quotas/incarnations.go
@@ -27,32 +27,32 @@
 const incarnationRetention = 4 * periodRetention
 
 // observe records an incarnation as the gateway's latest, and returns all of the gateway's.
-func (l *incarnations) observe(now fsm.Time, gateway string, id uint64) []incarnation {
-	if l.byGateway == nil {
-		l.byGateway = map[string][]incarnation{}
+func (in *incarnations) observe(now fsm.Time, gateway string, id uint64) []incarnation {
+	if in.byGateway == nil {
+		in.byGateway = map[string][]incarnation{}
 	}
-	all := l.byGateway[gateway]
-	i := slices.IndexFunc(all, func(v incarnation) bool { return v.id == id })
+	all := in.byGateway[gateway]
+	i := slices.IndexFunc(all, func(in incarnation) bool { return in.id == id })
 	switch {
 	case i < 0:
-		l.lastNumber++
-		all = append(all, incarnation{id: id, number: l.lastNumber})
+		in.lastNumber++
+		all = append(all, incarnation{id: id, number: in.lastNumber})
 	case i < len(all)-1:
-		v := all[i]
-		all = append(slices.Delete(all, i, i+1), v)
+		in := all[i]
+		all = append(slices.Delete(all, i, i+1), in)
 	}
 	all[len(all)-1].heardAt = now
-	l.byGateway[gateway] = all
+	in.byGateway[gateway] = all
 	return all
 }
 
 // sweep removes incarnations that have not been heard for incarnationRetention.
-func (l *incarnations) sweep(now fsm.Time) {
-	for gateway, all := range l.byGateway {
-		if all = slices.DeleteFunc(all, func(v incarnation) bool { return now-v.heardAt > incarnationRetention }); len(all) == 0 {
-			delete(l.byGateway, gateway)
+func (in *incarnations) sweep(now fsm.Time) {
+	for gateway, all := range in.byGateway {
+		if all = slices.DeleteFunc(all, func(in incarnation) bool { return now-in.heardAt > incarnationRetention }); len(all) == 0 {
+			delete(in.byGateway, gateway)
 		} else {
-			l.byGateway[gateway] = all
+			in.byGateway[gateway] = all
 		}
 	}
 }
--- a/internal/quotas/late.go
+++ b/internal/quotas/late.go
@@ -23,13 +23,13 @@
 // lateness is how much longer an add was under way than others of the gateway; 0 below lateAdd.
 func (c *Counter) lateness(now fsm.Time, from string, a Add) time.Duration {
 	delta := now - a.Timestamp
-	o := c.offsets[from]
-	if o.incarnation != a.Incarnation {
-		o = offset{incarnation: a.Incarnation}
+	off := c.offsets[from]
+	if off.incarnation != a.Incarnation {
+		off = offset{incarnation: a.Incarnation}
 	}
-	o.observe(now, delta)
-	c.offsets[from] = o
-	if late := delta - o.value(); late > lateAdd {
+	off.observe(now, delta)
+	c.offsets[from] = off
+	if late := delta - off.value(); late > lateAdd {
 		return late
 	}
 	return 0
--- a/internal/quotas/meter.go
+++ b/internal/quotas/meter.go
@@ -61,25 +61,25 @@
 }
 
 // far reports whether answers take longer than freshAnswer even at the best.
-func (s *holderState) far() bool { return s.rtt.excess(freshAnswer) > 0 }
+func (holder *holderState) far() bool { return holder.rtt.excess(freshAnswer) > 0 }
 
 // unreportedSpan is the time in which other gateways may have passed units that the answer doesn't have. It
 // is 0 for a near holder, whose delay is within the margin of the quota.
-func (s *holderState) unreportedSpan(now, timestamp fsm.Time) fsm.Time {
-	if s.far() {
+func (holder *holderState) unreportedSpan(now, timestamp fsm.Time) fsm.Time {
+	if holder.far() {
 		return now - timestamp
 	}
 	return 0
 }
 
 // retryDue reports whether a read has gone unanswered for long enough to be repeated.
-func (s *holderState) retryDue(now fsm.Time) bool {
-	return s.unansweredSince != 0 && now-s.unansweredSince >= s.rtt.extend(retryGap)
+func (holder *holderState) retryDue(now fsm.Time) bool {
+	return holder.unansweredSince != 0 && now-holder.unansweredSince >= holder.rtt.extend(retryGap)
 }
 
 // silent reports whether the holder counts as unreachable. The timeout leaves time for one lost repetition.
-func (s *holderState) silent(now fsm.Time) bool {
-	return s.unansweredSince != 0 && now-s.unansweredSince >= silentAfter+s.rtt.excess(retryGap)
+func (holder *holderState) silent(now fsm.Time) bool {
+	return holder.unansweredSince != 0 && now-holder.unansweredSince >= silentAfter+holder.rtt.excess(retryGap)
 }
 
 // Meter decides at one gateway which requests are within their tenants' quotas.
@@ -140,24 +140,24 @@
 	if !m.rosters.update(r) {
 		return
 	}
-	for tenant, e := range m.tenants {
+	for tenant, state := range m.tenants {
 		if l, ok := r.limits[tenant]; !ok || l.Rate <= 0 {
 			delete(m.tenants, tenant)
-		} else if l.Rate != e.limit.Rate || max(l.Burst, 1) != e.limit.Burst {
-			e.changeLimit(now, l)
+		} else if l.Rate != state.limit.Rate || max(l.Burst, 1) != state.limit.Burst {
+			state.changeLimit(now, l)
 		}
 	}
 	m.ordered = m.ordered[:0]
 	for place, tenant := range r.names {
-		e := m.tenants[tenant]
-		if e == nil {
-			e = &tenantState{tenant: tenant, roundingDraw: roundingDraw(m.self, tenant), cur: periodSum{period: m.period}, assumedUntil: now}
-			e.setLimit(r.limits[tenant])
-			e.resetToStartAllowance(now, m.shareCount(now))
-			m.tenants[tenant] = e
+		state := m.tenants[tenant]
+		if state == nil {
+			state = &tenantState{tenant: tenant, roundingDraw: roundingDraw(m.self, tenant), cur: periodSum{period: m.period}, assumedUntil: now}
+			state.setLimit(r.limits[tenant])
+			state.resetToStartAllowance(now, m.shareCount(now))
+			m.tenants[tenant] = state
 		}
-		e.place = int32(place)
-		m.ordered = append(m.ordered, e)
+		state.place = int32(place)
+		m.ordered = append(m.ordered, state)
 	}
 	m.active = activeSet{}
 }
@@ -191,12 +191,12 @@
 		return
 	}
 	m.holders, m.reader = next, -1
-	for _, e := range m.ordered {
-		reported, resend := e.reported, e.resend
-		e.reported, e.resend = [2]uint64{e.cur.sum, e.cur.sum}, [2]bool{} // nothing counts as unreported to a new holder
+	for _, state := range m.ordered {
+		reported, resend := state.reported, state.resend
+		state.reported, state.resend = [2]uint64{state.cur.sum, state.cur.sum}, [2]bool{} // nothing counts as unreported to a new holder
 		for i, j := range previous {
 			if j >= 0 {
-				e.reported[i], e.resend[i] = reported[j], resend[j]
+				state.reported[i], state.resend[i] = reported[j], resend[j]
 			}
 		}
 	}
@@ -239,30 +239,30 @@
 
 // reservedPart is the part of a tenant's rate and burst that is reserved for missing gateways. The margin
 // of the quota covers a few of them, on the larger side of a partition.
-func (m *Meter) reservedPart(e *tenantState) float64 {
+func (m *Meter) reservedPart(state *tenantState) float64 {
 	if m.peak == 0 {
 		return 0
 	}
 	part := float64(m.peak-m.reachableGateways()) / float64(m.peak)
 	if part < 0.5 {
-		part -= e.toleratedPart()
+		part -= state.toleratedPart()
 	}
 	return max(0, part)
 }
 
 func (m *Meter) holderIndex(addr string) int {
-	return slices.IndexFunc(m.holders[:], func(s holderState) bool { return s.addr != "" && s.addr == addr })
+	return slices.IndexFunc(m.holders[:], func(holder holderState) bool { return holder.addr != "" && holder.addr == addr })
 }
 
 // Allow decides a request; a refusal comes with the time after which to retry.
 func (m *Meter) Allow(now fsm.Time, tenant string, units float64) (bool, time.Duration) {
-	e := m.tenants[tenant]
-	if e == nil {
+	state := m.tenants[tenant]
+	if state == nil {
 		return true, 0
 	}
-	m.refresh(now, e)
-	ok, after := m.decide(now, e, units)
-	if t := &m.decided[m.basis(now, e)]; ok {
+	m.refresh(now, state)
+	ok, after := m.decide(now, state, units)
+	if t := &m.decided[m.basis(now, state)]; ok {
 		t.Passed++
 	} else {
 		t.Refused++
@@ -271,118 +271,118 @@
 }
 
 // decide tests a refreshed tenant state, and takes the units if they may pass.
-func (m *Meter) decide(now fsm.Time, e *tenantState, units float64) (bool, time.Duration) {
-	if !e.levelRead {
-		e.readWanted = true
+func (m *Meter) decide(now fsm.Time, state *tenantState, units float64) (bool, time.Duration) {
+	if !state.levelRead {
+		state.readWanted = true
 	}
-	available := e.available(now)
-	if e.levelRead && available < e.limit.Burst/2 {
+	available := state.available(now)
+	if state.levelRead && available < state.limit.Burst/2 {
 		m.nearLimitAt = now
-		if e.limit.Burst < 2*float64(m.shareCount(now)) {
-			e.nearLimitAt = now
+		if state.limit.Burst < 2*float64(m.shareCount(now)) {
+			state.nearLimitAt = now
 		}
 	}
-	if now < e.tat+e.duration(units-1)-e.tau {
-		m.requestRead(e)
-		m.due = m.due || !e.levelRead && !e.holdersSilent
-		if !e.levelRead && !e.holdersSilent { // the first read may allow it
-			return false, min(e.retryAfter(now, units, 0), 2*minGap)
+	if now < state.tat+state.duration(units-1)-state.tau {
+		m.requestRead(state)
+		m.due = m.due || !state.levelRead && !state.holdersSilent
+		if !state.levelRead && !state.holdersSilent { // the first read may allow it
+			return false, min(state.retryAfter(now, units, 0), 2*minGap)
 		}
 		reserved := 0.0
-		if e.levelRead { // an unread tenant may be told of more units at any moment
-			reserved = m.reservedPart(e)
+		if state.levelRead { // an unread tenant may be told of more units at any moment
+			reserved = m.reservedPart(state)
 		}
-		return false, e.retryAfter(now, units, reserved)
+		return false, state.retryAfter(now, units, reserved)
 	}
-	if e.levelRead && e.unacked() > 0 && e.unacked()+units > e.maxUnacked(now, m.shareCount(now)) {
+	if state.levelRead && state.unacked() > 0 && state.unacked()+units > state.maxUnacked(now, m.shareCount(now)) {
 		m.due = true
 		return false, minGap
 	}
-	e.consume(now, units)
-	if m.urgent(now, e, available-units) {
+	state.consume(now, units)
+	if m.urgent(now, state, available-units) {
 		m.due = true
-		m.requestRead(e)
+		m.requestRead(state)
 	}
 	return true, 0
 }
 
 // requestRead asks for an early read of an unread tenant, if a holder can answer it.
-func (m *Meter) requestRead(e *tenantState) {
-	m.newDemand = m.newDemand || !e.levelRead && !e.holdersSilent && !e.levelUnknown
+func (m *Meter) requestRead(state *tenantState) {
+	m.newDemand = m.newDemand || !state.levelRead && !state.holdersSilent && !state.levelUnknown
 }
 
 // AdjustCost corrects TAT by the difference between the actual cost of a request and the units taken for
 // it.
 func (m *Meter) AdjustCost(now fsm.Time, tenant string, units float64) {
-	e := m.tenants[tenant]
-	if e == nil {
+	state := m.tenants[tenant]
+	if state == nil {
 		return
 	}
-	m.refresh(now, e)
+	m.refresh(now, state)
 	if units >= 0 {
-		e.consume(now, units)
+		state.consume(now, units)
 		return
 	}
-	e.tat += e.duration(units)
-	e.knownTAT += e.duration(units)
-	e.credit += uint64(math.Round(-units * milliUnits))
+	state.tat += state.duration(units)
+	state.knownTAT += state.duration(units)
+	state.credit += uint64(math.Round(-units * milliUnits))
 }
 
 // urgent reports whether the other gateways should learn of a tenant's usage at once.
-func (m *Meter) urgent(now fsm.Time, e *tenantState, available float64) bool {
-	if !e.levelRead {
-		return available < e.evenShare(m.shareCount(now))*3/4
+func (m *Meter) urgent(now fsm.Time, state *tenantState, available float64) bool {
+	if !state.levelRead {
+		return available < state.evenShare(m.shareCount(now))*3/4
 	}
-	part, unsent := e.limit.Burst/float64(8*m.shareCount(now)), e.unsent()
+	part, unsent := state.limit.Burst/float64(8*m.shareCount(now)), state.unsent()
 	switch {
-	case available < e.limit.Burst/4:
+	case available < state.limit.Burst/4:
 		return true
-	case available < e.limit.Burst*3/4 && unsent >= max(1, part):
+	case available < state.limit.Burst*3/4 && unsent >= max(1, part):
 		return true
 	}
-	return unsent >= max(2, 2*part) || e.unacked() > e.maxUnacked(now, m.shareCount(now))/2
+	return unsent >= max(2, 2*part) || state.unacked() > state.maxUnacked(now, m.shareCount(now))/2
 }
 
 // refresh brings a tenant's state up to date before a decision.
-func (m *Meter) refresh(now fsm.Time, e *tenantState) {
-	m.active.add(e)
-	e.rollPeriod(now, m.period, m.prev)
+func (m *Meter) refresh(now fsm.Time, state *tenantState) {
+	m.active.add(state)
+	state.rollPeriod(now, m.period, m.prev)
 	switch silent := m.holdersSilent(now); {
-	case silent && !e.holdersSilent: // units that no holder has counted are taken out of the share of the burst
-		e.holdersSilent = true
-		e.capAvailable(now, e.evenShare(m.shareCount(now))-e.unacked())
-		e.markUnread(now)
-	case !silent && e.holdersSilent:
-		e.holdersSilent = false
-		e.markUnread(now)
-	case e.levelRead && now-m.tickAt > stallThreshold:
-		e.resetToStartAllowance(now, m.shareCount(now))
-	case e.levelRead && e.available(now) < -2*e.limit.Burst-e.limit.Rate:
-		e.markUnread(now) // a debt this deep can't be right: the level was misread
-	case e.levelRead && e.tat < now-e.tau:
-		e.resetToStartAllowance(now, m.shareCount(now))
+	case silent && !state.holdersSilent: // units that no holder has counted are taken out of the share of the burst
+		state.holdersSilent = true
+		state.capAvailable(now, state.evenShare(m.shareCount(now))-state.unacked())
+		state.markUnread(now)
+	case !silent && state.holdersSilent:
+		state.holdersSilent = false
+		state.markUnread(now)
+	case state.levelRead && now-m.tickAt > stallThreshold:
+		state.resetToStartAllowance(now, m.shareCount(now))
+	case state.levelRead && state.available(now) < -2*state.limit.Burst-state.limit.Rate:
+		state.markUnread(now) // a debt this deep can't be right: the level was misread
+	case state.levelRead && state.tat < now-state.tau:
+		state.resetToStartAllowance(now, m.shareCount(now))
 		if m.readerFar(now) {
-			e.grantIdleAllowance(now, m.shareCount(now))
+			state.grantIdleAllowance(now, m.shareCount(now))
 		}
 	}
-	e.tat = max(e.tat, e.knownTAT) // the start allowance is not a second burst
-	if e.levelRead {
-		reserved := m.reservedPart(e)
-		e.assumeOthers(now, reserved)
-		if missing := m.peak - m.reachableGateways(); missing != e.missing {
-			e.chargeMissing(now, missing-e.missing, m.reachableGateways(), m.peak, reserved)
-			e.missing = missing
+	state.tat = max(state.tat, state.knownTAT) // the start allowance is not a second burst
+	if state.levelRead {
+		reserved := m.reservedPart(state)
+		state.assumeOthers(now, reserved)
+		if missing := m.peak - m.reachableGateways(); missing != state.missing {
+			state.chargeMissing(now, missing-state.missing, m.reachableGateways(), m.peak, reserved)
+			state.missing = missing
 		}
 		if reserved > 0 {
 			// With less than one unit nothing would pass for as long as the peak is kept.
-			e.capAvailable(now, max(1, e.limit.Burst*(1-reserved)))
+			state.capAvailable(now, max(1, state.limit.Burst*(1-reserved)))
 		}
 		return
 	}
-	e.missing = m.peak - m.reachableGateways()
+	state.missing = m.peak - m.reachableGateways()
 	share := m.shareCount(now)
-	e.assumeOthers(now, 1-1/float64(share))
-	e.capAvailable(now, max(e.evenShare(share), e.idleUnits))
+	state.assumeOthers(now, 1-1/float64(share))
+	state.capAvailable(now, max(state.evenShare(share), state.idleUnits))
 }
 
 // readerFar reports whether first reads take long, while no gateway is or was lately unreachable. Idle
@@ -408,11 +408,11 @@
 }
 
 func (m *Meter) holderAnswers(now fsm.Time, i int) bool {
-	s := &m.holders[i]
+	holder := &m.holders[i]
 	switch {
-	case s.addr == "" || s.silent(now):
+	case holder.addr == "" || holder.silent(now):
 		return false
-	case !s.self || m.gateways == 1 || now-m.othersHeardAt < othersHeardWithin:
+	case !holder.self || m.gateways == 1 || now-m.othersHeardAt < othersHeardWithin:
 		return true
 	}
 	other := &m.holders[1-i]
--- a/internal/quotas/pace.go
+++ b/internal/quotas/pace.go
@@ -36,6 +36,6 @@
 func (c *Counter) encodedInterval() uint8 { return uint8(c.sendInterval / sendIntervalUnit) }
 
 // sendGap is the gap between adds that the holder asks for, at least the given one.
-func (s *holderState) sendGap(least time.Duration) time.Duration {
-	return max(least, time.Duration(s.sendInterval)*sendIntervalUnit)
+func (holder *holderState) sendGap(least time.Duration) time.Duration {
+	return max(least, time.Duration(holder.sendInterval)*sendIntervalUnit)
 }
--- a/internal/quotas/pack.go
+++ b/internal/quotas/pack.go
@@ -128,32 +128,32 @@
 // of the items' tenants.
 func (r *Roster) pack(period uint64, items []Item, places []int32) (packed []byte, rest []Item) {
 	last := 0
-	for k, it := range items {
-		i, ok := r.placeOf(it.Tenant, places, k)
+	for k, item := range items {
+		i, ok := r.placeOf(item.Tenant, places, k)
 		if !ok {
-			rest = append(rest, it)
+			rest = append(rest, item)
 			continue
 		}
 		var flags byte
 		unit := uint64(1)
-		if it.Sum%milliUnits == 0 && it.Unreported%milliUnits == 0 {
+		if item.Sum%milliUnits == 0 && item.Unreported%milliUnits == 0 {
 			flags, unit = packWhole, milliUnits
 		}
-		if it.Period != period {
+		if item.Period != period {
 			flags |= packPeriod
 		}
-		if it.NearLimit {
+		if item.NearLimit {
 			flags |= packNearLimit
 		}
-		if it.Interval != r.intervals[i] {
+		if item.Interval != r.intervals[i] {
 			flags |= packInterval
 		}
-		used := (max(it.Used, 1) - 1) / milliUnits // rounding down is safe, as this only raises a level
+		used := (max(item.Used, 1) - 1) / milliUnits // rounding down is safe, as this only raises a level
 		if used > 0 {
 			flags |= packUsed
 		}
-		switch it.Unreported {
-		case it.Sum:
+		switch item.Unreported {
+		case item.Sum:
 		case milliUnits:
 			flags |= packOneUnreported
 		default:
@@ -161,14 +161,14 @@
 		}
 		packed = r.next(packed, &last, i, flags)
 		if flags&packPeriod != 0 {
-			packed = binary.AppendUvarint(packed, it.Period)
+			packed = binary.AppendUvarint(packed, item.Period)
 		}
-		packed = binary.AppendUvarint(packed, it.Sum/unit)
+		packed = binary.AppendUvarint(packed, item.Sum/unit)
 		if flags&packUnreported != 0 {
-			packed = binary.AppendUvarint(packed, it.Unreported/unit)
+			packed = binary.AppendUvarint(packed, item.Unreported/unit)
 		}
 		if flags&packInterval != 0 {
-			packed = binary.AppendUvarint(packed, it.Interval)
+			packed = binary.AppendUvarint(packed, item.Interval)
 		}
 		if flags&packUsed != 0 {
 			packed = binary.AppendUvarint(packed, used)
@@ -241,27 +241,27 @@
 		if u.invalid {
 			return nil, nil, false
 		}
-		it := Item{Tenant: r.names[i], Period: period, Interval: r.intervals[i], NearLimit: flags&packNearLimit != 0}
+		item := Item{Tenant: r.names[i], Period: period, Interval: r.intervals[i], NearLimit: flags&packNearLimit != 0}
 		if flags&packPeriod != 0 {
-			it.Period = u.uvarint()
+			item.Period = u.uvarint()
 		}
-		it.Sum = u.uvarint() * unit(flags)
-		switch it.Unreported = it.Sum; {
+		item.Sum = u.uvarint() * unit(flags)
+		switch item.Unreported = item.Sum; {
 		case flags&packOneUnreported != 0:
-			it.Unreported = milliUnits
+			item.Unreported = milliUnits
 		case flags&packUnreported != 0:
-			it.Unreported = u.uvarint() * unit(flags)
+			item.Unreported = u.uvarint() * unit(flags)
 		}
 		if flags&packInterval != 0 {
-			it.Interval = u.uvarint()
+			item.Interval = u.uvarint()
 		}
 		if flags&packUsed != 0 {
-			it.Used = u.uvarint()*milliUnits + 1
+			item.Used = u.uvarint()*milliUnits + 1
 		}
 		if u.invalid {
 			return nil, nil, false
 		}
-		out, places = append(out, it), append(places, int32(i))
+		out, places = append(out, item), append(places, int32(i))
 	}
 	return out, places, true
 }
--- a/internal/quotas/roundtrip.go
+++ b/internal/quotas/roundtrip.go
@@ -13,17 +13,17 @@
 	since             fsm.Time
 }
 
-func (l *windowedMin) observe(now fsm.Time, v time.Duration) {
+func (m *windowedMin) observe(now fsm.Time, v time.Duration) {
 	switch {
-	case !l.known || now-l.since > 2*minWindow:
-		*l = windowedMin{known: true, current: v, previous: v, since: now}
-	case now-l.since > minWindow:
-		l.previous, l.current, l.since = l.current, v, now
+	case !m.known || now-m.since > 2*minWindow:
+		*m = windowedMin{known: true, current: v, previous: v, since: now}
+	case now-m.since > minWindow:
+		m.previous, m.current, m.since = m.current, v, now
 	}
-	l.current = min(l.current, v)
+	m.current = min(m.current, v)
 }
 
-func (l windowedMin) value() time.Duration { return min(l.current, l.previous) }
+func (m windowedMin) value() time.Duration { return min(m.current, m.previous) }
 
 // maxRoundTrip is the longest round trip that timeouts are extended for.
 const maxRoundTrip = 250 * time.Millisecond
--- a/internal/quotas/scarce.go
+++ b/internal/quotas/scarce.go
@@ -15,48 +15,48 @@
 	sentAt      map[string]fsm.Time // by gateway
 }
 
-func (c *scarceTenants) note(now fsm.Time, tenant string) {
-	if c.nearLimitAt == nil {
-		c.nearLimitAt, c.sentAt = map[string]fsm.Time{}, map[string]fsm.Time{}
+func (s *scarceTenants) note(now fsm.Time, tenant string) {
+	if s.nearLimitAt == nil {
+		s.nearLimitAt, s.sentAt = map[string]fsm.Time{}, map[string]fsm.Time{}
 	}
-	if i, known := slices.BinarySearch(c.names, tenant); !known {
-		c.names = slices.Insert(c.names, i, tenant)
+	if i, known := slices.BinarySearch(s.names, tenant); !known {
+		s.names = slices.Insert(s.names, i, tenant)
 	}
-	c.nearLimitAt[tenant] = now
+	s.nearLimitAt[tenant] = now
 }
 
 // due returns these tenants for a gateway, at most once in scarceGap.
-func (c *scarceTenants) due(now fsm.Time, gateway string) []string {
-	c.names = slices.DeleteFunc(c.names, func(t string) bool {
-		over := now-c.nearLimitAt[t] >= nearLimitWindow
+func (s *scarceTenants) due(now fsm.Time, gateway string) []string {
+	s.names = slices.DeleteFunc(s.names, func(t string) bool {
+		over := now-s.nearLimitAt[t] >= nearLimitWindow
 		if over {
-			delete(c.nearLimitAt, t)
+			delete(s.nearLimitAt, t)
 		}
 		return over
 	})
-	if len(c.names) == 0 {
-		clear(c.sentAt)
+	if len(s.names) == 0 {
+		clear(s.sentAt)
 		return nil
 	}
-	if at, ok := c.sentAt[gateway]; ok && now-at < scarceGap {
+	if at, ok := s.sentAt[gateway]; ok && now-at < scarceGap {
 		return nil
 	}
-	c.sentAt[gateway] = now
-	return c.names
+	s.sentAt[gateway] = now
+	return s.names
 }
 
 // unrequestedTotals returns the totals of scarce tenants that an add doesn't name.
 func (c *Counter) unrequestedTotals(now fsm.Time, from string, a Add) (out []Total) {
 	for _, tenant := range c.scarce.due(now, from) {
-		l := c.tenants[tenant]
-		if l == nil || l.periodOf(c.highestPeriod) == nil || slices.ContainsFunc(a.Items, func(it Item) bool { return it.Tenant == tenant }) {
+		usage := c.tenants[tenant]
+		if usage == nil || usage.periodOf(c.highestPeriod) == nil || slices.ContainsFunc(a.Items, func(item Item) bool { return item.Tenant == tenant }) {
 			continue
 		}
-		l.drain(now, c.listeningSince, Item{Interval: l.interval})
-		n, incarnations := l.periodOf(c.highestPeriod), c.incarnations.observe(now, from, a.Incarnation)
-		own, _ := n.sums.get(incarnations[len(incarnations)-1].number)
-		out = append(out, Total{Tenant: tenant, Period: c.highestPeriod, Others: n.others(incarnations), Own: own,
-			Level: uint64(l.level * milliUnits), LevelKnown: now-c.listeningSince >= listenTime})
+		usage.drain(now, c.listeningSince, Item{Interval: usage.interval})
+		period, incarnations := usage.periodOf(c.highestPeriod), c.incarnations.observe(now, from, a.Incarnation)
+		own, _ := period.sums.get(incarnations[len(incarnations)-1].number)
+		out = append(out, Total{Tenant: tenant, Period: c.highestPeriod, Others: period.others(incarnations), Own: own,
+			Level: uint64(usage.level * milliUnits), LevelKnown: now-c.listeningSince >= listenTime})
 	}
 	return out
 }
--- a/internal/quotas/sync.go
+++ b/internal/quotas/sync.go
@@ -46,20 +46,20 @@
 	tenants := m.activeTenants()
 	var out []fsm.Send
 	for i := range m.holders {
-		s := &m.holders[i]
+		holder := &m.holders[i]
 		gap, read := standbyGap, i == m.reader || !m.holderAnswers(now, i)
 		ping := !read && m.isHolder()
 		if ping {
 			gap = relaxedGap
 		}
 		if now-m.nearLimitAt < nearLimitWindow && m.nearLimitAt != 0 { // others may read the other holder, which must know as much
-			gap = s.sendGap(max(minGap, fsm.Time(m.gateways)*standbyPerGateway))
+			gap = holder.sendGap(max(minGap, fsm.Time(m.gateways)*standbyPerGateway))
 		}
 		switch {
-		case s.addr == "":
+		case holder.addr == "":
 			continue
 		case i == m.reader:
-		case now-s.lastAddAt < gap && !(read && relaxed):
+		case now-holder.lastAddAt < gap && !(read && relaxed):
 			continue
 		}
 		items, places, moreItems := m.collectItems(now, tenants, i, read)
@@ -67,32 +67,32 @@
 			continue
 		}
 		m.due = m.due || moreItems && read
-		late := s.retryDue(now)
+		late := holder.retryDue(now)
 		if late {
-			s.retries++
+			holder.retries++
 		}
-		if (read || ping) && s.unansweredSince == 0 {
-			s.unansweredSince = now
+		if (read || ping) && holder.unansweredSince == 0 {
+			holder.unansweredSince = now
 		}
-		if !read && now-s.rosterCheckAt >= rosterCheckGap {
-			s.rosterCheckAt, ping = now, true
+		if !read && now-holder.rosterCheckAt >= rosterCheckGap {
+			holder.rosterCheckAt, ping = now, true
 		}
-		s.lastAddAt = now
+		holder.lastAddAt = now
 		add := Add{Incarnation: m.incarnation, Period: m.period, Timestamp: now, Read: read, Ping: ping, NearLimit: now-m.nearLimitAt < nearLimitWindow, AnswersProbes: true,
 			Items: items, RosterHash: m.rosters.newestHash()}
-		if r := m.rosters.byHash(s.rosterHash); r != nil {
+		if r := m.rosters.byHash(holder.rosterHash); r != nil {
 			add.RosterHash = r.hash
 			add.Packed, add.Items = r.pack(m.period, items, places)
 			// The holder may not have been able to read a compact add that it didn't answer.
-			if s.readsCompact = s.readsCompact && !late; s.readsCompact && len(add.Items) == 0 {
+			if holder.readsCompact = holder.readsCompact && !late; holder.readsCompact && len(add.Items) == 0 {
 				add = add.compact()
 			}
 		}
-		out = append(out, fsm.Send{To: s.addr, Msg: add})
+		out = append(out, fsm.Send{To: holder.addr, Msg: add})
 	}
-	for _, e := range tenants {
-		for _, told := range e.reported {
-			e.sent = max(e.sent, told)
+	for _, state := range tenants {
+		for _, told := range state.reported {
+			state.sent = max(state.sent, told)
 		}
 	}
 	m.dropSettled()
@@ -113,9 +113,9 @@
 	at   fsm.Time
 }
 
-func (q *earlyReads) gap(now fsm.Time, gateways int) fsm.Time {
-	q.left = min(earlyReadBurst, q.left+(now-q.at).Seconds()*min(earlyReadRate, earlyReadFleetRate/float64(max(1, gateways))))
-	if q.at = now; q.left < 1 {
+func (r *earlyReads) gap(now fsm.Time, gateways int) fsm.Time {
+	r.left = min(earlyReadBurst, r.left+(now-r.at).Seconds()*min(earlyReadRate, earlyReadFleetRate/float64(max(1, gateways))))
+	if r.at = now; r.left < 1 {
 		return min(minGap, max(batchedReadGap, fsm.Time(gateways)*batchedReadPerGateway))
 	}
 	return earlyReadGap
@@ -143,44 +143,44 @@
 // collectItems returns the items for a holder with their places, and whether there are more than fit in one
 // add.
 func (m *Meter) collectItems(now fsm.Time, tenants []*tenantState, i int, read bool) (out []Item, places []int32, more bool) {
-	s := &m.holders[i]
-	var t pendingItems
-	for _, e := range tenants {
-		if e.cur.sum == 0 && e.prev.period == 0 && !e.readWanted {
+	holder := &m.holders[i]
+	var pending pendingItems
+	for _, state := range tenants {
+		if state.cur.sum == 0 && state.prev.period == 0 && !state.readWanted {
 			continue
 		}
-		e.rollPeriod(now, m.period, m.prev)
-		if e.prev.period != 0 && read && now-m.periodAt >= periodSettleTime {
-			t.prev = append(t.prev, e)
+		state.rollPeriod(now, m.period, m.prev)
+		if state.prev.period != 0 && read && now-m.periodAt >= periodSettleTime {
+			pending.prev = append(pending.prev, state)
 		}
-		e.resend[i] = (e.resend[i] || s.resendAll) && e.cur.sum > 0
-		if e.cur.sum != e.reported[i] || e.resend[i] || read && (e.cur.sum > e.cur.acked || e.readWanted) && !m.inFlight(now, e, s) {
-			t.cur = append(t.cur, e)
+		state.resend[i] = (state.resend[i] || holder.resendAll) && state.cur.sum > 0
+		if state.cur.sum != state.reported[i] || state.resend[i] || read && (state.cur.sum > state.cur.acked || state.readWanted) && !m.inFlight(now, state, holder) {
+			pending.cur = append(pending.cur, state)
 		}
 	}
-	s.resendAll = false // tenants had all of them
-	all := t.len()
-	t.trim(now, s, itemLimit(m.gateways))
-	out, places = make([]Item, 0, t.len()), make([]int32, 0, t.len())
-	for k, j := 0, 0; k < len(t.prev) || j < len(t.cur); {
-		if k < len(t.prev) && (j == len(t.cur) || byPlace(t.prev[k], t.cur[j]) <= 0) {
-			e := t.prev[k]
+	holder.resendAll = false // tenants had all of them
+	all := pending.len()
+	pending.trim(now, holder, itemLimit(m.gateways))
+	out, places = make([]Item, 0, pending.len()), make([]int32, 0, pending.len())
+	for k, j := 0, 0; k < len(pending.prev) || j < len(pending.cur); {
+		if k < len(pending.prev) && (j == len(pending.cur) || byPlace(pending.prev[k], pending.cur[j]) <= 0) {
+			state := pending.prev[k]
 			k++
-			places = append(places, e.place)
-			out = append(out, Item{Tenant: e.tenant, Period: e.prev.period, Sum: e.prev.sum, Unreported: e.prev.sum - e.prev.acked})
+			places = append(places, state.place)
+			out = append(out, Item{Tenant: state.tenant, Period: state.prev.period, Sum: state.prev.sum, Unreported: state.prev.sum - state.prev.acked})
 			continue
 		}
-		e := t.cur[j]
+		state := pending.cur[j]
 		j++
-		places = append(places, e.place)
-		out = append(out, Item{Tenant: e.tenant, Period: e.cur.period, Sum: e.cur.sum,
-			Unreported: e.cur.sum - min(e.cur.acked, e.reported[i]), Interval: uint64(e.interval / 1e3 / (1 - m.reservedPart(e))),
-			Used: m.usedToReport(now, e, i), NearLimit: e.nearLimitAt != 0 && now-e.nearLimitAt < nearLimitWindow})
+		places = append(places, state.place)
+		out = append(out, Item{Tenant: state.tenant, Period: state.cur.period, Sum: state.cur.sum,
+			Unreported: state.cur.sum - min(state.cur.acked, state.reported[i]), Interval: uint64(state.interval / 1e3 / (1 - m.reservedPart(state))),
+			Used: m.usedToReport(now, state, i), NearLimit: state.nearLimitAt != 0 && now-state.nearLimitAt < nearLimitWindow})
 		if i == m.reader {
-			e.reportedAt = now
+			state.reportedAt = now
 		}
-		if e.resend[i] = false; e.cur.period != 0 {
-			e.reported[i] = e.cur.sum
+		if state.resend[i] = false; state.cur.period != 0 {
+			state.reported[i] = state.cur.sum
 		}
 	}
 	return out, places, len(out) < all
@@ -188,11 +188,11 @@
 
 // usedToReport is the usage reported to a holder by a gateway that hasn't learned it from this holder. A
 // holder's own level isn't reported back to it: what each gateway adds on top would accumulate.
-func (m *Meter) usedToReport(now fsm.Time, e *tenantState, i int) uint64 {
+func (m *Meter) usedToReport(now fsm.Time, state *tenantState, i int) uint64 {
 	if i == m.reader && now-m.readerSince >= reportUsedFor {
 		return 0
 	}
-	return e.usedUnits(now)
+	return state.usedUnits(now)
 }
 
 // Receive handles an answer or a probe of a holder.
@@ -209,25 +209,25 @@
 	if !ok || a.Incarnation != m.incarnation || a.Timestamp > now {
 		return nil
 	}
-	s := &m.holders[i]
-	if s.readsCompact = a.ReadsCompact && !unknown; unknown { // the holder lives: it gets a full add with the whole incarnation
-		s.resendAll, m.due = true, true
-		if s.unansweredSince != 0 && a.Timestamp >= s.unansweredSince {
-			s.unansweredSince, s.retries = 0, 0
+	holder := &m.holders[i]
+	if holder.readsCompact = a.ReadsCompact && !unknown; unknown { // the holder lives: it gets a full add with the whole incarnation
+		holder.resendAll, m.due = true, true
+		if holder.unansweredSince != 0 && a.Timestamp >= holder.unansweredSince {
+			holder.unansweredSince, holder.retries = 0, 0
 		}
 		return nil
 	}
 	totals := m.unpack(now, i, a)
 	for _, t := range totals { // up to now by the state before the answer
-		if e := m.tenants[t.Tenant]; e != nil {
-			m.refresh(now, e)
+		if state := m.tenants[t.Tenant]; state != nil {
+			m.refresh(now, state)
 		}
 	}
-	if s.unansweredSince != 0 && a.Timestamp >= s.unansweredSince {
-		s.unansweredSince, s.retries = 0, 0
+	if holder.unansweredSince != 0 && a.Timestamp >= holder.unansweredSince {
+		holder.unansweredSince, holder.retries = 0, 0
 	}
-	s.rtt.observe(now, now-a.Timestamp)
-	s.missing, s.sendInterval = a.Missing, a.SendInterval
+	holder.rtt.observe(now, now-a.Timestamp)
+	holder.missing, holder.sendInterval = a.Missing, a.SendInterval
 	m.noteLosses(now)
 	if a.HeardOthers {
 		m.othersHeardAt = now
@@ -236,8 +236,8 @@
 		m.prev, m.period, m.periodAt = m.period, a.Period, now
 	}
 	for _, t := range totals {
-		if e := m.tenants[t.Tenant]; e != nil {
-			m.applyTotal(now, e, t, a.Timestamp, s)
+		if state := m.tenants[t.Tenant]; state != nil {
+			m.applyTotal(now, state, t, a.Timestamp, holder)
 		}
 	}
 	return nil
@@ -245,13 +245,13 @@
 
 // unpack returns the totals of an answer, and records which roster the holder has.
 func (m *Meter) unpack(now fsm.Time, i int, a Answer) []Total {
-	s := &m.holders[i]
-	used := s.rosterHash
+	holder := &m.holders[i]
+	used := holder.rosterHash
 	switch {
-	case a.Timestamp < s.prevRosterSince:
+	case a.Timestamp < holder.prevRosterSince:
 		used = 0
-	case a.Timestamp < s.rosterSince:
-		used = s.prevRosterHash
+	case a.Timestamp < holder.rosterSince:
+		used = holder.prevRosterHash
 	}
 	totals := a.Totals
 	if r := m.rosters.byHash(used); r != nil && a.PackedAccepted {
@@ -261,35 +261,35 @@
 		}
 		totals = append(packed, totals...)
 	}
-	next := s.rosterHash
+	next := holder.rosterHash
 	switch {
 	case m.rosters.byHash(a.RosterHash) != nil:
 		next = a.RosterHash
 	// The holder could not use the roster of the add, or named no known one.
-	case !a.PackedAccepted && a.Timestamp >= s.rosterSince:
+	case !a.PackedAccepted && a.Timestamp >= holder.rosterSince:
 		next = 0
 	}
-	if next == s.rosterHash {
+	if next == holder.rosterHash {
 		return totals
 	}
-	if !a.PackedAccepted && s.rosterHash != 0 {
-		s.resendAll = true
+	if !a.PackedAccepted && holder.rosterHash != 0 {
+		holder.resendAll = true
 	}
-	s.rosterHash, s.prevRosterHash, s.rosterSince, s.prevRosterSince = next, s.rosterHash, now, s.rosterSince
+	holder.rosterHash, holder.prevRosterHash, holder.rosterSince, holder.prevRosterSince = next, holder.rosterHash, now, holder.rosterSince
 	return totals
 }
 
-func (m *Meter) applyTotal(now fsm.Time, e *tenantState, t Total, timestamp fsm.Time, s *holderState) {
-	m.refresh(now, e)
-	e.levelUnknown = !t.LevelKnown && t.Period == e.cur.period
-	if t.Period == 0 || t.Period != e.cur.period {
-		m.applyPrevTotal(now, e, t)
-		if e.readWanted && t.LevelKnown {
-			m.requestRead(e) // by the current period
+func (m *Meter) applyTotal(now fsm.Time, state *tenantState, t Total, timestamp fsm.Time, holder *holderState) {
+	m.refresh(now, state)
+	state.levelUnknown = !t.LevelKnown && t.Period == state.cur.period
+	if t.Period == 0 || t.Period != state.cur.period {
+		m.applyPrevTotal(now, state, t)
+		if state.readWanted && t.LevelKnown {
+			m.requestRead(state) // by the current period
 		}
 		return
 	}
-	cur := &e.cur
+	cur := &state.cur
 	var newOthers float64
 	if cur.hasBase && t.Others > cur.others {
 		newOthers = float64(t.Others-cur.others) / milliUnits
@@ -301,70 +301,70 @@
 	}
 	fresh := t.LevelKnown && cur.hasBase && t.Others >= cur.others
 	cur.others, cur.hasBase, cur.answered = max(cur.others, t.Others), true, true
-	staleness := s.unreportedSpan(now, timestamp) // in which others pass units at the tenant's rate
-	if m.applyFirstRead(now, e, t, timestamp) {
-		e.tat += staleness
-	} else if e.levelRead {
-		e.addOthers(now, newOthers)
-		if fresh && now-timestamp <= s.rtt.extend(freshAnswer) && m.readerTrusted(now) {
-			e.lowerToLevel(now+staleness, float64(t.Level)/milliUnits)
+	staleness := holder.unreportedSpan(now, timestamp) // in which others pass units at the tenant's rate
+	if m.applyFirstRead(now, state, t, timestamp) {
+		state.tat += staleness
+	} else if state.levelRead {
+		state.addOthers(now, newOthers)
+		if fresh && now-timestamp <= holder.rtt.extend(freshAnswer) && m.readerTrusted(now) {
+			state.lowerToLevel(now+staleness, float64(t.Level)/milliUnits)
 		}
 		if t.LevelKnown { // sums only have what was added since the previous answer, which may have been another holder's
-			e.raiseToLevel(timestamp, float64(t.Level)/milliUnits-levelRounding)
+			state.raiseToLevel(timestamp, float64(t.Level)/milliUnits-levelRounding)
 		}
 	}
-	m.noteBehind(e, t, timestamp)
-	e.noteTraffic(now, newOwn, newOthers)
+	m.noteBehind(state, t, timestamp)
+	state.noteTraffic(now, newOwn, newOthers)
 }
 
 // applyFirstRead sets TAT of an unread tenant by the level that the holder knows, and the units passed here
 // that are not in it.
-func (m *Meter) applyFirstRead(now fsm.Time, e *tenantState, t Total, timestamp fsm.Time) bool {
-	if e.levelRead || !t.LevelKnown || timestamp < e.unreadSince || e.holdersSilent {
+func (m *Meter) applyFirstRead(now fsm.Time, state *tenantState, t Total, timestamp fsm.Time) bool {
+	if state.levelRead || !t.LevelKnown || timestamp < state.unreadSince || state.holdersSilent {
 		return false
 	}
-	e.levelRead, e.readWanted = true, false
-	e.tat = now
-	if over := float64(t.Level)/milliUnits + e.unacked(); over > 0 {
-		e.tat += e.duration(over)
+	state.levelRead, state.readWanted = true, false
+	state.tat = now
+	if over := float64(t.Level)/milliUnits + state.unacked(); over > 0 {
+		state.tat += state.duration(over)
 	}
 	return true
 }
 
 // applyPrevTotal takes the last units that others added in the previous period.
-func (m *Meter) applyPrevTotal(now fsm.Time, e *tenantState, t Total) {
-	prev := &e.prev
+func (m *Meter) applyPrevTotal(now fsm.Time, state *tenantState, t Total) {
+	prev := &state.prev
 	if t.Period == 0 || t.Period != prev.period {
 		return
 	}
 	prev.acked = max(prev.acked, min(t.Own, prev.sum))
-	if prev.hasBase && e.levelRead && t.Others > prev.others {
+	if prev.hasBase && state.levelRead && t.Others > prev.others {
 		units := float64(t.Others-prev.others) / milliUnits
 		if prev.maxNew > 0 {
 			units, prev.maxNew = min(units, prev.maxNew), max(1e-9, prev.maxNew-units)
 		}
-		e.addOthers(now, units)
+		state.addOthers(now, units)
 	}
 	prev.others = max(prev.others, t.Others)
 	if now-m.periodAt >= periodSettleTime && prev.acked >= prev.sum {
-		e.prev = periodSum{}
+		state.prev = periodSum{}
 	}
 }
 
 // ReadOverdue reports whether a holder leaves adds unanswered, so that another route to it should be tried.
 // After several round trips an answer is probably lost. A holder that has asked for fewer adds is
 // overloaded and drops some; further routes would only bring it more of them.
-func (m *Meter) ReadOverdue(now fsm.Time, holder string) bool {
-	i := m.holderIndex(holder)
+func (m *Meter) ReadOverdue(now fsm.Time, addr string) bool {
+	i := m.holderIndex(addr)
 	if i < 0 || !m.holders[i].retryDue(now) {
 		return false
 	}
-	s := &m.holders[i]
-	switch unanswered := now - s.unansweredSince; {
-	case s.sendInterval > 0:
+	holder := &m.holders[i]
+	switch unanswered := now - holder.unansweredSince; {
+	case holder.sendInterval > 0:
 		return unanswered >= overloadedTimeout
-	case s.far(): // routes through other regions vary by more than those within one
-		return unanswered >= s.rtt.extend(retryGap)+retryGap
+	case holder.far(): // routes through other regions vary by more than those within one
+		return unanswered >= holder.rtt.extend(retryGap)+retryGap
 	}
 	return true
 }
--- a/internal/quotas/tenant.go
+++ b/internal/quotas/tenant.go
@@ -68,136 +68,136 @@
 	ownRecent, othersRecent float64 // recent units, decaying: they give this gateway's part of the traffic
 }
 
-func (e *tenantState) setLimit(l Limit) {
-	e.limit = l
-	e.limit.Burst = max(l.Burst, 1)
-	e.interval = 1e9 / l.Rate
-	e.tau = e.duration(e.limit.Burst - 1)
+func (state *tenantState) setLimit(l Limit) {
+	state.limit = l
+	state.limit.Burst = max(l.Burst, 1)
+	state.interval = 1e9 / l.Rate
+	state.tau = state.duration(state.limit.Burst - 1)
 }
 
 // changeLimit carries TAT over: the units available afterwards are at most those available before, and at
 // most the new burst. What a higher limit adds has to accrue.
-func (e *tenantState) changeLimit(now fsm.Time, l Limit) {
-	available, known := min(e.available(now), e.limit.Burst), float64(e.knownTAT-now)/e.interval
-	e.setLimit(l)
-	e.knownTAT = now + e.duration(min(known, e.limit.Burst))
-	e.tat = now + e.tau - e.duration(min(available, e.limit.Burst)-1)
-	e.availableAtRead = min(e.availableAtRead, e.limit.Burst)
+func (state *tenantState) changeLimit(now fsm.Time, l Limit) {
+	available, known := min(state.available(now), state.limit.Burst), float64(state.knownTAT-now)/state.interval
+	state.setLimit(l)
+	state.knownTAT = now + state.duration(min(known, state.limit.Burst))
+	state.tat = now + state.tau - state.duration(min(available, state.limit.Burst)-1)
+	state.availableAtRead = min(state.availableAtRead, state.limit.Burst)
 }
 
-func (e *tenantState) duration(units float64) fsm.Time { return fsm.Time(units * e.interval) }
+func (state *tenantState) duration(units float64) fsm.Time { return fsm.Time(units * state.interval) }
 
 // available is the number of units that would pass now.
-func (e *tenantState) available(now fsm.Time) float64 {
-	return float64(now+e.tau-e.tat)/e.interval + 1
+func (state *tenantState) available(now fsm.Time) float64 {
+	return float64(now+state.tau-state.tat)/state.interval + 1
 }
 
 // capAvailable raises TAT so that at most this many units are available.
-func (e *tenantState) capAvailable(now fsm.Time, units float64) {
-	e.tat = max(e.tat, now+e.tau-e.duration(units-1))
+func (state *tenantState) capAvailable(now fsm.Time, units float64) {
+	state.tat = max(state.tat, now+state.tau-state.duration(units-1))
 }
 
 // resetToStartAllowance grants the even share of the burst to a tenant whose usage elsewhere is unknown.
-func (e *tenantState) resetToStartAllowance(now fsm.Time, gateways int) {
-	e.tat = now + e.tau - e.duration(e.evenShare(gateways)-1)
-	e.markUnread(now)
+func (state *tenantState) resetToStartAllowance(now fsm.Time, gateways int) {
+	state.tat = now + state.tau - state.duration(state.evenShare(gateways)-1)
+	state.markUnread(now)
 }
 
 // markUnread makes the next read set how much of the burst is in use.
-func (e *tenantState) markUnread(now fsm.Time) {
-	e.levelRead, e.unreadSince, e.assumedUntil, e.cur.hasBase, e.prev.hasBase, e.idleUnits = false, now, now, false, false, 0
+func (state *tenantState) markUnread(now fsm.Time) {
+	state.levelRead, state.unreadSince, state.assumedUntil, state.cur.hasBase, state.prev.hasBase, state.idleUnits = false, now, now, false, false, 0
 }
 
 // assumeOthers counts a part of the rate as used by others since the last call.
-func (e *tenantState) assumeOthers(now fsm.Time, part float64) {
-	e.tat += fsm.Time(float64(max(0, now-e.assumedUntil)) * part)
-	e.assumedUntil = max(e.assumedUntil, now)
+func (state *tenantState) assumeOthers(now fsm.Time, part float64) {
+	state.tat += fsm.Time(float64(max(0, now-state.assumedUntil)) * part)
+	state.assumedUntil = max(state.assumedUntil, now)
 }
 
-func (e *tenantState) evenShare(gateways int) float64 {
-	return max(1, e.limit.Burst/float64(gateways))
+func (state *tenantState) evenShare(gateways int) float64 {
+	return max(1, state.limit.Burst/float64(gateways))
 }
 
 // grantIdleAllowance grants an idle tenant one unit and its even share of the burst, as if the level had
 // been read as 0. Fractions are rounded by roundingDraw: at an average of 1.4 units, two gateways in five
 // get 2.
-func (e *tenantState) grantIdleAllowance(now fsm.Time, gateways int) {
-	e.idleUnits = math.Floor(1 + e.limit.Burst/float64(gateways) + e.roundingDraw)
-	e.tat = now + e.tau - e.duration(e.idleUnits-1)
+func (state *tenantState) grantIdleAllowance(now fsm.Time, gateways int) {
+	state.idleUnits = math.Floor(1 + state.limit.Burst/float64(gateways) + state.roundingDraw)
+	state.tat = now + state.tau - state.duration(state.idleUnits-1)
 }
 
 // toleratedPart is the part of the rate that unreachable gateways may pass without a reservation: a quarter
 // of the quota's margin in 5 s, which is a tenth and 20 units. The other three quarters cover units not
 // reported yet, at several changes of contact within 5 s.
-func (e *tenantState) toleratedPart() float64 {
-	return (0.1*(5*e.limit.Rate+e.limit.Burst) + 20) / 4 / (5 * e.limit.Rate)
+func (state *tenantState) toleratedPart() float64 {
+	return (0.1*(5*state.limit.Rate+state.limit.Burst) + 20) / 4 / (5 * state.limit.Rate)
 }
 
 // chargeMissing accounts for gateways that have become unreachable. Before that was noticed they passed
 // their part of the rate, and each of them as much of a recent surge as a reachable one; an older surge has
 // been reported. Of the rest, this side of the partition keeps its own part.
-func (e *tenantState) chargeMissing(now fsm.Time, newlyMissing, reachable, peak int, reserve float64) {
+func (state *tenantState) chargeMissing(now fsm.Time, newlyMissing, reachable, peak int, reserve float64) {
 	if newlyMissing <= 0 {
 		return
 	}
-	recent, rate := (e.ownRecent+e.othersRecent)*decay(now-e.readAt), e.limit.Rate
+	recent, rate := (state.ownRecent+state.othersRecent)*decay(now-state.readAt), state.limit.Rate
 	unreported := min(recent, rate)*detectionTime*float64(newlyMissing)/float64(peak) + max(0, recent-rate)*float64(newlyMissing)/float64(reachable)
-	e.capAvailable(now, (e.available(now)-unreported)*(1-reserve))
+	state.capAvailable(now, (state.available(now)-unreported)*(1-reserve))
 }
 
 // consume takes the units of a request that passes.
-func (e *tenantState) consume(now fsm.Time, units float64) {
-	e.tat = max(now, e.tat) + e.duration(units)
-	e.knownTAT = max(now, e.knownTAT) + e.duration(units)
+func (state *tenantState) consume(now fsm.Time, units float64) {
+	state.tat = max(now, state.tat) + state.duration(units)
+	state.knownTAT = max(now, state.knownTAT) + state.duration(units)
 	added := uint64(math.Round(units * milliUnits))
-	credited := min(added, e.credit)
-	e.credit -= credited
-	e.cur.sum += added - credited
+	credited := min(added, state.credit)
+	state.credit -= credited
+	state.cur.sum += added - credited
 }
 
 // addOthers takes units passed by other gateways.
-func (e *tenantState) addOthers(now fsm.Time, units float64) {
-	e.tat = max(now-e.tau, e.tat) + e.duration(units)
+func (state *tenantState) addOthers(now fsm.Time, units float64) {
+	state.tat = max(now-state.tau, state.tat) + state.duration(units)
 }
 
 // lowerToLevel corrects TAT down to the level. Units of others come in one sum for the whole time since the
 // last read, though room accrued in that time, which this gateway discards when its own request raises TAT
 // to now. The holder saw the units one by one.
-func (e *tenantState) lowerToLevel(now fsm.Time, level float64) {
-	e.tat = min(e.tat, now+e.duration(level+e.unacked()))
+func (state *tenantState) lowerToLevel(now fsm.Time, level float64) {
+	state.tat = min(state.tat, now+state.duration(level+state.unacked()))
 }
 
 // raiseToLevel raises TAT to the level that a holder knew at a time, if TAT is lower.
-func (e *tenantState) raiseToLevel(at fsm.Time, level float64) {
-	e.knownTAT = max(e.knownTAT, at+e.duration(level+e.unacked()))
-	e.tat = max(e.tat, e.knownTAT)
+func (state *tenantState) raiseToLevel(at fsm.Time, level float64) {
+	state.knownTAT = max(state.knownTAT, at+state.duration(level+state.unacked()))
+	state.tat = max(state.tat, state.knownTAT)
 }
 
-func (e *tenantState) unsent() float64 { return float64(e.cur.sum-e.sent) / milliUnits }
+func (state *tenantState) unsent() float64 { return float64(state.cur.sum-state.sent) / milliUnits }
 
 // unacked is the number of passed units that no holder is known to have counted.
-func (e *tenantState) unacked() float64 {
-	return float64(e.cur.sum-e.cur.acked+e.prev.sum-e.prev.acked) / milliUnits
+func (state *tenantState) unacked() float64 {
+	return float64(state.cur.sum-state.cur.acked+state.prev.sum-state.prev.acked) / milliUnits
 }
 
 // maxUnacked bounds unacked: slightly more than this gateway's part of the units that were available at the
 // last read and have accrued since. Without it, eleven gateways that get requests at the same moment would
 // pass eleven bursts.
-func (e *tenantState) maxUnacked(now fsm.Time, gateways int) float64 {
-	available := e.availableAtRead + (now-e.readAt).Seconds()*e.limit.Rate
-	return 1 + leadFactor*e.trafficPart(gateways)*min(max(0, available), e.limit.Burst)
+func (state *tenantState) maxUnacked(now fsm.Time, gateways int) float64 {
+	available := state.availableAtRead + (now-state.readAt).Seconds()*state.limit.Rate
+	return 1 + leadFactor*state.trafficPart(gateways)*min(max(0, available), state.limit.Burst)
 }
 
-func (e *tenantState) trafficPart(gateways int) float64 {
+func (state *tenantState) trafficPart(gateways int) float64 {
 	even := 1 / float64(gateways)
-	return max(even, (e.ownRecent+evenPrior*even)/(e.ownRecent+e.othersRecent+evenPrior))
+	return max(even, (state.ownRecent+evenPrior*even)/(state.ownRecent+state.othersRecent+evenPrior))
 }
 
 // noteTraffic records who passed the newest units; older ones decay within about a second.
-func (e *tenantState) noteTraffic(now fsm.Time, own, others float64) {
-	factor := decay(now - e.readAt)
-	e.ownRecent, e.othersRecent = e.ownRecent*factor+own, e.othersRecent*factor+others
-	e.readAt, e.availableAtRead = now, e.available(now)
+func (state *tenantState) noteTraffic(now fsm.Time, own, others float64) {
+	factor := decay(now - state.readAt)
+	state.ownRecent, state.othersRecent = state.ownRecent*factor+own, state.othersRecent*factor+others
+	state.readAt, state.availableAtRead = now, state.available(now)
 }
 
 func decay(age time.Duration) float64 { return 1 / (1 + age.Seconds()) }
@@ -205,46 +205,46 @@
 // rollPeriod moves the state to a new period. Units that no holder has counted in a period that nobody
 // reads any more are counted again in the new one. A tenant that was idle for longer than a period becomes
 // unread.
-func (e *tenantState) rollPeriod(now fsm.Time, period, prev uint64) {
-	if e.cur.period == period {
+func (state *tenantState) rollPeriod(now fsm.Time, period, prev uint64) {
+	if state.cur.period == period {
 		return
 	}
-	next := periodSum{period: period, hasBase: e.levelRead}
-	next.sum = e.prev.sum - e.prev.acked
-	switch e.cur.period {
+	next := periodSum{period: period, hasBase: state.levelRead}
+	next.sum = state.prev.sum - state.prev.acked
+	switch state.cur.period {
 	case 0: // holders don't count sums without a period
-		next.sum += e.cur.sum
-		e.prev = periodSum{}
+		next.sum += state.cur.sum
+		state.prev = periodSum{}
 	case prev:
-		e.prev = e.cur
-		if !e.cur.answered { // the period may be another holder's, of long ago: what is new in it came since the last read
-			e.prev.maxNew = e.limit.Rate * (now - e.readAt + periodSettleTime).Seconds()
+		state.prev = state.cur
+		if !state.cur.answered { // the period may be another holder's, of long ago: what is new in it came since the last read
+			state.prev.maxNew = state.limit.Rate * (now - state.readAt + periodSettleTime).Seconds()
 		}
 	default:
-		next.sum += e.cur.sum - e.cur.acked
-		e.prev = periodSum{}
+		next.sum += state.cur.sum - state.cur.acked
+		state.prev = periodSum{}
 	}
-	if e.prev.period != prev {
-		e.markUnread(now)
+	if state.prev.period != prev {
+		state.markUnread(now)
 		next.hasBase = false
 	}
-	e.cur, e.sent, e.reported, e.resend = next, 0, [2]uint64{}, [2]bool{}
+	state.cur, state.sent, state.reported, state.resend = next, 0, [2]uint64{}, [2]bool{}
 }
 
 // usedUnits is the part of the burst in use as messages encode it, plus 1; 0: unknown. A gateway that uses
 // its own share reports what it knew before and has passed since: a later holder may have no other source.
-func (e *tenantState) usedUnits(now fsm.Time) uint64 {
-	tat := e.tat
-	if !e.levelRead || e.holdersSilent {
-		tat = e.knownTAT
+func (state *tenantState) usedUnits(now fsm.Time) uint64 {
+	tat := state.tat
+	if !state.levelRead || state.holdersSilent {
+		tat = state.knownTAT
 	}
-	if !e.levelRead && tat <= now {
+	if !state.levelRead && tat <= now {
 		return 0
 	}
-	return 1 + uint64(min(max(0, float64(tat-now)/e.interval), e.limit.Burst)*milliUnits)
+	return 1 + uint64(min(max(0, float64(tat-now)/state.interval), state.limit.Burst)*milliUnits)
 }
 
 // retryAfter is the time until this many units pass if a part of the rate is reserved for others.
-func (e *tenantState) retryAfter(now fsm.Time, units, part float64) time.Duration {
-	return max(0, time.Duration(math.Ceil(float64(e.tat+e.duration(units-1)-e.tau-now)/(1-part))))
+func (state *tenantState) retryAfter(now fsm.Time, units, part float64) time.Duration {
+	return max(0, time.Duration(math.Ceil(float64(state.tat+state.duration(units-1)-state.tau-now)/(1-part))))
 }
