--- a/internal/quotas/compact.go
+++ b/internal/quotas/compact.go
@@ -6,10 +6,10 @@
 	"asterwell/internal/fsm"
 )
 
-// Where a gateway sees thousands of tenants, nearly all of its messages hold a few items, and
-// most of their bytes were the head. A gateway and a holder that have shown each other that they
-// read it send head and items as one string: a life as four bytes of it, by which the holder knows
-// the one that it has heard, and flags, numbers and roster without the keys of a map.
+// With thousands of tenants, nearly all messages of a gateway hold a few items, and the header was most of
+// their bytes. A gateway and a holder that have shown each other that they support it send header and items
+// as one string: four bytes identify the incarnation, which the holder knows from an earlier add, and
+// flags, numbers and roster hash come without the keys of a CBOR map.
 
 const (
 	compactRead = 1 << iota
@@ -21,24 +21,24 @@
 const (
 	compactHeardOthers = 1 << iota
 	compactPackedAccepted
-	compactMissing            // how many follows
-	compactRosterHash         // the holder's roster follows
-	compactUnknownIncarnation // the holder doesn't know the life: it took nothing
-	compactSendInterval       // follows
+	compactMissing            // their number follows
+	compactRosterHash         // the holder's roster hash follows
+	compactUnknownIncarnation // the holder doesn't know the incarnation, and took nothing
+	compactSendInterval       // the interval follows
 )
 
-// foldIncarnation is a life in four bytes. Two lives of a gateway that share one are as rare as two rosters
-// that share a hash.
-func foldIncarnation(life uint64) uint32 { return uint32(life) ^ uint32(life>>32) }
+// foldIncarnation reduces an incarnation to four bytes. Collisions between incarnations of a gateway are as
+// rare as those between hashes of rosters.
+func foldIncarnation(incarnation uint64) uint32 { return uint32(incarnation) ^ uint32(incarnation>>32) }
 
-func flagIf(of bool, bit byte) byte {
-	if of {
+func flagIf(on bool, bit byte) byte {
+	if on {
 		return bit
 	}
 	return 0
 }
 
-// compact is an add of a gateway whose life the holder knows; the whole of it is packed.
+// compact encodes an add whose items are all packed, for a holder that knows the incarnation.
 func (a Add) compact() Add {
 	b := make([]byte, 0, 24+len(a.Packed))
 	b = append(b, flagIf(a.Read, compactRead)|flagIf(a.Ping, compactPing)|flagIf(a.NearLimit, compactNearLimit)|flagIf(a.AnswersProbes, compactAnswersProbes))
@@ -49,7 +49,7 @@
 	return Add{Compact: append(b, a.Packed...)}
 }
 
-// foldedIncarnation is which life a shortened add is of.
+// foldedIncarnation returns the incarnation of a compact add.
 func (a Add) foldedIncarnation() (folded uint32, ok bool) {
 	if len(a.Compact) < 9 {
 		return 0, false
@@ -57,8 +57,8 @@
 	return binary.BigEndian.Uint32(a.Compact[1:]), true
 }
 
-// Expand is a shortened add as the life's that it is of; any other is as it was.
-func (a Add) Expand(life uint64) (long Add, ok bool) {
+// Expand decodes a compact add of a known incarnation; any other is returned as it is.
+func (a Add) Expand(incarnation uint64) (expanded Add, ok bool) {
 	if len(a.Compact) == 0 {
 		return a, true
 	}
@@ -67,14 +67,14 @@
 	}
 	u := unpacker{b: a.Compact[9:]}
 	flags := a.Compact[0]
-	long = Add{Incarnation: life, RosterHash: binary.BigEndian.Uint32(a.Compact[5:]), Read: flags&compactRead != 0, Ping: flags&compactPing != 0,
+	expanded = Add{Incarnation: incarnation, RosterHash: binary.BigEndian.Uint32(a.Compact[5:]), Read: flags&compactRead != 0, Ping: flags&compactPing != 0,
 		NearLimit: flags&compactNearLimit != 0, AnswersProbes: flags&compactAnswersProbes != 0}
-	long.Period, long.Timestamp = u.uvarint(), fsm.Time(u.uvarint())
-	long.Packed = u.b
-	return long, !u.invalid && long.Timestamp >= 0
+	expanded.Period, expanded.Timestamp = u.uvarint(), fsm.Time(u.uvarint())
+	expanded.Packed = u.b
+	return expanded, !u.invalid && expanded.Timestamp >= 0
 }
 
-// compact is an answer to a shortened add, if nothing of it has to go by names.
+// compact encodes an answer to a compact add, unless it has totals that are not packed.
 func (a Answer) compact() Answer {
 	if len(a.Totals) > 0 {
 		return a
@@ -82,7 +82,7 @@
 	return Answer{Compact: a.compactHead(0)}
 }
 
-// unknownIncarnation is the answer to a shortened add of a life that the holder hasn't heard.
+// unknownIncarnation is the answer to a compact add of an incarnation that the holder doesn't know.
 func (a Answer) unknownIncarnation(folded uint32) Answer {
 	b := a.compactHead(compactUnknownIncarnation)
 	binary.BigEndian.PutUint32(b[1:], folded)
@@ -107,8 +107,8 @@
 	return append(b, a.Packed...)
 }
 
-// RequestTimestamp is the stamp of the add that an answer is to.
-func (a Answer) RequestTimestamp() (stamp fsm.Time, ok bool) {
+// RequestTimestamp returns the timestamp of the add that is answered.
+func (a Answer) RequestTimestamp() (timestamp fsm.Time, ok bool) {
 	switch {
 	case len(a.Compact) == 0:
 		return a.Timestamp, true
@@ -116,36 +116,36 @@
 		return 0, false
 	}
 	u := unpacker{b: a.Compact[5:]}
-	u.uvarint() // the period
-	stamp = fsm.Time(u.uvarint())
-	return stamp, !u.invalid
+	u.uvarint() // skip the period
+	timestamp = fsm.Time(u.uvarint())
+	return timestamp, !u.invalid
 }
 
-// expand is a shortened answer to a life; any other is as it was. lost: the holder doesn't know
-// that life, and has taken nothing.
-func (a Answer) expand(life uint64) (long Answer, lost, ok bool) {
+// expand decodes a compact answer; any other is returned as it is. lost: the holder doesn't know the
+// incarnation, and took nothing.
+func (a Answer) expand(incarnation uint64) (expanded Answer, unknown, ok bool) {
 	if len(a.Compact) == 0 {
 		return a, false, true
 	}
-	if len(a.Compact) < 5 || binary.BigEndian.Uint32(a.Compact[1:]) != foldIncarnation(life) {
+	if len(a.Compact) < 5 || binary.BigEndian.Uint32(a.Compact[1:]) != foldIncarnation(incarnation) {
 		return a, false, false
 	}
 	u := unpacker{b: a.Compact[5:]}
 	flags := a.Compact[0]
-	long = Answer{Incarnation: life, HeardOthers: flags&compactHeardOthers != 0, PackedAccepted: flags&compactPackedAccepted != 0, ReadsCompact: true}
-	long.Period, long.Timestamp = u.uvarint(), fsm.Time(u.uvarint())
+	expanded = Answer{Incarnation: incarnation, HeardOthers: flags&compactHeardOthers != 0, PackedAccepted: flags&compactPackedAccepted != 0, ReadsCompact: true}
+	expanded.Period, expanded.Timestamp = u.uvarint(), fsm.Time(u.uvarint())
 	if flags&compactSendInterval != 0 && len(u.b) > 0 {
-		long.SendInterval, u.b = u.b[0], u.b[1:]
+		expanded.SendInterval, u.b = u.b[0], u.b[1:]
 	}
 	if flags&compactMissing != 0 {
-		long.Missing = uint32(u.uvarint())
+		expanded.Missing = uint32(u.uvarint())
 	}
 	if flags&compactRosterHash != 0 {
 		if len(u.b) < 4 {
 			return a, false, false
 		}
-		long.RosterHash, u.b = binary.BigEndian.Uint32(u.b), u.b[4:]
+		expanded.RosterHash, u.b = binary.BigEndian.Uint32(u.b), u.b[4:]
 	}
-	long.Packed = u.b
-	return long, flags&compactUnknownIncarnation != 0, !u.invalid && long.Timestamp >= 0
+	expanded.Packed = u.b
+	return expanded, flags&compactUnknownIncarnation != 0, !u.invalid && expanded.Timestamp >= 0
 }
--- a/internal/quotas/detector.go
+++ b/internal/quotas/detector.go
@@ -6,168 +6,168 @@
 	"asterwell/internal/fsm"
 )
 
-// Among more gateways than few it is counted once in countGap who is missing.
+// With more gateways than smallFleet the missing ones are counted once in recountGap.
 const (
 	smallFleet        = 100
 	recountGap        = 10 * time.Millisecond
-	probeOverdueAfter = 50 * time.Millisecond  // from tick to tick
-	probePerGateway   = 360 * time.Microsecond // for each gateway, between questions: some 2,800 of them a second at the most
+	probeOverdueAfter = 50 * time.Millisecond  // one tick
+	probePerGateway   = 360 * time.Microsecond // for each gateway, between probes: about 2,800 probes a second at most
 )
 
-// failureDetector is which gateways a counter hears, so that a cut is known before the members
-// are told of it: what is passed on the other side is in no sum here. The two holders
-// ask each other for signs of life while they are told anything. Where that one is
-// silent, or a tenant is near its limit, all that are silent are asked.
+// failureDetector tracks from which gateways a counter gets messages, so that a partition is noticed before
+// membership reports it: units passed on the other side are in no sum here. The two holders probe each
+// other while they get adds. If the other holder is silent, or a tenant is near its limit, all silent
+// gateways are probed.
 type failureDetector struct {
 	self         string
 	gateways     []string
 	peers        map[string]peer
-	reportedAt   fsm.Time // a gateway last told this counter what it has passed
-	watchAt      fsm.Time // it last mattered who is out of sight
+	reportedAt   fsm.Time // when a gateway last sent an add with items
+	watchAt      fsm.Time // when missing gateways last mattered
 	tickAt       fsm.Time
 	repeatAt     fsm.Time
-	probing      bool // all were, at the last tick
+	probing      bool // all silent gateways were probed at the last tick
 	missingCount uint32
-	countedAt    fsm.Time // when that was counted
+	countedAt    fsm.Time // when missingCount was counted
 }
 
-// peer is of one gateway. asked is the first time since the last sign; 0: not asked.
+// peer is the state of one gateway. probedAt is the first probe since its last message; 0: none.
 type peer struct {
 	heardAt, probedAt fsm.Time
-	answersProbes     bool // it answers
+	answersProbes     bool
 	rtt               roundTrip
 }
 
-// worthProbing says that a question is worth asking. Who was never heard here may be out of reach since before this holder
-// began: it counts as missing until it has shown that it is not.
-func (v peer) worthProbing() bool { return v.answersProbes || v.heardAt == 0 }
+// worthProbing reports whether to probe a gateway. One that was never heard may have been unreachable since
+// before this holder started: it counts as missing until it answers.
+func (p peer) worthProbing() bool { return p.answersProbes || p.heardAt == 0 }
 
-// watch looks for all at once: a holder that is new knows of nobody who is out of reach.
-func (s *failureDetector) watch(now fsm.Time) { s.watchAt = now }
+// watch starts probing all gateways: a new holder doesn't know which of them are unreachable.
+func (d *failureDetector) watch(now fsm.Time) { d.watchAt = now }
 
-// setGateways takes the gateways there are, the two holders first.
-func (s *failureDetector) setGateways(nodes []string) {
-	s.gateways = nodes
+// setGateways sets the known gateways, the two holders first.
+func (d *failureDetector) setGateways(nodes []string) {
+	d.gateways = nodes
 	next := make(map[string]peer, len(nodes))
 	for _, n := range nodes {
-		next[n] = s.peers[n]
+		next[n] = d.peers[n]
 	}
-	s.peers = next
+	d.peers = next
 }
 
-func (s *failureDetector) receive(now fsm.Time, from string, a Add) {
-	s.heartbeat(now, from, a.AnswersProbes)
-	if v, ok := s.peers[from]; ok && a.ProbeTimestamp > 0 && a.ProbeTimestamp <= now {
-		v.rtt.observe(now, now-a.ProbeTimestamp)
-		s.peers[from] = v
+func (d *failureDetector) receive(now fsm.Time, from string, a Add) {
+	d.heartbeat(now, from, a.AnswersProbes)
+	if p, ok := d.peers[from]; ok && a.ProbeTimestamp > 0 && a.ProbeTimestamp <= now {
+		p.rtt.observe(now, now-a.ProbeTimestamp)
+		d.peers[from] = p
 	}
-	if len(a.Items) > 0 && from != s.self {
-		s.reportedAt = now
+	if len(a.Items) > 0 && from != d.self {
+		d.reportedAt = now
 	}
 	if a.NearLimit {
-		s.watchAt = now
+		d.watchAt = now
 	}
 }
 
-func (s *failureDetector) heartbeat(now fsm.Time, from string, signs bool) {
-	s.forgiveStall(now)
-	if v, ok := s.peers[from]; ok {
-		s.peers[from] = peer{heardAt: now, answersProbes: signs, rtt: v.rtt}
+func (d *failureDetector) heartbeat(now fsm.Time, from string, signs bool) {
+	d.forgiveStall(now)
+	if p, ok := d.peers[from]; ok {
+		d.peers[from] = peer{heardAt: now, answersProbes: signs, rtt: p.rtt}
 	}
 }
 
-// otherHolder is the other holder, if this process is one.
-func (s *failureDetector) otherHolder() string {
+// otherHolder is the other holder's address, if this process is a holder.
+func (d *failureDetector) otherHolder() string {
 	switch {
-	case len(s.gateways) < 2:
-	case s.gateways[0] == s.self:
-		return s.gateways[1]
-	case s.gateways[1] == s.self:
-		return s.gateways[0]
+	case len(d.gateways) < 2:
+	case d.gateways[0] == d.self:
+		return d.gateways[1]
+	case d.gateways[1] == d.self:
+		return d.gateways[0]
 	}
 	return ""
 }
 
-// forgiveStall: where it was this process that stood still, nobody has failed to answer.
-func (s *failureDetector) forgiveStall(now fsm.Time) {
-	if now-s.tickAt <= tickStall {
+// forgiveStall drops open probes if this process itself was frozen: then their answers are not overdue.
+func (d *failureDetector) forgiveStall(now fsm.Time) {
+	if now-d.tickAt <= tickStall {
 		return
 	}
-	for n, v := range s.peers {
-		v.probedAt = 0
-		s.peers[n] = v
+	for n, p := range d.peers {
+		p.probedAt = 0
+		d.peers[n] = p
 	}
 }
 
-func (s *failureDetector) watching(now fsm.Time) bool {
-	return s.watchAt != 0 && now-s.watchAt < watchTime
+func (d *failureDetector) watching(now fsm.Time) bool {
+	return d.watchAt != 0 && now-d.watchAt < watchTime
 }
 
-// tick asks those that are silent.
-func (s *failureDetector) tick(now fsm.Time) (out []fsm.Send) {
-	s.forgiveStall(now)
-	s.tickAt = now
-	fellow, used := s.otherHolder(), s.reportedAt != 0 && now-s.reportedAt < reportedWithin
-	if v := s.peers[fellow]; used && v.probedAt != 0 && now-v.probedAt >= v.rtt.extend(holderProbeTimeout) {
-		s.watchAt = now
+// tick returns probes to gateways that are silent.
+func (d *failureDetector) tick(now fsm.Time) (out []fsm.Send) {
+	d.forgiveStall(now)
+	d.tickAt = now
+	other, active := d.otherHolder(), d.reportedAt != 0 && now-d.reportedAt < reportedWithin
+	if p := d.peers[other]; active && p.probedAt != 0 && now-p.probedAt >= p.rtt.extend(holderProbeTimeout) {
+		d.watchAt = now
 	}
-	watching := s.watching(now)
-	if !watching && !s.probing && !(used && fellow != "") {
+	watching := d.watching(now)
+	if !watching && !d.probing && !(active && other != "") {
 		return nil
 	}
-	s.probing = watching
-	again := now-s.repeatAt >= s.scaled(probeTimeout)
-	for _, n := range s.gateways {
-		v := s.peers[n]
-		if !watching && !(used && n == fellow) {
-			v.probedAt = 0
-			s.peers[n] = v
+	d.probing = watching
+	repeat := now-d.repeatAt >= d.scaled(probeTimeout)
+	for _, n := range d.gateways {
+		p := d.peers[n]
+		if !watching && !(active && n == other) {
+			p.probedAt = 0
+			d.peers[n] = p
 			continue
 		}
-		if n == s.self || !v.worthProbing() || now-v.heardAt < s.scaled(probeAfter) || v.probedAt != 0 && !again {
+		if n == d.self || !p.worthProbing() || now-p.heardAt < d.scaled(probeAfter) || p.probedAt != 0 && !repeat {
 			continue
 		}
-		if v.probedAt == 0 {
-			v.probedAt = now
-			s.peers[n] = v
+		if p.probedAt == 0 {
+			p.probedAt = now
+			d.peers[n] = p
 		}
 		out = append(out, fsm.Send{To: n, Msg: Answer{Probe: true, Timestamp: now}})
 	}
-	if again {
-		s.repeatAt = now
+	if repeat {
+		d.repeatAt = now
 	}
 	return out
 }
 
-// scaled is a gap between questions, longer where there are more than 250 gateways to be asked.
-func (s *failureDetector) scaled(gap time.Duration) time.Duration {
-	return max(gap, time.Duration(len(s.gateways))*probePerGateway)
+// scaled lengthens a gap between probes where there are more than 250 gateways.
+func (d *failureDetector) scaled(gap time.Duration) time.Duration {
+	return max(gap, time.Duration(len(d.gateways))*probePerGateway)
 }
 
-// probeOverdue says that a gateway was asked before and hasn't answered: one near by at the tick before, one that is far for
-// as long as its answer may take.
-func (s *failureDetector) probeOverdue(now fsm.Time, node string) bool {
-	v := s.peers[node]
-	if v.probedAt == 0 || v.probedAt == now {
+// probeOverdue reports whether a probe of a gateway is unanswered: of a near one since the previous tick,
+// of a far one for as long as its answer may take.
+func (d *failureDetector) probeOverdue(now fsm.Time, node string) bool {
+	p := d.peers[node]
+	if p.probedAt == 0 || p.probedAt == now {
 		return false
 	}
-	if v.rtt.excess(probeOverdueAfter) > 0 {
-		return now-v.probedAt >= v.rtt.extend(probeOverdueAfter)
+	if p.rtt.excess(probeOverdueAfter) > 0 {
+		return now-p.probedAt >= p.rtt.extend(probeOverdueAfter)
 	}
 	return true
 }
 
-// missing is how many gateways are out of sight.
-func (s *failureDetector) missing(now fsm.Time) (n uint32) {
-	if !s.watching(now) {
+// missing is the number of gateways that don't answer probes.
+func (d *failureDetector) missing(now fsm.Time) (n uint32) {
+	if !d.watching(now) {
 		return 0
 	}
-	if len(s.peers) > smallFleet && now-s.countedAt < recountGap && s.countedAt != 0 { // it is asked for with each answer
-		return s.missingCount
+	if len(d.peers) > smallFleet && now-d.countedAt < recountGap && d.countedAt != 0 { // each answer needs the count
+		return d.missingCount
 	}
-	defer func() { s.missingCount, s.countedAt = n, now }()
-	for _, v := range s.peers {
-		if v.worthProbing() && v.probedAt != 0 && now-v.probedAt >= v.rtt.extend(probeTimeout) {
+	defer func() { d.missingCount, d.countedAt = n, now }()
+	for _, p := range d.peers {
+		if p.worthProbing() && p.probedAt != 0 && now-p.probedAt >= p.rtt.extend(probeTimeout) {
 			n++
 		}
 	}
--- a/internal/quotas/roundtrip.go
+++ b/internal/quotas/roundtrip.go
@@ -6,34 +6,33 @@
 	"asterwell/internal/fsm"
 )
 
-// windowedMin is the least of what was measured lately: what was held up, or lost and repeated,
-// doesn't count.
+// windowedMin is the minimum of recent measurements. Delayed or repeated messages don't affect it.
 type windowedMin struct {
 	known             bool
-	current, previous time.Duration // of this span and of the one before
+	current, previous time.Duration // of this window and of the one before
 	since             fsm.Time
 }
 
-func (l *windowedMin) observe(now fsm.Time, v time.Duration) {
+func (m *windowedMin) observe(now fsm.Time, v time.Duration) {
 	switch {
-	case !l.known || now-l.since > 2*minWindow:
-		*l = windowedMin{known: true, current: v, previous: v, since: now}
-	case now-l.since > minWindow:
-		l.previous, l.current, l.since = l.current, v, now
+	case !m.known || now-m.since > 2*minWindow:
+		*m = windowedMin{known: true, current: v, previous: v, since: now}
+	case now-m.since > minWindow:
+		m.previous, m.current, m.since = m.current, v, now
 	}
-	l.current = min(l.current, v)
+	m.current = min(m.current, v)
 }
 
-func (l windowedMin) value() time.Duration { return min(l.current, l.previous) }
+func (m windowedMin) value() time.Duration { return min(m.current, m.previous) }
 
-// maxRoundTrip is the longest way there and back that is reckoned with.
+// maxRoundTrip is the longest round trip that timeouts are extended for.
 const maxRoundTrip = 250 * time.Millisecond
 
-// roundTrip is the way to another process and back, from asked to answered.
+// roundTrip is the recent minimal round trip time to another process.
 type roundTrip struct{ windowedMin }
 
-// excess is by how much a wait for an answer is longer than the gap that near ones have:
-// nothing where the way is within the gap. A quarter is for what is late.
+// excess is by how much a timeout for near processes has to be extended: 0 for a round trip within it. A
+// quarter is added for variation.
 func (r roundTrip) excess(gap time.Duration) time.Duration {
 	return 5 * max(0, min(r.value(), maxRoundTrip)-gap) / 4
 }
--- a/internal/quotas/sync.go
+++ b/internal/quotas/sync.go
@@ -4,21 +4,22 @@
 	"asterwell/internal/fsm"
 )
 
-// Due says that an add should go out before the next tick, and may.
+// Due reports whether an add should be sent before the next tick, and may be.
 func (m *Meter) Due(now fsm.Time) bool {
 	return (m.due || m.newDemand) && (m.sentAt == 0 || now-m.sentAt >= m.minSendGap(now))
 }
 
-// minSendGap is what lies between the last add and the next at least.
+// minSendGap is the shortest gap between two adds at this moment.
 func (m *Meter) minSendGap(now fsm.Time) fsm.Time {
 	least := minGap
 	if m.newDemand {
 		least = m.earlyReads.gap(now, m.gateways)
 	}
 	switch {
-	case m.reader >= 0 && !m.holders[m.reader].retryDue(now): // a repetition isn't paced: the holder would be taken as mute
+	// A repetition isn't delayed by the requested gap, or the holder would count as silent.
+	case m.reader >= 0 && !m.holders[m.reader].retryDue(now):
 		return m.holders[m.reader].sendGap(least)
-	case m.retryBackoff() > minGap: // but of many gateways none repeats often
+	case m.retryBackoff() > minGap: // in large fleets repetitions are rare
 		return m.retryBackoff()
 	}
 	return least
@@ -31,66 +32,67 @@
 	if since < m.minSendGap(now) && m.sentAt != 0 {
 		return nil
 	}
-	ease := now >= m.relaxedAt
+	relaxed := now >= m.relaxedAt
 	retry := m.reader >= 0 && m.holders[m.reader].retryDue(now)
-	if !ease && !m.due && !m.newDemand && !retry {
+	if !relaxed && !m.due && !m.newDemand && !retry {
 		return nil
 	}
 	m.due, m.newDemand = false, false
 	m.updatePeak(now)
-	if ease {
+	if relaxed {
 		m.relaxedAt = max(m.relaxedAt, now-relaxedGap) + relaxedGap
 	}
 	m.chooseReader(now)
-	walk := m.activeTenants()
+	tenants := m.activeTenants()
 	var out []fsm.Send
 	for i := range m.holders {
-		s := &m.holders[i]
+		holder := &m.holders[i]
 		gap, read := standbyGap, i == m.reader || !m.holderAnswers(now, i)
-		echo := !read && m.isHolder()
-		if echo {
+		ping := !read && m.isHolder()
+		if ping {
 			gap = relaxedGap
 		}
-		if now-m.nearLimitAt < nearLimitWindow && m.nearLimitAt != 0 { // others may read the other holder: it must know as much
-			gap = s.sendGap(max(minGap, fsm.Time(m.gateways)*standbyPerGateway))
+		if now-m.nearLimitAt < nearLimitWindow && m.nearLimitAt != 0 { // others may read the other holder, which must know as much
+			gap = holder.sendGap(max(minGap, fsm.Time(m.gateways)*standbyPerGateway))
 		}
 		switch {
-		case s.addr == "":
+		case holder.addr == "":
 			continue
 		case i == m.reader:
-		case now-s.lastAddAt < gap && !(read && ease):
+		case now-holder.lastAddAt < gap && !(read && relaxed):
 			continue
 		}
-		items, places, more := m.collectItems(now, walk, i, read)
+		items, places, moreItems := m.collectItems(now, tenants, i, read)
 		if len(items) == 0 {
 			continue
 		}
-		m.due = m.due || more && read
-		late := s.retryDue(now)
+		m.due = m.due || moreItems && read
+		late := holder.retryDue(now)
 		if late {
-			s.retries++
+			holder.retries++
 		}
-		if (read || echo) && s.unansweredSince == 0 {
-			s.unansweredSince = now
+		if (read || ping) && holder.unansweredSince == 0 {
+			holder.unansweredSince = now
 		}
-		if !read && now-s.rosterCheckAt >= rosterCheckGap {
-			s.rosterCheckAt, echo = now, true
+		if !read && now-holder.rosterCheckAt >= rosterCheckGap {
+			holder.rosterCheckAt, ping = now, true
 		}
-		s.lastAddAt = now
-		add := Add{Incarnation: m.incarnation, Period: m.period, Timestamp: now, Read: read, Ping: echo, NearLimit: now-m.nearLimitAt < nearLimitWindow, AnswersProbes: true,
+		holder.lastAddAt = now
+		add := Add{Incarnation: m.incarnation, Period: m.period, Timestamp: now, Read: read, Ping: ping, NearLimit: now-m.nearLimitAt < nearLimitWindow, AnswersProbes: true,
 			Items: items, RosterHash: m.rosters.newestHash()}
-		if r := m.rosters.byHash(s.rosterHash); r != nil {
+		if r := m.rosters.byHash(holder.rosterHash); r != nil {
 			add.RosterHash = r.hash
 			add.Packed, add.Items = r.pack(m.period, items, places)
-			if s.readsCompact = s.readsCompact && !late; s.readsCompact && len(add.Items) == 0 { // what isn't answered may not have been read
+			// The holder may not have been able to read a compact add that it didn't answer.
+			if holder.readsCompact = holder.readsCompact && !late; holder.readsCompact && len(add.Items) == 0 {
 				add = add.compact()
 			}
 		}
-		out = append(out, fsm.Send{To: s.addr, Msg: add})
+		out = append(out, fsm.Send{To: holder.addr, Msg: add})
 	}
-	for _, e := range walk {
-		for _, told := range e.reported {
-			e.sent = max(e.sent, told)
+	for _, state := range tenants {
+		for _, told := range state.reported {
+			state.sent = max(state.sent, told)
 		}
 	}
 	m.dropSettled()
@@ -102,25 +104,25 @@
 	return out
 }
 
-// earlyReads is how many first reads may still follow another message closely. Where a gateway sees few
-// tenants that is all of them; where it sees thousands, each of them once, a message for each would be
-// most of what control sends, and those of some 25 ms go together; of more than 250 gateways, of as
-// long as the holder has for one add of each, up to what lies between any two adds.
+// earlyReads is a token bucket for first reads sent shortly after another message. Where a gateway sees few
+// tenants it covers all first reads. Where it sees thousands, each once, a message for each would be most
+// of the control traffic, so the reads of some 25 ms are sent together; with more than 250 gateways those
+// of a longer time, in which the holder can take one add of each, but at most minGap.
 type earlyReads struct {
 	left float64
 	at   fsm.Time
 }
 
-func (q *earlyReads) gap(now fsm.Time, gateways int) fsm.Time {
-	q.left = min(earlyReadBurst, q.left+(now-q.at).Seconds()*min(earlyReadRate, earlyReadFleetRate/float64(max(1, gateways))))
-	if q.at = now; q.left < 1 {
+func (r *earlyReads) gap(now fsm.Time, gateways int) fsm.Time {
+	r.left = min(earlyReadBurst, r.left+(now-r.at).Seconds()*min(earlyReadRate, earlyReadFleetRate/float64(max(1, gateways))))
+	if r.at = now; r.left < 1 {
 		return min(minGap, max(batchedReadGap, fsm.Time(gateways)*batchedReadPerGateway))
 	}
 	return earlyReadGap
 }
 
-// chooseReader takes the first holder that answers. One that was not read before is
-// told everything again: it may be new.
+// chooseReader selects the first holder that answers. A newly selected one is told everything again, as it
+// may be new.
 func (m *Meter) chooseReader(now fsm.Time) {
 	reader := -1
 	for i := range m.holders {
@@ -138,61 +140,62 @@
 	m.reader = reader
 }
 
-// collectItems is what a holder is told, and whether there was more than an add has room for.
-func (m *Meter) collectItems(now fsm.Time, walk []*tenantState, i int, read bool) (out []Item, places []int32, more bool) {
-	s := &m.holders[i]
-	var t pendingItems
-	for _, e := range walk {
-		if e.cur.sum == 0 && e.prev.period == 0 && !e.readWanted {
+// collectItems returns the items for a holder with their places, and whether there are more than fit in one
+// add.
+func (m *Meter) collectItems(now fsm.Time, tenants []*tenantState, i int, read bool) (out []Item, places []int32, more bool) {
+	holder := &m.holders[i]
+	var pending pendingItems
+	for _, state := range tenants {
+		if state.cur.sum == 0 && state.prev.period == 0 && !state.readWanted {
 			continue
 		}
-		e.rollPeriod(now, m.period, m.prev)
-		if e.prev.period != 0 && read && now-m.periodAt >= periodSettleTime {
-			t.prev = append(t.prev, e)
+		state.rollPeriod(now, m.period, m.prev)
+		if state.prev.period != 0 && read && now-m.periodAt >= periodSettleTime {
+			pending.prev = append(pending.prev, state)
 		}
-		e.resend[i] = (e.resend[i] || s.resendAll) && e.cur.sum > 0
-		if e.cur.sum != e.reported[i] || e.resend[i] || read && (e.cur.sum > e.cur.acked || e.readWanted) && !m.inFlight(now, e, s) {
-			t.cur = append(t.cur, e)
+		state.resend[i] = (state.resend[i] || holder.resendAll) && state.cur.sum > 0
+		if state.cur.sum != state.reported[i] || state.resend[i] || read && (state.cur.sum > state.cur.acked || state.readWanted) && !m.inFlight(now, state, holder) {
+			pending.cur = append(pending.cur, state)
 		}
 	}
-	s.resendAll = false // walk was all there are
-	all := t.len()
-	t.trim(now, s, itemLimit(m.gateways))
-	out, places = make([]Item, 0, t.len()), make([]int32, 0, t.len())
-	for k, j := 0, 0; k < len(t.prev) || j < len(t.cur); {
-		if k < len(t.prev) && (j == len(t.cur) || byPlace(t.prev[k], t.cur[j]) <= 0) {
-			e := t.prev[k]
+	holder.resendAll = false // tenants had all of them
+	all := pending.len()
+	pending.trim(now, holder, itemLimit(m.gateways))
+	out, places = make([]Item, 0, pending.len()), make([]int32, 0, pending.len())
+	for k, j := 0, 0; k < len(pending.prev) || j < len(pending.cur); {
+		if k < len(pending.prev) && (j == len(pending.cur) || byPlace(pending.prev[k], pending.cur[j]) <= 0) {
+			state := pending.prev[k]
 			k++
-			places = append(places, e.place)
-			out = append(out, Item{Tenant: e.tenant, Period: e.prev.period, Sum: e.prev.sum, Unreported: e.prev.sum - e.prev.acked})
+			places = append(places, state.place)
+			out = append(out, Item{Tenant: state.tenant, Period: state.prev.period, Sum: state.prev.sum, Unreported: state.prev.sum - state.prev.acked})
 			continue
 		}
-		e := t.cur[j]
+		state := pending.cur[j]
 		j++
-		places = append(places, e.place)
-		out = append(out, Item{Tenant: e.tenant, Period: e.cur.period, Sum: e.cur.sum,
-			Unreported: e.cur.sum - min(e.cur.acked, e.reported[i]), Interval: uint64(e.interval / 1e3 / (1 - m.reservedPart(e))),
-			Used: m.usedToReport(now, e, i), NearLimit: e.nearLimitAt != 0 && now-e.nearLimitAt < nearLimitWindow})
+		places = append(places, state.place)
+		out = append(out, Item{Tenant: state.tenant, Period: state.cur.period, Sum: state.cur.sum,
+			Unreported: state.cur.sum - min(state.cur.acked, state.reported[i]), Interval: uint64(state.interval / 1e3 / (1 - m.reservedPart(state))),
+			Used: m.usedToReport(now, state, i), NearLimit: state.nearLimitAt != 0 && now-state.nearLimitAt < nearLimitWindow})
 		if i == m.reader {
-			e.reportedAt = now
+			state.reportedAt = now
 		}
-		if e.resend[i] = false; e.cur.period != 0 {
-			e.reported[i] = e.cur.sum
+		if state.resend[i] = false; state.cur.period != 0 {
+			state.reported[i] = state.cur.sum
 		}
 	}
 	return out, places, len(out) < all
 }
 
-// usedToReport is what a holder is told to be in use of a tenant's burst: by one that hasn't learned it from that holder.
-// What a holder has told is not told back to it, or what each gateway reckons with on top would add up.
-func (m *Meter) usedToReport(now fsm.Time, e *tenantState, i int) uint64 {
+// usedToReport is the usage reported to a holder by a gateway that hasn't learned it from this holder. A
+// holder's own level isn't reported back to it: what each gateway adds on top would accumulate.
+func (m *Meter) usedToReport(now fsm.Time, state *tenantState, i int) uint64 {
 	if i == m.reader && now-m.readerSince >= reportUsedFor {
 		return 0
 	}
-	return e.usedUnits(now)
+	return state.usedUnits(now)
 }
 
-// Receive hears an answer of a holder.
+// Receive handles an answer or a probe of a holder.
 func (m *Meter) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	a, ok := msg.(Answer)
 	if ok && a.Probe {
@@ -202,29 +205,29 @@
 	if !ok || i < 0 {
 		return nil
 	}
-	a, lost, ok := a.expand(m.incarnation)
+	a, unknown, ok := a.expand(m.incarnation)
 	if !ok || a.Incarnation != m.incarnation || a.Timestamp > now {
 		return nil
 	}
-	s := &m.holders[i]
-	if s.readsCompact = a.ReadsCompact && !lost; lost { // it lives, and is told again, with the whole life
-		s.resendAll, m.due = true, true
-		if s.unansweredSince != 0 && a.Timestamp >= s.unansweredSince {
-			s.unansweredSince, s.retries = 0, 0
+	holder := &m.holders[i]
+	if holder.readsCompact = a.ReadsCompact && !unknown; unknown { // the holder lives: it gets a full add with the whole incarnation
+		holder.resendAll, m.due = true, true
+		if holder.unansweredSince != 0 && a.Timestamp >= holder.unansweredSince {
+			holder.unansweredSince, holder.retries = 0, 0
 		}
 		return nil
 	}
 	totals := m.unpack(now, i, a)
-	for _, t := range totals { // up to now, by what was known
-		if e := m.tenants[t.Tenant]; e != nil {
-			m.refresh(now, e)
+	for _, t := range totals { // up to now by the state before the answer
+		if state := m.tenants[t.Tenant]; state != nil {
+			m.refresh(now, state)
 		}
 	}
-	if s.unansweredSince != 0 && a.Timestamp >= s.unansweredSince {
-		s.unansweredSince, s.retries = 0, 0
+	if holder.unansweredSince != 0 && a.Timestamp >= holder.unansweredSince {
+		holder.unansweredSince, holder.retries = 0, 0
 	}
-	s.rtt.observe(now, now-a.Timestamp)
-	s.missing, s.sendInterval = a.Missing, a.SendInterval
+	holder.rtt.observe(now, now-a.Timestamp)
+	holder.missing, holder.sendInterval = a.Missing, a.SendInterval
 	m.noteLosses(now)
 	if a.HeardOthers {
 		m.othersHeardAt = now
@@ -233,134 +236,135 @@
 		m.prev, m.period, m.periodAt = m.period, a.Period, now
 	}
 	for _, t := range totals {
-		if e := m.tenants[t.Tenant]; e != nil {
-			m.applyTotal(now, e, t, a.Timestamp, s)
+		if state := m.tenants[t.Tenant]; state != nil {
+			m.applyTotal(now, state, t, a.Timestamp, holder)
 		}
 	}
 	return nil
 }
 
-// unpack returns an answer's totals, and notes which roster the holder has.
+// unpack returns the totals of an answer, and records which roster the holder has.
 func (m *Meter) unpack(now fsm.Time, i int, a Answer) []Total {
-	s := &m.holders[i]
-	used := s.rosterHash
+	holder := &m.holders[i]
+	used := holder.rosterHash
 	switch {
-	case a.Timestamp < s.prevRosterSince:
+	case a.Timestamp < holder.prevRosterSince:
 		used = 0
-	case a.Timestamp < s.rosterSince:
-		used = s.prevRosterHash
+	case a.Timestamp < holder.rosterSince:
+		used = holder.prevRosterHash
 	}
 	totals := a.Totals
 	if r := m.rosters.byHash(used); r != nil && a.PackedAccepted {
-		more, ok := r.totals(a.Period, a.Packed)
+		packed, ok := r.totals(a.Period, a.Packed)
 		if !ok {
 			return nil
 		}
-		totals = append(more, totals...)
+		totals = append(packed, totals...)
 	}
-	next := s.rosterHash
+	next := holder.rosterHash
 	switch {
 	case m.rosters.byHash(a.RosterHash) != nil:
 		next = a.RosterHash
-	case !a.PackedAccepted && a.Timestamp >= s.rosterSince: // it had numbers that it doesn't know, or can't know the names' numbers
+	// The holder could not use the roster of the add, or named no known one.
+	case !a.PackedAccepted && a.Timestamp >= holder.rosterSince:
 		next = 0
 	}
-	if next == s.rosterHash {
+	if next == holder.rosterHash {
 		return totals
 	}
-	if !a.PackedAccepted && s.rosterHash != 0 {
-		s.resendAll = true
+	if !a.PackedAccepted && holder.rosterHash != 0 {
+		holder.resendAll = true
 	}
-	s.rosterHash, s.prevRosterHash, s.rosterSince, s.prevRosterSince = next, s.rosterHash, now, s.rosterSince
+	holder.rosterHash, holder.prevRosterHash, holder.rosterSince, holder.prevRosterSince = next, holder.rosterHash, now, holder.rosterSince
 	return totals
 }
 
-func (m *Meter) applyTotal(now fsm.Time, e *tenantState, t Total, stamp fsm.Time, s *holderState) {
-	m.refresh(now, e)
-	e.levelUnknown = !t.LevelKnown && t.Period == e.cur.period
-	if t.Period == 0 || t.Period != e.cur.period {
-		m.applyPrevTotal(now, e, t)
-		if e.readWanted && t.LevelKnown {
-			m.requestRead(e) // by the name that it has now
+func (m *Meter) applyTotal(now fsm.Time, state *tenantState, t Total, timestamp fsm.Time, holder *holderState) {
+	m.refresh(now, state)
+	state.levelUnknown = !t.LevelKnown && t.Period == state.cur.period
+	if t.Period == 0 || t.Period != state.cur.period {
+		m.applyPrevTotal(now, state, t)
+		if state.readWanted && t.LevelKnown {
+			m.requestRead(state) // by the current period
 		}
 		return
 	}
-	c := &e.cur
-	var n float64
-	if c.hasBase && t.Others > c.others {
-		n = float64(t.Others-c.others) / milliUnits
-	}
-	var own float64
-	if mine := min(t.Own, c.sum); mine > c.acked {
-		own = float64(mine-c.acked) / milliUnits
-		c.acked = mine
-	}
-	fresh := t.LevelKnown && c.hasBase && t.Others >= c.others
-	c.others, c.hasBase, c.answered = max(c.others, t.Others), true, true
-	since := s.unreportedSpan(now, stamp) // others pass their rate meanwhile
-	if m.applyFirstRead(now, e, t, stamp) {
-		e.tat += since
-	} else if e.levelRead {
-		e.addOthers(now, n)
-		if fresh && now-stamp <= s.rtt.extend(freshAnswer) && m.readerTrusted(now) {
-			e.lowerToLevel(now+since, float64(t.Level)/milliUnits)
+	cur := &state.cur
+	var newOthers float64
+	if cur.hasBase && t.Others > cur.others {
+		newOthers = float64(t.Others-cur.others) / milliUnits
+	}
+	var newOwn float64
+	if own := min(t.Own, cur.sum); own > cur.acked {
+		newOwn = float64(own-cur.acked) / milliUnits
+		cur.acked = own
+	}
+	fresh := t.LevelKnown && cur.hasBase && t.Others >= cur.others
+	cur.others, cur.hasBase, cur.answered = max(cur.others, t.Others), true, true
+	staleness := holder.unreportedSpan(now, timestamp) // in which others pass units at the tenant's rate
+	if m.applyFirstRead(now, state, t, timestamp) {
+		state.tat += staleness
+	} else if state.levelRead {
+		state.addOthers(now, newOthers)
+		if fresh && now-timestamp <= holder.rtt.extend(freshAnswer) && m.readerTrusted(now) {
+			state.lowerToLevel(now+staleness, float64(t.Level)/milliUnits)
 		}
-		if t.LevelKnown { // sums only tell what was added since the answer before, which may have been another holder's
-			e.raiseToLevel(stamp, float64(t.Level)/milliUnits-levelRounding)
+		if t.LevelKnown { // sums only have what was added since the previous answer, which may have been another holder's
+			state.raiseToLevel(timestamp, float64(t.Level)/milliUnits-levelRounding)
 		}
 	}
-	m.noteBehind(e, t, stamp)
-	e.noteTraffic(now, own, n)
+	m.noteBehind(state, t, timestamp)
+	state.noteTraffic(now, newOwn, newOthers)
 }
 
-// applyFirstRead sets TAT of an unseen tenant by the level that the holder knows, and by
-// what was passed here and isn't in that level.
-func (m *Meter) applyFirstRead(now fsm.Time, e *tenantState, t Total, stamp fsm.Time) bool {
-	if e.levelRead || !t.LevelKnown || stamp < e.unreadSince || e.holdersSilent {
+// applyFirstRead sets TAT of an unread tenant by the level that the holder knows, and the units passed here
+// that are not in it.
+func (m *Meter) applyFirstRead(now fsm.Time, state *tenantState, t Total, timestamp fsm.Time) bool {
+	if state.levelRead || !t.LevelKnown || timestamp < state.unreadSince || state.holdersSilent {
 		return false
 	}
-	e.levelRead, e.readWanted = true, false
-	e.tat = now
-	if over := float64(t.Level)/milliUnits + e.unacked(); over > 0 {
-		e.tat += e.duration(over)
+	state.levelRead, state.readWanted = true, false
+	state.tat = now
+	if over := float64(t.Level)/milliUnits + state.unacked(); over > 0 {
+		state.tat += state.duration(over)
 	}
 	return true
 }
 
-// applyPrevTotal takes the last of what the others added under the period before.
-func (m *Meter) applyPrevTotal(now fsm.Time, e *tenantState, t Total) {
-	o := &e.prev
-	if t.Period == 0 || t.Period != o.period {
+// applyPrevTotal takes the last units that others added in the previous period.
+func (m *Meter) applyPrevTotal(now fsm.Time, state *tenantState, t Total) {
+	prev := &state.prev
+	if t.Period == 0 || t.Period != prev.period {
 		return
 	}
-	o.acked = max(o.acked, min(t.Own, o.sum))
-	if o.hasBase && e.levelRead && t.Others > o.others {
-		n := float64(t.Others-o.others) / milliUnits
-		if o.maxNew > 0 {
-			n, o.maxNew = min(n, o.maxNew), max(1e-9, o.maxNew-n)
+	prev.acked = max(prev.acked, min(t.Own, prev.sum))
+	if prev.hasBase && state.levelRead && t.Others > prev.others {
+		units := float64(t.Others-prev.others) / milliUnits
+		if prev.maxNew > 0 {
+			units, prev.maxNew = min(units, prev.maxNew), max(1e-9, prev.maxNew-units)
 		}
-		e.addOthers(now, n)
+		state.addOthers(now, units)
 	}
-	o.others = max(o.others, t.Others)
-	if now-m.periodAt >= periodSettleTime && o.acked >= o.sum {
-		e.prev = periodSum{}
+	prev.others = max(prev.others, t.Others)
+	if now-m.periodAt >= periodSettleTime && prev.acked >= prev.sum {
+		state.prev = periodSum{}
 	}
 }
 
-// ReadOverdue reports whether a holder leaves adds unanswered, so that another way to it
-// should be tried. What is late by a few ways there and back may be lost; one that has said
-// that it is told more than it can count drops adds, and ways round bring it more of them.
-func (m *Meter) ReadOverdue(now fsm.Time, holder string) bool {
-	i := m.holderIndex(holder)
+// ReadOverdue reports whether a holder leaves adds unanswered, so that another route to it should be tried.
+// After several round trips an answer is probably lost. A holder that has asked for fewer adds is
+// overloaded and drops some; further routes would only bring it more of them.
+func (m *Meter) ReadOverdue(now fsm.Time, addr string) bool {
+	i := m.holderIndex(addr)
 	if i < 0 || !m.holders[i].retryDue(now) {
 		return false
 	}
-	s := &m.holders[i]
-	switch unanswered := now - s.unansweredSince; {
-	case s.sendInterval > 0:
+	holder := &m.holders[i]
+	switch unanswered := now - holder.unansweredSince; {
+	case holder.sendInterval > 0:
 		return unanswered >= overloadedTimeout
-	case s.far(): // what goes through other regions varies by more than what stays in one
-		return unanswered >= s.rtt.extend(retryGap)+retryGap
+	case holder.far(): // routes through other regions vary by more than those within one
+		return unanswered >= holder.rtt.extend(retryGap)+retryGap
 	}
 	return true
 }
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -8,49 +8,49 @@
 	"asterwell/internal/policy"
 )
 
-// Gate tells whether a request may be decided by the rules in force here.
+// Gate decides whether a request may be decided by the configuration in force here.
 type Gate struct {
-	Version     uint32 // of those rules
+	Version     uint32 // of the configuration in force
 	Together    bool
-	Reads       bool // pure requests too
+	Reads       bool // applies to pure requests too
 	Lease       policy.Lease
-	ReopensSoon bool // it will be open again in a moment
+	ReopensSoon bool // a hold is in progress
 }
 
-// Allows is asked with a time that was taken after the request has come.
+// Allows reports whether a request may be decided. The time must have been read after the request arrived.
 func (g Gate) Allows(now fsm.Time, version uint32) bool {
 	return version == g.Version && (!g.Together || g.Lease.Version == int64(version) && now < g.Lease.Until)
 }
 
-// Gate is how it stands.
+// Gate returns the current gate.
 func (m *Machine) Gate() Gate {
 	l, holds := m.holder.Lease()
 	return Gate{Version: m.adopted, Together: m.rollout.Together, Reads: m.rollout.Reads, Lease: l, ReopensSoon: holds}
 }
 
-// pullEvery is how often a node asks for a document that the primary has and it lacks, and
-// how long it waits for it to come by itself: longer where documents are large.
-const pullEvery = 100 * time.Millisecond
+// pullInterval is the interval in which a node asks for a document that the primary has and it lacks, and
+// the time it first waits for the document to arrive unrequested; both are longer for large documents.
+const pullInterval = 100 * time.Millisecond
 
-// pull asks for what the primary has kept. What is prepared comes with the text of what is
-// live, so it takes twice as long as that.
+// pull asks for the primary's document. A prepared one comes with the text of the live one, so it may take
+// twice as long.
 func (m *Machine) pull(now fsm.Time, from string, kept consensus.Doc) {
 	if !kept.Supersedes(m.doc) {
-		m.lacks = 0
+		m.behindSince = 0
 		return
 	}
-	if m.lacks == 0 {
-		m.lacks = now
+	if m.behindSince == 0 {
+		m.behindSince = now
 	}
-	if wait := pullEvery + 2*consensus.TransferTime(len(m.doc.Body)); now-m.lacks >= wait && now-m.pulled >= wait {
-		m.pulled = now
-		m.send(from, consensus.Pull{Version: kept.Version - 1}) // or higher, and so the amended one too
+	if wait := pullInterval + 2*consensus.TransferTime(len(m.doc.Body)); now-m.behindSince >= wait && now-m.pulledAt >= wait {
+		m.pulledAt = now
+		m.send(from, consensus.Pull{Version: kept.Version - 1}) // this version or higher, so the amended one too
 	}
 }
 
-// prepare confirms or refuses what is prepared, once it is held and has been read.
-func (m *Machine) prepare(now fsm.Time) {
-	if m.side.Fate != Prepared || !m.synced || !m.rollout.Together {
+// confirmPrepared confirms or refuses the prepared version, once it is on disk and has been checked.
+func (m *Machine) confirmPrepared(now fsm.Time) {
+	if m.state.Fate != Prepared || !m.synced || !m.rollout.Together {
 		return
 	}
 	switch v := &m.verdict; {
@@ -64,59 +64,59 @@
 
 func (m *Machine) confirm(now fsm.Time, change uint64, refusal string) {
 	m.holder.Checked(change, []byte{}, refusal)
-	m.ask(now)
+	m.requestLease(now)
 }
 
-// ask sends the call that is due.
-func (m *Machine) ask(now fsm.Time) {
+// requestLease sends the lease request that is due.
+func (m *Machine) requestLease(now fsm.Time) {
 	if m.primary == "" {
-		m.seek(now)
+		m.seekPrimary(now)
 		return
 	}
-	r := m.holder.Tick(now)
-	if r == nil {
+	renew := m.holder.Tick(now)
+	if renew == nil {
 		return
 	}
 	if m.holder.Missed() > 1 {
-		m.seek(now)
+		m.seekPrimary(now)
 	}
-	m.send(m.primary, LeaseRequest{ID: m.id, Seq: r.Seq, Version: r.Version, Checked: r.Checked, Refusal: r.Refusal, HeldRound: r.Held,
-		Epoch: m.epoch, Name: r.Name, Zone: r.Zone})
+	m.send(m.primary, LeaseRequest{ID: m.incarnation, Seq: renew.Seq, Version: renew.Version, Checked: renew.Checked, Refusal: renew.Refusal, HeldRound: renew.Held,
+		Epoch: m.holdEpoch, Name: renew.Name, Zone: renew.Zone})
 }
 
-const seekEvery = 200 * time.Millisecond
+const seekInterval = 200 * time.Millisecond
 
-// seek asks one after the other of those with a disk who leads.
-func (m *Machine) seek(now fsm.Time) {
-	if now-m.sought < seekEvery {
+// seekPrimary asks the nodes with a disk, one after the other, which process is the primary.
+func (m *Machine) seekPrimary(now fsm.Time) {
+	if now-m.soughtAt < seekInterval {
 		return
 	}
-	m.sought = now
+	m.soughtAt = now
 	for range m.nodes {
-		m.turns++
-		if n := m.nodes[m.turns%len(m.nodes)]; n.Member && n.Addr != m.c.Self {
+		m.seekIndex++
+		if n := m.nodes[m.seekIndex%len(m.nodes)]; n.Member && n.Addr != m.config.Self {
 			m.send(n.Addr, consensus.ViewRequest{})
 			return
 		}
 	}
 }
 
-// granted takes what the primary says.
-func (m *Machine) granted(now fsm.Time, from string, g LeaseGrant) {
-	if g.ID != m.id || !m.rollout.Together {
+// handleGrant handles a message of the primary.
+func (m *Machine) handleGrant(now fsm.Time, from string, grant LeaseGrant) {
+	if grant.ID != m.incarnation || !m.rollout.Together {
 		return
 	}
-	m.pull(now, from, consensus.Doc{Version: g.Newest, Rev: g.Rev})
-	if g.HoldRound != 0 {
-		m.epoch = g.Epoch
+	m.pull(now, from, consensus.Doc{Version: grant.Newest, Rev: grant.Rev})
+	if grant.HoldRound != 0 {
+		m.holdEpoch = grant.Epoch
 	}
-	p := g.grant()
-	if g.Version == int64(m.adopted) {
-		p.Text = m.side.Body
+	policyGrant := grant.policyGrant()
+	if grant.Version == int64(m.adopted) {
+		policyGrant.Text = m.state.Body
 	}
-	if w := m.holder.Grant(now, p); w.Check && m.bug == BugConfirmBeforeHeld {
-		m.confirm(now, g.Change, "")
+	if result := m.holder.Grant(now, policyGrant); result.Check && m.bug == BugConfirmBeforeHeld {
+		m.confirm(now, grant.Change, "")
 	}
 	m.out.Gate = true
-	m.ask(now)
+	m.requestLease(now)
 }
--- a/internal/rollout/world/orders.go
+++ b/internal/rollout/world/orders.go
@@ -7,110 +7,110 @@
 	"asterwell/internal/rollout"
 )
 
-// holds runs until the primary has told everybody to decide nothing, and ends before any word
-// on it has come back.
-func (w *World) holds() {
+// runUntilHold runs until the primary has started a hold, and ends before any confirmation in it has come
+// back.
+func (w *World) runUntilHold() {
 	for end := w.now + time.Second; w.now < end; w.Run(50 * time.Microsecond) {
-		if p := w.primary(); p.k.RolloutStatus(p.clock()).Stage == "holding" {
+		if p := w.primary(); p.control.RolloutStatus(p.clock()).Stage == "holding" {
 			return
 		}
 	}
-	w.breaks("STUCK", "no hold within a second")
+	w.violate("STUCK", "no hold within a second")
 }
 
-// stilled is a core that stands still in the moment of a turn that eleven have to confirm;
-// two of the others end meanwhile.
-func stilled(seed uint64, bug rollout.Bug, still time.Duration) *World {
-	w := stage(Options{Seed: seed, Bug: bug}, 11, 0)
+// frozenCore freezes the core in the moment of a hold that eleven nodes have to confirm; two of the others
+// are killed meanwhile.
+func frozenCore(seed uint64, bug rollout.Bug, duration time.Duration) *World {
+	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.Put(w.primary(), 3, 0, 0, "")
-	w.holds()
+	w.runUntilHold()
 	for _, n := range w.nodes[:3] {
-		n.freeze(still)
+		n.freeze(duration)
 	}
 	w.nodes[8].kill()
 	w.nodes[9].kill()
-	w.Run(still + 3*time.Second)
+	w.Run(duration + 3*time.Second)
 	return w
 }
 
-// FreezeDuringHold plays a core that stands still in a hold for longer than any lease.
+// FreezeDuringHold freezes the core in a hold for longer than any lease.
 func FreezeDuringHold(seed uint64, bug rollout.Bug) []Violation {
-	w := stilled(seed, bug, 3*time.Second)
-	w.heal()
-	return w.res.Violations
+	w := frozenCore(seed, bug, 3*time.Second)
+	w.recover()
+	return w.result.Violations
 }
 
-// waits is a fleet in which version 3 waits for one that is down.
-func waits(seed uint64, bug rollout.Bug) *World {
-	w := stage(Options{Seed: seed, Bug: bug}, 11, 0)
+// waitingForNode returns a fleet in which version 3 waits for a stopped node.
+func waitingForNode(seed uint64, bug rollout.Bug) *World {
+	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.nodes[8].kill()
 	w.Put(w.primary(), 3, 0, 0, "")
 	w.Run(time.Second)
 	return w
 }
 
-// restart kills all, and starts them.
-func (w *World) restart() {
+// restartAll kills and restarts all processes.
+func (w *World) restartAll() {
 	for _, n := range w.nodes {
 		n.kill()
 	}
 	w.Run(time.Second)
-	w.calm()
+	w.endFaults()
 	w.Run(SettleTime)
 }
 
-// RepeatedOrders has a version withdrawn and put at three processes at once while the primary is
-// killed, and again once a higher one is live, and once more after all have started anew.
+// RepeatedOrders withdraws and puts a version at three processes at once while the primary is killed, again
+// once a higher one is live, and once more after all processes have restarted.
 func RepeatedOrders(seed uint64, bug rollout.Bug) []Violation {
-	w := waits(seed, bug)
-	orders := func(from int) {
+	w := waitingForNode(seed, bug)
+	order := func(from int) {
 		for _, n := range w.nodes[from : from+3] {
 			w.Withdraw(n, 3)
 			w.Put(n, 3, 0, 0, "")
 		}
 	}
-	orders(3)
-	w.Run(w.upTo(10 * ms))
+	order(3)
+	w.Run(w.randomUpTo(10 * ms))
 	w.primary().kill()
 	for range 4 { // a caller without an answer calls again
 		w.Run(time.Second)
-		orders(4)
+		order(4)
 	}
-	w.calm()
+	w.endFaults()
 	w.Run(SettleTime)
 	w.Put(w.nodes[5], 4, 0, 0, "")
 	w.Run(2 * time.Second)
-	orders(5)
+	order(5)
 	w.Run(time.Second)
-	w.restart()
-	orders(6)
-	w.heal()
-	return w.res.Violations
+	w.restartAll()
+	order(6)
+	w.recover()
+	return w.result.Violations
 }
 
-// DelayedWithdrawal has a version withdrawn that is not there, and put once another leads; then copies of
-// that wish arrive at it which the network has held up.
+// DelayedWithdrawal withdraws an absent version, and puts it once there is another primary; then delayed
+// copies of the withdrawal arrive there.
 func DelayedWithdrawal(seed uint64, bug rollout.Bug) []Violation {
-	w := stage(Options{Seed: seed, Bug: bug}, 11, 0)
+	w := startTogether(Options{Seed: seed, Bug: bug}, 11, 0)
 	w.nodes[8].kill()
-	w.late = []rollout.WithdrawRequest{}
-	asker := w.nodes[7]
-	w.Withdraw(asker, 3)
+	w.delayed = []rollout.WithdrawRequest{}
+	caller := w.nodes[7]
+	w.Withdraw(caller, 3)
 	w.Run(time.Second)
 	w.primary().kill()
 	w.Run(3 * time.Second)
-	copies := w.late
-	w.late = nil
+	copies := w.delayed
+	w.delayed = nil
 	w.Put(w.nodes[5], 3, 0, 0, "")
 	w.Run(time.Second)
-	for _, wish := range copies {
+	for _, call := range copies {
 		p := w.primary()
-		p.input(func() controlplane.Output { return p.k.Receive(p.clock(), asker.addr, wish) })
+		p.deliver(func() controlplane.Output { return p.control.Receive(p.clock(), caller.addr, call) })
 	}
 	w.Run(time.Second)
-	if p := w.primary(); len(copies) == 0 || p.k.RolloutStatus(p.clock()).Fate == rollout.Withdrawn.String() {
-		w.breaks("LATE", "version 3 is withdrawn by %d copies of a wish from before it came", len(copies))
+	if p := w.primary(); len(copies) == 0 || p.control.RolloutStatus(p.clock()).Fate == rollout.Withdrawn.String() {
+		w.violate("LATE", "version 3 is withdrawn by %d delayed copies of a call from before it came", len(copies))
 	}
-	w.heal()
-	return w.res.Violations
+	w.recover()
+	return w.result.Violations
 }
