--- a/internal/consensus/amend.go
+++ b/internal/consensus/amend.go
@@ -2,7 +2,7 @@
 
 import "asterwell/internal/fsm"
 
-// Leads is the epoch that this process serves as its primary, if it does.
+// Leading returns the epoch whose primary this process is, if it is one.
 func (m *Machine) Leading() (Ballot, bool) {
 	if m.primary == nil {
 		return Ballot{}, false
@@ -10,15 +10,15 @@
 	return m.primary.record.Ballot, true
 }
 
-// Primary is the address of the one that is thought to lead; empty: nobody known.
+// Primary returns the address of the presumed primary, or an empty string.
 func (m *Machine) Primary() string { return m.view.primary() }
 
-// Seats is the newest set of the core that is known to be in force, and its epoch.
+// Members returns the newest membership known to be active, and its epoch.
 func (m *Machine) Members() (Ballot, []Member) { return m.view.Ballot, m.view.Members }
 
-// Affirm asks all writers whether this still is the primary. Out.Affirmed tells the
-// answer later, by the number returned; never, if another one leads by then. 0: it
-// isn't one.
+// ConfirmLeadership asks all writers whether this process is still the primary. Out.ConfirmedRound
+// later reports the returned round, unless another primary has taken over by then. Round 0 means
+// that this process is no primary.
 func (m *Machine) ConfirmLeadership(now fsm.Time) (round uint64, out Out) {
 	m.now = max(m.now, now)
 	if l := m.primary; l != nil {
@@ -32,15 +32,15 @@
 	return round, m.finishInput()
 }
 
-// Amend puts a document in the place of the one that is kept: the same version with
-// the next Rev. It reports whether that is on its way; then it ends as kept, or with
-// this primary: never later under another one that has kept something else.
+// Amend replaces the committed document by the same version with the next Rev. It reports whether
+// the amendment is under way. It then either commits or ends with this primary: it never commits
+// later under another primary that has committed something else.
 func (m *Machine) Amend(now fsm.Time, doc Doc) (ok bool, out Out) {
 	m.now = max(m.now, now)
 	l, kept := m.primary, m.state.Committed
 	if ok = l != nil && (l.proposal == nil || l.proposal.LedgerRev > 0) && m.hasAllCopies() && doc.Version == kept.Version && doc.Rev == kept.Rev+1; ok {
 		doc.Digest, doc.Ledger, doc.LedgerRev, doc.CreatedIn, doc.History = kept.Digest, kept.Ledger, 0, l.record.Ballot, kept.History
-		if l.proposal != nil { // numbers that were to be noted go with it
+		if l.proposal != nil { // ledger entries that were to be added are added by the amendment
 			doc.Ledger = l.proposal.Ledger
 		}
 		l.proposal, l.proposedAt, l.appended = &doc, m.now, map[string]bool{}
--- a/internal/consensus/candidate.go
+++ b/internal/consensus/candidate.go
@@ -22,33 +22,33 @@
 	installTimeout   = 300 * time.Millisecond
 )
 
-// bid is the way of a candidate to an epoch of its own.
+// candidateState is the progress of a candidate towards an epoch of its own.
 type candidateState struct {
 	phase                phase
-	phaseStart, lastSent fsm.Time // of the phase, of the last sending
+	phaseStart, lastSent fsm.Time
 	startedAt            fsm.Time
 	round                uint64
 	ballot               Ballot
 	baseRecord           EpochRecord // the newest record met
-	nextMembers          []Member    // the set to come, if base still is the epoch it was made for
+	nextMembers          []Member    // the next membership, if baseRecord still is of epoch nextMembersFor
 	nextMembersFor       Ballot
-	preVotes             map[string]uint64 // address to life
+	preVotes             map[string]uint64 // address to disk ID
 	promises             map[string]Promise
 	rejected             map[string]bool
-	quorumAt             fsm.Time    // since when the promises do, or 0
-	record               EpochRecord // the epoch to be
+	quorumAt             fsm.Time    // since when the promises are a quorum, or 0
+	record               EpochRecord // of the new epoch
 	committed            Doc
 	pending              Doc
 	installed            map[string]bool
 	recorded             map[string]uint64
-	handedOver           bool            // by the primary before
-	lost                 map[string]bool // seats whose memory is lost
-	bodiesAskedAt        fsm.Time        // when a text that is named was last asked for; 0: ask
-	bodyRequests         uint32          // how often one was
-	stateSent            bool            // the state has been sent
+	handedOver           bool            // by the previous primary
+	lost                 map[string]bool // members whose disk is lost
+	bodiesAskedAt        fsm.Time        // when a missing body was last requested; 0: request it
+	bodyRequests         uint32          // number of such requests
+	stateSent            bool            // InstallState has been sent before
 }
 
-// rank staggers candidates: the last epoch's writers first, they have the data.
+// candidateRank staggers candidates. The last epoch's writers come first, as they have the data.
 func (m *Machine) candidateRank() int {
 	r := m.state.Record
 	if i := slices.Index(r.Writers, m.config.Self); i >= 0 {
@@ -69,7 +69,7 @@
 	return n
 }
 
-// rise makes a candidate of a member that has heard of no primary for long.
+// campaign makes a member that has not heard a primary for long enough a candidate.
 func (m *Machine) campaign() {
 	if !m.isMember() || m.primary != nil {
 		m.candidate = nil
@@ -92,7 +92,7 @@
 	m.resendPhase()
 }
 
-// drop gives a bid up, and tries again after a while that is never the same.
+// abandonCandidacy ends an attempt. The next one follows after a random delay.
 func (m *Machine) abandonCandidacy() {
 	m.candidate = nil
 	m.jitter = time.Duration(m.rng.Int64N(int64(150 * time.Millisecond)))
@@ -118,7 +118,7 @@
 		m.evaluatePromises()
 	}
 	every := resendInterval
-	if b.phase == preparing || b.phase == installing { // what is asked for brings the state, or takes it along
+	if b.phase == preparing || b.phase == installing { // the reply carries the state, or the request does
 		every += state
 	}
 	if m.candidate == b && m.now-b.lastSent >= every {
@@ -126,17 +126,17 @@
 	}
 }
 
-// mostState is how long the state may hold up a candidate beyond what it takes without: a member that does
-// not answer must not be waited for that much longer.
+// maxStateTransfer limits how much longer a candidate waits because of the size of the state: a
+// member that doesn't answer must not delay it further.
 const maxStateTransfer = 400 * time.Millisecond
 
-// stateWay is how long the state of a member may be on a slow link.
+// stateTransferTime returns how long a member's state may take on a slow link.
 func (m *Machine) stateTransferTime(b *candidateState) time.Duration {
 	way := m.docTransferTime(m.state.Committed) + m.docTransferTime(m.state.Pending) + TransferTime(len(m.state.Committed.Ledger)+len(m.state.Pending.Ledger))
 	return min(max(way, m.docTransferTime(b.committed)+m.docTransferTime(b.pending)), maxStateTransfer)
 }
 
-// again sends what the phase still waits for.
+// resendPhase sends the requests of this phase that are still unanswered.
 func (m *Machine) resendPhase() {
 	b := m.candidate
 	b.lastSent = m.now
@@ -188,7 +188,7 @@
 	if t.Grant {
 		b.preVotes[from] = t.DiskID
 	}
-	for _, s := range b.baseRecord.votingMembers() { // a hint: the promises decide
+	for _, s := range b.baseRecord.votingMembers() { // only a hint: the promises decide
 		if s.Addr == from && s.DiskID != t.DiskID {
 			b.lost[s.mapKey()] = true
 		}
@@ -206,7 +206,7 @@
 	return m.bug == BugNoQuorum || r.hasQuorum(m.config.ToleratedLosses, agreed, m.isLost)
 }
 
-// reshape makes a primary ask for a fresh epoch, to have other writers or another set.
+// startNewEpoch makes a primary a candidate again, to have other writers or other members.
 func (m *Machine) startNewEpoch(plan []Member) {
 	rec := m.primary.record
 	m.primary = nil
@@ -215,7 +215,7 @@
 	m.prepare()
 }
 
-// prepare takes a ballot. It is on disk before anybody hears of it, so it is used once.
+// prepare chooses a ballot. It is on disk before it is sent, so it is used only once.
 func (m *Machine) prepare() {
 	b := m.candidate
 	m.highestBallot = max(m.highestBallot, m.state.Promised.N) + 1
@@ -234,7 +234,7 @@
 	if !t.Record.isZero() && t.Record.ClusterID != b.baseRecord.ClusterID {
 		return
 	}
-	if _, ok := b.promises[from]; ok { // a second one may have lost what the first brought, or bring what was asked for
+	if _, ok := b.promises[from]; ok { // a repeated promise may lack bodies that the first one brought, or bring requested ones
 		t.Committed, t.Pending, b.bodiesAskedAt = b.withBody(t.Committed), b.withBody(t.Pending), 0
 	}
 	b.promises[from] = t
@@ -248,10 +248,11 @@
 	m.evaluatePromises()
 }
 
-// tally goes on to copying once the promises decide, and those that are late had a moment.
+// evaluatePromises goes on to installing once the promises suffice and late ones have had
+// latePromiseWait to arrive.
 func (m *Machine) evaluatePromises() {
 	b := m.candidate
-	if !b.baseRecord.has(m.config.Self, m.state.DiskID) { // a change of the set is half done: its members may end it
+	if !b.baseRecord.has(m.config.Self, m.state.DiskID) { // a membership change is under way, and only its members may complete it
 		m.learnRecord(b.baseRecord)
 		for _, s := range b.baseRecord.Members {
 			m.send(s.Addr, Resign{Ballot: b.ballot})
@@ -281,8 +282,8 @@
 	if !here || countMembers(all, func(s Member) bool { return promised(s) || m.isLost(s) }) < len(all) && m.now-b.quorumAt < latePromiseWait {
 		return
 	}
-	// a newcomer lost meanwhile gets no seat, it would weaken the set from the start; nor is one
-	// given up for a set that could not go on
+	// A new member that was lost meanwhile is not added, as it would weaken the membership from the
+	// start. Nor does a member leave if the remaining ones could not go on.
 	fresh := func(s Member) bool {
 		return !b.baseRecord.has(s.Addr, s.DiskID) && !promised(s) && m.bug != BugSkipLearner
 	}
@@ -290,12 +291,12 @@
 	if b.baseRecord.membersDecide() {
 		rec.OldMembers = b.baseRecord.Members
 	}
-	if b.baseRecord.Active { // one change at a time: what is under way ends first
+	if b.baseRecord.Active { // one change at a time: a change under way is completed first
 		if b.nextMembers != nil && b.nextMembersFor == b.baseRecord.Ballot && countMembers(b.nextMembers, fresh) == 0 && hasMajority(b.nextMembers, promised) {
 			rec.Members, rec.Vacancies = b.nextMembers, max(0, len(b.baseRecord.Members)+b.baseRecord.Vacancies-len(b.nextMembers))
 		}
 	}
-	whole := b.baseRecord.membersDecide() || intersectsMajorities(b.baseRecord.Members, nil, promised, m.isLost) // else the old set agrees, and no more
+	whole := b.baseRecord.membersDecide() || intersectsMajorities(b.baseRecord.Members, nil, promised, m.isLost) // otherwise the old members agree, and no more is decided
 	if rec.Writers = m.chooseWriters(rec.Members, promised, whole); rec.Writers == nil {
 		return
 	}
@@ -307,7 +308,7 @@
 	m.enterPhase(installing)
 }
 
-// settles notes that the old set of a change that is half done has agreed to it.
+// noteOldSetAgreed records that the old members of an incomplete change have agreed to it.
 func (m *Machine) noteOldSetAgreed(promised func(Member) bool) {
 	b := m.candidate
 	holds := func(s Member) bool { return promised(s) && b.promises[s.Addr].Record.Ballot == b.baseRecord.Ballot }
@@ -324,8 +325,9 @@
 	}
 }
 
-// chosen is what the epoch to be begins with: the newest committed document of any promise, and what is above it
-// in the state of the last epoch. One whose text is not here yet lacks it.
+// chooseState returns the initial state of the new epoch: the newest committed document of any
+// promise, and what supersedes it in the state of the last epoch. A document whose body is not here
+// yet lacks it.
 func (m *Machine) chooseState(all []Member, data Doc) (kept, next Doc) {
 	b := m.candidate
 	kept = m.state.Committed
@@ -343,8 +345,8 @@
 	return b.withBody(kept), b.withBody(next)
 }
 
-// data is the state of the last epoch, from one of its writers that remembers. One that
-// was given the state by a later candidate has all of it too.
+// newestWriterState returns the state of the last epoch from one of its writers that has not lost
+// its disk. A writer in which a later candidate has installed a state has all of that epoch's too.
 func (m *Machine) newestWriterState(promised func(Member) bool) (Doc, bool) {
 	b := m.candidate
 	var doc Doc
@@ -366,8 +368,9 @@
 	return doc, found
 }
 
-// writers picks self and as many backups as may be lost, or nil. Where too few seats are left
-// it takes them all: such an epoch serves nothing new, it only lets newcomers in.
+// chooseWriters returns this process and as many backups as losses are tolerated, or nil. If too
+// few members are left it takes all of them: such an epoch accepts no documents and only admits new
+// members.
 func (m *Machine) chooseWriters(set []Member, promised func(Member) bool, whole bool) []string {
 	var me, good, bad []Member
 	for _, s := range set {
--- a/internal/consensus/cell.go
+++ b/internal/consensus/cell.go
@@ -9,22 +9,23 @@
 	"asterwell/internal/fsm"
 )
 
-// cell is a machine of the model with its disk, and what the judge knows of its life.
-// Once it is met it never changes: each input makes another one.
+// modelNode is a machine in the model checker with its disk, and what the checks need to know of
+// it. It is immutable once it is in the explorer: each input makes a copy.
 type modelNode struct {
 	machine        *Machine
 	random         *modelRandom
 	synced         *DurableState
-	savedState     *DurableState // a copy that was taken of it
-	unsynced       []Write       // under way
-	lostDiskID     uint64        // the memory that was wiped here
-	appliedVersion uint32        // in this life
+	savedState     *DurableState // a saved copy of synced
+	unsynced       []Write       // writes that are not synced yet, in order
+	lostDiskID     uint64        // the ID of the disk that was wiped
+	appliedVersion uint32        // since the process started
 	violation      string
 }
 
 func newModelRand(l *modelRandom) *rand.Rand { return rand.New(l) }
 
-// lot stands for chance: every number once. Waits drawn of it are 0, unless it is mixed.
+// modelRandom is a deterministic source that returns each number once. Delays drawn from it are 0
+// unless it is mixed.
 type modelRandom struct {
 	draws, stream uint64
 	mixed         bool
@@ -94,29 +95,29 @@
 
 const (
 	receive      inputKind = iota
-	sync                   // the oldest write is on disk, and the process hears of it
-	shortWait              // time passes: enough to repeat what is not answered
-	longWait               // enough, twice, to lose patience with a primary
-	put                    // an operator's, whose number is arg
-	read                   // reads
-	crash                  // of the writes under way the first arg reach the disk all the same
-	wipe                   // the disk is lost with all on it
-	tick                   // an ordinary tick
-	copyDisk               // a copy is taken of the disk
-	rollbackDisk           // and takes its place, while no process runs
-	leave                  // it is told to end, arg a Notice
+	sync                   // the oldest write reaches the disk, and the process is told
+	shortWait              // enough time passes to repeat unanswered requests
+	longWait               // half the time passes after which a primary counts as failed
+	put                    // an operator puts the document with index arg
+	read                   // an operator reads
+	crash                  // the process restarts; the first arg of the unsynced writes have reached the disk all the same
+	wipe                   // the process restarts with an empty disk
+	tick                   // one ordinary tick
+	copyDisk               // the state on the disk is copied
+	rollbackDisk           // the process restarts with that copy
+	leave                  // the process is told to leave, with urgency arg
 )
 
 var waitDurations = map[inputKind]time.Duration{shortWait: 110 * time.Millisecond, longWait: 350 * time.Millisecond, tick: 50 * time.Millisecond}
 
-// input is all that can come to a cell.
+// input is one event at a node.
 type input struct {
 	kind inputKind
 	from uint8
 	arg  uint32 // message, or as the kind says
 }
 
-// fact is what the judge learns by an input.
+// fact is an observation that the checks use.
 type fact struct {
 	kind    factKind
 	id      uint64 // of a read
@@ -129,22 +130,22 @@
 
 const (
 	factApplied  factKind = iota
-	factAccepted          // a primary says yes to a put
+	factAccepted          // a primary accepts a put
 	factRead              // a read is answered
-	factReadNone          // that there is nothing
-	factConflict          // a primary says that another text has the number
+	factReadNone          // a read finds no document
+	factConflict          // a primary says that another body has the version
 )
 
-// readID is the number of a call that reads; puts have those from 1 on.
+// readCallID returns the ID of a read. Puts have those from 1 on.
 func readCallID(n uint32) uint64 { return 1000 + uint64(n) }
 
-// course has the operator's puts by their number.
+// scenario holds the operator's puts by index.
 type scenario struct {
 	bug  Bug
 	puts []Doc
 }
 
-// play gives a copy of a cell an input.
+// apply gives an input to a copy of a node.
 func (o *scenario) apply(old *modelNode, from string, msg any, in input) (*modelNode, []fsm.Send, []fact) {
 	c := old.clone()
 	m := c.machine
@@ -218,7 +219,8 @@
 	return n.Tick(m.now)
 }
 
-// judge notes what a machine let be seen, and what of it never may be.
+// observe collects the facts that a machine's output shows, and notes outputs that are never
+// allowed.
 func (c *modelNode) observe(o *scenario, out Out) []fact {
 	var facts []fact
 	if a := out.Apply; a != nil {
@@ -251,7 +253,7 @@
 	return facts
 }
 
-// put is what a primary says of one.
+// putFact is the primary's answer to a put.
 func (c *modelNode) putFact(o *scenario, id uint64, v Result) fact {
 	d := o.puts[id-1]
 	f := fact{kind: factAccepted, version: d.Version, body: string(d.Body)}
@@ -264,7 +266,7 @@
 	return f
 }
 
-// vouches is the memory that a message speaks for.
+// diskIDOf returns the disk ID in whose name a message makes a promise or confirms a write.
 func diskIDOf(msg any) (uint64, bool) {
 	switch t := msg.(type) {
 	case Promise:
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -7,33 +7,34 @@
 	"asterwell/internal/fsm"
 )
 
-// A call is repeated when it may be lost, which it isn't while a slow link carries it: the
-// repeats of a large document would fill the link, and nothing would come through. So repeats
-// wait twice as long each time, a document goes only to who is known to lead (the others are
-// asked who that is), and all repeats of a process together have a part of a slow link.
+// A call is repeated, as messages may be lost. But a slow link may still be carrying the first one:
+// repeats of a large document would fill the link until nothing gets through. So the delay doubles
+// with each repeat, a document is sent only to the known primary (other processes are asked which
+// one that is), and all repeats of a process together use only a part of a slow link.
 const (
 	retryInterval       = 150 * time.Millisecond
 	slowLinkTimePerByte = 8 * time.Microsecond  // 1 Mbit/s
-	retryTimePerByte    = 16 * time.Microsecond // and half of it, for repeats
+	retryTimePerByte    = 16 * time.Microsecond // repeats use half of that
 )
 
 func (c *call) retryDelay() time.Duration {
 	n := len(c.request.Doc.Body)
-	if n == 0 { // small, and it fills nothing
+	if n == 0 { // small calls don't fill a link
 		return retryInterval
 	}
 	return (retryInterval + time.Duration(n)*slowLinkTimePerByte) << c.retries
 }
 
-// call is an operator's, made at this process.
+// call is an operator's call, made at this process.
 type call struct {
 	request             Forward
 	startedAt, lastSent fsm.Time
-	retries             uint8  // how often it was repeated
-	lastDocTo           string // whom the document went to last
+	retries             uint8
+	lastDocTo           string // where the document was last sent
 }
 
-// forward sends a call to the primary, if there is one and, for a repeat of a document, room.
+// forward sends a call to the primary, if one is known. A document is repeated only within the
+// share of the link that repeats may use.
 func (m *Machine) forward(c *call) {
 	p, n := m.view.primary(), len(c.request.Doc.Body)
 	if p == "" {
@@ -51,7 +52,7 @@
 	m.send(p, f)
 }
 
-// Put offers a document; the answer comes once, in some Out.Answers.
+// Put proposes a document. It is answered once, in a later Out.Answers.
 func (m *Machine) Put(now fsm.Time, id uint64, doc Doc) Out {
 	return m.call(now, Forward{ID: id, CallerID: m.runID, ReadsPacked: true, Doc: doc.withDigest()})
 }
@@ -61,9 +62,9 @@
 	return m.call(now, Forward{ID: id, CallerID: m.runID, ReadsPacked: true, Read: true})
 }
 
-// Prove asks for a proof of contact, as young as the call: the primary has had it from all
-// writers, after the call came in, that its epoch stands, so no other majority has decided
-// anything by then; and the way to it and back was open. It carries no document.
+// CheckContact asks for proof that the primary is reachable and valid: after the call arrived, all
+// writers confirmed its epoch to it, so no other majority had decided anything by then. The proof
+// is as recent as the call and carries no document.
 func (m *Machine) CheckContact(now fsm.Time, id uint64) Out {
 	return m.call(now, Forward{ID: id, CallerID: m.runID, Read: true, ContactOnly: true})
 }
@@ -80,7 +81,7 @@
 	return m.finishInput()
 }
 
-// scatter sends a call to n others who may know the primary or be it, each time others.
+// forwardToOthers sends a call to n processes that may be the primary or know it, in rotation.
 func (m *Machine) forwardToOthers(c *call, n int) {
 	who := m.likelyMembers()
 	for range min(n, len(who)) {
@@ -93,8 +94,8 @@
 	}
 }
 
-// redirect sends what is not answered to a new primary at once. One that begins another epoch
-// by itself still has it.
+// redirect sends unanswered calls to a new primary at once. A primary that has only begun another
+// epoch still has them.
 func (m *Machine) redirect() {
 	p := m.view.primary()
 	for _, c := range m.calls {
@@ -115,7 +116,7 @@
 	}
 	bare := m.calls[i].request.ContactOnly
 	m.calls = slices.Delete(m.calls, i, i+1)
-	if bare && t.Result != ResultBusy { // a primary that doesn't know the call has read
+	if bare && t.Result != ResultBusy { // a primary that doesn't know ContactOnly replies as to a read
 		if t.Doc != nil {
 			t.Version = t.Doc.Version
 		}
@@ -129,7 +130,7 @@
 	m.out.Answers = append(m.out.Answers, Answer{ID: id, Result: v, Doc: d, Primary: m.view.primary()})
 }
 
-// expire repeats calls, and ends those that took too long.
+// retryCalls repeats calls, and ends those that took too long.
 func (m *Machine) retryCalls() {
 	m.dropExpired()
 	var rest []*call
--- a/internal/consensus/code.go
+++ b/internal/consensus/code.go
@@ -13,19 +13,18 @@
 	"asterwell/internal/fsm"
 )
 
-// coder writes a value so that states which can have the same consequences read the same:
-// times as they lie from now, numbers of writes as they lie from the last one synced. It
-// goes over all fields there are, so that a new one cannot be forgotten. How a type is written is worked
-// out once: a walk writes millions of states, and to ask reflection for each field of each took
-// more than a quarter of the models' time.
+// stateEncoder writes a value so that equivalent states have the same encoding: times are relative
+// to now, numbers of writes are relative to the last one synced. It covers all fields, so that a
+// new one can't be forgotten. The encoder of a type is built once, as random walks encode millions
+// of states, and reflection on each field took more than a quarter of the model checker's time.
 type stateEncoder struct {
-	buf     []byte // of which the first n are written: to move its end for each number costs more than the number
+	buf     []byte // of which length bytes are used; reslicing for each number is slower than writing it
 	length  int
 	now     fsm.Time
 	written uint64
 }
 
-// oldest is the age from which on no time matters any more.
+// maxEncodedAge is the age from which on a time has no more effect.
 const maxEncodedAge = 2 * vacancyTimeout
 
 var (
@@ -35,7 +34,7 @@
 	writeNumberFields = []string{"seq", "Seq", "written", "activeRecordWrite"}
 )
 
-// coderOf writes behind what a buffer holds.
+// newStateEncoder appends to a buffer.
 func newStateEncoder(b []byte, name string) stateEncoder {
 	b = append(append(b, name...), 0)
 	n := len(b)
@@ -84,13 +83,13 @@
 	}
 }
 
-// scribe writes the value that stands at an address, of the type it was made for.
+// encodeFunc writes the value at an address, which has the type that the function was made for.
 type encodeFunc func(c *stateEncoder, at unsafe.Pointer)
 
-// scribes is that of each type.
+// encodeFuncs caches the function of each type.
 var encodeFuncs locks.Map
 
-// scribeOf writes nothing of types that are left out.
+// encodeFuncFor returns a function that writes nothing for skipped types.
 func encodeFuncFor(t reflect.Type) encodeFunc {
 	if slices.Contains(skippedTypes, t) {
 		return func(*stateEncoder, unsafe.Pointer) {}
@@ -111,7 +110,7 @@
 	switch t.Kind() {
 	case reflect.Bool:
 		return func(c *stateEncoder, at unsafe.Pointer) { c.bool(*(*bool)(at)) }
-	case reflect.Int64, reflect.Int: // of one size here
+	case reflect.Int64, reflect.Int: // both have 64 bits on the supported platforms
 		if t == timeType {
 			return func(c *stateEncoder, at unsafe.Pointer) { c.time(*(*fsm.Time)(at)) }
 		}
@@ -129,7 +128,7 @@
 	case reflect.Map:
 		return mapEncodeFunc(t)
 	case reflect.Pointer:
-		elem := locks.OnceValue(func() encodeFunc { return encodeFuncFor(t.Elem()) }) // it may point to its own kind
+		elem := locks.OnceValue(func() encodeFunc { return encodeFuncFor(t.Elem()) }) // lazy, as the type may refer to itself
 		return func(c *stateEncoder, at unsafe.Pointer) {
 			to := *(*unsafe.Pointer)(at)
 			if to == nil {
@@ -148,7 +147,7 @@
 	case reflect.Struct:
 		return structEncodeFunc(t)
 	}
-	panic(t) // a bug: a kind that no field had
+	panic(t) // a bug: no field had this kind so far
 }
 
 // boxed writes a value that has no address.
@@ -161,7 +160,7 @@
 func sliceEncodeFunc(t reflect.Type) encodeFunc {
 	size, elem := t.Elem().Size(), encodeFuncFor(t.Elem())
 	return func(c *stateEncoder, at unsafe.Pointer) {
-		all := *(*[]byte)(at) // its beginning and its length, whatever it holds
+		all := *(*[]byte)(at) // only its address and length are used, whatever its elements are
 		c.uvarint(uint64(len(all)))
 		for i, first := 0, unsafe.Pointer(unsafe.SliceData(all)); i < len(all); i++ {
 			elem(c, unsafe.Add(first, uintptr(i)*size))
@@ -169,10 +168,10 @@
 	}
 }
 
-// mapScribe writes maps from texts, in the order of these.
+// mapEncodeFunc writes maps with string keys, sorted by key.
 func mapEncodeFunc(t reflect.Type) encodeFunc {
 	if t.Key().Kind() != reflect.String {
-		panic(t) // a bug: no field had one
+		panic(t) // a bug: no map field had another key type so far
 	}
 	switch reflect.Zero(t).Interface().(type) {
 	case map[string]bool:
@@ -204,7 +203,7 @@
 	}
 }
 
-// sorted writes a map's texts in order, and what stands under each.
+// encodeSortedMap writes a map's keys and values in the order of the keys.
 func encodeSortedMap[V any](c *stateEncoder, m map[string]V, write func(V)) {
 	c.uvarint(uint64(len(m)))
 	if len(m) == 0 {
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -18,14 +18,14 @@
 	pullInterval        = 300 * time.Millisecond
 	viewRequestInterval = 500 * time.Millisecond
 	resendInterval      = 100 * time.Millisecond
-	primaryHold         = 600 * time.Millisecond  // a primary heard within it lives
-	primaryTimeout      = 700 * time.Millisecond  // and is lost after it
-	stallTimeout        = 450 * time.Millisecond  // a disk or a writer that takes longer is left out
-	vacancyTimeout      = 1500 * time.Millisecond // a member silent so long may lose its seat
-	quietPeriod         = 600 * time.Millisecond  // no founding while members still come
-	callTimeout         = 800 * time.Millisecond  // an operator's call, ticks included, ends within 900 ms
+	primaryHold         = 600 * time.Millisecond  // members grant no promise while they heard a primary this recently
+	primaryTimeout      = 700 * time.Millisecond  // after this the primary counts as failed
+	stallTimeout        = 450 * time.Millisecond  // a disk or a writer that takes longer is replaced
+	vacancyTimeout      = 1500 * time.Millisecond // a member silent this long may lose its place to a joining one
+	quietPeriod         = 600 * time.Millisecond  // the cluster is not founded while members are still arriving
+	callTimeout         = 800 * time.Millisecond  // with the tick interval added, an operator's call ends within 900 ms
 	rankDelay           = 70 * time.Millisecond
-	preVoteReservation  = 150 * time.Millisecond // keeps candidates from meeting half-way
+	preVoteReservation  = 150 * time.Millisecond // keeps two candidates from each winning half of the pre-votes
 	latePromiseWait     = 25 * time.Millisecond
 )
 
@@ -34,51 +34,51 @@
 	Self            string // mesh address
 	Name, Zone      string
 	Member          bool // has a disk
-	Genesis         bool // the disk is empty because nothing was ever there
+	Genesis         bool // the disk is empty because it was never used, not because it was lost
 	ToleratedLosses int
 	Seeds           []string
 	Seed            uint64
-	Transform       func(kept, next Doc) Doc // what a primary keeps of a new document; nil: it as it is
+	Transform       func(kept, next Doc) Doc // maps a proposed document, given the committed one, to what the primary stores; nil stores it unchanged
 }
 
-// Doc is the document. Version 0 is none. A primary may amend one: the same version
-// and body with a higher Rev, and what its user keeps beside it.
+// Doc is the replicated document. Version 0 means that there is none. A primary may amend it: the
+// amendment has the same version and body, a higher Rev and another Attachment.
 type Doc struct {
 	Version    uint32 `cbor:"1,keyasint,omitempty"`
 	Body       []byte `cbor:"2,keyasint,omitempty"`
 	Rev        uint32 `cbor:"3,keyasint,omitempty"`
 	Attachment []byte `cbor:"4,keyasint,omitempty"`
 
-	Digest    []byte       `cbor:"5,keyasint,omitempty"` // digest of Body
-	CreatedIn Ballot       `cbor:"6,keyasint,omitzero"`  // the epoch that made it
-	Ledger    dedup.Ledger `cbor:"7,keyasint,omitempty"` // accepted up to this one
-	LedgerRev uint32       `cbor:"8,keyasint,omitempty"` // how often others were added to them since
-	// Past is of the versions before this one: it stays while the version does, amended or not.
+	Digest    []byte       `cbor:"5,keyasint,omitempty"` // of Body
+	CreatedIn Ballot       `cbor:"6,keyasint,omitzero"`  // the epoch whose primary created it
+	Ledger    dedup.Ledger `cbor:"7,keyasint,omitempty"` // requests accepted up to this version
+	LedgerRev uint32       `cbor:"8,keyasint,omitempty"` // how often entries were added to Ledger since this Rev was created
+	// History concerns earlier versions. It is kept as long as the version is, amended or not.
 	History []byte `cbor:"9,keyasint,omitempty"`
 
-	Packed *delta.Delta `cbor:"10,keyasint,omitempty"` // the body, on the wire only: see pack.go
+	Packed *delta.Delta `cbor:"10,keyasint,omitempty"` // the packed body, only on the wire: see pack.go
 }
 
-// Above says which of two documents takes the other's place.
+// Supersedes reports whether d replaces o.
 func (d Doc) Supersedes(o Doc) bool {
 	return cmp.Or(cmp.Compare(d.Version, o.Version), cmp.Compare(d.Rev, o.Rev), cmp.Compare(d.LedgerRev, o.LedgerRev)) > 0
 }
 
-// Disk is all that a member must not forget.
+// DurableState is all that a member must keep on disk.
 type DurableState struct {
 	DiskID      uint64       `cbor:"1,keyasint"`
-	NeverMember bool         `cbor:"2,keyasint,omitempty"` // never had a seat, so there is nothing forgotten
+	NeverMember bool         `cbor:"2,keyasint,omitempty"` // the disk was never part of a membership, so it has forgotten nothing
 	Promised    Ballot       `cbor:"3,keyasint"`
 	Record      EpochRecord  `cbor:"4,keyasint"`
-	StateBallot Ballot       `cbor:"5,keyasint"`            // the epoch that Kept and Next were last copied or appended in
-	Committed   Doc          `cbor:"6,keyasint"`            // committed
-	Pending     Doc          `cbor:"7,keyasint"`            // perhaps not committed, above Kept
-	Saves       uint64       `cbor:"8,keyasint,omitempty"`  // saves of this life, but for those of marks alone
-	KnownTokens []KnownToken `cbor:"9,keyasint,omitempty"`  // what other seats have vouched for, see fence.go
-	Format      uint32       `cbor:"10,keyasint,omitempty"` // see DiskFormat; of a write
+	StateBallot Ballot       `cbor:"5,keyasint"`            // the epoch in which Committed and Pending were last installed or appended
+	Committed   Doc          `cbor:"6,keyasint"`
+	Pending     Doc          `cbor:"7,keyasint"`            // possibly not committed; supersedes Committed
+	Saves       uint64       `cbor:"8,keyasint,omitempty"`  // saves with this disk ID, without those that only update KnownTokens
+	KnownTokens []KnownToken `cbor:"9,keyasint,omitempty"`  // fencing tokens of the other members, see fence.go
+	Format      uint32       `cbor:"10,keyasint,omitempty"` // StateFormat of the program that wrote it
 }
 
-// latest is the state that a writer vouches for.
+// newestDoc returns the document that a writer vouches for.
 func newestDoc(kept, next Doc) Doc {
 	if next.Supersedes(kept) {
 		return next
@@ -86,16 +86,16 @@
 	return kept
 }
 
-// Verdict is how an operator's call ended.
+// Result is how an operator's call ended.
 type Result uint8
 
-// The verdicts.
+// The results of calls.
 const (
 	ResultAccepted Result = iota + 1
 	ResultBusy
 	ResultRead
 	ResultNone
-	ResultConflict // another text was accepted under this number
+	ResultConflict // another body was accepted under this version
 	ResultContact
 )
 
@@ -103,39 +103,39 @@
 	return [...]string{"?", "kept", "busy", "read", "none", "differs", "proved"}[min(int(v), 6)]
 }
 
-// Answer ends a Put, a Get or a Prove.
+// Answer ends a Put, a Get or a CheckContact.
 type Answer struct {
 	ID      uint64
 	Result  Result
 	Doc     *Doc
 	Primary string
-	Version uint32 // Proved: what was kept then
+	Version uint32 // for ResultContact: the version committed at that time
 }
 
-// Write asks to sync a disk's whole content.
+// Write asks for a durable write of the whole state.
 type Write struct {
 	Seq   uint64
 	State DurableState
 }
 
-// Out is what a machine wants done.
+// Out holds the actions that a machine asks its host to perform.
 type Out struct {
 	Send           []fsm.Send
 	Write          *Write
 	Answers        []Answer
 	Apply          *Doc
-	ConfirmedRound uint64 // the newest of Affirm's rounds that is confirmed
-	Fenced         bool   // the disk was older than what it had vouched for: this member is a newcomer now
+	ConfirmedRound uint64 // the newest round of ConfirmLeadership that is confirmed
+	Fenced         bool   // the disk was older than what it had vouched for, and this member rejoins as a new one
 }
 
-// Peer is a process as the membership sees it.
+// Peer is a process as the cluster membership protocol sees it.
 type Peer struct {
 	Addr, Name, Zone string
 	Member, Up       bool
 	Version          uint32
 }
 
-// Status is for operators.
+// Status describes a machine for operators.
 type Status struct {
 	Role     string // follower, member, candidate, primary
 	Epoch    uint64
@@ -158,7 +158,7 @@
 	count uint64
 }
 
-// Machine is one process's part.
+// Machine is the consensus state machine of one process.
 type Machine struct {
 	config    Config
 	state     DurableState
@@ -168,97 +168,97 @@
 	startedAt fsm.Time
 	lastTick  fsm.Time
 	out       Out
-	selfSends []fsm.Send // to itself
+	selfSends []fsm.Send // messages to this process itself
 
 	dirty         bool
 	seq           uint64
 	written       uint64
 	pendingWrites []pendingWrite
 	diskLag       diskLagTracker
-	afterSave     []fsm.Send // to go out once what this input wrote is synced
+	afterSave     []fsm.Send // sent once the writes of this input are synced
 	deferred      []deferredSend
 
 	seeds             []string
 	peers             []Peer
-	newestPeerVersion uint32      // the highest version that one of them has
-	view              EpochRecord // the newest active one known
-	reportedVersion   uint32      // highest committed version heard of
+	newestPeerVersion uint32      // the highest version that a peer has
+	view              EpochRecord // the newest active record known
+	reportedVersion   uint32      // the highest committed version that was reported
 	reportedBy        string
-	largeSentAt       map[string]fsm.Time // large documents that were asked for, and may be on their way still
-	primaryViewAt     fsm.Time            // when the primary last told its view
+	largeSentAt       map[string]fsm.Time // when each process was last sent a large document, which may still be in transit
+	primaryViewAt     fsm.Time            // when the primary last sent its view
 
-	primaryHeardAt       fsm.Time // when a primary or a candidate promised to was heard
+	primaryHeardAt       fsm.Time // when a primary, or a candidate that has our promise, was last heard
 	primaryHeardFrom     string
 	highestBallot        uint64 // highest ballot number seen
 	jitter               fsm.Time
-	preVoteReservedUntil fsm.Time // until when only bookedBy may be granted a probe
+	preVoteReservedUntil fsm.Time // until then only preVoteReservedFor may be granted a pre-vote
 	preVoteReservedFor   string
 	candidate            *candidateState
 	primary              *primaryState
 	avoidUntil           map[string]fsm.Time
 
 	calls             []*call
-	nextDocRetryAt    fsm.Time // when a document may be repeated again
+	nextDocRetryAt    fsm.Time // when a document may be sent again
 	waiting           []*waitingCall
 	joinSentAt        fsm.Time
 	pulledAt          fsm.Time
-	behindSince       fsm.Time // since when others are known to have more; 0: they haven't
+	behindSince       fsm.Time // since when others are known to be ahead; 0: they are not
 	rotation          int
 	founder           founder
-	applied           Doc     // the newest handed out to be put in force
-	recentDeltas      []Delta // that led to the document held, for those that were away; never changed in place
-	packedWhole       Delta   // the document held, whole
+	applied           Doc     // the newest document handed out in Out.Apply
+	recentDeltas      []Delta // the deltas that led to the committed document, for processes that missed some; never changed in place
+	packedWhole       Delta   // the committed document, packed without a base
 	epochHistory      []EpochChange
-	leaving           LeaveUrgency // 0: it does not leave
-	leaveWhenSafeAt   fsm.Time     // when it first said that it ends as soon as it may
-	leaveSentAt       fsm.Time     // when it last asked for that
-	leaveGranted      bool         // it has been released
-	activeRecordWrite uint64       // the write that had the record as an active one first; 0: it is on disk
+	leaving           LeaveUrgency // 0: this process is not leaving
+	leaveWhenSafeAt   fsm.Time     // when LeaveWhenSafe or LeaveForced was first requested
+	leaveSentAt       fsm.Time     // when Leave was last sent
+	leaveGranted      bool         // LeaveGranted has arrived
+	activeRecordWrite uint64       // the write that first holds the current record as active; 0: it is on disk
 	handedOverAt      fsm.Time     // when it handed its epoch over
 	bug               Bug
 
-	savesAtStart  uint64   // saves that the disk had when this process started
+	savesAtStart  uint64   // saves that were on the disk when this process started
 	savesSynced   uint64   // saves that are synced
-	tokensNotedAt fsm.Time // since when marks wait to be written; 0: none do
-	flushTokens   bool     // they wait no longer
+	tokensNotedAt fsm.Time // since when tokens wait to be written; 0: none do
+	flushTokens   bool     // write the waiting tokens now
 	fenceCount    int
 
-	packReaders  packReaderList // of packed documents
-	packedBodies []packedBody   // what was packed last
+	packReaders  packReaderList // processes that read packed documents
+	packedBodies []packedBody   // the bodies packed last
 }
 
-// Bug switches a guard off, to show that the judges miss it.
+// Bug disables a safeguard, to show that the tests notice its absence.
 type Bug uint8
 
-// The bugs. Those of disks are the models'.
+// The bugs. Those that concern disks are simulated by the model checker.
 const (
-	BugAckEarly              Bug = iota + 1 // answer before the backups have it
-	BugNoPromise                            // obey primaries that were overtaken
-	BugAnyState                             // take over with whatever data the promises bring
-	BugNoQuorum                             // take over without the witnesses' promises and records
-	BugEarlySync                            // a disk says that it has synced before it has
-	BugReuseDiskID                          // an empty disk counts as the one that was there
-	BugNoFencing                            // a disk put back to an older state counts as the newer one
-	BugAnyBody                              // acknowledge any text under a number that is not above the one kept
-	BugDropLedger                           // a takeover forgets which orders were accepted
-	BugNoLeave                              // who leaves keeps its seat
-	BugAssumeLost                           // who does not answer counts as lost
-	BugSkipLearner                          // a newcomer has its seat before it has said that it is there
-	BugEarlyExit                            // who leaves ends before the others know the epoch without it
-	BugTooFewWriters                        // take puts with fewer writers than copies are wanted
-	BugNoCatchUp                            // who has missed a document doesn't ask for it
-	BugUnthrottledRetries                   // documents are repeated to whoever may lead, as often as small calls
-	BugUnconfirmed                          // reads are answered without asking the writers
-	BugNoPacking                            // large documents are not packed in promises, copies, appends and calls
-	BugNoShrinkOnForcedLeave                // who is ended soon while another one is missing keeps its seat
-	BugAnyCaller                            // answers to calls of a caller's earlier life count
-	BugOwnBody                              // a candidate that lacks a text which a promise names goes on with its own
+	BugAckEarly              Bug = iota + 1 // accept before the backups have the document
+	BugNoPromise                            // obey primaries of older epochs
+	BugAnyState                             // take over with the state of any promise, not only of the last epoch's writers
+	BugNoQuorum                             // take over without promises and records of a majority
+	BugEarlySync                            // report a write as synced before it is
+	BugReuseDiskID                          // give a wiped disk its former ID
+	BugNoFencing                            // accept a disk that was restored to an older state
+	BugAnyBody                              // accept any body under a version that is not above the committed one
+	BugDropLedger                           // forget at a takeover which requests were accepted
+	BugNoLeave                              // keep the membership of a process that leaves
+	BugAssumeLost                           // count a member that does not answer as lost
+	BugSkipLearner                          // add a new member before it has answered
+	BugEarlyExit                            // let a leaving process exit before the others know the epoch without it
+	BugTooFewWriters                        // accept documents with fewer writers than required
+	BugNoCatchUp                            // do not ask for missed documents
+	BugUnthrottledRetries                   // repeat documents as often as small calls, and to any likely primary
+	BugUnconfirmed                          // answer reads without asking the writers
+	BugNoPacking                            // do not pack large documents in promises, state transfers, appends and calls
+	BugNoShrinkOnForcedLeave                // keep the membership of a process that is stopped soon while another member is missing
+	BugAnyCaller                            // accept replies to calls of an earlier run of the caller
+	BugOwnBody                              // use the candidate's own state where it lacks a body that a promise refers to
 )
 
-// SetBug switches a guard off.
+// SetBug disables a safeguard.
 func (m *Machine) SetBug(b Bug) { m.bug = b }
 
-// New starts a process. A nil disk is an empty one, or none.
+// New returns the machine of a process that starts. A nil state means an empty disk, or none.
 func New(c Config, d *DurableState, now fsm.Time) *Machine {
 	h := fnv.New64a()
 	h.Write([]byte(c.Self))
@@ -288,7 +288,7 @@
 	return m
 }
 
-// Held is the newest committed document known here.
+// Committed returns the newest committed document known here, or nil.
 func (m *Machine) Committed() *Doc {
 	if m.state.Committed.Version == 0 {
 		return nil
@@ -297,7 +297,7 @@
 	return &d
 }
 
-// Status tells operators how things stand.
+// Status describes this machine for operators.
 func (m *Machine) Status() Status {
 	s := Status{Role: "follower", Epoch: m.view.Ballot.N, Primary: m.view.primary(), Founding: m.view.ClusterID,
 		Writers: slices.Clone(m.view.Writers), Version: m.state.Committed.Version}
@@ -315,7 +315,8 @@
 	return s
 }
 
-// Peers takes the membership's view, which may be wrong, and keeps it.
+// SetPeers takes the peers as the membership protocol sees them, which may be wrong. It keeps the
+// slice.
 func (m *Machine) SetPeers(now fsm.Time, peers []Peer) {
 	m.now, m.peers, m.newestPeerVersion = max(m.now, now), peers, 0
 	for _, p := range peers {
@@ -323,7 +324,7 @@
 	}
 }
 
-// Holds notes which version a process has.
+// NotePeerVersion records that a process has a version.
 func (m *Machine) NotePeerVersion(addr string, version uint32) {
 	if i := slices.IndexFunc(m.peers, func(p Peer) bool { return p.Addr == addr }); i >= 0 {
 		m.peers[i].Version = max(m.peers[i].Version, version)
@@ -331,15 +332,15 @@
 	}
 }
 
-// Seeds replaces the addresses to turn to.
+// SetSeeds replaces the addresses to contact first.
 func (m *Machine) SetSeeds(now fsm.Time, seeds []string) {
 	m.now, m.seeds = max(m.now, now), slices.Clone(seeds)
 }
 
-// Tick lets time pass.
+// Tick advances the time and does what is due.
 func (m *Machine) Tick(now fsm.Time) Out {
 	m.now = max(m.now, now)
-	if m.now-m.lastTick > primaryHold && m.primary == nil { // frozen: what was not heard says nothing
+	if m.now-m.lastTick > primaryHold && m.primary == nil { // after a pause of this process, a missing heartbeat proves nothing
 		m.primaryHeardAt = m.now
 		m.candidate = nil
 	}
@@ -355,7 +356,7 @@
 	return m.finishInput()
 }
 
-// Written says that a write, and all before it, are synced.
+// WriteDone reports that a write and all before it are synced.
 func (m *Machine) WriteDone(now fsm.Time, seq uint64) Out {
 	m.now = max(m.now, now)
 	m.written = max(m.written, seq)
@@ -383,7 +384,7 @@
 	return m.finishInput()
 }
 
-// Take takes a message.
+// Receive handles a message.
 func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
 	m.now = max(m.now, now)
 	m.dispatch(from, msg)
@@ -394,7 +395,7 @@
 	m.notePackReader(from, msg)
 	msg, whole := m.unpack(msg)
 	if !whole {
-		if _, ok := msg.(Forward); ok { // the caller may have gone by an older one than leads
+		if _, ok := msg.(Forward); ok { // the caller may have made its delta against a base that an earlier primary had
 			m.sendView(from)
 		}
 		return
@@ -434,7 +435,7 @@
 		if m.state.Committed.Version > t.Version {
 			if t.AcceptsDeltas {
 				m.sendDoc(from, m.committedPush(t.Version))
-			} else { // what came as differences was damaged
+			} else { // a delta was damaged: send the whole document
 				m.send(from, Push{Doc: m.state.Committed.withoutLedger()})
 			}
 		}
@@ -508,12 +509,13 @@
 	m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: msg})
 }
 
-// durable sends once all that is known here now is on disk.
+// sendAfterSave sends a message once all that is known here now is on disk.
 func (m *Machine) sendAfterSave(to string, msg any) {
 	m.afterSave = append(m.afterSave, fsm.Send{To: to, Msg: msg})
 }
 
-// end closes an input: what it wrote, and what may go out at once.
+// finishInput ends the handling of an input: it collects the write and the messages that may go out
+// at once.
 func (m *Machine) finishInput() Out {
 	for {
 		for len(m.selfSends) > 0 {
@@ -553,12 +555,12 @@
 	}
 }
 
-// slow says whether the disk has left a write unsynced for long.
+// diskStalled reports whether a write has been unsynced for longer than stallTimeout.
 func (m *Machine) diskStalled() bool {
 	return len(m.pendingWrites) > 0 && m.now-m.pendingWrites[0].at > stallTimeout
 }
 
-// seated says whether the newest record held gives this very memory a seat.
+// isMember reports whether the newest record has this process, with this disk ID, as a member.
 func (m *Machine) isMember() bool {
 	return m.config.Member && m.state.Record.has(m.config.Self, m.state.DiskID)
 }
--- a/internal/consensus/delta.go
+++ b/internal/consensus/delta.go
@@ -6,17 +6,18 @@
 	"asterwell/internal/delta"
 )
 
-// Delta is a committed document as a difference to the one before it, or to none: most of what
-// operators change in a large one is in one place. Who has not that base asks for what it needs.
+// Delta is a committed document as a difference to an earlier version, or packed without one.
+// Operators mostly change one place of a large document. A receiver without the base version asks
+// for what it needs.
 type Delta struct {
 	From   uint32      `cbor:"1,keyasint,omitempty"` // version of the base; 0: none
-	Doc    Doc         `cbor:"2,keyasint"`           // the document without its body
+	Doc    Doc         `cbor:"2,keyasint"`           // without its body
 	Change delta.Delta `cbor:"3,keyasint"`
 }
 
 func (d Delta) size() int { return len(d.Change.Steps) + len(d.Doc.Attachment) + 64 }
 
-// head is a document as others than writers are given it, without its body.
+// withoutBody returns a document as it is sent to processes that are no writers, without its body.
 func (d Doc) withoutBody() Doc {
 	d = d.withoutLedger()
 	d.Body = nil
@@ -28,14 +29,13 @@
 	return d
 }
 
-// recentMost is how many bytes of differences a process keeps for those that were away, and
-// fewMost how many differences.
+// maxDeltaBytes and maxDeltas limit the deltas that a process keeps for those that missed some.
 const (
 	maxDeltaBytes = 256 << 10
 	maxDeltas     = 1024
 )
 
-// step notes what a primary changes of its document, or finds that it is no small change.
+// recordDelta keeps the difference between two documents of a primary, unless it is too large.
 func (m *Machine) recordDelta(old, doc Doc) {
 	if old.Version == 0 || old.Version == doc.Version {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// keepDelta adds a difference to those that lead to the document held; they are one chain.
+// appendDelta adds a delta to those that lead to the committed document. They form one chain.
 func (m *Machine) appendDelta(d Delta) {
 	if n := len(m.recentDeltas); n > 0 && m.recentDeltas[n-1].Doc.Version != d.From {
 		m.recentDeltas = nil
@@ -59,7 +59,8 @@
 	}
 }
 
-// since are the differences from a version on to the document held, or nil: it is to be sent whole.
+// deltasSince returns the deltas from a version to the committed document, or nil if the whole
+// document must be sent.
 func (m *Machine) deltasSince(version uint32) []Delta {
 	kept := m.state.Committed
 	n := len(m.recentDeltas)
@@ -81,7 +82,8 @@
 	return all
 }
 
-// parcel is the document held for somebody that holds that version, as short as may be.
+// committedPush returns the committed document for a process that has version held, as short as
+// possible.
 func (m *Machine) committedPush(held uint32) Push {
 	kept := m.state.Committed
 	if all := m.deltasSince(held); all != nil {
@@ -99,14 +101,14 @@
 	return Push{Doc: kept.withoutLedger()}
 }
 
-// onDeltas takes a document that came as differences. What does not fit changes nothing: who was away asks
-// for what it lacks, and for the whole document where one is damaged.
+// onDeltas takes a document that comes as deltas. Those that don't fit change nothing: the process
+// asks for what it lacks, or for the whole document if a delta is damaged.
 func (m *Machine) onDeltas(from string, all []Delta) {
 	last := all[len(all)-1]
 	if !last.Doc.Supersedes(m.state.Committed) {
 		return
 	}
-	if kept := m.state.Committed; kept.Version == last.Doc.Version && delta.Sum(kept.Body) == last.Change.To { // amended
+	if kept := m.state.Committed; kept.Version == last.Doc.Version && delta.Sum(kept.Body) == last.Change.To { // only amended
 		m.commit(last.Doc.withBody(kept.Body))
 		return
 	}
@@ -119,7 +121,7 @@
 			body, at = nil, 0
 		}
 		if d.From != at {
-			continue // before what is held, or beside it
+			continue // older than the document here, or from another base
 		}
 		text, err := d.Change.Apply(body)
 		if err != nil {
@@ -142,7 +144,8 @@
 	}
 }
 
-// before is the version that the document held was made of, if that is known; else 0.
+// deltaBase returns the version from which the committed document was made, or 0 if that is not
+// known.
 func (m *Machine) deltaBase(doc Doc) uint32 {
 	if n := len(m.recentDeltas); n > 0 && m.recentDeltas[n-1].Doc.Version == doc.Version {
 		return m.recentDeltas[n-1].From
--- a/internal/consensus/fence.go
+++ b/internal/consensus/fence.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// A disk that is put back to an older state forgets what was vouched for on it since, and its
-// life is the same. So whatever a member vouches for carries a fencing token, others remember
-// the newest one of each seat and say so in their promises, and a member that shows less than
-// it once vouched for is fenced: it draws a new life and joins like one whose disk is empty.
-
-// Token is how far a disk has got. A process can't reach by saves of its own what another one
-// vouched for on the same disk: what counts is what it found there.
+// A disk that is restored to an older state, by a snapshot or a backup, has lost writes that its
+// process has vouched for, and its disk ID is the same. So a member sends a fencing token with all
+// that it vouches for. Others remember the newest token of each member and pass them on in their
+// promises. A member whose token is behind one that it sent before is fenced: it draws a new disk
+// ID and joins like a process with an empty disk.
+
+// Token tells how far a disk has got. Later saves of a process can't make up for those that another
+// process made on the same disk, so SavesAtStart decides.
 type Token struct {
 	Saves        uint64 `cbor:"1,keyasint,omitempty"` // saves that are on the disk
-	SavesAtStart uint64 `cbor:"2,keyasint,omitempty"` // those that the process found when it started
-	RunID        uint64 `cbor:"3,keyasint,omitempty"` // names the process; 0: one that knows no tokens
+	SavesAtStart uint64 `cbor:"2,keyasint,omitempty"` // saves that the process found on the disk when it started
+	RunID        uint64 `cbor:"3,keyasint,omitempty"` // identifies the run of the process; 0: a release without tokens
 }
 
-// Mark is the newest token that a seat is known to have vouched for.
+// KnownToken is the newest token that a member is known to have sent.
 type KnownToken struct {
 	Addr   string `cbor:"1,keyasint"`
 	DiskID uint64 `cbor:"2,keyasint"`
@@ -29,25 +30,25 @@
 	RunID  uint64 `cbor:"4,keyasint"`
 }
 
-// Fenced tells a member that its life has vouched for more than its disk has.
+// FenceNotice tells a member that it has vouched for more than its disk holds.
 type FenceNotice struct {
 	Token KnownToken `cbor:"1,keyasint"`
 }
 
-// noteAfter is how long marks wait for a save that takes them along, before one is made for
-// them: never in a row of changes, once after it. Nothing waits for it.
+// tokenFlushDelay is how long new tokens wait for a save that includes them before one is made for
+// them: not during a series of changes, but once after it. Nothing waits for that save.
 const tokenFlushDelay = 300 * time.Millisecond
 
 func (m *Machine) ownToken() Token {
 	return Token{Saves: m.savesSynced, SavesAtStart: m.savesAtStart, RunID: m.runID}
 }
 
-// lacks says whether a process's disk was without what the mark tells when it started.
+// provesRollback reports whether a process started on a disk without saves that k vouches for.
 func (k KnownToken) provesRollback(t Token) bool {
 	return k.RunID != 0 && t.RunID != 0 && t.RunID != k.RunID && t.SavesAtStart < k.Saves
 }
 
-// stamped gives a message that a memory stands behind the token of what is synced now.
+// withToken adds the token of what is synced to a message that vouches for this member.
 func (m *Machine) withToken(msg any) any {
 	switch t := msg.(type) {
 	case Prepare:
@@ -75,7 +76,7 @@
 	return msg
 }
 
-// vouch is the memory that a message speaks for, and how far it has got.
+// senderToken returns the disk ID and the token of a message that vouches for its sender.
 func senderToken(msg any) (life uint64, t Token, ok bool) {
 	switch t := msg.(type) {
 	case Prepare:
@@ -96,8 +97,9 @@
 	return 0, Token{}, false
 }
 
-// believes notes what a message vouches for, or fences its sender, and then it doesn't count.
-// One that came late from a process before is taken for that as well: it is sent again.
+// acceptsToken notes the token of a message. It returns false, and fences the sender, if the token
+// proves a rollback. A late message from an earlier run looks the same; its request will be
+// repeated.
 func (m *Machine) acceptsToken(from string, msg any) bool {
 	life, t, ok := senderToken(msg)
 	if !ok || from == m.config.Self || t.RunID == 0 {
@@ -120,7 +122,8 @@
 	return m.state.KnownTokens[i], true
 }
 
-// note keeps the newest mark of each seat, and of seats only: there are no more than those.
+// noteToken keeps the newest token of each member. Tokens of others are not kept, which limits
+// their number.
 func (m *Machine) noteToken(k KnownToken) {
 	if k.Addr == m.config.Self || k.RunID == 0 {
 		return
@@ -141,7 +144,8 @@
 	}
 }
 
-// merge takes what others remember: of this member, and of those whose promises it counts.
+// mergeTokens takes the tokens that another member knows, of this member and of those whose
+// promises it has counted.
 func (m *Machine) mergeTokens(marks []KnownToken) {
 	for _, k := range marks {
 		if k.Addr == m.config.Self {
@@ -162,8 +166,8 @@
 	}
 }
 
-// onFenced makes a newcomer of a member whose disk is older than what it vouched for. What is
-// committed stays so, and is kept.
+// onFenceNotice makes a member with a disk older than its token a new one. The committed document
+// is kept, as it remains committed.
 func (m *Machine) onFenceNotice(t FenceNotice) {
 	if t.Token.Addr != m.config.Self || t.Token.DiskID != m.state.DiskID || !t.Token.provesRollback(m.ownToken()) || m.bug == BugNoFencing {
 		return
@@ -175,7 +179,7 @@
 	m.fenceCount, m.out.Fenced = m.fenceCount+1, true
 }
 
-// marks are those of an epoch's seats, this member's own among them.
+// memberTokens returns the tokens of an epoch's members, with this process's own.
 func (m *Machine) memberTokens(r EpochRecord) []KnownToken {
 	var all []KnownToken
 	for _, s := range r.Members {
@@ -188,7 +192,7 @@
 	return all
 }
 
-// sum is the same where the marks are, so that a beat need not bring them.
+// tokensHash is equal where the tokens are, so that a heartbeat need not carry them.
 func (m *Machine) tokensHash(r EpochRecord) uint32 {
 	h := fnv.New32a()
 	var b []byte
@@ -202,19 +206,19 @@
 	return h.Sum32() | 1
 }
 
-// settleMarks has marks written that no save has taken along.
+// flushTokensWhenDue writes tokens that no save has included.
 func (m *Machine) flushTokensWhenDue() {
 	if m.tokensNotedAt != 0 && m.now-m.tokensNotedAt >= tokenFlushDelay && len(m.pendingWrites) == 0 {
 		m.flushTokens = true
 	}
 }
 
-// saved notes that a save is on disk.
+// noteSaved notes that a save is on disk.
 func (m *Machine) noteSaved(w pendingWrite) {
 	if w.life == m.state.DiskID {
 		m.savesSynced = max(m.savesSynced, w.count)
 	}
 }
 
-// Fences is how often this process was told that its disk is older than what it vouched for.
+// FenceCount returns how often this process was told that its disk is older than its token.
 func (m *Machine) FenceCount() int { return m.fenceCount }
--- a/internal/consensus/format.go
+++ b/internal/consensus/format.go
@@ -8,28 +8,28 @@
 	"asterwell/internal/delta"
 )
 
-// DiskFormat is the newest format of a member's disk that this program knows. A change that
-// an older program must not pass over by leaving out what it does not know raises it.
+// StateFormat is the newest format of the durable state that this program reads. It is raised by a
+// change that an older program must not ignore by dropping fields unknown to it.
 const StateFormat = 1
 
-// Newer tells that a disk was written by a later program, which an older one leaves alone.
+// NewerFormatError reports a state written by a later release, which this program must not change.
 type NewerFormatError struct{ Have, Want uint32 }
 
 func (e *NewerFormatError) Error() string {
 	return fmt.Sprintf("format %d, this program knows up to %d", e.Have, e.Want)
 }
 
-// packedMark begins a disk's record that is packed; no cbor begins so. A large document stands
-// in it twice while it is on its way, and the vault keeps the record before as well: on a small
-// disk four times 16 MiB are too much.
+// packedPrefix begins a packed state. No CBOR encoding of a state begins with it. A large document
+// is in the state twice while it is being replicated, and the storage keeps the previous state as
+// well: four times 16 MiB are too much for a small disk.
 const packedPrefix = 0xff
 
 const (
 	minPackedState   = 256 << 10
-	maxUnpackedState = 256 << 20 // that is unpacked: far more than documents come to
+	maxUnpackedState = 256 << 20 // unpacked; far above the size of real documents
 )
 
-// Bytes is the disk as it is written.
+// Encode returns the state as it is written to disk.
 func (d *DurableState) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(d)
 	if err != nil || len(data) < minPackedState {
@@ -41,7 +41,7 @@
 	return data, nil
 }
 
-// ReadDisk reads what a member must not forget. Disks from before there were formats have none.
+// DecodeState reads a state. States from before formats were introduced have no Format.
 func DecodeState(data []byte) (*DurableState, error) {
 	if len(data) > 0 && data[0] == packedPrefix {
 		all, err := delta.Unpack(data[1:], maxUnpackedState)
--- a/internal/consensus/found.go
+++ b/internal/consensus/found.go
@@ -8,12 +8,12 @@
 	"asterwell/internal/fsm"
 )
 
-// founder is the process that the first seed names. It gives out the first record
-// once; a process that knows of any founding gives out none.
+// founder is used by the process that the first seed names. It gives out the first record once, and
+// only if the process knows of no cluster yet.
 type founder struct {
 	isSelf     bool
 	joining    map[string]joinCandidate
-	lastJoinAt fsm.Time // when the last newcomer came
+	lastJoinAt fsm.Time
 	askedAt    fsm.Time
 	record     EpochRecord
 }
@@ -23,7 +23,7 @@
 		lastJoinAt: now, askedAt: now}
 }
 
-// greet makes a member without a seat in force known.
+// requestJoin announces a process that is no member of an active epoch.
 func (m *Machine) requestJoin() {
 	if !m.config.Member {
 		m.requestView()
@@ -91,12 +91,13 @@
 	f.joining[from] = joinCandidate{member: t.Member, neverMember: t.NeverMember, heardAt: m.now}
 }
 
-// never says whether the address has no seat, so that one that was wiped does not count twice.
+// hasNoMemberAt reports whether no member has this address, so that one with a wiped disk is not
+// added a second time.
 func (m *Machine) hasNoMemberAt(s Member) bool {
 	return !slices.ContainsFunc(m.primary.record.Members, func(o Member) bool { return o.Addr == s.Addr })
 }
 
-// found gives out the first record when no more members come.
+// foundCluster gives out the first record once no more members arrive.
 func (m *Machine) foundCluster() {
 	f := &m.founder
 	if !f.isSelf || !f.record.isZero() || !m.view.isZero() || !m.state.Record.isZero() {
@@ -125,7 +126,8 @@
 	}
 }
 
-// inquire: who has no disk and came up after the last epoch has not been told of it.
+// requestView asks for the current epoch. A process without a disk that started after the last
+// change of epoch has not been told of it.
 func (m *Machine) requestView() {
 	if !m.view.isZero() || m.now-m.joinSentAt < viewRequestInterval {
 		return
--- a/internal/consensus/lag.go
+++ b/internal/consensus/lag.go
@@ -6,22 +6,22 @@
 	"asterwell/internal/fsm"
 )
 
-// A disk that has stalled and come back will stall again: to change the primary each time
-// costs more than to wait, since another one has to sync as well, maybe on the same disk.
-// So a machine bears of its disk twice what it has lately seen; one that never stalled is
-// taken for lost after stall, as is the one that was worse than most.
+// A disk that has stalled once will stall again. Changing the primary each time costs more than
+// waiting, since the next one has to sync as well, perhaps on the same disk. So a machine tolerates
+// twice the longest sync it has seen lately. A disk that never stalled counts as failed after
+// stallTimeout, and any disk after maxDiskTolerance.
 const (
 	maxDiskTolerance = 2500 * time.Millisecond
 	lagMemory        = time.Minute
 )
 
-// lag is the worst that a disk did lately.
+// diskLagTracker holds the longest sync of the last minute.
 type diskLagTracker struct {
 	worst   lagDuration
-	worstAt fsm.Time // 0: nothing worth noting
+	worstAt fsm.Time // 0: no sync took long
 }
 
-// span is a time that passes, not a moment.
+// lagDuration is a duration that the model checker's encoder must not take for a time of the clock.
 type lagDuration time.Duration
 
 func (l *diskLagTracker) observe(now fsm.Time, took time.Duration) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// bears is how long a write may take before the disk counts as lost.
+// tolerance returns how long a write may take before the disk counts as failed.
 func (l *diskLagTracker) tolerance(now fsm.Time) time.Duration {
 	if l.worstAt == 0 || now-l.worstAt > lagMemory {
 		return stallTimeout
@@ -38,7 +38,7 @@
 	return max(stallTimeout, min(2*time.Duration(l.worst), maxDiskTolerance))
 }
 
-// told is the same for the primary: 0 where there is nothing to tell.
+// reportedTolerance returns the same for the primary, or 0 if it is the default.
 func (l *diskLagTracker) reportedTolerance(now fsm.Time) time.Duration {
 	if b := l.tolerance(now); b > stallTimeout {
 		return b
@@ -46,7 +46,7 @@
 	return 0
 }
 
-// hangs says whether the disk keeps this member from serving.
+// diskHangs reports whether the disk keeps this member from serving.
 func (m *Machine) diskHangs() bool {
 	return len(m.pendingWrites) > 0 && m.now-m.pendingWrites[0].at > m.diskLag.tolerance(m.now)
 }
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -7,28 +7,28 @@
 	"asterwell/internal/fsm"
 )
 
-// A member that leaves gives its seat away while it still can vouch for what it holds: to a
-// learner, or, when it is about to end and nobody has come, back to the set, which shrinks. A
-// seat kept by one that never comes back would weigh like a lost one.
+// A member that leaves gives up its membership while it still can vouch for its state. It is
+// replaced by a joining process, or removed if it is about to stop and none has come. A member that
+// never comes back would count like a failed one.
 
-// Notice is how near its end a process is that leaves.
+// LeaveUrgency tells how soon a leaving process stops.
 type LeaveUrgency uint8
 
-// The notices.
+// The urgencies.
 const (
-	LeaveEventually LeaveUrgency = iota + 1 // it will end
-	LeaveWhenSafe                           // it ends as soon as it may
-	LeaveForced                             // it is ended soon, whatever stands elsewhere
+	LeaveEventually LeaveUrgency = iota + 1 // it will stop at some time
+	LeaveWhenSafe                           // it stops as soon as MayExit allows
+	LeaveForced                             // it will be stopped soon, whatever the state of the cluster
 )
 
-// leaver is a seat that its holder wants to give away.
+// leavingMember is a member that has sent Leave.
 type leavingMember struct {
 	diskID  uint64
 	urgency LeaveUrgency
 	askedAt fsm.Time
 }
 
-// Leave says that this process will end.
+// Leave says that this process will stop.
 func (m *Machine) Leave(now fsm.Time, n LeaveUrgency) Out {
 	m.now = max(m.now, now)
 	if m.leaving < LeaveWhenSafe && n >= LeaveWhenSafe {
@@ -40,10 +40,10 @@
 	return m.finishInput()
 }
 
-// Left reports whether the others can go on without this process: an epoch in force has no
-// seat for it, so its writers have all, and whoever follows will find it in force. Nothing can
-// be left where nobody else has a seat. Nor can who leads by the version before, which takes no Leave: it
-// is left as that version leaves.
+// MayExit reports whether the others can go on without this process: an active epoch doesn't
+// include it, so its writers have the whole state, and any successor will find it active. A process
+// that is the only member may always exit. So may one whose primary runs the previous release,
+// which doesn't handle Leave.
 func (m *Machine) MayExit() bool {
 	early := m.bug == BugEarlyExit && !m.view.has(m.config.Self, m.state.DiskID)
 	if !m.config.Member || m.leaveGranted || early || m.bug == BugNoLeave || m.view.isZero() && m.state.Record.isZero() {
@@ -55,11 +55,11 @@
 	return len(m.view.Members) == 1 && m.view.Members[0].Addr == m.config.Self
 }
 
-// knowsLeave says whether a process has shown that it is not of the version before: packed documents came
-// with the handing over of seats.
+// supportsLeave reports whether a process has shown that it does not run the previous release:
+// reading packed documents came in the same release as Leave.
 func (m *Machine) supportsLeave(addr string) bool { return slices.Contains(m.packReaders, addr) }
 
-// depart asks for that, until it is so.
+// requestLeave repeats the request until this process may exit.
 func (m *Machine) requestLeave() {
 	if m.leaving == 0 || m.bug == BugNoLeave || m.leaveSentAt != 0 && m.now-m.leaveSentAt < resendInterval || m.MayExit() {
 		return
@@ -74,7 +74,7 @@
 	case p == "":
 	case p != m.config.Self:
 		m.send(p, Leave{DiskID: m.state.DiskID, WhenSafe: m.leaving >= LeaveWhenSafe, Forced: m.leaving == LeaveForced})
-	case m.handedOverAt != 0 && m.now-m.handedOverAt > 2*resendInterval: // whom it was handed to does not come
+	case m.handedOverAt != 0 && m.now-m.handedOverAt > 2*resendInterval: // the new candidate doesn't take over
 		m.handedOverAt = 0
 		for _, s := range m.view.Members {
 			if s.Addr != m.config.Self {
@@ -94,7 +94,7 @@
 func (m *Machine) onLeave(from string, t Leave) {
 	l := m.primary
 	if l == nil {
-		if t.PrimarySilent && m.missesHeartbeats() && m.candidate == nil { // both do: there is no time for the usual patience
+		if t.PrimarySilent && m.missesHeartbeats() && m.candidate == nil { // both miss the primary, and there is no time to wait for the timeout
 			m.primaryHeardAt, m.primaryHeardFrom = m.now-primaryTimeout, ""
 		}
 		m.sendView(from)
@@ -108,7 +108,7 @@
 		return
 	}
 	if _, ok := l.leaving[from]; !ok {
-		m.sendView(from) // so that it knows who it asks
+		m.sendView(from) // the sender learns which epoch it asks
 	}
 	l.leaving[from] = leavingMember{t.DiskID, t.urgency(), m.now}
 	m.maintainEpoch()
@@ -124,20 +124,20 @@
 	return LeaveEventually
 }
 
-// misses says whether two beats have not come.
+// missesHeartbeats reports whether two heartbeats are missing.
 func (m *Machine) missesHeartbeats() bool {
 	return m.primary == nil && m.now-m.primaryHeardAt > 2*heartbeatInterval
 }
 
-// goes says whether a seat is one that is given away.
+// leavingMember returns the recent Leave of a member.
 func (l *primaryState) leavingMember(s Member, now fsm.Time) (leavingMember, bool) {
 	g, ok := l.leaving[s.Addr]
 	return g, ok && g.diskID == s.DiskID && now-g.askedAt < quietPeriod
 }
 
-// give puts learners in the place of those that leave; a seat that nobody wants is given up if
-// its holder is about to end, and the rest is as many as copies are wanted, and heard by most.
-// Who is ended soon has its vote for that long only: see remnant.
+// replaceLeaving puts joining processes in the place of members that leave. Without one, a member
+// that is about to stop is removed if the rest is enough for all copies and a majority of it
+// answers. One that will be stopped soon can vote only until then: see shrinkForForcedLeave.
 func (m *Machine) replaceLeaving(set []Member, learners []Member) []Member {
 	l := m.primary
 	for _, s := range slices.Clone(set) {
@@ -161,7 +161,7 @@
 	return set
 }
 
-// hasty says whether somebody has no time left for an epoch to come to rest first.
+// hasForcedLeave reports whether a member has no time to wait until the epoch is stable.
 func (m *Machine) hasForcedLeave() bool {
 	return slices.ContainsFunc(m.primary.record.Members, func(s Member) bool {
 		g, ok := m.primary.leavingMember(s, m.now)
@@ -169,11 +169,12 @@
 	})
 }
 
-// remnant is what is left of a set by one that is ended soon, while another one is missing: with its seat
-// and that of the missing one the others could never go on if that one comes back with its memory lost.
-// Most of the set is there now for the last time, so it leaves both out; also where fewer are left than copies
-// are wanted: such an epoch takes no documents before somebody has joined. Not if who is left leaves as well:
-// then all are stopped, and come back.
+// shrinkForForcedLeave returns the membership without a member that will be stopped soon and one
+// that is missing. If both stayed members, the others could never go on if the missing one comes
+// back with an empty disk. A majority is present for the last time, so it removes both, even if
+// fewer members are left than copies are required: such an epoch accepts no documents before
+// another process has joined. If a remaining member leaves as well nothing is removed: then all are
+// being stopped and will come back.
 func (m *Machine) shrinkForForcedLeave(set, rest []Member) []Member {
 	left := countMembers(rest, m.heardInEpoch)
 	i := slices.IndexFunc(rest, func(s Member) bool {
@@ -186,17 +187,18 @@
 	return slices.Delete(rest, i, i+1)
 }
 
-// answers says whether a seat has been heard in this epoch, and lately.
+// heardInEpoch reports whether a member has answered in this epoch, and recently.
 func (m *Machine) heardInEpoch(s Member) bool {
 	return s.Addr == m.config.Self || m.isHeard(s) && m.primary.heardAt[s.Addr] > m.primary.startedAt
 }
 
-// stores says whether the record of an epoch is on disk here, as an active one.
+// recordStored reports whether the record of an epoch is on disk here as an active one.
 func (m *Machine) recordStored(b Ballot) bool {
 	return m.state.Record.Active && m.state.Record.Ballot == b && m.activeRecordWrite == 0
 }
 
-// storedAt says it of a seat, to a primary. One of the version before doesn't tell, but that it holds the record.
+// recordStoredAt reports the same of a member, at the primary. The previous release only reports
+// that it holds the record.
 func (m *Machine) recordStoredAt(s Member) bool {
 	if s.Addr != m.config.Self && !m.supportsLeave(s.Addr) && m.primary.recordKnown[s.Addr] && m.now-m.primary.startedAt > stallTimeout {
 		return true
@@ -208,7 +210,7 @@
 	return s.Addr == m.config.Self || m.now-m.primary.heardAt[s.Addr] < primaryTimeout
 }
 
-// hand lets a backup lead at once. What is under way ends first.
+// handOver makes a backup the candidate at once. A proposal under way is completed first.
 func (m *Machine) handOver() {
 	l := m.primary
 	l.leaving[m.config.Self] = leavingMember{m.state.DiskID, m.leaving, m.now}
@@ -228,7 +230,8 @@
 	m.primaryHeardAt, m.primaryHeardFrom = m.now, ""
 }
 
-// relieve says whether a backup that leaves should write no more, as others can.
+// replaceLeavingWriters reports whether a leaving backup should not be a writer any more, as others
+// can take its place.
 func (m *Machine) replaceLeavingWriters() bool {
 	l := m.primary
 	if m.now-l.startedAt < 2*joinInterval {
@@ -253,7 +256,7 @@
 	return len(going) > 0
 }
 
-// onHandover makes a candidate of a backup, without the patience of others.
+// onHandover makes a backup a candidate without waiting for the primary's timeout.
 func (m *Machine) onHandover(from string, t Handover) {
 	if t.DiskID != m.state.DiskID || m.primary != nil || m.candidate != nil && m.candidate.phase != preVoting {
 		return
@@ -268,17 +271,17 @@
 	m.prepare()
 }
 
-// excused says whether a candidate need not wait until the primary is missed: it was handed
-// the epoch that is held here, by that primary.
+// skipsPrimaryHold reports whether a candidate need not wait until the primary is missed: that
+// primary has handed it the epoch that is recorded here.
 func (m *Machine) skipsPrimaryHold(t Prepare) bool {
 	return t.HandedOver && !m.diskStalled() && m.primary == nil && m.state.Record.Ballot == t.Record.Ballot
 }
 
-// key tells seats apart.
+// mapKey identifies a member in maps.
 func (s Member) mapKey() string { return fmt.Sprintf("%s %x", s.Addr, s.DiskID) }
 
-// onVoid notes that a seat's memory is lost for good. The question named its life, so that
-// life is older than the answer; and an address has one life after the other.
+// onMemberLost notes that a member's disk is lost for good. The request named its disk ID, so that
+// ID is older than the reply's, and an address never returns to an earlier one.
 func (m *Machine) onMemberLost(from string, t MemberLost) {
 	if b := m.candidate; b != nil && b.phase == preparing && b.ballot == t.Ballot {
 		b.lost[Member{Addr: from, DiskID: t.DiskID}.mapKey()] = true
@@ -286,7 +289,7 @@
 	}
 }
 
-// lost says of which seats the bid knows that.
+// isLost reports whether the candidate knows that a member's disk is lost.
 func (m *Machine) isLost(s Member) bool {
 	return m.candidate.lost[s.mapKey()] || m.bug == BugAssumeLost && s.Addr != m.config.Self && m.candidate.promises[s.Addr].DiskID != s.DiskID
 }
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -1,6 +1,7 @@
 package consensus
 
-// willing says whether a candidate may have a promise: not while another one lives.
+// mayGrant reports whether a candidate may be granted a promise: not while another primary or
+// candidate is alive.
 func (m *Machine) mayGrant(from string) bool {
 	if m.diskStalled() {
 		return false
@@ -13,15 +14,15 @@
 
 func (m *Machine) notePrimaryHeard(from string) { m.primaryHeardAt, m.primaryHeardFrom = m.now, from }
 
-// infant lets a member that holds no founding take the one of whoever has a seat for it.
+// adoptFirstEpoch lets a member that knows no cluster take the first record from a candidate.
 func (m *Machine) adoptFirstEpoch(r EpochRecord) {
 	if r.Ballot.N == 1 {
 		m.onFirstEpoch(r)
 	}
 }
 
-// onFound takes a first record. A founding held is never changed for another one,
-// unless that one is in force, and so this one never was.
+// onFirstEpoch takes a first record. A member never replaces the record of one cluster by that of
+// another, unless the other one is active, so that its own never was.
 func (m *Machine) onFirstEpoch(r EpochRecord) {
 	if !m.config.Member || !m.state.Record.isZero() || !r.has(m.config.Self, m.state.DiskID) || m.state.Promised.higherThan(r.Ballot) {
 		return
@@ -30,7 +31,7 @@
 	m.primaryHeardAt, m.primaryHeardFrom = m.now-primaryTimeout, ""
 }
 
-// learn takes a record that is in force.
+// learnRecord takes an active record.
 func (m *Machine) learnRecord(r EpochRecord) {
 	if !r.Active || r.isZero() {
 		return
@@ -61,7 +62,7 @@
 	}
 }
 
-// foreign says whether a record is of another founding than the one held.
+// otherCluster reports whether a record belongs to another cluster than the one held.
 func (m *Machine) otherCluster(r EpochRecord) bool {
 	return !m.state.Record.isZero() && m.state.Record.ClusterID != r.ClusterID
 }
@@ -134,7 +135,7 @@
 	m.sendAfterSave(from, Promise{Ballot: t.Ballot, DiskID: m.state.DiskID, Record: m.state.Record, StateBallot: m.state.StateBallot, Committed: kept, Pending: next})
 }
 
-// yield ends what this process does under a lower ballot.
+// stepDownFor ends what this process does under a lower ballot.
 func (m *Machine) stepDownFor(b Ballot) {
 	if m.primary != nil && b.higherThan(m.primary.record.Ballot) {
 		m.primary = nil
@@ -144,7 +145,7 @@
 	}
 }
 
-// obeys says whether a candidate's or a primary's order holds here.
+// acceptsOrder reports whether a candidate's or a primary's request is valid here.
 func (m *Machine) acceptsOrder(from string, b Ballot, life uint64) bool {
 	if life != m.state.DiskID {
 		return false
@@ -165,7 +166,7 @@
 	if !m.acceptsOrder(from, t.Ballot, t.DiskID) {
 		return
 	}
-	if m.state.StateBallot != t.Ballot { // a late double must not undo an append
+	if m.state.StateBallot != t.Ballot { // a late duplicate must not undo an append
 		m.state.StateBallot, m.state.Pending, m.dirty = t.Ballot, t.Pending, true
 		m.commit(t.Committed)
 	}
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -2,71 +2,72 @@
 
 import "time"
 
-// Messages has one of each message that a machine takes; the order is the wire's.
+// Messages returns one value of each message type that a machine receives. The order is part of the
+// wire format.
 func Messages() []any {
 	return []any{JoinRequest{}, FirstEpoch{}, ViewRequest{}, View{}, Heartbeat{}, HeartbeatReply{}, Resign{}, PreVote{}, PreVoteReply{}, Prepare{},
 		Promise{}, Reject{}, InstallState{}, StateInstalled{}, RecordEpoch{}, EpochRecorded{}, Append{}, Appended{}, Confirm{}, Confirmed{},
 		Forward{}, ForwardReply{}, Push{}, Pull{}, CommitAmendment{}, FenceNotice{}, Leave{}, LeaveGranted{}, Handover{}, MemberLost{}}
 }
 
-// Hello says that a member has no seat, or one that is not in force yet.
+// JoinRequest says that its sender is no member, or a member by a record that is not active yet.
 type JoinRequest struct {
 	Member      Member      `cbor:"1,keyasint"`
-	NeverMember bool        `cbor:"2,keyasint,omitempty"` // has never been lost: may found, or enlarge the set
+	NeverMember bool        `cbor:"2,keyasint,omitempty"` // was never a member: may take part in founding, or enlarge the membership
 	Record      EpochRecord `cbor:"3,keyasint"`
 }
 
-// Found gives a member the first record.
+// FirstEpoch gives a member the record of the first epoch.
 type FirstEpoch struct {
 	Record EpochRecord `cbor:"1,keyasint"`
 }
 
-// Ask asks for a View.
+// ViewRequest asks for a View.
 type ViewRequest struct{}
 
-// View tells the epoch in force and the version committed, as far as known.
+// View reports the active epoch and the committed version, as far as the sender knows them.
 type View struct {
 	Record      EpochRecord `cbor:"1,keyasint"`
 	Version     uint32      `cbor:"2,keyasint,omitempty"`
-	Leading     bool        `cbor:"3,keyasint,omitempty"` // the sender serves this epoch
-	ReadsPacked bool        `cbor:"4,keyasint,omitempty"` // it reads packed documents
+	Leading     bool        `cbor:"3,keyasint,omitempty"` // the sender is the primary of this epoch
+	ReadsPacked bool        `cbor:"4,keyasint,omitempty"` // the sender reads packed documents
 }
 
-// Beat is the primary's sign of life.
+// Heartbeat shows that the primary is alive.
 type Heartbeat struct {
 	Ballot      Ballot       `cbor:"1,keyasint"`
 	Version     uint32       `cbor:"2,keyasint,omitempty"`
-	KnownTokens []KnownToken `cbor:"3,keyasint,omitempty"` // for a member that remembers others
+	KnownTokens []KnownToken `cbor:"3,keyasint,omitempty"` // only for a member that knows other tokens
 }
 
-// Beaten answers a Beat.
+// HeartbeatReply answers a Heartbeat.
 type HeartbeatReply struct {
 	Ballot      Ballot `cbor:"1,keyasint"`
 	DiskID      uint64 `cbor:"2,keyasint"`
 	Promised    Ballot `cbor:"3,keyasint"`
-	RecordKnown bool   `cbor:"4,keyasint,omitempty"` // the epoch's record is held, and as active
-	DiskSlow    bool   `cbor:"5,keyasint,omitempty"` // the disk has not synced for longer than Bears
-	// Bears is how long it may take, if that is longer than usual.
+	RecordKnown bool   `cbor:"4,keyasint,omitempty"` // the sender holds the epoch's record as active, on disk or not
+	DiskSlow    bool   `cbor:"5,keyasint,omitempty"` // the disk has not synced for longer than DiskTolerance
+	// DiskTolerance is how long a sync may take, if that is longer than stallTimeout.
 	DiskTolerance time.Duration `cbor:"6,keyasint,omitempty"`
 	Token         Token         `cbor:"7,keyasint,omitzero"`
-	TokensHash    uint32        `cbor:"8,keyasint,omitempty"` // of the marks that the member remembers
-	// Stored says that the record is on disk as an active one.
+	TokensHash    uint32        `cbor:"8,keyasint,omitempty"` // of the tokens that the member knows
+	// RecordStored says that the record is on disk as an active one.
 	RecordStored bool `cbor:"9,keyasint,omitempty"`
 }
 
-// Resign says that a primary cannot go on: whoever hears it needs no patience.
+// Resign says that a primary can't go on, so a successor need not wait for a timeout.
 type Resign struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 }
 
-// Probe asks whether a Prepare would be granted; it changes nothing, so who is
-// cut off one way cannot disturb the others.
+// PreVote asks whether a Prepare would be granted. It changes no state, so a member that is cut off
+// in one direction can't disturb the others.
 type PreVote struct {
 	Round  uint64      `cbor:"1,keyasint"`
 	Record EpochRecord `cbor:"2,keyasint"`
 }
 
-// Probed answers a Probe.
+// PreVoteReply answers a PreVote.
 type PreVoteReply struct {
 	Round    uint64      `cbor:"1,keyasint"`
 	DiskID   uint64      `cbor:"2,keyasint"`
@@ -75,21 +76,22 @@
 	Promised Ballot      `cbor:"5,keyasint"`
 }
 
-// Prepare asks for a promise. Life is that of the seat asked, here and below.
+// Prepare asks for a promise. In all requests DiskID is that of the member addressed.
 type Prepare struct {
 	Ballot     Ballot      `cbor:"1,keyasint"`
 	DiskID     uint64      `cbor:"2,keyasint"`
 	Record     EpochRecord `cbor:"3,keyasint"`
 	Token      Token       `cbor:"4,keyasint,omitzero"`
-	HandedOver bool        `cbor:"5,keyasint,omitempty"` // by the primary of that record, which leads no more
-	// Names says that the promise may name texts by their digests; those in Want come along all the same, and
-	// as a difference to the committed one of version Held where they can.
+	HandedOver bool        `cbor:"5,keyasint,omitempty"` // by the primary of that record, which has stepped down
+	// OmitBodies says that the promise may refer to bodies by their digests. Those in WantedBodies
+	// are sent all the same, if possible as deltas to the document of CommittedVersion.
 	OmitBodies       bool     `cbor:"6,keyasint,omitempty"`
 	WantedBodies     [][]byte `cbor:"7,keyasint,omitempty"`
 	CommittedVersion uint32   `cbor:"8,keyasint,omitempty"`
 }
 
-// Promise carries all that the member knows, but for texts that the candidate has or may ask for: see name.go.
+// Promise carries the state of a member, without bodies that the candidate has or may ask for: see
+// name.go.
 type Promise struct {
 	Ballot      Ballot       `cbor:"1,keyasint"`
 	DiskID      uint64       `cbor:"2,keyasint"`
@@ -98,51 +100,51 @@
 	Committed   Doc          `cbor:"5,keyasint"`
 	Pending     Doc          `cbor:"6,keyasint"`
 	Token       Token        `cbor:"7,keyasint,omitzero"`
-	KnownTokens []KnownToken `cbor:"8,keyasint,omitempty"` // of all seats that the member remembers
+	KnownTokens []KnownToken `cbor:"8,keyasint,omitempty"` // of all members whose token the sender knows
 }
 
-// Refuse says that a ballot is too low, or comes at the wrong moment.
+// Reject says that a ballot is too low, or that the sender grants no promise now.
 type Reject struct {
 	Ballot   Ballot      `cbor:"1,keyasint"`
 	Promised Ballot      `cbor:"2,keyasint"`
 	Record   EpochRecord `cbor:"3,keyasint"`
 }
 
-// Copy gives a writer of a new epoch the state that it begins with.
+// InstallState gives a writer of a new epoch its initial state.
 type InstallState struct {
 	Ballot    Ballot `cbor:"1,keyasint"`
 	DiskID    uint64 `cbor:"2,keyasint"`
 	Committed Doc    `cbor:"3,keyasint"`
 	Pending   Doc    `cbor:"4,keyasint"`
-	resent    bool   // it is repeated: not on the wire
+	resent    bool   // not on the wire
 }
 
-// Copied says that a Copy is on disk.
+// StateInstalled says that the state is on disk.
 type StateInstalled struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 	DiskID uint64 `cbor:"2,keyasint"`
 	Token  Token  `cbor:"3,keyasint,omitzero"`
 }
 
-// Enact asks a member to record an epoch whose writers have the state.
+// RecordEpoch asks a member to record an epoch whose writers have installed the state.
 type RecordEpoch struct {
 	Record EpochRecord `cbor:"1,keyasint"`
 	DiskID uint64      `cbor:"2,keyasint"`
 }
 
-// Enacted says that the record is on disk.
+// EpochRecorded says that the record is on disk.
 type EpochRecorded struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 	DiskID uint64 `cbor:"2,keyasint"`
 	Token  Token  `cbor:"3,keyasint,omitzero"`
 }
 
-// Append asks a writer to keep a document.
+// Append asks a writer to store a document.
 type Append struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 	DiskID uint64 `cbor:"2,keyasint"`
 	Doc    Doc    `cbor:"3,keyasint"`
-	resent bool   // it is repeated: not on the wire
+	resent bool   // not on the wire
 }
 
 // Appended says that the document is on disk.
@@ -152,17 +154,17 @@
 	Version          uint32 `cbor:"3,keyasint"`
 	Rev              uint32 `cbor:"4,keyasint,omitempty"`
 	Token            Token  `cbor:"5,keyasint,omitzero"`
-	LedgerRevPlusOne uint32 `cbor:"6,keyasint,omitempty"` // Notes + 1; 0: from the version before, which knows no notes
+	LedgerRevPlusOne uint32 `cbor:"6,keyasint,omitempty"` // LedgerRev + 1; 0 comes from the previous release, which has no LedgerRev
 }
 
-// Confirm asks a writer whether the epoch still is the one it serves.
+// Confirm asks a writer whether it still follows this epoch.
 type Confirm struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 	DiskID uint64 `cbor:"2,keyasint"`
 	Round  uint64 `cbor:"3,keyasint"`
 }
 
-// Confirmed says that it is.
+// Confirmed says that it does.
 type Confirmed struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 	DiskID uint64 `cbor:"2,keyasint"`
@@ -170,38 +172,38 @@
 	Token  Token  `cbor:"4,keyasint,omitzero"`
 }
 
-// Forward carries an operator's call to the primary; it may be repeated. Salt
-// tells the lives of a caller apart.
+// Forward carries an operator's call to the primary and may be repeated. CallerID distinguishes the
+// runs of the calling process.
 type Forward struct {
 	ID          uint64 `cbor:"1,keyasint"`
 	CallerID    uint64 `cbor:"2,keyasint"`
 	Read        bool   `cbor:"3,keyasint,omitempty"`
 	Doc         Doc    `cbor:"4,keyasint"`
-	ContactOnly bool   `cbor:"5,keyasint,omitempty"` // a Read that only wants proof; who doesn't know it answers with the document
+	ContactOnly bool   `cbor:"5,keyasint,omitempty"` // a read that only checks contact; a primary that doesn't know the field replies with the document
 	ReadsPacked bool   `cbor:"6,keyasint,omitempty"` // the sender reads packed documents
-	resent      bool   // it is repeated: not on the wire
+	resent      bool   // not on the wire
 }
 
-// Answered answers a Forward.
+// ForwardReply answers a Forward.
 type ForwardReply struct {
 	ID       uint64 `cbor:"1,keyasint"`
 	CallerID uint64 `cbor:"2,keyasint"`
 	Result   Result `cbor:"3,keyasint"`
 	Doc      *Doc   `cbor:"4,keyasint,omitempty"`
-	Version  uint32 `cbor:"5,keyasint,omitempty"` // Proved: what is kept
+	Version  uint32 `cbor:"5,keyasint,omitempty"` // for ResultContact: the committed version
 }
 
 // Push carries a committed document.
 type Push struct {
-	Doc   Doc      `cbor:"1,keyasint"`           // none, where it comes as differences
-	Relay []string `cbor:"2,keyasint,omitempty"` // whom the taker passes it on to
-	// Deltas make it of the version that the first one names. A program that doesn't know them takes
-	// no document from it, and asks for the whole one.
+	Doc   Doc      `cbor:"1,keyasint"`           // empty if Deltas are given
+	Relay []string `cbor:"2,keyasint,omitempty"` // where the receiver forwards it to
+	// Deltas lead to the document from the version that the first one names. A release that doesn't
+	// know the field takes no document from the message and asks for the whole one.
 	Deltas []Delta `cbor:"3,keyasint,omitempty"`
 }
 
-// Amended carries a committed amendment that has nothing beside it, for those that hold
-// what it amends: on a slow link the whole document would hold up all behind it.
+// CommitAmendment commits an amendment without an attachment at those that hold the amended
+// document. Sending the whole document would delay all later messages on a slow link.
 type CommitAmendment struct {
 	Version   uint32 `cbor:"1,keyasint"`
 	Rev       uint32 `cbor:"2,keyasint"`
@@ -209,36 +211,38 @@
 	LedgerRev uint32 `cbor:"4,keyasint,omitempty"`
 }
 
-// Pull asks for a committed document newer than the one held.
+// Pull asks for a committed document newer than Version.
 type Pull struct {
 	Version       uint32 `cbor:"1,keyasint,omitempty"`
-	AcceptsDeltas bool   `cbor:"2,keyasint,omitempty"` // it may come as differences
+	AcceptsDeltas bool   `cbor:"2,keyasint,omitempty"` // the reply may consist of deltas
 }
 
-// Leave asks the primary to give the sender's seat to somebody else; Last, even to nobody.
+// Leave asks the primary to replace the sender as a member; with WhenSafe, also to remove it
+// without a replacement.
 type Leave struct {
 	DiskID   uint64 `cbor:"1,keyasint"`
 	WhenSafe bool   `cbor:"2,keyasint,omitempty"`
-	Forced   bool   `cbor:"3,keyasint,omitempty"` // the sender is ended soon, whatever stands elsewhere
-	// Missed goes to others than the primary: the sender has missed that.
+	Forced   bool   `cbor:"3,keyasint,omitempty"` // the sender will be stopped soon, whatever the state of the cluster
+	// PrimarySilent is set in copies to members other than the primary: the sender misses its
+	// heartbeats.
 	PrimarySilent bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Released answers a Leave: the epoch in force has no seat for that life, and most of its
-// members have it on disk that it is in force.
+// LeaveGranted answers a Leave: the active epoch has no member with that disk ID, and a majority of
+// its members have stored that it is active.
 type LeaveGranted struct {
 	DiskID uint64 `cbor:"1,keyasint"`
 }
 
-// Handover makes a backup the candidate for what follows an epoch, at once: it is the
-// primary's last word in it. Plan is the set to come, if it is another one.
+// Handover is the primary's last message in an epoch: a backup shall become a candidate at once.
+// NextMembers is the next membership if it changes.
 type Handover struct {
 	Record      EpochRecord `cbor:"1,keyasint"`
 	DiskID      uint64      `cbor:"2,keyasint"`
 	NextMembers []Member    `cbor:"3,keyasint,omitempty"`
 }
 
-// Void answers a Prepare: the seat that it names is lost, another memory is here.
+// MemberLost answers a Prepare: the member addressed is lost, as the disk here has another ID.
 type MemberLost struct {
 	Ballot Ballot `cbor:"1,keyasint"`
 	DiskID uint64 `cbor:"2,keyasint"`
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Ballot orders epochs. Life keeps a member that forgot its ballots from using one twice.
+// Ballot orders epochs. DiskID keeps a member that has lost its ballots from using one twice.
 type Ballot struct {
 	N      uint64 `cbor:"1,keyasint,omitempty"`
 	By     string `cbor:"2,keyasint,omitempty"`
@@ -18,7 +18,7 @@
 
 func (b Ballot) higherThan(o Ballot) bool { return b.compare(o) > 0 }
 
-// Seat is a member with one memory: a wiped disk makes another seat of it.
+// Member is a process with its disk: after the disk is wiped the process is another member.
 type Member struct {
 	Addr   string `cbor:"1,keyasint,omitempty"`
 	DiskID uint64 `cbor:"2,keyasint,omitempty"`
@@ -28,7 +28,7 @@
 
 func (s Member) matches(addr string, life uint64) bool { return s.Addr == addr && s.DiskID == life }
 
-// Record is an epoch. Until it is active, the set it came from has a say as well.
+// EpochRecord describes an epoch. Until it is active, OldMembers decide as well.
 type EpochRecord struct {
 	ClusterID  uint64   `cbor:"1,keyasint,omitempty"`
 	Ballot     Ballot   `cbor:"2,keyasint"`
@@ -36,8 +36,9 @@
 	OldMembers []Member `cbor:"4,keyasint,omitempty"`
 	Writers    []string `cbor:"5,keyasint,omitempty"` // the primary first
 	Active     bool     `cbor:"6,keyasint,omitempty"`
-	Vacancies  int      `cbor:"7,keyasint,omitempty"` // seats given up, for newcomers
-	// Settled says that the old set has agreed: no candidate that it has a say for can pass this record by.
+	Vacancies  int      `cbor:"7,keyasint,omitempty"` // places of members that left, for new ones
+	// OldSetAgreed says that OldMembers have agreed. A candidate that needs a promise of theirs
+	// will meet this record, so none can bypass it.
 	OldSetAgreed bool `cbor:"8,keyasint,omitempty"`
 }
 
@@ -50,16 +51,16 @@
 	return r.Writers[0]
 }
 
-// newer says whether r tells more than o.
+// newerThan reports whether r carries more information than o.
 func (r EpochRecord) newerThan(o EpochRecord) bool {
 	c := r.Ballot.compare(o.Ballot)
 	return !r.isZero() && (o.isZero() || c > 0 || c == 0 && (r.Active && !o.Active || r.OldSetAgreed && !o.OldSetAgreed && !o.Active))
 }
 
-// single says whether the set alone decides what follows.
+// membersDecide reports whether Members alone decide which epoch follows.
 func (r EpochRecord) membersDecide() bool { return r.Active || r.OldSetAgreed }
 
-// voters are all whose promises or records can matter.
+// votingMembers returns all whose promises or records can matter.
 func (r EpochRecord) votingMembers() []Member {
 	if r.membersDecide() {
 		return r.Members
@@ -67,8 +68,9 @@
 	return union(r.Members, r.OldMembers)
 }
 
-// carried says whether those who agreed can decide what follows this epoch. What
-// follows a founding needs all but the losses: then too few are left to found again.
+// hasQuorum reports whether those who agreed can decide what follows this epoch. After a founding
+// record all members but the tolerated losses are needed, so that too few are left to found the
+// cluster a second time.
 func (r EpochRecord) hasQuorum(losses int, agreed, lost func(Member) bool) bool {
 	if !r.Active && r.Ballot.N == 1 {
 		return len(r.Members) > 0 && countMembers(r.Members, agreed) >= len(r.Members)-losses
@@ -79,16 +81,18 @@
 	return intersectsMajorities(r.OldMembers, r.Members, agreed, lost) && (intersectsMajorities(r.Members, nil, agreed, lost) || blocksMajority(r.Members, agreed))
 }
 
-// blocks says whether no majority of a set is without one of those who agreed. That is enough to
-// know what it has decided, and, unlike decides, not to decide.
+// blocksMajority reports whether each majority of a set includes one of those who agreed. That is
+// enough to learn what the set has decided. It is not enough to decide: see intersectsMajorities.
 func blocksMajority(set []Member, agreed func(Member) bool) bool {
 	return 2*countMembers(set, agreed) >= len(set)
 }
 
-// decides says whether those of a set who agreed meet every majority of it that ever was or
-// will be. Most do; so do all that are left, if the lost ones were no majority by themselves.
-// Seats that another memory at the same address has taken in the set after it were lost before
-// that was begun. Where it needed the promise of all others, no majority since has one of them.
+// intersectsMajorities reports whether those of a set who agreed intersect each majority of it that
+// ever was or will be. A majority does. So do all that are left, if the lost ones were no majority
+// by themselves.
+// A member whose address has another disk ID in the set after it was lost before that set was
+// proposed. If the proposal needed the promises of all others, each majority since then includes
+// one of those.
 func intersectsMajorities(set, after []Member, agreed, lost func(Member) bool) bool {
 	if hasMajority(set, agreed) {
 		return true
@@ -141,7 +145,8 @@
 	return all
 }
 
-// spread picks n seats, in other zones as far as there are some; the first stays first.
+// spreadOverZones picks n members, from different zones as far as possible. The first one is always
+// picked and stays first.
 func spreadOverZones(seats []Member, n int) []string {
 	var picked []Member
 	for len(picked) < n && len(picked) < len(seats) {
