--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -70,7 +70,7 @@
 	NeverMember bool         `cbor:"2,keyasint,omitempty"` // the disk was never part of a membership, so it has forgotten nothing
 	Promised    Ballot       `cbor:"3,keyasint"`
 	Record      EpochRecord  `cbor:"4,keyasint"`
-	StateBallot Ballot       `cbor:"5,keyasint"`            // the epoch in which Committed and Pending were last installed or appended
+	StateBallot Ballot       `cbor:"5,keyasint"` // the epoch in which Committed and Pending were last installed or appended
 	Committed   Doc          `cbor:"6,keyasint"`
 	Pending     Doc          `cbor:"7,keyasint"`            // possibly not committed; supersedes Committed
 	Saves       uint64       `cbor:"8,keyasint,omitempty"`  // saves with this disk ID, without those that only update KnownTokens
--- a/internal/consensus/explore.go
+++ b/internal/consensus/explore.go
@@ -10,51 +10,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of an exploration: what may go wrong, how often time passes, and where to end.
+// ModelBounds limits an exploration: which faults occur, how often time passes, and where it ends.
 type ModelBounds struct {
 	Members            int  // 3 if it is 0
-	ToleratedLosses    int  // 1
-	StartSilent        bool // begins when all but the primary are about to lose patience with it
+	ToleratedLosses    int  // 1 if Members is 0
+	StartSilent        bool // start when all but the primary are about to time out
 	SameVersion        bool // the puts are of one version
 	Overtaken          bool // the first put is of version 3, the others of 2
 	Puts               int
 	Reads              int
-	LostMessages       int // messages, in all
-	LateMessages       int // messages that are overtaken by others of their link
+	LostMessages       int // in total
+	LateMessages       int // messages overtaken by later ones on their link
 	DuplicatedMessages int
-	Crashes            int  // of processes, each at most once, with what was under way to the disk or without
-	DiskWipes          int  // of those, that lose the disk as well
-	Leaves             int  // processes told to end, which then ask until they are let go
-	ForcedLeave        bool // they are ended soon, whatever stands elsewhere; and who is wiped comes back after that
-	Learner            bool // one more, which has no seat, is there from the start
-	DiskCopies         int  // taken of disks
-	DiskRollbacks      int  // disks that such a copy takes the place of, once all others remember what was vouched for since
-	ShortWaits         int  // times that a process repeats what is not answered
-	LongWaits          int  // half the patience of a process
-	MaxStates          int  // end after so many; 0: never
-	DepthFirst         bool // the newest state first, not the oldest
-	CountStalls        bool // a core that doesn't go on is counted, and nothing more
-	LivenessEvery      int  // every so manieth state must be one from which the core goes on; 0: that is not judged
+	Crashes            int  // each process crashes at most once, with any number of its unsynced writes on the disk or lost
+	DiskWipes          int  // crashes that lose the disk as well
+	Leaves             int  // processes told to leave, which then ask until they may exit
+	ForcedLeave        bool // they leave with LeaveForced, and a process with a wiped disk comes back after they have stopped
+	Learner            bool // one more process, which is no member, from the start
+	DiskCopies         int  // copies taken of disks
+	DiskRollbacks      int  // restarts from such a copy, once all others know the latest token
+	ShortWaits         int  // waits after which a process repeats unanswered requests
+	LongWaits          int  // waits of half the time after which a primary counts as failed
+	MaxStates          int  // 0: no limit
+	DepthFirst         bool // newest state first; otherwise oldest first
+	CountStalls        bool // count states without progress instead of ending there
+	LivenessEvery      int  // check each state of so many for progress; 0: none
 	Bug                Bug
 }
 
-// Survey is what an exploration came to.
+// Exploration is the result of an exploration.
 type Exploration struct {
-	States, Steps          int // visited; ways gone from one to another
-	Depth                  int // steps that lie between the first state and the last one visited
+	States, Steps          int // visited; transitions taken
+	Depth                  int // steps from the first state to the last one visited
 	Complete               bool
-	MachineStates          int // states of single machines
-	Acked, Epochs          int // puts acknowledged, epochs begun after the first, in some state
-	LivenessChecked, Stuck int // states looked at whether the core goes on; where it does not
-	StuckWithChange        int // of those, where somebody left has the record of a change of the set
+	MachineStates          int // distinct states of single machines
+	Acked, Epochs          int // the most puts acknowledged, and epochs begun after the first, in any state
+	LivenessChecked, Stuck int // states checked for progress; those without
+	StuckWithChange        int // of those, states where a remaining member has the record of a membership change
 	Violation              string
-	Trace                  []string // the way there
+	Trace                  []string // transitions that lead to the violation
 }
 
-// Explore visits the states that a core in force can come to within bounds. Each process
-// has a clock of its own; links keep their order but for messages that are late; and a disk,
-// a link or a process may take any time for its next step, which is how it is cut off, frozen
-// or slow. All that happens at a machine, the real one does.
+// Explore visits the states that a running cluster can reach within bounds. Each process has its
+// own clock; links keep the order of messages other than late ones; and a disk, a link or a process
+// may take any time for its next step, which covers partitions, pauses and slowness. The machines
+// are the real implementation.
 func Explore(b ModelBounds) Exploration {
 	x := newExplorer(b)
 	x.enqueue(x.initialState(), 0, transition{})
@@ -75,12 +75,12 @@
 	return f
 }
 
-// move is a way on from a state.
+// transition leads from one state to another.
 type transition struct {
-	node          uint8 // the cell
+	node          uint8 // its index
 	input         input
-	dropsMessages bool  // with the process goes all that is under way from and to it
-	link          int16 // whose first message it is; -1 - i: the i-th late one
+	dropsMessages bool  // with a crash, all messages in transit from and to the node are lost
+	link          int16 // the link whose first message is delivered; -1 - i: the i-th delayed message
 	fate          messageFate
 }
 
@@ -93,24 +93,24 @@
 	duplicated
 )
 
-// post is a message that has left its link.
+// message is one that has left its link.
 type message struct {
 	from, to uint8
 	msg      uint32
 }
 
-// state is the whole core: cells and messages by their numbers.
+// modelState is the state of the whole cluster. Nodes and messages are referred to by their IDs.
 type modelState struct {
 	nodes     []uint32
-	links     [][]uint32 // from*n+to
+	links     [][]uint32 // by from*n+to
 	delayed   []message
-	budgets   [11]uint8 // budgets
-	nextPut   uint8     // how many were made
-	crashed   uint8     // who has died, a bit for each
+	budgets   [11]uint8 // faults and calls that are left
+	nextPut   uint8     // puts made so far
+	crashed   uint8     // a bit for each node that has crashed
 	judgement uint32
 }
 
-// budgets in state.left; those of fates in their order
+// Indexes of modelState.budgets. Those of message fates are in the order of messageFate.
 const (
 	budgetReads = iota
 	budgetDropped
@@ -125,9 +125,9 @@
 	budgetLeaves
 )
 
-// verdicts is what the judge knows: bodies by version, the lowest epoch that acknowledged
-// each, the highest version acknowledged, and that before each read under way; and which text
-// of a number was acknowledged, and which were told to differ.
+// judgement is what the checks know: the body in force by version, the lowest epoch that
+// acknowledged each version, the highest acknowledged version, that version at the start of each
+// pending read, the acknowledged body of each version, and the requests answered with a conflict.
 type judgement struct {
 	inForce      map[uint32]string
 	ackedIn      map[uint32]Ballot
@@ -160,17 +160,17 @@
 	judgements    []judgement
 	judgementIDs  map[string]uint32
 	outcomes      map[uint64]outcome
-	stateIDs      map[uint64]uint32 // to its way
+	stateIDs      map[uint64]uint32 // index in arrivals
 	arrivals      []arrivalStep
 	queue         []queuedState
 	queueHead     int
 	buf           []byte
 	result        Exploration
 	firstBallot   Ballot
-	readsAnswered int // answers to reads
+	readsAnswered int
 }
 
-// outcome of an input at a cell.
+// outcome is the result of an input at a node.
 type outcome struct {
 	node     uint32
 	messages []message
@@ -196,13 +196,13 @@
 		}
 		x.scenario.puts = append(x.scenario.puts, Doc{Version: v, Body: []byte{byte('a' + i)}})
 	}
-	for i := range uint32(recoveryTicks / putIntervalTicks) { // for resumes
+	for i := range uint32(recoveryTicks / putIntervalTicks) { // for canProgress
 		x.scenario.puts = append(x.scenario.puts, Doc{Version: 1000 + i, Body: []byte("z")})
 	}
 	return x
 }
 
-// first founds a core, has it keep version 1, and lets all come to rest.
+// initialState founds a cluster, has it commit version 1, and waits until it is steady.
 func (x *explorer) initialState() *modelState {
 	const begin = time.Hour
 	var cells []*modelNode
@@ -245,12 +245,12 @@
 		panic("the model's core is not founded") // a bug
 	}
 	x.firstBallot = x.nodes[s.nodes[lead]].machine.primary.record.Ballot
-	for i := range s.nodes { // the puts of the founding are none of the model's
+	for i := range s.nodes { // the calls made so far are not part of the exploration
 		c := x.nodes[s.nodes[i]].clone()
 		c.machine.calls, c.machine.waiting = nil, nil
 		s.nodes[i] = x.nodeID(c)
 	}
-	for i := 0; (x.bounds.Learner || x.bounds.Leaves+x.bounds.LivenessEvery > 0) && i < 12; i++ { // the set may change, and a learner is held as one
+	for i := 0; (x.bounds.Learner || x.bounds.Leaves+x.bounds.LivenessEvery > 0) && i < 12; i++ { // the membership may change, and a learner become a member
 		x.settleAll(s, tick)
 	}
 	x.scenario.bug, x.scenario.puts = sound, puts
@@ -273,12 +273,13 @@
 
 const noLink int16 = 1 << 14
 
-// primary is a cell that serves, or -1.
+// primaryNode returns the index of a node that serves as primary, or -1.
 func (x *explorer) primaryNode(s *modelState) int {
 	return slices.IndexFunc(s.nodes, func(id uint32) bool { return x.nodes[id].machine.primary != nil })
 }
 
-// held says whether all keep version 1, and serve one epoch.
+// isSteady reports whether all nodes have committed version 1, follow an active epoch, and nothing
+// is in transit.
 func (x *explorer) isSteady(s *modelState) bool {
 	for _, id := range s.nodes {
 		if m := x.nodes[id].machine; m.state.Committed.Version != 1 || !m.state.Record.Active || m.seq != m.written {
@@ -293,10 +294,10 @@
 	return true
 }
 
-// settle lets the ordinary happen once: all messages come, all disks sync, all clocks tick.
+// settleAll lets all messages arrive, all disks sync and all clocks tick.
 func (x *explorer) settleAll(s *modelState, k inputKind) { x.settleExcept(s, k, 0) }
 
-// settleBut leaves out machines that are gone; what goes to them is lost.
+// settleExcept leaves out machines that have stopped; messages to them are lost.
 func (x *explorer) settleExcept(s *modelState, k inputKind, gone uint16) {
 	for i := range s.nodes {
 		if gone&(1<<i) == 0 {
@@ -334,7 +335,7 @@
 	return transition{node: uint8(int(link) % x.nodeCount), input: input{receive, uint8(int(link) / x.nodeCount), s.links[link][0]}, link: link, fate: f}
 }
 
-// step goes a way; s is changed.
+// step applies a transition to s.
 func (x *explorer) step(s *modelState, v transition) {
 	switch {
 	case v.link == noLink:
@@ -372,7 +373,7 @@
 	x.checkNode(s, int(v.node))
 }
 
-// outcome is remembered: a machine does the same in the same state.
+// outcome caches results: a machine does the same in the same state.
 func (x *explorer) outcome(id uint32, at uint8, in input) outcome {
 	key := uint64(id)<<32 | uint64(in.kind)<<28 | uint64(in.from)<<24 | uint64(in.arg)
 	if o, ok := x.outcomes[key]; ok {
@@ -431,7 +432,8 @@
 	}
 }
 
-// hear is the judge: one body for a version, and no read behind what was acknowledged.
+// judgeFacts checks that each version has one body, and that no read returns a version lower than
+// one acknowledged before.
 func (x *explorer) judgeFacts(s *modelState, in input, facts []fact) {
 	old := x.judgements[s.judgement]
 	v := judgement{cloneMap(old.inForce), cloneMap(old.ackedIn), cloneMap(old.readFloors), old.highestAcked, cloneMap(old.ackedBodies), cloneMap(old.conflicts)}
@@ -478,7 +480,7 @@
 	for n := range v.inForce {
 		newest = max(newest, n)
 	}
-	if v.highestAcked > newest { // a lower one than what is kept is acknowledged and changes nothing
+	if v.highestAcked > newest { // accepting a version below the committed one changes nothing
 		x.fail("version %d is acknowledged, and nobody has put it or a higher one in force", v.highestAcked)
 	}
 	x.result.Acked = max(x.result.Acked, len(v.ackedIn)-1)
@@ -488,7 +490,8 @@
 	}
 }
 
-// acks judges an acknowledgement: one text of a number, the one in force if any of them is.
+// judgeAccepted checks that only one body of a version is acknowledged, and that it is the one in
+// force if there is one.
 func (x *explorer) judgeAccepted(v judgement, f fact) {
 	if t, ok := v.ackedBodies[f.version]; ok && t != f.body {
 		x.fail("two texts of version %d are acknowledged, %q and %q", f.version, t, f.body)
@@ -504,7 +507,7 @@
 
 func requestKey(version uint32, body string) string { return fmt.Sprint(version, " ", body) }
 
-// rule judges one machine: whoever serves an epoch has all that earlier ones acknowledged.
+// checkNode checks that a primary has all that earlier epochs acknowledged.
 func (x *explorer) checkNode(s *modelState, i int) {
 	c := x.nodes[s.nodes[i]]
 	if c.violation != "" {
@@ -523,7 +526,7 @@
 	}
 }
 
-// moves are all ways on from a state.
+// transitions returns all transitions from a state.
 func (x *explorer) transitions(s *modelState) []transition {
 	var all []transition
 	for i, l := range s.links {
@@ -590,8 +593,9 @@
 	return all
 }
 
-// remembered says whether the copy of a machine's disk lacks something, and the disks of all the others that have a
-// seat beside it have the newest that it has vouched for. Where nobody has, it can't be told.
+// rollbackDetectable reports whether the copy of a node's disk is out of date and the disks of all
+// other members hold the newest token that the node has sent. Otherwise the rollback can't be
+// detected.
 func (x *explorer) rollbackDetectable(s *modelState, at int) bool {
 	c := x.nodes[s.nodes[at]]
 	if c.savedState == nil || c.savedState.DiskID != c.machine.state.DiskID || c.savedState.Saves >= c.machine.savesSynced || !c.machine.isMember() {
@@ -612,7 +616,7 @@
 	return true
 }
 
-// pay takes what a move costs.
+// spend takes a transition from the budgets.
 func (s *modelState) spend(v transition) {
 	switch v.fate {
 	case dropped:
@@ -672,7 +676,7 @@
 	if _, ok := x.stateIDs[key]; ok && x.result.Violation == "" {
 		return
 	}
-	next := queuedState{string(code), depth} // what follows uses the buffer again
+	next := queuedState{string(code), depth} // a copy, as the buffer is reused
 	x.stateIDs[key] = uint32(len(x.arrivals))
 	x.arrivals = append(x.arrivals, arrivalStep{from, v})
 	if x.bounds.LivenessEvery > 0 && len(x.arrivals)%x.bounds.LivenessEvery == 0 && x.result.Violation == "" {
@@ -735,7 +739,7 @@
 	return s
 }
 
-// trace tells the way to a state.
+// trace returns the transitions that lead to a state.
 func (x *explorer) trace(to uint32) []string {
 	var all []string
 	for ; to != 0; to = x.arrivals[to].parent {
--- a/internal/consensus/name.go
+++ b/internal/consensus/name.go
@@ -7,11 +7,11 @@
 	"asterwell/internal/delta"
 )
 
-// A promise names the texts that its member holds: version, digest, and all that is beside them. The text
-// itself goes only to a candidate that lacks it, from one of those that have named it, as a difference
-// where it can. Until then the candidate has no state to begin with, and gives up when its time is over.
+// A promise refers to the documents of its sender by version, digest and the other fields. A body
+// is sent only to a candidate that lacks it, by a member that has referred to it, if possible as a
+// delta. Until then the candidate has no initial state, and it gives up when its time is over.
 
-// named is a document of a promise as that candidate wants it.
+// promiseDoc returns a document in the form that a candidate wants in a promise.
 func (m *Machine) promiseDoc(d Doc, t Prepare) Doc {
 	if !t.OmitBodies || len(d.Digest) == 0 || len(d.Body) == 0 {
 		return d
@@ -29,17 +29,17 @@
 	return d
 }
 
-// nameOnly is a document without its text: the difference of that text to itself.
+// bodyOmitted returns a document whose body is replaced by the delta of that body to itself.
 func (d Doc) bodyOmitted() Doc {
 	d.Packed = delta.Same(d.Body)
 	d.Body = nil
 	return d
 }
 
-// lacks says whether a document's text is not here.
+// lacksBody reports whether a document's body is not here.
 func (d Doc) lacksBody() bool { return d.Packed != nil }
 
-// found is a document with its text, if anybody's promise has brought that.
+// withBody returns a document with its body, if a promise has brought that.
 func (b *candidateState) withBody(d Doc) Doc {
 	if !d.lacksBody() {
 		return d
@@ -55,8 +55,8 @@
 	return d
 }
 
-// want asks for texts that the epoch to be must go on with. One that names them is asked, and after
-// a while the next one.
+// requestBodies requests the missing bodies of the new epoch's state from one of the members that
+// refer to them, and after a while from the next.
 func (m *Machine) requestBodies(docs ...Doc) {
 	b := m.candidate
 	var sums [][]byte
@@ -88,7 +88,8 @@
 		CommittedVersion: m.state.Committed.Version})
 }
 
-// toWriter is a document for a writer that has promised: named where it has the text, else as a difference to what it has.
+// docForWriter returns a document for a writer that has promised: without the body if it has that,
+// else as a delta to its committed one.
 func (m *Machine) docForWriter(to string, d Doc) Doc {
 	if m.candidate == nil || len(d.Body) == 0 || len(d.Digest) == 0 {
 		return m.packWhole(d)
--- a/internal/consensus/orders.go
+++ b/internal/consensus/orders.go
@@ -7,12 +7,12 @@
 	"asterwell/internal/dedup"
 )
 
-// An order is known by its number and a digest of its text, as the operator sent it. Beside
-// the document its writers keep which orders were accepted, also those that a higher number
-// had overtaken, so that the same text is acknowledged as often as it comes, and another one
-// under its number never is.
+// A request to change the configuration is identified by its version and the digest of its body, as
+// the operator sent it. The writers keep a ledger of accepted requests beside the document, with
+// those that a higher version overtook. So the same request is acknowledged as often as it is
+// repeated, and another body under the same version never is.
 
-// summed is the document with its digest; the version before sends none.
+// withDigest returns a document with its digest, which the previous release doesn't send.
 func (d Doc) withDigest() Doc {
 	if len(d.Digest) == 0 {
 		d.Digest = dedup.Digest(d.Body)
@@ -20,14 +20,16 @@
 	return d
 }
 
-// bare is what others than writers are given: they have no use for the orders. It still tells
-// which document it is: an epoch makes one of each Version, Rev and Notes.
+// withoutLedger returns a document as it is sent to processes that are no writers, which don't need
+// the ledger. It is still identified: an epoch creates one document of each Version, Rev and
+// LedgerRev.
 func (d Doc) withoutLedger() Doc {
 	d.Ledger, d.LedgerRev = nil, 0
 	return d
 }
 
-// full is a document with its orders, gathered where the version before has kept none.
+// withLedger returns a document with a ledger. For a document of the previous release, which has
+// none, the ledger is derived from the version and the body.
 func (d Doc) withLedger() Doc {
 	if len(d.Ledger) == 0 && d.Version > 0 {
 		d = d.withDigest()
@@ -36,8 +38,8 @@
 	return d
 }
 
-// Forgetful is a document that knows of no order but its own, and takes all others for new: what
-// fault injection makes of one.
+// ResetLedger returns a document whose ledger holds only its own request, so that all others count
+// as new. Fault injection uses it.
 func (d Doc) ResetLedger() Doc {
 	if d.Ledger = nil; d.Version > 0 {
 		d.Ledger = dedup.New().With(d.Version, d.withDigest().Digest)
@@ -45,8 +47,8 @@
 	return d
 }
 
-// is says whether both are one document, with or without its orders. The version before drops
-// By, so that the text has to tell.
+// sameAs reports whether both are the same document, with or without a ledger. The previous release
+// drops CreatedIn, and then the digests decide.
 func (d Doc) sameAs(o Doc) bool {
 	if d.Version != o.Version || d.Rev != o.Rev || d.LedgerRev != o.LedgerRev {
 		return false
@@ -54,42 +56,42 @@
 	return d.CreatedIn == o.CreatedIn || (d.CreatedIn == Ballot{} || o.CreatedIn == Ballot{}) && bytes.Equal(d.withDigest().Digest, o.withDigest().Digest)
 }
 
-// later says which of two documents tells more to those who go by it.
+// newerThan reports whether d differs from o for those that apply it: the ledger doesn't matter.
 func (d Doc) newerThan(o Doc) bool {
 	return cmp.Or(cmp.Compare(d.Version, o.Version), cmp.Compare(d.Rev, o.Rev)) > 0
 }
 
-// overtaken says whether this primary holds a document that it has not made, and no ledger with
-// it: another one serves, and judges.
+// lacksLedger reports whether this primary holds a document without a ledger, which it has not
+// created. Another primary must have taken over, and that one answers.
 func (m *Machine) lacksLedger() bool {
 	return m.state.Committed.Version > 0 && len(m.state.Committed.Ledger) == 0
 }
 
-// knows is the verdict on an order that came to the primary, or 0.
+// knownResult returns the result of a request that needs no new document, or 0.
 func (m *Machine) knownResult(d Doc) Result {
 	switch {
 	case m.lacksLedger():
 		return 0
 	case d.Version > m.state.Committed.Version:
 		return 0
-	case d.Version == 0: // stands for none
+	case d.Version == 0: // the absence of a document
 		return ResultAccepted
 	case m.bug == BugAnyBody:
 		return ResultAccepted
 	}
 	switch m.state.Committed.Ledger.Of(d.Version, d.Digest) {
-	case dedup.Unused: // overtaken before it was accepted: its text is noted first
+	case dedup.Unused: // overtaken before it was accepted: it is added to the ledger first
 		return 0
 	case dedup.Other:
 		return ResultConflict
-	case dedup.Unknown: // it may have been accepted long ago, with this text or another: neither is said
+	case dedup.Unknown: // it may have been accepted long ago with this body or with another one, so neither is claimed
 		return ResultBusy
 	}
 	return ResultAccepted
 }
 
-// offer begins what the primary is to keep next: a higher order, or just the numbers and texts
-// of those that were overtaken before they were accepted. next may be nil.
+// propose starts replicating the next document: a higher version or, if next is nil, the committed
+// one with ledger entries for requests that were overtaken before they were accepted.
 func (m *Machine) propose(next *Doc) {
 	l, kept := m.primary, m.state.Committed
 	if m.lacksLedger() {
@@ -114,7 +116,7 @@
 			d.Ledger = d.Ledger.With(w.request.Doc.Version, w.request.Doc.Digest)
 		}
 	}
-	if next == nil && bytes.Equal(d.Ledger, before) { // a full ledger's length stays as it is
+	if next == nil && bytes.Equal(d.Ledger, before) { // the ledger is full: old entries don't change
 		return
 	}
 	l.proposal, l.proposedAt, l.appended = &d, m.now, map[string]bool{}
--- a/internal/consensus/pack.go
+++ b/internal/consensus/pack.go
@@ -8,14 +8,15 @@
 	"asterwell/internal/delta"
 )
 
-// A large document goes packed wherever it goes whole: in promises, copies and appends too,
-// which are repeated until they are answered, and which a candidate has little time for. It goes
-// so only to processes that have shown that they can read it, by a message of theirs.
+// A large document is packed wherever it is sent whole. That includes promises, state transfers and
+// appends, which are repeated until they are answered, and for which a candidate has little time.
+// It is packed only for processes that have shown by a message that they can read it.
 
-// readers are addresses. The models' documents are too short to be packed: there it has no consequences.
+// packReaderList holds addresses. The model checker's encoder skips it, as its documents are too
+// short to be packed.
 type packReaderList []string
 
-// packs says whether a message shows that its sender reads packed documents.
+// showsPackReader reports whether a message shows that its sender reads packed documents.
 func showsPackReader(msg any) bool {
 	switch t := msg.(type) {
 	case View:
@@ -27,7 +28,7 @@
 	return t.RunID != 0
 }
 
-// noteReader notes who reads packed documents.
+// notePackReader records that a sender reads packed documents.
 func (m *Machine) notePackReader(from string, msg any) {
 	if from != m.config.Self && showsPackReader(msg) && !slices.Contains(m.packReaders, from) {
 		m.packReaders = append(slices.Clip(m.packReaders), from)
@@ -39,9 +40,9 @@
 
 const maxPackReaders = 1024
 
-// shortened is a message with its documents packed, if the taker reads that. What is offered and what
-// is to be kept goes first as a difference to what is in force, which the taker mostly has too; who
-// has not that base drops it, and what is repeated goes whole.
+// packedFor returns a message with its documents packed, if the receiver reads that. A proposal is
+// first sent as a delta to the committed document, which the receiver mostly has. One without that
+// base drops the message, and the repeated one carries the whole document.
 func (m *Machine) packedFor(to string, msg any) any {
 	if m.bug == BugNoPacking || to == m.config.Self || !slices.Contains(m.packReaders, to) {
 		return msg
@@ -69,7 +70,7 @@
 	return mapDocs(msg, m.packWhole)
 }
 
-// differing is a document as a difference to the one in force, if that is shorter.
+// asDelta returns a document as a delta to the committed one, if that is shorter.
 func (m *Machine) asDelta(d Doc) Doc { return m.asDeltaFrom(m.state.Committed.Body, d) }
 
 func (m *Machine) asDeltaFrom(base []byte, d Doc) Doc {
@@ -86,7 +87,7 @@
 
 const minPackedBody = 32 << 10
 
-// large is how many bytes of a message's documents are worth packing.
+// packableBytes returns how many bytes of a message's documents are worth packing.
 func packableBytes(msg any) (n int) {
 	mapDocs(msg, func(d Doc) Doc {
 		if len(d.Body) >= minPackedBody {
@@ -97,7 +98,7 @@
 	return n
 }
 
-// eachDoc is a message with another document in the place of each that goes whole.
+// mapDocs returns a message with do applied to each document that is sent whole.
 func mapDocs(msg any, do func(Doc) Doc) any {
 	switch t := msg.(type) {
 	case Promise:
@@ -122,14 +123,13 @@
 	return msg
 }
 
-// parcelled is a body with what it packs to, or with its difference to a base.
+// packedBody caches a body's packed form, or its delta to a base.
 type packedBody struct {
 	body, base []byte
-	delta      *delta.Delta // nil: to nothing shorter
+	delta      *delta.Delta // nil: no shorter form exists
 }
 
-// fewParcels is how many of them are kept: what is committed and what is on its way, whole and as a
-// difference.
+// maxPackedBodies allows for the committed and the proposed document, each whole and as a delta.
 const maxPackedBodies = 4
 
 func (m *Machine) packWhole(d Doc) Doc {
@@ -142,7 +142,8 @@
 	return d
 }
 
-// parcel1 makes one, or has it from before: the same goes to several, and again.
+// packedBodyOf packs a body or returns the cached result, as the same one is sent to several
+// processes and repeated.
 func (m *Machine) packedBodyOf(body, base []byte, make func() (delta.Delta, bool)) packedBody {
 	one := func(a, b []byte) bool { return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0]) }
 	i := slices.IndexFunc(m.packedBodies, func(p packedBody) bool { return one(p.body, body) && one(p.base, base) })
@@ -160,8 +161,9 @@
 	return p
 }
 
-// unpacked is a message as it was before it was packed; false: it is damaged, or differs from what is
-// not here, and will be repeated. In a promise that is a text which the member names and the candidate lacks.
+// unpack reverses packedFor. It returns false if a document is damaged or refers to a base that is
+// not here; the message will be repeated. In a promise the missing base means that the member
+// refers to a body that the candidate lacks.
 func (m *Machine) unpack(msg any) (any, bool) {
 	ok := true
 	_, promise := msg.(Promise)
@@ -188,7 +190,8 @@
 	return msg, ok
 }
 
-// onWay is how long a document may be on a slow link, as short as it goes: until then it is not sent again.
+// docTransferTime returns how long a document, as short as it can be sent, may take on a slow link.
+// It is not repeated before.
 func (m *Machine) docTransferTime(d Doc) time.Duration {
 	if len(d.Body) == 0 {
 		return 0
--- a/internal/consensus/past.go
+++ b/internal/consensus/past.go
@@ -6,14 +6,14 @@
 	"asterwell/internal/fsm"
 )
 
-// Change is an epoch that has taken the place of another, as it became known here.
+// EpochChange is the start of an epoch, as this process learned of it.
 type EpochChange struct {
 	At      fsm.Time
 	Ballot  Ballot
 	Members []MemberRole
 }
 
-// Duty is what a seat of the core does in an epoch.
+// MemberRole is a member's role in an epoch.
 type MemberRole struct {
 	Member
 	Role string // primary, backup, witness
@@ -21,7 +21,7 @@
 
 const maxEpochHistory = 64
 
-// remember notes another epoch.
+// recordEpochHistory appends the current epoch if it is new.
 func (m *Machine) recordEpochHistory() {
 	if n := len(m.epochHistory); m.view.isZero() || n > 0 && m.epochHistory[n-1].Ballot == m.view.Ballot {
 		return
@@ -44,5 +44,5 @@
 	m.epochHistory = append(m.epochHistory, c)
 }
 
-// Past is the epochs that this process has seen, the newest last.
+// EpochHistory returns the epochs that this process has seen, the newest last.
 func (m *Machine) EpochHistory() []EpochChange { return slices.Clone(m.epochHistory) }
--- a/internal/consensus/primary.go
+++ b/internal/consensus/primary.go
@@ -8,18 +8,18 @@
 	"asterwell/internal/fsm"
 )
 
-// lead is what a primary knows of its epoch. All of it may be lost.
+// primaryState is what a primary knows of its epoch. None of it needs to survive a restart.
 type primaryState struct {
 	record          EpochRecord
 	startedAt       fsm.Time
 	heartbeatAt     fsm.Time
 	heardAt         map[string]fsm.Time
 	diskSlow        map[string]bool
-	diskTolerance   map[string]lagDuration // what a member bears of its disk
-	higherPromise   Ballot                 // a promise above the epoch that some member gave
+	diskTolerance   map[string]lagDuration // as reported in heartbeat replies
+	higherPromise   Ballot                 // a promise above the epoch that a member gave
 	higherPromiseAt fsm.Time
 
-	proposal     *Doc // on its way to the writers
+	proposal     *Doc // being replicated to the writers
 	proposedAt   fsm.Time
 	appendSentAt fsm.Time
 	appended     map[string]bool
@@ -31,10 +31,10 @@
 
 	joining      map[string]joinCandidate
 	leaving      map[string]leavingMember
-	recordStored map[string]bool   // who has the record on disk as an active one
-	recordKnown  map[string]bool   // who holds it as such, on disk or not
-	lost         map[string]bool   // seats known to be lost
-	tokenHashes  map[string]uint32 // of the marks that members told last
+	recordStored map[string]bool   // members that have the record on disk as active
+	recordKnown  map[string]bool   // members that hold it as active, on disk or not
+	lost         map[string]bool   // members known to be lost
+	tokenHashes  map[string]uint32 // of the tokens that the members know, as last reported
 }
 
 type joinCandidate struct {
@@ -43,15 +43,15 @@
 	heardAt     fsm.Time
 }
 
-// wait is a call that came to the primary.
+// waitingCall is a call that has arrived at the primary.
 type waitingCall struct {
 	from         string
 	request      Forward
 	arrivedAt    fsm.Time
-	confirmRound uint64 // of confirmations that a read needs
+	confirmRound uint64 // the round of confirmations that a read waits for
 }
 
-// activate begins to serve: the epoch's record is where no successor can miss it.
+// activate starts to serve. The epoch's record is where each successor will find it.
 func (m *Machine) activate() {
 	b := m.candidate
 	m.candidate = nil
@@ -81,7 +81,7 @@
 	m.serveWaiting()
 }
 
-// steer keeps the epoch going, or ends it for a better one.
+// maintainEpoch keeps the epoch going, or ends it for a better one.
 func (m *Machine) maintainEpoch() {
 	l := m.primary
 	if l == nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// ails says whether the epoch's writers cannot go on while others could.
+// writersFailing reports whether the epoch's writers can't go on while other members could.
 func (m *Machine) writersFailing(hears func(Member) bool) bool {
 	l := m.primary
 	if l.higherPromise.higherThan(l.record.Ballot) && m.now-l.higherPromiseAt > resendInterval*3 {
@@ -165,7 +165,7 @@
 	m.primaryHeardAt, m.primaryHeardFrom = m.now, ""
 }
 
-// plan is the set to come if somebody is to have a seat, or nil.
+// nextMembers returns the next membership if a member is to be added, replaced or removed, or nil.
 func (m *Machine) nextMembers() []Member {
 	l := m.primary
 	if m.now-l.startedAt < 2*joinInterval && m.hasAllCopies() && !m.hasForcedLeave() {
@@ -210,12 +210,13 @@
 	return set
 }
 
-// enough says whether the epoch has as many copies as it is meant to.
+// hasAllCopies reports whether the epoch has as many writers as required.
 func (m *Machine) hasAllCopies() bool {
 	return len(m.primary.record.Writers) > m.config.ToleratedLosses
 }
 
-// vacancy is the seat of a member silent for long, rather in that zone, or -1.
+// vacantMember returns the index of a member that was silent for long, preferably in the given
+// zone, or -1.
 func (m *Machine) vacantMember(set []Member, zone string) int {
 	best := -1
 	for i, s := range set {
@@ -246,7 +247,7 @@
 	}
 }
 
-// rival notes a promise above the epoch: that member can't serve it any more.
+// noteHigherPromise records a promise above the epoch: that member can't serve the epoch any more.
 func (m *Machine) noteHigherPromise(b Ballot) {
 	if l := m.primary; b.higherThan(l.record.Ballot) && b != l.higherPromise {
 		if !l.higherPromise.higherThan(l.record.Ballot) {
@@ -257,7 +258,7 @@
 	}
 }
 
-// serve takes up what waits: one document at a time, reads by rounds.
+// serveWaiting handles the waiting calls: one document at a time, and reads by confirmation rounds.
 func (m *Machine) serveWaiting() {
 	l := m.primary
 	if l == nil {
@@ -286,7 +287,7 @@
 		}
 	}
 	m.waiting = rest
-	free := l.proposal == nil || l.proposal.LedgerRev > 0 && next != nil // a change doesn't wait for notes: it takes them along
+	free := l.proposal == nil || l.proposal.LedgerRev > 0 && next != nil // a new version doesn't wait for ledger additions but includes them
 	if free && (m.hasAllCopies() || m.bug == BugTooFewWriters) {
 		m.propose(next)
 	}
@@ -331,7 +332,7 @@
 	m.commit(doc)
 	if later {
 		m.push(doc)
-	} else { // none but the writers keep notes
+	} else { // only the writers keep the ledger
 		for _, w := range l.record.Writers[1:] {
 			m.send(w, CommitAmendment{doc.Version, doc.Rev, doc.CreatedIn, doc.LedgerRev})
 		}
@@ -375,7 +376,7 @@
 	m.waiting = rest
 }
 
-// read answers one that the writers have confirmed.
+// answerRead answers a read after the writers have confirmed the epoch.
 func (m *Machine) answerRead(w *waitingCall) {
 	switch {
 	case w.request.ContactOnly:
@@ -387,7 +388,7 @@
 	}
 }
 
-// onForward takes a call in, or says who is thought to be the primary.
+// onForward accepts a call, or tells the caller which process is the presumed primary.
 func (m *Machine) onForward(from string, f Forward) {
 	if m.primary == nil && (m.candidate == nil || m.candidate.phase == preVoting) {
 		m.sendView(from)
@@ -405,7 +406,7 @@
 	m.serveWaiting()
 }
 
-// lapse forgets calls whose callers have gone elsewhere.
+// dropExpired drops calls that their callers have given up by now.
 func (m *Machine) dropExpired() {
 	m.waiting = slices.DeleteFunc(m.waiting, func(w *waitingCall) bool { return m.now-w.arrivedAt > time.Second })
 }
--- a/internal/consensus/resume.go
+++ b/internal/consensus/resume.go
@@ -1,6 +1,6 @@
 package consensus
 
-// judgeResume asks that of a state, and counts.
+// checkLiveness checks a state and counts the result.
 func (x *explorer) checkLiveness(s *modelState, at uint32) {
 	x.result.LivenessChecked++
 	if x.canProgress(s) {
@@ -26,16 +26,16 @@
 
 const (
 	putIntervalTicks = 20 // ticks
-	forcedLeaveTicks = 17 // that one has which is ended soon: 850 ms
+	forcedLeaveTicks = 17 // ticks until a process with LeaveForced is stopped: 850 ms
 )
 
-// resumes says whether the core takes puts again once nothing goes wrong any more, and whoever
-// leaves has ended for good as soon as it was let go. The state is not changed, nor what was found.
+// canProgress reports whether the cluster accepts puts again once no more faults occur and each
+// leaving process has stopped when it was allowed to. The state and the counts remain unchanged.
 func (x *explorer) canProgress(s *modelState) bool {
 	found := x.result
 	defer func() { x.result = found }()
 	n := s.clone()
-	for i, id := range n.nodes { // without jitter two candidates could meet again and again
+	for i, id := range n.nodes { // without jitter two candidates could collide again and again
 		c := x.nodes[id].clone()
 		c.random.mixed = true
 		n.nodes[i] = x.nodeID(c)
@@ -46,7 +46,7 @@
 			away |= 1 << at
 		}
 	}
-	last, acked := 0, uint32(0) // when somebody ended; the version asked for since
+	last, acked := 0, uint32(0) // the tick at which a process last stopped; the version put since then
 	for i := range recoveryTicks {
 		waits := false
 		for at, id := range n.nodes {
@@ -75,7 +75,7 @@
 			return true
 		}
 	}
-	here := 0 // too few are not asked for, if the others are on their way out and hold nothing
+	here := 0 // with too few left no progress is required, if the others are leaving and are no members
 	for at, id := range n.nodes {
 		if m := x.nodes[id].machine; gone&(1<<at) == 0 && (m.isMember() || m.leaving == 0) {
 			here++
--- a/internal/consensus/spread.go
+++ b/internal/consensus/spread.go
@@ -8,7 +8,7 @@
 	"asterwell/internal/fsm"
 )
 
-// near are the processes that may be members, or know them.
+// likelyMembers returns the processes that may be members or know them.
 func (m *Machine) likelyMembers() []string {
 	var who []string
 	for _, s := range m.view.Members {
@@ -22,7 +22,7 @@
 	return m.withoutSelf(append(who, m.seeds...))
 }
 
-// everyone are the processes that a primary tells news.
+// knownProcesses returns the processes that a primary sends changes to.
 func (m *Machine) knownProcesses() []string {
 	who := m.likelyMembers()
 	for _, p := range m.peers {
@@ -45,11 +45,11 @@
 	}
 }
 
-// commit takes a document that is committed for certain. One that is not is never
-// adopted: it may be lost, and another one take its version.
+// commit takes a document that is certainly committed. Others are never applied: they may be lost,
+// and their version may be used for another document.
 func (m *Machine) commit(doc Doc) {
 	if doc.sameAs(m.state.Pending) {
-		doc = m.state.Pending // with its orders
+		doc = m.state.Pending // with its ledger
 	}
 	if !doc.Supersedes(m.state.Committed) {
 		if len(m.state.Committed.Ledger) == 0 && len(doc.Ledger) > 0 && doc.sameAs(m.state.Committed) {
@@ -66,11 +66,11 @@
 	}
 }
 
-// wide is how many bytes the primary sends at once, 40 ms of the slowest core link; where
-// there are more, the other members pass documents on.
+// maxDirectPush is how many bytes the primary sends at once, 40 ms of the slowest link between
+// members. Beyond it, the other members forward documents.
 const maxDirectPush = 512 << 10
 
-// push brings a document to all.
+// push sends a document to all known processes.
 func (m *Machine) push(doc Doc) {
 	doc = doc.withoutLedger()
 	all := m.knownProcesses()
@@ -109,20 +109,20 @@
 	}
 }
 
-// way is how long a document like ours may be on a slow link: who hears of one before it
-// comes need not ask for it as well.
+// committedTransferTime returns how long a document of the committed one's size may take on a slow
+// link. A process that hears of a new version doesn't request it while it may still be arriving.
 func (m *Machine) committedTransferTime() time.Duration {
 	return min(TransferTime(len(m.state.Committed.Body)), maxTransferWait)
 }
 
-// mostWay: large documents mostly come as differences. Who waited for the time of a whole one would be
-// late where a difference was lost.
+// maxTransferWait limits that wait: large documents mostly come as deltas, and waiting for the time
+// of a whole one would be too long if a delta was lost.
 const maxTransferWait = 2 * time.Second
 
-// Way is how long so many bytes may be on a slow link.
+// TransferTime returns how long so many bytes may take on a slow link.
 func TransferTime(bytes int) time.Duration { return time.Duration(bytes) * slowLinkTimePerByte }
 
-// heardOf notes a committed version; the document itself mostly comes by a push.
+// noteReportedVersion records a committed version. The document itself mostly arrives by a push.
 func (m *Machine) noteReportedVersion(from string, version uint32) {
 	if version <= m.state.Committed.Version || version <= m.reportedVersion {
 		return
@@ -133,7 +133,7 @@
 	}
 }
 
-// catchUp asks for a newer document if somebody has one.
+// catchUp requests a newer document if another process has one.
 func (m *Machine) catchUp() {
 	if m.now-m.pulledAt < pullInterval || m.bug == BugNoCatchUp {
 		return
@@ -143,7 +143,7 @@
 	if m.reportedVersion > held {
 		who = append(who, m.reportedBy, m.view.primary())
 	}
-	var ahead []Peer // mostly nobody
+	var ahead []Peer // mostly empty
 	if m.newestPeerVersion > held {
 		for _, p := range m.peers {
 			if p.Version > held && p.Up {
@@ -179,8 +179,8 @@
 	minLargeDoc       = 64 << 10 // bytes
 )
 
-// some of those that are ahead are asked: of many each process begins with others, since where all start at once
-// the first of them would send the document to all.
+// pullCandidates limits the processes to ask. If many are ahead, each process starts with different
+// ones: otherwise all would ask the first of them for the document at the same time.
 func (m *Machine) pullCandidates(ahead []Peer) []Peer {
 	n := len(ahead)
 	if n <= maxPullCandidates {
@@ -199,8 +199,8 @@
 	return slices.Concat(ahead[from:n], ahead[:from])[:maxPullCandidates]
 }
 
-// bring answers who asks for a document. A large one that it was given just now may be on its way still: one more behind it would
-// only make both later.
+// sendDoc answers a Pull. If a large document was sent to the same process just now, it may still
+// be in transit, and a second copy would only delay both.
 func (m *Machine) sendDoc(to string, p Push) {
 	size := len(p.Doc.Body)
 	for _, d := range p.Deltas {
--- a/internal/consensus/walk.go
+++ b/internal/consensus/walk.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// Walks is what drawn schedules came to.
+// RandomWalks is the result of random schedules.
 type RandomWalks struct {
 	Count, Steps  int
 	Epochs        int // schedules in which another primary served
 	Acked         int // puts acknowledged
-	DiskRollbacks int // disks put back to an older state
+	DiskRollbacks int // disks restored to an older state
 	Violation     string
-	Seed          uint64 // that broke
+	Seed          uint64 // of the schedule with the violation
 	Trace         []string
 }
 
-// Pair is how two machines are lost at one moment.
+// PairFault is how two machines fail at the same moment.
 type PairFault uint8
 
-// The pairs.
+// The pair faults.
 const (
 	NoPair     PairFault = iota
-	BothKilled           // for the rest of the schedule; their disks are kept
+	BothKilled           // until the end of the schedule; their disks are kept
 	OneWiped
 	BothWiped
-	OneRolledBack // one's disk is put back to a copy, and another one is killed as above; see Bounds.Backs
+	OneRolledBack // one's disk is restored from a copy, and another one is killed as above; see ModelBounds.DiskRollbacks
 )
 
-// Walk draws schedules of so many steps within bounds, and loses two machines in each at a
-// drawn moment. Then all is mended, and the core has to give what was acknowledged.
+// Walk runs random schedules of so many steps within bounds, and in each lets two machines fail at
+// a random moment. Then all faults end, and the cluster must still have what it acknowledged.
 func Walk(b ModelBounds, pair PairFault, from uint64, count, steps int) RandomWalks {
 	var sum RandomWalks
 	var x *explorer
@@ -62,9 +62,9 @@
 	state         *modelState
 	rng           *rand.Rand
 	pairFault     PairFault
-	stopped       uint16 // machines that don't run
+	stopped       uint16 // a bit for each machine that doesn't run
 	cutLinks      map[int16]bool
-	stalled       uint16 // disks that sync nothing
+	stalled       uint16 // a bit for each disk that doesn't sync
 	history       []transition
 	diskRollbacks int
 }
@@ -97,7 +97,7 @@
 	w.checkRecovery()
 }
 
-// draw picks what goes on by itself, or now and then what an operator, time or a fault brings.
+// drawTransition picks a delivery or a sync, or now and then a call, a timeout or a fault.
 func (w *randomWalk) drawTransition() (transition, bool) {
 	var kinds [5][]transition
 	for _, v := range w.explorer.transitions(w.state) {
@@ -132,7 +132,8 @@
 	w.explorer.step(w.state, v)
 }
 
-// part cuts some machines off from the others for a while, both ways or one, and lets disks stall; or ends that.
+// partition cuts some machines off from the others for a while, in both directions or one, and lets
+// disks stall; or it ends that.
 func (w *randomWalk) partition() {
 	w.cutLinks, w.stalled = map[int16]bool{}, uint16(w.rng.Uint32()&w.rng.Uint32())
 	way, n := w.rng.IntN(3), w.explorer.nodeCount
@@ -150,7 +151,7 @@
 	}
 }
 
-// lose takes two machines away at once.
+// losePair lets two machines fail at once.
 func (w *randomWalk) losePair() {
 	a := w.rng.IntN(w.explorer.nodeCount)
 	b := (a + 1 + w.rng.IntN(w.explorer.nodeCount-1)) % w.explorer.nodeCount
@@ -162,7 +163,7 @@
 			in.arg = uint32(w.rng.IntN(len(w.explorer.nodes[w.state.nodes[at]].unsynced) + 1))
 		}
 		if w.rng.IntN(2) == 0 || w.pairFault == BothKilled {
-			w.stopped |= 1 << at // comes back when all is mended
+			w.stopped |= 1 << at // comes back when all faults end
 		}
 		v := transition{node: uint8(at), input: in, dropsMessages: true, link: noLink}
 		w.history = append(w.history, v)
@@ -170,14 +171,15 @@
 	}
 }
 
-// saveOff takes a copy of each disk.
+// copyDisks takes a copy of each disk.
 func (w *randomWalk) copyDisks() {
 	for i := range w.state.nodes {
 		w.applyFree(transition{node: uint8(i), input: input{kind: copyDisk}, link: noLink})
 	}
 }
 
-// putBack lets the first machine of which all others remember enough start on its copy, and kills another one.
+// rollbackOneDisk restarts a machine, whose latest token all others know, on its copy, and kills
+// another one.
 func (w *randomWalk) rollbackOneDisk() {
 	first := w.rng.IntN(w.explorer.nodeCount)
 	for i := range w.explorer.nodeCount {
@@ -197,7 +199,7 @@
 	}
 }
 
-// goesFree goes a way that is none of the bounds'.
+// applyFree applies a transition that uses up no bounds.
 func (w *randomWalk) applyFree(v transition) {
 	w.history = append(w.history, v)
 	w.explorer.step(w.state, v)
@@ -205,10 +207,10 @@
 
 const recoveryTicks = 240 // of 50 ms
 
-// mended lets the ordinary happen until the machines answer a read.
+// checkRecovery runs without faults until all machines have answered a read.
 func (w *randomWalk) checkRecovery() {
 	x, s := w.explorer, w.state
-	for i, id := range s.nodes { // without jitter two candidates could meet again and again
+	for i, id := range s.nodes { // without jitter two candidates could collide again and again
 		c := x.nodes[id].clone()
 		c.random.mixed = true
 		s.nodes[i] = x.nodeID(c)
