--- a/internal/bench/controlseats.go
+++ b/internal/bench/controlseats.go
@@ -23,7 +23,7 @@
 	{Leaves: 1, Crashes: 1, LivenessEvery: 10}, {Leaves: 1, DiskWipes: 1, LivenessEvery: 10}, {Leaves: 1, ForcedLeave: true, DiskWipes: 1, LivenessEvery: 10}, {DiskWipes: 1, ShortWaits: 1, LivenessEvery: 10},
 }
 
-// seatGuards are taken out one by one. One more is in TestGuards of consensus, which needs a world of its own.
+// seatGuards are taken out one by one. One more is in TestLeaveSafeguards of consensus, which needs a world of its own.
 var seatGuards = []struct {
 	what string
 	find func(seed uint64) (broken string)
--- a/internal/consensus/code_test.go
+++ b/internal/consensus/code_test.go
@@ -13,75 +13,75 @@
 )
 
 // slowCoder asks reflection for each field of each value: what scribes are held against.
-type slowCoder struct {
-	b       []byte
+type reflectEncoder struct {
+	buf     []byte
 	now     fsm.Time
 	written uint64
 }
 
-func (c *slowCoder) num(x uint64) { c.b = binary.AppendUvarint(c.b, x) }
+func (c *reflectEncoder) uvarint(x uint64) { c.buf = binary.AppendUvarint(c.buf, x) }
 
 // field says how one of a struct is written.
-type field uint8
+type fieldEncoding uint8
 
 const (
-	plainField field = iota
-	noField
-	writeNum
+	encodePlain fieldEncoding = iota
+	encodeNothing
+	encodeWriteNumber
 )
 
 // fields is that of each struct's type: a walk writes millions.
-var fields locks.Map
+var fieldEncodings locks.Map
 
-func fieldsOf(t reflect.Type) []field {
-	if all, ok := fields.Load(t); ok {
-		return all.([]field)
+func fieldEncodingsOf(t reflect.Type) []fieldEncoding {
+	if all, ok := fieldEncodings.Load(t); ok {
+		return all.([]fieldEncoding)
 	}
-	all := make([]field, t.NumField())
+	all := make([]fieldEncoding, t.NumField())
 	for i := range all {
 		switch f := t.Field(i); {
 		case slices.Contains(writeNumberFields, f.Name):
-			all[i] = writeNum
+			all[i] = encodeWriteNumber
 		case slices.Contains(skippedTypes, f.Type):
-			all[i] = noField
+			all[i] = encodeNothing
 		}
 	}
-	fields.Store(t, all)
+	fieldEncodings.Store(t, all)
 	return all
 }
 
-func (c *slowCoder) value(v reflect.Value) {
+func (c *reflectEncoder) value(v reflect.Value) {
 	if !slices.Contains(skippedTypes, v.Type()) {
 		c.plain(v)
 	}
 }
 
-func (c *slowCoder) plain(v reflect.Value) {
+func (c *reflectEncoder) plain(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
-		c.num(map[bool]uint64{true: 1}[v.Bool()])
+		c.uvarint(map[bool]uint64{true: 1}[v.Bool()])
 	case reflect.Int64, reflect.Int:
 		if v.Type() != timeType {
-			c.num(uint64(v.Int()))
+			c.uvarint(uint64(v.Int()))
 		} else if at := fsm.Time(v.Int()); at == 0 {
-			c.num(0)
+			c.uvarint(0)
 		} else {
-			c.num(uint64(min(c.now-at, maxEncodedAge)+2*maxEncodedAge) + 1)
+			c.uvarint(uint64(min(c.now-at, maxEncodedAge)+2*maxEncodedAge) + 1)
 		}
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
-		c.num(v.Uint())
+		c.uvarint(v.Uint())
 	case reflect.String:
-		c.num(uint64(v.Len()))
-		c.b = append(c.b, v.String()...)
+		c.uvarint(uint64(v.Len()))
+		c.buf = append(c.buf, v.String()...)
 	case reflect.Slice:
-		c.num(uint64(v.Len()))
+		c.uvarint(uint64(v.Len()))
 		if !slices.Contains(skippedTypes, v.Type().Elem()) {
 			for i := range v.Len() {
 				c.plain(v.Index(i))
 			}
 		}
 	case reflect.Map:
-		c.num(uint64(v.Len()))
+		c.uvarint(uint64(v.Len()))
 		keys := v.MapKeys()
 		slices.SortFunc(keys, func(a, b reflect.Value) int {
 			if a.String() < b.String() {
@@ -95,24 +95,24 @@
 		}
 	case reflect.Pointer:
 		if v.IsNil() {
-			c.num(0)
+			c.uvarint(0)
 			return
 		}
-		c.num(1)
+		c.uvarint(1)
 		c.value(v.Elem())
 	case reflect.Interface:
 		c.value(reflect.ValueOf(v.Elem().Type().Name()))
 		c.value(v.Elem())
 	case reflect.Struct:
-		for i, how := range fieldsOf(v.Type()) {
+		for i, how := range fieldEncodingsOf(v.Type()) {
 			switch how {
-			case noField:
-			case writeNum:
+			case encodeNothing:
+			case encodeWriteNumber:
 				n := v.Field(i).Uint()
 				if n > 0 {
 					n = n - c.written + 1
 				}
-				c.num(n)
+				c.uvarint(n)
 			default:
 				c.plain(v.Field(i))
 			}
@@ -123,7 +123,7 @@
 }
 
 // TestScribes: scribes write each state and message of drawn schedules as reflection reads it, byte by byte.
-func TestScribes(t *testing.T) {
+func TestEncodeFuncs(t *testing.T) {
 	cells, messages := 0, 0
 	for _, b := range []ModelBounds{
 		{Puts: 3, Reads: 2, LostMessages: 3, LateMessages: 2, DuplicatedMessages: 2, Crashes: 2, DiskWipes: 1, ShortWaits: 6, LongWaits: 3, DiskCopies: 1, DiskRollbacks: 1},
@@ -136,17 +136,17 @@
 			w.run(160)
 		}
 		for _, c := range x.nodes {
-			slow := slowCoder{b: append([]byte(c.machine.config.Self), 0), now: c.machine.now, written: c.machine.written}
+			slow := reflectEncoder{buf: append([]byte(c.machine.config.Self), 0), now: c.machine.now, written: c.machine.written}
 			slow.value(reflect.ValueOf(c).Elem())
-			if got := c.encode(nil); !bytes.Equal(got, slow.b) {
-				t.Fatalf("a state is written\n%x, not\n%x", got, slow.b)
+			if got := c.encode(nil); !bytes.Equal(got, slow.buf) {
+				t.Fatalf("a state is written\n%x, not\n%x", got, slow.buf)
 			}
 		}
 		for _, msg := range x.messages {
-			slow := slowCoder{b: append([]byte(reflect.TypeOf(msg).Name()), 0)}
+			slow := reflectEncoder{buf: append([]byte(reflect.TypeOf(msg).Name()), 0)}
 			slow.value(reflect.ValueOf(msg))
-			if got := encodeMessage(msg, nil); !bytes.Equal(got, slow.b) {
-				t.Fatalf("%T is written\n%x, not\n%x", msg, got, slow.b)
+			if got := encodeMessage(msg, nil); !bytes.Equal(got, slow.buf) {
+				t.Fatalf("%T is written\n%x, not\n%x", msg, got, slow.buf)
 			}
 		}
 		cells, messages = cells+len(x.nodes), messages+len(x.messages)
--- a/internal/consensus/delta_test.go
+++ b/internal/consensus/delta_test.go
@@ -9,7 +9,7 @@
 )
 
 // routes is a document of a large site with one route of it changed.
-func routes(version, changed int) Doc {
+func docWithRoutes(version, changed int) Doc {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"Epoch":"%08x","Policy":[`, version)
 	r := rand.New(rand.NewPCG(1, 1))
@@ -24,10 +24,10 @@
 }
 
 // fleet has a core of three with that document, 8 followers, and counts what pushes bring.
-func fleet(t *testing.T) (w *world, bytes *int, wholes *int) {
-	w = calm(t, 3, 8, 1)
+func newFleet(t *testing.T) (w *simulation, bytes *int, wholes *int) {
+	w = newSteadyCluster(t, 3, 8, 1)
 	bytes, wholes = new(int), new(int)
-	w.seen = func(_ string, msg any) {
+	w.onSend = func(_ string, msg any) {
 		if p, ok := msg.(Push); ok {
 			*bytes += len(p.Doc.Body)
 			if p.Doc.Version != 0 {
@@ -41,39 +41,39 @@
 			}
 		}
 	}
-	w.change(t, routes(11, 0))
+	w.putAndCheck(t, docWithRoutes(11, 0))
 	return w, bytes, wholes
 }
 
-func (w *world) change(t *testing.T, d Doc) {
+func (w *simulation) putAndCheck(t *testing.T, d Doc) {
 	t.Helper()
 	o := w.call(w.nodes[len(w.nodes)-1], false, d)
 	w.run(1500 * ms)
-	if o.done == nil || o.done.Result != ResultAccepted {
-		t.Fatalf("version %d: %+v", d.Version, o.done)
+	if o.answer == nil || o.answer.Result != ResultAccepted {
+		t.Fatalf("version %d: %+v", d.Version, o.answer)
 	}
-	w.alike(t)
+	w.checkAllEqual(t)
 }
 
-func (w *world) alike(t *testing.T) {
+func (w *simulation) checkAllEqual(t *testing.T) {
 	t.Helper()
 	for _, n := range w.nodes {
-		if h := n.m.Committed(); n.up && (h == nil || h.Version != w.acked || string(h.Body) != w.bodies[w.acked]) {
-			t.Fatalf("%s has not version %d", n.cfg.Self, w.acked)
+		if h := n.machine.Committed(); n.up && (h == nil || h.Version != w.highestAcked || string(h.Body) != w.appliedBodies[w.highestAcked]) {
+			t.Fatalf("%s has not version %d", n.config.Self, w.highestAcked)
 		}
 	}
-	if w.broken != nil {
-		t.Fatal(w.broken)
+	if w.failure != nil {
+		t.Fatal(w.failure)
 	}
 }
 
 // TestDeltas: a change of one route in 2,000 brings each process that route and little more.
 func TestDeltas(t *testing.T) {
 	t.Parallel()
-	w, sent, wholes := fleet(t)
+	w, sent, wholes := newFleet(t)
 	*sent, *wholes = 0, 0
 	for v := range 10 {
-		w.change(t, routes(v+12, 100*v))
+		w.putAndCheck(t, docWithRoutes(v+12, 100*v))
 	}
 	if each := *sent / 10 / (len(w.nodes) - 1); each > 400 || *wholes > 0 {
 		t.Errorf("%d bytes a change and process, %d whole documents", each, *wholes)
@@ -81,18 +81,18 @@
 }
 
 // TestDeltasAway: who was away for a few changes gets those, who lost all, or missed more than is kept, gets the whole.
-func TestDeltasAway(t *testing.T) {
+func TestDeltasAfterAbsence(t *testing.T) {
 	t.Parallel()
-	w, sent, wholes := fleet(t)
+	w, sent, wholes := newFleet(t)
 	away, empty := w.nodes[8], w.nodes[9]
-	w.part(away, 12*time.Second, func(*node) bool { return true }, true)
+	w.partition(away, 12*time.Second, func(*simNode) bool { return true }, true)
 	for v := range 5 {
-		w.change2(t, routes(v+12, 100*v))
+		w.putAtPrimary(t, docWithRoutes(v+12, 100*v))
 	}
 	*sent, *wholes = 0, 0
-	w.cut = map[[2]string]bool{}
+	w.cutLinks = map[[2]string]bool{}
 	w.run(2 * time.Second)
-	w.alike(t)
+	w.checkAllEqual(t)
 	if *sent > 4000 || *wholes > 0 {
 		t.Errorf("five changes: %d bytes, %d whole documents", *sent, *wholes)
 	}
@@ -100,32 +100,32 @@
 	w.run(time.Second)
 	w.start(empty)
 	w.run(2 * time.Second)
-	w.alike(t)
-	if whole := len(routes(11, 0).Body); *wholes == 0 || *sent > whole*3/4 {
+	w.checkAllEqual(t)
+	if whole := len(docWithRoutes(11, 0).Body); *wholes == 0 || *sent > whole*3/4 {
 		t.Errorf("after a start: %d whole documents, %d bytes of %d", *wholes, *sent, whole)
 	}
 }
 
 // change2 is change where some process is away.
-func (w *world) change2(t *testing.T, d Doc) {
+func (w *simulation) putAtPrimary(t *testing.T, d Doc) {
 	t.Helper()
 	o := w.call(w.primary(), false, d)
 	w.run(time.Second)
-	if o.done == nil || o.done.Result != ResultAccepted {
-		t.Fatalf("version %d: %+v", d.Version, o.done)
+	if o.answer == nil || o.answer.Result != ResultAccepted {
+		t.Fatalf("version %d: %+v", d.Version, o.answer)
 	}
 }
 
 // TestDeltaSpoilt: one that is damaged, or made of another text, changes nothing; the whole is asked for. One of a
 // version that is not here changes nothing either; what is lacking is asked for, as short as it goes.
-func TestDeltaSpoilt(t *testing.T) {
+func TestDamagedDelta(t *testing.T) {
 	t.Parallel()
-	w, _, _ := fleet(t)
+	w, _, _ := newFleet(t)
 	n := w.nodes[5]
 	p := w.primary()
-	w.change2(t, routes(12, 7))
-	held := n.m.Committed()
-	good := p.m.recentDeltas[len(p.m.recentDeltas)-1]
+	w.putAtPrimary(t, docWithRoutes(12, 7))
+	held := n.machine.Committed()
+	good := p.machine.recentDeltas[len(p.machine.recentDeltas)-1]
 	for i, spoil := range []func(d *Delta){
 		func(d *Delta) { d.Change.Steps = d.Change.Steps[:len(d.Change.Steps)-1] },
 		func(d *Delta) { d.Change.From++ },
@@ -135,14 +135,14 @@
 		d := good
 		d.From, d.Doc.Version = 12, 13
 		spoil(&d)
-		out := n.m.Receive(w.now, p.cfg.Self, Push{Deltas: []Delta{d}})
-		if h := n.m.Committed(); h.Version != held.Version || string(h.Body) != string(held.Body) || out.Apply != nil {
+		out := n.machine.Receive(w.now, p.config.Self, Push{Deltas: []Delta{d}})
+		if h := n.machine.Committed(); h.Version != held.Version || string(h.Body) != string(held.Body) || out.Apply != nil {
 			t.Errorf("%d: it was taken", i)
 		}
 		asked := false
 		for _, s := range out.Send {
 			pull, ok := s.Msg.(Pull)
-			asked = asked || ok && pull.AcceptsDeltas == (i == 3) && pull.Version == held.Version && s.To == p.cfg.Self
+			asked = asked || ok && pull.AcceptsDeltas == (i == 3) && pull.Version == held.Version && s.To == p.config.Self
 		}
 		if !asked {
 			t.Errorf("%d: the document is not asked for: %+v", i, out.Send)
@@ -151,18 +151,18 @@
 }
 
 // TestOldPull: a program that knows no differences asks without a word of them, and gets a document.
-func TestOldPull(t *testing.T) {
+func TestPullFromOlderRelease(t *testing.T) {
 	t.Parallel()
-	w, _, _ := fleet(t)
-	w.change(t, routes(12, 7))
-	out := w.nodes[4].m.Receive(w.now, "n05", Pull{Version: 11})
+	w, _, _ := newFleet(t)
+	w.putAndCheck(t, docWithRoutes(12, 7))
+	out := w.nodes[4].machine.Receive(w.now, "n05", Pull{Version: 11})
 	if p, ok := out.Send[0].Msg.(Push); !ok || p.Doc.Version != 12 || len(p.Deltas) > 0 {
 		t.Errorf("%+v", out.Send)
 	}
 }
 
 // TestFewKept: what is kept for those that were away is bounded.
-func TestFewKept(t *testing.T) {
+func TestDeltaLimits(t *testing.T) {
 	t.Parallel()
 	m := New(Config{Self: "a"}, nil, 0)
 	for v := range uint32(1500) {
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestWalk loses two machines at once of a larger core, and finds what small models are too small for.
-func TestWalk(t *testing.T) {
+func TestRandomWalk(t *testing.T) {
 	t.Parallel()
 	b := ModelBounds{Members: 6, ToleratedLosses: 2, StartSilent: true, Puts: 4, Reads: 2, LostMessages: 3, LateMessages: 3, DuplicatedMessages: 3, ShortWaits: 30, LongWaits: 60}
 	for pair := BothKilled; pair <= BothWiped; pair++ {
--- a/internal/consensus/format_test.go
+++ b/internal/consensus/format_test.go
@@ -10,9 +10,9 @@
 
 // TestDiskFormats: disks of today and of before there were formats are read; one of a later program is refused by name,
 // even where its fields are of other kinds.
-func TestDiskFormats(t *testing.T) {
+func TestStateFormats(t *testing.T) {
 	t.Parallel()
-	w := calm(t, 3, 0, 1)
+	w := newSteadyCluster(t, 3, 0, 1)
 	d := *w.nodes[0].synced
 	raw, err := cbor.Marshal(d)
 	if err != nil {
--- a/internal/consensus/orders_test.go
+++ b/internal/consensus/orders_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestTexts visits cores that are given several texts of one number, and finds guards that are taken out.
-func TestTexts(t *testing.T) {
+func TestOneBodyPerVersion(t *testing.T) {
 	t.Parallel()
 	for _, b := range []ModelBounds{{Puts: 2, SameVersion: true}, {Puts: 3, Overtaken: true, MaxStates: 150_000},
 		{StartSilent: true, Puts: 2, SameVersion: true, ShortWaits: 1, MaxStates: 150_000}} {
@@ -61,15 +61,15 @@
 
 // TestOldRecord: a disk of the version before has a document without digests; its number's text is known, and
 // of what is below nothing is: neither acknowledged nor refused.
-func TestOldRecord(t *testing.T) {
+func TestStateWithoutLedger(t *testing.T) {
 	t.Parallel()
-	w := calm(t, 3, 1, 1)
+	w := newSteadyCluster(t, 3, 1, 1)
 	n := w.nodes[0]
 	for range 3 {
 		w.put(n)
 		w.run(100 * ms)
 	}
-	for _, n := range w.members() {
+	for _, n := range w.memberNodes() {
 		w.kill(n, true)
 		var old struct { // as it was written then
 			Life     uint64      `cbor:"1,keyasint"`
@@ -94,96 +94,96 @@
 	}
 	w.heal()
 	w.run(2500 * ms)
-	top := w.acked
+	top := w.highestAcked
 	for d, want := range map[*Doc]Result{
-		{Version: top, Body: []byte(w.bodies[top])}: ResultAccepted, {Version: top, Body: []byte("other")}: ResultConflict,
-		{Version: top - 1, Body: []byte(w.bodies[top-1])}: ResultBusy, {Version: top - 1, Body: []byte("other")}: ResultBusy,
+		{Version: top, Body: []byte(w.appliedBodies[top])}: ResultAccepted, {Version: top, Body: []byte("other")}: ResultConflict,
+		{Version: top - 1, Body: []byte(w.appliedBodies[top-1])}: ResultBusy, {Version: top - 1, Body: []byte("other")}: ResultBusy,
 	} {
 		o := w.call(n, false, *d)
 		w.run(100 * ms)
-		if o.done == nil || o.done.Result != want {
-			t.Errorf("%d %q: %+v, not %v", d.Version, d.Body, o.done, want)
+		if o.answer == nil || o.answer.Result != want {
+			t.Errorf("%d %q: %+v, not %v", d.Version, d.Body, o.answer, want)
 		}
 	}
-	w.goesOn()
-	if w.broken != nil {
-		t.Error(w.broken)
+	w.checkProgress()
+	if w.failure != nil {
+		t.Error(w.failure)
 	}
 }
 
 // TestDigests: others than writers are not given what they have no use for, and a text changes hands unchanged.
-func TestDigests(t *testing.T) {
+func TestLedgerOnlyAtWriters(t *testing.T) {
 	t.Parallel()
-	w := calm(t, 3, 2, 1)
+	w := newSteadyCluster(t, 3, 2, 1)
 	for range 5 {
 		w.put(w.nodes[0])
 		w.run(100 * ms)
 	}
-	writers := w.record().Writers
+	writers := w.newestActiveRecord().Writers
 	for _, n := range w.nodes {
-		d := n.m.state.Committed
-		if writes := n.cfg.Self == writers[0] || n.cfg.Self == writers[1]; writes != (len(d.Ledger) > 0) {
-			t.Errorf("%s writes: %v, and has %d orders", n.cfg.Self, writes, d.Ledger.Len())
+		d := n.machine.state.Committed
+		if writes := n.config.Self == writers[0] || n.config.Self == writers[1]; writes != (len(d.Ledger) > 0) {
+			t.Errorf("%s writes: %v, and has %d orders", n.config.Self, writes, d.Ledger.Len())
 		}
-		if !bytes.Equal(d.Digest, dedup.Digest(d.Body)) || n.m.state.Pending.Version > 0 {
-			t.Errorf("%s: %+v, next %+v", n.cfg.Self, d, n.m.state.Pending)
+		if !bytes.Equal(d.Digest, dedup.Digest(d.Body)) || n.machine.state.Pending.Version > 0 {
+			t.Errorf("%s: %+v, next %+v", n.config.Self, d, n.machine.state.Pending)
 		}
 	}
 }
 
 // TestAmendNotes: an amendment doesn't wait for notes that are under way, and takes them along.
-func TestAmendNotes(t *testing.T) {
+func TestAmendWithPendingLedger(t *testing.T) {
 	t.Parallel()
-	w := calm(t, 3, 1, 1)
+	w := newSteadyCluster(t, 3, 1, 1)
 	w.call(w.nodes[0], false, Doc{Version: 9, Body: []byte("nine")})
 	w.run(100 * ms)
 	p := w.primary()
 	late := w.call(p, false, Doc{Version: 5, Body: []byte("five")})
-	if l := p.m.primary; l.proposal == nil || l.proposal.LedgerRev != 1 {
+	if l := p.machine.primary; l.proposal == nil || l.proposal.LedgerRev != 1 {
 		t.Fatalf("five is not to be noted: %+v", l.proposal)
 	}
-	amended := *p.m.Committed()
+	amended := *p.machine.Committed()
 	amended.Rev++
 	amended.Attachment = []byte("side")
 	for _, n := range w.nodes {
-		n.adopted = 0 // an amendment is put in force as the same version
+		n.appliedVersion = 0 // an amendment is put in force as the same version
 	}
-	ok, out := p.m.Amend(w.now, amended)
+	ok, out := p.machine.Amend(w.now, amended)
 	w.apply(p, out)
 	w.run(100 * ms)
 	other := w.call(w.nodes[1], false, Doc{Version: 5, Body: []byte("another five")})
 	w.run(100 * ms)
-	if d := p.m.Committed(); !ok || d.Rev != 1 || string(d.Attachment) != "side" || late.done == nil || late.done.Result != ResultAccepted ||
-		other.done == nil || other.done.Result != ResultConflict || w.broken != nil {
-		t.Errorf("amended %v: %+v; %+v, %+v; %v", ok, d, late.done, other.done, w.broken)
+	if d := p.machine.Committed(); !ok || d.Rev != 1 || string(d.Attachment) != "side" || late.answer == nil || late.answer.Result != ResultAccepted ||
+		other.answer == nil || other.answer.Result != ResultConflict || w.failure != nil {
+		t.Errorf("amended %v: %+v; %+v, %+v; %v", ok, d, late.answer, other.answer, w.failure)
 	}
 }
 
 // TestOvertakenJudge: a primary that was overtaken, and has been given what its successor keeps, judges no orders: it
 // has no ledger of them.
-func TestOvertakenJudge(t *testing.T) {
+func TestOvertakenPrimary(t *testing.T) {
 	t.Parallel()
-	w := calm(t, 3, 1, 1)
+	w := newSteadyCluster(t, 3, 1, 1)
 	w.put(w.nodes[0])
 	w.run(100 * ms)
-	p, from := w.primary(), w.nodes[3].cfg.Self
+	p, from := w.primary(), w.nodes[3].config.Self
 	next := Doc{Version: 9, Body: []byte("nine"), CreatedIn: Ballot{N: 99}}
-	p.m.Receive(w.now, w.other().cfg.Self, Push{Doc: next})
-	out := p.m.Receive(w.now, from, Forward{ID: 1, CallerID: 1, Doc: Doc{Version: 9, Body: []byte("another nine")}})
+	p.machine.Receive(w.now, w.witness().config.Self, Push{Doc: next})
+	out := p.machine.Receive(w.now, from, Forward{ID: 1, CallerID: 1, Doc: Doc{Version: 9, Body: []byte("another nine")}})
 	for _, s := range out.Send {
 		if a, ok := s.Msg.(ForwardReply); ok {
 			t.Errorf("it answers %+v", a)
 		}
 	}
-	if out = p.m.Tick(w.now + 50*ms); p.m.primary != nil {
+	if out = p.machine.Tick(w.now + 50*ms); p.machine.primary != nil {
 		t.Errorf("it goes on: %+v", out)
 	}
 }
 
 // older is a message as the version before writes or reads it.
-func older(msg any) any {
+func asPreviousRelease(msg any) any {
 	bare := func(d Doc) Doc { return Doc{Version: d.Version, Body: d.Body, Rev: d.Rev, Attachment: d.Attachment} }
-	switch t := nameless(msg).(type) {
+	switch t := withoutBodyRefs(msg).(type) {
 	case Forward:
 		t.Doc = bare(t.Doc)
 		return t
@@ -208,8 +208,8 @@
 
 // eldest is a message as the version wrote or read it that knew neither tokens nor packed documents nor
 // how seats are handed over.
-func eldest(msg any) any {
-	switch t := older(msg).(type) {
+func asOldestRelease(msg any) any {
+	switch t := asPreviousRelease(msg).(type) {
 	case Leave, Handover, LeaveGranted, MemberLost, FenceNotice:
 		return nil
 	case View:
@@ -249,28 +249,28 @@
 
 // TestLeaveOldest: a leaver does not wait for its grace where the primary, or another member, is of a version
 // that knows nothing of leaves.
-func TestLeaveOldest(t *testing.T) {
+func TestLeaveWithOldestRelease(t *testing.T) {
 	for i := range 3 {
 		for j := range 3 {
-			w := newWorld(uint64(3*i+j), 3, 1, 1)
-			w.oldest, w.old = true, w.nodes[i].cfg.Self
+			w := newSimulation(uint64(3*i+j), 3, 1, 1)
+			w.oldestRelease, w.olderNode = true, w.nodes[i].config.Self
 			w.startAll()
 			w.run(4 * time.Second)
 			n, at, ended := w.nodes[j], w.now, false
 			if i == j || w.primary() == nil {
 				continue
 			}
-			w.leave(n, func() { ended = true })
-			for !ended && w.now < at+graceOf+time.Second {
+			w.leaveNode(n, func() { ended = true })
+			for !ended && w.now < at+leaveGrace+time.Second {
 				w.run(10 * ms)
 			}
-			t.Logf("%s is old, %s leaves, the primary is %v: %v", w.old, n.cfg.Self, n.m.view.primary(), w.now-at)
+			t.Logf("%s is old, %s leaves, the primary is %v: %v", w.olderNode, n.config.Self, n.machine.view.primary(), w.now-at)
 			if !ended || w.now-at > 1200*ms {
-				t.Errorf("%s is old: %s ends after %v", w.old, n.cfg.Self, w.now-at)
+				t.Errorf("%s is old: %s ends after %v", w.olderNode, n.config.Self, w.now-at)
 			}
 			w.start(n)
-			w.settled()
-			w.sane(t)
+			w.finishAndCheckProgress()
+			w.checkNoFailure(t)
 		}
 	}
 }
@@ -278,19 +278,19 @@
 // TestOlderMember: with one member of the version before all goes on, and what was acknowledged is never refused: it is
 // acknowledged again, or left without a clear answer where that member has dropped the ledger. Nor does a primary of this
 // version acknowledge another text.
-func TestOlderMember(t *testing.T) {
+func TestPreviousReleaseMember(t *testing.T) {
 	t.Parallel()
 	for i := range 3 {
-		w := newWorld(uint64(i), 3, 1, 1)
-		w.old = w.nodes[i].cfg.Self
+		w := newSimulation(uint64(i), 3, 1, 1)
+		w.olderNode = w.nodes[i].config.Self
 		w.startAll()
 		w.run(2500 * ms)
 		put := func(version uint32, text string, may ...Result) {
 			t.Helper()
 			o := w.call(w.nodes[3], false, Doc{Version: version, Body: fmt.Append(nil, text, version)})
 			w.run(400 * ms)
-			if o.done == nil || !slices.Contains(may, o.done.Result) {
-				t.Errorf("%s is of the version before: %s%d is answered %+v", w.old, text, version, o.done)
+			if o.answer == nil || !slices.Contains(may, o.answer.Result) {
+				t.Errorf("%s is of the version before: %s%d is answered %+v", w.olderNode, text, version, o.answer)
 			}
 		}
 		kept := func(version uint32) {
@@ -306,19 +306,19 @@
 			w.heal()
 			w.run(2500 * ms)
 			for _, version := range []uint32{3, 9, 12} {
-				if version < w.acked {
+				if version < w.highestAcked {
 					put(version, "text ", ResultAccepted, ResultBusy)
 				}
-				if p := w.primary(); p == nil || p.cfg.Self != w.old {
+				if p := w.primary(); p == nil || p.config.Self != w.olderNode {
 					put(version, "another ", ResultConflict, ResultBusy)
 				}
 			}
-			for _, version := range []uint32{w.acked, w.acked + 5, w.acked + 3} {
+			for _, version := range []uint32{w.highestAcked, w.highestAcked + 5, w.highestAcked + 3} {
 				kept(version)
 			}
 		}
-		if w.broken != nil {
-			t.Error(w.old, w.broken)
+		if w.failure != nil {
+			t.Error(w.olderNode, w.failure)
 		}
 	}
 }
--- a/internal/consensus/past_test.go
+++ b/internal/consensus/past_test.go
@@ -6,14 +6,14 @@
 )
 
 // TestPast: who stays sees one duty pass to another, and the list of epochs is bounded.
-func TestPast(t *testing.T) {
+func TestEpochHistory(t *testing.T) {
 	t.Parallel()
-	w := calm(t, 3, 5, 1)
+	w := newSteadyCluster(t, 3, 5, 1)
 	lost, stays := w.primary(), w.nodes[len(w.nodes)-1]
-	before := stays.m.EpochHistory()
+	before := stays.machine.EpochHistory()
 	w.kill(lost, true)
 	w.run(2 * time.Second)
-	past := stays.m.EpochHistory()
+	past := stays.machine.EpochHistory()
 	if len(before) == 0 || len(past) <= len(before) {
 		t.Fatalf("%d epochs before, %d after", len(before), len(past))
 	}
@@ -26,14 +26,14 @@
 		}
 		return addr
 	}
-	if primary(was) != lost.cfg.Self || primary(is) != w.primary().cfg.Self || is.At <= was.At || len(is.Members) != 3 {
+	if primary(was) != lost.config.Self || primary(is) != w.primary().config.Self || is.At <= was.At || len(is.Members) != 3 {
 		t.Errorf("%+v, then %+v", was, is)
 	}
 	for range 2 * maxEpochHistory {
-		stays.m.view.Ballot.N++
-		stays.m.recordEpochHistory()
+		stays.machine.view.Ballot.N++
+		stays.machine.recordEpochHistory()
 	}
-	if n := len(stays.m.EpochHistory()); n != maxEpochHistory {
+	if n := len(stays.machine.EpochHistory()); n != maxEpochHistory {
 		t.Errorf("%d epochs are kept", n)
 	}
 }
--- a/internal/consensus/record_test.go
+++ b/internal/consensus/record_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestBlocks: those who agreed tell all that a set has decided just where no majority of it is without them.
-func TestBlocks(t *testing.T) {
+func TestBlocksMajority(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		var set []Member
 		for i := range n {
@@ -29,7 +29,7 @@
 
 // TestSettled: who holds a settled record asks its set alone; one that is not settled asks the old set too, and
 // of an even new one half, to find out and no more.
-func TestSettled(t *testing.T) {
+func TestOldSetAgreed(t *testing.T) {
 	a, b, c := Member{Addr: "a", DiskID: 1}, Member{Addr: "b", DiskID: 2}, Member{Addr: "c", DiskID: 3}
 	r := EpochRecord{ClusterID: 1, Ballot: Ballot{N: 5}, Members: []Member{b, c}, OldMembers: []Member{a, b, c}}
 	is := func(all ...Member) func(Member) bool {
--- a/internal/consensus/spread_test.go
+++ b/internal/consensus/spread_test.go
@@ -9,7 +9,7 @@
 
 // TestAskedInTurns: where 480 processes start without a document that ten others hold, they ask all ten, not the first of
 // them alone; and never one that holds an older one.
-func TestAskedInTurns(t *testing.T) {
+func TestPullsAreSpread(t *testing.T) {
 	asked := map[string]int{}
 	for i := range 480 {
 		self := fmt.Sprintf("10.0.1.%d:7", i)
@@ -45,7 +45,7 @@
 
 // TestBroughtOnce: a large document isn't sent again while it may be on its way; a small one, or a whole one in place of
 // damaged differences, is.
-func TestBroughtOnce(t *testing.T) {
+func TestLargeDocSentOnce(t *testing.T) {
 	for _, c := range []struct {
 		size   int
 		deltas bool
--- a/internal/consensus/storm_test.go
+++ b/internal/consensus/storm_test.go
@@ -6,7 +6,7 @@
 )
 
 // sentFor is how many bytes of documents a process sends for calls that nobody answers.
-func sentFor(bug Bug, primary string) (bytes int) {
+func docBytesSent(bug Bug, primary string) (bytes int) {
 	m := New(Config{Self: "x", Seeds: []string{"a", "b", "c"}}, nil, 0)
 	m.SetBug(bug)
 	now := time.Second
@@ -25,7 +25,7 @@
 	}
 	epoch(2)
 	for i := range 20 {
-		note(m.Put(now, uint64(i+1), routes(i+1, 0)))
+		note(m.Put(now, uint64(i+1), docWithRoutes(i+1, 0)))
 	}
 	for i := range 16 {
 		now += 50 * ms
@@ -39,25 +39,25 @@
 
 // TestForwardsDoNotStorm: where nobody leads, or the one who does has too much to do, operators' documents
 // are not sent again and again: a slow link would carry nothing else, and nobody could be elected.
-func TestForwardsDoNotStorm(t *testing.T) {
+func TestForwardRetriesAreLimited(t *testing.T) {
 	t.Parallel()
-	doc := len(routes(1, 0).Body)
-	if n := sentFor(0, ""); n > 0 {
+	doc := len(docWithRoutes(1, 0).Body)
+	if n := docBytesSent(0, ""); n > 0 {
 		t.Errorf("nobody leads, and %d bytes are sent", n)
 	}
-	if n := sentFor(0, "a"); n < 20*doc || n > 25*doc {
+	if n := docBytesSent(0, "a"); n < 20*doc || n > 25*doc {
 		t.Errorf("%d documents for 20 calls", n/doc)
 	}
-	if n := sentFor(BugUnthrottledRetries, ""); n < 40*doc {
+	if n := docBytesSent(BugUnthrottledRetries, ""); n < 40*doc {
 		t.Errorf("the guard taken out is not met: %d documents", n/doc)
 	}
-	if n := sentFor(BugUnthrottledRetries, "a"); n < 40*doc {
+	if n := docBytesSent(BugUnthrottledRetries, "a"); n < 40*doc {
 		t.Errorf("the guard taken out is not met: %d documents", n/doc)
 	}
 }
 
 // TestReadsGoOn: small calls are repeated as often as ever; who went by an old primary has to find the new one within its patience.
-func TestReadsGoOn(t *testing.T) {
+func TestReadRetries(t *testing.T) {
 	t.Parallel()
 	m := New(Config{Self: "x", Seeds: []string{"a"}}, nil, 0)
 	now, asked := time.Second, 0
