--- a/internal/bench/controlstate.go
+++ b/internal/bench/controlstate.go
@@ -27,7 +27,7 @@
 
 // walkKey is the same for a schedule of the model.
 func walkKey(broken string) string {
-	if strings.Contains(broken, "is read when all is well") {
+	if strings.Contains(broken, "not answered after all faults") {
 		return "never_caught_up"
 	}
 	return "led_old"
--- a/internal/consensus/candidate.go
+++ b/internal/consensus/candidate.go
@@ -132,8 +132,8 @@
 
 // stateTransferTime returns how long a member's state may take on a slow link.
 func (m *Machine) stateTransferTime(b *candidateState) time.Duration {
-	way := m.docTransferTime(m.state.Committed) + m.docTransferTime(m.state.Pending) + TransferTime(len(m.state.Committed.Ledger)+len(m.state.Pending.Ledger))
-	return min(max(way, m.docTransferTime(b.committed)+m.docTransferTime(b.pending)), maxStateTransfer)
+	transfer := m.docTransferTime(m.state.Committed) + m.docTransferTime(m.state.Pending) + TransferTime(len(m.state.Committed.Ledger)+len(m.state.Pending.Ledger))
+	return min(max(transfer, m.docTransferTime(b.committed)+m.docTransferTime(b.pending)), maxStateTransfer)
 }
 
 // resendPhase sends the requests of this phase that are still unanswered.
@@ -207,10 +207,10 @@
 }
 
 // startNewEpoch makes a primary a candidate again, to have other writers or other members.
-func (m *Machine) startNewEpoch(plan []Member) {
+func (m *Machine) startNewEpoch(nextMembers []Member) {
 	rec := m.primary.record
 	m.primary = nil
-	m.candidate = &candidateState{startedAt: m.now, baseRecord: rec, nextMembers: plan, nextMembersFor: rec.Ballot, promises: map[string]Promise{},
+	m.candidate = &candidateState{startedAt: m.now, baseRecord: rec, nextMembers: nextMembers, nextMembersFor: rec.Ballot, promises: map[string]Promise{},
 		lost: map[string]bool{}}
 	m.prepare()
 }
@@ -268,23 +268,23 @@
 		return
 	}
 	all := union(b.baseRecord.votingMembers(), b.nextMembers)
-	kept, next := m.chooseState(all, data)
-	here := !kept.lacksBody() && !next.lacksBody()
-	if !here && m.bug == BugOwnBody {
-		kept, next, here = m.state.Committed, Doc{}, true
+	committed, pending := m.chooseState(all, data)
+	complete := !committed.lacksBody() && !pending.lacksBody()
+	if !complete && m.bug == BugOwnBody {
+		committed, pending, complete = m.state.Committed, Doc{}, true
 	}
-	if !here {
-		m.requestBodies(kept, next)
+	if !complete {
+		m.requestBodies(committed, pending)
 	}
 	if b.quorumAt == 0 {
 		b.quorumAt = m.now
 	}
-	if !here || countMembers(all, func(s Member) bool { return promised(s) || m.isLost(s) }) < len(all) && m.now-b.quorumAt < latePromiseWait {
+	if !complete || countMembers(all, func(s Member) bool { return promised(s) || m.isLost(s) }) < len(all) && m.now-b.quorumAt < latePromiseWait {
 		return
 	}
 	// A new member that was lost meanwhile is not added, as it would weaken the membership from the
 	// start. Nor does a member leave if the remaining ones could not go on.
-	fresh := func(s Member) bool {
+	unreachableNew := func(s Member) bool {
 		return !b.baseRecord.has(s.Addr, s.DiskID) && !promised(s) && m.bug != BugSkipLearner
 	}
 	rec := EpochRecord{ClusterID: b.baseRecord.ClusterID, Ballot: b.ballot, Members: b.baseRecord.Members, OldMembers: b.baseRecord.OldMembers, Vacancies: b.baseRecord.Vacancies}
@@ -292,15 +292,15 @@
 		rec.OldMembers = b.baseRecord.Members
 	}
 	if b.baseRecord.Active { // one change at a time: a change under way is completed first
-		if b.nextMembers != nil && b.nextMembersFor == b.baseRecord.Ballot && countMembers(b.nextMembers, fresh) == 0 && hasMajority(b.nextMembers, promised) {
+		if b.nextMembers != nil && b.nextMembersFor == b.baseRecord.Ballot && countMembers(b.nextMembers, unreachableNew) == 0 && hasMajority(b.nextMembers, promised) {
 			rec.Members, rec.Vacancies = b.nextMembers, max(0, len(b.baseRecord.Members)+b.baseRecord.Vacancies-len(b.nextMembers))
 		}
 	}
-	whole := b.baseRecord.membersDecide() || intersectsMajorities(b.baseRecord.Members, nil, promised, m.isLost) // otherwise the old members agree, and no more is decided
-	if rec.Writers = m.chooseWriters(rec.Members, promised, whole); rec.Writers == nil {
+	decided := b.baseRecord.membersDecide() || intersectsMajorities(b.baseRecord.Members, nil, promised, m.isLost) // otherwise the old members agree, and no more is decided
+	if rec.Writers = m.chooseWriters(rec.Members, promised, decided); rec.Writers == nil {
 		return
 	}
-	b.record, b.committed, b.pending = rec, kept.withLedger(), next.withLedger()
+	b.record, b.committed, b.pending = rec, committed.withLedger(), pending.withLedger()
 	if m.bug == BugDropLedger {
 		b.committed, b.pending = b.committed.ResetLedger(), b.pending.ResetLedger()
 	}
@@ -328,21 +328,21 @@
 // chooseState returns the initial state of the new epoch: the newest committed document of any
 // promise, and what supersedes it in the state of the last epoch. A document whose body is not here
 // yet lacks it.
-func (m *Machine) chooseState(all []Member, data Doc) (kept, next Doc) {
+func (m *Machine) chooseState(all []Member, data Doc) (committed, pending Doc) {
 	b := m.candidate
-	kept = m.state.Committed
+	committed = m.state.Committed
 	for _, s := range all {
-		if k := b.promises[s.Addr].Committed; k.Supersedes(kept) {
-			kept = k
+		if doc := b.promises[s.Addr].Committed; doc.Supersedes(committed) {
+			committed = doc
 		}
 	}
 	switch {
-	case data.Supersedes(kept):
-		next = data
-	case data.sameAs(kept) && len(data.Ledger) > 0:
-		kept = data
+	case data.Supersedes(committed):
+		pending = data
+	case data.sameAs(committed) && len(data.Ledger) > 0:
+		committed = data
 	}
-	return b.withBody(kept), b.withBody(next)
+	return b.withBody(committed), b.withBody(pending)
 }
 
 // newestWriterState returns the state of the last epoch from one of its writers that has not lost
@@ -371,31 +371,31 @@
 // chooseWriters returns this process and as many backups as losses are tolerated, or nil. If too
 // few members are left it takes all of them: such an epoch accepts no documents and only admits new
 // members.
-func (m *Machine) chooseWriters(set []Member, promised func(Member) bool, whole bool) []string {
-	var me, good, bad []Member
+func (m *Machine) chooseWriters(set []Member, promised func(Member) bool, decided bool) []string {
+	var self, preferred, avoided []Member
 	for _, s := range set {
 		switch {
 		case s.Addr == m.config.Self:
-			me = append(me, s)
+			self = append(self, s)
 		case !promised(s):
 		case m.avoidUntil[s.Addr] > m.now:
-			bad = append(bad, s)
+			avoided = append(avoided, s)
 		default:
-			good = append(good, s)
+			preferred = append(preferred, s)
 		}
 	}
 	need := min(m.config.ToleratedLosses+1, len(set)-countMembers(set, m.isLost))
-	if !whole {
-		need = min(need, len(me)+len(good)+len(bad))
+	if !decided {
+		need = min(need, len(self)+len(preferred)+len(avoided))
 	}
-	seats := append(me, good...)
-	if lack := need - len(seats); lack > 0 {
-		seats = append(seats, bad[:min(lack, len(bad))]...)
+	chosen := append(self, preferred...)
+	if missing := need - len(chosen); missing > 0 {
+		chosen = append(chosen, avoided[:min(missing, len(avoided))]...)
 	}
-	if len(me) == 0 || len(seats) < need {
+	if len(self) == 0 || len(chosen) < need {
 		return nil
 	}
-	return spreadOverZones(seats, need)
+	return spreadOverZones(chosen, need)
 }
 
 func (m *Machine) onReject(from string, t Reject) {
--- a/internal/consensus/cell.go
+++ b/internal/consensus/cell.go
@@ -225,7 +225,7 @@
 	var facts []fact
 	if a := out.Apply; a != nil {
 		if a.Version <= c.appliedVersion {
-			c.violation = fmt.Sprintf("%s puts version %d in force after %d", c.machine.config.Self, a.Version, c.appliedVersion)
+			c.violation = fmt.Sprintf("%s applies version %d after %d", c.machine.config.Self, a.Version, c.appliedVersion)
 		}
 		c.appliedVersion = a.Version
 		facts = append(facts, fact{kind: factApplied, version: a.Version, body: string(a.Body)})
@@ -234,8 +234,8 @@
 		if t, ok := s.Msg.(ForwardReply); ok && (t.Result == ResultAccepted || t.Result == ResultConflict) {
 			facts = append(facts, c.putFact(o, t.ID, t.Result))
 		}
-		if life, ok := diskIDOf(s.Msg); ok && c.lostDiskID != 0 && life == c.lostDiskID {
-			c.violation = fmt.Sprintf("%s lost its disk, and %T counts as of the memory lost", c.machine.config.Self, s.Msg)
+		if diskID, ok := diskIDOf(s.Msg); ok && c.lostDiskID != 0 && diskID == c.lostDiskID {
+			c.violation = fmt.Sprintf("%s lost its disk, but sends %T in the name of its former disk ID", c.machine.config.Self, s.Msg)
 		}
 	}
 	for _, a := range out.Answers {
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -83,13 +83,13 @@
 
 // forwardToOthers sends a call to n processes that may be the primary or know it, in rotation.
 func (m *Machine) forwardToOthers(c *call, n int) {
-	who := m.likelyMembers()
-	for range min(n, len(who)) {
+	targets := m.likelyMembers()
+	for range min(n, len(targets)) {
 		m.rotation++
 		if len(c.request.Doc.Body) > 0 && m.bug != BugUnthrottledRetries {
-			m.send(who[m.rotation%len(who)], ViewRequest{})
+			m.send(targets[m.rotation%len(targets)], ViewRequest{})
 		} else {
-			m.send(who[m.rotation%len(who)], c.request)
+			m.send(targets[m.rotation%len(targets)], c.request)
 		}
 	}
 }
@@ -114,9 +114,9 @@
 	if i < 0 {
 		return
 	}
-	bare := m.calls[i].request.ContactOnly
+	contactOnly := m.calls[i].request.ContactOnly
 	m.calls = slices.Delete(m.calls, i, i+1)
-	if bare && t.Result != ResultBusy { // a primary that doesn't know ContactOnly replies as to a read
+	if contactOnly && t.Result != ResultBusy { // a primary that doesn't know ContactOnly replies as to a read
 		if t.Doc != nil {
 			t.Version = t.Doc.Version
 		}
--- a/internal/consensus/code_test.go
+++ b/internal/consensus/code_test.go
@@ -12,7 +12,8 @@
 	"asterwell/internal/fsm"
 )
 
-// slowCoder asks reflection for each field of each value: what scribes are held against.
+// reflectEncoder uses reflection on each field of each value. The encode functions are compared
+// with it.
 type reflectEncoder struct {
 	buf     []byte
 	now     fsm.Time
@@ -21,7 +22,7 @@
 
 func (c *reflectEncoder) uvarint(x uint64) { c.buf = binary.AppendUvarint(c.buf, x) }
 
-// field says how one of a struct is written.
+// fieldEncoding is how a field of a struct is encoded.
 type fieldEncoding uint8
 
 const (
@@ -30,7 +31,8 @@
 	encodeWriteNumber
 )
 
-// fields is that of each struct's type: a walk writes millions.
+// fieldEncodings caches the encodings of each struct type, as random walks encode millions of
+// values.
 var fieldEncodings locks.Map
 
 func fieldEncodingsOf(t reflect.Type) []fieldEncoding {
@@ -118,11 +120,12 @@
 			}
 		}
 	default:
-		panic(v.Type()) // a bug: a kind that no field had
+		panic(v.Type()) // a bug: no field had this kind so far
 	}
 }
 
-// TestScribes: scribes write each state and message of drawn schedules as reflection reads it, byte by byte.
+// TestEncodeFuncs checks that the encode functions write each state and message of random walks
+// exactly as reflection reads them.
 func TestEncodeFuncs(t *testing.T) {
 	cells, messages := 0, 0
 	for _, b := range []ModelBounds{
@@ -139,19 +142,19 @@
 			slow := reflectEncoder{buf: append([]byte(c.machine.config.Self), 0), now: c.machine.now, written: c.machine.written}
 			slow.value(reflect.ValueOf(c).Elem())
 			if got := c.encode(nil); !bytes.Equal(got, slow.buf) {
-				t.Fatalf("a state is written\n%x, not\n%x", got, slow.buf)
+				t.Fatalf("a state is encoded as\n%x, want\n%x", got, slow.buf)
 			}
 		}
 		for _, msg := range x.messages {
 			slow := reflectEncoder{buf: append([]byte(reflect.TypeOf(msg).Name()), 0)}
 			slow.value(reflect.ValueOf(msg))
 			if got := encodeMessage(msg, nil); !bytes.Equal(got, slow.buf) {
-				t.Fatalf("%T is written\n%x, not\n%x", msg, got, slow.buf)
+				t.Fatalf("%T is encoded as\n%x, want\n%x", msg, got, slow.buf)
 			}
 		}
 		cells, messages = cells+len(x.nodes), messages+len(x.messages)
 	}
 	if t.Logf("%d states, %d messages", cells, messages); cells < 3000 || messages < 500 {
-		t.Error("too few states and messages were met")
+		t.Error("too few states and messages were compared")
 	}
 }
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -79,11 +79,11 @@
 }
 
 // newestDoc returns the document that a writer vouches for.
-func newestDoc(kept, next Doc) Doc {
-	if next.Supersedes(kept) {
-		return next
+func newestDoc(committed, pending Doc) Doc {
+	if pending.Supersedes(committed) {
+		return pending
 	}
-	return kept
+	return committed
 }
 
 // Result is how an operator's call ended.
@@ -152,10 +152,10 @@
 }
 
 type pendingWrite struct {
-	seq   uint64
-	at    fsm.Time
-	life  uint64
-	count uint64
+	seq    uint64
+	at     fsm.Time
+	diskID uint64
+	count  uint64
 }
 
 // Machine is the consensus state machine of one process.
@@ -393,8 +393,8 @@
 
 func (m *Machine) dispatch(from string, msg any) {
 	m.notePackReader(from, msg)
-	msg, whole := m.unpack(msg)
-	if !whole {
+	msg, complete := m.unpack(msg)
+	if !complete {
 		if _, ok := msg.(Forward); ok { // the caller may have made its delta against a base that an earlier primary had
 			m.sendView(from)
 		}
@@ -426,9 +426,9 @@
 			m.send(to, Push{Doc: t.Doc.withoutLedger(), Deltas: t.Deltas})
 		}
 	case CommitAmendment:
-		kept := m.state.Committed
-		doc := Doc{Version: t.Version, Rev: t.Rev, Body: kept.Body, Digest: kept.Digest, CreatedIn: t.CreatedIn, LedgerRev: t.LedgerRev, History: kept.History}
-		if kept.Version == t.Version && (t.LedgerRev == 0 || doc.sameAs(m.state.Pending)) {
+		committed := m.state.Committed
+		doc := Doc{Version: t.Version, Rev: t.Rev, Body: committed.Body, Digest: committed.Digest, CreatedIn: t.CreatedIn, LedgerRev: t.LedgerRev, History: committed.History}
+		if committed.Version == t.Version && (t.LedgerRev == 0 || doc.sameAs(m.state.Pending)) {
 			m.commit(doc)
 		}
 	case Pull:
--- a/internal/consensus/delta.go
+++ b/internal/consensus/delta.go
@@ -62,43 +62,43 @@
 // deltasSince returns the deltas from a version to the committed document, or nil if the whole
 // document must be sent.
 func (m *Machine) deltasSince(version uint32) []Delta {
-	kept := m.state.Committed
+	committed := m.state.Committed
 	n := len(m.recentDeltas)
-	if version == 0 || n == 0 || m.recentDeltas[n-1].Doc.Version != kept.Version {
+	if version == 0 || n == 0 || m.recentDeltas[n-1].Doc.Version != committed.Version {
 		return nil
 	}
 	i := slices.IndexFunc(m.recentDeltas, func(d Delta) bool { return d.From == version })
 	if i < 0 {
 		return nil
 	}
-	all, size := slices.Clone(m.recentDeltas[i:]), 0
-	all[len(all)-1].Doc = kept.withoutBody() // it may have been amended since
-	for _, d := range all {
+	deltas, size := slices.Clone(m.recentDeltas[i:]), 0
+	deltas[len(deltas)-1].Doc = committed.withoutBody() // it may have been amended since
+	for _, d := range deltas {
 		size += d.size()
 	}
-	if size > len(kept.Body)/2 {
+	if size > len(committed.Body)/2 {
 		return nil
 	}
-	return all
+	return deltas
 }
 
 // committedPush returns the committed document for a process that has version held, as short as
 // possible.
-func (m *Machine) committedPush(held uint32) Push {
-	kept := m.state.Committed
-	if all := m.deltasSince(held); all != nil {
-		return Push{Deltas: all}
-	}
-	if m.packedWhole.Doc.Version != kept.Version || m.packedWhole.Doc.Rev != kept.Rev {
-		m.packedWhole = Delta{Doc: kept.withoutBody()}
-		if body, ok := delta.Whole(kept.Body); ok {
+func (m *Machine) committedPush(version uint32) Push {
+	committed := m.state.Committed
+	if deltas := m.deltasSince(version); deltas != nil {
+		return Push{Deltas: deltas}
+	}
+	if m.packedWhole.Doc.Version != committed.Version || m.packedWhole.Doc.Rev != committed.Rev {
+		m.packedWhole = Delta{Doc: committed.withoutBody()}
+		if body, ok := delta.Whole(committed.Body); ok {
 			m.packedWhole.Change = body
 		}
 	}
 	if m.packedWhole.Change.Size > 0 {
 		return Push{Deltas: []Delta{m.packedWhole}}
 	}
-	return Push{Doc: kept.withoutLedger()}
+	return Push{Doc: committed.withoutLedger()}
 }
 
 // onDeltas takes a document that comes as deltas. Those that don't fit change nothing: the process
--- a/internal/consensus/delta_test.go
+++ b/internal/consensus/delta_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// routes is a document of a large site with one route of it changed.
+// docWithRoutes returns the document of a large site with one route changed.
 func docWithRoutes(version, changed int) Doc {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"Epoch":"%08x","Policy":[`, version)
@@ -23,7 +23,8 @@
 	return Doc{Version: uint32(version), Body: b.Bytes()}
 }
 
-// fleet has a core of three with that document, 8 followers, and counts what pushes bring.
+// newFleet returns a cluster of three members and 8 followers with that document, and counters for
+// the bytes and the whole documents of pushes.
 func newFleet(t *testing.T) (w *simulation, bytes *int, wholes *int) {
 	w = newSteadyCluster(t, 3, 8, 1)
 	bytes, wholes = new(int), new(int)
@@ -59,7 +60,7 @@
 	t.Helper()
 	for _, n := range w.nodes {
 		if h := n.machine.Committed(); n.up && (h == nil || h.Version != w.highestAcked || string(h.Body) != w.appliedBodies[w.highestAcked]) {
-			t.Fatalf("%s has not version %d", n.config.Self, w.highestAcked)
+			t.Fatalf("%s does not have version %d", n.config.Self, w.highestAcked)
 		}
 	}
 	if w.failure != nil {
@@ -67,7 +68,8 @@
 	}
 }
 
-// TestDeltas: a change of one route in 2,000 brings each process that route and little more.
+// TestDeltas checks that a change of one route in 2,000 sends little more than that route to each
+// process.
 func TestDeltas(t *testing.T) {
 	t.Parallel()
 	w, sent, wholes := newFleet(t)
@@ -76,11 +78,12 @@
 		w.putAndCheck(t, docWithRoutes(v+12, 100*v))
 	}
 	if each := *sent / 10 / (len(w.nodes) - 1); each > 400 || *wholes > 0 {
-		t.Errorf("%d bytes a change and process, %d whole documents", each, *wholes)
+		t.Errorf("%d bytes per change and process, %d whole documents", each, *wholes)
 	}
 }
 
-// TestDeltasAway: who was away for a few changes gets those, who lost all, or missed more than is kept, gets the whole.
+// TestDeltasAfterAbsence checks that a process that missed a few changes gets those, and one that
+// lost everything gets the whole document.
 func TestDeltasAfterAbsence(t *testing.T) {
 	t.Parallel()
 	w, sent, wholes := newFleet(t)
@@ -106,7 +109,7 @@
 	}
 }
 
-// change2 is change where some process is away.
+// putAtPrimary is putAndCheck while some process is cut off.
 func (w *simulation) putAtPrimary(t *testing.T, d Doc) {
 	t.Helper()
 	o := w.call(w.primary(), false, d)
@@ -116,8 +119,9 @@
 	}
 }
 
-// TestDeltaSpoilt: one that is damaged, or made of another text, changes nothing; the whole is asked for. One of a
-// version that is not here changes nothing either; what is lacking is asked for, as short as it goes.
+// TestDamagedDelta checks that a damaged delta, or one made from another body, changes nothing, and
+// that the whole document is requested. A delta to a version that is not here changes nothing
+// either, and the missing deltas are requested.
 func TestDamagedDelta(t *testing.T) {
 	t.Parallel()
 	w, _, _ := newFleet(t)
@@ -137,7 +141,7 @@
 		spoil(&d)
 		out := n.machine.Receive(w.now, p.config.Self, Push{Deltas: []Delta{d}})
 		if h := n.machine.Committed(); h.Version != held.Version || string(h.Body) != string(held.Body) || out.Apply != nil {
-			t.Errorf("%d: it was taken", i)
+			t.Errorf("%d: the delta was accepted", i)
 		}
 		asked := false
 		for _, s := range out.Send {
@@ -145,12 +149,13 @@
 			asked = asked || ok && pull.AcceptsDeltas == (i == 3) && pull.Version == held.Version && s.To == p.config.Self
 		}
 		if !asked {
-			t.Errorf("%d: the document is not asked for: %+v", i, out.Send)
+			t.Errorf("%d: the document is not requested: %+v", i, out.Send)
 		}
 	}
 }
 
-// TestOldPull: a program that knows no differences asks without a word of them, and gets a document.
+// TestPullFromOlderRelease checks that a release without deltas, whose Pull doesn't accept them,
+// gets a whole document.
 func TestPullFromOlderRelease(t *testing.T) {
 	t.Parallel()
 	w, _, _ := newFleet(t)
@@ -161,7 +166,7 @@
 	}
 }
 
-// TestFewKept: what is kept for those that were away is bounded.
+// TestDeltaLimits checks that the number and the size of stored deltas are limited.
 func TestDeltaLimits(t *testing.T) {
 	t.Parallel()
 	m := New(Config{Self: "a"}, nil, 0)
@@ -175,9 +180,9 @@
 		size += d.size()
 	}
 	if size > maxDeltaBytes || len(m.recentDeltas) != maxDeltas || m.recentDeltas[len(m.recentDeltas)-1].Doc.Version != 1500 {
-		t.Errorf("%d bytes in %d", size, len(m.recentDeltas))
+		t.Errorf("%d bytes in %d deltas", size, len(m.recentDeltas))
 	}
 	if m.appendDelta(Delta{From: 9, Doc: Doc{Version: 10}}); len(m.recentDeltas) != 1 {
-		t.Error("a chain with a gap")
+		t.Error("a chain of deltas has a gap")
 	}
 }
--- a/internal/consensus/explore.go
+++ b/internal/consensus/explore.go
@@ -242,7 +242,7 @@
 		}
 	}
 	if !x.isSteady(s) || x.bounds.DiskRollbacks > 0 && !x.rollbackDetectable(s, lead) {
-		panic("the model's core is not founded") // a bug
+		panic("the model's cluster was not founded") // a bug
 	}
 	x.firstBallot = x.nodes[s.nodes[lead]].machine.primary.record.Ballot
 	for i := range s.nodes { // the calls made so far are not part of the exploration
@@ -451,29 +451,29 @@
 		case factConflict:
 			v.conflicts[requestKey(f.version, f.body)] = true
 			if t, ok := v.ackedBodies[f.version]; ok && t == f.body {
-				x.fail("version %d is %q, which was acknowledged and is told to differ", f.version, t)
+				x.fail("version %d: body %q was acknowledged, and is now refused as a conflict", f.version, t)
 			}
 			if b, ok := v.inForce[f.version]; ok && b == f.body {
-				x.fail("version %d is %q, which is in force and is told to differ", f.version, b)
+				x.fail("version %d: body %q is in force, and is refused as a conflict", f.version, b)
 			}
 		case factRead, factApplied:
 			if b, ok := v.inForce[f.version]; ok && b != f.body {
-				x.fail("version %d is %q and %q", f.version, b, f.body)
+				x.fail("version %d has two bodies in force, %q and %q", f.version, b, f.body)
 			}
 			v.inForce[f.version] = f.body
 			if t, ok := v.ackedBodies[f.version]; ok && t != f.body {
-				x.fail("version %d is %q, and %q was acknowledged", f.version, f.body, t)
+				x.fail("version %d: body %q is in force, but %q was acknowledged", f.version, f.body, t)
 			}
 			if f.kind == factApplied {
 				continue
 			}
 			if floor := v.readFloors[f.id]; f.version < floor {
-				x.fail("version %d is read, and %d was acknowledged before", f.version, floor)
+				x.fail("a read returned version %d, after version %d was acknowledged", f.version, floor)
 			}
 			delete(v.readFloors, f.id)
 			x.readsAnswered++
 		case factReadNone:
-			x.fail("nothing is read")
+			x.fail("a read returned no document")
 		}
 	}
 	newest := uint32(0)
@@ -481,7 +481,7 @@
 		newest = max(newest, n)
 	}
 	if v.highestAcked > newest { // accepting a version below the committed one changes nothing
-		x.fail("version %d is acknowledged, and nobody has put it or a higher one in force", v.highestAcked)
+		x.fail("version %d was acknowledged, but neither it nor a higher version is in force at any node", v.highestAcked)
 	}
 	x.result.Acked = max(x.result.Acked, len(v.ackedIn)-1)
 	s.judgement = x.judgementID(v)
@@ -494,13 +494,13 @@
 // force if there is one.
 func (x *explorer) judgeAccepted(v judgement, f fact) {
 	if t, ok := v.ackedBodies[f.version]; ok && t != f.body {
-		x.fail("two texts of version %d are acknowledged, %q and %q", f.version, t, f.body)
+		x.fail("version %d: two bodies were acknowledged, %q and %q", f.version, t, f.body)
 	}
 	if b, ok := v.inForce[f.version]; ok && b != f.body {
-		x.fail("version %d is %q, and %q is acknowledged", f.version, b, f.body)
+		x.fail("version %d: body %q is in force, and %q is acknowledged", f.version, b, f.body)
 	}
 	if v.conflicts[requestKey(f.version, f.body)] {
-		x.fail("version %d %q is acknowledged, and was told to differ", f.version, f.body)
+		x.fail("version %d: body %q is acknowledged, but was refused as a conflict", f.version, f.body)
 	}
 	v.ackedBodies[f.version] = f.body
 }
@@ -520,7 +520,7 @@
 	x.result.Epochs = max(x.result.Epochs, int(l.record.Ballot.N-min(x.firstBallot.N, l.record.Ballot.N)))
 	for version, by := range x.judgements[s.judgement].ackedIn {
 		if l.record.Ballot.higherThan(by) && c.machine.state.Committed.Version < version {
-			x.fail("version %d was acknowledged in epoch %d, and %s serves epoch %d with version %d",
+			x.fail("version %d was acknowledged in epoch %d, but %s is the primary of epoch %d with version %d",
 				version, by.N, x.addrs[i], l.record.Ballot.N, c.machine.state.Committed.Version)
 		}
 	}
@@ -755,23 +755,23 @@
 	switch v.input.kind {
 	case receive:
 		fmt.Fprintf(&b, "%s>%s %T %+v", x.addrs[v.input.from], name, x.messages[v.input.arg], x.messages[v.input.arg])
-		b.WriteString([...]string{"", " is lost", " is late", " comes, and is doubled"}[v.fate])
+		b.WriteString([...]string{"", " is lost", " is delayed", " is delivered and duplicated"}[v.fate])
 	case sync:
-		fmt.Fprintf(&b, "%s has synced", name)
+		fmt.Fprintf(&b, "%s syncs its oldest write", name)
 	case put:
-		fmt.Fprintf(&b, "%s takes the put of version %d %q", name, x.scenario.puts[v.input.arg].Version, x.scenario.puts[v.input.arg].Body)
+		fmt.Fprintf(&b, "%s receives a put of version %d, body %q", name, x.scenario.puts[v.input.arg].Version, x.scenario.puts[v.input.arg].Body)
 	case read:
-		fmt.Fprintf(&b, "%s is asked", name)
+		fmt.Fprintf(&b, "%s receives a read", name)
 	case leave:
-		fmt.Fprintf(&b, "%s is told to end", name)
+		fmt.Fprintf(&b, "%s is told to leave", name)
 	case crash:
-		fmt.Fprintf(&b, "%s dies, %d writes under way are on disk, its messages lost: %v", name, v.input.arg, v.dropsMessages)
+		fmt.Fprintf(&b, "%s crashes; %d unsynced writes reach its disk; messages in transit lost: %v", name, v.input.arg, v.dropsMessages)
 	case copyDisk:
-		fmt.Fprintf(&b, "a copy is taken of the disk of %s", name)
+		fmt.Fprintf(&b, "the disk of %s is copied", name)
 	case rollbackDisk:
-		fmt.Fprintf(&b, "%s starts on the copy of its disk", name)
+		fmt.Fprintf(&b, "%s restarts with the copy of its disk", name)
 	case wipe:
-		fmt.Fprintf(&b, "%s loses its disk, its messages lost: %v", name, v.dropsMessages)
+		fmt.Fprintf(&b, "%s loses its disk; messages in transit lost: %v", name, v.dropsMessages)
 	default:
 		fmt.Fprintf(&b, "%v pass at %s", waitDurations[v.input.kind], name)
 	}
--- a/internal/consensus/fence.go
+++ b/internal/consensus/fence.go
@@ -77,7 +77,7 @@
 }
 
 // senderToken returns the disk ID and the token of a message that vouches for its sender.
-func senderToken(msg any) (life uint64, t Token, ok bool) {
+func senderToken(msg any) (diskID uint64, t Token, ok bool) {
 	switch t := msg.(type) {
 	case Prepare:
 		return t.Ballot.DiskID, t.Token, true
@@ -101,12 +101,12 @@
 // proves a rollback. A late message from an earlier run looks the same; its request will be
 // repeated.
 func (m *Machine) acceptsToken(from string, msg any) bool {
-	life, t, ok := senderToken(msg)
+	diskID, t, ok := senderToken(msg)
 	if !ok || from == m.config.Self || t.RunID == 0 {
 		return true
 	}
-	k := KnownToken{from, life, t.Saves, t.RunID}
-	if old, ok := m.knownToken(from, life); ok && old.provesRollback(t) && m.bug != BugNoFencing {
+	k := KnownToken{from, diskID, t.Saves, t.RunID}
+	if old, ok := m.knownToken(from, diskID); ok && old.provesRollback(t) && m.bug != BugNoFencing {
 		m.send(from, FenceNotice{old})
 		return false
 	}
@@ -114,8 +114,8 @@
 	return true
 }
 
-func (m *Machine) knownToken(addr string, life uint64) (KnownToken, bool) {
-	i := slices.IndexFunc(m.state.KnownTokens, func(k KnownToken) bool { return k.Addr == addr && k.DiskID == life })
+func (m *Machine) knownToken(addr string, diskID uint64) (KnownToken, bool) {
+	i := slices.IndexFunc(m.state.KnownTokens, func(k KnownToken) bool { return k.Addr == addr && k.DiskID == diskID })
 	if i < 0 {
 		return KnownToken{}, false
 	}
@@ -133,12 +133,12 @@
 	if !hasMember(seats, k.Addr, k.DiskID) || ok && old.Saves >= k.Saves && (old.RunID == k.RunID || old.Saves > k.Saves) {
 		return
 	}
-	marks := slices.DeleteFunc(slices.Clone(m.state.KnownTokens), func(o KnownToken) bool {
+	tokens := slices.DeleteFunc(slices.Clone(m.state.KnownTokens), func(o KnownToken) bool {
 		return o.Addr == k.Addr && o.DiskID == k.DiskID || !hasMember(seats, o.Addr, o.DiskID)
 	})
-	marks = append(marks, k)
-	slices.SortFunc(marks, func(a, b KnownToken) int { return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID)) })
-	m.state.KnownTokens = marks
+	tokens = append(tokens, k)
+	slices.SortFunc(tokens, func(a, b KnownToken) int { return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID)) })
+	m.state.KnownTokens = tokens
 	if m.tokensNotedAt == 0 {
 		m.tokensNotedAt = m.now
 	}
@@ -146,8 +146,8 @@
 
 // mergeTokens takes the tokens that another member knows, of this member and of those whose
 // promises it has counted.
-func (m *Machine) mergeTokens(marks []KnownToken) {
-	for _, k := range marks {
+func (m *Machine) mergeTokens(tokens []KnownToken) {
+	for _, k := range tokens {
 		if k.Addr == m.config.Self {
 			m.onFenceNotice(FenceNotice{k})
 			continue
@@ -181,15 +181,15 @@
 
 // memberTokens returns the tokens of an epoch's members, with this process's own.
 func (m *Machine) memberTokens(r EpochRecord) []KnownToken {
-	var all []KnownToken
+	var tokens []KnownToken
 	for _, s := range r.Members {
 		if s.matches(m.config.Self, m.state.DiskID) {
-			all = append(all, KnownToken{s.Addr, s.DiskID, m.savesSynced, m.runID})
+			tokens = append(tokens, KnownToken{s.Addr, s.DiskID, m.savesSynced, m.runID})
 		} else if k, ok := m.knownToken(s.Addr, s.DiskID); ok {
-			all = append(all, k)
+			tokens = append(tokens, k)
 		}
 	}
-	return all
+	return tokens
 }
 
 // tokensHash is equal where the tokens are, so that a heartbeat need not carry them.
@@ -215,7 +215,7 @@
 
 // noteSaved notes that a save is on disk.
 func (m *Machine) noteSaved(w pendingWrite) {
-	if w.life == m.state.DiskID {
+	if w.diskID == m.state.DiskID {
 		m.savesSynced = max(m.savesSynced, w.count)
 	}
 }
--- a/internal/consensus/fence_test.go
+++ b/internal/consensus/fence_test.go
@@ -8,8 +8,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestPutBack: a backup's disk goes back behind a document that was acknowledged, the primary is lost, and the witness
-// has heard of the token but not yet got the document. Nobody may serve until the primary is back; the mutant does.
+// TestDiskRollback restores a backup's disk to a state before an acknowledged document. The primary
+// fails, and the witness knows the backup's token but not yet the document. No process may serve
+// until the primary is back. Without fencing one does.
 func TestDiskRollback(t *testing.T) {
 	t.Parallel()
 	for _, bug := range []Bug{0, BugNoFencing} {
@@ -24,7 +25,7 @@
 				break
 			}
 			if w.now > limit {
-				t.Fatal("the witness is not told of tokens")
+				t.Fatal("the witness does not learn the token")
 			}
 		}
 		if o.machine.state.Committed.Version == w.highestAcked {
@@ -39,19 +40,20 @@
 		w.run(time.Second)
 		if bug != 0 {
 			if w.failure == nil {
-				t.Error("a disk that was put back is not missed")
+				t.Error("BugNoFencing is not detected")
 			}
 			continue
 		}
 		if b.machine.state.DiskID == life || b.machine.FenceCount() != 1 || w.primary() != nil {
-			t.Errorf("life %d after %d, %d times fenced, primary %v", b.machine.state.DiskID, life, b.machine.FenceCount(), w.primary())
+			t.Errorf("disk ID %d after %d, fenced %d times, primary %v", b.machine.state.DiskID, life, b.machine.FenceCount(), w.primary())
 		}
-		w.finishAndCheckProgress() // also that the seat is taken again
+		w.finishAndCheckProgress() // also checks that the member is admitted again
 		w.checkNoFailure(t)
 	}
 }
 
-// TestPutBackAlone has each member of a quiet core go back by itself, the primary too: it has its seat back with a new life.
+// TestSingleDiskRollback restores the disk of each member of a steady cluster, also of the primary.
+// The process becomes a member again, with a new disk ID.
 func TestSingleDiskRollback(t *testing.T) {
 	t.Parallel()
 	for i := range 3 {
@@ -67,15 +69,15 @@
 		w.start(n)
 		w.run(3 * time.Second)
 		if n.machine.state.DiskID == life || !n.machine.isMember() || n.machine.FenceCount() != 1 {
-			t.Errorf("%s: life %d after %d, seated %v, fenced %d", n.config.Self, n.machine.state.DiskID, life, n.machine.isMember(), n.machine.FenceCount())
+			t.Errorf("%s: disk ID %d after %d, member %v, fenced %d times", n.config.Self, n.machine.state.DiskID, life, n.machine.isMember(), n.machine.FenceCount())
 		}
 		w.finishAndCheckProgress()
 		w.checkNoFailure(t)
 	}
 }
 
-// TestNoFalseFence: members that are killed and started, with what was synced or with more, keep their lives, and a quiet core
-// writes nothing for the marks' sake.
+// TestNoFalseFence checks that members that are killed and restarted, with or without their
+// unsynced writes, keep their disk IDs, and that a steady cluster makes no writes for tokens.
 func TestNoFalseFence(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 0, 1)
@@ -95,23 +97,23 @@
 	w.checkNoFailure(t)
 	for n, life := range lives {
 		if n.machine.state.DiskID != life || n.machine.FenceCount() > 0 {
-			t.Errorf("%s is fenced for nothing", n.config.Self)
+			t.Errorf("%s is fenced without a rollback", n.config.Self)
 		}
 	}
 	w.run(2 * time.Second)
 	before := w.nodes[0].machine.seq + w.nodes[1].machine.seq + w.nodes[2].machine.seq
 	w.run(10 * time.Second)
 	if after := w.nodes[0].machine.seq + w.nodes[1].machine.seq + w.nodes[2].machine.seq; after != before {
-		t.Errorf("%d writes at rest", after-before)
+		t.Errorf("%d writes in a steady cluster", after-before)
 	}
 	for _, n := range w.nodes {
 		if len(n.synced.KnownTokens) != 2 {
-			t.Errorf("%s has %d marks on disk", n.config.Self, len(n.synced.KnownTokens))
+			t.Errorf("%s has %d tokens on disk", n.config.Self, len(n.synced.KnownTokens))
 		}
 	}
 }
 
-// TestOldDiskWhole visits all states of small models in which a disk goes back, with guards in place.
+// TestExploreDiskRollback explores small models with a disk rollback completely.
 func TestExploreDiskRollback(t *testing.T) {
 	t.Parallel()
 	for _, b := range []ModelBounds{{StartSilent: true, DiskRollbacks: 1}, {StartSilent: true, DiskRollbacks: 1, ShortWaits: 1}, {StartSilent: true, DiskRollbacks: 1, Puts: 1},
@@ -122,7 +124,7 @@
 	}
 }
 
-// TestOldDiskWalks: a disk goes back in drawn schedules, and another machine is killed.
+// TestRandomWalkDiskRollback restores a disk in random walks and kills another machine.
 func TestRandomWalkDiskRollback(t *testing.T) {
 	t.Parallel()
 	for _, m := range [][2]int{{3, 1}, {6, 2}} {
@@ -133,7 +135,7 @@
 	}
 }
 
-// before is what a disk was before there were tokens.
+// stateWithoutTokens is the durable state of the release before fencing tokens.
 type stateWithoutTokens struct {
 	Life     uint64      `cbor:"1,keyasint"`
 	Genesis  bool        `cbor:"2,keyasint,omitempty"`
@@ -144,7 +146,8 @@
 	Next     Doc         `cbor:"7,keyasint"`
 }
 
-// TestDisksBefore reads a disk of the program before with this one, and this one's with that, and starts on it.
+// TestStateWithoutTokens reads a state of this release with that release's type and the reverse,
+// and starts from it.
 func TestStateWithoutTokens(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 0, 1)
@@ -157,7 +160,7 @@
 	if err := cbor.Unmarshal(raw, &older); err != nil || older.Life != n.machine.state.DiskID || !reflect.DeepEqual(older.Kept, n.machine.state.Committed) {
 		t.Fatalf("%v: %+v", err, older)
 	}
-	for _, n := range w.nodes { // all go back to the program before, and on to this one
+	for _, n := range w.nodes { // all are downgraded to that release and upgraded again
 		w.kill(n, true)
 		raw, _ := cbor.Marshal(stateWithoutTokens{n.synced.DiskID, n.synced.NeverMember, n.synced.Promised, n.synced.Record, n.synced.StateBallot,
 			n.synced.Committed, n.synced.Pending})
@@ -176,7 +179,7 @@
 		}
 	}
 	for _, msg := range []any{HeartbeatReply{DiskID: 1}, Promise{DiskID: 1}, Appended{DiskID: 1}, StateInstalled{DiskID: 1}, EpochRecorded{DiskID: 1}, Prepare{}, Confirmed{}} {
-		raw, err := cbor.Marshal(msg) // without a token they read as before: the field is left out
+		raw, err := cbor.Marshal(msg) // without a token the field is left out, as in that release
 		if err != nil || w.nodes[0].machine.acceptsToken("n01", msg) == false {
 			t.Errorf("%T: %x, %v", msg, raw, err)
 		}
--- a/internal/consensus/format_test.go
+++ b/internal/consensus/format_test.go
@@ -8,8 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestDiskFormats: disks of today and of before there were formats are read; one of a later program is refused by name,
-// even where its fields are of other kinds.
+// TestStateFormats checks that states with and without a format are read, and that a state of a
+// later format is refused with NewerFormatError, even if its fields have other types.
 func TestStateFormats(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 0, 1)
--- a/internal/consensus/found.go
+++ b/internal/consensus/found.go
@@ -45,14 +45,14 @@
 	if !m.state.Record.Active {
 		h.Record = m.state.Record
 	}
-	who := m.likelyMembers()
+	targets := m.likelyMembers()
 	if p := m.view.primary(); p != "" && m.now-m.primaryViewAt < vacancyTimeout {
-		who = []string{p}
+		targets = []string{p}
 	}
 	if slices.Contains(m.seeds, m.config.Self) {
 		m.sendAfterSave(m.config.Self, h)
 	}
-	for _, to := range who {
+	for _, to := range targets {
 		m.sendAfterSave(to, h)
 	}
 }
@@ -133,8 +133,8 @@
 		return
 	}
 	m.joinSentAt = m.now
-	if who := m.likelyMembers(); len(who) > 0 {
+	if targets := m.likelyMembers(); len(targets) > 0 {
 		m.rotation++
-		m.send(who[m.rotation%len(who)], ViewRequest{})
+		m.send(targets[m.rotation%len(targets)], ViewRequest{})
 	}
 }
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-const leaveGrace = 5850 * ms // a leaver ends after it, whatever stands elsewhere
+const leaveGrace = 5850 * ms // a leaving process is stopped after it, whatever the state of the cluster
 
-// leave tells a process to end, and ends it when it may; then is what comes after that.
+// leaveNode tells a process to leave, stops it when it may exit, and then calls then.
 func (w *simulation) leaveNode(n *simNode, then func()) {
 	life, told := n.run, w.now
 	w.input(n, life, func() Out { return n.machine.Leave(w.now, LeaveWhenSafe) })
@@ -20,7 +20,7 @@
 		switch {
 		case !n.up || n.run != life:
 		case n.frozenUntil <= w.now && n.machine.MayExit() || w.now-told > leaveGrace:
-			w.trace("%v %s ends %v after it was told to", w.now, n.config.Self, w.now-told)
+			w.trace("%v %s exits %v after it was told to leave", w.now, n.config.Self, w.now-told)
 			w.kill(n, true)
 			then()
 		default:
@@ -30,16 +30,17 @@
 	w.after(10*ms, look)
 }
 
-// remove lets a process end for good.
+// removeNode lets a process leave for good.
 func (w *simulation) removeNode(n *simNode) {
 	w.leaveNode(n, func() { n.removed, n.synced = true, nil })
 }
 
-// kinds of members, by what an epoch has them do.
+// memberKinds selects a member by its role in the epoch.
 var memberKinds = map[string]func(w *simulation) *simNode{"primary": (*simulation).primary, "backup": (*simulation).backup, "witness": (*simulation).witness}
 
-// TestHandover has the record without a leaver in force within a beat, for each kind of member
-// and size; it ends, comes back with its disk, and has a seat again.
+// TestHandover checks, for each role and cluster size, that a record without a leaving member is
+// active within one heartbeat interval. The process exits, comes back with its disk and becomes a
+// member again.
 func TestHandover(t *testing.T) {
 	t.Parallel()
 	for _, s := range [][3]int{{3, 2, 1}, {6, 8, 2}, {8, 8, 2}} {
@@ -55,9 +56,9 @@
 			for w.now < at+time.Second && !ended {
 				w.run(ms)
 			}
-			t.Logf("%d members, %s: %v to the record, %v to its end, %d messages", s[0], kind, took, w.now-at, w.sentMessages-sent)
+			t.Logf("%d members, %s: record after %v, exit after %v, %d messages", s[0], kind, took, w.now-at, w.sentMessages-sent)
 			if took > most || !ended || len(w.newestActiveRecord().Members) != s[0]-1 {
-				t.Errorf("%d members, %s leaves: %v, ended %v, %d seats", s[0], kind, took, ended, len(w.newestActiveRecord().Members))
+				t.Errorf("%d members, %s leaves: %v, exited %v, %d in the membership", s[0], kind, took, ended, len(w.newestActiveRecord().Members))
 			}
 			w.runUntilAccepted(t, 50*ms, w.primary())
 			w.run(500 * ms)
@@ -66,9 +67,9 @@
 			for w.now < at+time.Second && !w.newestActiveRecord().has(n.config.Self, n.machine.state.DiskID) {
 				w.run(ms)
 			}
-			t.Logf("%d members, %s: %v to its seat", s[0], kind, w.now-at)
+			t.Logf("%d members, %s: a member again after %v", s[0], kind, w.now-at)
 			if len(w.newestActiveRecord().Members) != s[0] {
-				t.Errorf("%d members, %s is back: %d seats", s[0], kind, len(w.newestActiveRecord().Members))
+				t.Errorf("%d members, %s is back: %d in the membership", s[0], kind, len(w.newestActiveRecord().Members))
 			}
 			w.finishAndCheckProgress()
 			w.checkNoFailure(t)
@@ -76,9 +77,9 @@
 	}
 }
 
-// TestSecondLoss wipes each other member at once, or later, after one has left for good, with a
-// learner there or none. What was acknowledged is there, and puts are taken when the wiped one is
-// back. The mutant, whose leavers keep their seats, is stuck.
+// TestLossAfterLeave wipes each other member at once, or later, after one has left for good, with
+// or without a process that joins. Acknowledged documents remain, and puts are accepted once the
+// wiped member is back. If leaving processes stay members (BugNoLeave), the cluster gets stuck.
 func TestLossAfterLeave(t *testing.T) {
 	t.Parallel()
 	stuck := 0
@@ -120,7 +121,7 @@
 								stuck++
 							}
 						} else if w.failure != nil {
-							t.Errorf("%s left, n0%d wiped after %v, learner %v: %v", kind, i, wait, learner, w.failure)
+							t.Errorf("%s left, n0%d wiped after %v, joining process %v: %v", kind, i, wait, learner, w.failure)
 						}
 					}
 				}
@@ -128,12 +129,12 @@
 		}
 	}
 	if stuck == 0 {
-		t.Error("seats that stay with those that left are not found")
+		t.Error("BugNoLeave is not detected")
 	}
 }
 
-// TestOneByOne replaces all members one after the other, each with a loss of a disk right after
-// the seats are whole again; and loses three disks in turn, each when the one before is whole.
+// TestReplaceAllMembers replaces all members one by one. Each time the primary's disk is lost as soon
+// as the membership is complete again, and the next member is replaced once that loss is repaired.
 func TestReplaceAllMembers(t *testing.T) {
 	t.Parallel()
 	for _, s := range [][3]int{{3, 1, 1}, {6, 1, 2}, {8, 1, 2}} {
@@ -144,9 +145,9 @@
 				w.run(ms)
 			}
 			if d := w.now - at; d > 1500*ms {
-				t.Fatalf("%d members, %s: not whole after %v: %+v", s[0], what, d, w.newestActiveRecord())
+				t.Fatalf("%d members, %s: not complete after %v: %+v", s[0], what, d, w.newestActiveRecord())
 			} else {
-				t.Logf("%d members, %s: whole after %v", s[0], what, d)
+				t.Logf("%d members, %s: complete after %v", s[0], what, d)
 			}
 		}
 		for _, n := range w.memberNodes()[:s[0]] {
@@ -156,7 +157,7 @@
 			for end := w.now + time.Second; !n.removed && w.now < end; {
 				w.run(ms)
 			}
-			whole("left")
+			whole("replaced")
 			p := w.primary()
 			w.put(p)
 			w.run(15 * ms)
@@ -170,8 +171,8 @@
 	}
 }
 
-// TestLeaves plays drawn leaves at bad moments: the leaver or its successor killed or wiped at
-// any moment of it, two that leave at once, a learner wiped while it is taken in, one put back.
+// TestLeaves runs random leaves with faults: the leaving process or its successor is killed or
+// wiped at any moment, two leave at once, a joining process is wiped while it is admitted.
 func TestLeaves(t *testing.T) {
 	t.Parallel()
 	for seed := range *seeds {
@@ -215,7 +216,7 @@
 			}
 		})
 		switch w.rng.IntN(5) {
-		case 0: // killed in the midst, and is back
+		case 0: // killed while it leaves, and restarted
 			w.after(soon, func() { w.kill(n, false); w.after(500*ms, func() { w.start(n) }) })
 		case 1:
 			if o != n {
@@ -225,7 +226,7 @@
 			if o != n {
 				w.after(soon, func() { w.kill(o, true); w.after(time.Second, func() { w.start(o) }) })
 			}
-		case 3: // a disk is lost when the count allows it
+		case 3: // a disk is lost if no other one is
 			w.run(soon)
 			if p := w.primary(); p != nil && p != n && w.lostMemberCount() == 0 {
 				w.put(p)
@@ -237,15 +238,15 @@
 		w.put(w.nodes[w.rng.IntN(len(w.nodes))])
 		w.run(2 * time.Second)
 	}
-	for range 10 { // those that are on their way out come to their end
+	for range 10 { // lets pending leaves finish
 		w.run(time.Second)
 	}
 	w.finishAndCheckProgress()
 	return w.failure
 }
 
-// TestExploreLeaves visits models with leaves and a learner as a whole: from every state that was
-// looked at the core goes on. Each guard that is taken out is found.
+// TestExploreLeaves explores models with leaving and joining processes completely: the cluster
+// makes progress from each state checked. Each disabled safeguard is detected.
 func TestExploreLeaves(t *testing.T) {
 	t.Parallel()
 	for _, b := range []ModelBounds{{Leaves: 1, LivenessEvery: 1}, {Leaves: 2, LivenessEvery: 4}, {Leaves: 1, Learner: true, LivenessEvery: 20},
@@ -253,7 +254,7 @@
 		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
 			t.Parallel()
 			f := Explore(b)
-			t.Logf("%d states, %d asked", f.States, f.LivenessChecked)
+			t.Logf("%d states, %d checked for progress", f.States, f.LivenessChecked)
 			if !f.Complete || f.Violation != "" || f.Epochs == 0 {
 				t.Errorf("%+v", f)
 			}
@@ -263,13 +264,14 @@
 		t.Run(fmt.Sprint("bug ", bug), func(t *testing.T) {
 			t.Parallel()
 			if f := Explore(ModelBounds{Leaves: 1, ForcedLeave: bug == BugNoShrinkOnForcedLeave, DiskWipes: 1, LivenessEvery: 5, Bug: bug}); f.Violation == "" {
-				t.Errorf("it is not found in %d states", f.States)
+				t.Errorf("the bug is not detected in %d states", f.States)
 			}
 		})
 	}
 }
 
-// left is a core of three that one has left for good; the two others have the seats.
+// clusterAfterLeave returns a cluster of three which one member has left for good; the two others
+// are the members.
 func clusterAfterLeave(t *testing.T, bug Bug, learner func(w *simulation)) (w *simulation, p, b *simNode) {
 	w = newSteadyCluster(t, 3, 1, 1)
 	set := func() {
@@ -288,20 +290,21 @@
 		w.run(ms)
 	}
 	if !n.removed {
-		t.Fatal("it does not end")
+		t.Fatal("the leaving process does not exit")
 	}
 	set()
 	return w, w.primary(), w.backup()
 }
 
-// TestGuards has for each guard of leaving the one thing that it prevents, and finds it taken out.
+// TestLeaveSafeguards runs for each safeguard of leaving the situation that it is for, and checks
+// that its absence is detected.
 func TestLeaveSafeguards(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		bug  Bug
 		play func(w *simulation, p, b *simNode)
 	}{
-		"silence is no loss": {BugAssumeLost, func(w *simulation, p, b *simNode) {
+		"an unanswered request proves no loss": {BugAssumeLost, func(w *simulation, p, b *simNode) {
 			w.partition(p, 8*time.Second, func(n *simNode) bool { return n == b }, true)
 			for range 80 {
 				w.run(100 * ms)
@@ -311,7 +314,7 @@
 				w.call(b, true, Doc{})
 			}
 		}},
-		"no copy alone": {BugTooFewWriters, func(w *simulation, p, b *simNode) {
+		"no put with one copy": {BugTooFewWriters, func(w *simulation, p, b *simNode) {
 			w.wipe(b)
 			w.run(1500 * ms)
 			w.start(b)
@@ -319,14 +322,14 @@
 				if o := w.put(p); o.doc.Version > w.highestAcked {
 					w.run(10 * ms)
 					if o.answer != nil && o.answer.Result == ResultAccepted && p.synced.Record.Writers != nil && len(p.synced.Record.Writers) < 2 {
-						w.fail("version %d is acknowledged with %v", o.doc.Version, p.synced.Record.Writers)
+						w.fail("version %d is acknowledged with writers %v", o.doc.Version, p.synced.Record.Writers)
 					}
 				}
 			}
 		}},
 	} {
 		found := false
-		for i := range 12 { // the moment at which it begins is another one each time
+		for i := range 12 { // starts at a different moment each time
 			for _, bug := range []Bug{0, c.bug} {
 				w, p, b := clusterAfterLeave(t, bug, nil)
 				w.run(time.Duration(i) * 37 * ms)
@@ -341,10 +344,10 @@
 			}
 		}
 		if !found {
-			t.Errorf("%s: the guard taken out is not met", name)
+			t.Errorf("%s: the disabled safeguard is not detected", name)
 		}
 	}
-	for _, bug := range []Bug{0, BugSkipLearner} { // a learner that has gone again gets no seat
+	for _, bug := range []Bug{0, BugSkipLearner} { // a joining process that has stopped again must not become a member
 		w, p, b := clusterAfterLeave(t, bug, func(w *simulation) {
 			r := w.add(true, false)
 			w.start(r)
@@ -353,7 +356,7 @@
 			r.removed = true
 		})
 		if n := len(w.newestActiveRecord().Members); n != 2 && bug == 0 {
-			t.Errorf("%d seats", n)
+			t.Errorf("%d members", n)
 		}
 		w.wipe(p)
 		w.start(p)
@@ -361,7 +364,7 @@
 		o := w.put(b)
 		w.run(time.Second)
 		if kept := o.answer != nil && o.answer.Result == ResultAccepted; kept != (bug == 0) {
-			t.Errorf("bug %d: kept %v: %+v", bug, kept, w.newestActiveRecord())
+			t.Errorf("bug %d: accepted %v: %+v", bug, kept, w.newestActiveRecord())
 		}
 	}
 }
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -128,11 +128,11 @@
 		m.stepDownFor(t.Ballot)
 		m.notePrimaryHeard(from)
 	}
-	kept, next := m.state.Committed, m.state.Pending
+	committed, pending := m.state.Committed, m.state.Pending
 	if from != m.config.Self {
-		kept, next = m.promiseDoc(kept, t), m.promiseDoc(next, t)
+		committed, pending = m.promiseDoc(committed, t), m.promiseDoc(pending, t)
 	}
-	m.sendAfterSave(from, Promise{Ballot: t.Ballot, DiskID: m.state.DiskID, Record: m.state.Record, StateBallot: m.state.StateBallot, Committed: kept, Pending: next})
+	m.sendAfterSave(from, Promise{Ballot: t.Ballot, DiskID: m.state.DiskID, Record: m.state.Record, StateBallot: m.state.StateBallot, Committed: committed, Pending: pending})
 }
 
 // stepDownFor ends what this process does under a lower ballot.
@@ -146,8 +146,8 @@
 }
 
 // acceptsOrder reports whether a candidate's or a primary's request is valid here.
-func (m *Machine) acceptsOrder(from string, b Ballot, life uint64) bool {
-	if life != m.state.DiskID {
+func (m *Machine) acceptsOrder(from string, b Ballot, diskID uint64) bool {
+	if diskID != m.state.DiskID {
 		return false
 	}
 	if m.state.Promised.higherThan(b) && m.bug != BugNoPromise {
--- a/internal/consensus/moment_test.go
+++ b/internal/consensus/moment_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestEveryMoment lets each of several faults befall each member at every fourth event of puts
-// that meet a takeover, a readmission or a change of writers. What a wiped member did before
-// counts as one loss, so nothing else is wiped then.
+// TestFaultsAtEveryMoment injects each of several faults at each member, at every fourth event of
+// puts that coincide with a takeover, a readmission or a change of writers. A member that was wiped
+// before counts as one loss, so nothing else is wiped then.
 func TestFaultsAtEveryMoment(t *testing.T) {
 	t.Parallel()
 	courses := map[string]func(w *simulation){
@@ -41,7 +41,7 @@
 						w := newSteadyCluster(t, 3, 1, 1)
 						begin(w)
 						w.eventsUntilFault, w.fault = moment, func() { do(w, w.nodes[i]) }
-						for _, n := range w.nodes { // two versions of one number, among others
+						for _, n := range w.nodes { // among others, two documents of the same version
 							w.put(n)
 						}
 						w.run(100 * ms)
--- a/internal/consensus/name.go
+++ b/internal/consensus/name.go
@@ -19,12 +19,12 @@
 	if !slices.ContainsFunc(t.WantedBodies, func(sum []byte) bool { return bytes.Equal(sum, d.Digest) }) {
 		return d.bodyOmitted()
 	}
-	kept := m.state.Committed
-	if t.CommittedVersion == kept.Version && d.Version != kept.Version {
+	committed := m.state.Committed
+	if t.CommittedVersion == committed.Version && d.Version != committed.Version {
 		return m.asDelta(d)
 	}
-	if all := m.deltasSince(t.CommittedVersion); len(all) == 1 && d.Version == kept.Version {
-		d.Body, d.Packed = nil, &all[0].Change
+	if deltas := m.deltasSince(t.CommittedVersion); len(deltas) == 1 && d.Version == committed.Version {
+		d.Body, d.Packed = nil, &deltas[0].Change
 	}
 	return d
 }
@@ -69,20 +69,20 @@
 	if b.bodiesAskedAt != 0 && m.now-b.bodiesAskedAt < resendInterval+min(TransferTime(size), maxStateTransfer) {
 		return
 	}
-	var who []Member
+	var holders []Member
 	for _, s := range union(b.baseRecord.votingMembers(), b.nextMembers) {
 		p, ok := b.promises[s.Addr]
 		has := func(sum []byte) bool {
 			return bytes.Equal(sum, p.Committed.Digest) || bytes.Equal(sum, p.Pending.Digest)
 		}
 		if ok && p.DiskID == s.DiskID && s.Addr != m.config.Self && slices.ContainsFunc(sums, has) {
-			who = append(who, s)
+			holders = append(holders, s)
 		}
 	}
-	if len(who) == 0 {
+	if len(holders) == 0 {
 		return
 	}
-	s := who[int(b.bodyRequests)%len(who)]
+	s := holders[int(b.bodyRequests)%len(holders)]
 	b.bodiesAskedAt, b.bodyRequests = m.now, b.bodyRequests+1
 	m.sendAfterSave(s.Addr, Prepare{Ballot: b.ballot, DiskID: s.DiskID, Record: b.baseRecord, HandedOver: b.handedOver, OmitBodies: true, WantedBodies: sums,
 		CommittedVersion: m.state.Committed.Version})
--- a/internal/consensus/name_test.go
+++ b/internal/consensus/name_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// nameless is a message as the version before sends and reads it, which knows packed documents but no named ones.
+// withoutBodyRefs changes a message to what the previous release sends and reads: it knows packed
+// documents, but no promises without bodies.
 func withoutBodyRefs(msg any) any {
 	if t, ok := msg.(Prepare); ok {
 		t.OmitBodies, t.WantedBodies, t.CommittedVersion = false, nil, 0
@@ -14,8 +15,9 @@
 	return msg
 }
 
-// lagging is a core that has taken a change of one route in 160 kB which its last witness has not heard of, the moment
-// after its primary is killed, and where that witness is the next to try.
+// newLaggingCluster returns a cluster that has accepted a change of one route in 160 kB, of which
+// the last witness has not heard. The primary has just been killed, and that witness is the next
+// candidate.
 func newLaggingCluster(t *testing.T, members, losses int) (w *simulation, c *simNode) {
 	w = newSimulation(uint64(members), members, 0, losses)
 	w.startAll()
@@ -27,7 +29,7 @@
 	o := w.call(w.primary(), false, docWithRoutes(12, 7))
 	w.run(200 * ms)
 	if o.answer == nil || o.answer.Result != ResultAccepted || c.machine.Committed().Version != 11 {
-		t.Fatalf("%+v, %d is held", o.answer, c.machine.Committed().Version)
+		t.Fatalf("%+v, version %d is committed", o.answer, c.machine.Committed().Version)
 	}
 	w.kill(w.primary(), true)
 	w.cutLinks = map[[2]string]bool{}
@@ -38,7 +40,7 @@
 	return w, c
 }
 
-// docBytes are those that a message's documents take.
+// docBytes returns the size of a message's documents.
 func docBytes(msg any) (n int) {
 	mapDocs(msg, func(d Doc) Doc {
 		if n += len(d.Body); d.Packed != nil {
@@ -49,8 +51,8 @@
 	return n
 }
 
-// TestNamed: a witness that lacks the newest text takes over: promises name it, it comes once, as a difference, and the
-// backup, which has it, is not sent it.
+// TestPromiseOmitsBodies lets a witness take over that lacks the newest body. Promises refer to the
+// body, it is sent once as a delta, and it is not sent to the backup, which has it.
 func TestPromiseOmitsBodies(t *testing.T) {
 	w, c := newLaggingCluster(t, 3, 1)
 	wants, promised, copied := 0, 0, 0
@@ -66,14 +68,15 @@
 	}
 	w.run(700 * ms)
 	if w.primary() != c || c.machine.Committed().Version != 12 || wants != 1 || promised == 0 || promised > 500 || copied == 0 || copied > 100 {
-		t.Errorf("%+v: asked for %d texts, %d bytes promised, %d copied", c.machine.Status(), wants, promised, copied)
+		t.Errorf("%+v: %d bodies requested, %d bytes in promises, %d bytes installed", c.machine.Status(), wants, promised, copied)
 	}
 	w.finishAndCheckProgress()
 	w.checkNoFailure(t)
 }
 
-// TestNamedGone: who has named the text goes before it gives it. The candidate stands back, and asks the next one where
-// there is one; the mutant that goes on with its own is caught.
+// TestBodyHolderFails stops a member that has referred to a body before it sends it. The candidate
+// gives up, or requests the body from the next member if there is one. A candidate that goes on
+// with its own state (BugOwnBody) is detected.
 func TestBodyHolderFails(t *testing.T) {
 	for _, s := range []struct {
 		members, losses int
@@ -90,13 +93,13 @@
 				asked[to] = true
 			}
 		}
-		w.run(time.Duration(s.losses) * 900 * ms) // of five, the writer that is gone is waited for
+		w.run(time.Duration(s.losses) * 900 * ms) // with five members, the stopped writer is waited for
 		switch {
 		case s.bug != 0:
 		case s.members == 3 && (w.primary() != nil || len(asked) != 1):
-			t.Errorf("%d of 3: serves, or asked %v", s.losses, asked)
+			t.Errorf("%d of 3: a primary serves, or requests went to %v", s.losses, asked)
 		case s.members == 5 && (w.primary() == nil || c.machine.Committed().Version != 12 || len(asked) != 2):
-			t.Errorf("%d of 5: %+v, asked %v", s.losses, c.machine.Status(), asked)
+			t.Errorf("%d of 5: %+v, requests went to %v", s.losses, c.machine.Status(), asked)
 		}
 		w.call(c, true, Doc{})
 		w.run(time.Second)
@@ -109,7 +112,8 @@
 	}
 }
 
-// TestNamedBefore: with the version before on one side of a takeover, texts go whole and all goes on.
+// TestPromisesOfPreviousRelease runs a takeover with one member of the previous release: bodies are
+// sent whole, and calls are served.
 func TestPromisesOfPreviousRelease(t *testing.T) {
 	for i := range 3 {
 		w := newSimulation(uint64(i), 3, 1, 1)
--- a/internal/consensus/orders.go
+++ b/internal/consensus/orders.go
@@ -93,18 +93,18 @@
 // propose starts replicating the next document: a higher version or, if next is nil, the committed
 // one with ledger entries for requests that were overtaken before they were accepted.
 func (m *Machine) propose(next *Doc) {
-	l, kept := m.primary, m.state.Committed
+	l, committed := m.primary, m.state.Committed
 	if m.lacksLedger() {
 		return
 	}
-	d := kept
+	d := committed
 	if next == nil {
 		d.LedgerRev++
 	} else {
 		if d = *next; m.config.Transform != nil {
-			d = m.config.Transform(kept, d)
+			d = m.config.Transform(committed, d)
 		}
-		if d.Ledger, d.LedgerRev = kept.Ledger, 0; kept.Version == 0 {
+		if d.Ledger, d.LedgerRev = committed.Ledger, 0; committed.Version == 0 {
 			d.Ledger = dedup.New()
 		}
 		d.Ledger = d.Ledger.With(d.Version, d.Digest)
--- a/internal/consensus/orders_test.go
+++ b/internal/consensus/orders_test.go
@@ -13,7 +13,8 @@
 	"asterwell/internal/dedup"
 )
 
-// TestTexts visits cores that are given several texts of one number, and finds guards that are taken out.
+// TestOneBodyPerVersion explores clusters that are given several bodies for one version, and checks
+// that disabled safeguards are detected.
 func TestOneBodyPerVersion(t *testing.T) {
 	t.Parallel()
 	for _, b := range []ModelBounds{{Puts: 2, SameVersion: true}, {Puts: 3, Overtaken: true, MaxStates: 150_000},
@@ -26,24 +27,24 @@
 		})
 	}
 	if f := Explore(ModelBounds{Puts: 2, SameVersion: true, Bug: BugAnyBody}); f.Violation == "" {
-		t.Errorf("any text is acknowledged, and it is not found in %d states", f.States)
+		t.Errorf("BugAnyBody is not detected in %d states", f.States)
 	}
 	b := ModelBounds{Members: 3, ToleratedLosses: 1, StartSilent: true, Puts: 4, Overtaken: true, LostMessages: 1, ShortWaits: 20, LongWaits: 30, Crashes: 2}
 	for bug, want := range map[Bug]bool{0: false, BugAnyBody: true, BugDropLedger: true} {
 		b := b
 		b.Bug = bug
-		t.Run(fmt.Sprint("schedules, bug ", bug), func(t *testing.T) {
+		t.Run(fmt.Sprint("walks, bug ", bug), func(t *testing.T) {
 			t.Parallel()
-			count, part := 600, 600 // a mutant is met soon
+			count, walksPerTest := 600, 600 // a bug is detected soon
 			if !want {
-				part = 50
+				walksPerTest = 50
 			}
-			all := make([]RandomWalks, count/part)
+			all := make([]RandomWalks, count/walksPerTest)
 			t.Run("", func(t *testing.T) {
 				for i := range all {
 					t.Run("", func(t *testing.T) {
 						t.Parallel()
-						all[i] = Walk(b, NoPair, uint64(1+i*part), part, 160)
+						all[i] = Walk(b, NoPair, uint64(1+i*walksPerTest), walksPerTest, 160)
 					})
 				}
 			})
@@ -54,13 +55,14 @@
 			if (w.Violation != "") != want {
 				t.Errorf("%+v", w)
 			}
-			t.Logf("%d schedules, %d with another epoch, %d acknowledged; %s", w.Count, w.Epochs, w.Acked, w.Violation)
+			t.Logf("%d walks, %d with another epoch, %d puts acknowledged; %s", w.Count, w.Epochs, w.Acked, w.Violation)
 		})
 	}
 }
 
-// TestOldRecord: a disk of the version before has a document without digests; its number's text is known, and
-// of what is below nothing is: neither acknowledged nor refused.
+// TestStateWithoutLedger starts from states of the previous release, without digests. The body of
+// the committed version is known. Of lower versions nothing is, so they are neither accepted nor
+// refused.
 func TestStateWithoutLedger(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 1, 1)
@@ -71,7 +73,7 @@
 	}
 	for _, n := range w.memberNodes() {
 		w.kill(n, true)
-		var old struct { // as it was written then
+		var old struct { // as the previous release wrote it
 			Life     uint64      `cbor:"1,keyasint"`
 			Genesis  bool        `cbor:"2,keyasint,omitempty"`
 			Promised Ballot      `cbor:"3,keyasint"`
@@ -111,7 +113,8 @@
 	}
 }
 
-// TestDigests: others than writers are not given what they have no use for, and a text changes hands unchanged.
+// TestLedgerOnlyAtWriters checks that only writers have the ledger, and that all processes have the
+// same body and digest.
 func TestLedgerOnlyAtWriters(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 2, 1)
@@ -123,15 +126,16 @@
 	for _, n := range w.nodes {
 		d := n.machine.state.Committed
 		if writes := n.config.Self == writers[0] || n.config.Self == writers[1]; writes != (len(d.Ledger) > 0) {
-			t.Errorf("%s writes: %v, and has %d orders", n.config.Self, writes, d.Ledger.Len())
+			t.Errorf("%s is a writer: %v, with %d ledger entries", n.config.Self, writes, d.Ledger.Len())
 		}
 		if !bytes.Equal(d.Digest, dedup.Digest(d.Body)) || n.machine.state.Pending.Version > 0 {
-			t.Errorf("%s: %+v, next %+v", n.config.Self, d, n.machine.state.Pending)
+			t.Errorf("%s: %+v, pending %+v", n.config.Self, d, n.machine.state.Pending)
 		}
 	}
 }
 
-// TestAmendNotes: an amendment doesn't wait for notes that are under way, and takes them along.
+// TestAmendWithPendingLedger checks that an amendment doesn't wait for pending ledger additions but
+// includes them.
 func TestAmendWithPendingLedger(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 1, 1)
@@ -140,13 +144,13 @@
 	p := w.primary()
 	late := w.call(p, false, Doc{Version: 5, Body: []byte("five")})
 	if l := p.machine.primary; l.proposal == nil || l.proposal.LedgerRev != 1 {
-		t.Fatalf("five is not to be noted: %+v", l.proposal)
+		t.Fatalf("no ledger addition is pending: %+v", l.proposal)
 	}
 	amended := *p.machine.Committed()
 	amended.Rev++
 	amended.Attachment = []byte("side")
 	for _, n := range w.nodes {
-		n.appliedVersion = 0 // an amendment is put in force as the same version
+		n.appliedVersion = 0 // an amendment is applied as the same version
 	}
 	ok, out := p.machine.Amend(w.now, amended)
 	w.apply(p, out)
@@ -159,8 +163,8 @@
 	}
 }
 
-// TestOvertakenJudge: a primary that was overtaken, and has been given what its successor keeps, judges no orders: it
-// has no ledger of them.
+// TestOvertakenPrimary checks that an overtaken primary, which has received its successor's
+// document, answers no requests, as it lacks the ledger.
 func TestOvertakenPrimary(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 1, 1)
@@ -172,15 +176,15 @@
 	out := p.machine.Receive(w.now, from, Forward{ID: 1, CallerID: 1, Doc: Doc{Version: 9, Body: []byte("another nine")}})
 	for _, s := range out.Send {
 		if a, ok := s.Msg.(ForwardReply); ok {
-			t.Errorf("it answers %+v", a)
+			t.Errorf("the overtaken primary answers %+v", a)
 		}
 	}
 	if out = p.machine.Tick(w.now + 50*ms); p.machine.primary != nil {
-		t.Errorf("it goes on: %+v", out)
+		t.Errorf("the overtaken primary does not resign: %+v", out)
 	}
 }
 
-// older is a message as the version before writes or reads it.
+// asPreviousRelease changes a message to what the previous release writes or reads.
 func asPreviousRelease(msg any) any {
 	bare := func(d Doc) Doc { return Doc{Version: d.Version, Body: d.Body, Rev: d.Rev, Attachment: d.Attachment} }
 	switch t := withoutBodyRefs(msg).(type) {
@@ -206,8 +210,8 @@
 	return msg
 }
 
-// eldest is a message as the version wrote or read it that knew neither tokens nor packed documents nor
-// how seats are handed over.
+// asOldestRelease changes a message to what the release without tokens, packed documents and Leave
+// writes or reads.
 func asOldestRelease(msg any) any {
 	switch t := asPreviousRelease(msg).(type) {
 	case Leave, Handover, LeaveGranted, MemberLost, FenceNotice:
@@ -247,8 +251,8 @@
 	}
 }
 
-// TestLeaveOldest: a leaver does not wait for its grace where the primary, or another member, is of a version
-// that knows nothing of leaves.
+// TestLeaveWithOldestRelease checks that a leaving process does not wait for the whole grace period
+// if the primary or another member runs a release without Leave.
 func TestLeaveWithOldestRelease(t *testing.T) {
 	for i := range 3 {
 		for j := range 3 {
@@ -264,9 +268,9 @@
 			for !ended && w.now < at+leaveGrace+time.Second {
 				w.run(10 * ms)
 			}
-			t.Logf("%s is old, %s leaves, the primary is %v: %v", w.olderNode, n.config.Self, n.machine.view.primary(), w.now-at)
+			t.Logf("%s runs the oldest release, %s leaves, the primary is %v: %v", w.olderNode, n.config.Self, n.machine.view.primary(), w.now-at)
 			if !ended || w.now-at > 1200*ms {
-				t.Errorf("%s is old: %s ends after %v", w.olderNode, n.config.Self, w.now-at)
+				t.Errorf("%s runs the oldest release: %s exits after %v", w.olderNode, n.config.Self, w.now-at)
 			}
 			w.start(n)
 			w.finishAndCheckProgress()
@@ -275,9 +279,9 @@
 	}
 }
 
-// TestOlderMember: with one member of the version before all goes on, and what was acknowledged is never refused: it is
-// acknowledged again, or left without a clear answer where that member has dropped the ledger. Nor does a primary of this
-// version acknowledge another text.
+// TestPreviousReleaseMember runs a cluster with one member of the previous release. Acknowledged
+// requests are never refused: they are acknowledged again, or answered with ResultBusy after that
+// member has dropped the ledger. A primary of this release never acknowledges another body.
 func TestPreviousReleaseMember(t *testing.T) {
 	t.Parallel()
 	for i := range 3 {
@@ -290,7 +294,7 @@
 			o := w.call(w.nodes[3], false, Doc{Version: version, Body: fmt.Append(nil, text, version)})
 			w.run(400 * ms)
 			if o.answer == nil || !slices.Contains(may, o.answer.Result) {
-				t.Errorf("%s is of the version before: %s%d is answered %+v", w.olderNode, text, version, o.answer)
+				t.Errorf("%s runs the previous release: %s%d is answered %+v", w.olderNode, text, version, o.answer)
 			}
 		}
 		kept := func(version uint32) {
--- a/internal/consensus/pack_test.go
+++ b/internal/consensus/pack_test.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// longText is like a large configuration: it packs well, and no two parts are the same.
+// compressibleText resembles a large configuration: it packs well, and no two parts are equal.
 func compressibleText(n int) []byte {
 	var b bytes.Buffer
 	for i := 0; b.Len() < n; i++ {
@@ -18,8 +18,8 @@
 	return b.Bytes()
 }
 
-// TestPacked: a large document goes packed in whatever carries it whole, to who reads that and to nobody else, and
-// comes out as it was; what is damaged is dropped.
+// TestPacked checks that a large document is packed in each message that carries it whole, only for
+// processes that read that, and is restored exactly. Damaged ones are dropped.
 func TestPacked(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 0, 1)
@@ -29,7 +29,7 @@
 	m.packReaders = nil
 	for _, msg := range []any{Promise{Committed: d, Pending: d}, InstallState{Committed: d, Pending: d}, Append{Doc: d}, Forward{Doc: d}, ForwardReply{Doc: &d}} {
 		if got := m.packedFor(other, msg); !reflect.DeepEqual(got, msg) {
-			t.Errorf("%T is packed for a process that never said it reads that", msg)
+			t.Errorf("%T is packed for a process that has not shown that it reads that", msg)
 		}
 		m.packReaders = packReaderList{other}
 		short := m.packedFor(other, msg)
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		if got, ok := m.unpack(back.Elem().Interface()); !ok || !reflect.DeepEqual(got, msg) {
-			t.Errorf("%T does not come out as it was: %v", msg, ok)
+			t.Errorf("%T is not restored exactly: %v", msg, ok)
 		}
 		m.packReaders = nil
 	}
@@ -53,14 +53,15 @@
 	bad.Steps[len(bad.Steps)/2] ^= 4
 	short.Doc.Packed = &bad
 	if _, ok := m.unpack(short); ok {
-		t.Error("a damaged document is taken")
+		t.Error("a damaged document is accepted")
 	}
 	if len(m.packedBodies) > maxPackedBodies {
-		t.Errorf("%d parcels are kept", len(m.packedBodies))
+		t.Errorf("%d packed bodies are cached", len(m.packedBodies))
 	}
 }
 
-// TestPackedDisk: a large record is packed, is read back, and one that is damaged is refused.
+// TestPackedState checks that a large state is packed and read back, and that a damaged one is
+// refused.
 func TestPackedState(t *testing.T) {
 	t.Parallel()
 	d := DurableState{DiskID: 3, Committed: Doc{Version: 1, Body: compressibleText(1 << 20)}, Pending: Doc{Version: 2, Body: compressibleText(1 << 20)}}
@@ -73,15 +74,16 @@
 	}
 	var older stateWithoutTokens
 	if cbor.Unmarshal(data, &older) == nil {
-		t.Error("the program before takes a packed record for its own")
+		t.Error("the previous release decodes a packed state")
 	}
 	if _, err := DecodeState(data[:len(data)/2]); err == nil {
-		t.Error("half of a record is read")
+		t.Error("half of a state is decoded")
 	}
 }
 
-// TestDiffering: what is offered and to be kept goes as a difference to what is in force, whole where it is repeated;
-// who has another base drops it, and a caller then hears who leads.
+// TestProposalAsDelta checks that proposals are sent as deltas to the committed document, and whole
+// when repeated. A receiver with another base drops the delta, and a caller then learns which
+// process is the primary.
 func TestProposalAsDelta(t *testing.T) {
 	t.Parallel()
 	w, _, _ := newFleet(t)
@@ -98,17 +100,17 @@
 	}
 	short := m.packedFor(other.config.Self, Append{Doc: d})
 	if got, ok := other.machine.unpack(short); !ok || string(got.(Append).Doc.Body) != string(d.Body) {
-		t.Error("it does not come out as it was")
+		t.Error("the delta does not restore the document")
 	}
 	empty := New(Config{Self: "x"}, nil, 0)
 	if _, ok := empty.unpack(short); ok {
-		t.Error("it is taken without its base")
+		t.Error("a delta is accepted without its base")
 	}
 	w.putAndCheck(t, docWithRoutes(12, 7))
 	w.putAndCheck(t, docWithRoutes(13, 7))
 	behind := w.nodes[5]
 	out := behind.machine.Receive(w.now, other.config.Self, m.packedFor(other.config.Self, Forward{ID: 9, Doc: docWithRoutes(14, 8)}))
 	if len(out.Send) == 0 {
-		t.Error("a caller is not told who leads")
+		t.Error("the caller is not told the primary")
 	}
 }
--- a/internal/consensus/past_test.go
+++ b/internal/consensus/past_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestPast: who stays sees one duty pass to another, and the list of epochs is bounded.
+// TestEpochHistory checks that a process sees the primary's role pass to another member, and that
+// the history is limited.
 func TestEpochHistory(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 5, 1)
@@ -34,6 +35,6 @@
 		stays.machine.recordEpochHistory()
 	}
 	if n := len(stays.machine.EpochHistory()); n != maxEpochHistory {
-		t.Errorf("%d epochs are kept", n)
+		t.Errorf("%d epochs in the history", n)
 	}
 }
--- a/internal/consensus/primary.go
+++ b/internal/consensus/primary.go
@@ -68,12 +68,12 @@
 	for _, w := range m.waiting {
 		w.confirmRound = 0
 	}
-	fresh := b.pending.newerThan(m.state.Committed)
+	changed := b.pending.newerThan(m.state.Committed)
 	m.commit(newestDoc(b.committed, b.pending))
 	for _, to := range m.knownProcesses() {
 		m.sendView(to)
 	}
-	if fresh {
+	if changed {
 		m.push(m.state.Committed)
 	}
 	m.redirect()
@@ -171,17 +171,17 @@
 	if m.now-l.startedAt < 2*joinInterval && m.hasAllCopies() && !m.hasForcedLeave() {
 		return nil
 	}
-	var who []joinCandidate
+	var recent []joinCandidate
 	for _, j := range l.joining {
 		if m.now-j.heardAt < quietPeriod {
-			who = append(who, j)
+			recent = append(recent, j)
 		}
 	}
-	slices.SortFunc(who, func(a, b joinCandidate) int { return cmp.Compare(a.member.Addr, b.member.Addr) })
+	slices.SortFunc(recent, func(a, b joinCandidate) int { return cmp.Compare(a.member.Addr, b.member.Addr) })
 	set, changed := slices.Clone(l.record.Members), false
-	room := max(2*m.config.ToleratedLosses+1, len(set)+l.record.Vacancies)
+	maxMembers := max(2*m.config.ToleratedLosses+1, len(set)+l.record.Vacancies)
 	var learners []Member
-	for _, j := range who {
+	for _, j := range recent {
 		i := slices.IndexFunc(set, func(s Member) bool { return s.Addr == j.member.Addr })
 		switch {
 		case i >= 0:
@@ -201,7 +201,7 @@
 	n := len(set)
 	set = m.replaceLeaving(set, learners)
 	learners = slices.DeleteFunc(learners, func(s Member) bool { return hasMember(set, s.Addr, s.DiskID) })
-	for len(learners) > 0 && n == len(set) && len(set) < room {
+	for len(learners) > 0 && n == len(set) && len(set) < maxMembers {
 		set, learners = append(set, learners[0]), learners[1:]
 	}
 	if !changed && slices.Equal(set, l.record.Members) {
@@ -264,8 +264,8 @@
 	if l == nil {
 		return
 	}
-	var rest []*waitingCall
-	ask := false
+	var remaining []*waitingCall
+	newRound := false
 	var next *Doc
 	for _, w := range m.waiting {
 		v := m.knownResult(w.request.Doc)
@@ -274,24 +274,24 @@
 			m.answerRead(w)
 		case w.request.Read:
 			if w.confirmRound == 0 {
-				w.confirmRound, ask = l.confirmRound+1, true
+				w.confirmRound, newRound = l.confirmRound+1, true
 			}
-			rest = append(rest, w)
+			remaining = append(remaining, w)
 		case v != 0:
 			m.reply(w, v, nil)
 		default:
 			if next == nil && w.request.Doc.Version > m.state.Committed.Version {
 				next = &w.request.Doc
 			}
-			rest = append(rest, w)
+			remaining = append(remaining, w)
 		}
 	}
-	m.waiting = rest
+	m.waiting = remaining
 	free := l.proposal == nil || l.proposal.LedgerRev > 0 && next != nil // a new version doesn't wait for ledger additions but includes them
 	if free && (m.hasAllCopies() || m.bug == BugTooFewWriters) {
 		m.propose(next)
 	}
-	if ask {
+	if newRound {
 		l.confirmRound++
 		if l.confirmStarted == 0 {
 			l.confirmStarted = m.now
--- a/internal/consensus/random_test.go
+++ b/internal/consensus/random_test.go
@@ -9,8 +9,8 @@
 
 var seeds = flag.Uint64("seeds", 300, "worlds in trouble")
 
-// trouble lets one world suffer, and says what broke. Up to the losses are wiped or replaced
-// at once; all else may befall any number.
+// runFaults runs one simulation with random faults and returns its failure. At most as many members
+// as losses are tolerated are wiped or replaced at the same time; other faults are not limited.
 func runFaults(seed uint64, bug Bug, trace func(string, ...any)) *failure {
 	shapes := [][3]int{{3, 2, 1}, {3, 1, 1}, {4, 1, 1}, {6, 2, 2}, {5, 1, 2}, {8, 1, 1}, {8, 2, 2}}
 	s := shapes[seed%uint64(len(shapes))]
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// strike does one thing, bad or ordinary.
+// injectFault makes one call or injects one fault.
 func (w *simulation) injectFault() {
 	ms := w.memberNodes()
 	n, o := ms[w.rng.IntN(len(ms))], ms[w.rng.IntN(len(ms))]
@@ -105,7 +105,7 @@
 				return
 			}
 			o := w.put(any)
-			if w.rng.IntN(2) == 0 { // another operator, with the same version
+			if w.rng.IntN(2) == 0 { // another operator puts the same version
 				b := w.nodes[w.rng.IntN(len(w.nodes))]
 				w.call(b, false, Doc{Version: o.doc.Version, Body: []byte("other " + string(o.doc.Body))})
 			}
@@ -113,7 +113,7 @@
 	}
 }
 
-// midst strikes while a document is on its way.
+// faultDuringPut injects a fault while a document is being replicated.
 func (w *simulation) faultDuringPut() {
 	p := w.primary()
 	if p == nil {
@@ -122,7 +122,7 @@
 	w.put(p)
 	kind := w.rng.IntN(6)
 	w.after(time.Duration(w.rng.Int64N(int64(12*ms))), func() {
-		w.trace("%v in the midst at %s: %d", w.now, p.config.Self, kind)
+		w.trace("%v fault %[3]d during a put at %[2]s", w.now, p.config.Self, kind)
 		switch kind {
 		case 0:
 			for _, n := range w.nodes {
@@ -134,7 +134,7 @@
 				w.wipe(p)
 				w.after(time.Second, func() { w.start(p) })
 			}
-		case 2: // thaws as a primary of long ago, and is asked before it can look around
+		case 2: // resumes as an outdated primary, and is called before it hears from others
 			p.frozenUntil, p.freezes = w.now+1500*ms, p.freezes+1
 			w.partition(p, 1500*ms, func(*simNode) bool { return true }, true)
 			w.after(1300*ms, func() { w.put(w.nodes[w.rng.IntN(len(w.nodes))]) })
@@ -145,14 +145,14 @@
 					w.put(n)
 				}
 			})
-		default: // on its own side of a cut, with some chance not alone
+		default: // alone on its side of a partition, or with a few others
 			w.partition(p, 2*time.Second, func(*simNode) bool { return w.rng.IntN(4) > 0 }, kind > 3)
 			w.after(1500*ms, func() { w.put(w.nodes[w.rng.IntN(len(w.nodes))]) })
 		}
 	})
 }
 
-// part cuts a process from some for a while, at least its way out.
+// partition cuts a process off from some others for a while, at least in the outgoing direction.
 func (w *simulation) partition(p *simNode, span time.Duration, from func(*simNode) bool, both bool) {
 	for _, n := range w.nodes {
 		if n == p || !from(n) {
@@ -180,14 +180,14 @@
 	}
 }
 
-// TestMutants shows that the judge misses none of the guards; TestForgotten and
-// TestNoWriter have two more.
+// TestMutants checks that each disabled safeguard is detected. TestWipedWitness and
+// TestAllWritersLost cover two more.
 func TestMutants(t *testing.T) {
 	t.Parallel()
 	for name, bug := range map[string]Bug{
-		"ack before backups": BugAckEarly, "overtaken primaries obeyed": BugNoPromise,
-		"any text acknowledged": BugAnyBody, "orders forgotten by a takeover": BugDropLedger,
-		"own text for a newer one that is named": BugOwnBody,
+		"acknowledged before the backups have it": BugAckEarly, "overtaken primaries are obeyed": BugNoPromise,
+		"any body is acknowledged": BugAnyBody, "a takeover drops the ledger": BugDropLedger,
+		"a candidate uses its own body for a missing one": BugOwnBody,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -197,7 +197,7 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("the bug is not detected")
 		})
 	}
 }
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -26,7 +26,7 @@
 	Zone   string `cbor:"4,keyasint,omitempty"`
 }
 
-func (s Member) matches(addr string, life uint64) bool { return s.Addr == addr && s.DiskID == life }
+func (s Member) matches(addr string, diskID uint64) bool { return s.Addr == addr && s.DiskID == diskID }
 
 // EpochRecord describes an epoch. Until it is active, OldMembers decide as well.
 type EpochRecord struct {
@@ -93,32 +93,32 @@
 // A member whose address has another disk ID in the set after it was lost before that set was
 // proposed. If the proposal needed the promises of all others, each majority since then includes
 // one of those.
-func intersectsMajorities(set, after []Member, agreed, lost func(Member) bool) bool {
+func intersectsMajorities(set, newSet []Member, agreed, lost func(Member) bool) bool {
 	if hasMajority(set, agreed) {
 		return true
 	}
-	need, gone, taken := len(set)/2+1, 0, 0
+	need, lostCount, replacedCount := len(set)/2+1, 0, 0
 	for _, s := range set {
 		switch {
 		case agreed(s):
-		case slices.ContainsFunc(after, func(o Member) bool { return o.Addr == s.Addr && o.DiskID != s.DiskID }):
-			taken++
+		case slices.ContainsFunc(newSet, func(o Member) bool { return o.Addr == s.Addr && o.DiskID != s.DiskID }):
+			replacedCount++
 		case lost(s):
-			gone++
+			lostCount++
 		default:
 			return false
 		}
 	}
-	if len(set)-taken != need {
-		gone += taken
+	if len(set)-replacedCount != need {
+		lostCount += replacedCount
 	}
-	return gone < need && countMembers(set, agreed) > 0
+	return lostCount < need && countMembers(set, agreed) > 0
 }
 
-func (r EpochRecord) has(addr string, life uint64) bool { return hasMember(r.Members, addr, life) }
+func (r EpochRecord) has(addr string, diskID uint64) bool { return hasMember(r.Members, addr, diskID) }
 
-func hasMember(set []Member, addr string, life uint64) bool {
-	return slices.ContainsFunc(set, func(s Member) bool { return s.matches(addr, life) })
+func hasMember(set []Member, addr string, diskID uint64) bool {
+	return slices.ContainsFunc(set, func(s Member) bool { return s.matches(addr, diskID) })
 }
 
 func countMembers(set []Member, agreed func(Member) bool) int {
@@ -147,20 +147,20 @@
 
 // spreadOverZones picks n members, from different zones as far as possible. The first one is always
 // picked and stays first.
-func spreadOverZones(seats []Member, n int) []string {
+func spreadOverZones(members []Member, n int) []string {
 	var picked []Member
-	for len(picked) < n && len(picked) < len(seats) {
-		best, least := -1, 0
-		for i, s := range seats {
+	for len(picked) < n && len(picked) < len(members) {
+		best, fewest := -1, 0
+		for i, s := range members {
 			if hasMember(picked, s.Addr, s.DiskID) {
 				continue
 			}
-			same := countMembers(picked, func(p Member) bool { return p.Zone == s.Zone })
-			if best < 0 || same < least {
-				best, least = i, same
+			inZone := countMembers(picked, func(p Member) bool { return p.Zone == s.Zone })
+			if best < 0 || inZone < fewest {
+				best, fewest = i, inZone
 			}
 		}
-		picked = append(picked, seats[best])
+		picked = append(picked, members[best])
 	}
 	var addrs []string
 	for _, s := range picked {
--- a/internal/consensus/record_test.go
+++ b/internal/consensus/record_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestBlocks: those who agreed tell all that a set has decided just where no majority of it is without them.
+// TestBlocksMajority compares blocksMajority with all majorities of small sets.
 func TestBlocksMajority(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		var set []Member
@@ -21,14 +21,15 @@
 				without = without || other&agreed == 0 && hasMajority(set, of(other))
 			}
 			if blocksMajority(set, of(agreed)) == without {
-				t.Errorf("%d seats, %b agreed: %v", n, agreed, !without)
+				t.Errorf("%d members, %b agreed: %v", n, agreed, !without)
 			}
 		}
 	}
 }
 
-// TestSettled: who holds a settled record asks its set alone; one that is not settled asks the old set too, and
-// of an even new one half, to find out and no more.
+// TestOldSetAgreed checks that a record to which the old members have agreed is decided by the new
+// members alone. Otherwise the old ones are needed as well, and of an even new set one half, which
+// is enough to learn what it has decided.
 func TestOldSetAgreed(t *testing.T) {
 	a, b, c := Member{Addr: "a", DiskID: 1}, Member{Addr: "b", DiskID: 2}, Member{Addr: "c", DiskID: 3}
 	r := EpochRecord{ClusterID: 1, Ballot: Ballot{N: 5}, Members: []Member{b, c}, OldMembers: []Member{a, b, c}}
--- a/internal/consensus/resume.go
+++ b/internal/consensus/resume.go
@@ -7,7 +7,7 @@
 		return
 	}
 	if !x.bounds.CountStalls {
-		x.fail("the core does not go on when all is well again and who was let go has ended")
+		x.fail("the cluster makes no progress after all faults have ended and leaving processes have exited")
 		return
 	}
 	if x.result.Stuck++; len(x.result.Trace) == 0 {
--- a/internal/consensus/scenario_test.go
+++ b/internal/consensus/scenario_test.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// calm is a founded world that has taken one document.
+// newSteadyCluster returns a founded cluster that has committed one document.
 func newSteadyCluster(t *testing.T, members, followers, losses int) *simulation {
 	t.Helper()
 	w := newSimulation(uint64(members), members, followers, losses)
@@ -31,7 +31,7 @@
 	}
 }
 
-// until runs until a call of some member succeeds, and says how long it took.
+// runUntilAccepted puts documents until one is accepted, at most for limit.
 func (w *simulation) runUntilAccepted(t *testing.T, limit time.Duration, n *simNode) {
 	t.Helper()
 	for end := w.now + limit; w.now < end; {
@@ -41,10 +41,10 @@
 			return
 		}
 	}
-	t.Fatalf("nothing is taken after %v; %+v", limit, n.machine.Status())
+	t.Fatalf("no put is accepted after %v; %+v", limit, n.machine.Status())
 }
 
-// backup is a writer that is not the primary, other a member that is no writer.
+// backup returns a writer that is not the primary; witness returns a member that is no writer.
 func (w *simulation) backup() *simNode { return w.byAddr[w.newestActiveRecord().Writers[1]] }
 
 func (w *simulation) witness() *simNode {
@@ -61,7 +61,7 @@
 	for _, s := range [][3]int{{3, 8, 1}, {6, 30, 2}, {8, 75, 2}} {
 		w := newSteadyCluster(t, s[0], s[1], s[2])
 		if n := len(w.newestActiveRecord().Members); n != s[0] {
-			t.Errorf("%d members in the set, not %d", n, s[0])
+			t.Errorf("%d members, want %d", n, s[0])
 		}
 		for _, n := range w.nodes {
 			for _, read := range []bool{false, true} {
@@ -74,20 +74,20 @@
 			w.run(60 * ms)
 			for _, n := range w.nodes {
 				if h := n.machine.Committed(); h.Version != w.highestAcked {
-					t.Fatalf("%s holds %d, not %d", n.config.Self, h.Version, w.highestAcked)
+					t.Fatalf("%s has version %d, want %d", n.config.Self, h.Version, w.highestAcked)
 				}
 			}
 		}
 		before := w.sentMessages
 		w.run(10 * time.Second)
 		if at := (w.sentMessages - before) / 10; at > 10*s[0] {
-			t.Errorf("%d messages a second at rest", at)
+			t.Errorf("%d messages per second in a steady cluster", at)
 		}
 		w.checkNoFailure(t)
 	}
 }
 
-// TestLosses has a time in which calls are taken again, after each kind of loss.
+// TestTakeoverTimes limits the time until calls are accepted again after each kind of failure.
 func TestTakeoverTimes(t *testing.T) {
 	t.Parallel()
 	both := func(w *simulation, n *simNode) {
@@ -96,7 +96,7 @@
 	last := func(w *simulation) *simNode { return w.nodes[len(w.nodes)-1] }
 	for name, c := range map[string]struct {
 		limit time.Duration
-		loss  func(w *simulation) *simNode // gives whom to ask
+		loss  func(w *simulation) *simNode // returns the process to call
 	}{
 		"primary killed":  {1200 * ms, func(w *simulation) *simNode { w.kill(w.primary(), true); return last(w) }},
 		"primary cut":     {1200 * ms, func(w *simulation) *simNode { b := w.backup(); both(w, w.primary()); return b }},
@@ -139,7 +139,8 @@
 	}
 }
 
-// TestOneWay holds epochs through cuts that leave the primary heard.
+// TestOneWayPartitions checks that an epoch continues through one-way partitions in which the
+// primary is still heard.
 func TestOneWayPartitions(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 1, 1)
@@ -151,9 +152,9 @@
 	w.run(5 * time.Second)
 	w.runUntilAccepted(t, 50*ms, p)
 	if now := w.newestActiveRecord().Ballot; now != before {
-		t.Errorf("from epoch %v to %v", before, now)
+		t.Errorf("epoch changed from %v to %v", before, now)
 	}
-	w.cutLinks = map[[2]string]bool{} // the primary is heard, and hears nobody
+	w.cutLinks = map[[2]string]bool{} // the primary is heard, but hears nobody
 	for _, n := range w.nodes {
 		w.cutLinks[[2]string{n.config.Self, p.config.Self}] = true
 	}
@@ -161,13 +162,13 @@
 	now := w.newestActiveRecord().Ballot
 	w.run(5 * time.Second)
 	if w.newestActiveRecord().Ballot != now {
-		t.Errorf("epochs go on changing: %v, %v", now, w.newestActiveRecord().Ballot)
+		t.Errorf("epochs keep changing: %v, %v", now, w.newestActiveRecord().Ballot)
 	}
 	w.finishAndCheckProgress()
 	w.checkNoFailure(t)
 }
 
-// TestSeats follows seats through replacing, wiping and growing.
+// TestMembershipChanges replaces and wipes members and enlarges the membership.
 func TestMembershipChanges(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 1, 1)
@@ -178,7 +179,7 @@
 		w.start(r)
 		w.run(4 * time.Second)
 		if !r.machine.isMember() || len(w.newestActiveRecord().Members) != 3 {
-			t.Fatalf("%s was not seated: %+v", r.config.Self, w.newestActiveRecord())
+			t.Fatalf("%s did not become a member: %+v", r.config.Self, w.newestActiveRecord())
 		}
 	}
 	out := w.witness()
@@ -186,7 +187,7 @@
 	spare := w.add(true, false)
 	w.start(spare)
 	w.run(3 * time.Second)
-	w.start(out) // its seat is taken; another one becomes free
+	w.start(out) // its place is taken until another one becomes vacant
 	w.run(time.Second)
 	if spare.machine.Status().Role == "follower" || out.machine.Status().Role != "follower" {
 		t.Fatalf("%+v, %+v", spare.machine.Status(), out.machine.Status())
@@ -208,7 +209,8 @@
 	w.checkNoFailure(t)
 }
 
-// TestFounding loses the founder, a member or all of them at any moment of the founding.
+// TestFounding kills the founder, which may be a member, or all processes, at any moment of the
+// founding.
 func TestFounding(t *testing.T) {
 	t.Parallel()
 	for at := 500 * ms; at < 1100*ms; at += 3 * ms {
@@ -235,14 +237,15 @@
 		w.checkNoFailure(t)
 		for _, n := range w.memberNodes() {
 			if f := w.newestActiveRecord().ClusterID; n.machine.state.Record.ClusterID != f || !n.machine.isMember() {
-				t.Fatalf("killed at %v: %s has founding %d, not %d; seated %v", at, n.config.Self,
+				t.Fatalf("killed at %v: %s has cluster ID %d, want %d; member %v", at, n.config.Self,
 					n.machine.state.Record.ClusterID, f, n.machine.isMember())
 			}
 		}
 	}
 }
 
-// TestTooFew changes nothing while too few are there, and goes on when they are back.
+// TestNoQuorum checks that nothing changes without a quorum, and that calls are served when it is
+// back.
 func TestNoQuorum(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 0, 1)
@@ -262,7 +265,7 @@
 	w.checkNoFailure(t)
 }
 
-// TestMessages carries each message over the wire's encoding.
+// TestMessages encodes and decodes each message and a state.
 func TestMessages(t *testing.T) {
 	t.Parallel()
 	for _, m := range Messages() {
@@ -283,13 +286,14 @@
 	}
 	var d DurableState
 	if err := cbor.Unmarshal(raw, &d); err != nil || !reflect.DeepEqual(d, w.primary().machine.state) {
-		t.Errorf("disk: %v, %+v", err, d)
+		t.Errorf("state: %v, %+v", err, d)
 	}
 }
 
-// TestForgotten has one member miss an epoch, and another one lose its memory of it: the two
-// may not serve. The mutant, in which the latter claims its seat, is caught; and with fencing in place, which shows that
-// the disk lacks what the seat has vouched for, even that claim does no harm.
+// TestWipedWitness lets one member miss an epoch and another one lose its disk, and with it the
+// record of that epoch: these two may not serve. If the wiped member claims its former disk ID,
+// that is detected. With fencing, which shows that the disk lacks what the member has vouched for,
+// even this claim does no harm.
 func TestWipedWitness(t *testing.T) {
 	t.Parallel()
 	for _, amnesia := range []struct{ claims, unfenced bool }{{false, false}, {true, false}, {true, true}} {
@@ -313,13 +317,14 @@
 			w.finishAndCheckProgress()
 		}
 		if (w.failure != nil) != amnesia.unfenced {
-			t.Errorf("amnesia %+v: %v", amnesia, w.failure)
+			t.Errorf("%+v: %v", amnesia, w.failure)
 		}
 	}
 }
 
-// TestNoWriter has all writers of an epoch lost right after they took a document that nobody
-// else saw: the majority that is left may not serve. The mutant that takes any data is caught.
+// TestAllWritersLost stops all writers of an epoch right after they accepted a document that no
+// other member has: the remaining majority may not serve. A candidate that uses any state
+// (BugAnyState) is detected.
 func TestAllWritersLost(t *testing.T) {
 	t.Parallel()
 	for _, bug := range []Bug{0, BugAnyState} {
--- a/internal/consensus/spread.go
+++ b/internal/consensus/spread.go
@@ -10,33 +10,33 @@
 
 // likelyMembers returns the processes that may be members or know them.
 func (m *Machine) likelyMembers() []string {
-	var who []string
+	var addrs []string
 	for _, s := range m.view.Members {
-		who = append(who, s.Addr)
+		addrs = append(addrs, s.Addr)
 	}
 	for _, p := range m.peers {
 		if p.Up && p.Member {
-			who = append(who, p.Addr)
+			addrs = append(addrs, p.Addr)
 		}
 	}
-	return m.withoutSelf(append(who, m.seeds...))
+	return m.withoutSelf(append(addrs, m.seeds...))
 }
 
 // knownProcesses returns the processes that a primary sends changes to.
 func (m *Machine) knownProcesses() []string {
-	who := m.likelyMembers()
+	addrs := m.likelyMembers()
 	for _, p := range m.peers {
 		if p.Up {
-			who = append(who, p.Addr)
+			addrs = append(addrs, p.Addr)
 		}
 	}
-	return m.withoutSelf(who)
+	return m.withoutSelf(addrs)
 }
 
-func (m *Machine) withoutSelf(who []string) []string {
-	slices.Sort(who)
-	who = slices.Compact(who)
-	return slices.DeleteFunc(who, func(a string) bool { return a == m.config.Self || a == "" })
+func (m *Machine) withoutSelf(addrs []string) []string {
+	slices.Sort(addrs)
+	addrs = slices.Compact(addrs)
+	return slices.DeleteFunc(addrs, func(a string) bool { return a == m.config.Self || a == "" })
 }
 
 func (m *Machine) sendView(to string) {
@@ -86,7 +86,7 @@
 	} else if whole := m.committedPush(0); len(whole.Deltas) > 0 {
 		p, size = whole, whole.Deltas[0].size()
 	}
-	on := map[string][]string{}
+	relayTo := map[string][]string{}
 	if len(all)*size > maxDirectPush {
 		var relays []string
 		for _, p := range m.peers {
@@ -98,13 +98,13 @@
 		if len(relays) > 0 {
 			rest := slices.DeleteFunc(slices.Clone(all), func(a string) bool { return slices.Contains(direct, a) })
 			for i, a := range rest {
-				on[relays[i%len(relays)]] = append(on[relays[i%len(relays)]], a)
+				relayTo[relays[i%len(relays)]] = append(relayTo[relays[i%len(relays)]], a)
 			}
 			all = slices.DeleteFunc(all, func(a string) bool { return !slices.Contains(direct, a) })
 		}
 	}
 	for _, to := range all {
-		p.Relay = on[to]
+		p.Relay = relayTo[to]
 		m.send(to, p)
 	}
 }
@@ -138,15 +138,15 @@
 	if m.now-m.pulledAt < pullInterval || m.bug == BugNoCatchUp {
 		return
 	}
-	held := m.state.Committed.Version
-	var who []string
-	if m.reportedVersion > held {
-		who = append(who, m.reportedBy, m.view.primary())
+	version := m.state.Committed.Version
+	var targets []string
+	if m.reportedVersion > version {
+		targets = append(targets, m.reportedBy, m.view.primary())
 	}
 	var ahead []Peer // mostly empty
-	if m.newestPeerVersion > held {
+	if m.newestPeerVersion > version {
 		for _, p := range m.peers {
-			if p.Version > held && p.Up {
+			if p.Version > version && p.Up {
 				ahead = append(ahead, p)
 			}
 		}
@@ -155,9 +155,9 @@
 		return cmp.Or(cmp.Compare(b.Version, a.Version), cmp.Compare(a.Addr, b.Addr))
 	})
 	for _, p := range m.pullCandidates(ahead) {
-		who = append(who, p.Addr)
+		targets = append(targets, p.Addr)
 	}
-	if who = m.withoutSelf(who); len(who) > 0 {
+	if targets = m.withoutSelf(targets); len(targets) > 0 {
 		if m.behindSince == 0 {
 			m.behindSince = m.now
 		}
@@ -170,7 +170,7 @@
 		if len(ahead) > maxPullCandidates {
 			at += int(m.runID >> 40)
 		}
-		m.send(who[at%len(who)], Pull{Version: held, AcceptsDeltas: true})
+		m.send(targets[at%len(targets)], Pull{Version: version, AcceptsDeltas: true})
 	}
 }
 
--- a/internal/consensus/spread_test.go
+++ b/internal/consensus/spread_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestAskedInTurns: where 480 processes start without a document that ten others hold, they ask all ten, not the first of
-// them alone; and never one that holds an older one.
+// TestPullsAreSpread starts 480 processes without a document that ten others hold: they ask all
+// ten, not the first one alone, and never one with an older document.
 func TestPullsAreSpread(t *testing.T) {
 	asked := map[string]int{}
 	for i := range 480 {
@@ -30,7 +30,7 @@
 	sum := 0
 	for to, n := range asked {
 		if sum += n; to == "10.0.0.10:7" || to == "10.0.0.11:7" {
-			t.Errorf("%s, which holds an older one, is asked %d times", to, n)
+			t.Errorf("%s, which has an older document, is asked %d times", to, n)
 		}
 	}
 	for to, n := range asked {
@@ -39,12 +39,12 @@
 		}
 	}
 	if len(asked) != 10 || sum < 480 {
-		t.Errorf("%d are asked, %d times in all", len(asked), sum)
+		t.Errorf("%d processes are asked, %d times in total", len(asked), sum)
 	}
 }
 
-// TestBroughtOnce: a large document isn't sent again while it may be on its way; a small one, or a whole one in place of
-// damaged differences, is.
+// TestLargeDocSentOnce checks that a large document isn't sent again while it may be in transit. A
+// small one is, and so is a whole one in place of damaged deltas.
 func TestLargeDocSentOnce(t *testing.T) {
 	for _, c := range []struct {
 		size   int
@@ -67,7 +67,7 @@
 			now += 300 * time.Millisecond
 		}
 		if sent != c.want {
-			t.Errorf("%d bytes, differences %v: sent %d times for nine questions in 2.4 s, not %d", c.size, c.deltas, sent, c.want)
+			t.Errorf("%d bytes, deltas %v: sent %d times for nine requests in 2.4 s, want %d", c.size, c.deltas, sent, c.want)
 		}
 	}
 }
--- a/internal/consensus/storm_test.go
+++ b/internal/consensus/storm_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sentFor is how many bytes of documents a process sends for calls that nobody answers.
+// docBytesSent returns how many bytes of documents a process sends for calls that nobody answers.
 func docBytesSent(bug Bug, primary string) (bytes int) {
 	m := New(Config{Self: "x", Seeds: []string{"a", "b", "c"}}, nil, 0)
 	m.SetBug(bug)
@@ -37,26 +37,27 @@
 	return bytes
 }
 
-// TestForwardsDoNotStorm: where nobody leads, or the one who does has too much to do, operators' documents
-// are not sent again and again: a slow link would carry nothing else, and nobody could be elected.
+// TestForwardRetriesAreLimited checks that documents are not repeated without limit if there is no
+// primary, or an overloaded one: they would fill a slow link, and no primary could be elected.
 func TestForwardRetriesAreLimited(t *testing.T) {
 	t.Parallel()
 	doc := len(docWithRoutes(1, 0).Body)
 	if n := docBytesSent(0, ""); n > 0 {
-		t.Errorf("nobody leads, and %d bytes are sent", n)
+		t.Errorf("%d bytes are sent without a primary", n)
 	}
 	if n := docBytesSent(0, "a"); n < 20*doc || n > 25*doc {
 		t.Errorf("%d documents for 20 calls", n/doc)
 	}
 	if n := docBytesSent(BugUnthrottledRetries, ""); n < 40*doc {
-		t.Errorf("the guard taken out is not met: %d documents", n/doc)
+		t.Errorf("the disabled safeguard is not detected: %d documents", n/doc)
 	}
 	if n := docBytesSent(BugUnthrottledRetries, "a"); n < 40*doc {
-		t.Errorf("the guard taken out is not met: %d documents", n/doc)
+		t.Errorf("the disabled safeguard is not detected: %d documents", n/doc)
 	}
 }
 
-// TestReadsGoOn: small calls are repeated as often as ever; who went by an old primary has to find the new one within its patience.
+// TestReadRetries checks that small calls are repeated at the usual rate: a caller that knows an
+// outdated primary has to find the new one before its call times out.
 func TestReadRetries(t *testing.T) {
 	t.Parallel()
 	m := New(Config{Self: "x", Seeds: []string{"a"}}, nil, 0)
@@ -71,6 +72,6 @@
 		}
 	}
 	if asked < 4 {
-		t.Errorf("repeated %d times within the patience", asked)
+		t.Errorf("repeated %d times within the call timeout", asked)
 	}
 }
--- a/internal/consensus/walk.go
+++ b/internal/consensus/walk.go
@@ -230,5 +230,5 @@
 			return
 		}
 	}
-	x.fail("nothing is read when all is well again")
+	x.fail("reads are not answered after all faults have ended")
 }
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// world runs processes in a virtual time, brings failures about, and judges.
+// simulation runs processes in virtual time, injects faults and checks what they answer.
 type simulation struct {
 	rng             *rand.Rand
 	now             time.Duration
@@ -26,26 +26,26 @@
 	duplicateRate   float64
 	jitter          time.Duration
 	toleratedLosses int
-	olderNode       string        // runs a version before,
-	olderMessage    func(any) any // whose messages these are; nil: one that knows no ledger
-	oldestRelease   bool          // nor of tokens, packed documents and leaves
+	olderNode       string        // runs an earlier release
+	olderMessage    func(any) any // converts to that release's messages; nil: asPreviousRelease
+	oldestRelease   bool          // olderNode runs the release without tokens, packed documents and Leave
 	bug             Bug
-	reuseDiskID     bool // what was wiped claims its former memory
+	reuseDiskID     bool // a wiped process claims its former disk ID
 	seeds           []string
 
-	appliedBodies    map[uint32]string // committed, as first adopted
+	appliedBodies    map[uint32]string // by version, as first applied
 	highestAcked     uint32
-	ackedBodies      map[uint32]string // acknowledged under a number: one
-	conflicts        map[string]bool   // number and text that were told to differ
+	ackedBodies      map[uint32]string // the acknowledged body of each version
+	conflicts        map[string]bool   // requests that were answered with a conflict
 	puts             []*operatorCall
 	calls            map[uint64]*operatorCall
 	lastID           uint64
 	sentMessages     int
 	failure          *failure
-	eventsUntilFault int // events until fault
+	eventsUntilFault int // until fault is called
 	fault            func()
 	trace            func(string, ...any)
-	onSend           func(to string, msg any) // each message that is sent; nil: nobody looks
+	onSend           func(to string, msg any) // called for each message, unless nil
 }
 
 type operatorCall struct {
@@ -54,7 +54,7 @@
 	read        bool
 	doc         Doc
 	at          time.Duration
-	ackedBefore uint32 // acked before the call
+	ackedBefore uint32 // highestAcked at the time of the call
 	answer      *Answer
 	took        time.Duration
 }
@@ -70,7 +70,7 @@
 	stalledUntil   time.Duration
 	synced         *DurableState
 	unsynced       []Write
-	diskReadyAt    time.Duration // when the disk is through with what it has
+	diskReadyAt    time.Duration // when the disk has synced all writes so far
 	appliedVersion uint32
 }
 
@@ -84,7 +84,7 @@
 	return w
 }
 
-// add makes a process; it is not started yet.
+// add creates a process without starting it.
 func (w *simulation) add(member, genesis bool) *simNode {
 	addr := fmt.Sprintf("n%02d", len(w.nodes))
 	n := &simNode{config: Config{Self: addr, Name: addr, Zone: string(rune('a' + len(w.nodes)%3)), Member: member,
@@ -120,7 +120,7 @@
 	}
 }
 
-// late is a failure of going on, not of safety.
+// failLiveness reports a failure of progress, not of safety.
 func (w *simulation) failLiveness(form string, args ...any) {
 	if w.failure == nil {
 		w.failure = &failure{fmt.Sprintf(form, args...), w.now, true}
@@ -191,7 +191,7 @@
 	return p
 }
 
-// input gives something to a process, when it has thawed if it is frozen.
+// input gives an input to a process, if it is frozen after that.
 func (w *simulation) input(n *simNode, life int, do func() Out) {
 	switch {
 	case !n.up || n.run != life:
@@ -218,11 +218,11 @@
 	}
 	if a := out.Apply; a != nil {
 		if a.Version <= n.appliedVersion {
-			w.fail("%s adopts %d after %d", n.config.Self, a.Version, n.appliedVersion)
+			w.fail("%s applies version %d after %d", n.config.Self, a.Version, n.appliedVersion)
 		}
 		n.appliedVersion = a.Version
 		if b, ok := w.appliedBodies[a.Version]; ok && b != string(a.Body) {
-			w.fail("%s adopts %d %q, others %q", n.config.Self, a.Version, a.Body, b)
+			w.fail("%s applies version %d with body %q, others with %q", n.config.Self, a.Version, a.Body, b)
 		}
 		w.appliedBodies[a.Version] = string(a.Body)
 	}
@@ -275,7 +275,7 @@
 	})
 }
 
-// kill ends a process; without power the disk keeps only what was synced.
+// kill ends a process. Without power the disk keeps only what was synced.
 func (w *simulation) kill(n *simNode, power bool) {
 	if !n.up {
 		return
@@ -322,7 +322,7 @@
 func (w *simulation) checkAnswer(n *simNode, a Answer) {
 	o := w.calls[a.ID]
 	if o == nil || o.node != n || o.answer != nil {
-		w.fail("%s: answer %d out of place", n.config.Self, a.ID)
+		w.fail("%s: unexpected answer to call %d", n.config.Self, a.ID)
 		return
 	}
 	o.answer, o.took = &a, w.now-o.at
@@ -330,39 +330,39 @@
 	case ResultAccepted:
 		w.highestAcked = max(w.highestAcked, o.doc.Version)
 		if t, ok := w.ackedBodies[o.doc.Version]; ok && t != string(o.doc.Body) {
-			w.fail("%s acknowledges %q as %d, which is %q", n.config.Self, o.doc.Body, o.doc.Version, t)
+			w.fail("%s acknowledges body %q of version %d, but %q was acknowledged", n.config.Self, o.doc.Body, o.doc.Version, t)
 		}
 		if w.conflicts[requestKey(o.doc.Version, string(o.doc.Body))] {
-			w.fail("%s acknowledges %q as %d, which was told to differ", n.config.Self, o.doc.Body, o.doc.Version)
+			w.fail("%s acknowledges body %q of version %d, which was refused as a conflict", n.config.Self, o.doc.Body, o.doc.Version)
 		}
 		w.ackedBodies[o.doc.Version] = string(o.doc.Body)
 		if b, ok := w.appliedBodies[o.doc.Version]; ok && b != string(o.doc.Body) {
-			w.fail("%s acknowledges %q as %d, and %q is in force", n.config.Self, o.doc.Body, o.doc.Version, b)
+			w.fail("%s acknowledges body %q of version %d, but %q is in force", n.config.Self, o.doc.Body, o.doc.Version, b)
 		}
 		if w.appliedBodies[o.doc.Version] == "" && len(w.appliedBodies) == 0 {
-			w.fail("version %d is acknowledged and nobody has it", o.doc.Version)
+			w.fail("version %d is acknowledged, but no process has applied it", o.doc.Version)
 		}
 	case ResultConflict:
 		w.conflicts[requestKey(o.doc.Version, string(o.doc.Body))] = true
 		if t := w.ackedBodies[o.doc.Version]; t == string(o.doc.Body) {
-			w.fail("%s refuses %q as %d, which was acknowledged", n.config.Self, t, o.doc.Version)
+			w.fail("%s refuses body %q of version %d, which was acknowledged", n.config.Self, t, o.doc.Version)
 		}
 	case ResultRead:
 		if a.Doc.Version < o.ackedBefore {
-			w.fail("%s reads %d, %d was acknowledged", n.config.Self, a.Doc.Version, o.ackedBefore)
+			w.fail("%s reads version %d after %d was acknowledged", n.config.Self, a.Doc.Version, o.ackedBefore)
 		}
 		if b := w.appliedBodies[a.Doc.Version]; b != string(a.Doc.Body) {
-			w.fail("%s reads %d %q, adopted %q", n.config.Self, a.Doc.Version, a.Doc.Body, b)
+			w.fail("%s reads version %d with body %q, but %q was applied", n.config.Self, a.Doc.Version, a.Doc.Body, b)
 		}
-		w.highestAcked = max(w.highestAcked, a.Doc.Version) // later reads may not go back behind it
+		w.highestAcked = max(w.highestAcked, a.Doc.Version) // later reads must not return less
 	case ResultNone:
 		if o.ackedBefore > 0 {
-			w.fail("%s reads nothing, %d was acknowledged", n.config.Self, o.ackedBefore)
+			w.fail("%s reads no document after version %d was acknowledged", n.config.Self, o.ackedBefore)
 		}
 	}
 }
 
-// again sends an order once more, or another text under its number.
+// repeatPut repeats an earlier put, or puts another body under its version.
 func (w *simulation) repeatPut(n *simNode, other bool) {
 	if len(w.puts) == 0 {
 		return
@@ -374,7 +374,7 @@
 	w.call(n, false, d)
 }
 
-// put offers the next version.
+// put proposes the next version.
 func (w *simulation) put(n *simNode) *operatorCall {
 	top := w.highestAcked
 	for v := range w.appliedBodies {
@@ -383,10 +383,10 @@
 	return w.call(n, false, Doc{Version: top + 1, Body: fmt.Appendf(nil, "%s%s@%v", filler, n.config.Self, w.now)})
 }
 
-// filler makes documents of the world long enough to be worth a difference.
+// filler makes documents long enough for deltas.
 var filler = strings.Repeat("a route that stays; ", 40)
 
-// record is the newest active one that any process or disk knows.
+// newestActiveRecord returns the newest active record that a process knows.
 func (w *simulation) newestActiveRecord() EpochRecord {
 	var r EpochRecord
 	for _, n := range w.nodes {
@@ -397,7 +397,8 @@
 	return r
 }
 
-// missing counts the seats whose memory is lost, those of an epoch under way too.
+// lostMemberCount counts the members whose disk is lost, also those of an epoch that is not active
+// yet.
 func (w *simulation) lostMemberCount() int {
 	r := w.newestActiveRecord()
 	for _, n := range w.nodes {
@@ -408,7 +409,7 @@
 			r = n.synced.Record
 		}
 	}
-	r.Active = hasMajority(r.Members, func(s Member) bool { // until a majority knows, the old set is needed
+	r.Active = hasMajority(r.Members, func(s Member) bool { // until a majority knows, the old members are needed
 		n := w.byAddr[s.Addr]
 		return n.synced != nil && n.synced.Record.Ballot == r.Ballot && n.synced.Record.Active
 	})
@@ -447,9 +448,9 @@
 	}
 }
 
-// settled judges that all goes on once all is well.
+// finishAndCheckProgress checks that the cluster makes progress once all faults have ended.
 func (w *simulation) finishAndCheckProgress() {
-	w.run(3000 * ms) // what was begun comes to its end
+	w.run(3000 * ms) // lets pending work finish
 	w.checkProgress()
 }
 
@@ -465,21 +466,21 @@
 		}
 	}
 	w.run(1200 * ms)
-	for _, o := range ops { // all texts are of one number: one is acknowledged, others are told that they differ
+	for _, o := range ops { // all bodies are of one version: one is accepted, the others conflict
 		if o.answer == nil || o.answer.Result != ResultAccepted && o.answer.Result != ResultConflict {
-			w.failLiveness("%s: a put after all was healed: %+v", o.node.config.Self, o.answer)
+			w.failLiveness("%s: result of a put after all faults ended: %+v", o.node.config.Self, o.answer)
 		}
 		if _, ok := w.ackedBodies[o.doc.Version]; !ok {
-			w.failLiveness("none of the texts of %d is acknowledged after all was healed", o.doc.Version)
+			w.failLiveness("no body of version %d is acknowledged after all faults ended", o.doc.Version)
 		}
 	}
 	for _, n := range w.nodes {
 		if h := n.machine.Committed(); n.up && (h == nil || h.Version < w.highestAcked) {
-			w.failLiveness("%s is behind: %v, %d acknowledged", n.config.Self, h, w.highestAcked)
+			w.failLiveness("%s is behind: %v, version %d was acknowledged", n.config.Self, h, w.highestAcked)
 		}
 	}
 	if lost := w.lostMembers(w.newestActiveRecord().Members); len(lost) > 0 {
-		w.failLiveness("a seat was not taken again: %+v", lost)
+		w.failLiveness("members are still lost: %+v", lost)
 	}
 }
 
