--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -49,10 +49,10 @@
 	Rev        uint32 `cbor:"3,keyasint,omitempty"`
 	Attachment []byte `cbor:"4,keyasint,omitempty"`
 
-	Digest    []byte       `cbor:"5,keyasint,omitempty"` // of Body
-	CreatedIn Ballot       `cbor:"6,keyasint,omitzero"`  // the epoch whose primary created it
-	Ledger    dedup.Ledger `cbor:"7,keyasint,omitempty"` // requests accepted up to this version
-	LedgerRev uint32       `cbor:"8,keyasint,omitempty"` // how often entries were added to Ledger since this Rev was created
+	Digest    []byte        `cbor:"5,keyasint,omitempty"` // of Body
+	CreatedIn Ballot        `cbor:"6,keyasint,omitzero"`  // the epoch whose primary created it
+	Ledger    dedup.History `cbor:"7,keyasint,omitempty"` // requests accepted up to this version
+	LedgerRev uint32        `cbor:"8,keyasint,omitempty"` // how often entries were added to Ledger since this Rev was created
 	// History concerns earlier versions. It is kept as long as the version is, amended or not.
 	History []byte `cbor:"9,keyasint,omitempty"`
 
--- a/internal/consensus/delta.go
+++ b/internal/consensus/delta.go
@@ -15,7 +15,7 @@
 	Change delta.Delta `cbor:"3,keyasint"`
 }
 
-func (d Delta) size() int { return len(d.Change.Steps) + len(d.Doc.Attachment) + 64 }
+func (d Delta) size() int { return len(d.Change.Ops) + len(d.Doc.Attachment) + 64 }
 
 // withoutBody returns a document as it is sent to processes that are no writers, without its body.
 func (d Doc) withoutBody() Doc {
@@ -40,7 +40,7 @@
 	if old.Version == 0 || old.Version == doc.Version {
 		return
 	}
-	if body, ok := delta.Make(old.Body, doc.Body); ok {
+	if body, ok := delta.New(old.Body, doc.Body); ok {
 		m.appendDelta(Delta{From: old.Version, Doc: doc.withoutBody(), Change: body})
 	}
 }
@@ -91,7 +91,7 @@
 	}
 	if m.packedWhole.Doc.Version != committed.Version || m.packedWhole.Doc.Rev != committed.Rev {
 		m.packedWhole = Delta{Doc: committed.withoutBody()}
-		if body, ok := delta.Whole(committed.Body); ok {
+		if body, ok := delta.NewFull(committed.Body); ok {
 			m.packedWhole.Change = body
 		}
 	}
@@ -108,7 +108,7 @@
 	if !last.Doc.Supersedes(m.state.Committed) {
 		return
 	}
-	if kept := m.state.Committed; kept.Version == last.Doc.Version && delta.Sum(kept.Body) == last.Change.To { // only amended
+	if kept := m.state.Committed; kept.Version == last.Doc.Version && delta.Checksum(kept.Body) == last.Change.ResultSum { // only amended
 		m.commit(last.Doc.withBody(kept.Body))
 		return
 	}
--- a/internal/consensus/delta_test.go
+++ b/internal/consensus/delta_test.go
@@ -131,9 +131,9 @@
 	held := n.machine.Committed()
 	good := p.machine.recentDeltas[len(p.machine.recentDeltas)-1]
 	for i, spoil := range []func(d *Delta){
-		func(d *Delta) { d.Change.Steps = d.Change.Steps[:len(d.Change.Steps)-1] },
-		func(d *Delta) { d.Change.From++ },
-		func(d *Delta) { d.Change.To++ },
+		func(d *Delta) { d.Change.Ops = d.Change.Ops[:len(d.Change.Ops)-1] },
+		func(d *Delta) { d.Change.BaseSum++ },
+		func(d *Delta) { d.Change.ResultSum++ },
 		func(d *Delta) { d.From++ },
 	} {
 		d := good
@@ -172,7 +172,7 @@
 	m := New(Config{Self: "a"}, nil, 0)
 	for v := range uint32(1500) {
 		d := Delta{From: v, Doc: Doc{Version: v + 1}}
-		d.Change.Steps = make([]byte, 100)
+		d.Change.Ops = make([]byte, 100)
 		m.appendDelta(d)
 	}
 	size := 0
--- a/internal/consensus/format.go
+++ b/internal/consensus/format.go
@@ -35,7 +35,7 @@
 	if err != nil || len(data) < minPackedState {
 		return data, err
 	}
-	if packed, ok := delta.Pack([]byte{packedPrefix}, data); ok {
+	if packed, ok := delta.Compress([]byte{packedPrefix}, data); ok {
 		return packed, nil
 	}
 	return data, nil
@@ -44,7 +44,7 @@
 // DecodeState reads a state. States from before formats were introduced have no Format.
 func DecodeState(data []byte) (*DurableState, error) {
 	if len(data) > 0 && data[0] == packedPrefix {
-		all, err := delta.Unpack(data[1:], maxUnpackedState)
+		all, err := delta.Decompress(data[1:], maxUnpackedState)
 		if err != nil {
 			return nil, fmt.Errorf("packed: %w", err)
 		}
--- a/internal/consensus/name.go
+++ b/internal/consensus/name.go
@@ -31,7 +31,7 @@
 
 // bodyOmitted returns a document whose body is replaced by the delta of that body to itself.
 func (d Doc) bodyOmitted() Doc {
-	d.Packed = delta.Same(d.Body)
+	d.Packed = delta.Identity(d.Body)
 	d.Body = nil
 	return d
 }
--- a/internal/consensus/name_test.go
+++ b/internal/consensus/name_test.go
@@ -44,7 +44,7 @@
 func docBytes(msg any) (n int) {
 	mapDocs(msg, func(d Doc) Doc {
 		if n += len(d.Body); d.Packed != nil {
-			n += len(d.Packed.Steps)
+			n += len(d.Packed.Ops)
 		}
 		return d
 	})
--- a/internal/consensus/orders.go
+++ b/internal/consensus/orders.go
@@ -33,7 +33,7 @@
 func (d Doc) withLedger() Doc {
 	if len(d.Ledger) == 0 && d.Version > 0 {
 		d = d.withDigest()
-		d.Ledger = dedup.Since(d.Version, d.Body)
+		d.Ledger = dedup.NewFromLast(d.Version, d.Body)
 	}
 	return d
 }
@@ -79,10 +79,10 @@
 	case m.bug == BugAnyBody:
 		return ResultAccepted
 	}
-	switch m.state.Committed.Ledger.Of(d.Version, d.Digest) {
+	switch m.state.Committed.Ledger.Lookup(d.Version, d.Digest) {
 	case dedup.Unused: // overtaken before it was accepted: it is added to the ledger first
 		return 0
-	case dedup.Other:
+	case dedup.Conflicting:
 		return ResultConflict
 	case dedup.Unknown: // it may have been accepted long ago with this body or with another one, so neither is claimed
 		return ResultBusy
--- a/internal/consensus/pack.go
+++ b/internal/consensus/pack.go
@@ -77,7 +77,7 @@
 	if len(base) == 0 || len(d.Body) == 0 {
 		return m.packWhole(d)
 	}
-	p := m.packedBodyOf(d.Body, base, func() (delta.Delta, bool) { return delta.Make(base, d.Body) })
+	p := m.packedBodyOf(d.Body, base, func() (delta.Delta, bool) { return delta.New(base, d.Body) })
 	if p.delta == nil {
 		return m.packWhole(d)
 	}
@@ -136,7 +136,7 @@
 	if len(d.Body) < minPackedBody {
 		return d
 	}
-	if p := m.packedBodyOf(d.Body, nil, func() (delta.Delta, bool) { return delta.Whole(d.Body) }); p.delta != nil {
+	if p := m.packedBodyOf(d.Body, nil, func() (delta.Delta, bool) { return delta.NewFull(d.Body) }); p.delta != nil {
 		d.Body, d.Packed = nil, p.delta
 	}
 	return d
@@ -172,13 +172,13 @@
 			return d
 		}
 		var body []byte
-		err := delta.ErrBase
+		err := delta.ErrWrongBase
 		for _, base := range [][]byte{nil, m.state.Committed.Body, m.state.Pending.Body} {
-			if errors.Is(err, delta.ErrBase) {
+			if errors.Is(err, delta.ErrWrongBase) {
 				body, err = d.Packed.Apply(base)
 			}
 		}
-		if promise && errors.Is(err, delta.ErrBase) {
+		if promise && errors.Is(err, delta.ErrWrongBase) {
 			return d
 		}
 		if err != nil {
@@ -198,7 +198,7 @@
 	}
 	for _, p := range m.packedBodies {
 		if p.delta != nil && len(p.body) == len(d.Body) && &p.body[0] == &d.Body[0] {
-			return TransferTime(len(p.delta.Steps))
+			return TransferTime(len(p.delta.Ops))
 		}
 	}
 	return TransferTime(len(d.Body))
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -17,7 +17,7 @@
 type simulation struct {
 	rng             *rand.Rand
 	now             time.Duration
-	queue           fsm.Events
+	queue           fsm.EventQueue
 	nextOrder       uint64
 	nodes           []*simNode
 	byAddr          map[string]*simNode
@@ -98,7 +98,7 @@
 
 func (w *simulation) after(d time.Duration, do func()) {
 	w.nextOrder++
-	heap.Push(&w.queue, fsm.Event{At: w.now + d, Order: w.nextOrder, Do: do})
+	heap.Push(&w.queue, fsm.Event{At: w.now + d, Sequence: w.nextOrder, Run: do})
 }
 
 func (w *simulation) run(d time.Duration) {
@@ -109,7 +109,7 @@
 		if w.eventsUntilFault--; w.eventsUntilFault == 0 {
 			w.fault()
 		}
-		e.Do()
+		e.Run()
 	}
 	w.now = end
 }
--- a/internal/controlplane/message_test.go
+++ b/internal/controlplane/message_test.go
@@ -12,32 +12,32 @@
 	"asterwell/internal/rollout"
 )
 
-// The kinds in the answer of GET /api/frames, with the message that each one counts.
+// outerNames pairs each message type with its name in the answer of GET /api/frames.
 var outerNames = [][]struct {
 	msg  any
 	name string
 }{
 	{
-		{memberlist.Beat{}, "bond.Beat"},
+		{memberlist.Heartbeat{}, "bond.Beat"},
 		{memberlist.Hello{}, "bond.Hello"},
-		{memberlist.Rumour{}, "bond.Rumour"},
+		{memberlist.Gossip{}, "bond.Rumour"},
 		{memberlist.Index{}, "bond.Index"},
 		{memberlist.Diff{}, "bond.Diff"},
 		{memberlist.Ping{}, "bond.Ping"},
-		{memberlist.Probe{}, "bond.Probe"},
-		{memberlist.Pong{}, "bond.Pong"},
-		{memberlist.Doubt{}, "bond.Doubt"},
+		{memberlist.IndirectPing{}, "bond.Probe"},
+		{memberlist.IndirectAck{}, "bond.Pong"},
+		{memberlist.Suspect{}, "bond.Doubt"},
 	},
 	{
-		{registry.News{}, "lore.News"},
+		{registry.Update{}, "lore.News"},
 		{registry.Ack{}, "lore.Ack"},
-		{registry.Pass{}, "lore.Pass"},
-		{registry.Sum{}, "lore.Sum"},
-		{registry.Parts{}, "lore.Parts"},
+		{registry.ForwardedHeartbeat{}, "lore.Pass"},
+		{registry.TableDigest{}, "lore.Sum"},
+		{registry.ServiceDigests{}, "lore.Parts"},
 		{registry.Index{}, "lore.Index"},
 		{registry.Diff{}, "lore.Diff"},
 		{registry.Fetch{}, "lore.Fetch"},
-		{registry.Whole{}, "lore.Whole"},
+		{registry.FullTable{}, "lore.Whole"},
 	},
 	{
 		{consensus.JoinRequest{}, "pact.Hello"},
@@ -76,7 +76,7 @@
 		{quotas.Answer{}, "toll.Answer"},
 	},
 	{
-		{Via{}, "knot.Via"},
+		{Relay{}, "knot.Via"},
 	},
 	{
 		{faultrules.Claim{}, "bane.Claim"},
@@ -99,7 +99,7 @@
 	},
 }
 
-// Operators' tools read the names of messages, which stay as they are whatever the Go types are called.
+// Operators' tools match these names, so they must not follow the names of the Go types.
 func TestMessageNames(t *testing.T) {
 	all := Messages()
 	if len(all) != len(outerNames) || len(messageNames) != len(all) {
