--- a/internal/consensus/amend.go
+++ b/internal/consensus/amend.go
@@ -38,8 +38,10 @@
 func (m *Machine) Amend(now fsm.Time, doc Doc) (ok bool, out Out) {
 	m.now = max(m.now, now)
 	l, committed := m.primary, m.state.Committed
-	if ok = l != nil && (l.proposal == nil || l.proposal.LedgerRev > 0) && m.hasAllCopies() && doc.Version == committed.Version && doc.Rev == committed.Rev+1; ok {
-		doc.Digest, doc.Ledger, doc.LedgerRev, doc.CreatedIn, doc.History = committed.Digest, committed.Ledger, 0, l.record.Ballot, committed.History
+	if ok = l != nil && (l.proposal == nil || l.proposal.LedgerRev > 0) && m.hasAllCopies() &&
+		doc.Version == committed.Version && doc.Rev == committed.Rev+1; ok {
+		doc.Digest, doc.Ledger, doc.LedgerRev, doc.CreatedIn, doc.History = committed.Digest, committed.Ledger, 0,
+			l.record.Ballot, committed.History
 		if l.proposal != nil { // ledger entries that were to be added are added by the amendment
 			doc.Ledger = l.proposal.Ledger
 		}
--- a/internal/consensus/candidate.go
+++ b/internal/consensus/candidate.go
@@ -87,8 +87,9 @@
 	if m.now-m.primaryHeardAt < primaryTimeout+time.Duration(m.candidateRank())*rankDelay+m.jitter {
 		return
 	}
-	m.candidate = &candidateState{phase: preVoting, phaseStart: m.now, startedAt: m.now, round: m.rng.Uint64(), baseRecord: m.state.Record,
-		preVotes: map[string]uint64{}, promises: map[string]Promise{}, lost: map[string]bool{}}
+	m.candidate = &candidateState{phase: preVoting, phaseStart: m.now, startedAt: m.now, round: m.rng.Uint64(),
+		baseRecord: m.state.Record,
+		preVotes:   map[string]uint64{}, promises: map[string]Promise{}, lost: map[string]bool{}}
 	m.resendPhase()
 }
 
@@ -150,13 +151,15 @@
 	case preparing:
 		for _, s := range union(b.baseRecord.votingMembers(), b.nextMembers) {
 			if b.promises[s.Addr].DiskID != s.DiskID {
-				m.sendAfterSave(s.Addr, Prepare{Ballot: b.ballot, DiskID: s.DiskID, Record: b.baseRecord, HandedOver: b.handedOver, OmitBodies: m.bug != BugNoPacking})
+				m.sendAfterSave(s.Addr, Prepare{Ballot: b.ballot, DiskID: s.DiskID, Record: b.baseRecord,
+					HandedOver: b.handedOver, OmitBodies: m.bug != BugNoPacking})
 			}
 		}
 	case installing:
 		for _, s := range b.record.Members {
 			if slices.Contains(b.record.Writers, s.Addr) && !b.installed[s.Addr] {
-				m.send(s.Addr, InstallState{Ballot: b.ballot, DiskID: s.DiskID, Committed: b.committed, Pending: b.pending, resent: b.stateSent})
+				m.send(s.Addr, InstallState{Ballot: b.ballot, DiskID: s.DiskID, Committed: b.committed,
+					Pending: b.pending, resent: b.stateSent})
 			}
 		}
 		b.stateSent = true
@@ -210,7 +213,8 @@
 func (m *Machine) startNewEpoch(nextMembers []Member) {
 	rec := m.primary.record
 	m.primary = nil
-	m.candidate = &candidateState{startedAt: m.now, baseRecord: rec, nextMembers: nextMembers, nextMembersFor: rec.Ballot, promises: map[string]Promise{},
+	m.candidate = &candidateState{startedAt: m.now, baseRecord: rec, nextMembers: nextMembers,
+		nextMembersFor: rec.Ballot, promises: map[string]Promise{},
 		lost: map[string]bool{}}
 	m.prepare()
 }
@@ -234,7 +238,8 @@
 	if !t.Record.isZero() && t.Record.ClusterID != b.baseRecord.ClusterID {
 		return
 	}
-	if _, ok := b.promises[from]; ok { // a repeated promise may lack bodies that the first one brought, or bring requested ones
+	// a repeated promise may lack bodies that the first one brought, or bring requested ones
+	if _, ok := b.promises[from]; ok {
 		t.Committed, t.Pending, b.bodiesAskedAt = b.withBody(t.Committed), b.withBody(t.Pending), 0
 	}
 	b.promises[from] = t
@@ -252,7 +257,8 @@
 // latePromiseWait to arrive.
 func (m *Machine) evaluatePromises() {
 	b := m.candidate
-	if !b.baseRecord.has(m.config.Self, m.state.DiskID) { // a membership change is under way, and only its members may complete it
+	// a membership change is under way, and only its members may complete it
+	if !b.baseRecord.has(m.config.Self, m.state.DiskID) {
 		m.learnRecord(b.baseRecord)
 		for _, s := range b.baseRecord.Members {
 			m.send(s.Addr, Resign{Ballot: b.ballot})
@@ -279,7 +285,8 @@
 	if b.quorumAt == 0 {
 		b.quorumAt = m.now
 	}
-	if !complete || countMembers(all, func(s Member) bool { return promised(s) || m.isLost(s) }) < len(all) && m.now-b.quorumAt < latePromiseWait {
+	if !complete || countMembers(all, func(s Member) bool { return promised(s) || m.isLost(s) }) < len(all) &&
+		m.now-b.quorumAt < latePromiseWait {
 		return
 	}
 	// A new member that was lost meanwhile is not added, as it would weaken the membership from the
@@ -287,16 +294,20 @@
 	unreachableNew := func(s Member) bool {
 		return !b.baseRecord.has(s.Addr, s.DiskID) && !promised(s) && m.bug != BugSkipLearner
 	}
-	rec := EpochRecord{ClusterID: b.baseRecord.ClusterID, Ballot: b.ballot, Members: b.baseRecord.Members, OldMembers: b.baseRecord.OldMembers, Vacancies: b.baseRecord.Vacancies}
+	rec := EpochRecord{ClusterID: b.baseRecord.ClusterID, Ballot: b.ballot, Members: b.baseRecord.Members,
+		OldMembers: b.baseRecord.OldMembers, Vacancies: b.baseRecord.Vacancies}
 	if b.baseRecord.membersDecide() {
 		rec.OldMembers = b.baseRecord.Members
 	}
 	if b.baseRecord.Active { // one change at a time: a change under way is completed first
-		if b.nextMembers != nil && b.nextMembersFor == b.baseRecord.Ballot && countMembers(b.nextMembers, unreachableNew) == 0 && hasMajority(b.nextMembers, promised) {
-			rec.Members, rec.Vacancies = b.nextMembers, max(0, len(b.baseRecord.Members)+b.baseRecord.Vacancies-len(b.nextMembers))
+		if b.nextMembers != nil && b.nextMembersFor == b.baseRecord.Ballot &&
+			countMembers(b.nextMembers, unreachableNew) == 0 && hasMajority(b.nextMembers, promised) {
+			rec.Members, rec.Vacancies = b.nextMembers,
+				max(0, len(b.baseRecord.Members)+b.baseRecord.Vacancies-len(b.nextMembers))
 		}
 	}
-	decided := b.baseRecord.membersDecide() || intersectsMajorities(b.baseRecord.Members, nil, promised, m.isLost) // otherwise the old members agree, and no more is decided
+	// otherwise the old members agree, and no more is decided
+	decided := b.baseRecord.membersDecide() || intersectsMajorities(b.baseRecord.Members, nil, promised, m.isLost)
 	if rec.Writers = m.chooseWriters(rec.Members, promised, decided); rec.Writers == nil {
 		return
 	}
@@ -312,7 +323,8 @@
 func (m *Machine) noteOldSetAgreed(promised func(Member) bool) {
 	b := m.candidate
 	holds := func(s Member) bool { return promised(s) && b.promises[s.Addr].Record.Ballot == b.baseRecord.Ballot }
-	if m.bug == BugNoShrinkOnForcedLeave || b.baseRecord.membersDecide() || b.baseRecord.Ballot.N == 1 || !intersectsMajorities(b.baseRecord.OldMembers, b.baseRecord.Members, holds, m.isLost) {
+	if m.bug == BugNoShrinkOnForcedLeave || b.baseRecord.membersDecide() || b.baseRecord.Ballot.N == 1 ||
+		!intersectsMajorities(b.baseRecord.OldMembers, b.baseRecord.Members, holds, m.isLost) {
 		return
 	}
 	b.baseRecord.OldSetAgreed = true
@@ -357,7 +369,8 @@
 		if !promised(s) {
 			continue
 		}
-		if m.bug != BugAnyState && (b.baseRecord.Ballot.higherThan(p.StateBallot) || !slices.Contains(b.baseRecord.Writers, s.Addr)) {
+		if m.bug != BugAnyState && (b.baseRecord.Ballot.higherThan(p.StateBallot) ||
+			!slices.Contains(b.baseRecord.Writers, s.Addr)) {
 			continue
 		}
 		l := newestDoc(p.Committed, p.Pending)
--- a/internal/consensus/cell.go
+++ b/internal/consensus/cell.go
@@ -44,7 +44,8 @@
 
 func (m *Machine) clone() *Machine {
 	n := *m
-	n.pendingWrites, n.deferred, n.avoidUntil = slices.Clone(m.pendingWrites), slices.Clone(m.deferred), cloneMap(m.avoidUntil)
+	n.pendingWrites, n.deferred, n.avoidUntil = slices.Clone(m.pendingWrites), slices.Clone(m.deferred),
+		cloneMap(m.avoidUntil)
 	n.largeSentAt = cloneMap(m.largeSentAt)
 	n.calls, n.waiting = nil, nil
 	for _, c := range m.calls {
@@ -64,7 +65,8 @@
 	}
 	if m.primary != nil {
 		l := *m.primary
-		l.heardAt, l.diskSlow, l.diskTolerance, l.appended = cloneMap(l.heardAt), cloneMap(l.diskSlow), cloneMap(l.diskTolerance), cloneMap(l.appended)
+		l.heardAt, l.diskSlow, l.diskTolerance, l.appended = cloneMap(l.heardAt), cloneMap(l.diskSlow),
+			cloneMap(l.diskTolerance), cloneMap(l.appended)
 		l.confirmed, l.joining, l.tokenHashes = cloneMap(l.confirmed), cloneMap(l.joining), cloneMap(l.tokenHashes)
 		l.leaving, l.lost, l.recordStored = cloneMap(l.leaving), cloneMap(l.lost), cloneMap(l.recordStored)
 		n.primary = &l
@@ -94,21 +96,23 @@
 type inputKind uint8
 
 const (
-	receive      inputKind = iota
-	sync                   // the oldest write reaches the disk, and the process is told
-	shortWait              // enough time passes to repeat unanswered requests
-	longWait               // half the time passes after which a primary counts as failed
-	put                    // an operator puts the document with index arg
-	read                   // an operator reads
-	crash                  // the process restarts; the first arg of the unsynced writes have reached the disk all the same
-	wipe                   // the process restarts with an empty disk
-	tick                   // one ordinary tick
-	copyDisk               // the state on the disk is copied
-	rollbackDisk           // the process restarts with that copy
-	leave                  // the process is told to leave, with urgency arg
+	receive   inputKind = iota
+	sync                // the oldest write reaches the disk, and the process is told
+	shortWait           // enough time passes to repeat unanswered requests
+	longWait            // half the time passes after which a primary counts as failed
+	put                 // an operator puts the document with index arg
+	read                // an operator reads
+	// the process restarts; the first arg of the unsynced writes have reached the disk all the same
+	crash
+	wipe         // the process restarts with an empty disk
+	tick         // one ordinary tick
+	copyDisk     // the state on the disk is copied
+	rollbackDisk // the process restarts with that copy
+	leave        // the process is told to leave, with urgency arg
 )
 
-var waitDurations = map[inputKind]time.Duration{shortWait: 110 * time.Millisecond, longWait: 350 * time.Millisecond, tick: 50 * time.Millisecond}
+var waitDurations = map[inputKind]time.Duration{shortWait: 110 * time.Millisecond, longWait: 350 * time.Millisecond,
+	tick: 50 * time.Millisecond}
 
 // input is one event at a node.
 type input struct {
@@ -225,7 +229,8 @@
 	var facts []fact
 	if a := out.Apply; a != nil {
 		if a.Version <= c.appliedVersion {
-			c.violation = fmt.Sprintf("%s applies version %d after %d", c.machine.config.Self, a.Version, c.appliedVersion)
+			c.violation = fmt.Sprintf("%s applies version %d after %d", c.machine.config.Self, a.Version,
+				c.appliedVersion)
 		}
 		c.appliedVersion = a.Version
 		facts = append(facts, fact{kind: factApplied, version: a.Version, body: string(a.Body)})
@@ -235,7 +240,8 @@
 			facts = append(facts, c.putFact(o, t.ID, t.Result))
 		}
 		if diskID, ok := diskIDOf(s.Msg); ok && c.lostDiskID != 0 && diskID == c.lostDiskID {
-			c.violation = fmt.Sprintf("%s lost its disk, but sends %T in the name of its former disk ID", c.machine.config.Self, s.Msg)
+			c.violation = fmt.Sprintf("%s lost its disk, but sends %T in the name of its former disk ID",
+				c.machine.config.Self, s.Msg)
 		}
 	}
 	for _, a := range out.Answers {
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -120,7 +120,8 @@
 		if t.Doc != nil {
 			t.Version = t.Doc.Version
 		}
-		m.out.Answers = append(m.out.Answers, Answer{ID: t.ID, Result: ResultContact, Primary: m.view.primary(), Version: t.Version})
+		m.out.Answers = append(m.out.Answers, Answer{ID: t.ID, Result: ResultContact, Primary: m.view.primary(),
+			Version: t.Version})
 		return
 	}
 	m.answer(t.ID, t.Result, t.Doc)
--- a/internal/consensus/code.go
+++ b/internal/consensus/code.go
@@ -29,7 +29,8 @@
 
 var (
 	timeType     = reflect.TypeFor[time.Duration]()
-	skippedTypes = []reflect.Type{reflect.TypeFor[Config](), reflect.TypeFor[*rand.Rand](), reflect.TypeFor[Out](), reflect.TypeFor[Bug](),
+	skippedTypes = []reflect.Type{reflect.TypeFor[Config](), reflect.TypeFor[*rand.Rand](), reflect.TypeFor[Out](),
+		reflect.TypeFor[Bug](),
 		reflect.TypeFor[packReaderList]()}
 	writeNumberFields = []string{"seq", "Seq", "written", "activeRecordWrite"}
 )
@@ -128,7 +129,8 @@
 	case reflect.Map:
 		return mapEncodeFunc(t)
 	case reflect.Pointer:
-		elem := locks.OnceValue(func() encodeFunc { return encodeFuncFor(t.Elem()) }) // lazy, as the type may refer to itself
+		// lazy, as the type may refer to itself
+		elem := locks.OnceValue(func() encodeFunc { return encodeFuncFor(t.Elem()) })
 		return func(c *stateEncoder, at unsafe.Pointer) {
 			to := *(*unsafe.Pointer)(at)
 			if to == nil {
--- a/internal/consensus/code_test.go
+++ b/internal/consensus/code_test.go
@@ -129,8 +129,10 @@
 func TestEncodeFuncs(t *testing.T) {
 	cells, messages := 0, 0
 	for _, b := range []ModelBounds{
-		{Puts: 3, Reads: 2, LostMessages: 3, LateMessages: 2, DuplicatedMessages: 2, Crashes: 2, DiskWipes: 1, ShortWaits: 6, LongWaits: 3, DiskCopies: 1, DiskRollbacks: 1},
-		{Puts: 2, SameVersion: true, LostMessages: 2, LateMessages: 1, Crashes: 1, ShortWaits: 6, LongWaits: 3, Leaves: 2, Learner: true},
+		{Puts: 3, Reads: 2, LostMessages: 3, LateMessages: 2, DuplicatedMessages: 2, Crashes: 2, DiskWipes: 1,
+			ShortWaits: 6, LongWaits: 3, DiskCopies: 1, DiskRollbacks: 1},
+		{Puts: 2, SameVersion: true, LostMessages: 2, LateMessages: 1, Crashes: 1, ShortWaits: 6, LongWaits: 3,
+			Leaves: 2, Learner: true},
 	} {
 		x := newExplorer(b)
 		begin := x.initialState()
@@ -139,7 +141,8 @@
 			w.run(160)
 		}
 		for _, c := range x.nodes {
-			slow := reflectEncoder{buf: append([]byte(c.machine.config.Self), 0), now: c.machine.now, written: c.machine.written}
+			slow := reflectEncoder{buf: append([]byte(c.machine.config.Self), 0), now: c.machine.now,
+				written: c.machine.written}
 			slow.value(reflect.ValueOf(c).Elem())
 			if got := c.encode(nil); !bytes.Equal(got, slow.buf) {
 				t.Fatalf("a state is encoded as\n%x, want\n%x", got, slow.buf)
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -38,7 +38,8 @@
 	ToleratedLosses int
 	Seeds           []string
 	Seed            uint64
-	Transform       func(kept, next Doc) Doc // maps a proposed document, given the committed one, to what the primary stores; nil stores it unchanged
+	// maps a proposed document, given the committed one, to what the primary stores; nil stores it unchanged
+	Transform func(kept, next Doc) Doc
 }
 
 // Doc is the replicated document. Version 0 means that there is none. A primary may amend it: the
@@ -52,7 +53,8 @@
 	Digest    []byte        `cbor:"5,keyasint,omitempty"` // of Body
 	CreatedIn Ballot        `cbor:"6,keyasint,omitzero"`  // the epoch whose primary created it
 	Ledger    dedup.History `cbor:"7,keyasint,omitempty"` // requests accepted up to this version
-	LedgerRev uint32        `cbor:"8,keyasint,omitempty"` // how often entries were added to Ledger since this Rev was created
+	// how often entries were added to Ledger since this Rev was created
+	LedgerRev uint32 `cbor:"8,keyasint,omitempty"`
 	// History concerns earlier versions. It is kept as long as the version is, amended or not.
 	History []byte `cbor:"9,keyasint,omitempty"`
 
@@ -61,19 +63,23 @@
 
 // Supersedes reports whether d replaces o.
 func (d Doc) Supersedes(o Doc) bool {
-	return cmp.Or(cmp.Compare(d.Version, o.Version), cmp.Compare(d.Rev, o.Rev), cmp.Compare(d.LedgerRev, o.LedgerRev)) > 0
+	return cmp.Or(cmp.Compare(d.Version, o.Version), cmp.Compare(d.Rev, o.Rev),
+		cmp.Compare(d.LedgerRev, o.LedgerRev)) > 0
 }
 
 // DurableState is all that a member must keep on disk.
 type DurableState struct {
-	DiskID      uint64       `cbor:"1,keyasint"`
-	NeverMember bool         `cbor:"2,keyasint,omitempty"` // the disk was never part of a membership, so it has forgotten nothing
-	Promised    Ballot       `cbor:"3,keyasint"`
-	Record      EpochRecord  `cbor:"4,keyasint"`
-	StateBallot Ballot       `cbor:"5,keyasint"` // the epoch in which Committed and Pending were last installed or appended
-	Committed   Doc          `cbor:"6,keyasint"`
-	Pending     Doc          `cbor:"7,keyasint"`            // possibly not committed; supersedes Committed
-	Saves       uint64       `cbor:"8,keyasint,omitempty"`  // saves with this disk ID, without those that only update KnownTokens
+	DiskID uint64 `cbor:"1,keyasint"`
+	// the disk was never part of a membership, so it has forgotten nothing
+	NeverMember bool        `cbor:"2,keyasint,omitempty"`
+	Promised    Ballot      `cbor:"3,keyasint"`
+	Record      EpochRecord `cbor:"4,keyasint"`
+	// the epoch in which Committed and Pending were last installed or appended
+	StateBallot Ballot `cbor:"5,keyasint"`
+	Committed   Doc    `cbor:"6,keyasint"`
+	Pending     Doc    `cbor:"7,keyasint"` // possibly not committed; supersedes Committed
+	// saves with this disk ID, without those that only update KnownTokens
+	Saves       uint64       `cbor:"8,keyasint,omitempty"`
 	KnownTokens []KnownToken `cbor:"9,keyasint,omitempty"`  // fencing tokens of the other members, see fence.go
 	Format      uint32       `cbor:"10,keyasint,omitempty"` // StateFormat of the program that wrote it
 }
@@ -184,8 +190,9 @@
 	view              EpochRecord // the newest active record known
 	reportedVersion   uint32      // the highest committed version that was reported
 	reportedBy        string
-	largeSentAt       map[string]fsm.Time // when each process was last sent a large document, which may still be in transit
-	primaryViewAt     fsm.Time            // when the primary last sent its view
+	// when each process was last sent a large document, which may still be in transit
+	largeSentAt   map[string]fsm.Time
+	primaryViewAt fsm.Time // when the primary last sent its view
 
 	primaryHeardAt       fsm.Time // when a primary, or a candidate that has our promise, was last heard
 	primaryHeardFrom     string
@@ -197,17 +204,18 @@
 	primary              *primaryState
 	avoidUntil           map[string]fsm.Time
 
-	calls             []*call
-	nextDocRetryAt    fsm.Time // when a document may be sent again
-	waiting           []*waitingCall
-	joinSentAt        fsm.Time
-	pulledAt          fsm.Time
-	behindSince       fsm.Time // since when others are known to be ahead; 0: they are not
-	rotation          int
-	founder           founder
-	applied           Doc     // the newest document handed out in Out.Apply
-	recentDeltas      []Delta // the deltas that led to the committed document, for processes that missed some; never changed in place
-	packedWhole       Delta   // the committed document, packed without a base
+	calls          []*call
+	nextDocRetryAt fsm.Time // when a document may be sent again
+	waiting        []*waitingCall
+	joinSentAt     fsm.Time
+	pulledAt       fsm.Time
+	behindSince    fsm.Time // since when others are known to be ahead; 0: they are not
+	rotation       int
+	founder        founder
+	applied        Doc // the newest document handed out in Out.Apply
+	// the deltas that led to the committed document, for processes that missed some; never changed in place
+	recentDeltas      []Delta
+	packedWhole       Delta // the committed document, packed without a base
 	epochHistory      []EpochChange
 	leaving           LeaveUrgency // 0: this process is not leaving
 	leaveWhenSafeAt   fsm.Time     // when LeaveWhenSafe or LeaveForced was first requested
@@ -232,27 +240,31 @@
 
 // The bugs. Those that concern disks are simulated by the model checker.
 const (
-	BugAckEarly              Bug = iota + 1 // accept before the backups have the document
-	BugNoPromise                            // obey primaries of older epochs
-	BugAnyState                             // take over with the state of any promise, not only of the last epoch's writers
-	BugNoQuorum                             // take over without promises and records of a majority
-	BugEarlySync                            // report a write as synced before it is
-	BugReuseDiskID                          // give a wiped disk its former ID
-	BugNoFencing                            // accept a disk that was restored to an older state
-	BugAnyBody                              // accept any body under a version that is not above the committed one
-	BugDropLedger                           // forget at a takeover which requests were accepted
-	BugNoLeave                              // keep the membership of a process that leaves
-	BugAssumeLost                           // count a member that does not answer as lost
-	BugSkipLearner                          // add a new member before it has answered
-	BugEarlyExit                            // let a leaving process exit before the others know the epoch without it
-	BugTooFewWriters                        // accept documents with fewer writers than required
-	BugNoCatchUp                            // do not ask for missed documents
-	BugUnthrottledRetries                   // repeat documents as often as small calls, and to any likely primary
-	BugUnconfirmed                          // answer reads without asking the writers
-	BugNoPacking                            // do not pack large documents in promises, state transfers, appends and calls
-	BugNoShrinkOnForcedLeave                // keep the membership of a process that is stopped soon while another member is missing
-	BugAnyCaller                            // accept replies to calls of an earlier run of the caller
-	BugOwnBody                              // use the candidate's own state where it lacks a body that a promise refers to
+	BugAckEarly  Bug = iota + 1 // accept before the backups have the document
+	BugNoPromise                // obey primaries of older epochs
+	// take over with the state of any promise, not only of the last epoch's writers
+	BugAnyState
+	BugNoQuorum           // take over without promises and records of a majority
+	BugEarlySync          // report a write as synced before it is
+	BugReuseDiskID        // give a wiped disk its former ID
+	BugNoFencing          // accept a disk that was restored to an older state
+	BugAnyBody            // accept any body under a version that is not above the committed one
+	BugDropLedger         // forget at a takeover which requests were accepted
+	BugNoLeave            // keep the membership of a process that leaves
+	BugAssumeLost         // count a member that does not answer as lost
+	BugSkipLearner        // add a new member before it has answered
+	BugEarlyExit          // let a leaving process exit before the others know the epoch without it
+	BugTooFewWriters      // accept documents with fewer writers than required
+	BugNoCatchUp          // do not ask for missed documents
+	BugUnthrottledRetries // repeat documents as often as small calls, and to any likely primary
+	BugUnconfirmed        // answer reads without asking the writers
+	// do not pack large documents in promises, state transfers, appends and calls
+	BugNoPacking
+	// keep the membership of a process that is stopped soon while another member is missing
+	BugNoShrinkOnForcedLeave
+	BugAnyCaller // accept replies to calls of an earlier run of the caller
+	// use the candidate's own state where it lacks a body that a promise refers to
+	BugOwnBody
 )
 
 // SetBug disables a safeguard.
@@ -263,8 +275,9 @@
 	h := fnv.New64a()
 	h.Write([]byte(c.Self))
 	m := &Machine{config: c, rng: rand.New(rand.NewPCG(c.Seed, h.Sum64())), now: now, startedAt: now, lastTick: now,
-		primaryHeardAt: now, joinSentAt: now - joinInterval, pulledAt: now - pullInterval, avoidUntil: map[string]fsm.Time{},
-		seeds: slices.Clone(c.Seeds)}
+		primaryHeardAt: now, joinSentAt: now - joinInterval, pulledAt: now - pullInterval,
+		avoidUntil: map[string]fsm.Time{},
+		seeds:      slices.Clone(c.Seeds)}
 	m.runID = m.rng.Uint64()
 	m.jitter = time.Duration(m.rng.Int64N(int64(60 * time.Millisecond)))
 	m.founder = newFounder(c, now)
@@ -340,7 +353,8 @@
 // Tick advances the time and does what is due.
 func (m *Machine) Tick(now fsm.Time) Out {
 	m.now = max(m.now, now)
-	if m.now-m.lastTick > primaryHold && m.primary == nil { // after a pause of this process, a missing heartbeat proves nothing
+	// after a pause of this process, a missing heartbeat proves nothing
+	if m.now-m.lastTick > primaryHold && m.primary == nil {
 		m.primaryHeardAt = m.now
 		m.candidate = nil
 	}
@@ -427,7 +441,8 @@
 		}
 	case CommitAmendment:
 		committed := m.state.Committed
-		doc := Doc{Version: t.Version, Rev: t.Rev, Body: committed.Body, Digest: committed.Digest, CreatedIn: t.CreatedIn, LedgerRev: t.LedgerRev, History: committed.History}
+		doc := Doc{Version: t.Version, Rev: t.Rev, Body: committed.Body, Digest: committed.Digest,
+			CreatedIn: t.CreatedIn, LedgerRev: t.LedgerRev, History: committed.History}
 		if committed.Version == t.Version && (t.LedgerRev == 0 || doc.sameAs(m.state.Pending)) {
 			m.commit(doc)
 		}
--- a/internal/consensus/delta.go
+++ b/internal/consensus/delta.go
@@ -108,7 +108,9 @@
 	if !last.Doc.Supersedes(m.state.Committed) {
 		return
 	}
-	if kept := m.state.Committed; kept.Version == last.Doc.Version && delta.Checksum(kept.Body) == last.Change.ResultSum { // only amended
+	// only amended
+	if kept := m.state.Committed; kept.Version == last.Doc.Version &&
+		delta.Checksum(kept.Body) == last.Change.ResultSum {
 		m.commit(last.Doc.withBody(kept.Body))
 		return
 	}
--- a/internal/consensus/delta_test.go
+++ b/internal/consensus/delta_test.go
@@ -59,7 +59,8 @@
 func (w *simulation) checkAllEqual(t *testing.T) {
 	t.Helper()
 	for _, n := range w.nodes {
-		if h := n.machine.Committed(); n.up && (h == nil || h.Version != w.highestAcked || string(h.Body) != w.appliedBodies[w.highestAcked]) {
+		if h := n.machine.Committed(); n.up && (h == nil || h.Version != w.highestAcked ||
+			string(h.Body) != w.appliedBodies[w.highestAcked]) {
 			t.Fatalf("%s does not have version %d", n.config.Self, w.highestAcked)
 		}
 	}
@@ -140,13 +141,15 @@
 		d.From, d.Doc.Version = 12, 13
 		spoil(&d)
 		out := n.machine.Receive(w.now, p.config.Self, Push{Deltas: []Delta{d}})
-		if h := n.machine.Committed(); h.Version != held.Version || string(h.Body) != string(held.Body) || out.Apply != nil {
+		if h := n.machine.Committed(); h.Version != held.Version || string(h.Body) != string(held.Body) ||
+			out.Apply != nil {
 			t.Errorf("%d: the delta was accepted", i)
 		}
 		asked := false
 		for _, s := range out.Send {
 			pull, ok := s.Msg.(Pull)
-			asked = asked || ok && pull.AcceptsDeltas == (i == 3) && pull.Version == held.Version && s.To == p.config.Self
+			asked = asked || ok && pull.AcceptsDeltas == (i == 3) && pull.Version == held.Version &&
+				s.To == p.config.Self
 		}
 		if !asked {
 			t.Errorf("%d: the document is not requested: %+v", i, out.Send)
@@ -179,7 +182,8 @@
 	for _, d := range m.recentDeltas {
 		size += d.size()
 	}
-	if size > maxDeltaBytes || len(m.recentDeltas) != maxDeltas || m.recentDeltas[len(m.recentDeltas)-1].Doc.Version != 1500 {
+	if size > maxDeltaBytes || len(m.recentDeltas) != maxDeltas ||
+		m.recentDeltas[len(m.recentDeltas)-1].Doc.Version != 1500 {
 		t.Errorf("%d bytes in %d deltas", size, len(m.recentDeltas))
 	}
 	if m.appendDelta(Delta{From: 9, Doc: Doc{Version: 10}}); len(m.recentDeltas) != 1 {
--- a/internal/consensus/explore.go
+++ b/internal/consensus/explore.go
@@ -22,20 +22,22 @@
 	LostMessages       int // in total
 	LateMessages       int // messages overtaken by later ones on their link
 	DuplicatedMessages int
-	Crashes            int  // each process crashes at most once, with any number of its unsynced writes on the disk or lost
-	DiskWipes          int  // crashes that lose the disk as well
-	Leaves             int  // processes told to leave, which then ask until they may exit
-	ForcedLeave        bool // they leave with LeaveForced, and a process with a wiped disk comes back after they have stopped
-	Learner            bool // one more process, which is no member, from the start
-	DiskCopies         int  // copies taken of disks
-	DiskRollbacks      int  // restarts from such a copy, once all others know the latest token
-	ShortWaits         int  // waits after which a process repeats unanswered requests
-	LongWaits          int  // waits of half the time after which a primary counts as failed
-	MaxStates          int  // 0: no limit
-	DepthFirst         bool // newest state first; otherwise oldest first
-	CountStalls        bool // count states without progress instead of ending there
-	LivenessEvery      int  // check each state of so many for progress; 0: none
-	Bug                Bug
+	// each process crashes at most once, with any number of its unsynced writes on the disk or lost
+	Crashes   int
+	DiskWipes int // crashes that lose the disk as well
+	Leaves    int // processes told to leave, which then ask until they may exit
+	// they leave with LeaveForced, and a process with a wiped disk comes back after they have stopped
+	ForcedLeave   bool
+	Learner       bool // one more process, which is no member, from the start
+	DiskCopies    int  // copies taken of disks
+	DiskRollbacks int  // restarts from such a copy, once all others know the latest token
+	ShortWaits    int  // waits after which a process repeats unanswered requests
+	LongWaits     int  // waits of half the time after which a primary counts as failed
+	MaxStates     int  // 0: no limit
+	DepthFirst    bool // newest state first; otherwise oldest first
+	CountStalls   bool // count states without progress instead of ending there
+	LivenessEvery int  // check each state of so many for progress; 0: none
+	Bug           Bug
 }
 
 // Exploration is the result of an exploration.
@@ -184,7 +186,8 @@
 	if b.Learner {
 		b.Members++
 	}
-	x := &explorer{bounds: b, nodeCount: b.Members, scenario: scenario{bug: b.Bug}, nodeIDs: map[uint64]uint32{}, messageIDs: map[uint64]uint32{},
+	x := &explorer{bounds: b, nodeCount: b.Members, scenario: scenario{bug: b.Bug}, nodeIDs: map[uint64]uint32{},
+		messageIDs:   map[uint64]uint32{},
 		judgementIDs: map[string]uint32{}, outcomes: map[uint64]outcome{}, stateIDs: map[uint64]uint32{}}
 	for i := range b.Puts {
 		v := uint32(2 + i)
@@ -211,7 +214,8 @@
 	}
 	for i, name := range x.addrs {
 		m := New(Config{Self: name, Name: name, Zone: string(rune('a' + i%3)), Member: true,
-			Genesis: !x.bounds.Learner || i < x.nodeCount-1, ToleratedLosses: x.bounds.ToleratedLosses, Seeds: x.addrs[:3]}, nil, begin)
+			Genesis: !x.bounds.Learner || i < x.nodeCount-1, ToleratedLosses: x.bounds.ToleratedLosses,
+			Seeds: x.addrs[:3]}, nil, begin)
 		l := &modelRandom{stream: uint64(i + 1)}
 		m.rng, m.runID, m.jitter, m.state.DiskID = newModelRand(l), l.Uint64(), 0, l.Uint64()|1
 		cells = append(cells, &modelNode{machine: m, random: l})
@@ -220,7 +224,8 @@
 	for i, c := range cells {
 		s.nodes[i] = x.nodeID(c)
 	}
-	s.judgement = x.judgementID(judgement{inForce: map[uint32]string{}, ackedIn: map[uint32]Ballot{}, readFloors: map[uint64]uint32{},
+	s.judgement = x.judgementID(judgement{inForce: map[uint32]string{}, ackedIn: map[uint32]Ballot{},
+		readFloors:  map[uint64]uint32{},
 		ackedBodies: map[uint32]string{}, conflicts: map[string]bool{}})
 	sound, puts := x.scenario.bug, x.scenario.puts
 	x.scenario.bug, x.scenario.puts = 0, append([]Doc{{Version: 1, Body: []byte("0")}}, puts...)
@@ -250,7 +255,8 @@
 		c.machine.calls, c.machine.waiting = nil, nil
 		s.nodes[i] = x.nodeID(c)
 	}
-	for i := 0; (x.bounds.Learner || x.bounds.Leaves+x.bounds.LivenessEvery > 0) && i < 12; i++ { // the membership may change, and a learner become a member
+	// the membership may change, and a learner become a member
+	for i := 0; (x.bounds.Learner || x.bounds.Leaves+x.bounds.LivenessEvery > 0) && i < 12; i++ {
 		x.settleAll(s, tick)
 	}
 	x.scenario.bug, x.scenario.puts = sound, puts
@@ -265,8 +271,10 @@
 		}
 	}
 	s.nextPut, x.result = 0, Exploration{}
-	s.budgets = [11]uint8{uint8(x.bounds.Reads), uint8(x.bounds.LostMessages), uint8(x.bounds.LateMessages), uint8(x.bounds.DuplicatedMessages), uint8(x.bounds.Crashes),
-		uint8(x.bounds.DiskWipes), uint8(x.bounds.ShortWaits), uint8(x.bounds.LongWaits), uint8(x.bounds.DiskCopies), uint8(x.bounds.DiskRollbacks),
+	s.budgets = [11]uint8{uint8(x.bounds.Reads), uint8(x.bounds.LostMessages), uint8(x.bounds.LateMessages),
+		uint8(x.bounds.DuplicatedMessages), uint8(x.bounds.Crashes),
+		uint8(x.bounds.DiskWipes), uint8(x.bounds.ShortWaits), uint8(x.bounds.LongWaits), uint8(x.bounds.DiskCopies),
+		uint8(x.bounds.DiskRollbacks),
 		uint8(x.bounds.Leaves)}
 	return s
 }
@@ -332,7 +340,8 @@
 		p := s.delayed[-1-link]
 		return transition{node: p.to, input: input{receive, p.from, p.msg}, link: link}
 	}
-	return transition{node: uint8(int(link) % x.nodeCount), input: input{receive, uint8(int(link) / x.nodeCount), s.links[link][0]}, link: link, fate: f}
+	return transition{node: uint8(int(link) % x.nodeCount),
+		input: input{receive, uint8(int(link) / x.nodeCount), s.links[link][0]}, link: link, fate: f}
 }
 
 // step applies a transition to s.
@@ -436,7 +445,8 @@
 // one acknowledged before.
 func (x *explorer) judgeFacts(s *modelState, in input, facts []fact) {
 	old := x.judgements[s.judgement]
-	v := judgement{cloneMap(old.inForce), cloneMap(old.ackedIn), cloneMap(old.readFloors), old.highestAcked, cloneMap(old.ackedBodies), cloneMap(old.conflicts)}
+	v := judgement{cloneMap(old.inForce), cloneMap(old.ackedIn), cloneMap(old.readFloors), old.highestAcked,
+		cloneMap(old.ackedBodies), cloneMap(old.conflicts)}
 	if in.kind == read {
 		v.readFloors[readCallID(in.arg)] = v.highestAcked
 	}
@@ -481,7 +491,8 @@
 		newest = max(newest, n)
 	}
 	if v.highestAcked > newest { // accepting a version below the committed one changes nothing
-		x.fail("version %d was acknowledged, but neither it nor a higher version is in force at any node", v.highestAcked)
+		x.fail("version %d was acknowledged, but neither it nor a higher version is in force at any node",
+			v.highestAcked)
 	}
 	x.result.Acked = max(x.result.Acked, len(v.ackedIn)-1)
 	s.judgement = x.judgementID(v)
@@ -546,7 +557,8 @@
 	for i, id := range s.nodes {
 		c, at := x.nodes[id], uint8(i)
 		add := func(k inputKind, arg int, loses bool) {
-			all = append(all, transition{node: at, input: input{kind: k, arg: uint32(arg)}, dropsMessages: loses, link: noLink})
+			all = append(all, transition{node: at, input: input{kind: k, arg: uint32(arg)}, dropsMessages: loses,
+				link: noLink})
 		}
 		if len(c.unsynced) > 0 {
 			add(sync, 0, false)
@@ -598,7 +610,8 @@
 // detected.
 func (x *explorer) rollbackDetectable(s *modelState, at int) bool {
 	c := x.nodes[s.nodes[at]]
-	if c.savedState == nil || c.savedState.DiskID != c.machine.state.DiskID || c.savedState.Saves >= c.machine.savesSynced || !c.machine.isMember() {
+	if c.savedState == nil || c.savedState.DiskID != c.machine.state.DiskID ||
+		c.savedState.Saves >= c.machine.savesSynced || !c.machine.isMember() {
 		return false
 	}
 	for _, seat := range c.machine.state.Record.votingMembers() {
@@ -759,13 +772,15 @@
 	case sync:
 		fmt.Fprintf(&b, "%s syncs its oldest write", name)
 	case put:
-		fmt.Fprintf(&b, "%s receives a put of version %d, body %q", name, x.scenario.puts[v.input.arg].Version, x.scenario.puts[v.input.arg].Body)
+		fmt.Fprintf(&b, "%s receives a put of version %d, body %q", name, x.scenario.puts[v.input.arg].Version,
+			x.scenario.puts[v.input.arg].Body)
 	case read:
 		fmt.Fprintf(&b, "%s receives a read", name)
 	case leave:
 		fmt.Fprintf(&b, "%s is told to leave", name)
 	case crash:
-		fmt.Fprintf(&b, "%s crashes; %d unsynced writes reach its disk; messages in transit lost: %v", name, v.input.arg, v.dropsMessages)
+		fmt.Fprintf(&b, "%s crashes; %d unsynced writes reach its disk; messages in transit lost: %v", name,
+			v.input.arg, v.dropsMessages)
 	case copyDisk:
 		fmt.Fprintf(&b, "the disk of %s is copied", name)
 	case rollbackDisk:
--- a/internal/consensus/fence.go
+++ b/internal/consensus/fence.go
@@ -130,14 +130,18 @@
 	}
 	seats := m.state.Record.votingMembers()
 	old, ok := m.knownToken(k.Addr, k.DiskID)
-	if !hasMember(seats, k.Addr, k.DiskID) || ok && old.Saves >= k.Saves && (old.RunID == k.RunID || old.Saves > k.Saves) {
+	if !hasMember(seats, k.Addr, k.DiskID) || ok && old.Saves >= k.Saves &&
+		(old.RunID == k.RunID || old.Saves > k.Saves) {
 		return
 	}
 	tokens := slices.DeleteFunc(slices.Clone(m.state.KnownTokens), func(o KnownToken) bool {
 		return o.Addr == k.Addr && o.DiskID == k.DiskID || !hasMember(seats, o.Addr, o.DiskID)
 	})
 	tokens = append(tokens, k)
-	slices.SortFunc(tokens, func(a, b KnownToken) int { return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID)) })
+	slices.SortFunc(tokens, func(a, b KnownToken) int {
+		return cmp.Or(cmp.Compare(a.Addr, b.Addr),
+			cmp.Compare(a.DiskID, b.DiskID))
+	})
 	m.state.KnownTokens = tokens
 	if m.tokensNotedAt == 0 {
 		m.tokensNotedAt = m.now
@@ -169,7 +173,8 @@
 // onFenceNotice makes a member with a disk older than its token a new one. The committed document
 // is kept, as it remains committed.
 func (m *Machine) onFenceNotice(t FenceNotice) {
-	if t.Token.Addr != m.config.Self || t.Token.DiskID != m.state.DiskID || !t.Token.provesRollback(m.ownToken()) || m.bug == BugNoFencing {
+	if t.Token.Addr != m.config.Self || t.Token.DiskID != m.state.DiskID || !t.Token.provesRollback(m.ownToken()) ||
+		m.bug == BugNoFencing {
 		return
 	}
 	m.state = DurableState{DiskID: m.rng.Uint64() | 1, Committed: m.state.Committed}
--- a/internal/consensus/fence_test.go
+++ b/internal/consensus/fence_test.go
@@ -45,7 +45,8 @@
 			continue
 		}
 		if b.machine.state.DiskID == life || b.machine.FenceCount() != 1 || w.primary() != nil {
-			t.Errorf("disk ID %d after %d, fenced %d times, primary %v", b.machine.state.DiskID, life, b.machine.FenceCount(), w.primary())
+			t.Errorf("disk ID %d after %d, fenced %d times, primary %v", b.machine.state.DiskID, life,
+				b.machine.FenceCount(), w.primary())
 		}
 		w.finishAndCheckProgress() // also checks that the member is admitted again
 		w.checkNoFailure(t)
@@ -69,7 +70,8 @@
 		w.start(n)
 		w.run(3 * time.Second)
 		if n.machine.state.DiskID == life || !n.machine.isMember() || n.machine.FenceCount() != 1 {
-			t.Errorf("%s: disk ID %d after %d, member %v, fenced %d times", n.config.Self, n.machine.state.DiskID, life, n.machine.isMember(), n.machine.FenceCount())
+			t.Errorf("%s: disk ID %d after %d, member %v, fenced %d times", n.config.Self, n.machine.state.DiskID,
+				life, n.machine.isMember(), n.machine.FenceCount())
 		}
 		w.finishAndCheckProgress()
 		w.checkNoFailure(t)
@@ -116,7 +118,8 @@
 // TestExploreDiskRollback explores small models with a disk rollback completely.
 func TestExploreDiskRollback(t *testing.T) {
 	t.Parallel()
-	for _, b := range []ModelBounds{{StartSilent: true, DiskRollbacks: 1}, {StartSilent: true, DiskRollbacks: 1, ShortWaits: 1}, {StartSilent: true, DiskRollbacks: 1, Puts: 1},
+	for _, b := range []ModelBounds{{StartSilent: true, DiskRollbacks: 1},
+		{StartSilent: true, DiskRollbacks: 1, ShortWaits: 1}, {StartSilent: true, DiskRollbacks: 1, Puts: 1},
 		{StartSilent: true, DiskRollbacks: 1, LongWaits: 1}} {
 		if f := Explore(b); !f.Complete || f.Violation != "" {
 			t.Errorf("%+v: %+v", b, f)
@@ -128,7 +131,8 @@
 func TestRandomWalkDiskRollback(t *testing.T) {
 	t.Parallel()
 	for _, m := range [][2]int{{3, 1}, {6, 2}} {
-		b := ModelBounds{Members: m[0], ToleratedLosses: m[1], StartSilent: true, Puts: 4, Reads: 2, LostMessages: 3, LateMessages: 2, DuplicatedMessages: 1, ShortWaits: 60, LongWaits: 90}
+		b := ModelBounds{Members: m[0], ToleratedLosses: m[1], StartSilent: true, Puts: 4, Reads: 2, LostMessages: 3,
+			LateMessages: 2, DuplicatedMessages: 1, ShortWaits: 60, LongWaits: 90}
 		if w := Walk(b, OneRolledBack, 1, 25, 400); w.Violation != "" || w.DiskRollbacks == 0 {
 			t.Errorf("%+v", w)
 		}
@@ -157,12 +161,14 @@
 		t.Fatal(err)
 	}
 	var older stateWithoutTokens
-	if err := cbor.Unmarshal(raw, &older); err != nil || older.Life != n.machine.state.DiskID || !reflect.DeepEqual(older.Kept, n.machine.state.Committed) {
+	if err := cbor.Unmarshal(raw, &older); err != nil || older.Life != n.machine.state.DiskID ||
+		!reflect.DeepEqual(older.Kept, n.machine.state.Committed) {
 		t.Fatalf("%v: %+v", err, older)
 	}
 	for _, n := range w.nodes { // all are downgraded to that release and upgraded again
 		w.kill(n, true)
-		raw, _ := cbor.Marshal(stateWithoutTokens{n.synced.DiskID, n.synced.NeverMember, n.synced.Promised, n.synced.Record, n.synced.StateBallot,
+		raw, _ := cbor.Marshal(stateWithoutTokens{n.synced.DiskID, n.synced.NeverMember, n.synced.Promised,
+			n.synced.Record, n.synced.StateBallot,
 			n.synced.Committed, n.synced.Pending})
 		n.synced = &DurableState{}
 		if err := cbor.Unmarshal(raw, n.synced); err != nil || n.synced.Saves != 0 {
@@ -178,7 +184,8 @@
 			t.Errorf("%s is fenced", n.config.Self)
 		}
 	}
-	for _, msg := range []any{HeartbeatReply{DiskID: 1}, Promise{DiskID: 1}, Appended{DiskID: 1}, StateInstalled{DiskID: 1}, EpochRecorded{DiskID: 1}, Prepare{}, Confirmed{}} {
+	for _, msg := range []any{HeartbeatReply{DiskID: 1}, Promise{DiskID: 1}, Appended{DiskID: 1},
+		StateInstalled{DiskID: 1}, EpochRecorded{DiskID: 1}, Prepare{}, Confirmed{}} {
 		raw, err := cbor.Marshal(msg) // without a token the field is left out, as in that release
 		if err != nil || w.nodes[0].machine.acceptsToken("n01", msg) == false {
 			t.Errorf("%T: %x, %v", msg, raw, err)
--- a/internal/consensus/found.go
+++ b/internal/consensus/found.go
@@ -40,7 +40,8 @@
 		return
 	}
 	m.joinSentAt = m.now
-	h := JoinRequest{Member: Member{Addr: m.config.Self, DiskID: m.state.DiskID, Name: m.config.Name, Zone: m.config.Zone},
+	h := JoinRequest{Member: Member{Addr: m.config.Self, DiskID: m.state.DiskID, Name: m.config.Name,
+		Zone: m.config.Zone},
 		NeverMember: m.state.NeverMember}
 	if !m.state.Record.Active {
 		h.Record = m.state.Record
@@ -63,7 +64,8 @@
 	}
 	if l := m.primary; l != nil {
 		if !l.record.has(from, t.Member.DiskID) {
-			l.joining[from] = joinCandidate{member: t.Member, neverMember: t.NeverMember && m.hasNoMemberAt(t.Member), heardAt: m.now}
+			l.joining[from] = joinCandidate{member: t.Member, neverMember: t.NeverMember && m.hasNoMemberAt(t.Member),
+				heardAt: m.now}
 		}
 		m.sendView(from)
 		return
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -46,10 +46,12 @@
 // which doesn't handle Leave.
 func (m *Machine) MayExit() bool {
 	early := m.bug == BugEarlyExit && !m.view.has(m.config.Self, m.state.DiskID)
-	if !m.config.Member || m.leaveGranted || early || m.bug == BugNoLeave || m.view.isZero() && m.state.Record.isZero() {
+	if !m.config.Member || m.leaveGranted || early || m.bug == BugNoLeave || m.view.isZero() &&
+		m.state.Record.isZero() {
 		return true
 	}
-	if p := m.view.primary(); m.leaving >= LeaveWhenSafe && p != "" && p != m.config.Self && !m.supportsLeave(p) && m.now-m.leaveWhenSafeAt > stallTimeout {
+	if p := m.view.primary(); m.leaving >= LeaveWhenSafe && p != "" && p != m.config.Self && !m.supportsLeave(p) &&
+		m.now-m.leaveWhenSafeAt > stallTimeout {
 		return true
 	}
 	return len(m.view.Members) == 1 && m.view.Members[0].Addr == m.config.Self
@@ -61,7 +63,8 @@
 
 // requestLeave repeats the request until this process may exit.
 func (m *Machine) requestLeave() {
-	if m.leaving == 0 || m.bug == BugNoLeave || m.leaveSentAt != 0 && m.now-m.leaveSentAt < resendInterval || m.MayExit() {
+	if m.leaving == 0 || m.bug == BugNoLeave || m.leaveSentAt != 0 && m.now-m.leaveSentAt < resendInterval ||
+		m.MayExit() {
 		return
 	}
 	m.leaveSentAt = m.now
@@ -94,7 +97,8 @@
 func (m *Machine) onLeave(from string, t Leave) {
 	l := m.primary
 	if l == nil {
-		if t.PrimarySilent && m.missesHeartbeats() && m.candidate == nil { // both miss the primary, and there is no time to wait for the timeout
+		// both miss the primary, and there is no time to wait for the timeout
+		if t.PrimarySilent && m.missesHeartbeats() && m.candidate == nil {
 			m.primaryHeardAt, m.primaryHeardFrom = m.now-primaryTimeout, ""
 		}
 		m.sendView(from)
@@ -181,7 +185,11 @@
 		return s.Addr != m.config.Self && !m.heardInEpoch(s) && m.now-m.primary.startedAt > resendInterval
 	})
 	if left == 0 || i < 0 || 2*left != len(rest) ||
-		countMembers(rest, func(s Member) bool { _, goes := m.primary.leavingMember(s, m.now); return goes && m.heardInEpoch(s) }) > 0 {
+		countMembers(rest, func(s Member) bool {
+			_, goes := m.primary.leavingMember(s, m.now)
+			return goes &&
+				m.heardInEpoch(s)
+		}) > 0 {
 		return set
 	}
 	return slices.Delete(rest, i, i+1)
@@ -200,7 +208,8 @@
 // recordStoredAt reports the same of a member, at the primary. The previous release only reports
 // that it holds the record.
 func (m *Machine) recordStoredAt(s Member) bool {
-	if s.Addr != m.config.Self && !m.supportsLeave(s.Addr) && m.primary.recordKnown[s.Addr] && m.now-m.primary.startedAt > stallTimeout {
+	if s.Addr != m.config.Self && !m.supportsLeave(s.Addr) && m.primary.recordKnown[s.Addr] &&
+		m.now-m.primary.startedAt > stallTimeout {
 		return true
 	}
 	return m.primary.recordStored[s.Addr] || s.Addr == m.config.Self && m.recordStored(m.primary.record.Ballot)
@@ -220,7 +229,8 @@
 	plan := m.nextMembers()
 	i := slices.IndexFunc(l.record.Members, func(s Member) bool {
 		_, goes := l.leavingMember(s, m.now)
-		return !goes && s.Addr != m.config.Self && slices.Contains(l.record.Writers, s.Addr) && m.heardInEpoch(s) && !l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now
+		return !goes && s.Addr != m.config.Self && slices.Contains(l.record.Writers, s.Addr) && m.heardInEpoch(s) &&
+			!l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now
 	})
 	if i < 0 {
 		return
@@ -266,7 +276,8 @@
 		return
 	}
 	m.avoidUntil[from] = m.now + 2*vacancyTimeout
-	m.candidate = &candidateState{startedAt: m.now, baseRecord: m.state.Record, nextMembers: t.NextMembers, nextMembersFor: t.Record.Ballot, handedOver: true,
+	m.candidate = &candidateState{startedAt: m.now, baseRecord: m.state.Record, nextMembers: t.NextMembers,
+		nextMembersFor: t.Record.Ballot, handedOver: true,
 		promises: map[string]Promise{}, lost: map[string]bool{}}
 	m.prepare()
 }
@@ -291,5 +302,6 @@
 
 // isLost reports whether the candidate knows that a member's disk is lost.
 func (m *Machine) isLost(s Member) bool {
-	return m.candidate.lost[s.mapKey()] || m.bug == BugAssumeLost && s.Addr != m.config.Self && m.candidate.promises[s.Addr].DiskID != s.DiskID
+	return m.candidate.lost[s.mapKey()] || m.bug == BugAssumeLost && s.Addr != m.config.Self &&
+		m.candidate.promises[s.Addr].DiskID != s.DiskID
 }
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -36,7 +36,8 @@
 }
 
 // memberKinds selects a member by its role in the epoch.
-var memberKinds = map[string]func(w *simulation) *simNode{"primary": (*simulation).primary, "backup": (*simulation).backup, "witness": (*simulation).witness}
+var memberKinds = map[string]func(w *simulation) *simNode{"primary": (*simulation).primary,
+	"backup": (*simulation).backup, "witness": (*simulation).witness}
 
 // TestHandover checks, for each role and cluster size, that a record without a leaving member is
 // active within one heartbeat interval. The process exits, comes back with its disk and becomes a
@@ -56,9 +57,11 @@
 			for w.now < at+time.Second && !ended {
 				w.run(ms)
 			}
-			t.Logf("%d members, %s: record after %v, exit after %v, %d messages", s[0], kind, took, w.now-at, w.sentMessages-sent)
+			t.Logf("%d members, %s: record after %v, exit after %v, %d messages", s[0], kind, took, w.now-at,
+				w.sentMessages-sent)
 			if took > most || !ended || len(w.newestActiveRecord().Members) != s[0]-1 {
-				t.Errorf("%d members, %s leaves: %v, exited %v, %d in the membership", s[0], kind, took, ended, len(w.newestActiveRecord().Members))
+				t.Errorf("%d members, %s leaves: %v, exited %v, %d in the membership", s[0], kind, took, ended,
+					len(w.newestActiveRecord().Members))
 			}
 			w.runUntilAccepted(t, 50*ms, w.primary())
 			w.run(500 * ms)
@@ -69,7 +72,8 @@
 			}
 			t.Logf("%d members, %s: a member again after %v", s[0], kind, w.now-at)
 			if len(w.newestActiveRecord().Members) != s[0] {
-				t.Errorf("%d members, %s is back: %d in the membership", s[0], kind, len(w.newestActiveRecord().Members))
+				t.Errorf("%d members, %s is back: %d in the membership", s[0], kind,
+					len(w.newestActiveRecord().Members))
 			}
 			w.finishAndCheckProgress()
 			w.checkNoFailure(t)
@@ -121,7 +125,8 @@
 								stuck++
 							}
 						} else if w.failure != nil {
-							t.Errorf("%s left, n0%d wiped after %v, joining process %v: %v", kind, i, wait, learner, w.failure)
+							t.Errorf("%s left, n0%d wiped after %v, joining process %v: %v", kind, i, wait, learner,
+								w.failure)
 						}
 					}
 				}
@@ -141,7 +146,8 @@
 		w := newSteadyCluster(t, s[0], s[1], s[2])
 		whole := func(what string) {
 			at := w.now
-			for w.now < at+2*time.Second && (len(w.newestActiveRecord().Members) < s[0] || len(w.lostMembers(w.newestActiveRecord().Members)) > 0) {
+			for w.now < at+2*time.Second && (len(w.newestActiveRecord().Members) < s[0] ||
+				len(w.lostMembers(w.newestActiveRecord().Members)) > 0) {
 				w.run(ms)
 			}
 			if d := w.now - at; d > 1500*ms {
@@ -249,8 +255,12 @@
 // makes progress from each state checked. Each disabled safeguard is detected.
 func TestExploreLeaves(t *testing.T) {
 	t.Parallel()
-	for _, b := range []ModelBounds{{Leaves: 1, LivenessEvery: 1}, {Leaves: 2, LivenessEvery: 4}, {Leaves: 1, Learner: true, LivenessEvery: 20},
-		{Leaves: 1, Puts: 1}, {Leaves: 1, Crashes: 1, LivenessEvery: 40}, {Leaves: 1, DiskWipes: 1, LivenessEvery: 40}, {Leaves: 1, ForcedLeave: true, DiskWipes: 1, LivenessEvery: 40}, {Leaves: 2, ForcedLeave: true, LivenessEvery: 4}} {
+	for _, b := range []ModelBounds{{Leaves: 1, LivenessEvery: 1}, {Leaves: 2, LivenessEvery: 4},
+		{Leaves: 1, Learner: true, LivenessEvery: 20},
+		{Leaves: 1, Puts: 1}, {Leaves: 1, Crashes: 1, LivenessEvery: 40},
+		{Leaves: 1, DiskWipes: 1, LivenessEvery: 40},
+		{Leaves: 1, ForcedLeave: true, DiskWipes: 1, LivenessEvery: 40},
+		{Leaves: 2, ForcedLeave: true, LivenessEvery: 4}} {
 		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
 			t.Parallel()
 			f := Explore(b)
@@ -263,7 +273,8 @@
 	for _, bug := range []Bug{BugNoLeave, BugEarlyExit, BugNoShrinkOnForcedLeave} {
 		t.Run(fmt.Sprint("bug ", bug), func(t *testing.T) {
 			t.Parallel()
-			if f := Explore(ModelBounds{Leaves: 1, ForcedLeave: bug == BugNoShrinkOnForcedLeave, DiskWipes: 1, LivenessEvery: 5, Bug: bug}); f.Violation == "" {
+			if f := Explore(ModelBounds{Leaves: 1, ForcedLeave: bug == BugNoShrinkOnForcedLeave, DiskWipes: 1,
+				LivenessEvery: 5, Bug: bug}); f.Violation == "" {
 				t.Errorf("the bug is not detected in %d states", f.States)
 			}
 		})
@@ -321,7 +332,8 @@
 			for end := w.now + 2*time.Second; w.now < end; {
 				if o := w.put(p); o.doc.Version > w.highestAcked {
 					w.run(10 * ms)
-					if o.answer != nil && o.answer.Result == ResultAccepted && p.synced.Record.Writers != nil && len(p.synced.Record.Writers) < 2 {
+					if o.answer != nil && o.answer.Result == ResultAccepted && p.synced.Record.Writers != nil &&
+						len(p.synced.Record.Writers) < 2 {
 						w.fail("version %d is acknowledged with writers %v", o.doc.Version, p.synced.Record.Writers)
 					}
 				}
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -9,7 +9,8 @@
 	if m.primary != nil {
 		return from == m.config.Self
 	}
-	return m.primaryHeardFrom == "" || m.primaryHeardFrom == from || m.now-m.primaryHeardAt > primaryHold || m.leaving == LeaveForced && m.missesHeartbeats()
+	return m.primaryHeardFrom == "" || m.primaryHeardFrom == from || m.now-m.primaryHeardAt > primaryHold ||
+		m.leaving == LeaveForced && m.missesHeartbeats()
 }
 
 func (m *Machine) notePrimaryHeard(from string) { m.primaryHeardAt, m.primaryHeardFrom = m.now, from }
@@ -24,7 +25,8 @@
 // onFirstEpoch takes a first record. A member never replaces the record of one cluster by that of
 // another, unless the other one is active, so that its own never was.
 func (m *Machine) onFirstEpoch(r EpochRecord) {
-	if !m.config.Member || !m.state.Record.isZero() || !r.has(m.config.Self, m.state.DiskID) || m.state.Promised.higherThan(r.Ballot) {
+	if !m.config.Member || !m.state.Record.isZero() || !r.has(m.config.Self, m.state.DiskID) ||
+		m.state.Promised.higherThan(r.Ballot) {
 		return
 	}
 	m.state.Record, m.state.Promised, m.state.StateBallot, m.dirty = r, r.Ballot, r.Ballot, true
@@ -87,8 +89,10 @@
 	if m.candidate == nil {
 		m.notePrimaryHeard(from)
 	}
-	m.send(from, HeartbeatReply{Ballot: t.Ballot, DiskID: m.state.DiskID, Promised: m.state.Promised, DiskSlow: m.diskHangs(), DiskTolerance: m.diskLag.reportedTolerance(m.now),
-		RecordKnown: m.state.Record.Active && m.state.Record.Ballot == t.Ballot, RecordStored: m.recordStored(t.Ballot)})
+	m.send(from, HeartbeatReply{Ballot: t.Ballot, DiskID: m.state.DiskID, Promised: m.state.Promised,
+		DiskSlow: m.diskHangs(), DiskTolerance: m.diskLag.reportedTolerance(m.now),
+		RecordKnown:  m.state.Record.Active && m.state.Record.Ballot == t.Ballot,
+		RecordStored: m.recordStored(t.Ballot)})
 }
 
 func (m *Machine) onResign(from string, t Resign) {
@@ -119,7 +123,8 @@
 	}
 	m.highestBallot = max(m.highestBallot, t.Ballot.N)
 	above := t.Ballot.higherThan(m.state.Promised)
-	if above && !m.mayGrant(from) && !m.skipsPrimaryHold(t) || m.state.Promised.higherThan(t.Ballot) && m.bug != BugNoPromise {
+	if above && !m.mayGrant(from) && !m.skipsPrimaryHold(t) || m.state.Promised.higherThan(t.Ballot) &&
+		m.bug != BugNoPromise {
 		m.reject(from, t.Ballot)
 		return
 	}
@@ -132,7 +137,8 @@
 	if from != m.config.Self {
 		committed, pending = m.promiseDoc(committed, t), m.promiseDoc(pending, t)
 	}
-	m.sendAfterSave(from, Promise{Ballot: t.Ballot, DiskID: m.state.DiskID, Record: m.state.Record, StateBallot: m.state.StateBallot, Committed: committed, Pending: pending})
+	m.sendAfterSave(from, Promise{Ballot: t.Ballot, DiskID: m.state.DiskID, Record: m.state.Record,
+		StateBallot: m.state.StateBallot, Committed: committed, Pending: pending})
 }
 
 // stepDownFor ends what this process does under a lower ballot.
@@ -191,7 +197,8 @@
 	if t.Doc.Supersedes(newestDoc(m.state.Committed, m.state.Pending)) {
 		m.state.Pending, m.dirty = t.Doc, true
 	}
-	m.sendAfterSave(from, Appended{Ballot: t.Ballot, DiskID: m.state.DiskID, Version: t.Doc.Version, Rev: t.Doc.Rev, LedgerRevPlusOne: t.Doc.LedgerRev + 1})
+	m.sendAfterSave(from, Appended{Ballot: t.Ballot, DiskID: m.state.DiskID, Version: t.Doc.Version, Rev: t.Doc.Rev,
+		LedgerRevPlusOne: t.Doc.LedgerRev + 1})
 }
 
 func (m *Machine) onConfirm(from string, t Confirm) {
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -5,15 +5,19 @@
 // Messages returns one value of each message type that a machine receives. The order is part of the
 // wire format.
 func Messages() []any {
-	return []any{JoinRequest{}, FirstEpoch{}, ViewRequest{}, View{}, Heartbeat{}, HeartbeatReply{}, Resign{}, PreVote{}, PreVoteReply{}, Prepare{},
-		Promise{}, Reject{}, InstallState{}, StateInstalled{}, RecordEpoch{}, EpochRecorded{}, Append{}, Appended{}, Confirm{}, Confirmed{},
-		Forward{}, ForwardReply{}, Push{}, Pull{}, CommitAmendment{}, FenceNotice{}, Leave{}, LeaveGranted{}, Handover{}, MemberLost{}}
+	return []any{JoinRequest{}, FirstEpoch{}, ViewRequest{}, View{}, Heartbeat{}, HeartbeatReply{}, Resign{},
+		PreVote{}, PreVoteReply{}, Prepare{},
+		Promise{}, Reject{}, InstallState{}, StateInstalled{}, RecordEpoch{}, EpochRecorded{}, Append{}, Appended{},
+		Confirm{}, Confirmed{},
+		Forward{}, ForwardReply{}, Push{}, Pull{}, CommitAmendment{}, FenceNotice{}, Leave{}, LeaveGranted{},
+		Handover{}, MemberLost{}}
 }
 
 // JoinRequest says that its sender is no member, or a member by a record that is not active yet.
 type JoinRequest struct {
-	Member      Member      `cbor:"1,keyasint"`
-	NeverMember bool        `cbor:"2,keyasint,omitempty"` // was never a member: may take part in founding, or enlarge the membership
+	Member Member `cbor:"1,keyasint"`
+	// was never a member: may take part in founding, or enlarge the membership
+	NeverMember bool        `cbor:"2,keyasint,omitempty"`
 	Record      EpochRecord `cbor:"3,keyasint"`
 }
 
@@ -149,12 +153,13 @@
 
 // Appended says that the document is on disk.
 type Appended struct {
-	Ballot           Ballot `cbor:"1,keyasint"`
-	DiskID           uint64 `cbor:"2,keyasint"`
-	Version          uint32 `cbor:"3,keyasint"`
-	Rev              uint32 `cbor:"4,keyasint,omitempty"`
-	Token            Token  `cbor:"5,keyasint,omitzero"`
-	LedgerRevPlusOne uint32 `cbor:"6,keyasint,omitempty"` // LedgerRev + 1; 0 comes from the previous release, which has no LedgerRev
+	Ballot  Ballot `cbor:"1,keyasint"`
+	DiskID  uint64 `cbor:"2,keyasint"`
+	Version uint32 `cbor:"3,keyasint"`
+	Rev     uint32 `cbor:"4,keyasint,omitempty"`
+	Token   Token  `cbor:"5,keyasint,omitzero"`
+	// LedgerRev + 1; 0 comes from the previous release, which has no LedgerRev
+	LedgerRevPlusOne uint32 `cbor:"6,keyasint,omitempty"`
 }
 
 // Confirm asks a writer whether it still follows this epoch.
@@ -175,13 +180,14 @@
 // Forward carries an operator's call to the primary and may be repeated. CallerID distinguishes the
 // runs of the calling process.
 type Forward struct {
-	ID          uint64 `cbor:"1,keyasint"`
-	CallerID    uint64 `cbor:"2,keyasint"`
-	Read        bool   `cbor:"3,keyasint,omitempty"`
-	Doc         Doc    `cbor:"4,keyasint"`
-	ContactOnly bool   `cbor:"5,keyasint,omitempty"` // a read that only checks contact; a primary that doesn't know the field replies with the document
-	ReadsPacked bool   `cbor:"6,keyasint,omitempty"` // the sender reads packed documents
-	resent      bool   // not on the wire
+	ID       uint64 `cbor:"1,keyasint"`
+	CallerID uint64 `cbor:"2,keyasint"`
+	Read     bool   `cbor:"3,keyasint,omitempty"`
+	Doc      Doc    `cbor:"4,keyasint"`
+	// a read that only checks contact; a primary that doesn't know the field replies with the document
+	ContactOnly bool `cbor:"5,keyasint,omitempty"`
+	ReadsPacked bool `cbor:"6,keyasint,omitempty"` // the sender reads packed documents
+	resent      bool // not on the wire
 }
 
 // ForwardReply answers a Forward.
--- a/internal/consensus/name.go
+++ b/internal/consensus/name.go
@@ -84,7 +84,8 @@
 	}
 	s := holders[int(b.bodyRequests)%len(holders)]
 	b.bodiesAskedAt, b.bodyRequests = m.now, b.bodyRequests+1
-	m.sendAfterSave(s.Addr, Prepare{Ballot: b.ballot, DiskID: s.DiskID, Record: b.baseRecord, HandedOver: b.handedOver, OmitBodies: true, WantedBodies: sums,
+	m.sendAfterSave(s.Addr, Prepare{Ballot: b.ballot, DiskID: s.DiskID, Record: b.baseRecord,
+		HandedOver: b.handedOver, OmitBodies: true, WantedBodies: sums,
 		CommittedVersion: m.state.Committed.Version})
 }
 
--- a/internal/consensus/name_test.go
+++ b/internal/consensus/name_test.go
@@ -67,8 +67,10 @@
 		}
 	}
 	w.run(700 * ms)
-	if w.primary() != c || c.machine.Committed().Version != 12 || wants != 1 || promised == 0 || promised > 500 || copied == 0 || copied > 100 {
-		t.Errorf("%+v: %d bodies requested, %d bytes in promises, %d bytes installed", c.machine.Status(), wants, promised, copied)
+	if w.primary() != c || c.machine.Committed().Version != 12 || wants != 1 || promised == 0 || promised > 500 ||
+		copied == 0 || copied > 100 {
+		t.Errorf("%+v: %d bodies requested, %d bytes in promises, %d bytes installed", c.machine.Status(), wants,
+			promised, copied)
 	}
 	w.finishAndCheckProgress()
 	w.checkNoFailure(t)
--- a/internal/consensus/orders_test.go
+++ b/internal/consensus/orders_test.go
@@ -29,7 +29,8 @@
 	if f := Explore(ModelBounds{Puts: 2, SameVersion: true, Bug: BugAnyBody}); f.Violation == "" {
 		t.Errorf("BugAnyBody is not detected in %d states", f.States)
 	}
-	b := ModelBounds{Members: 3, ToleratedLosses: 1, StartSilent: true, Puts: 4, Overtaken: true, LostMessages: 1, ShortWaits: 20, LongWaits: 30, Crashes: 2}
+	b := ModelBounds{Members: 3, ToleratedLosses: 1, StartSilent: true, Puts: 4, Overtaken: true, LostMessages: 1,
+		ShortWaits: 20, LongWaits: 30, Crashes: 2}
 	for bug, want := range map[Bug]bool{0: false, BugAnyBody: true, BugDropLedger: true} {
 		b := b
 		b.Bug = bug
@@ -50,7 +51,8 @@
 			})
 			var w RandomWalks
 			for _, a := range all {
-				w.Count, w.Epochs, w.Acked, w.Violation = w.Count+a.Count, w.Epochs+a.Epochs, w.Acked+a.Acked, cmp.Or(w.Violation, a.Violation)
+				w.Count, w.Epochs, w.Acked, w.Violation = w.Count+a.Count, w.Epochs+a.Epochs, w.Acked+a.Acked,
+					cmp.Or(w.Violation, a.Violation)
 			}
 			if (w.Violation != "") != want {
 				t.Errorf("%+v", w)
@@ -98,8 +100,10 @@
 	w.run(2500 * ms)
 	top := w.highestAcked
 	for d, want := range map[*Doc]Result{
-		{Version: top, Body: []byte(w.appliedBodies[top])}: ResultAccepted, {Version: top, Body: []byte("other")}: ResultConflict,
-		{Version: top - 1, Body: []byte(w.appliedBodies[top-1])}: ResultBusy, {Version: top - 1, Body: []byte("other")}: ResultBusy,
+		{Version: top, Body: []byte(w.appliedBodies[top])}:       ResultAccepted,
+		{Version: top, Body: []byte("other")}:                    ResultConflict,
+		{Version: top - 1, Body: []byte(w.appliedBodies[top-1])}: ResultBusy,
+		{Version: top - 1, Body: []byte("other")}:                ResultBusy,
 	} {
 		o := w.call(n, false, *d)
 		w.run(100 * ms)
@@ -157,7 +161,8 @@
 	w.run(100 * ms)
 	other := w.call(w.nodes[1], false, Doc{Version: 5, Body: []byte("another five")})
 	w.run(100 * ms)
-	if d := p.machine.Committed(); !ok || d.Rev != 1 || string(d.Attachment) != "side" || late.answer == nil || late.answer.Result != ResultAccepted ||
+	if d := p.machine.Committed(); !ok || d.Rev != 1 || string(d.Attachment) != "side" || late.answer == nil ||
+		late.answer.Result != ResultAccepted ||
 		other.answer == nil || other.answer.Result != ResultConflict || w.failure != nil {
 		t.Errorf("amended %v: %+v; %+v, %+v; %v", ok, d, late.answer, other.answer, w.failure)
 	}
@@ -173,7 +178,8 @@
 	p, from := w.primary(), w.nodes[3].config.Self
 	next := Doc{Version: 9, Body: []byte("nine"), CreatedIn: Ballot{N: 99}}
 	p.machine.Receive(w.now, w.witness().config.Self, Push{Doc: next})
-	out := p.machine.Receive(w.now, from, Forward{ID: 1, CallerID: 1, Doc: Doc{Version: 9, Body: []byte("another nine")}})
+	out := p.machine.Receive(w.now, from, Forward{ID: 1, CallerID: 1,
+		Doc: Doc{Version: 9, Body: []byte("another nine")}})
 	for _, s := range out.Send {
 		if a, ok := s.Msg.(ForwardReply); ok {
 			t.Errorf("the overtaken primary answers %+v", a)
@@ -268,7 +274,8 @@
 			for !ended && w.now < at+leaveGrace+time.Second {
 				w.run(10 * ms)
 			}
-			t.Logf("%s runs the oldest release, %s leaves, the primary is %v: %v", w.olderNode, n.config.Self, n.machine.view.primary(), w.now-at)
+			t.Logf("%s runs the oldest release, %s leaves, the primary is %v: %v", w.olderNode, n.config.Self,
+				n.machine.view.primary(), w.now-at)
 			if !ended || w.now-at > 1200*ms {
 				t.Errorf("%s runs the oldest release: %s exits after %v", w.olderNode, n.config.Self, w.now-at)
 			}
--- a/internal/consensus/pack_test.go
+++ b/internal/consensus/pack_test.go
@@ -27,7 +27,8 @@
 	d := Doc{Version: 9, Body: compressibleText(1 << 20), Attachment: []byte("side")}
 	other := w.backup().config.Self
 	m.packReaders = nil
-	for _, msg := range []any{Promise{Committed: d, Pending: d}, InstallState{Committed: d, Pending: d}, Append{Doc: d}, Forward{Doc: d}, ForwardReply{Doc: &d}} {
+	for _, msg := range []any{Promise{Committed: d, Pending: d}, InstallState{Committed: d, Pending: d},
+		Append{Doc: d}, Forward{Doc: d}, ForwardReply{Doc: &d}} {
 		if got := m.packedFor(other, msg); !reflect.DeepEqual(got, msg) {
 			t.Errorf("%T is packed for a process that has not shown that it reads that", msg)
 		}
@@ -64,7 +65,8 @@
 // refused.
 func TestPackedState(t *testing.T) {
 	t.Parallel()
-	d := DurableState{DiskID: 3, Committed: Doc{Version: 1, Body: compressibleText(1 << 20)}, Pending: Doc{Version: 2, Body: compressibleText(1 << 20)}}
+	d := DurableState{DiskID: 3, Committed: Doc{Version: 1, Body: compressibleText(1 << 20)},
+		Pending: Doc{Version: 2, Body: compressibleText(1 << 20)}}
 	data, err := d.Encode()
 	if err != nil || len(data) > 600<<10 {
 		t.Fatal(len(data), err)
@@ -109,7 +111,8 @@
 	w.putAndCheck(t, docWithRoutes(12, 7))
 	w.putAndCheck(t, docWithRoutes(13, 7))
 	behind := w.nodes[5]
-	out := behind.machine.Receive(w.now, other.config.Self, m.packedFor(other.config.Self, Forward{ID: 9, Doc: docWithRoutes(14, 8)}))
+	out := behind.machine.Receive(w.now, other.config.Self,
+		m.packedFor(other.config.Self, Forward{ID: 9, Doc: docWithRoutes(14, 8)}))
 	if len(out.Send) == 0 {
 		t.Error("the caller is not told the primary")
 	}
--- a/internal/consensus/past_test.go
+++ b/internal/consensus/past_test.go
@@ -27,7 +27,8 @@
 		}
 		return addr
 	}
-	if primary(was) != lost.config.Self || primary(is) != w.primary().config.Self || is.At <= was.At || len(is.Members) != 3 {
+	if primary(was) != lost.config.Self || primary(is) != w.primary().config.Self || is.At <= was.At ||
+		len(is.Members) != 3 {
 		t.Errorf("%+v, then %+v", was, is)
 	}
 	for range 2 * maxEpochHistory {
--- a/internal/consensus/primary.go
+++ b/internal/consensus/primary.go
@@ -58,9 +58,11 @@
 	rec := b.record
 	rec.Active = true
 	m.state.Record, m.dirty, m.view = rec, true, rec
-	m.primary = &primaryState{record: rec, startedAt: m.now, heardAt: map[string]fsm.Time{}, diskSlow: map[string]bool{}, diskTolerance: map[string]lagDuration{},
-		confirmed: map[string]uint64{}, joining: map[string]joinCandidate{}, tokenHashes: map[string]uint32{}, leaving: map[string]leavingMember{},
-		lost: b.lost, recordStored: map[string]bool{}, recordKnown: map[string]bool{}}
+	m.primary = &primaryState{record: rec, startedAt: m.now, heardAt: map[string]fsm.Time{},
+		diskSlow: map[string]bool{}, diskTolerance: map[string]lagDuration{},
+		confirmed: map[string]uint64{}, joining: map[string]joinCandidate{}, tokenHashes: map[string]uint32{},
+		leaving: map[string]leavingMember{},
+		lost:    b.lost, recordStored: map[string]bool{}, recordKnown: map[string]bool{}}
 	m.activeRecordWrite = m.seq + 1
 	for _, s := range rec.Members {
 		m.primary.heardAt[s.Addr] = m.now
@@ -88,7 +90,8 @@
 		return
 	}
 	hears := m.isHeard
-	if m.diskHangs() || m.lacksLedger() || !intersectsMajorities(l.record.Members, nil, hears, func(s Member) bool { return l.lost[s.mapKey()] }) {
+	if m.diskHangs() || m.lacksLedger() || !intersectsMajorities(l.record.Members, nil, hears,
+		func(s Member) bool { return l.lost[s.mapKey()] }) {
 		m.resign()
 		return
 	}
@@ -141,7 +144,8 @@
 		if s.Addr == m.config.Self || !slices.Contains(l.record.Writers, s.Addr) {
 			continue
 		}
-		late := l.proposal != nil && !l.appended[s.Addr] && m.now-l.proposedAt > max(stallTimeout, time.Duration(l.diskTolerance[s.Addr])) ||
+		late := l.proposal != nil && !l.appended[s.Addr] &&
+			m.now-l.proposedAt > max(stallTimeout, time.Duration(l.diskTolerance[s.Addr])) ||
 			l.confirmStarted != 0 && l.confirmed[s.Addr] < l.confirmRound && m.now-l.confirmStarted > stallTimeout
 		if late || l.diskSlow[s.Addr] {
 			m.avoidUntil[s.Addr] = m.now + 2*vacancyTimeout
@@ -236,7 +240,8 @@
 	if l == nil || !l.record.has(from, t.DiskID) || t.Ballot != l.record.Ballot {
 		return
 	}
-	l.heardAt[from], l.diskSlow[from], l.diskTolerance[from] = m.now, t.DiskSlow, min(lagDuration(t.DiskTolerance), lagDuration(maxDiskTolerance))
+	l.heardAt[from], l.diskSlow[from], l.diskTolerance[from] = m.now, t.DiskSlow,
+		min(lagDuration(t.DiskTolerance), lagDuration(maxDiskTolerance))
 	l.recordStored[from], l.recordKnown[from] = t.RecordStored, t.RecordKnown
 	if t.TokensHash != 0 {
 		l.tokenHashes[from] = t.TokensHash
@@ -287,7 +292,8 @@
 		}
 	}
 	m.waiting = remaining
-	free := l.proposal == nil || l.proposal.LedgerRev > 0 && next != nil // a new version doesn't wait for ledger additions but includes them
+	// a new version doesn't wait for ledger additions but includes them
+	free := l.proposal == nil || l.proposal.LedgerRev > 0 && next != nil
 	if free && (m.hasAllCopies() || m.bug == BugTooFewWriters) {
 		m.propose(next)
 	}
@@ -309,7 +315,8 @@
 	l.appendSentAt = m.now
 	for _, s := range l.record.Members {
 		if slices.Contains(l.record.Writers, s.Addr) && !l.appended[s.Addr] {
-			m.send(s.Addr, Append{Ballot: l.record.Ballot, DiskID: s.DiskID, Doc: *l.proposal, resent: m.now > l.proposedAt})
+			m.send(s.Addr, Append{Ballot: l.record.Ballot, DiskID: s.DiskID, Doc: *l.proposal,
+				resent: m.now > l.proposedAt})
 		}
 	}
 }
@@ -317,7 +324,8 @@
 func (m *Machine) onAppended(from string, t Appended) {
 	l := m.primary
 	if l == nil || t.Ballot != l.record.Ballot || !l.record.has(from, t.DiskID) || l.proposal == nil ||
-		t.Version != l.proposal.Version || t.Rev != l.proposal.Rev || t.LedgerRevPlusOne != 0 && t.LedgerRevPlusOne != l.proposal.LedgerRev+1 {
+		t.Version != l.proposal.Version || t.Rev != l.proposal.Rev || t.LedgerRevPlusOne != 0 &&
+		t.LedgerRevPlusOne != l.proposal.LedgerRev+1 {
 		return
 	}
 	l.appended[from] = true
@@ -380,7 +388,8 @@
 func (m *Machine) answerRead(w *waitingCall) {
 	switch {
 	case w.request.ContactOnly:
-		m.send(w.from, ForwardReply{ID: w.request.ID, CallerID: w.request.CallerID, Result: ResultContact, Version: m.state.Committed.Version})
+		m.send(w.from, ForwardReply{ID: w.request.ID, CallerID: w.request.CallerID, Result: ResultContact,
+			Version: m.state.Committed.Version})
 	case m.state.Committed.Version == 0:
 		m.reply(w, ResultNone, nil)
 	default:
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -54,7 +54,8 @@
 // newerThan reports whether r carries more information than o.
 func (r EpochRecord) newerThan(o EpochRecord) bool {
 	c := r.Ballot.compare(o.Ballot)
-	return !r.isZero() && (o.isZero() || c > 0 || c == 0 && (r.Active && !o.Active || r.OldSetAgreed && !o.OldSetAgreed && !o.Active))
+	return !r.isZero() && (o.isZero() || c > 0 || c == 0 &&
+		(r.Active && !o.Active || r.OldSetAgreed && !o.OldSetAgreed && !o.Active))
 }
 
 // membersDecide reports whether Members alone decide which epoch follows.
@@ -78,7 +79,8 @@
 	if r.membersDecide() {
 		return intersectsMajorities(r.Members, nil, agreed, lost)
 	}
-	return intersectsMajorities(r.OldMembers, r.Members, agreed, lost) && (intersectsMajorities(r.Members, nil, agreed, lost) || blocksMajority(r.Members, agreed))
+	return intersectsMajorities(r.OldMembers, r.Members, agreed, lost) &&
+		(intersectsMajorities(r.Members, nil, agreed, lost) || blocksMajority(r.Members, agreed))
 }
 
 // blocksMajority reports whether each majority of a set includes one of those who agreed. That is
--- a/internal/consensus/scenario_test.go
+++ b/internal/consensus/scenario_test.go
@@ -98,8 +98,13 @@
 		limit time.Duration
 		loss  func(w *simulation) *simNode // returns the process to call
 	}{
-		"primary killed":  {1200 * ms, func(w *simulation) *simNode { w.kill(w.primary(), true); return last(w) }},
-		"primary cut":     {1200 * ms, func(w *simulation) *simNode { b := w.backup(); both(w, w.primary()); return b }},
+		"primary killed": {1200 * ms, func(w *simulation) *simNode { w.kill(w.primary(), true); return last(w) }},
+		"primary cut": {1200 * ms, func(w *simulation) *simNode {
+			b := w.backup()
+			both(w,
+				w.primary())
+			return b
+		}},
 		"primary frozen":  {1200 * ms, func(w *simulation) *simNode { w.primary().frozenUntil = time.Hour; return w.backup() }},
 		"primary stalled": {1200 * ms, func(w *simulation) *simNode { w.primary().stalledUntil = time.Hour; return last(w) }},
 		"primary wiped": {1200 * ms, func(w *simulation) *simNode {
--- a/internal/consensus/spread.go
+++ b/internal/consensus/spread.go
@@ -41,7 +41,8 @@
 
 func (m *Machine) sendView(to string) {
 	if !m.view.isZero() {
-		m.send(to, View{Record: m.view, Version: m.state.Committed.Version, Leading: m.primary != nil, ReadsPacked: true})
+		m.send(to, View{Record: m.view, Version: m.state.Committed.Version, Leading: m.primary != nil,
+			ReadsPacked: true})
 	}
 }
 
--- a/internal/consensus/spread_test.go
+++ b/internal/consensus/spread_test.go
@@ -13,10 +13,12 @@
 	asked := map[string]int{}
 	for i := range 480 {
 		self := fmt.Sprintf("10.0.1.%d:7", i)
-		m := New(Config{Self: self, Name: self, ToleratedLosses: 1, Seeds: []string{"10.0.0.0:7"}, Seed: 5}, nil, time.Hour)
+		m := New(Config{Self: self, Name: self, ToleratedLosses: 1, Seeds: []string{"10.0.0.0:7"}, Seed: 5}, nil,
+			time.Hour)
 		peers := []Peer{{Addr: self, Up: true}}
 		for k := range 12 {
-			peers = append(peers, Peer{Addr: fmt.Sprintf("10.0.0.%d:7", k), Up: true, Member: k < 8, Version: uint32(3 - k/10)})
+			peers = append(peers, Peer{Addr: fmt.Sprintf("10.0.0.%d:7", k), Up: true, Member: k < 8,
+				Version: uint32(3 - k/10)})
 		}
 		m.SetPeers(time.Hour, peers)
 		for now := time.Hour; now < time.Hour+2*time.Second; now += 50 * time.Millisecond {
@@ -67,7 +69,8 @@
 			now += 300 * time.Millisecond
 		}
 		if sent != c.want {
-			t.Errorf("%d bytes, deltas %v: sent %d times for nine requests in 2.4 s, want %d", c.size, c.deltas, sent, c.want)
+			t.Errorf("%d bytes, deltas %v: sent %d times for nine requests in 2.4 s, want %d", c.size, c.deltas, sent,
+				c.want)
 		}
 	}
 }
--- a/internal/consensus/storm_test.go
+++ b/internal/consensus/storm_test.go
@@ -20,7 +20,8 @@
 	set := []Member{{Addr: "a", DiskID: 1}, {Addr: "b", DiskID: 1}, {Addr: "c", DiskID: 1}}
 	epoch := func(n uint64) {
 		if primary != "" {
-			note(m.Receive(now, primary, View{Record: EpochRecord{ClusterID: 1, Ballot: Ballot{N: n}, Members: set, Writers: []string{primary}, Active: true}}))
+			note(m.Receive(now, primary, View{Record: EpochRecord{ClusterID: 1, Ballot: Ballot{N: n}, Members: set,
+				Writers: []string{primary}, Active: true}}))
 		}
 	}
 	epoch(2)
--- a/internal/consensus/walk.go
+++ b/internal/consensus/walk.go
@@ -25,7 +25,8 @@
 	BothKilled           // until the end of the schedule; their disks are kept
 	OneWiped
 	BothWiped
-	OneRolledBack // one's disk is restored from a copy, and another one is killed as above; see ModelBounds.DiskRollbacks
+	// one's disk is restored from a copy, and another one is killed as above; see ModelBounds.DiskRollbacks
+	OneRolledBack
 )
 
 // Walk runs random schedules of so many steps within bounds, and in each lets two machines fail at
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -76,7 +76,8 @@
 
 func newSimulation(seed uint64, members, followers, losses int) *simulation {
 	w := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), byAddr: map[string]*simNode{}, cutLinks: map[[2]string]bool{},
-		toleratedLosses: losses, appliedBodies: map[uint32]string{}, calls: map[uint64]*operatorCall{}, ackedBodies: map[uint32]string{}, conflicts: map[string]bool{}, jitter: 4 * ms,
+		toleratedLosses: losses, appliedBodies: map[uint32]string{}, calls: map[uint64]*operatorCall{},
+		ackedBodies: map[uint32]string{}, conflicts: map[string]bool{}, jitter: 4 * ms,
 		trace: func(string, ...any) {}}
 	for i := range members + followers {
 		w.add(i < members, i < members)
@@ -330,14 +331,17 @@
 	case ResultAccepted:
 		w.highestAcked = max(w.highestAcked, o.doc.Version)
 		if t, ok := w.ackedBodies[o.doc.Version]; ok && t != string(o.doc.Body) {
-			w.fail("%s acknowledges body %q of version %d, but %q was acknowledged", n.config.Self, o.doc.Body, o.doc.Version, t)
+			w.fail("%s acknowledges body %q of version %d, but %q was acknowledged", n.config.Self, o.doc.Body,
+				o.doc.Version, t)
 		}
 		if w.conflicts[requestKey(o.doc.Version, string(o.doc.Body))] {
-			w.fail("%s acknowledges body %q of version %d, which was refused as a conflict", n.config.Self, o.doc.Body, o.doc.Version)
+			w.fail("%s acknowledges body %q of version %d, which was refused as a conflict", n.config.Self,
+				o.doc.Body, o.doc.Version)
 		}
 		w.ackedBodies[o.doc.Version] = string(o.doc.Body)
 		if b, ok := w.appliedBodies[o.doc.Version]; ok && b != string(o.doc.Body) {
-			w.fail("%s acknowledges body %q of version %d, but %q is in force", n.config.Self, o.doc.Body, o.doc.Version, b)
+			w.fail("%s acknowledges body %q of version %d, but %q is in force", n.config.Self, o.doc.Body,
+				o.doc.Version, b)
 		}
 		if w.appliedBodies[o.doc.Version] == "" && len(w.appliedBodies) == 0 {
 			w.fail("version %d is acknowledged, but no process has applied it", o.doc.Version)
@@ -419,7 +423,8 @@
 func (w *simulation) lostMembers(of []Member) []Member {
 	return slices.DeleteFunc(slices.Clone(of), func(s Member) bool {
 		n := w.byAddr[s.Addr]
-		return !n.removed && n.machine != nil && n.machine.state.DiskID == s.DiskID && n.synced != nil && n.synced.DiskID == s.DiskID
+		return !n.removed && n.machine != nil && n.machine.state.DiskID == s.DiskID && n.synced != nil &&
+			n.synced.DiskID == s.DiskID
 	})
 }
 
