--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -39,7 +39,7 @@
 	Seeds           []string
 	Seed            uint64
 	// maps a proposed document, given the committed one, to what the primary stores; nil stores it unchanged
-	Transform func(kept, next Doc) Doc
+	Transform func(committed, proposed Doc) Doc
 }
 
 // Doc is the replicated document. Version 0 means that there is none. A primary may amend it: the
--- a/internal/consensus/explore.go
+++ b/internal/consensus/explore.go
@@ -103,13 +103,13 @@
 
 // modelState is the state of the whole cluster. Nodes and messages are referred to by their IDs.
 type modelState struct {
-	nodes     []uint32
-	links     [][]uint32 // by from*n+to
-	delayed   []message
-	budgets   [11]uint8 // faults and calls that are left
-	nextPut   uint8     // puts made so far
-	crashed   uint8     // a bit for each node that has crashed
-	judgement uint32
+	nodes      []uint32
+	links      [][]uint32 // by from*n+to
+	delayed    []message
+	budgets    [11]uint8 // faults and calls that are left
+	nextPut    uint8     // puts made so far
+	crashed    uint8     // a bit for each node that has crashed
+	checkState uint32
 }
 
 // Indexes of modelState.budgets. Those of message fates are in the order of messageFate.
@@ -127,10 +127,10 @@
 	budgetLeaves
 )
 
-// judgement is what the checks know: the body in force by version, the lowest epoch that
+// checkState is what the checks know: the body in force by version, the lowest epoch that
 // acknowledged each version, the highest acknowledged version, that version at the start of each
 // pending read, the acknowledged body of each version, and the requests answered with a conflict.
-type judgement struct {
+type checkState struct {
 	inForce      map[uint32]string
 	ackedIn      map[uint32]Ballot
 	readFloors   map[uint64]uint32
@@ -159,8 +159,8 @@
 	nodeIDs       map[uint64]uint32
 	messages      []any
 	messageIDs    map[uint64]uint32
-	judgements    []judgement
-	judgementIDs  map[string]uint32
+	checkStates   []checkState
+	checkStateIDs map[string]uint32
 	outcomes      map[uint64]outcome
 	stateIDs      map[uint64]uint32 // index in arrivals
 	arrivals      []arrivalStep
@@ -187,8 +187,8 @@
 		b.Members++
 	}
 	x := &explorer{bounds: b, nodeCount: b.Members, scenario: scenario{bug: b.Bug}, nodeIDs: map[uint64]uint32{},
-		messageIDs:   map[uint64]uint32{},
-		judgementIDs: map[string]uint32{}, outcomes: map[uint64]outcome{}, stateIDs: map[uint64]uint32{}}
+		messageIDs:    map[uint64]uint32{},
+		checkStateIDs: map[string]uint32{}, outcomes: map[uint64]outcome{}, stateIDs: map[uint64]uint32{}}
 	for i := range b.Puts {
 		v := uint32(2 + i)
 		if b.SameVersion || b.Overtaken {
@@ -207,49 +207,49 @@
 
 // initialState founds a cluster, has it commit version 1, and waits until it is steady.
 func (x *explorer) initialState() *modelState {
-	const begin = time.Hour
-	var cells []*modelNode
+	const start = time.Hour
+	var nodes []*modelNode
 	for i := range x.nodeCount {
 		x.addrs = append(x.addrs, fmt.Sprintf("n%d", i))
 	}
 	for i, name := range x.addrs {
 		m := New(Config{Self: name, Name: name, Zone: string(rune('a' + i%3)), Member: true,
 			Genesis: !x.bounds.Learner || i < x.nodeCount-1, ToleratedLosses: x.bounds.ToleratedLosses,
-			Seeds: x.addrs[:3]}, nil, begin)
+			Seeds: x.addrs[:3]}, nil, start)
 		l := &modelRandom{stream: uint64(i + 1)}
 		m.rng, m.runID, m.jitter, m.state.DiskID = newModelRand(l), l.Uint64(), 0, l.Uint64()|1
-		cells = append(cells, &modelNode{machine: m, random: l})
+		nodes = append(nodes, &modelNode{machine: m, random: l})
 	}
 	s := &modelState{nodes: make([]uint32, x.nodeCount), links: make([][]uint32, x.nodeCount*x.nodeCount)}
-	for i, c := range cells {
+	for i, c := range nodes {
 		s.nodes[i] = x.nodeID(c)
 	}
-	s.judgement = x.judgementID(judgement{inForce: map[uint32]string{}, ackedIn: map[uint32]Ballot{},
+	s.checkState = x.checkStateID(checkState{inForce: map[uint32]string{}, ackedIn: map[uint32]Ballot{},
 		readFloors:  map[uint64]uint32{},
 		ackedBodies: map[uint32]string{}, conflicts: map[string]bool{}})
-	sound, puts := x.scenario.bug, x.scenario.puts
+	bug, puts := x.scenario.bug, x.scenario.puts
 	x.scenario.bug, x.scenario.puts = 0, append([]Doc{{Version: 1, Body: []byte("0")}}, puts...)
-	lead := -1
+	primary := -1
 	for range 200 {
 		x.settleAll(s, tick)
-		lead = x.primaryNode(s)
-		if x.isSteady(s) && (x.bounds.DiskRollbacks == 0 || x.rollbackDetectable(s, lead)) {
+		primary = x.primaryNode(s)
+		if x.isSteady(s) && (x.bounds.DiskRollbacks == 0 || x.rollbackDetectable(s, primary)) {
 			break
 		}
-		if lead >= 0 && s.nextPut == 0 {
+		if primary >= 0 && s.nextPut == 0 {
 			s.nextPut = 1
 			for i := range s.nodes {
 				if x.bounds.DiskRollbacks > 0 {
 					x.step(s, transition{node: uint8(i), input: input{kind: copyDisk}, link: noLink})
 				}
 			}
-			x.step(s, transition{node: uint8(lead), input: input{kind: put}, link: noLink})
+			x.step(s, transition{node: uint8(primary), input: input{kind: put}, link: noLink})
 		}
 	}
-	if !x.isSteady(s) || x.bounds.DiskRollbacks > 0 && !x.rollbackDetectable(s, lead) {
+	if !x.isSteady(s) || x.bounds.DiskRollbacks > 0 && !x.rollbackDetectable(s, primary) {
 		panic("the model's cluster was not founded") // a bug
 	}
-	x.firstBallot = x.nodes[s.nodes[lead]].machine.primary.record.Ballot
+	x.firstBallot = x.nodes[s.nodes[primary]].machine.primary.record.Ballot
 	for i := range s.nodes { // the calls made so far are not part of the exploration
 		c := x.nodes[s.nodes[i]].clone()
 		c.machine.calls, c.machine.waiting = nil, nil
@@ -259,12 +259,12 @@
 	for i := 0; (x.bounds.Learner || x.bounds.Leaves+x.bounds.LivenessEvery > 0) && i < 12; i++ {
 		x.settleAll(s, tick)
 	}
-	x.scenario.bug, x.scenario.puts = sound, puts
+	x.scenario.bug, x.scenario.puts = bug, puts
 	x.outcomes = map[uint64]outcome{}
 	if x.bounds.StartSilent {
 		for i := range s.nodes {
 			for range 2 {
-				if i != lead {
+				if i != primary {
 					x.step(s, transition{node: uint8(i), input: input{kind: longWait}, link: noLink})
 				}
 			}
@@ -306,30 +306,30 @@
 func (x *explorer) settleAll(s *modelState, k inputKind) { x.settleExcept(s, k, 0) }
 
 // settleExcept leaves out machines that have stopped; messages to them are lost.
-func (x *explorer) settleExcept(s *modelState, k inputKind, gone uint16) {
+func (x *explorer) settleExcept(s *modelState, k inputKind, stopped uint16) {
 	for i := range s.nodes {
-		if gone&(1<<i) == 0 {
+		if stopped&(1<<i) == 0 {
 			x.step(s, transition{node: uint8(i), input: input{kind: k}, link: noLink})
 		}
 	}
-	for again, most := true, 0; again && most < 10000; most++ {
-		again = false
+	for progress, rounds := true, 0; progress && rounds < 10000; rounds++ {
+		progress = false
 		for i, l := range s.links {
 			switch {
-			case gone&(1<<(i%x.nodeCount)) != 0:
+			case stopped&(1<<(i%x.nodeCount)) != 0:
 				s.links[i] = nil
 			case len(l) > 0:
 				x.step(s, x.delivery(s, int16(i), delivered))
-				again = true
+				progress = true
 			}
 		}
 		for len(s.delayed) > 0 {
 			x.step(s, x.delivery(s, -1, delivered))
 		}
 		for i, id := range s.nodes {
-			if len(x.nodes[id].unsynced) > 0 && gone&(1<<i) == 0 {
+			if len(x.nodes[id].unsynced) > 0 && stopped&(1<<i) == 0 {
 				x.step(s, transition{node: uint8(i), input: input{kind: sync}, link: noLink})
-				again = true
+				progress = true
 			}
 		}
 	}
@@ -377,7 +377,7 @@
 		s.links[i] = append(slices.Clip(s.links[i]), p.msg)
 	}
 	if len(o.facts) > 0 || v.input.kind == read {
-		x.judgeFacts(s, v.input, o.facts)
+		x.checkFacts(s, v.input, o.facts)
 	}
 	x.checkNode(s, int(v.node))
 }
@@ -425,12 +425,12 @@
 	return id
 }
 
-func (x *explorer) judgementID(v judgement) uint32 {
+func (x *explorer) checkStateID(v checkState) uint32 {
 	key := fmt.Sprint(v)
-	id, ok := x.judgementIDs[key]
+	id, ok := x.checkStateIDs[key]
 	if !ok {
-		id = uint32(len(x.judgements))
-		x.judgements, x.judgementIDs[key] = append(x.judgements, v), id
+		id = uint32(len(x.checkStates))
+		x.checkStates, x.checkStateIDs[key] = append(x.checkStates, v), id
 	}
 	return id
 }
@@ -441,11 +441,11 @@
 	}
 }
 
-// judgeFacts checks that each version has one body, and that no read returns a version lower than
+// checkFacts checks that each version has one body, and that no read returns a version lower than
 // one acknowledged before.
-func (x *explorer) judgeFacts(s *modelState, in input, facts []fact) {
-	old := x.judgements[s.judgement]
-	v := judgement{cloneMap(old.inForce), cloneMap(old.ackedIn), cloneMap(old.readFloors), old.highestAcked,
+func (x *explorer) checkFacts(s *modelState, in input, facts []fact) {
+	old := x.checkStates[s.checkState]
+	v := checkState{cloneMap(old.inForce), cloneMap(old.ackedIn), cloneMap(old.readFloors), old.highestAcked,
 		cloneMap(old.ackedBodies), cloneMap(old.conflicts)}
 	if in.kind == read {
 		v.readFloors[readCallID(in.arg)] = v.highestAcked
@@ -457,7 +457,7 @@
 				v.ackedIn[f.version] = f.ballot
 			}
 			v.highestAcked = max(v.highestAcked, f.version)
-			x.judgeAccepted(v, f)
+			x.checkAccepted(v, f)
 		case factConflict:
 			v.conflicts[requestKey(f.version, f.body)] = true
 			if t, ok := v.ackedBodies[f.version]; ok && t == f.body {
@@ -495,15 +495,15 @@
 			v.highestAcked)
 	}
 	x.result.Acked = max(x.result.Acked, len(v.ackedIn)-1)
-	s.judgement = x.judgementID(v)
+	s.checkState = x.checkStateID(v)
 	for i := range s.nodes {
 		x.checkNode(s, i)
 	}
 }
 
-// judgeAccepted checks that only one body of a version is acknowledged, and that it is the one in
+// checkAccepted checks that only one body of a version is acknowledged, and that it is the one in
 // force if there is one.
-func (x *explorer) judgeAccepted(v judgement, f fact) {
+func (x *explorer) checkAccepted(v checkState, f fact) {
 	if t, ok := v.ackedBodies[f.version]; ok && t != f.body {
 		x.fail("version %d: two bodies were acknowledged, %q and %q", f.version, t, f.body)
 	}
@@ -529,7 +529,7 @@
 		return
 	}
 	x.result.Epochs = max(x.result.Epochs, int(l.record.Ballot.N-min(x.firstBallot.N, l.record.Ballot.N)))
-	for version, by := range x.judgements[s.judgement].ackedIn {
+	for version, by := range x.checkStates[s.checkState].ackedIn {
 		if l.record.Ballot.higherThan(by) && c.machine.state.Committed.Version < version {
 			x.fail("version %d was acknowledged in epoch %d, but %s is the primary of epoch %d with version %d",
 				version, by.N, x.addrs[i], l.record.Ballot.N, c.machine.state.Committed.Version)
@@ -721,7 +721,7 @@
 		b = append(b, p.from, p.to)
 	}
 	b = append(append(b, s.budgets[:]...), s.nextPut, s.crashed)
-	num(uint64(s.judgement))
+	num(uint64(s.checkState))
 	x.buf = b
 	return b
 }
@@ -748,7 +748,7 @@
 	n := len(s.budgets)
 	s.nextPut, s.crashed = b[n], b[n+1]
 	b = b[n+2:]
-	s.judgement = uint32(num())
+	s.checkState = uint32(num())
 	return s
 }
 
--- a/internal/consensus/fence.go
+++ b/internal/consensus/fence.go
@@ -128,19 +128,18 @@
 	if k.Addr == m.config.Self || k.RunID == 0 {
 		return
 	}
-	seats := m.state.Record.votingMembers()
+	members := m.state.Record.votingMembers()
 	old, ok := m.knownToken(k.Addr, k.DiskID)
-	if !hasMember(seats, k.Addr, k.DiskID) || ok && old.Saves >= k.Saves &&
+	if !hasMember(members, k.Addr, k.DiskID) || ok && old.Saves >= k.Saves &&
 		(old.RunID == k.RunID || old.Saves > k.Saves) {
 		return
 	}
 	tokens := slices.DeleteFunc(slices.Clone(m.state.KnownTokens), func(o KnownToken) bool {
-		return o.Addr == k.Addr && o.DiskID == k.DiskID || !hasMember(seats, o.Addr, o.DiskID)
+		return o.Addr == k.Addr && o.DiskID == k.DiskID || !hasMember(members, o.Addr, o.DiskID)
 	})
 	tokens = append(tokens, k)
 	slices.SortFunc(tokens, func(a, b KnownToken) int {
-		return cmp.Or(cmp.Compare(a.Addr, b.Addr),
-			cmp.Compare(a.DiskID, b.DiskID))
+		return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID))
 	})
 	m.state.KnownTokens = tokens
 	if m.tokensNotedAt == 0 {
--- a/internal/consensus/fence_test.go
+++ b/internal/consensus/fence_test.go
@@ -17,11 +17,11 @@
 		w := newSteadyCluster(t, 3, 0, 1)
 		w.setBug(bug)
 		p, b, o := w.primary(), w.backup(), w.witness()
-		old, life := *b.synced, b.machine.state.DiskID
+		copied, diskID := *b.synced, b.machine.state.DiskID
 		w.partition(p, 20*ms, func(n *simNode) bool { return n == o }, false)
 		w.runUntilAccepted(t, 50*ms, p)
 		for limit := w.now + time.Second; ; w.run(ms) {
-			if k, _ := o.machine.knownToken(b.config.Self, life); k.Saves > old.Saves {
+			if k, _ := o.machine.knownToken(b.config.Self, diskID); k.Saves > copied.Saves {
 				break
 			}
 			if w.now > limit {
@@ -33,7 +33,7 @@
 		}
 		w.kill(p, true)
 		w.kill(b, true)
-		b.synced = &old
+		b.synced = &copied
 		w.start(b)
 		w.run(3 * time.Second)
 		w.call(b, true, Doc{})
@@ -44,8 +44,8 @@
 			}
 			continue
 		}
-		if b.machine.state.DiskID == life || b.machine.FenceCount() != 1 || w.primary() != nil {
-			t.Errorf("disk ID %d after %d, fenced %d times, primary %v", b.machine.state.DiskID, life,
+		if b.machine.state.DiskID == diskID || b.machine.FenceCount() != 1 || w.primary() != nil {
+			t.Errorf("disk ID %d after %d, fenced %d times, primary %v", b.machine.state.DiskID, diskID,
 				b.machine.FenceCount(), w.primary())
 		}
 		w.finishAndCheckProgress() // also checks that the member is admitted again
@@ -60,18 +60,18 @@
 	for i := range 3 {
 		w := newSteadyCluster(t, 3, 1, 1)
 		n := w.nodes[i]
-		old, life := *n.synced, n.machine.state.DiskID
+		copied, diskID := *n.synced, n.machine.state.DiskID
 		for range 3 {
 			w.runUntilAccepted(t, 100*ms, w.primary())
 		}
 		w.run(time.Second)
 		w.kill(n, true)
-		n.synced = &old
+		n.synced = &copied
 		w.start(n)
 		w.run(3 * time.Second)
-		if n.machine.state.DiskID == life || !n.machine.isMember() || n.machine.FenceCount() != 1 {
+		if n.machine.state.DiskID == diskID || !n.machine.isMember() || n.machine.FenceCount() != 1 {
 			t.Errorf("%s: disk ID %d after %d, member %v, fenced %d times", n.config.Self, n.machine.state.DiskID,
-				life, n.machine.isMember(), n.machine.FenceCount())
+				diskID, n.machine.isMember(), n.machine.FenceCount())
 		}
 		w.finishAndCheckProgress()
 		w.checkNoFailure(t)
@@ -83,9 +83,9 @@
 func TestNoFalseFence(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 0, 1)
-	lives := map[*simNode]uint64{}
+	diskIDs := map[*simNode]uint64{}
 	for _, n := range w.nodes {
-		lives[n] = n.machine.state.DiskID
+		diskIDs[n] = n.machine.state.DiskID
 	}
 	for i := range 30 {
 		n := w.nodes[i%3]
@@ -97,8 +97,8 @@
 	}
 	w.finishAndCheckProgress()
 	w.checkNoFailure(t)
-	for n, life := range lives {
-		if n.machine.state.DiskID != life || n.machine.FenceCount() > 0 {
+	for n, diskID := range diskIDs {
+		if n.machine.state.DiskID != diskID || n.machine.FenceCount() > 0 {
 			t.Errorf("%s is fenced without a rollback", n.config.Self)
 		}
 	}
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -180,15 +180,14 @@
 // another process has joined. If a remaining member leaves as well nothing is removed: then all are
 // being stopped and will come back.
 func (m *Machine) shrinkForForcedLeave(set, rest []Member) []Member {
-	left := countMembers(rest, m.heardInEpoch)
+	heard := countMembers(rest, m.heardInEpoch)
 	i := slices.IndexFunc(rest, func(s Member) bool {
 		return s.Addr != m.config.Self && !m.heardInEpoch(s) && m.now-m.primary.startedAt > resendInterval
 	})
-	if left == 0 || i < 0 || 2*left != len(rest) ||
+	if heard == 0 || i < 0 || 2*heard != len(rest) ||
 		countMembers(rest, func(s Member) bool {
-			_, goes := m.primary.leavingMember(s, m.now)
-			return goes &&
-				m.heardInEpoch(s)
+			_, leaves := m.primary.leavingMember(s, m.now)
+			return leaves && m.heardInEpoch(s)
 		}) > 0 {
 		return set
 	}
@@ -226,16 +225,16 @@
 	if l.proposal != nil && m.now-l.proposedAt < stallTimeout {
 		return
 	}
-	plan := m.nextMembers()
+	next := m.nextMembers()
 	i := slices.IndexFunc(l.record.Members, func(s Member) bool {
-		_, goes := l.leavingMember(s, m.now)
-		return !goes && s.Addr != m.config.Self && slices.Contains(l.record.Writers, s.Addr) && m.heardInEpoch(s) &&
+		_, leaves := l.leavingMember(s, m.now)
+		return !leaves && s.Addr != m.config.Self && slices.Contains(l.record.Writers, s.Addr) && m.heardInEpoch(s) &&
 			!l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now
 	})
 	if i < 0 {
 		return
 	}
-	m.send(l.record.Members[i].Addr, Handover{Record: l.record, DiskID: l.record.Members[i].DiskID, NextMembers: plan})
+	m.send(l.record.Members[i].Addr, Handover{Record: l.record, DiskID: l.record.Members[i].DiskID, NextMembers: next})
 	m.primary, m.handedOverAt = nil, m.now
 	m.primaryHeardAt, m.primaryHeardFrom = m.now, ""
 }
@@ -247,23 +246,23 @@
 	if m.now-l.startedAt < 2*joinInterval {
 		return false
 	}
-	var going []string
-	fit := func(s Member) bool {
+	var leaving []string
+	usable := func(s Member) bool {
 		if _, ok := l.leavingMember(s, m.now); ok {
 			if s.Addr != m.config.Self && slices.Contains(l.record.Writers, s.Addr) {
-				going = append(going, s.Addr)
+				leaving = append(leaving, s.Addr)
 			}
 			return s.Addr == m.config.Self
 		}
 		return m.heardInEpoch(s) && !l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now
 	}
-	if countMembers(l.record.Members, fit) <= m.config.ToleratedLosses {
+	if countMembers(l.record.Members, usable) <= m.config.ToleratedLosses {
 		return false
 	}
-	for _, a := range going {
+	for _, a := range leaving {
 		m.avoidUntil[a] = m.now + 2*vacancyTimeout
 	}
-	return len(going) > 0
+	return len(leaving) > 0
 }
 
 // onHandover makes a backup a candidate without waiting for the primary's timeout.
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -10,24 +10,24 @@
 
 // leaveNode tells a process to leave, stops it when it may exit, and then calls then.
 func (w *simulation) leaveNode(n *simNode, then func()) {
-	life, told := n.run, w.now
-	w.input(n, life, func() Out { return n.machine.Leave(w.now, LeaveWhenSafe) })
+	run, toldAt := n.run, w.now
+	w.input(n, run, func() Out { return n.machine.Leave(w.now, LeaveWhenSafe) })
 	w.after(leaveGrace-850*ms, func() {
-		w.input(n, life, func() Out { return n.machine.Leave(w.now, LeaveForced) })
+		w.input(n, run, func() Out { return n.machine.Leave(w.now, LeaveForced) })
 	})
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		switch {
-		case !n.up || n.run != life:
-		case n.frozenUntil <= w.now && n.machine.MayExit() || w.now-told > leaveGrace:
-			w.trace("%v %s exits %v after it was told to leave", w.now, n.config.Self, w.now-told)
+		case !n.up || n.run != run:
+		case n.frozenUntil <= w.now && n.machine.MayExit() || w.now-toldAt > leaveGrace:
+			w.trace("%v %s exits %v after it was told to leave", w.now, n.config.Self, w.now-toldAt)
 			w.kill(n, true)
 			then()
 		default:
-			w.after(10*ms, look)
+			w.after(10*ms, poll)
 		}
 	}
-	w.after(10*ms, look)
+	w.after(10*ms, poll)
 }
 
 // removeNode lets a process leave for good.
@@ -53,13 +53,13 @@
 			for w.now < at+time.Second && w.newestActiveRecord().has(n.config.Self, n.machine.state.DiskID) {
 				w.run(ms)
 			}
-			took, most := w.now-at, heartbeatInterval
+			took, limit := w.now-at, heartbeatInterval
 			for w.now < at+time.Second && !ended {
 				w.run(ms)
 			}
 			t.Logf("%d members, %s: record after %v, exit after %v, %d messages", s[0], kind, took, w.now-at,
 				w.sentMessages-sent)
-			if took > most || !ended || len(w.newestActiveRecord().Members) != s[0]-1 {
+			if took > limit || !ended || len(w.newestActiveRecord().Members) != s[0]-1 {
 				t.Errorf("%d members, %s leaves: %v, exited %v, %d in the membership", s[0], kind, took, ended,
 					len(w.newestActiveRecord().Members))
 			}
@@ -144,7 +144,7 @@
 	t.Parallel()
 	for _, s := range [][3]int{{3, 1, 1}, {6, 1, 2}, {8, 1, 2}} {
 		w := newSteadyCluster(t, s[0], s[1], s[2])
-		whole := func(what string) {
+		untilComplete := func(what string) {
 			at := w.now
 			for w.now < at+2*time.Second && (len(w.newestActiveRecord().Members) < s[0] ||
 				len(w.lostMembers(w.newestActiveRecord().Members)) > 0) {
@@ -163,14 +163,14 @@
 			for end := w.now + time.Second; !n.removed && w.now < end; {
 				w.run(ms)
 			}
-			whole("replaced")
+			untilComplete("replaced")
 			p := w.primary()
 			w.put(p)
 			w.run(15 * ms)
 			w.wipe(p)
 			w.start(p)
 			w.runUntilAccepted(t, 1200*ms, w.nodes[s[0]])
-			whole("wiped")
+			untilComplete("wiped")
 		}
 		w.finishAndCheckProgress()
 		w.checkNoFailure(t)
@@ -375,8 +375,8 @@
 		w.run(4 * time.Second)
 		o := w.put(b)
 		w.run(time.Second)
-		if kept := o.answer != nil && o.answer.Result == ResultAccepted; kept != (bug == 0) {
-			t.Errorf("bug %d: accepted %v: %+v", bug, kept, w.newestActiveRecord())
+		if accepted := o.answer != nil && o.answer.Result == ResultAccepted; accepted != (bug == 0) {
+			t.Errorf("bug %d: accepted %v: %+v", bug, accepted, w.newestActiveRecord())
 		}
 	}
 }
--- a/internal/consensus/orders.go
+++ b/internal/consensus/orders.go
@@ -53,8 +53,8 @@
 	if d.Version != o.Version || d.Rev != o.Rev || d.LedgerRev != o.LedgerRev {
 		return false
 	}
-	return d.CreatedIn == o.CreatedIn || (d.CreatedIn == Ballot{} || o.CreatedIn == Ballot{}) &&
-		bytes.Equal(d.withDigest().Digest, o.withDigest().Digest)
+	return d.CreatedIn == o.CreatedIn ||
+		(d.CreatedIn == Ballot{} || o.CreatedIn == Ballot{}) && bytes.Equal(d.withDigest().Digest, o.withDigest().Digest)
 }
 
 // newerThan reports whether d differs from o for those that apply it: the ledger doesn't matter.
--- a/internal/consensus/orders_test.go
+++ b/internal/consensus/orders_test.go
@@ -146,7 +146,7 @@
 	w.call(w.nodes[0], false, Doc{Version: 9, Body: []byte("nine")})
 	w.run(100 * ms)
 	p := w.primary()
-	late := w.call(p, false, Doc{Version: 5, Body: []byte("five")})
+	overtaken := w.call(p, false, Doc{Version: 5, Body: []byte("five")})
 	if l := p.machine.primary; l.proposal == nil || l.proposal.LedgerRev != 1 {
 		t.Fatalf("no ledger addition is pending: %+v", l.proposal)
 	}
@@ -161,10 +161,10 @@
 	w.run(100 * ms)
 	other := w.call(w.nodes[1], false, Doc{Version: 5, Body: []byte("another five")})
 	w.run(100 * ms)
-	if d := p.machine.Committed(); !ok || d.Rev != 1 || string(d.Attachment) != "side" || late.answer == nil ||
-		late.answer.Result != ResultAccepted ||
+	if d := p.machine.Committed(); !ok || d.Rev != 1 || string(d.Attachment) != "side" || overtaken.answer == nil ||
+		overtaken.answer.Result != ResultAccepted ||
 		other.answer == nil || other.answer.Result != ResultConflict || w.failure != nil {
-		t.Errorf("amended %v: %+v; %+v, %+v; %v", ok, d, late.answer, other.answer, w.failure)
+		t.Errorf("amended %v: %+v; %+v, %+v; %v", ok, d, overtaken.answer, other.answer, w.failure)
 	}
 }
 
@@ -296,20 +296,20 @@
 		w.olderNode = w.nodes[i].config.Self
 		w.startAll()
 		w.run(2500 * ms)
-		put := func(version uint32, text string, may ...Result) {
+		put := func(version uint32, body string, allowed ...Result) {
 			t.Helper()
-			o := w.call(w.nodes[3], false, Doc{Version: version, Body: fmt.Append(nil, text, version)})
+			o := w.call(w.nodes[3], false, Doc{Version: version, Body: fmt.Append(nil, body, version)})
 			w.run(400 * ms)
-			if o.answer == nil || !slices.Contains(may, o.answer.Result) {
-				t.Errorf("%s runs the previous release: %s%d is answered %+v", w.olderNode, text, version, o.answer)
+			if o.answer == nil || !slices.Contains(allowed, o.answer.Result) {
+				t.Errorf("%s runs the previous release: %s%d is answered %+v", w.olderNode, body, version, o.answer)
 			}
 		}
-		kept := func(version uint32) {
+		accepted := func(version uint32) {
 			t.Helper()
 			put(version, "text ", ResultAccepted)
 		}
 		for _, version := range []uint32{3, 9, 9, 5, 12, 7, 9} {
-			kept(version)
+			accepted(version)
 		}
 		for range 2 {
 			w.kill(w.primary(), true)
@@ -325,7 +325,7 @@
 				}
 			}
 			for _, version := range []uint32{w.highestAcked, w.highestAcked + 5, w.highestAcked + 3} {
-				kept(version)
+				accepted(version)
 			}
 		}
 		if w.failure != nil {
--- a/internal/consensus/past_test.go
+++ b/internal/consensus/past_test.go
@@ -10,15 +10,15 @@
 func TestEpochHistory(t *testing.T) {
 	t.Parallel()
 	w := newSteadyCluster(t, 3, 5, 1)
-	lost, stays := w.primary(), w.nodes[len(w.nodes)-1]
-	before := stays.machine.EpochHistory()
+	lost, survivor := w.primary(), w.nodes[len(w.nodes)-1]
+	before := survivor.machine.EpochHistory()
 	w.kill(lost, true)
 	w.run(2 * time.Second)
-	past := stays.machine.EpochHistory()
-	if len(before) == 0 || len(past) <= len(before) {
-		t.Fatalf("%d epochs before, %d after", len(before), len(past))
+	history := survivor.machine.EpochHistory()
+	if len(before) == 0 || len(history) <= len(before) {
+		t.Fatalf("%d epochs before, %d after", len(before), len(history))
 	}
-	was, is := before[len(before)-1], past[len(past)-1]
+	last, newest := before[len(before)-1], history[len(history)-1]
 	primary := func(c EpochChange) (addr string) {
 		for _, s := range c.Members {
 			if s.Role == "primary" {
@@ -27,15 +27,15 @@
 		}
 		return addr
 	}
-	if primary(was) != lost.config.Self || primary(is) != w.primary().config.Self || is.At <= was.At ||
-		len(is.Members) != 3 {
-		t.Errorf("%+v, then %+v", was, is)
+	if primary(last) != lost.config.Self || primary(newest) != w.primary().config.Self || newest.At <= last.At ||
+		len(newest.Members) != 3 {
+		t.Errorf("%+v, then %+v", last, newest)
 	}
 	for range 2 * maxEpochHistory {
-		stays.machine.view.Ballot.N++
-		stays.machine.recordEpochHistory()
+		survivor.machine.view.Ballot.N++
+		survivor.machine.recordEpochHistory()
 	}
-	if n := len(stays.machine.EpochHistory()); n != maxEpochHistory {
+	if n := len(survivor.machine.EpochHistory()); n != maxEpochHistory {
 		t.Errorf("%d epochs in the history", n)
 	}
 }
--- a/internal/consensus/primary.go
+++ b/internal/consensus/primary.go
@@ -99,9 +99,9 @@
 		m.startNewEpoch(nil)
 		return
 	}
-	if plan := m.nextMembers(); plan != nil {
-		if hasMember(plan, m.config.Self, m.state.DiskID) {
-			m.startNewEpoch(plan)
+	if next := m.nextMembers(); next != nil {
+		if hasMember(next, m.config.Self, m.state.DiskID) {
+			m.startNewEpoch(next)
 		} else {
 			m.handOver()
 		}
@@ -144,19 +144,19 @@
 		if s.Addr == m.config.Self || !slices.Contains(l.record.Writers, s.Addr) {
 			continue
 		}
-		late := l.proposal != nil && !l.appended[s.Addr] &&
+		stalled := l.proposal != nil && !l.appended[s.Addr] &&
 			m.now-l.proposedAt > max(stallTimeout, time.Duration(l.diskTolerance[s.Addr])) ||
 			l.confirmStarted != 0 && l.confirmed[s.Addr] < l.confirmRound && m.now-l.confirmStarted > stallTimeout
-		if late || l.diskSlow[s.Addr] {
+		if stalled || l.diskSlow[s.Addr] {
 			m.avoidUntil[s.Addr] = m.now + 2*vacancyTimeout
 		}
-		lost = lost || late || l.diskSlow[s.Addr] || !hears(s)
+		lost = lost || stalled || l.diskSlow[s.Addr] || !hears(s)
 	}
 	if !m.hasAllCopies() && countMembers(l.record.Members, m.heardInEpoch) > m.config.ToleratedLosses {
 		return true
 	}
-	fit := func(s Member) bool { return hears(s) && !l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now }
-	return lost && countMembers(l.record.Members, fit) > m.config.ToleratedLosses
+	usable := func(s Member) bool { return hears(s) && !l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now }
+	return lost && countMembers(l.record.Members, usable) > m.config.ToleratedLosses
 }
 
 func (m *Machine) resign() {
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -54,8 +54,8 @@
 // newerThan reports whether r carries more information than o.
 func (r EpochRecord) newerThan(o EpochRecord) bool {
 	c := r.Ballot.compare(o.Ballot)
-	return !r.isZero() && (o.isZero() || c > 0 || c == 0 &&
-		(r.Active && !o.Active || r.OldSetAgreed && !o.OldSetAgreed && !o.Active))
+	return !r.isZero() && (o.isZero() || c > 0 ||
+		c == 0 && (r.Active && !o.Active || r.OldSetAgreed && !o.OldSetAgreed && !o.Active))
 }
 
 // membersDecide reports whether Members alone decide which epoch follows.
--- a/internal/consensus/resume.go
+++ b/internal/consensus/resume.go
@@ -32,54 +32,54 @@
 // canProgress reports whether the cluster accepts puts again once no more faults occur and each
 // leaving process has stopped when it was allowed to. The state and the counts remain unchanged.
 func (x *explorer) canProgress(s *modelState) bool {
-	found := x.result
-	defer func() { x.result = found }()
+	result := x.result
+	defer func() { x.result = result }()
 	n := s.clone()
 	for i, id := range n.nodes { // without jitter two candidates could collide again and again
 		c := x.nodes[id].clone()
 		c.random.mixed = true
 		n.nodes[i] = x.nodeID(c)
 	}
-	var gone, away uint16
+	var stopped, wiped uint16
 	for at, id := range n.nodes {
 		if x.bounds.ForcedLeave && x.nodes[id].lostDiskID != 0 {
-			away |= 1 << at
+			wiped |= 1 << at
 		}
 	}
-	last, acked := 0, uint32(0) // the tick at which a process last stopped; the version put since then
+	lastExit, acked := 0, uint32(0) // the tick at which a process last stopped; the version put since then
 	for i := range recoveryTicks {
-		waits := false
+		leavePending := false
 		for at, id := range n.nodes {
-			if m := x.nodes[id].machine; gone&(1<<at) == 0 && m.leaving != 0 {
+			if m := x.nodes[id].machine; stopped&(1<<at) == 0 && m.leaving != 0 {
 				if m.MayExit() || x.bounds.ForcedLeave && i == forcedLeaveTicks {
-					gone, last, acked = gone|1<<at, i, 0
+					stopped, lastExit, acked = stopped|1<<at, i, 0
 				} else {
-					waits = true
+					leavePending = true
 				}
 			}
 		}
-		if !waits {
-			away = 0
+		if !leavePending {
+			wiped = 0
 		}
-		if i%putIntervalTicks == putIntervalTicks/2 && (!waits || i > recoveryTicks/2) && i > last {
+		if i%putIntervalTicks == putIntervalTicks/2 && (!leavePending || i > recoveryTicks/2) && i > lastExit {
 			arg := x.bounds.Puts + i/putIntervalTicks
 			acked = x.scenario.puts[arg].Version
 			for at := range n.nodes {
-				if gone&(1<<at) == 0 {
+				if stopped&(1<<at) == 0 {
 					x.step(n, transition{node: uint8(at), input: input{kind: put, arg: uint32(arg)}, link: noLink})
 				}
 			}
 		}
-		x.settleExcept(n, tick, gone|away)
-		if _, ok := x.judgements[n.judgement].ackedIn[acked]; ok && acked > 0 {
+		x.settleExcept(n, tick, stopped|wiped)
+		if _, ok := x.checkStates[n.checkState].ackedIn[acked]; ok && acked > 0 {
 			return true
 		}
 	}
-	here := 0 // with too few left no progress is required, if the others are leaving and are no members
+	present := 0 // with too few left no progress is required, if the others are leaving and are no members
 	for at, id := range n.nodes {
-		if m := x.nodes[id].machine; gone&(1<<at) == 0 && (m.isMember() || m.leaving == 0) {
-			here++
+		if m := x.nodes[id].machine; stopped&(1<<at) == 0 && (m.isMember() || m.leaving == 0) {
+			present++
 		}
 	}
-	return here <= x.bounds.ToleratedLosses
+	return present <= x.bounds.ToleratedLosses
 }
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-func (w *simulation) tick(n *simNode, life int) {
-	if !n.up || n.run != life {
+func (w *simulation) tick(n *simNode, run int) {
+	if !n.up || n.run != run {
 		return
 	}
 	if n.frozenUntil <= w.now {
@@ -174,7 +174,7 @@
 		}
 		w.apply(n, n.machine.Tick(w.now))
 	}
-	w.after(50*ms, func() { w.tick(n, life) })
+	w.after(50*ms, func() { w.tick(n, run) })
 }
 
 func (w *simulation) peers() []Peer {
@@ -193,23 +193,23 @@
 }
 
 // input gives an input to a process, if it is frozen after that.
-func (w *simulation) input(n *simNode, life int, do func() Out) {
+func (w *simulation) input(n *simNode, run int, do func() Out) {
 	switch {
-	case !n.up || n.run != life:
+	case !n.up || n.run != run:
 	case n.frozenUntil > w.now:
-		w.after(n.frozenUntil-w.now, func() { w.input(n, life, do) })
+		w.after(n.frozenUntil-w.now, func() { w.input(n, run, do) })
 	default:
 		w.apply(n, do())
 	}
 }
 
 func (w *simulation) apply(n *simNode, out Out) {
-	life := n.run
+	run := n.run
 	if out.Write != nil {
 		n.unsynced = append(n.unsynced, *out.Write)
 		seq := out.Write.Seq
 		n.diskReadyAt = max(n.diskReadyAt, w.now, n.stalledUntil) + ms + time.Duration(w.rng.Int64N(int64(4*ms)))
-		w.after(n.diskReadyAt-w.now, func() { w.sync(n, life, seq) })
+		w.after(n.diskReadyAt-w.now, func() { w.sync(n, run, seq) })
 	}
 	for _, s := range out.Send {
 		w.deliver(n.config.Self, s)
@@ -232,19 +232,19 @@
 	}
 }
 
-func (w *simulation) sync(n *simNode, life int, seq uint64) {
-	if n.run != life || !n.up || len(n.unsynced) == 0 {
+func (w *simulation) sync(n *simNode, run int, seq uint64) {
+	if n.run != run || !n.up || len(n.unsynced) == 0 {
 		return
 	}
 	if n.stalledUntil > w.now {
-		w.after(n.stalledUntil-w.now, func() { w.sync(n, life, seq) })
+		w.after(n.stalledUntil-w.now, func() { w.sync(n, run, seq) })
 		return
 	}
 	for len(n.unsynced) > 0 && n.unsynced[0].Seq <= seq {
 		d := n.unsynced[0].State
 		n.synced, n.unsynced = &d, n.unsynced[1:]
 	}
-	w.input(n, life, func() Out { return n.machine.WriteDone(w.now, seq) })
+	w.input(n, run, func() Out { return n.machine.WriteDone(w.now, seq) })
 }
 
 func (w *simulation) deliver(from string, s fsm.Send) {
