--- a/internal/consensus/candidate.go
+++ b/internal/consensus/candidate.go
@@ -133,7 +133,8 @@
 
 // stateTransferTime returns how long a member's state may take on a slow link.
 func (m *Machine) stateTransferTime(b *candidateState) time.Duration {
-	transfer := m.docTransferTime(m.state.Committed) + m.docTransferTime(m.state.Pending) + TransferTime(len(m.state.Committed.Ledger)+len(m.state.Pending.Ledger))
+	transfer := m.docTransferTime(m.state.Committed) + m.docTransferTime(m.state.Pending) +
+		TransferTime(len(m.state.Committed.Ledger)+len(m.state.Pending.Ledger))
 	return min(max(transfer, m.docTransferTime(b.committed)+m.docTransferTime(b.pending)), maxStateTransfer)
 }
 
@@ -285,8 +286,8 @@
 	if b.quorumAt == 0 {
 		b.quorumAt = m.now
 	}
-	if !complete || countMembers(all, func(s Member) bool { return promised(s) || m.isLost(s) }) < len(all) &&
-		m.now-b.quorumAt < latePromiseWait {
+	if !complete ||
+		countMembers(all, func(s Member) bool { return promised(s) || m.isLost(s) }) < len(all) && m.now-b.quorumAt < latePromiseWait {
 		return
 	}
 	// A new member that was lost meanwhile is not added, as it would weaken the membership from the
@@ -369,8 +370,8 @@
 		if !promised(s) {
 			continue
 		}
-		if m.bug != BugAnyState && (b.baseRecord.Ballot.higherThan(p.StateBallot) ||
-			!slices.Contains(b.baseRecord.Writers, s.Addr)) {
+		if m.bug != BugAnyState &&
+			(b.baseRecord.Ballot.higherThan(p.StateBallot) || !slices.Contains(b.baseRecord.Writers, s.Addr)) {
 			continue
 		}
 		l := newestDoc(p.Committed, p.Pending)
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -97,12 +97,12 @@
 
 // The results of calls.
 const (
-	ResultAccepted Result = iota + 1
-	ResultBusy
-	ResultRead
-	ResultNone
-	ResultConflict // another body was accepted under this version
-	ResultContact
+	ResultAccepted Result = iota + 1 // the request was accepted, now or earlier
+	ResultBusy                       // no clear answer in time
+	ResultRead                       // the document follows in Answer.Doc
+	ResultNone                       // there is no document
+	ResultConflict                   // another body was accepted under this version
+	ResultContact                    // the primary was reachable, and its epoch valid
 )
 
 func (v Result) String() string {
@@ -129,7 +129,7 @@
 	Send           []fsm.Send
 	Write          *Write
 	Answers        []Answer
-	Apply          *Doc
+	Apply          *Doc   // a committed document to put in force
 	ConfirmedRound uint64 // the newest round of ConfirmLeadership that is confirmed
 	Fenced         bool   // the disk was older than what it had vouched for, and this member rejoins as a new one
 }
--- a/internal/consensus/fence.go
+++ b/internal/consensus/fence.go
@@ -130,8 +130,8 @@
 	}
 	members := m.state.Record.votingMembers()
 	old, ok := m.knownToken(k.Addr, k.DiskID)
-	if !hasMember(members, k.Addr, k.DiskID) || ok && old.Saves >= k.Saves &&
-		(old.RunID == k.RunID || old.Saves > k.Saves) {
+	if !hasMember(members, k.Addr, k.DiskID) ||
+		ok && old.Saves >= k.Saves && (old.RunID == k.RunID || old.Saves > k.Saves) {
 		return
 	}
 	tokens := slices.DeleteFunc(slices.Clone(m.state.KnownTokens), func(o KnownToken) bool {
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -46,8 +46,8 @@
 // which doesn't handle Leave.
 func (m *Machine) MayExit() bool {
 	early := m.bug == BugEarlyExit && !m.view.has(m.config.Self, m.state.DiskID)
-	if !m.config.Member || m.leaveGranted || early || m.bug == BugNoLeave || m.view.isZero() &&
-		m.state.Record.isZero() {
+	if !m.config.Member || m.leaveGranted || early || m.bug == BugNoLeave ||
+		m.view.isZero() && m.state.Record.isZero() {
 		return true
 	}
 	if p := m.view.primary(); m.leaving >= LeaveWhenSafe && p != "" && p != m.config.Self && !m.supportsLeave(p) &&
@@ -301,6 +301,6 @@
 
 // isLost reports whether the candidate knows that a member's disk is lost.
 func (m *Machine) isLost(s Member) bool {
-	return m.candidate.lost[s.mapKey()] || m.bug == BugAssumeLost && s.Addr != m.config.Self &&
-		m.candidate.promises[s.Addr].DiskID != s.DiskID
+	return m.candidate.lost[s.mapKey()] ||
+		m.bug == BugAssumeLost && s.Addr != m.config.Self && m.candidate.promises[s.Addr].DiskID != s.DiskID
 }
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -123,8 +123,8 @@
 	}
 	m.highestBallot = max(m.highestBallot, t.Ballot.N)
 	above := t.Ballot.higherThan(m.state.Promised)
-	if above && !m.mayGrant(from) && !m.skipsPrimaryHold(t) || m.state.Promised.higherThan(t.Ballot) &&
-		m.bug != BugNoPromise {
+	if above && !m.mayGrant(from) && !m.skipsPrimaryHold(t) ||
+		m.state.Promised.higherThan(t.Ballot) && m.bug != BugNoPromise {
 		m.reject(from, t.Ballot)
 		return
 	}
@@ -151,8 +151,8 @@
 	}
 }
 
-// acceptsOrder reports whether a candidate's or a primary's request is valid here.
-func (m *Machine) acceptsOrder(from string, b Ballot, diskID uint64) bool {
+// acceptsRequest reports whether a candidate's or a primary's request is valid here.
+func (m *Machine) acceptsRequest(from string, b Ballot, diskID uint64) bool {
 	if diskID != m.state.DiskID {
 		return false
 	}
@@ -169,7 +169,7 @@
 }
 
 func (m *Machine) onInstallState(from string, t InstallState) {
-	if !m.acceptsOrder(from, t.Ballot, t.DiskID) {
+	if !m.acceptsRequest(from, t.Ballot, t.DiskID) {
 		return
 	}
 	if m.state.StateBallot != t.Ballot { // a late duplicate must not undo an append
@@ -180,7 +180,7 @@
 }
 
 func (m *Machine) onRecordEpoch(from string, t RecordEpoch) {
-	if m.otherCluster(t.Record) || !m.acceptsOrder(from, t.Record.Ballot, t.DiskID) {
+	if m.otherCluster(t.Record) || !m.acceptsRequest(from, t.Record.Ballot, t.DiskID) {
 		return
 	}
 	if m.state.Record.Ballot != t.Record.Ballot {
@@ -191,7 +191,7 @@
 }
 
 func (m *Machine) onAppend(from string, t Append) {
-	if t.Ballot != m.state.StateBallot && m.bug != BugNoPromise || !m.acceptsOrder(from, t.Ballot, t.DiskID) {
+	if t.Ballot != m.state.StateBallot && m.bug != BugNoPromise || !m.acceptsRequest(from, t.Ballot, t.DiskID) {
 		return
 	}
 	if t.Doc.Supersedes(newestDoc(m.state.Committed, m.state.Pending)) {
@@ -202,7 +202,7 @@
 }
 
 func (m *Machine) onConfirm(from string, t Confirm) {
-	if (t.Ballot == m.state.StateBallot || m.bug == BugNoPromise) && m.acceptsOrder(from, t.Ballot, t.DiskID) {
+	if (t.Ballot == m.state.StateBallot || m.bug == BugNoPromise) && m.acceptsRequest(from, t.Ballot, t.DiskID) {
 		m.send(from, Confirmed{Ballot: t.Ballot, DiskID: t.DiskID, Round: t.Round})
 	}
 }
--- a/internal/consensus/orders.go
+++ b/internal/consensus/orders.go
@@ -57,7 +57,7 @@
 		(d.CreatedIn == Ballot{} || o.CreatedIn == Ballot{}) && bytes.Equal(d.withDigest().Digest, o.withDigest().Digest)
 }
 
-// newerThan reports whether d differs from o for those that apply it: the ledger doesn't matter.
+// newerThan reports whether d is newer than o for those that apply it. The ledger doesn't matter.
 func (d Doc) newerThan(o Doc) bool {
 	return cmp.Or(cmp.Compare(d.Version, o.Version), cmp.Compare(d.Rev, o.Rev)) > 0
 }
--- a/internal/consensus/primary.go
+++ b/internal/consensus/primary.go
@@ -324,8 +324,8 @@
 func (m *Machine) onAppended(from string, t Appended) {
 	l := m.primary
 	if l == nil || t.Ballot != l.record.Ballot || !l.record.has(from, t.DiskID) || l.proposal == nil ||
-		t.Version != l.proposal.Version || t.Rev != l.proposal.Rev || t.LedgerRevPlusOne != 0 &&
-		t.LedgerRevPlusOne != l.proposal.LedgerRev+1 {
+		t.Version != l.proposal.Version || t.Rev != l.proposal.Rev ||
+		t.LedgerRevPlusOne != 0 && t.LedgerRevPlusOne != l.proposal.LedgerRev+1 {
 		return
 	}
 	l.appended[from] = true
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -92,9 +92,10 @@
 // intersectsMajorities reports whether those of a set who agreed intersect each majority of it that
 // ever was or will be. A majority does. So do all that are left, if the lost ones were no majority
 // by themselves.
+//
 // A member whose address has another disk ID in the set after it was lost before that set was
-// proposed. If the proposal needed the promises of all others, each majority since then includes
-// one of those.
+// proposed. If the proposal needed the promises of all others, no majority since then includes a
+// member replaced like this, and so these don't count as lost.
 func intersectsMajorities(set, newSet []Member, agreed, lost func(Member) bool) bool {
 	if hasMajority(set, agreed) {
 		return true
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -44,7 +44,7 @@
 }
 
 // ProveContact requests a proof of contact with a majority of the core that is no older than the call. Its
-// Reply is a consensus.Answer: Proved or Busy.
+// Reply is a consensus.Answer: ResultContact or ResultBusy.
 func (m *Machine) ProveContact(now fsm.Time, call uint64) Output {
 	m.contact.askedAt[call] = now
 	m.applyConsensus(now, m.consensus.CheckContact(now, call))
