--- a/internal/consensus/delta.go
+++ b/internal/consensus/delta.go
@@ -82,7 +82,7 @@
 	return deltas
 }
 
-// committedPush returns the committed document for a process that has version held, as short as
+// committedPush returns the committed document for a process that has the given version, as short as
 // possible.
 func (m *Machine) committedPush(version uint32) Push {
 	committed := m.state.Committed
@@ -103,34 +103,34 @@
 
 // onDeltas takes a document that comes as deltas. Those that don't fit change nothing: the process
 // asks for what it lacks, or for the whole document if a delta is damaged.
-func (m *Machine) onDeltas(from string, all []Delta) {
-	last := all[len(all)-1]
+func (m *Machine) onDeltas(from string, deltas []Delta) {
+	last := deltas[len(deltas)-1]
 	if !last.Doc.Supersedes(m.state.Committed) {
 		return
 	}
 	// only amended
-	if kept := m.state.Committed; kept.Version == last.Doc.Version &&
-		delta.Checksum(kept.Body) == last.Change.ResultSum {
-		m.commit(last.Doc.withBody(kept.Body))
+	if committed := m.state.Committed; committed.Version == last.Doc.Version &&
+		delta.Checksum(committed.Body) == last.Change.ResultSum {
+		m.commit(last.Doc.withBody(committed.Body))
 		return
 	}
 	var fresh []Delta
 	damaged := false
 	body := m.state.Committed.Body
 	at := m.state.Committed.Version
-	for _, d := range all {
+	for _, d := range deltas {
 		if d.From == 0 {
 			body, at = nil, 0
 		}
 		if d.From != at {
 			continue // older than the document here, or from another base
 		}
-		text, err := d.Change.Apply(body)
+		changed, err := d.Change.Apply(body)
 		if err != nil {
 			damaged = true
 			break
 		}
-		body, at, fresh = text, d.Doc.Version, append(fresh, d)
+		body, at, fresh = changed, d.Doc.Version, append(fresh, d)
 	}
 	if at != last.Doc.Version || len(fresh) == 0 {
 		m.reportedVersion, m.reportedBy = max(m.reportedVersion, last.Doc.Version), from
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -45,9 +45,9 @@
 func TestHandover(t *testing.T) {
 	t.Parallel()
 	for _, s := range [][3]int{{3, 2, 1}, {6, 8, 2}, {8, 8, 2}} {
-		for kind, of := range memberKinds {
+		for kind, selectNode := range memberKinds {
 			w := newSteadyCluster(t, s[0], s[1], s[2])
-			n := of(w)
+			n := selectNode(w)
 			at, ended, sent := w.now, false, w.sentMessages
 			w.leaveNode(n, func() { ended = true })
 			for w.now < at+time.Second && w.newestActiveRecord().has(n.config.Self, n.machine.state.DiskID) {
@@ -88,7 +88,7 @@
 	t.Parallel()
 	stuck := 0
 	for _, bug := range []Bug{0, BugNoLeave} {
-		for kind, of := range memberKinds {
+		for kind, selectNode := range memberKinds {
 			for i := range 3 {
 				for _, learner := range []bool{false, true} {
 					for _, wait := range []time.Duration{0, 100 * ms, 300 * ms, time.Second} {
@@ -101,7 +101,7 @@
 							w.start(w.add(true, false))
 							w.run(200 * ms)
 						}
-						n := of(w)
+						n := selectNode(w)
 						n.config.Genesis = false
 						ended := false
 						w.leaveNode(n, func() { n.removed, n.synced, ended = true, nil, true })
@@ -193,8 +193,8 @@
 
 func runLeaves(seed uint64, bug Bug) *failure {
 	shapes := [][3]int{{3, 1, 1}, {3, 1, 1}, {6, 1, 2}, {8, 1, 2}}
-	s := shapes[seed%uint64(len(shapes))]
-	w := newSimulation(seed, s[0], s[1], s[2])
+	shape := shapes[seed%uint64(len(shapes))]
+	w := newSimulation(seed, shape[0], shape[1], shape[2])
 	w.bug = bug
 	w.startAll()
 	w.run(2500 * ms)
--- a/internal/consensus/name.go
+++ b/internal/consensus/name.go
@@ -70,21 +70,21 @@
 		return
 	}
 	var holders []Member
-	for _, s := range union(b.baseRecord.votingMembers(), b.nextMembers) {
-		p, ok := b.promises[s.Addr]
+	for _, member := range union(b.baseRecord.votingMembers(), b.nextMembers) {
+		p, ok := b.promises[member.Addr]
 		has := func(sum []byte) bool {
 			return bytes.Equal(sum, p.Committed.Digest) || bytes.Equal(sum, p.Pending.Digest)
 		}
-		if ok && p.DiskID == s.DiskID && s.Addr != m.config.Self && slices.ContainsFunc(sums, has) {
-			holders = append(holders, s)
+		if ok && p.DiskID == member.DiskID && member.Addr != m.config.Self && slices.ContainsFunc(sums, has) {
+			holders = append(holders, member)
 		}
 	}
 	if len(holders) == 0 {
 		return
 	}
-	s := holders[int(b.bodyRequests)%len(holders)]
+	holder := holders[int(b.bodyRequests)%len(holders)]
 	b.bodiesAskedAt, b.bodyRequests = m.now, b.bodyRequests+1
-	m.sendAfterSave(s.Addr, Prepare{Ballot: b.ballot, DiskID: s.DiskID, Record: b.baseRecord,
+	m.sendAfterSave(holder.Addr, Prepare{Ballot: b.ballot, DiskID: holder.DiskID, Record: b.baseRecord,
 		HandedOver: b.handedOver, OmitBodies: true, WantedBodies: sums,
 		CommittedVersion: m.state.Committed.Version})
 }
--- a/internal/consensus/random_test.go
+++ b/internal/consensus/random_test.go
@@ -13,8 +13,8 @@
 // as losses are tolerated are wiped or replaced at the same time; other faults are not limited.
 func runFaults(seed uint64, bug Bug, trace func(string, ...any)) *failure {
 	shapes := [][3]int{{3, 2, 1}, {3, 1, 1}, {4, 1, 1}, {6, 2, 2}, {5, 1, 2}, {8, 1, 1}, {8, 2, 2}}
-	s := shapes[seed%uint64(len(shapes))]
-	w := newSimulation(seed, s[0], s[1], s[2])
+	shape := shapes[seed%uint64(len(shapes))]
+	w := newSimulation(seed, shape[0], shape[1], shape[2])
 	w.bug = bug
 	if trace != nil {
 		w.trace = trace
@@ -120,10 +120,10 @@
 		return
 	}
 	w.put(p)
-	kind := w.rng.IntN(6)
+	faultKind := w.rng.IntN(6)
 	w.after(time.Duration(w.rng.Int64N(int64(12*ms))), func() {
-		w.trace("%v fault %[3]d during a put at %[2]s", w.now, p.config.Self, kind)
-		switch kind {
+		w.trace("%v fault %[3]d during a put at %[2]s", w.now, p.config.Self, faultKind)
+		switch faultKind {
 		case 0:
 			for _, n := range w.nodes {
 				w.kill(n, false)
@@ -146,7 +146,7 @@
 				}
 			})
 		default: // alone on its side of a partition, or with a few others
-			w.partition(p, 2*time.Second, func(*simNode) bool { return w.rng.IntN(4) > 0 }, kind > 3)
+			w.partition(p, 2*time.Second, func(*simNode) bool { return w.rng.IntN(4) > 0 }, faultKind > 3)
 			w.after(1500*ms, func() { w.put(w.nodes[w.rng.IntN(len(w.nodes))]) })
 		}
 	})
--- a/internal/consensus/scenario_test.go
+++ b/internal/consensus/scenario_test.go
@@ -90,38 +90,38 @@
 // TestTakeoverTimes limits the time until calls are accepted again after each kind of failure.
 func TestTakeoverTimes(t *testing.T) {
 	t.Parallel()
-	both := func(w *simulation, n *simNode) {
+	cutOff := func(w *simulation, n *simNode) {
 		w.partition(n, time.Minute, func(*simNode) bool { return true }, true)
 	}
-	last := func(w *simulation) *simNode { return w.nodes[len(w.nodes)-1] }
+	lastNode := func(w *simulation) *simNode { return w.nodes[len(w.nodes)-1] }
 	for name, c := range map[string]struct {
 		limit time.Duration
 		loss  func(w *simulation) *simNode // returns the process to call
 	}{
-		"primary killed": {1200 * ms, func(w *simulation) *simNode { w.kill(w.primary(), true); return last(w) }},
+		"primary killed": {1200 * ms, func(w *simulation) *simNode { w.kill(w.primary(), true); return lastNode(w) }},
 		"primary cut": {1200 * ms, func(w *simulation) *simNode {
 			b := w.backup()
-			both(w,
+			cutOff(w,
 				w.primary())
 			return b
 		}},
 		"primary frozen":  {1200 * ms, func(w *simulation) *simNode { w.primary().frozenUntil = time.Hour; return w.backup() }},
-		"primary stalled": {1200 * ms, func(w *simulation) *simNode { w.primary().stalledUntil = time.Hour; return last(w) }},
+		"primary stalled": {1200 * ms, func(w *simulation) *simNode { w.primary().stalledUntil = time.Hour; return lastNode(w) }},
 		"primary wiped": {1200 * ms, func(w *simulation) *simNode {
 			p := w.primary()
 			w.wipe(p)
 			w.start(p)
-			return last(w)
+			return lastNode(w)
 		}},
-		"backup killed":  {800 * ms, func(w *simulation) *simNode { w.kill(w.backup(), true); return last(w) }},
-		"backup stalled": {800 * ms, func(w *simulation) *simNode { w.backup().stalledUntil = time.Hour; return last(w) }},
+		"backup killed":  {800 * ms, func(w *simulation) *simNode { w.kill(w.backup(), true); return lastNode(w) }},
+		"backup stalled": {800 * ms, func(w *simulation) *simNode { w.backup().stalledUntil = time.Hour; return lastNode(w) }},
 		"witness killed": {50 * ms, func(w *simulation) *simNode { w.kill(w.witness(), true); return w.primary() }},
 		"all killed": {1000 * ms, func(w *simulation) *simNode {
 			for _, n := range w.memberNodes() {
 				w.kill(n, true)
 				w.start(n)
 			}
-			return last(w)
+			return lastNode(w)
 		}},
 		"power lost": {1500 * ms, func(w *simulation) *simNode {
 			for _, n := range w.nodes {
@@ -130,7 +130,7 @@
 			w.run(3 * time.Second)
 			w.startAll()
 			w.run(300 * ms)
-			return last(w)
+			return lastNode(w)
 		}},
 	} {
 		for _, s := range [][3]int{{3, 2, 1}, {6, 2, 2}} {
--- a/internal/consensus/spread.go
+++ b/internal/consensus/spread.go
@@ -196,8 +196,8 @@
 	if n <= maxPullCandidates {
 		return ahead[:maxPullCandidates]
 	}
-	from := int(m.runID % uint64(n))
-	return slices.Concat(ahead[from:n], ahead[:from])[:maxPullCandidates]
+	first := int(m.runID % uint64(n))
+	return slices.Concat(ahead[first:n], ahead[:first])[:maxPullCandidates]
 }
 
 // sendDoc answers a Pull. If a large document was sent to the same process just now, it may still
