--- a/internal/consensus/explore.go
+++ b/internal/consensus/explore.go
@@ -10,51 +10,53 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of an exploration: what may go wrong, how often time passes, and where to end.
+// ModelBounds limits an exploration: which faults occur, how often time passes, and where it ends.
 type ModelBounds struct {
 	Members            int  // 3 if it is 0
-	ToleratedLosses    int  // 1
-	StartSilent        bool // begins when all but the primary are about to lose patience with it
+	ToleratedLosses    int  // 1 if Members is 0
+	StartSilent        bool // start when all but the primary are about to time out
 	SameVersion        bool // the puts are of one version
 	Overtaken          bool // the first put is of version 3, the others of 2
 	Puts               int
 	Reads              int
-	LostMessages       int // messages, in all
-	LateMessages       int // messages that are overtaken by others of their link
+	LostMessages       int // in total
+	LateMessages       int // messages overtaken by later ones on their link
 	DuplicatedMessages int
-	Crashes            int  // of processes, each at most once, with what was under way to the disk or without
-	DiskWipes          int  // of those, that lose the disk as well
-	Leaves             int  // processes told to end, which then ask until they are let go
-	ForcedLeave        bool // they are ended soon, whatever stands elsewhere; and who is wiped comes back after that
-	Learner            bool // one more, which has no seat, is there from the start
-	DiskCopies         int  // taken of disks
-	DiskRollbacks      int  // disks that such a copy takes the place of, once all others remember what was vouched for since
-	ShortWaits         int  // times that a process repeats what is not answered
-	LongWaits          int  // half the patience of a process
-	MaxStates          int  // end after so many; 0: never
-	DepthFirst         bool // the newest state first, not the oldest
-	CountStalls        bool // a core that doesn't go on is counted, and nothing more
-	LivenessEvery      int  // every so manieth state must be one from which the core goes on; 0: that is not judged
-	Bug                Bug
-}
-
-// Survey is what an exploration came to.
+	// each process crashes at most once, with any number of its unsynced writes on the disk or lost
+	Crashes   int
+	DiskWipes int // crashes that lose the disk as well
+	Leaves    int // processes told to leave, which then ask until they may exit
+	// they leave with LeaveForced, and a process with a wiped disk comes back after they have stopped
+	ForcedLeave   bool
+	Learner       bool // one more process, which is no member, from the start
+	DiskCopies    int  // copies taken of disks
+	DiskRollbacks int  // restarts from such a copy, once all others know the latest token
+	ShortWaits    int  // waits after which a process repeats unanswered requests
+	LongWaits     int  // waits of half the time after which a primary counts as failed
+	MaxStates     int  // 0: no limit
+	DepthFirst    bool // newest state first; otherwise oldest first
+	CountStalls   bool // count states without progress instead of ending there
+	LivenessEvery int  // check each state of so many for progress; 0: none
+	Bug           Bug
+}
+
+// Exploration is the result of an exploration.
 type Exploration struct {
-	States, Steps          int // visited; ways gone from one to another
-	Depth                  int // steps that lie between the first state and the last one visited
+	States, Steps          int // visited; transitions taken
+	Depth                  int // steps from the first state to the last one visited
 	Complete               bool
-	MachineStates          int // states of single machines
-	Acked, Epochs          int // puts acknowledged, epochs begun after the first, in some state
-	LivenessChecked, Stuck int // states looked at whether the core goes on; where it does not
-	StuckWithChange        int // of those, where somebody left has the record of a change of the set
+	MachineStates          int // distinct states of single machines
+	Acked, Epochs          int // the most puts acknowledged, and epochs begun after the first, in any state
+	LivenessChecked, Stuck int // states checked for progress; those without
+	StuckWithChange        int // of those, states where a remaining member has the record of a membership change
 	Violation              string
-	Trace                  []string // the way there
+	Trace                  []string // transitions that lead to the violation
 }
 
-// Explore visits the states that a core in force can come to within bounds. Each process
-// has a clock of its own; links keep their order but for messages that are late; and a disk,
-// a link or a process may take any time for its next step, which is how it is cut off, frozen
-// or slow. All that happens at a machine, the real one does.
+// Explore visits the states that a running cluster can reach within bounds. Each process has its
+// own clock; links keep the order of messages other than late ones; and a disk, a link or a process
+// may take any time for its next step, which covers partitions, pauses and slowness. The machines
+// are the real implementation.
 func Explore(b ModelBounds) Exploration {
 	x := newExplorer(b)
 	x.enqueue(x.initialState(), 0, transition{})
@@ -75,12 +77,12 @@
 	return f
 }
 
-// move is a way on from a state.
+// transition leads from one state to another.
 type transition struct {
-	node          uint8 // the cell
+	node          uint8 // its index
 	input         input
-	dropsMessages bool  // with the process goes all that is under way from and to it
-	link          int16 // whose first message it is; -1 - i: the i-th late one
+	dropsMessages bool  // with a crash, all messages in transit from and to the node are lost
+	link          int16 // the link whose first message is delivered; -1 - i: the i-th delayed message
 	fate          messageFate
 }
 
@@ -93,24 +95,24 @@
 	duplicated
 )
 
-// post is a message that has left its link.
+// message is one that has left its link.
 type message struct {
 	from, to uint8
 	msg      uint32
 }
 
-// state is the whole core: cells and messages by their numbers.
+// modelState is the state of the whole cluster. Nodes and messages are referred to by their IDs.
 type modelState struct {
-	nodes     []uint32
-	links     [][]uint32 // from*n+to
-	delayed   []message
-	budgets   [11]uint8 // budgets
-	nextPut   uint8     // how many were made
-	crashed   uint8     // who has died, a bit for each
-	judgement uint32
+	nodes      []uint32
+	links      [][]uint32 // by from*n+to
+	delayed    []message
+	budgets    [11]uint8 // faults and calls that are left
+	nextPut    uint8     // puts made so far
+	crashed    uint8     // a bit for each node that has crashed
+	checkState uint32
 }
 
-// budgets in state.left; those of fates in their order
+// Indexes of modelState.budgets. Those of message fates are in the order of messageFate.
 const (
 	budgetReads = iota
 	budgetDropped
@@ -125,10 +127,10 @@
 	budgetLeaves
 )
 
-// verdicts is what the judge knows: bodies by version, the lowest epoch that acknowledged
-// each, the highest version acknowledged, and that before each read under way; and which text
-// of a number was acknowledged, and which were told to differ.
-type judgement struct {
+// checkState is what the checks know: the body in force by version, the lowest epoch that
+// acknowledged each version, the highest acknowledged version, that version at the start of each
+// pending read, the acknowledged body of each version, and the requests answered with a conflict.
+type checkState struct {
 	inForce      map[uint32]string
 	ackedIn      map[uint32]Ballot
 	readFloors   map[uint64]uint32
@@ -157,20 +159,20 @@
 	nodeIDs       map[uint64]uint32
 	messages      []any
 	messageIDs    map[uint64]uint32
-	judgements    []judgement
-	judgementIDs  map[string]uint32
+	checkStates   []checkState
+	checkStateIDs map[string]uint32
 	outcomes      map[uint64]outcome
-	stateIDs      map[uint64]uint32 // to its way
+	stateIDs      map[uint64]uint32 // index in arrivals
 	arrivals      []arrivalStep
 	queue         []queuedState
 	queueHead     int
 	buf           []byte
 	result        Exploration
 	firstBallot   Ballot
-	readsAnswered int // answers to reads
+	readsAnswered int
 }
 
-// outcome of an input at a cell.
+// outcome is the result of an input at a node.
 type outcome struct {
 	node     uint32
 	messages []message
@@ -184,8 +186,9 @@
 	if b.Learner {
 		b.Members++
 	}
-	x := &explorer{bounds: b, nodeCount: b.Members, scenario: scenario{bug: b.Bug}, nodeIDs: map[uint64]uint32{}, messageIDs: map[uint64]uint32{},
-		judgementIDs: map[string]uint32{}, outcomes: map[uint64]outcome{}, stateIDs: map[uint64]uint32{}}
+	x := &explorer{bounds: b, nodeCount: b.Members, scenario: scenario{bug: b.Bug}, nodeIDs: map[uint64]uint32{},
+		messageIDs:    map[uint64]uint32{},
+		checkStateIDs: map[string]uint32{}, outcomes: map[uint64]outcome{}, stateIDs: map[uint64]uint32{}}
 	for i := range b.Puts {
 		v := uint32(2 + i)
 		if b.SameVersion || b.Overtaken {
@@ -196,89 +199,95 @@
 		}
 		x.scenario.puts = append(x.scenario.puts, Doc{Version: v, Body: []byte{byte('a' + i)}})
 	}
-	for i := range uint32(recoveryTicks / putIntervalTicks) { // for resumes
+	for i := range uint32(recoveryTicks / putIntervalTicks) { // for canProgress
 		x.scenario.puts = append(x.scenario.puts, Doc{Version: 1000 + i, Body: []byte("z")})
 	}
 	return x
 }
 
-// first founds a core, has it keep version 1, and lets all come to rest.
+// initialState founds a cluster, has it commit version 1, and waits until it is steady.
 func (x *explorer) initialState() *modelState {
-	const begin = time.Hour
-	var cells []*modelNode
+	const start = time.Hour
+	var nodes []*modelNode
 	for i := range x.nodeCount {
 		x.addrs = append(x.addrs, fmt.Sprintf("n%d", i))
 	}
 	for i, name := range x.addrs {
 		m := New(Config{Self: name, Name: name, Zone: string(rune('a' + i%3)), Member: true,
-			Genesis: !x.bounds.Learner || i < x.nodeCount-1, ToleratedLosses: x.bounds.ToleratedLosses, Seeds: x.addrs[:3]}, nil, begin)
+			Genesis: !x.bounds.Learner || i < x.nodeCount-1, ToleratedLosses: x.bounds.ToleratedLosses,
+			Seeds: x.addrs[:3]}, nil, start)
 		l := &modelRandom{stream: uint64(i + 1)}
 		m.rng, m.runID, m.jitter, m.state.DiskID = newModelRand(l), l.Uint64(), 0, l.Uint64()|1
-		cells = append(cells, &modelNode{machine: m, random: l})
+		nodes = append(nodes, &modelNode{machine: m, random: l})
 	}
 	s := &modelState{nodes: make([]uint32, x.nodeCount), links: make([][]uint32, x.nodeCount*x.nodeCount)}
-	for i, c := range cells {
+	for i, c := range nodes {
 		s.nodes[i] = x.nodeID(c)
 	}
-	s.judgement = x.judgementID(judgement{inForce: map[uint32]string{}, ackedIn: map[uint32]Ballot{}, readFloors: map[uint64]uint32{},
+	s.checkState = x.checkStateID(checkState{inForce: map[uint32]string{}, ackedIn: map[uint32]Ballot{},
+		readFloors:  map[uint64]uint32{},
 		ackedBodies: map[uint32]string{}, conflicts: map[string]bool{}})
-	sound, puts := x.scenario.bug, x.scenario.puts
+	bug, puts := x.scenario.bug, x.scenario.puts
 	x.scenario.bug, x.scenario.puts = 0, append([]Doc{{Version: 1, Body: []byte("0")}}, puts...)
-	lead := -1
+	primary := -1
 	for range 200 {
 		x.settleAll(s, tick)
-		lead = x.primaryNode(s)
-		if x.isSteady(s) && (x.bounds.DiskRollbacks == 0 || x.rollbackDetectable(s, lead)) {
+		primary = x.primaryNode(s)
+		if x.isSteady(s) && (x.bounds.DiskRollbacks == 0 || x.rollbackDetectable(s, primary)) {
 			break
 		}
-		if lead >= 0 && s.nextPut == 0 {
+		if primary >= 0 && s.nextPut == 0 {
 			s.nextPut = 1
 			for i := range s.nodes {
 				if x.bounds.DiskRollbacks > 0 {
 					x.step(s, transition{node: uint8(i), input: input{kind: copyDisk}, link: noLink})
 				}
 			}
-			x.step(s, transition{node: uint8(lead), input: input{kind: put}, link: noLink})
+			x.step(s, transition{node: uint8(primary), input: input{kind: put}, link: noLink})
 		}
 	}
-	if !x.isSteady(s) || x.bounds.DiskRollbacks > 0 && !x.rollbackDetectable(s, lead) {
-		panic("the model's core is not founded") // a bug
+	if !x.isSteady(s) || x.bounds.DiskRollbacks > 0 && !x.rollbackDetectable(s, primary) {
+		panic("the model's cluster was not founded") // a bug
 	}
-	x.firstBallot = x.nodes[s.nodes[lead]].machine.primary.record.Ballot
-	for i := range s.nodes { // the puts of the founding are none of the model's
+	x.firstBallot = x.nodes[s.nodes[primary]].machine.primary.record.Ballot
+	for i := range s.nodes { // the calls made so far are not part of the exploration
 		c := x.nodes[s.nodes[i]].clone()
 		c.machine.calls, c.machine.waiting = nil, nil
 		s.nodes[i] = x.nodeID(c)
 	}
-	for i := 0; (x.bounds.Learner || x.bounds.Leaves+x.bounds.LivenessEvery > 0) && i < 12; i++ { // the set may change, and a learner is held as one
+	// the membership may change, and a learner become a member
+	for i := 0; (x.bounds.Learner || x.bounds.Leaves+x.bounds.LivenessEvery > 0) && i < 12; i++ {
 		x.settleAll(s, tick)
 	}
-	x.scenario.bug, x.scenario.puts = sound, puts
+	x.scenario.bug, x.scenario.puts = bug, puts
 	x.outcomes = map[uint64]outcome{}
 	if x.bounds.StartSilent {
 		for i := range s.nodes {
 			for range 2 {
-				if i != lead {
+				if i != primary {
 					x.step(s, transition{node: uint8(i), input: input{kind: longWait}, link: noLink})
 				}
 			}
 		}
 	}
 	s.nextPut, x.result = 0, Exploration{}
-	s.budgets = [11]uint8{uint8(x.bounds.Reads), uint8(x.bounds.LostMessages), uint8(x.bounds.LateMessages), uint8(x.bounds.DuplicatedMessages), uint8(x.bounds.Crashes),
-		uint8(x.bounds.DiskWipes), uint8(x.bounds.ShortWaits), uint8(x.bounds.LongWaits), uint8(x.bounds.DiskCopies), uint8(x.bounds.DiskRollbacks),
+	s.budgets = [11]uint8{uint8(x.bounds.Reads), uint8(x.bounds.LostMessages), uint8(x.bounds.LateMessages),
+		uint8(x.bounds.DuplicatedMessages), uint8(x.bounds.Crashes),
+		uint8(x.bounds.DiskWipes), uint8(x.bounds.ShortWaits), uint8(x.bounds.LongWaits), uint8(x.bounds.DiskCopies),
+		uint8(x.bounds.DiskRollbacks),
 		uint8(x.bounds.Leaves)}
 	return s
 }
 
 const noLink int16 = 1 << 14
 
-// primary is a cell that serves, or -1.
+// primaryNode returns the index of a node that serves as primary, or -1.
 func (x *explorer) primaryNode(s *modelState) int {
 	return slices.IndexFunc(s.nodes, func(id uint32) bool { return x.nodes[id].machine.primary != nil })
 }
 
-// held says whether all keep version 1, and serve one epoch.
+// isSteady reports whether all nodes have committed version 1, follow an active epoch, and nothing
+// is in transit.
 func (x *explorer) isSteady(s *modelState) bool {
 	for _, id := range s.nodes {
 		if m := x.nodes[id].machine; m.state.Committed.Version != 1 || !m.state.Record.Active || m.seq != m.written {
@@ -293,34 +302,34 @@
 	return true
 }
 
-// settle lets the ordinary happen once: all messages come, all disks sync, all clocks tick.
+// settleAll lets all messages arrive, all disks sync and all clocks tick.
 func (x *explorer) settleAll(s *modelState, k inputKind) { x.settleExcept(s, k, 0) }
 
-// settleBut leaves out machines that are gone; what goes to them is lost.
-func (x *explorer) settleExcept(s *modelState, k inputKind, gone uint16) {
+// settleExcept leaves out machines that have stopped; messages to them are lost.
+func (x *explorer) settleExcept(s *modelState, k inputKind, stopped uint16) {
 	for i := range s.nodes {
-		if gone&(1<<i) == 0 {
+		if stopped&(1<<i) == 0 {
 			x.step(s, transition{node: uint8(i), input: input{kind: k}, link: noLink})
 		}
 	}
-	for again, most := true, 0; again && most < 10000; most++ {
-		again = false
+	for progress, rounds := true, 0; progress && rounds < 10000; rounds++ {
+		progress = false
 		for i, l := range s.links {
 			switch {
-			case gone&(1<<(i%x.nodeCount)) != 0:
+			case stopped&(1<<(i%x.nodeCount)) != 0:
 				s.links[i] = nil
 			case len(l) > 0:
 				x.step(s, x.delivery(s, int16(i), delivered))
-				again = true
+				progress = true
 			}
 		}
 		for len(s.delayed) > 0 {
 			x.step(s, x.delivery(s, -1, delivered))
 		}
 		for i, id := range s.nodes {
-			if len(x.nodes[id].unsynced) > 0 && gone&(1<<i) == 0 {
+			if len(x.nodes[id].unsynced) > 0 && stopped&(1<<i) == 0 {
 				x.step(s, transition{node: uint8(i), input: input{kind: sync}, link: noLink})
-				again = true
+				progress = true
 			}
 		}
 	}
@@ -331,10 +340,11 @@
 		p := s.delayed[-1-link]
 		return transition{node: p.to, input: input{receive, p.from, p.msg}, link: link}
 	}
-	return transition{node: uint8(int(link) % x.nodeCount), input: input{receive, uint8(int(link) / x.nodeCount), s.links[link][0]}, link: link, fate: f}
+	return transition{node: uint8(int(link) % x.nodeCount),
+		input: input{receive, uint8(int(link) / x.nodeCount), s.links[link][0]}, link: link, fate: f}
 }
 
-// step goes a way; s is changed.
+// step applies a transition to s.
 func (x *explorer) step(s *modelState, v transition) {
 	switch {
 	case v.link == noLink:
@@ -367,12 +377,12 @@
 		s.links[i] = append(slices.Clip(s.links[i]), p.msg)
 	}
 	if len(o.facts) > 0 || v.input.kind == read {
-		x.judgeFacts(s, v.input, o.facts)
+		x.checkFacts(s, v.input, o.facts)
 	}
 	x.checkNode(s, int(v.node))
 }
 
-// outcome is remembered: a machine does the same in the same state.
+// outcome caches results: a machine does the same in the same state.
 func (x *explorer) outcome(id uint32, at uint8, in input) outcome {
 	key := uint64(id)<<32 | uint64(in.kind)<<28 | uint64(in.from)<<24 | uint64(in.arg)
 	if o, ok := x.outcomes[key]; ok {
@@ -415,12 +425,12 @@
 	return id
 }
 
-func (x *explorer) judgementID(v judgement) uint32 {
+func (x *explorer) checkStateID(v checkState) uint32 {
 	key := fmt.Sprint(v)
-	id, ok := x.judgementIDs[key]
+	id, ok := x.checkStateIDs[key]
 	if !ok {
-		id = uint32(len(x.judgements))
-		x.judgements, x.judgementIDs[key] = append(x.judgements, v), id
+		id = uint32(len(x.checkStates))
+		x.checkStates, x.checkStateIDs[key] = append(x.checkStates, v), id
 	}
 	return id
 }
@@ -431,10 +441,12 @@
 	}
 }
 
-// hear is the judge: one body for a version, and no read behind what was acknowledged.
-func (x *explorer) judgeFacts(s *modelState, in input, facts []fact) {
-	old := x.judgements[s.judgement]
-	v := judgement{cloneMap(old.inForce), cloneMap(old.ackedIn), cloneMap(old.readFloors), old.highestAcked, cloneMap(old.ackedBodies), cloneMap(old.conflicts)}
+// checkFacts checks that each version has one body, and that no read returns a version lower than
+// one acknowledged before.
+func (x *explorer) checkFacts(s *modelState, in input, facts []fact) {
+	old := x.checkStates[s.checkState]
+	v := checkState{cloneMap(old.inForce), cloneMap(old.ackedIn), cloneMap(old.readFloors), old.highestAcked,
+		cloneMap(old.ackedBodies), cloneMap(old.conflicts)}
 	if in.kind == read {
 		v.readFloors[readCallID(in.arg)] = v.highestAcked
 	}
@@ -445,66 +457,68 @@
 				v.ackedIn[f.version] = f.ballot
 			}
 			v.highestAcked = max(v.highestAcked, f.version)
-			x.judgeAccepted(v, f)
+			x.checkAccepted(v, f)
 		case factConflict:
 			v.conflicts[requestKey(f.version, f.body)] = true
 			if t, ok := v.ackedBodies[f.version]; ok && t == f.body {
-				x.fail("version %d is %q, which was acknowledged and is told to differ", f.version, t)
+				x.fail("version %d: body %q was acknowledged, and is now refused as a conflict", f.version, t)
 			}
 			if b, ok := v.inForce[f.version]; ok && b == f.body {
-				x.fail("version %d is %q, which is in force and is told to differ", f.version, b)
+				x.fail("version %d: body %q is in force, and is refused as a conflict", f.version, b)
 			}
 		case factRead, factApplied:
 			if b, ok := v.inForce[f.version]; ok && b != f.body {
-				x.fail("version %d is %q and %q", f.version, b, f.body)
+				x.fail("version %d has two bodies in force, %q and %q", f.version, b, f.body)
 			}
 			v.inForce[f.version] = f.body
 			if t, ok := v.ackedBodies[f.version]; ok && t != f.body {
-				x.fail("version %d is %q, and %q was acknowledged", f.version, f.body, t)
+				x.fail("version %d: body %q is in force, but %q was acknowledged", f.version, f.body, t)
 			}
 			if f.kind == factApplied {
 				continue
 			}
 			if floor := v.readFloors[f.id]; f.version < floor {
-				x.fail("version %d is read, and %d was acknowledged before", f.version, floor)
+				x.fail("a read returned version %d, after version %d was acknowledged", f.version, floor)
 			}
 			delete(v.readFloors, f.id)
 			x.readsAnswered++
 		case factReadNone:
-			x.fail("nothing is read")
+			x.fail("a read returned no document")
 		}
 	}
 	newest := uint32(0)
 	for n := range v.inForce {
 		newest = max(newest, n)
 	}
-	if v.highestAcked > newest { // a lower one than what is kept is acknowledged and changes nothing
-		x.fail("version %d is acknowledged, and nobody has put it or a higher one in force", v.highestAcked)
+	if v.highestAcked > newest { // accepting a version below the committed one changes nothing
+		x.fail("version %d was acknowledged, but neither it nor a higher version is in force at any node",
+			v.highestAcked)
 	}
 	x.result.Acked = max(x.result.Acked, len(v.ackedIn)-1)
-	s.judgement = x.judgementID(v)
+	s.checkState = x.checkStateID(v)
 	for i := range s.nodes {
 		x.checkNode(s, i)
 	}
 }
 
-// acks judges an acknowledgement: one text of a number, the one in force if any of them is.
-func (x *explorer) judgeAccepted(v judgement, f fact) {
+// checkAccepted checks that only one body of a version is acknowledged, and that it is the one in
+// force if there is one.
+func (x *explorer) checkAccepted(v checkState, f fact) {
 	if t, ok := v.ackedBodies[f.version]; ok && t != f.body {
-		x.fail("two texts of version %d are acknowledged, %q and %q", f.version, t, f.body)
+		x.fail("version %d: two bodies were acknowledged, %q and %q", f.version, t, f.body)
 	}
 	if b, ok := v.inForce[f.version]; ok && b != f.body {
-		x.fail("version %d is %q, and %q is acknowledged", f.version, b, f.body)
+		x.fail("version %d: body %q is in force, and %q is acknowledged", f.version, b, f.body)
 	}
 	if v.conflicts[requestKey(f.version, f.body)] {
-		x.fail("version %d %q is acknowledged, and was told to differ", f.version, f.body)
+		x.fail("version %d: body %q is acknowledged, but was refused as a conflict", f.version, f.body)
 	}
 	v.ackedBodies[f.version] = f.body
 }
 
 func requestKey(version uint32, body string) string { return fmt.Sprint(version, " ", body) }
 
-// rule judges one machine: whoever serves an epoch has all that earlier ones acknowledged.
+// checkNode checks that a primary has all that earlier epochs acknowledged.
 func (x *explorer) checkNode(s *modelState, i int) {
 	c := x.nodes[s.nodes[i]]
 	if c.violation != "" {
@@ -515,15 +529,15 @@
 		return
 	}
 	x.result.Epochs = max(x.result.Epochs, int(l.record.Ballot.N-min(x.firstBallot.N, l.record.Ballot.N)))
-	for version, by := range x.judgements[s.judgement].ackedIn {
+	for version, by := range x.checkStates[s.checkState].ackedIn {
 		if l.record.Ballot.higherThan(by) && c.machine.state.Committed.Version < version {
-			x.fail("version %d was acknowledged in epoch %d, and %s serves epoch %d with version %d",
+			x.fail("version %d was acknowledged in epoch %d, but %s is the primary of epoch %d with version %d",
 				version, by.N, x.addrs[i], l.record.Ballot.N, c.machine.state.Committed.Version)
 		}
 	}
 }
 
-// moves are all ways on from a state.
+// transitions returns all transitions from a state.
 func (x *explorer) transitions(s *modelState) []transition {
 	var all []transition
 	for i, l := range s.links {
@@ -543,7 +557,8 @@
 	for i, id := range s.nodes {
 		c, at := x.nodes[id], uint8(i)
 		add := func(k inputKind, arg int, loses bool) {
-			all = append(all, transition{node: at, input: input{kind: k, arg: uint32(arg)}, dropsMessages: loses, link: noLink})
+			all = append(all, transition{node: at, input: input{kind: k, arg: uint32(arg)}, dropsMessages: loses,
+				link: noLink})
 		}
 		if len(c.unsynced) > 0 {
 			add(sync, 0, false)
@@ -590,11 +605,13 @@
 	return all
 }
 
-// remembered says whether the copy of a machine's disk lacks something, and the disks of all the others that have a
-// seat beside it have the newest that it has vouched for. Where nobody has, it can't be told.
+// rollbackDetectable reports whether the copy of a node's disk is out of date and the disks of all
+// other members hold the newest token that the node has sent. Otherwise the rollback can't be
+// detected.
 func (x *explorer) rollbackDetectable(s *modelState, at int) bool {
 	c := x.nodes[s.nodes[at]]
-	if c.savedState == nil || c.savedState.DiskID != c.machine.state.DiskID || c.savedState.Saves >= c.machine.savesSynced || !c.machine.isMember() {
+	if c.savedState == nil || c.savedState.DiskID != c.machine.state.DiskID ||
+		c.savedState.Saves >= c.machine.savesSynced || !c.machine.isMember() {
 		return false
 	}
 	for _, seat := range c.machine.state.Record.votingMembers() {
@@ -612,7 +629,7 @@
 	return true
 }
 
-// pay takes what a move costs.
+// spend takes a transition from the budgets.
 func (s *modelState) spend(v transition) {
 	switch v.fate {
 	case dropped:
@@ -672,7 +689,7 @@
 	if _, ok := x.stateIDs[key]; ok && x.result.Violation == "" {
 		return
 	}
-	next := queuedState{string(code), depth} // what follows uses the buffer again
+	next := queuedState{string(code), depth} // a copy, as the buffer is reused
 	x.stateIDs[key] = uint32(len(x.arrivals))
 	x.arrivals = append(x.arrivals, arrivalStep{from, v})
 	if x.bounds.LivenessEvery > 0 && len(x.arrivals)%x.bounds.LivenessEvery == 0 && x.result.Violation == "" {
@@ -704,7 +721,7 @@
 		b = append(b, p.from, p.to)
 	}
 	b = append(append(b, s.budgets[:]...), s.nextPut, s.crashed)
-	num(uint64(s.judgement))
+	num(uint64(s.checkState))
 	x.buf = b
 	return b
 }
@@ -731,11 +748,11 @@
 	n := len(s.budgets)
 	s.nextPut, s.crashed = b[n], b[n+1]
 	b = b[n+2:]
-	s.judgement = uint32(num())
+	s.checkState = uint32(num())
 	return s
 }
 
-// trace tells the way to a state.
+// trace returns the transitions that lead to a state.
 func (x *explorer) trace(to uint32) []string {
 	var all []string
 	for ; to != 0; to = x.arrivals[to].parent {
@@ -751,23 +768,25 @@
 	switch v.input.kind {
 	case receive:
 		fmt.Fprintf(&b, "%s>%s %T %+v", x.addrs[v.input.from], name, x.messages[v.input.arg], x.messages[v.input.arg])
-		b.WriteString([...]string{"", " is lost", " is late", " comes, and is doubled"}[v.fate])
+		b.WriteString([...]string{"", " is lost", " is delayed", " is delivered and duplicated"}[v.fate])
 	case sync:
-		fmt.Fprintf(&b, "%s has synced", name)
+		fmt.Fprintf(&b, "%s syncs its oldest write", name)
 	case put:
-		fmt.Fprintf(&b, "%s takes the put of version %d %q", name, x.scenario.puts[v.input.arg].Version, x.scenario.puts[v.input.arg].Body)
+		fmt.Fprintf(&b, "%s receives a put of version %d, body %q", name, x.scenario.puts[v.input.arg].Version,
+			x.scenario.puts[v.input.arg].Body)
 	case read:
-		fmt.Fprintf(&b, "%s is asked", name)
+		fmt.Fprintf(&b, "%s receives a read", name)
 	case leave:
-		fmt.Fprintf(&b, "%s is told to end", name)
+		fmt.Fprintf(&b, "%s is told to leave", name)
 	case crash:
-		fmt.Fprintf(&b, "%s dies, %d writes under way are on disk, its messages lost: %v", name, v.input.arg, v.dropsMessages)
+		fmt.Fprintf(&b, "%s crashes; %d unsynced writes reach its disk; messages in transit lost: %v", name,
+			v.input.arg, v.dropsMessages)
 	case copyDisk:
-		fmt.Fprintf(&b, "a copy is taken of the disk of %s", name)
+		fmt.Fprintf(&b, "the disk of %s is copied", name)
 	case rollbackDisk:
-		fmt.Fprintf(&b, "%s starts on the copy of its disk", name)
+		fmt.Fprintf(&b, "%s restarts with the copy of its disk", name)
 	case wipe:
-		fmt.Fprintf(&b, "%s loses its disk, its messages lost: %v", name, v.dropsMessages)
+		fmt.Fprintf(&b, "%s loses its disk; messages in transit lost: %v", name, v.dropsMessages)
 	default:
 		fmt.Fprintf(&b, "%v pass at %s", waitDurations[v.input.kind], name)
 	}
--- a/internal/consensus/fence_test.go
+++ b/internal/consensus/fence_test.go
@@ -8,80 +8,84 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestPutBack: a backup's disk goes back behind a document that was acknowledged, the primary is lost, and the witness
-// has heard of the token but not yet got the document. Nobody may serve until the primary is back; the mutant does.
-func TestPutBack(t *testing.T) {
+// TestDiskRollback restores a backup's disk to a state before an acknowledged document. The primary
+// fails, and the witness knows the backup's token but not yet the document. No process may serve
+// until the primary is back. Without fencing one does.
+func TestDiskRollback(t *testing.T) {
 	t.Parallel()
 	for _, bug := range []Bug{0, BugNoFencing} {
-		w := calm(t, 3, 0, 1)
+		w := newSteadyCluster(t, 3, 0, 1)
 		w.setBug(bug)
-		p, b, o := w.primary(), w.backup(), w.other()
-		old, life := *b.synced, b.m.state.DiskID
-		w.part(p, 20*ms, func(n *node) bool { return n == o }, false)
-		w.until(t, 50*ms, p)
+		p, b, o := w.primary(), w.backup(), w.witness()
+		copied, diskID := *b.synced, b.machine.state.DiskID
+		w.partition(p, 20*ms, func(n *simNode) bool { return n == o }, false)
+		w.runUntilAccepted(t, 50*ms, p)
 		for limit := w.now + time.Second; ; w.run(ms) {
-			if k, _ := o.m.knownToken(b.cfg.Self, life); k.Saves > old.Saves {
+			if k, _ := o.machine.knownToken(b.config.Self, diskID); k.Saves > copied.Saves {
 				break
 			}
 			if w.now > limit {
-				t.Fatal("the witness is not told of tokens")
+				t.Fatal("the witness does not learn the token")
 			}
 		}
-		if o.m.state.Committed.Version == w.acked {
+		if o.machine.state.Committed.Version == w.highestAcked {
 			t.Fatal("the document came before the token")
 		}
 		w.kill(p, true)
 		w.kill(b, true)
-		b.synced = &old
+		b.synced = &copied
 		w.start(b)
 		w.run(3 * time.Second)
 		w.call(b, true, Doc{})
 		w.run(time.Second)
 		if bug != 0 {
-			if w.broken == nil {
-				t.Error("a disk that was put back is not missed")
+			if w.failure == nil {
+				t.Error("BugNoFencing is not detected")
 			}
 			continue
 		}
-		if b.m.state.DiskID == life || b.m.FenceCount() != 1 || w.primary() != nil {
-			t.Errorf("life %d after %d, %d times fenced, primary %v", b.m.state.DiskID, life, b.m.FenceCount(), w.primary())
+		if b.machine.state.DiskID == diskID || b.machine.FenceCount() != 1 || w.primary() != nil {
+			t.Errorf("disk ID %d after %d, fenced %d times, primary %v", b.machine.state.DiskID, diskID,
+				b.machine.FenceCount(), w.primary())
 		}
-		w.settled() // also that the seat is taken again
-		w.sane(t)
+		w.finishAndCheckProgress() // also checks that the member is admitted again
+		w.checkNoFailure(t)
 	}
 }
 
-// TestPutBackAlone has each member of a quiet core go back by itself, the primary too: it has its seat back with a new life.
-func TestPutBackAlone(t *testing.T) {
+// TestSingleDiskRollback restores the disk of each member of a steady cluster, also of the primary.
+// The process becomes a member again, with a new disk ID.
+func TestSingleDiskRollback(t *testing.T) {
 	t.Parallel()
 	for i := range 3 {
-		w := calm(t, 3, 1, 1)
+		w := newSteadyCluster(t, 3, 1, 1)
 		n := w.nodes[i]
-		old, life := *n.synced, n.m.state.DiskID
+		copied, diskID := *n.synced, n.machine.state.DiskID
 		for range 3 {
-			w.until(t, 100*ms, w.primary())
+			w.runUntilAccepted(t, 100*ms, w.primary())
 		}
 		w.run(time.Second)
 		w.kill(n, true)
-		n.synced = &old
+		n.synced = &copied
 		w.start(n)
 		w.run(3 * time.Second)
-		if n.m.state.DiskID == life || !n.m.isMember() || n.m.FenceCount() != 1 {
-			t.Errorf("%s: life %d after %d, seated %v, fenced %d", n.cfg.Self, n.m.state.DiskID, life, n.m.isMember(), n.m.FenceCount())
+		if n.machine.state.DiskID == diskID || !n.machine.isMember() || n.machine.FenceCount() != 1 {
+			t.Errorf("%s: disk ID %d after %d, member %v, fenced %d times", n.config.Self, n.machine.state.DiskID,
+				diskID, n.machine.isMember(), n.machine.FenceCount())
 		}
-		w.settled()
-		w.sane(t)
+		w.finishAndCheckProgress()
+		w.checkNoFailure(t)
 	}
 }
 
-// TestNoFalseFence: members that are killed and started, with what was synced or with more, keep their lives, and a quiet core
-// writes nothing for the marks' sake.
+// TestNoFalseFence checks that members that are killed and restarted, with or without their
+// unsynced writes, keep their disk IDs, and that a steady cluster makes no writes for tokens.
 func TestNoFalseFence(t *testing.T) {
 	t.Parallel()
-	w := calm(t, 3, 0, 1)
-	lives := map[*node]uint64{}
+	w := newSteadyCluster(t, 3, 0, 1)
+	diskIDs := map[*simNode]uint64{}
 	for _, n := range w.nodes {
-		lives[n] = n.m.state.DiskID
+		diskIDs[n] = n.machine.state.DiskID
 	}
 	for i := range 30 {
 		n := w.nodes[i%3]
@@ -91,30 +95,31 @@
 		w.start(n)
 		w.run(1500 * ms)
 	}
-	w.settled()
-	w.sane(t)
-	for n, life := range lives {
-		if n.m.state.DiskID != life || n.m.FenceCount() > 0 {
-			t.Errorf("%s is fenced for nothing", n.cfg.Self)
+	w.finishAndCheckProgress()
+	w.checkNoFailure(t)
+	for n, diskID := range diskIDs {
+		if n.machine.state.DiskID != diskID || n.machine.FenceCount() > 0 {
+			t.Errorf("%s is fenced without a rollback", n.config.Self)
 		}
 	}
 	w.run(2 * time.Second)
-	before := w.nodes[0].m.seq + w.nodes[1].m.seq + w.nodes[2].m.seq
+	before := w.nodes[0].machine.seq + w.nodes[1].machine.seq + w.nodes[2].machine.seq
 	w.run(10 * time.Second)
-	if after := w.nodes[0].m.seq + w.nodes[1].m.seq + w.nodes[2].m.seq; after != before {
-		t.Errorf("%d writes at rest", after-before)
+	if after := w.nodes[0].machine.seq + w.nodes[1].machine.seq + w.nodes[2].machine.seq; after != before {
+		t.Errorf("%d writes in a steady cluster", after-before)
 	}
 	for _, n := range w.nodes {
 		if len(n.synced.KnownTokens) != 2 {
-			t.Errorf("%s has %d marks on disk", n.cfg.Self, len(n.synced.KnownTokens))
+			t.Errorf("%s has %d tokens on disk", n.config.Self, len(n.synced.KnownTokens))
 		}
 	}
 }
 
-// TestOldDiskWhole visits all states of small models in which a disk goes back, with guards in place.
-func TestOldDiskWhole(t *testing.T) {
+// TestExploreDiskRollback explores small models with a disk rollback completely.
+func TestExploreDiskRollback(t *testing.T) {
 	t.Parallel()
-	for _, b := range []ModelBounds{{StartSilent: true, DiskRollbacks: 1}, {StartSilent: true, DiskRollbacks: 1, ShortWaits: 1}, {StartSilent: true, DiskRollbacks: 1, Puts: 1},
+	for _, b := range []ModelBounds{{StartSilent: true, DiskRollbacks: 1},
+		{StartSilent: true, DiskRollbacks: 1, ShortWaits: 1}, {StartSilent: true, DiskRollbacks: 1, Puts: 1},
 		{StartSilent: true, DiskRollbacks: 1, LongWaits: 1}} {
 		if f := Explore(b); !f.Complete || f.Violation != "" {
 			t.Errorf("%+v: %+v", b, f)
@@ -122,19 +127,20 @@
 	}
 }
 
-// TestOldDiskWalks: a disk goes back in drawn schedules, and another machine is killed.
-func TestOldDiskWalks(t *testing.T) {
+// TestRandomWalkDiskRollback restores a disk in random walks and kills another machine.
+func TestRandomWalkDiskRollback(t *testing.T) {
 	t.Parallel()
 	for _, m := range [][2]int{{3, 1}, {6, 2}} {
-		b := ModelBounds{Members: m[0], ToleratedLosses: m[1], StartSilent: true, Puts: 4, Reads: 2, LostMessages: 3, LateMessages: 2, DuplicatedMessages: 1, ShortWaits: 60, LongWaits: 90}
+		b := ModelBounds{Members: m[0], ToleratedLosses: m[1], StartSilent: true, Puts: 4, Reads: 2, LostMessages: 3,
+			LateMessages: 2, DuplicatedMessages: 1, ShortWaits: 60, LongWaits: 90}
 		if w := Walk(b, OneRolledBack, 1, 25, 400); w.Violation != "" || w.DiskRollbacks == 0 {
 			t.Errorf("%+v", w)
 		}
 	}
 }
 
-// before is what a disk was before there were tokens.
-type before struct {
+// stateWithoutTokens is the durable state of the release before fencing tokens.
+type stateWithoutTokens struct {
 	Life     uint64      `cbor:"1,keyasint"`
 	Genesis  bool        `cbor:"2,keyasint,omitempty"`
 	Promised Ballot      `cbor:"3,keyasint"`
@@ -144,22 +150,25 @@
 	Next     Doc         `cbor:"7,keyasint"`
 }
 
-// TestDisksBefore reads a disk of the program before with this one, and this one's with that, and starts on it.
-func TestDisksBefore(t *testing.T) {
+// TestStateWithoutTokens reads a state of this release with that release's type and the reverse,
+// and starts from it.
+func TestStateWithoutTokens(t *testing.T) {
 	t.Parallel()
-	w := calm(t, 3, 0, 1)
+	w := newSteadyCluster(t, 3, 0, 1)
 	n := w.nodes[0]
-	raw, err := cbor.Marshal(n.m.state)
+	raw, err := cbor.Marshal(n.machine.state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var older before
-	if err := cbor.Unmarshal(raw, &older); err != nil || older.Life != n.m.state.DiskID || !reflect.DeepEqual(older.Kept, n.m.state.Committed) {
+	var older stateWithoutTokens
+	if err := cbor.Unmarshal(raw, &older); err != nil || older.Life != n.machine.state.DiskID ||
+		!reflect.DeepEqual(older.Kept, n.machine.state.Committed) {
 		t.Fatalf("%v: %+v", err, older)
 	}
-	for _, n := range w.nodes { // all go back to the program before, and on to this one
+	for _, n := range w.nodes { // all are downgraded to that release and upgraded again
 		w.kill(n, true)
-		raw, _ := cbor.Marshal(before{n.synced.DiskID, n.synced.NeverMember, n.synced.Promised, n.synced.Record, n.synced.StateBallot,
+		raw, _ := cbor.Marshal(stateWithoutTokens{n.synced.DiskID, n.synced.NeverMember, n.synced.Promised,
+			n.synced.Record, n.synced.StateBallot,
 			n.synced.Committed, n.synced.Pending})
 		n.synced = &DurableState{}
 		if err := cbor.Unmarshal(raw, n.synced); err != nil || n.synced.Saves != 0 {
@@ -168,16 +177,17 @@
 	}
 	w.startAll()
 	w.run(2 * time.Second)
-	w.settled()
-	w.sane(t)
+	w.finishAndCheckProgress()
+	w.checkNoFailure(t)
 	for _, n := range w.nodes {
-		if n.m.FenceCount() > 0 {
-			t.Errorf("%s is fenced", n.cfg.Self)
+		if n.machine.FenceCount() > 0 {
+			t.Errorf("%s is fenced", n.config.Self)
 		}
 	}
-	for _, msg := range []any{HeartbeatReply{DiskID: 1}, Promise{DiskID: 1}, Appended{DiskID: 1}, StateInstalled{DiskID: 1}, EpochRecorded{DiskID: 1}, Prepare{}, Confirmed{}} {
-		raw, err := cbor.Marshal(msg) // without a token they read as before: the field is left out
-		if err != nil || w.nodes[0].m.acceptsToken("n01", msg) == false {
+	for _, msg := range []any{HeartbeatReply{DiskID: 1}, Promise{DiskID: 1}, Appended{DiskID: 1},
+		StateInstalled{DiskID: 1}, EpochRecorded{DiskID: 1}, Prepare{}, Confirmed{}} {
+		raw, err := cbor.Marshal(msg) // without a token the field is left out, as in that release
+		if err != nil || w.nodes[0].machine.acceptsToken("n01", msg) == false {
 			t.Errorf("%T: %x, %v", msg, raw, err)
 		}
 	}
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -1,6 +1,7 @@
 package consensus
 
-// willing says whether a candidate may have a promise: not while another one lives.
+// mayGrant reports whether a candidate may be granted a promise: not while another primary or
+// candidate is alive.
 func (m *Machine) mayGrant(from string) bool {
 	if m.diskStalled() {
 		return false
@@ -8,29 +9,31 @@
 	if m.primary != nil {
 		return from == m.config.Self
 	}
-	return m.primaryHeardFrom == "" || m.primaryHeardFrom == from || m.now-m.primaryHeardAt > primaryHold || m.leaving == LeaveForced && m.missesHeartbeats()
+	return m.primaryHeardFrom == "" || m.primaryHeardFrom == from || m.now-m.primaryHeardAt > primaryHold ||
+		m.leaving == LeaveForced && m.missesHeartbeats()
 }
 
 func (m *Machine) notePrimaryHeard(from string) { m.primaryHeardAt, m.primaryHeardFrom = m.now, from }
 
-// infant lets a member that holds no founding take the one of whoever has a seat for it.
+// adoptFirstEpoch lets a member that knows no cluster take the first record from a candidate.
 func (m *Machine) adoptFirstEpoch(r EpochRecord) {
 	if r.Ballot.N == 1 {
 		m.onFirstEpoch(r)
 	}
 }
 
-// onFound takes a first record. A founding held is never changed for another one,
-// unless that one is in force, and so this one never was.
+// onFirstEpoch takes a first record. A member never replaces the record of one cluster by that of
+// another, unless the other one is active, so that its own never was.
 func (m *Machine) onFirstEpoch(r EpochRecord) {
-	if !m.config.Member || !m.state.Record.isZero() || !r.has(m.config.Self, m.state.DiskID) || m.state.Promised.higherThan(r.Ballot) {
+	if !m.config.Member || !m.state.Record.isZero() || !r.has(m.config.Self, m.state.DiskID) ||
+		m.state.Promised.higherThan(r.Ballot) {
 		return
 	}
 	m.state.Record, m.state.Promised, m.state.StateBallot, m.dirty = r, r.Ballot, r.Ballot, true
 	m.primaryHeardAt, m.primaryHeardFrom = m.now-primaryTimeout, ""
 }
 
-// learn takes a record that is in force.
+// learnRecord takes an active record.
 func (m *Machine) learnRecord(r EpochRecord) {
 	if !r.Active || r.isZero() {
 		return
@@ -61,7 +64,7 @@
 	}
 }
 
-// foreign says whether a record is of another founding than the one held.
+// otherCluster reports whether a record belongs to another cluster than the one held.
 func (m *Machine) otherCluster(r EpochRecord) bool {
 	return !m.state.Record.isZero() && m.state.Record.ClusterID != r.ClusterID
 }
@@ -86,8 +89,10 @@
 	if m.candidate == nil {
 		m.notePrimaryHeard(from)
 	}
-	m.send(from, HeartbeatReply{Ballot: t.Ballot, DiskID: m.state.DiskID, Promised: m.state.Promised, DiskSlow: m.diskHangs(), DiskTolerance: m.diskLag.reportedTolerance(m.now),
-		RecordKnown: m.state.Record.Active && m.state.Record.Ballot == t.Ballot, RecordStored: m.recordStored(t.Ballot)})
+	m.send(from, HeartbeatReply{Ballot: t.Ballot, DiskID: m.state.DiskID, Promised: m.state.Promised,
+		DiskSlow: m.diskHangs(), DiskTolerance: m.diskLag.reportedTolerance(m.now),
+		RecordKnown:  m.state.Record.Active && m.state.Record.Ballot == t.Ballot,
+		RecordStored: m.recordStored(t.Ballot)})
 }
 
 func (m *Machine) onResign(from string, t Resign) {
@@ -118,7 +123,8 @@
 	}
 	m.highestBallot = max(m.highestBallot, t.Ballot.N)
 	above := t.Ballot.higherThan(m.state.Promised)
-	if above && !m.mayGrant(from) && !m.skipsPrimaryHold(t) || m.state.Promised.higherThan(t.Ballot) && m.bug != BugNoPromise {
+	if above && !m.mayGrant(from) && !m.skipsPrimaryHold(t) ||
+		m.state.Promised.higherThan(t.Ballot) && m.bug != BugNoPromise {
 		m.reject(from, t.Ballot)
 		return
 	}
@@ -127,14 +133,15 @@
 		m.stepDownFor(t.Ballot)
 		m.notePrimaryHeard(from)
 	}
-	kept, next := m.state.Committed, m.state.Pending
+	committed, pending := m.state.Committed, m.state.Pending
 	if from != m.config.Self {
-		kept, next = m.promiseDoc(kept, t), m.promiseDoc(next, t)
+		committed, pending = m.promiseDoc(committed, t), m.promiseDoc(pending, t)
 	}
-	m.sendAfterSave(from, Promise{Ballot: t.Ballot, DiskID: m.state.DiskID, Record: m.state.Record, StateBallot: m.state.StateBallot, Committed: kept, Pending: next})
+	m.sendAfterSave(from, Promise{Ballot: t.Ballot, DiskID: m.state.DiskID, Record: m.state.Record,
+		StateBallot: m.state.StateBallot, Committed: committed, Pending: pending})
 }
 
-// yield ends what this process does under a lower ballot.
+// stepDownFor ends what this process does under a lower ballot.
 func (m *Machine) stepDownFor(b Ballot) {
 	if m.primary != nil && b.higherThan(m.primary.record.Ballot) {
 		m.primary = nil
@@ -144,9 +151,9 @@
 	}
 }
 
-// obeys says whether a candidate's or a primary's order holds here.
-func (m *Machine) acceptsOrder(from string, b Ballot, life uint64) bool {
-	if life != m.state.DiskID {
+// acceptsRequest reports whether a candidate's or a primary's request is valid here.
+func (m *Machine) acceptsRequest(from string, b Ballot, diskID uint64) bool {
+	if diskID != m.state.DiskID {
 		return false
 	}
 	if m.state.Promised.higherThan(b) && m.bug != BugNoPromise {
@@ -162,10 +169,10 @@
 }
 
 func (m *Machine) onInstallState(from string, t InstallState) {
-	if !m.acceptsOrder(from, t.Ballot, t.DiskID) {
+	if !m.acceptsRequest(from, t.Ballot, t.DiskID) {
 		return
 	}
-	if m.state.StateBallot != t.Ballot { // a late double must not undo an append
+	if m.state.StateBallot != t.Ballot { // a late duplicate must not undo an append
 		m.state.StateBallot, m.state.Pending, m.dirty = t.Ballot, t.Pending, true
 		m.commit(t.Committed)
 	}
@@ -173,7 +180,7 @@
 }
 
 func (m *Machine) onRecordEpoch(from string, t RecordEpoch) {
-	if m.otherCluster(t.Record) || !m.acceptsOrder(from, t.Record.Ballot, t.DiskID) {
+	if m.otherCluster(t.Record) || !m.acceptsRequest(from, t.Record.Ballot, t.DiskID) {
 		return
 	}
 	if m.state.Record.Ballot != t.Record.Ballot {
@@ -184,17 +191,18 @@
 }
 
 func (m *Machine) onAppend(from string, t Append) {
-	if t.Ballot != m.state.StateBallot && m.bug != BugNoPromise || !m.acceptsOrder(from, t.Ballot, t.DiskID) {
+	if t.Ballot != m.state.StateBallot && m.bug != BugNoPromise || !m.acceptsRequest(from, t.Ballot, t.DiskID) {
 		return
 	}
 	if t.Doc.Supersedes(newestDoc(m.state.Committed, m.state.Pending)) {
 		m.state.Pending, m.dirty = t.Doc, true
 	}
-	m.sendAfterSave(from, Appended{Ballot: t.Ballot, DiskID: m.state.DiskID, Version: t.Doc.Version, Rev: t.Doc.Rev, LedgerRevPlusOne: t.Doc.LedgerRev + 1})
+	m.sendAfterSave(from, Appended{Ballot: t.Ballot, DiskID: m.state.DiskID, Version: t.Doc.Version, Rev: t.Doc.Rev,
+		LedgerRevPlusOne: t.Doc.LedgerRev + 1})
 }
 
 func (m *Machine) onConfirm(from string, t Confirm) {
-	if (t.Ballot == m.state.StateBallot || m.bug == BugNoPromise) && m.acceptsOrder(from, t.Ballot, t.DiskID) {
+	if (t.Ballot == m.state.StateBallot || m.bug == BugNoPromise) && m.acceptsRequest(from, t.Ballot, t.DiskID) {
 		m.send(from, Confirmed{Ballot: t.Ballot, DiskID: t.DiskID, Round: t.Round})
 	}
 }
--- a/internal/consensus/name.go
+++ b/internal/consensus/name.go
@@ -7,11 +7,11 @@
 	"asterwell/internal/delta"
 )
 
-// A promise names the texts that its member holds: version, digest, and all that is beside them. The text
-// itself goes only to a candidate that lacks it, from one of those that have named it, as a difference
-// where it can. Until then the candidate has no state to begin with, and gives up when its time is over.
+// A promise refers to the documents of its sender by version, digest and the other fields. A body
+// is sent only to a candidate that lacks it, by a member that has referred to it, if possible as a
+// delta. Until then the candidate has no initial state, and it gives up when its time is over.
 
-// named is a document of a promise as that candidate wants it.
+// promiseDoc returns a document in the form that a candidate wants in a promise.
 func (m *Machine) promiseDoc(d Doc, t Prepare) Doc {
 	if !t.OmitBodies || len(d.Digest) == 0 || len(d.Body) == 0 {
 		return d
@@ -19,27 +19,27 @@
 	if !slices.ContainsFunc(t.WantedBodies, func(sum []byte) bool { return bytes.Equal(sum, d.Digest) }) {
 		return d.bodyOmitted()
 	}
-	kept := m.state.Committed
-	if t.CommittedVersion == kept.Version && d.Version != kept.Version {
+	committed := m.state.Committed
+	if t.CommittedVersion == committed.Version && d.Version != committed.Version {
 		return m.asDelta(d)
 	}
-	if all := m.deltasSince(t.CommittedVersion); len(all) == 1 && d.Version == kept.Version {
-		d.Body, d.Packed = nil, &all[0].Change
+	if deltas := m.deltasSince(t.CommittedVersion); len(deltas) == 1 && d.Version == committed.Version {
+		d.Body, d.Packed = nil, &deltas[0].Change
 	}
 	return d
 }
 
-// nameOnly is a document without its text: the difference of that text to itself.
+// bodyOmitted returns a document whose body is replaced by the delta of that body to itself.
 func (d Doc) bodyOmitted() Doc {
 	d.Packed = delta.Identity(d.Body)
 	d.Body = nil
 	return d
 }
 
-// lacks says whether a document's text is not here.
+// lacksBody reports whether a document's body is not here.
 func (d Doc) lacksBody() bool { return d.Packed != nil }
 
-// found is a document with its text, if anybody's promise has brought that.
+// withBody returns a document with its body, if a promise has brought that.
 func (b *candidateState) withBody(d Doc) Doc {
 	if !d.lacksBody() {
 		return d
@@ -55,8 +55,8 @@
 	return d
 }
 
-// want asks for texts that the epoch to be must go on with. One that names them is asked, and after
-// a while the next one.
+// requestBodies requests the missing bodies of the new epoch's state from one of the members that
+// refer to them, and after a while from the next.
 func (m *Machine) requestBodies(docs ...Doc) {
 	b := m.candidate
 	var sums [][]byte
@@ -69,26 +69,28 @@
 	if b.bodiesAskedAt != 0 && m.now-b.bodiesAskedAt < resendInterval+min(TransferTime(size), maxStateTransfer) {
 		return
 	}
-	var who []Member
-	for _, s := range union(b.baseRecord.votingMembers(), b.nextMembers) {
-		p, ok := b.promises[s.Addr]
+	var holders []Member
+	for _, member := range union(b.baseRecord.votingMembers(), b.nextMembers) {
+		p, ok := b.promises[member.Addr]
 		has := func(sum []byte) bool {
 			return bytes.Equal(sum, p.Committed.Digest) || bytes.Equal(sum, p.Pending.Digest)
 		}
-		if ok && p.DiskID == s.DiskID && s.Addr != m.config.Self && slices.ContainsFunc(sums, has) {
-			who = append(who, s)
+		if ok && p.DiskID == member.DiskID && member.Addr != m.config.Self && slices.ContainsFunc(sums, has) {
+			holders = append(holders, member)
 		}
 	}
-	if len(who) == 0 {
+	if len(holders) == 0 {
 		return
 	}
-	s := who[int(b.bodyRequests)%len(who)]
+	holder := holders[int(b.bodyRequests)%len(holders)]
 	b.bodiesAskedAt, b.bodyRequests = m.now, b.bodyRequests+1
-	m.sendAfterSave(s.Addr, Prepare{Ballot: b.ballot, DiskID: s.DiskID, Record: b.baseRecord, HandedOver: b.handedOver, OmitBodies: true, WantedBodies: sums,
+	m.sendAfterSave(holder.Addr, Prepare{Ballot: b.ballot, DiskID: holder.DiskID, Record: b.baseRecord,
+		HandedOver: b.handedOver, OmitBodies: true, WantedBodies: sums,
 		CommittedVersion: m.state.Committed.Version})
 }
 
-// toWriter is a document for a writer that has promised: named where it has the text, else as a difference to what it has.
+// docForWriter returns a document for a writer that has promised: without the body if it has that,
+// else as a delta to its committed one.
 func (m *Machine) docForWriter(to string, d Doc) Doc {
 	if m.candidate == nil || len(d.Body) == 0 || len(d.Digest) == 0 {
 		return m.packWhole(d)
--- a/internal/consensus/primary.go
+++ b/internal/consensus/primary.go
@@ -8,18 +8,18 @@
 	"asterwell/internal/fsm"
 )
 
-// lead is what a primary knows of its epoch. All of it may be lost.
+// primaryState is what a primary knows of its epoch. None of it needs to survive a restart.
 type primaryState struct {
 	record          EpochRecord
 	startedAt       fsm.Time
 	heartbeatAt     fsm.Time
 	heardAt         map[string]fsm.Time
 	diskSlow        map[string]bool
-	diskTolerance   map[string]lagDuration // what a member bears of its disk
-	higherPromise   Ballot                 // a promise above the epoch that some member gave
+	diskTolerance   map[string]lagDuration // as reported in heartbeat replies
+	higherPromise   Ballot                 // a promise above the epoch that a member gave
 	higherPromiseAt fsm.Time
 
-	proposal     *Doc // on its way to the writers
+	proposal     *Doc // being replicated to the writers
 	proposedAt   fsm.Time
 	appendSentAt fsm.Time
 	appended     map[string]bool
@@ -31,10 +31,10 @@
 
 	joining      map[string]joinCandidate
 	leaving      map[string]leavingMember
-	recordStored map[string]bool   // who has the record on disk as an active one
-	recordKnown  map[string]bool   // who holds it as such, on disk or not
-	lost         map[string]bool   // seats known to be lost
-	tokenHashes  map[string]uint32 // of the marks that members told last
+	recordStored map[string]bool   // members that have the record on disk as active
+	recordKnown  map[string]bool   // members that hold it as active, on disk or not
+	lost         map[string]bool   // members known to be lost
+	tokenHashes  map[string]uint32 // of the tokens that the members know, as last reported
 }
 
 type joinCandidate struct {
@@ -43,24 +43,26 @@
 	heardAt     fsm.Time
 }
 
-// wait is a call that came to the primary.
+// waitingCall is a call that has arrived at the primary.
 type waitingCall struct {
 	from         string
 	request      Forward
 	arrivedAt    fsm.Time
-	confirmRound uint64 // of confirmations that a read needs
+	confirmRound uint64 // the round of confirmations that a read waits for
 }
 
-// activate begins to serve: the epoch's record is where no successor can miss it.
+// activate starts to serve. The epoch's record is where each successor will find it.
 func (m *Machine) activate() {
 	b := m.candidate
 	m.candidate = nil
 	rec := b.record
 	rec.Active = true
 	m.state.Record, m.dirty, m.view = rec, true, rec
-	m.primary = &primaryState{record: rec, startedAt: m.now, heardAt: map[string]fsm.Time{}, diskSlow: map[string]bool{}, diskTolerance: map[string]lagDuration{},
-		confirmed: map[string]uint64{}, joining: map[string]joinCandidate{}, tokenHashes: map[string]uint32{}, leaving: map[string]leavingMember{},
-		lost: b.lost, recordStored: map[string]bool{}, recordKnown: map[string]bool{}}
+	m.primary = &primaryState{record: rec, startedAt: m.now, heardAt: map[string]fsm.Time{},
+		diskSlow: map[string]bool{}, diskTolerance: map[string]lagDuration{},
+		confirmed: map[string]uint64{}, joining: map[string]joinCandidate{}, tokenHashes: map[string]uint32{},
+		leaving: map[string]leavingMember{},
+		lost:    b.lost, recordStored: map[string]bool{}, recordKnown: map[string]bool{}}
 	m.activeRecordWrite = m.seq + 1
 	for _, s := range rec.Members {
 		m.primary.heardAt[s.Addr] = m.now
@@ -68,12 +70,12 @@
 	for _, w := range m.waiting {
 		w.confirmRound = 0
 	}
-	fresh := b.pending.newerThan(m.state.Committed)
+	changed := b.pending.newerThan(m.state.Committed)
 	m.commit(newestDoc(b.committed, b.pending))
 	for _, to := range m.knownProcesses() {
 		m.sendView(to)
 	}
-	if fresh {
+	if changed {
 		m.push(m.state.Committed)
 	}
 	m.redirect()
@@ -81,14 +83,15 @@
 	m.serveWaiting()
 }
 
-// steer keeps the epoch going, or ends it for a better one.
+// maintainEpoch keeps the epoch going, or ends it for a better one.
 func (m *Machine) maintainEpoch() {
 	l := m.primary
 	if l == nil {
 		return
 	}
 	hears := m.isHeard
-	if m.diskHangs() || m.lacksLedger() || !intersectsMajorities(l.record.Members, nil, hears, func(s Member) bool { return l.lost[s.mapKey()] }) {
+	if m.diskHangs() || m.lacksLedger() || !intersectsMajorities(l.record.Members, nil, hears,
+		func(s Member) bool { return l.lost[s.mapKey()] }) {
 		m.resign()
 		return
 	}
@@ -96,9 +99,9 @@
 		m.startNewEpoch(nil)
 		return
 	}
-	if plan := m.nextMembers(); plan != nil {
-		if hasMember(plan, m.config.Self, m.state.DiskID) {
-			m.startNewEpoch(plan)
+	if next := m.nextMembers(); next != nil {
+		if hasMember(next, m.config.Self, m.state.DiskID) {
+			m.startNewEpoch(next)
 		} else {
 			m.handOver()
 		}
@@ -130,7 +133,7 @@
 	}
 }
 
-// ails says whether the epoch's writers cannot go on while others could.
+// writersFailing reports whether the epoch's writers can't go on while other members could.
 func (m *Machine) writersFailing(hears func(Member) bool) bool {
 	l := m.primary
 	if l.higherPromise.higherThan(l.record.Ballot) && m.now-l.higherPromiseAt > resendInterval*3 {
@@ -141,18 +144,19 @@
 		if s.Addr == m.config.Self || !slices.Contains(l.record.Writers, s.Addr) {
 			continue
 		}
-		late := l.proposal != nil && !l.appended[s.Addr] && m.now-l.proposedAt > max(stallTimeout, time.Duration(l.diskTolerance[s.Addr])) ||
+		stalled := l.proposal != nil && !l.appended[s.Addr] &&
+			m.now-l.proposedAt > max(stallTimeout, time.Duration(l.diskTolerance[s.Addr])) ||
 			l.confirmStarted != 0 && l.confirmed[s.Addr] < l.confirmRound && m.now-l.confirmStarted > stallTimeout
-		if late || l.diskSlow[s.Addr] {
+		if stalled || l.diskSlow[s.Addr] {
 			m.avoidUntil[s.Addr] = m.now + 2*vacancyTimeout
 		}
-		lost = lost || late || l.diskSlow[s.Addr] || !hears(s)
+		lost = lost || stalled || l.diskSlow[s.Addr] || !hears(s)
 	}
 	if !m.hasAllCopies() && countMembers(l.record.Members, m.heardInEpoch) > m.config.ToleratedLosses {
 		return true
 	}
-	fit := func(s Member) bool { return hears(s) && !l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now }
-	return lost && countMembers(l.record.Members, fit) > m.config.ToleratedLosses
+	usable := func(s Member) bool { return hears(s) && !l.diskSlow[s.Addr] && m.avoidUntil[s.Addr] <= m.now }
+	return lost && countMembers(l.record.Members, usable) > m.config.ToleratedLosses
 }
 
 func (m *Machine) resign() {
@@ -165,23 +169,23 @@
 	m.primaryHeardAt, m.primaryHeardFrom = m.now, ""
 }
 
-// plan is the set to come if somebody is to have a seat, or nil.
+// nextMembers returns the next membership if a member is to be added, replaced or removed, or nil.
 func (m *Machine) nextMembers() []Member {
 	l := m.primary
 	if m.now-l.startedAt < 2*joinInterval && m.hasAllCopies() && !m.hasForcedLeave() {
 		return nil
 	}
-	var who []joinCandidate
+	var recent []joinCandidate
 	for _, j := range l.joining {
 		if m.now-j.heardAt < quietPeriod {
-			who = append(who, j)
+			recent = append(recent, j)
 		}
 	}
-	slices.SortFunc(who, func(a, b joinCandidate) int { return cmp.Compare(a.member.Addr, b.member.Addr) })
+	slices.SortFunc(recent, func(a, b joinCandidate) int { return cmp.Compare(a.member.Addr, b.member.Addr) })
 	set, changed := slices.Clone(l.record.Members), false
-	room := max(2*m.config.ToleratedLosses+1, len(set)+l.record.Vacancies)
+	maxMembers := max(2*m.config.ToleratedLosses+1, len(set)+l.record.Vacancies)
 	var learners []Member
-	for _, j := range who {
+	for _, j := range recent {
 		i := slices.IndexFunc(set, func(s Member) bool { return s.Addr == j.member.Addr })
 		switch {
 		case i >= 0:
@@ -201,7 +205,7 @@
 	n := len(set)
 	set = m.replaceLeaving(set, learners)
 	learners = slices.DeleteFunc(learners, func(s Member) bool { return hasMember(set, s.Addr, s.DiskID) })
-	for len(learners) > 0 && n == len(set) && len(set) < room {
+	for len(learners) > 0 && n == len(set) && len(set) < maxMembers {
 		set, learners = append(set, learners[0]), learners[1:]
 	}
 	if !changed && slices.Equal(set, l.record.Members) {
@@ -210,12 +214,13 @@
 	return set
 }
 
-// enough says whether the epoch has as many copies as it is meant to.
+// hasAllCopies reports whether the epoch has as many writers as required.
 func (m *Machine) hasAllCopies() bool {
 	return len(m.primary.record.Writers) > m.config.ToleratedLosses
 }
 
-// vacancy is the seat of a member silent for long, rather in that zone, or -1.
+// vacantMember returns the index of a member that was silent for long, preferably in the given
+// zone, or -1.
 func (m *Machine) vacantMember(set []Member, zone string) int {
 	best := -1
 	for i, s := range set {
@@ -235,7 +240,8 @@
 	if l == nil || !l.record.has(from, t.DiskID) || t.Ballot != l.record.Ballot {
 		return
 	}
-	l.heardAt[from], l.diskSlow[from], l.diskTolerance[from] = m.now, t.DiskSlow, min(lagDuration(t.DiskTolerance), lagDuration(maxDiskTolerance))
+	l.heardAt[from], l.diskSlow[from], l.diskTolerance[from] = m.now, t.DiskSlow,
+		min(lagDuration(t.DiskTolerance), lagDuration(maxDiskTolerance))
 	l.recordStored[from], l.recordKnown[from] = t.RecordStored, t.RecordKnown
 	if t.TokensHash != 0 {
 		l.tokenHashes[from] = t.TokensHash
@@ -246,7 +252,7 @@
 	}
 }
 
-// rival notes a promise above the epoch: that member can't serve it any more.
+// noteHigherPromise records a promise above the epoch: that member can't serve the epoch any more.
 func (m *Machine) noteHigherPromise(b Ballot) {
 	if l := m.primary; b.higherThan(l.record.Ballot) && b != l.higherPromise {
 		if !l.higherPromise.higherThan(l.record.Ballot) {
@@ -257,14 +263,14 @@
 	}
 }
 
-// serve takes up what waits: one document at a time, reads by rounds.
+// serveWaiting handles the waiting calls: one document at a time, and reads by confirmation rounds.
 func (m *Machine) serveWaiting() {
 	l := m.primary
 	if l == nil {
 		return
 	}
-	var rest []*waitingCall
-	ask := false
+	var remaining []*waitingCall
+	newRound := false
 	var next *Doc
 	for _, w := range m.waiting {
 		v := m.knownResult(w.request.Doc)
@@ -273,24 +279,25 @@
 			m.answerRead(w)
 		case w.request.Read:
 			if w.confirmRound == 0 {
-				w.confirmRound, ask = l.confirmRound+1, true
+				w.confirmRound, newRound = l.confirmRound+1, true
 			}
-			rest = append(rest, w)
+			remaining = append(remaining, w)
 		case v != 0:
 			m.reply(w, v, nil)
 		default:
 			if next == nil && w.request.Doc.Version > m.state.Committed.Version {
 				next = &w.request.Doc
 			}
-			rest = append(rest, w)
+			remaining = append(remaining, w)
 		}
 	}
-	m.waiting = rest
-	free := l.proposal == nil || l.proposal.LedgerRev > 0 && next != nil // a change doesn't wait for notes: it takes them along
+	m.waiting = remaining
+	// a new version doesn't wait for ledger additions but includes them
+	free := l.proposal == nil || l.proposal.LedgerRev > 0 && next != nil
 	if free && (m.hasAllCopies() || m.bug == BugTooFewWriters) {
 		m.propose(next)
 	}
-	if ask {
+	if newRound {
 		l.confirmRound++
 		if l.confirmStarted == 0 {
 			l.confirmStarted = m.now
@@ -308,7 +315,8 @@
 	l.appendSentAt = m.now
 	for _, s := range l.record.Members {
 		if slices.Contains(l.record.Writers, s.Addr) && !l.appended[s.Addr] {
-			m.send(s.Addr, Append{Ballot: l.record.Ballot, DiskID: s.DiskID, Doc: *l.proposal, resent: m.now > l.proposedAt})
+			m.send(s.Addr, Append{Ballot: l.record.Ballot, DiskID: s.DiskID, Doc: *l.proposal,
+				resent: m.now > l.proposedAt})
 		}
 	}
 }
@@ -316,7 +324,8 @@
 func (m *Machine) onAppended(from string, t Appended) {
 	l := m.primary
 	if l == nil || t.Ballot != l.record.Ballot || !l.record.has(from, t.DiskID) || l.proposal == nil ||
-		t.Version != l.proposal.Version || t.Rev != l.proposal.Rev || t.LedgerRevPlusOne != 0 && t.LedgerRevPlusOne != l.proposal.LedgerRev+1 {
+		t.Version != l.proposal.Version || t.Rev != l.proposal.Rev ||
+		t.LedgerRevPlusOne != 0 && t.LedgerRevPlusOne != l.proposal.LedgerRev+1 {
 		return
 	}
 	l.appended[from] = true
@@ -331,7 +340,7 @@
 	m.commit(doc)
 	if later {
 		m.push(doc)
-	} else { // none but the writers keep notes
+	} else { // only the writers keep the ledger
 		for _, w := range l.record.Writers[1:] {
 			m.send(w, CommitAmendment{doc.Version, doc.Rev, doc.CreatedIn, doc.LedgerRev})
 		}
@@ -375,11 +384,12 @@
 	m.waiting = rest
 }
 
-// read answers one that the writers have confirmed.
+// answerRead answers a read after the writers have confirmed the epoch.
 func (m *Machine) answerRead(w *waitingCall) {
 	switch {
 	case w.request.ContactOnly:
-		m.send(w.from, ForwardReply{ID: w.request.ID, CallerID: w.request.CallerID, Result: ResultContact, Version: m.state.Committed.Version})
+		m.send(w.from, ForwardReply{ID: w.request.ID, CallerID: w.request.CallerID, Result: ResultContact,
+			Version: m.state.Committed.Version})
 	case m.state.Committed.Version == 0:
 		m.reply(w, ResultNone, nil)
 	default:
@@ -387,7 +397,7 @@
 	}
 }
 
-// onForward takes a call in, or says who is thought to be the primary.
+// onForward accepts a call, or tells the caller which process is the presumed primary.
 func (m *Machine) onForward(from string, f Forward) {
 	if m.primary == nil && (m.candidate == nil || m.candidate.phase == preVoting) {
 		m.sendView(from)
@@ -405,7 +415,7 @@
 	m.serveWaiting()
 }
 
-// lapse forgets calls whose callers have gone elsewhere.
+// dropExpired drops calls that their callers have given up by now.
 func (m *Machine) dropExpired() {
 	m.waiting = slices.DeleteFunc(m.waiting, func(w *waitingCall) bool { return m.now-w.arrivedAt > time.Second })
 }
--- a/internal/consensus/resume.go
+++ b/internal/consensus/resume.go
@@ -1,13 +1,13 @@
 package consensus
 
-// judgeResume asks that of a state, and counts.
+// checkLiveness checks a state and counts the result.
 func (x *explorer) checkLiveness(s *modelState, at uint32) {
 	x.result.LivenessChecked++
 	if x.canProgress(s) {
 		return
 	}
 	if !x.bounds.CountStalls {
-		x.fail("the core does not go on when all is well again and who was let go has ended")
+		x.fail("the cluster makes no progress after all faults have ended and leaving processes have exited")
 		return
 	}
 	if x.result.Stuck++; len(x.result.Trace) == 0 {
@@ -26,60 +26,60 @@
 
 const (
 	putIntervalTicks = 20 // ticks
-	forcedLeaveTicks = 17 // that one has which is ended soon: 850 ms
+	forcedLeaveTicks = 17 // ticks until a process with LeaveForced is stopped: 850 ms
 )
 
-// resumes says whether the core takes puts again once nothing goes wrong any more, and whoever
-// leaves has ended for good as soon as it was let go. The state is not changed, nor what was found.
+// canProgress reports whether the cluster accepts puts again once no more faults occur and each
+// leaving process has stopped when it was allowed to. The state and the counts remain unchanged.
 func (x *explorer) canProgress(s *modelState) bool {
-	found := x.result
-	defer func() { x.result = found }()
+	result := x.result
+	defer func() { x.result = result }()
 	n := s.clone()
-	for i, id := range n.nodes { // without jitter two candidates could meet again and again
+	for i, id := range n.nodes { // without jitter two candidates could collide again and again
 		c := x.nodes[id].clone()
 		c.random.mixed = true
 		n.nodes[i] = x.nodeID(c)
 	}
-	var gone, away uint16
+	var stopped, wiped uint16
 	for at, id := range n.nodes {
 		if x.bounds.ForcedLeave && x.nodes[id].lostDiskID != 0 {
-			away |= 1 << at
+			wiped |= 1 << at
 		}
 	}
-	last, acked := 0, uint32(0) // when somebody ended; the version asked for since
+	lastExit, acked := 0, uint32(0) // the tick at which a process last stopped; the version put since then
 	for i := range recoveryTicks {
-		waits := false
+		leavePending := false
 		for at, id := range n.nodes {
-			if m := x.nodes[id].machine; gone&(1<<at) == 0 && m.leaving != 0 {
+			if m := x.nodes[id].machine; stopped&(1<<at) == 0 && m.leaving != 0 {
 				if m.MayExit() || x.bounds.ForcedLeave && i == forcedLeaveTicks {
-					gone, last, acked = gone|1<<at, i, 0
+					stopped, lastExit, acked = stopped|1<<at, i, 0
 				} else {
-					waits = true
+					leavePending = true
 				}
 			}
 		}
-		if !waits {
-			away = 0
+		if !leavePending {
+			wiped = 0
 		}
-		if i%putIntervalTicks == putIntervalTicks/2 && (!waits || i > recoveryTicks/2) && i > last {
+		if i%putIntervalTicks == putIntervalTicks/2 && (!leavePending || i > recoveryTicks/2) && i > lastExit {
 			arg := x.bounds.Puts + i/putIntervalTicks
 			acked = x.scenario.puts[arg].Version
 			for at := range n.nodes {
-				if gone&(1<<at) == 0 {
+				if stopped&(1<<at) == 0 {
 					x.step(n, transition{node: uint8(at), input: input{kind: put, arg: uint32(arg)}, link: noLink})
 				}
 			}
 		}
-		x.settleExcept(n, tick, gone|away)
-		if _, ok := x.judgements[n.judgement].ackedIn[acked]; ok && acked > 0 {
+		x.settleExcept(n, tick, stopped|wiped)
+		if _, ok := x.checkStates[n.checkState].ackedIn[acked]; ok && acked > 0 {
 			return true
 		}
 	}
-	here := 0 // too few are not asked for, if the others are on their way out and hold nothing
+	present := 0 // with too few left no progress is required, if the others are leaving and are no members
 	for at, id := range n.nodes {
-		if m := x.nodes[id].machine; gone&(1<<at) == 0 && (m.isMember() || m.leaving == 0) {
-			here++
+		if m := x.nodes[id].machine; stopped&(1<<at) == 0 && (m.isMember() || m.leaving == 0) {
+			present++
 		}
 	}
-	return here <= x.bounds.ToleratedLosses
+	return present <= x.bounds.ToleratedLosses
 }
--- a/internal/consensus/spread.go
+++ b/internal/consensus/spread.go
@@ -8,48 +8,49 @@
 	"asterwell/internal/fsm"
 )
 
-// near are the processes that may be members, or know them.
+// likelyMembers returns the processes that may be members or know them.
 func (m *Machine) likelyMembers() []string {
-	var who []string
+	var addrs []string
 	for _, s := range m.view.Members {
-		who = append(who, s.Addr)
+		addrs = append(addrs, s.Addr)
 	}
 	for _, p := range m.peers {
 		if p.Up && p.Member {
-			who = append(who, p.Addr)
+			addrs = append(addrs, p.Addr)
 		}
 	}
-	return m.withoutSelf(append(who, m.seeds...))
+	return m.withoutSelf(append(addrs, m.seeds...))
 }
 
-// everyone are the processes that a primary tells news.
+// knownProcesses returns the processes that a primary sends changes to.
 func (m *Machine) knownProcesses() []string {
-	who := m.likelyMembers()
+	addrs := m.likelyMembers()
 	for _, p := range m.peers {
 		if p.Up {
-			who = append(who, p.Addr)
+			addrs = append(addrs, p.Addr)
 		}
 	}
-	return m.withoutSelf(who)
+	return m.withoutSelf(addrs)
 }
 
-func (m *Machine) withoutSelf(who []string) []string {
-	slices.Sort(who)
-	who = slices.Compact(who)
-	return slices.DeleteFunc(who, func(a string) bool { return a == m.config.Self || a == "" })
+func (m *Machine) withoutSelf(addrs []string) []string {
+	slices.Sort(addrs)
+	addrs = slices.Compact(addrs)
+	return slices.DeleteFunc(addrs, func(a string) bool { return a == m.config.Self || a == "" })
 }
 
 func (m *Machine) sendView(to string) {
 	if !m.view.isZero() {
-		m.send(to, View{Record: m.view, Version: m.state.Committed.Version, Leading: m.primary != nil, ReadsPacked: true})
+		m.send(to, View{Record: m.view, Version: m.state.Committed.Version, Leading: m.primary != nil,
+			ReadsPacked: true})
 	}
 }
 
-// commit takes a document that is committed for certain. One that is not is never
-// adopted: it may be lost, and another one take its version.
+// commit takes a document that is certainly committed. Others are never applied: they may be lost,
+// and their version may be used for another document.
 func (m *Machine) commit(doc Doc) {
 	if doc.sameAs(m.state.Pending) {
-		doc = m.state.Pending // with its orders
+		doc = m.state.Pending // with its ledger
 	}
 	if !doc.Supersedes(m.state.Committed) {
 		if len(m.state.Committed.Ledger) == 0 && len(doc.Ledger) > 0 && doc.sameAs(m.state.Committed) {
@@ -66,11 +67,11 @@
 	}
 }
 
-// wide is how many bytes the primary sends at once, 40 ms of the slowest core link; where
-// there are more, the other members pass documents on.
+// maxDirectPush is how many bytes the primary sends at once, 40 ms of the slowest link between
+// members. Beyond it, the other members forward documents.
 const maxDirectPush = 512 << 10
 
-// push brings a document to all.
+// push sends a document to all known processes.
 func (m *Machine) push(doc Doc) {
 	doc = doc.withoutLedger()
 	all := m.knownProcesses()
@@ -86,7 +87,7 @@
 	} else if whole := m.committedPush(0); len(whole.Deltas) > 0 {
 		p, size = whole, whole.Deltas[0].size()
 	}
-	on := map[string][]string{}
+	relayTo := map[string][]string{}
 	if len(all)*size > maxDirectPush {
 		var relays []string
 		for _, p := range m.peers {
@@ -98,31 +99,31 @@
 		if len(relays) > 0 {
 			rest := slices.DeleteFunc(slices.Clone(all), func(a string) bool { return slices.Contains(direct, a) })
 			for i, a := range rest {
-				on[relays[i%len(relays)]] = append(on[relays[i%len(relays)]], a)
+				relayTo[relays[i%len(relays)]] = append(relayTo[relays[i%len(relays)]], a)
 			}
 			all = slices.DeleteFunc(all, func(a string) bool { return !slices.Contains(direct, a) })
 		}
 	}
 	for _, to := range all {
-		p.Relay = on[to]
+		p.Relay = relayTo[to]
 		m.send(to, p)
 	}
 }
 
-// way is how long a document like ours may be on a slow link: who hears of one before it
-// comes need not ask for it as well.
+// committedTransferTime returns how long a document of the committed one's size may take on a slow
+// link. A process that hears of a new version doesn't request it while it may still be arriving.
 func (m *Machine) committedTransferTime() time.Duration {
 	return min(TransferTime(len(m.state.Committed.Body)), maxTransferWait)
 }
 
-// mostWay: large documents mostly come as differences. Who waited for the time of a whole one would be
-// late where a difference was lost.
+// maxTransferWait limits that wait: large documents mostly come as deltas, and waiting for the time
+// of a whole one would be too long if a delta was lost.
 const maxTransferWait = 2 * time.Second
 
-// Way is how long so many bytes may be on a slow link.
+// TransferTime returns how long so many bytes may take on a slow link.
 func TransferTime(bytes int) time.Duration { return time.Duration(bytes) * slowLinkTimePerByte }
 
-// heardOf notes a committed version; the document itself mostly comes by a push.
+// noteReportedVersion records a committed version. The document itself mostly arrives by a push.
 func (m *Machine) noteReportedVersion(from string, version uint32) {
 	if version <= m.state.Committed.Version || version <= m.reportedVersion {
 		return
@@ -133,20 +134,20 @@
 	}
 }
 
-// catchUp asks for a newer document if somebody has one.
+// catchUp requests a newer document if another process has one.
 func (m *Machine) catchUp() {
 	if m.now-m.pulledAt < pullInterval || m.bug == BugNoCatchUp {
 		return
 	}
-	held := m.state.Committed.Version
-	var who []string
-	if m.reportedVersion > held {
-		who = append(who, m.reportedBy, m.view.primary())
+	version := m.state.Committed.Version
+	var targets []string
+	if m.reportedVersion > version {
+		targets = append(targets, m.reportedBy, m.view.primary())
 	}
-	var ahead []Peer // mostly nobody
-	if m.newestPeerVersion > held {
+	var ahead []Peer // mostly empty
+	if m.newestPeerVersion > version {
 		for _, p := range m.peers {
-			if p.Version > held && p.Up {
+			if p.Version > version && p.Up {
 				ahead = append(ahead, p)
 			}
 		}
@@ -155,9 +156,9 @@
 		return cmp.Or(cmp.Compare(b.Version, a.Version), cmp.Compare(a.Addr, b.Addr))
 	})
 	for _, p := range m.pullCandidates(ahead) {
-		who = append(who, p.Addr)
+		targets = append(targets, p.Addr)
 	}
-	if who = m.withoutSelf(who); len(who) > 0 {
+	if targets = m.withoutSelf(targets); len(targets) > 0 {
 		if m.behindSince == 0 {
 			m.behindSince = m.now
 		}
@@ -170,7 +171,7 @@
 		if len(ahead) > maxPullCandidates {
 			at += int(m.runID >> 40)
 		}
-		m.send(who[at%len(who)], Pull{Version: held, AcceptsDeltas: true})
+		m.send(targets[at%len(targets)], Pull{Version: version, AcceptsDeltas: true})
 	}
 }
 
@@ -179,8 +180,8 @@
 	minLargeDoc       = 64 << 10 // bytes
 )
 
-// some of those that are ahead are asked: of many each process begins with others, since where all start at once
-// the first of them would send the document to all.
+// pullCandidates limits the processes to ask. If many are ahead, each process starts with different
+// ones: otherwise all would ask the first of them for the document at the same time.
 func (m *Machine) pullCandidates(ahead []Peer) []Peer {
 	n := len(ahead)
 	if n <= maxPullCandidates {
@@ -195,12 +196,12 @@
 	if n <= maxPullCandidates {
 		return ahead[:maxPullCandidates]
 	}
-	from := int(m.runID % uint64(n))
-	return slices.Concat(ahead[from:n], ahead[:from])[:maxPullCandidates]
+	first := int(m.runID % uint64(n))
+	return slices.Concat(ahead[first:n], ahead[:first])[:maxPullCandidates]
 }
 
-// bring answers who asks for a document. A large one that it was given just now may be on its way still: one more behind it would
-// only make both later.
+// sendDoc answers a Pull. If a large document was sent to the same process just now, it may still
+// be in transit, and a second copy would only delay both.
 func (m *Machine) sendDoc(to string, p Push) {
 	size := len(p.Doc.Body)
 	for _, d := range p.Deltas {
--- a/internal/consensus/spread_test.go
+++ b/internal/consensus/spread_test.go
@@ -7,16 +7,18 @@
 	"time"
 )
 
-// TestAskedInTurns: where 480 processes start without a document that ten others hold, they ask all ten, not the first of
-// them alone; and never one that holds an older one.
-func TestAskedInTurns(t *testing.T) {
+// TestPullsAreSpread starts 480 processes without a document that ten others hold: they ask all
+// ten, not the first one alone, and never one with an older document.
+func TestPullsAreSpread(t *testing.T) {
 	asked := map[string]int{}
 	for i := range 480 {
 		self := fmt.Sprintf("10.0.1.%d:7", i)
-		m := New(Config{Self: self, Name: self, ToleratedLosses: 1, Seeds: []string{"10.0.0.0:7"}, Seed: 5}, nil, time.Hour)
+		m := New(Config{Self: self, Name: self, ToleratedLosses: 1, Seeds: []string{"10.0.0.0:7"}, Seed: 5}, nil,
+			time.Hour)
 		peers := []Peer{{Addr: self, Up: true}}
 		for k := range 12 {
-			peers = append(peers, Peer{Addr: fmt.Sprintf("10.0.0.%d:7", k), Up: true, Member: k < 8, Version: uint32(3 - k/10)})
+			peers = append(peers, Peer{Addr: fmt.Sprintf("10.0.0.%d:7", k), Up: true, Member: k < 8,
+				Version: uint32(3 - k/10)})
 		}
 		m.SetPeers(time.Hour, peers)
 		for now := time.Hour; now < time.Hour+2*time.Second; now += 50 * time.Millisecond {
@@ -30,7 +32,7 @@
 	sum := 0
 	for to, n := range asked {
 		if sum += n; to == "10.0.0.10:7" || to == "10.0.0.11:7" {
-			t.Errorf("%s, which holds an older one, is asked %d times", to, n)
+			t.Errorf("%s, which has an older document, is asked %d times", to, n)
 		}
 	}
 	for to, n := range asked {
@@ -39,13 +41,13 @@
 		}
 	}
 	if len(asked) != 10 || sum < 480 {
-		t.Errorf("%d are asked, %d times in all", len(asked), sum)
+		t.Errorf("%d processes are asked, %d times in total", len(asked), sum)
 	}
 }
 
-// TestBroughtOnce: a large document isn't sent again while it may be on its way; a small one, or a whole one in place of
-// damaged differences, is.
-func TestBroughtOnce(t *testing.T) {
+// TestLargeDocSentOnce checks that a large document isn't sent again while it may be in transit. A
+// small one is, and so is a whole one in place of damaged deltas.
+func TestLargeDocSentOnce(t *testing.T) {
 	for _, c := range []struct {
 		size   int
 		deltas bool
@@ -67,7 +69,8 @@
 			now += 300 * time.Millisecond
 		}
 		if sent != c.want {
-			t.Errorf("%d bytes, differences %v: sent %d times for nine questions in 2.4 s, not %d", c.size, c.deltas, sent, c.want)
+			t.Errorf("%d bytes, deltas %v: sent %d times for nine requests in 2.4 s, want %d", c.size, c.deltas, sent,
+				c.want)
 		}
 	}
 }
