--- a/internal/daemon/calls.go
+++ b/internal/daemon/api.go
@@ -14,40 +14,40 @@
 	"asterwell/internal/sysconfig"
 )
 
-// call is one that servers and operators may make, beside its handler. The handler
-// runs on the goroutine of the connection, and waits for the process's word.
-type call struct {
-	method, path string // a path that ends with a slash stands for all below it
-	what         string
+// apiCall is an HTTP call for servers or operators. Its handler runs on the goroutine of the connection,
+// and waits for the control loop's answer.
+type apiCall struct {
+	method, path string // a path that ends with a slash covers all paths below it
+	description  string
 	handle       func(p *Process, ctx *fasthttp.RequestCtx, rest string)
 }
 
-var calls = []call{
-	{"PUT", "/api/members/", "a server's beat", (*Process).beat},
-	{"DELETE", "/api/members/", "a server has ended", (*Process).end},
-	{"PUT", "/api/configuration", "a configuration, whole", (*Process).put},
-	{"GET", "/api/configuration", "the newest configuration", (*Process).get},
-	{"PUT", "/api/faults", "fault rules, all that there shall be", (*Process).putFaults},
-	{"GET", "/api/faults", "the fault rules, and how they stand", (*Process).getFaults},
-	{"DELETE", "/api/faults/", "a set of fault rules shall strike no more", (*Process).stopFaults},
-	{"DELETE", "/api/faults", "where the set that is kept is stopped", (*Process).stopFaults},
-	{"GET", "/api/strikes", "what rules struck at this process", (*Process).strikes},
-	{"DELETE", "/api/rollout/", "a version that is not live yet shall never be", (*Process).withdraw},
-	{"GET", "/api/status", "what this process knows", (*Process).status},
-	{"GET", "/api/members", "the gateways, and who watches whom", (*Process).members},
-	{"GET", "/api/services", "the servers, and how old the news of them is", (*Process).services},
-	{"GET", "/api/epochs", "who does what in agreement, and since when", (*Process).epochs},
-	{"GET", "/api/quotas", "what its decisions about quotas went by", (*Process).quotas},
-	{"POST", "/api/drain/", "clients shall go elsewhere, or come again", (*Process).drain},
-	{"GET", "/api/frames", "what went between processes, by kind", (*Process).counted},
-	{"GET", "/api/log", "its last lines", (*Process).log},
+var apiCalls = []apiCall{
+	{"PUT", "/api/members/", "a server's heartbeat", (*Process).serverHeartbeat},
+	{"DELETE", "/api/members/", "a server has ended", (*Process).serverEnded},
+	{"PUT", "/api/configuration", "replace the configuration", (*Process).putConfig},
+	{"GET", "/api/configuration", "the newest configuration", (*Process).getConfig},
+	{"PUT", "/api/faults", "replace the fault rules", (*Process).putFaults},
+	{"GET", "/api/faults", "the fault rules and their state", (*Process).getFaults},
+	{"DELETE", "/api/faults/", "stop a set of fault rules", (*Process).stopFaults},
+	{"DELETE", "/api/faults", "redirect to the current set, to stop it", (*Process).stopFaults},
+	{"GET", "/api/strikes", "requests that fault rules applied to", (*Process).showStrikes},
+	{"DELETE", "/api/rollout/", "withdraw a version that isn't live yet", (*Process).withdraw},
+	{"GET", "/api/status", "the state of this process", (*Process).showStatus},
+	{"GET", "/api/members", "the gateways and who monitors whom", (*Process).showMembers},
+	{"GET", "/api/services", "the servers and the age of their state", (*Process).showServices},
+	{"GET", "/api/epochs", "the epochs of consensus and the roles in each", (*Process).showEpochs},
+	{"GET", "/api/quotas", "the basis of its quota decisions", (*Process).showQuotas},
+	{"POST", "/api/drain/", "start or stop a drain", (*Process).drain},
+	{"GET", "/api/frames", "messages between processes, by kind", (*Process).showFrames},
+	{"GET", "/api/log", "the last log lines", (*Process).showLog},
 }
 
-// Control serves the control address.
+// control serves the control address.
 func (p *Process) control(ctx *fasthttp.RequestCtx) {
 	path, method := string(ctx.Path()), string(ctx.Method())
 	known := false
-	for _, c := range calls {
+	for _, c := range apiCalls {
 		rest, below := strings.CutPrefix(path, c.path)
 		if !below || rest != "" && !strings.HasSuffix(c.path, "/") {
 			continue
@@ -67,7 +67,7 @@
 	ctx.Error("no such call\n", http.StatusNotFound)
 }
 
-// report is a server's word of itself.
+// report is the body of a server's heartbeat.
 type report struct {
 	Endpoint string
 	SelfInfo struct {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (p *Process) beat(ctx *fasthttp.RequestCtx, id string) {
+func (p *Process) serverHeartbeat(ctx *fasthttp.RequestCtx, id string) {
 	var r report
 	err := json.Unmarshal(ctx.PostBody(), &r)
 	switch {
@@ -102,16 +102,16 @@
 	b := registry.Beat{ID: id, Addr: r.Endpoint, Service: r.SelfInfo.Backend, Zone: r.SelfInfo.Zone, Epoch: r.SelfInfo.Epoch,
 		Capacity: r.SelfInfo.Capacity, Quiescing: r.HealthState.Phase == "quiescing", Seq: r.HealthState.Sequence,
 		WarmMs: int(r.HealthState.WarmupLeftMs)}
-	p.member(ctx, func(call uint64) { p.box.Put(beaten{call, b}) })
+	p.answerServer(ctx, func(call uint64) { p.inbox.Put(heartbeatCall{call, b}) })
 }
 
-func (p *Process) end(ctx *fasthttp.RequestCtx, id string) {
-	p.member(ctx, func(call uint64) { p.box.Put(deleted{call, id}) })
+func (p *Process) serverEnded(ctx *fasthttp.RequestCtx, id string) {
+	p.answerServer(ctx, func(call uint64) { p.inbox.Put(endedCall{call, id}) })
 }
 
-// member answers a server's call.
-func (p *Process) member(ctx *fasthttp.RequestCtx, put func(call uint64)) {
-	a, ok := p.ask(put).(registry.Answer)
+// answerServer passes a server's call to the control loop, and writes the response.
+func (p *Process) answerServer(ctx *fasthttp.RequestCtx, put func(call uint64)) {
+	a, ok := p.call(put).(registry.Answer)
 	if !ok || !a.OK {
 		p.busy(ctx)
 		return
@@ -125,7 +125,7 @@
 	ctx.SetBody(body)
 }
 
-func (p *Process) put(ctx *fasthttp.RequestCtx, _ string) {
+func (p *Process) putConfig(ctx *fasthttp.RequestCtx, _ string) {
 	body := append([]byte(nil), ctx.PostBody()...)
 	c, err := sysconfig.Parse(body)
 	if err != nil {
@@ -133,13 +133,13 @@
 		return
 	}
 	doc := consensus.Doc{Version: c.Version(), Body: body}
-	a, _ := p.ask(func(call uint64) { p.box.Put(proposed{call, doc}) }).(consensus.Answer)
+	a, _ := p.call(func(call uint64) { p.inbox.Put(putCall{call, doc}) }).(consensus.Answer)
 	switch a.Verdict {
 	case consensus.Kept:
 		ctx.SetContentType("application/json")
 		ctx.SetBodyString("{}")
-	case consensus.Differs: // for good: the same order would never get another answer
-		p.say.WithField("version", fmt.Sprintf("%08x", doc.Version)).Info("refused: the number has another text")
+	case consensus.Differs: // final: a retry of the same call would get the same answer
+		p.logger.WithField("version", fmt.Sprintf("%08x", doc.Version)).Info("refused: the number has another text")
 		ctx.Error(fmt.Sprintf("Epoch: %08x was accepted with another text: read what is in force, and send this above it\n", doc.Version),
 			http.StatusConflict)
 	default:
@@ -147,8 +147,8 @@
 	}
 }
 
-func (p *Process) get(ctx *fasthttp.RequestCtx, _ string) {
-	a, _ := p.ask(func(call uint64) { p.box.Put(fetched{call}) }).(consensus.Answer)
+func (p *Process) getConfig(ctx *fasthttp.RequestCtx, _ string) {
+	a, _ := p.call(func(call uint64) { p.inbox.Put(getCall{call}) }).(consensus.Answer)
 	switch {
 	case a.Verdict == consensus.Read && a.Doc != nil:
 		ctx.SetContentType("application/json")
@@ -160,12 +160,12 @@
 	}
 }
 
-// busy sends the caller elsewhere, or here again.
+// busy tells the caller to retry here or at another process.
 func (p *Process) busy(ctx *fasthttp.RequestCtx) {
-	ctx.Error("nobody can take it now\n", http.StatusServiceUnavailable) // which takes headers away
+	ctx.Error("nobody can take it now\n", http.StatusServiceUnavailable) // resets the headers
 	ctx.Response.Header.Set("Retry-After", "0.2")
 }
 
-func (p *Process) log(ctx *fasthttp.RequestCtx, _ string) {
+func (p *Process) showLog(ctx *fasthttp.RequestCtx, _ string) {
 	ctx.SetBodyString(strings.Join(p.ring.Lines(), "\n") + "\n")
 }
--- a/internal/daemon/contact.go
+++ b/internal/daemon/contact.go
@@ -6,27 +6,28 @@
 	"asterwell/internal/consensus"
 )
 
-// proving asks for proof of contact with most of the core, as young as the call.
-type proving struct{ call uint64 }
+// contactCall asks for a proof of contact with a majority of the core that is no older than the call.
+type contactCall struct{ call uint64 }
 
-// proof is what was kept when most of the core was last heard from; false: this process is
-// not in touch, and must promise nothing and refuse nothing for good.
-func (p *Process) proof(within time.Duration) (kept uint32, ok bool) {
-	a, _ := p.askFor(within, func(call uint64) { p.box.Put(proving{call}) }).(consensus.Answer)
+// proveContact returns the version of the configuration that the core held at the time of the proof. If ok
+// is false this process has no contact, and must neither promise anything nor refuse anything for good.
+func (p *Process) proveContact(within time.Duration) (version uint32, ok bool) {
+	a, _ := p.callWithin(within, func(call uint64) { p.inbox.Put(contactCall{call}) }).(consensus.Answer)
 	return a.Version, a.Verdict == consensus.Proved
 }
 
-// patience is how long a call waits for proof before something else; with that it still
-// ends within the second that callers wait.
-const patience = 850 * time.Millisecond
+// proofTimeout bounds the wait for a proof before another step, so that the call still ends within the
+// second that callers wait.
+const proofTimeout = 850 * time.Millisecond
 
-// glance is how long what is only shown waits for it: it is shown all the same, with its age.
-const glance = 150 * time.Millisecond
+// displayProofTimeout bounds the wait before a read-only answer, which is given in any case, with the age
+// of the last contact.
+const displayProofTimeout = 150 * time.Millisecond
 
-// contactS is how long ago there was contact for certain, in seconds; -1: not in this life.
-func (p *Process) contactS() *float64 {
+// contactSeconds returns the seconds since the last proven contact; -1: none since the start.
+func (p *Process) contactSeconds() *float64 {
 	s := -1.0
-	if d, ok := p.knot.LastContact(p.now()); ok {
+	if d, ok := p.machine.LastContact(p.now()); ok {
 		s = d.Seconds()
 	}
 	return &s
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts a process of the system together: the machines of each plane,
-// the mesh between processes, the disk, and the addresses that others call.
+// Package daemon assembles a process of the system: the state machines, the data plane, the mesh between
+// processes, the disk, and the addresses that clients, servers and operators call.
 package daemon
 
 import (
@@ -36,63 +36,63 @@
 	"asterwell/internal/transport"
 )
 
-// Process is one of the system.
+// Process is one process of the system.
 type Process struct {
-	path  string // of the settings
-	set   *sysconfig.Settings
-	say   *log.Logger
-	ring  *logring.Ring
-	start time.Time
-	self  string // the mesh address
-	box   *mailbox.Box[any]
-	adds  adds // of gateways, to the counters here
+	settingsPath string
+	settings     *sysconfig.Settings
+	logger       *log.Logger
+	ring         *logring.Ring
+	startedAt    time.Time
+	meshAddr     string
+	inbox        *mailbox.Box[any]
+	addQueue     addQueue // adds for the counters held here
 
-	knot  *controlplane.Machine // the machines, which the loop's goroutine owns
-	meter *meter
+	machine *controlplane.Machine // owned by the control loop's goroutine
+	meter   *meter
 
-	mesh      *mesh.Mesh[*frame]
-	frames    tally
-	link      Link            // nil: as the network is
-	role      atomic.Value    // string, in agreement
-	serving   map[string]bool // servers, which the loop owns
-	bare      bool            // the data plane is told nothing
-	version   atomic.Uint32
-	up, known atomic.Int64   // processes and servers, for who counts them often
-	vault     *storage.Vault // nil: no disk
-	disk      *mailbox.Box[*consensus.Write]
-	texts     *mailbox.Box[*controlplane.ConfigText] // to be read: one at a time
-	readings  *controlplane.ParseCache               // nil: nobody shares them
-	rows      *mailbox.Box[[]registry.Row]           // the servers, to be kept
-	rules     *mailbox.Box[*faultrules.Write]
-	judge     *faultrules.Judge
-	ban       *ban // nil: no fault rules
-	tape      *tape
-	heapLimit int64 // of the whole process; 0: it shares the runtime
-	growth    int   // percent
-	dirty     bool
-	keptAt    time.Time
-	plane     *dataplane.Plane
-	listeners []*transport.Listener
-	clients   *transport.Listener // nil: they are not served
+	mesh                      *mesh.Mesh[*frame]
+	frameCounters             frameCounters
+	link                      Link            // nil: plain network connections
+	role                      atomic.Value    // string: the role in consensus
+	servingServers            map[string]bool // by ID; owned by the control loop
+	controlOnly               bool            // the data plane gets no configuration and no servers
+	version                   atomic.Uint32
+	processCount, serverCount atomic.Int64   // copies for frequent readers outside the control loop
+	store                     *storage.Vault // nil: no disk
+	stateWrites               *mailbox.Box[*consensus.Write]
+	parseRequests             *mailbox.Box[*controlplane.ConfigText] // one at a time
+	parseCache                *controlplane.ParseCache               // nil: not shared with other processes
+	serverWrites              *mailbox.Box[[]registry.Row]
+	ruleWrites                *mailbox.Box[*faultrules.Write]
+	ruleJudge                 *faultrules.Judge
+	injector                  *faultInjector // nil: fault rules are disabled
+	strikeRecord              *strikeRecord
+	heapLimit                 int64 // bytes for the whole process; 0: the runtime is shared
+	heapPercent               int   // current growth of the heap between collections
+	serversChanged            bool
+	serversStoredAt           time.Time
+	plane                     *dataplane.Plane
+	listeners                 []*transport.Listener
+	ingress                   *transport.Listener // nil: clients aren't served
 
-	lastCall  atomic.Uint64
-	waits     sync.Map // calls under way: their number, and a chan any
-	leaving   atomic.Bool
-	closing   atomic.Bool // it has left for so long that clients should have gone elsewhere
-	leave     leave
-	ready     atomic.Bool
-	draining  atomic.Bool // an operator has said so
-	nudged    atomic.Bool
-	short     atomic.Bool // of strikes
-	left      time.Time   // since when it leaves
-	drainedAt time.Time   // when a drain began or ended
-	alone     time.Time   // since when nobody else is seen
-	totals    time.Time   // when they were last told
+	lastCall       atomic.Uint64
+	pendingCalls   sync.Map // call ID to chan any
+	leaving        atomic.Bool
+	refusing       atomic.Bool // leaving for so long that clients should have gone elsewhere
+	departure      departure
+	ready          atomic.Bool
+	draining       atomic.Bool // by an operator's call
+	flushPending   atomic.Bool
+	strikesPending atomic.Bool // a strikesWanted is in the inbox
+	leavingSince   time.Time
+	drainChangedAt time.Time
+	aloneSince     time.Time // no other process is seen since then
+	totalsLoggedAt time.Time
 }
 
-const tick = 50 * time.Millisecond
+const tickInterval = 50 * time.Millisecond
 
-// Run serves until the process is told to end.
+// Run runs a process until it is told to end.
 func Run(ctx context.Context, path string) error {
 	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -109,334 +109,334 @@
 		for {
 			select {
 			case <-hup:
-				p.box.Put(changed{})
+				p.inbox.Put(reloadRequest{})
 			case <-term:
-				p.box.Put(told{})
+				p.inbox.Put(stopRequest{})
 			case <-ctx.Done():
-				p.box.Put(told{})
+				p.inbox.Put(stopRequest{})
 				return
 			}
 		}
 	}()
-	return p.loop()
+	return p.run()
 }
 
-// New puts a process together, and begins to listen.
+// New assembles a process and opens its listeners.
 func New(path string, set *sysconfig.Settings) (*Process, error) { return NewTimed(path, set, nil) }
 
-// Timed is New, of a process whose requests' stages somebody measures.
+// NewTimed is New for a process whose request stages are measured; times is called after each request.
 func NewTimed(path string, set *sysconfig.Settings, times func(id string, t *protocol.Times)) (*Process, error) {
 	runtime.GOMAXPROCS(max(1, int(set.BoundsReq.CpuCount)))
-	debug.SetGCPercent(frugal)
+	debug.SetGCPercent(minHeapPercent)
 	limit := int64(set.BoundsReq.MemMb) << 20 * 6 / 10
 	debug.SetMemoryLimit(limit)
 	p, err := assemble(path, set, SharedOptions{Log: os.Stderr, OnRequestTimes: times})
 	if err == nil {
-		p.heapLimit, p.growth = limit, frugal
+		p.heapLimit, p.heapPercent = limit, minHeapPercent
 	}
 	return p, err
 }
 
-func assemble(path string, set *sysconfig.Settings, shared SharedOptions) (*Process, error) {
-	p := &Process{path: path, set: set, link: shared.Link, bare: shared.ControlOnly, readings: shared.ParseCache, serving: map[string]bool{}, start: time.Now(), box: mailbox.NewBox[any](nil), disk: mailbox.NewBox[*consensus.Write](nil), texts: mailbox.NewBox[*controlplane.ConfigText](nil), rows: mailbox.NewBox[[]registry.Row](nil),
-		rules: mailbox.NewBox[*faultrules.Write](nil), judge: faultrules.NewJudge(), tape: &tape{},
-		self: meshAddr(set.IpAddr, set)}
-	p.ring = logring.New(shared.Log, set.NodeName, 256, log.InfoLevel)
-	p.say = &log.Logger{Handler: p.ring, Level: log.DebugLevel}
+func assemble(path string, settings *sysconfig.Settings, shared SharedOptions) (*Process, error) {
+	p := &Process{settingsPath: path, settings: settings, link: shared.Link, controlOnly: shared.ControlOnly, parseCache: shared.ParseCache, servingServers: map[string]bool{}, startedAt: time.Now(), inbox: mailbox.NewBox[any](nil), stateWrites: mailbox.NewBox[*consensus.Write](nil), parseRequests: mailbox.NewBox[*controlplane.ConfigText](nil), serverWrites: mailbox.NewBox[[]registry.Row](nil),
+		ruleWrites: mailbox.NewBox[*faultrules.Write](nil), ruleJudge: faultrules.NewJudge(), strikeRecord: &strikeRecord{},
+		meshAddr: meshAddress(settings.IpAddr, settings)}
+	p.ring = logring.New(shared.Log, settings.NodeName, 256, log.InfoLevel)
+	p.logger = &log.Logger{Handler: p.ring, Level: log.DebugLevel}
 	now, seed := p.now(), hostenv.Real.Random()
-	member := set.QuorumMember && set.StateDir != ""
+	member := settings.QuorumMember && settings.StateDir != ""
 	life := uint64(time.Now().UnixMilli())
-	var kept *consensus.Disk
-	sound := true
+	var stored *consensus.Disk
+	intact := true
 	if member {
 		var err error
-		if p.vault, kept, sound, err = p.open(set.StateDir); err != nil {
+		if p.store, stored, intact, err = p.openStore(settings.StateDir); err != nil {
 			return nil, err
 		}
 	}
-	p.meter = &meter{m: quotas.NewMeter(p.self, life, seed)}
-	p.knot = controlplane.New(controlplane.Config{Self: p.self, Name: set.NodeName, Zone: set.Zone, ControlAddr: set.Bind.ControlPlane,
-		Member: member, Genesis: set.Genesis && sound, ToleratedLosses: set.FaultBudget.MachineLosses,
-		HeartbeatInterval: time.Duration(set.HeartbeatMs) * time.Millisecond, Seeds: p.seeds(), Incarnation: life, Seed: seed,
-		FaultRules: controlplane.FaultRulesConfig{MaxLifetime: p.longest(), Judge: p.judge, Disk: p.keptRules(sound)}},
-		p.meter, kept, now)
-	p.plane = dataplane.New(dataplane.Options{Zone: set.Zone, Now: p.now, MaxServerConns: set.BoundsReq.FdLimit / 3, Seed: seed, TakeQuota: p.pass,
-		Leaving: p.away, Closing: p.closing.Load, RetryRatio: set.Bounds.RetryRatio, RetryAllowance: set.Bounds.RetrySlack, WarmupTime: 3 * time.Second, FaultInjector: p.faults(life), OnRequestTimes: shared.OnRequestTimes})
-	p.mesh = mesh.New(mesh.Options[*frame]{Codec: p.frames.codec(p.adds.full), MaxInbound: 1000, ConfigureConn: tune, ReadBufferSize: 2 << 10,
+	p.meter = &meter{inner: quotas.NewMeter(p.meshAddr, life, seed)}
+	p.machine = controlplane.New(controlplane.Config{Self: p.meshAddr, Name: settings.NodeName, Zone: settings.Zone, ControlAddr: settings.Bind.ControlPlane,
+		Member: member, Genesis: settings.Genesis && intact, ToleratedLosses: settings.FaultBudget.MachineLosses,
+		HeartbeatInterval: time.Duration(settings.HeartbeatMs) * time.Millisecond, Seeds: p.seedAddrs(), Incarnation: life, Seed: seed,
+		FaultRules: controlplane.FaultRulesConfig{MaxLifetime: p.maxRuleLifetime(), Judge: p.ruleJudge, Disk: p.storedRules(intact)}},
+		p.meter, stored, now)
+	p.plane = dataplane.New(dataplane.Options{Zone: settings.Zone, Now: p.now, MaxServerConns: settings.BoundsReq.FdLimit / 3, Seed: seed, TakeQuota: p.takeQuota,
+		Leaving: p.redirectsClients, Closing: p.refusing.Load, RetryRatio: settings.Bounds.RetryRatio, RetryAllowance: settings.Bounds.RetrySlack, WarmupTime: 3 * time.Second, FaultInjector: p.newInjector(life), OnRequestTimes: shared.OnRequestTimes})
+	p.mesh = mesh.New(mesh.Options[*frame]{Codec: p.frameCounters.codec(p.addQueue.full), MaxInbound: 1000, ConfigureConn: configureConn, ReadBufferSize: 2 << 10,
 		Handle: func(_ *mesh.Conn[*frame], f *frame) {
 			if f != nil {
-				p.over(f.From, false, func() { p.hand(f) })
+				p.transmit(f.From, false, func() { p.enqueue(f) })
 			}
 		}})
-	if err := p.mesh.Listen(p.self); err != nil {
+	if err := p.mesh.Listen(p.meshAddr); err != nil {
 		return nil, fmt.Errorf("mesh: %w", err)
 	}
-	go p.read()
-	p.carry(p.knot.RestoreServers(now, p.restore()))
-	return p, p.serve()
+	go p.parseConfigs()
+	p.execute(p.machine.RestoreServers(now, p.storedServers()))
+	return p, p.listenAll()
 }
 
-// now is the process's clock: steady, and above 0.
-func (p *Process) now() fsm.Time { return time.Hour + time.Since(p.start) }
+// now is the process's clock: monotonic, and always above 0.
+func (p *Process) now() fsm.Time { return time.Hour + time.Since(p.startedAt) }
 
-// meshAddr is where the process on a machine listens to others.
-func meshAddr(host string, set *sysconfig.Settings) string {
+// meshAddress returns the mesh address of the process on a host.
+func meshAddress(host string, set *sysconfig.Settings) string {
 	return fmt.Sprintf("%s:%d", host, set.PortRange[0])
 }
 
-// seeds are the mesh addresses of the machines that the settings name.
-func (p *Process) seeds() []string {
-	return lo.FilterMap(p.set.Bootstrap, func(addr string, _ int) (string, bool) {
+// seedAddrs returns the mesh addresses of the bootstrap hosts in the settings.
+func (p *Process) seedAddrs() []string {
+	return lo.FilterMap(p.settings.Bootstrap, func(addr string, _ int) (string, bool) {
 		host, _, err := net.SplitHostPort(addr)
-		return meshAddr(host, p.set), err == nil
+		return meshAddress(host, p.settings), err == nil
 	})
 }
 
-// dark is how long a peer may leave bytes unconfirmed: one without power, or behind
-// a cut, says nothing.
-const dark = 900 * time.Millisecond
+// unacknowledgedTimeout bounds how long sent bytes may stay unacknowledged: a peer without power, or
+// behind a partition, doesn't close its connections.
+const unacknowledgedTimeout = 900 * time.Millisecond
 
-func tune(c net.Conn) {
+func configureConn(c net.Conn) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return
 	}
 	if raw, err := t.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) {
-			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(dark.Milliseconds()))
+			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 		})
 	}
 }
 
-// pass takes units of a tenant's quota.
-func (p *Process) pass(tenant string, units float64) (bool, time.Duration) {
-	ok, after, due := p.meter.pass(p.now(), tenant, units)
-	if due && !p.nudged.Swap(true) {
-		p.box.Put(nudge{})
+// takeQuota takes units of a tenant's quota, or returns when some will be available.
+func (p *Process) takeQuota(tenant string, units float64) (bool, time.Duration) {
+	ok, after, flush := p.meter.takeQuota(p.now(), tenant, units)
+	if flush && !p.flushPending.Swap(true) {
+		p.inbox.Put(flushAdds{})
 	}
 	return ok, after
 }
 
-// What the loop is told, besides frames.
+// Inputs of the control loop, besides frames.
 type (
-	beaten struct {
+	heartbeatCall struct {
 		call uint64
 		beat registry.Beat
 	}
-	deleted struct {
+	endedCall struct {
 		call uint64
 		id   string
 	}
-	proposed struct {
+	putCall struct {
 		call uint64
 		doc  consensus.Doc
 	}
-	withdrawn struct {
+	withdrawCall struct {
 		call    uint64
 		version uint32
 		by      string
 	}
-	fetched struct{ call uint64 }
-	written struct{ seq uint64 }
-	nudge   struct{} // adds to the counters should not wait for the tick
-	changed struct{} // the settings
-	told    struct{} // to end
+	getCall       struct{ call uint64 }
+	stateWritten  struct{ seq uint64 }
+	flushAdds     struct{} // adds should be sent before the next tick
+	reloadRequest struct{} // the settings file has changed
+	stopRequest   struct{} // the process is told to end
 )
 
-// loop serves until the process has been told to end and all is answered.
-func (p *Process) loop() error {
-	p.say.WithField("mesh", p.self).Info("started")
+// run is the control loop. It returns when the process was told to end and all requests are answered.
+func (p *Process) run() error {
+	p.logger.WithField("mesh", p.meshAddr).Info("started")
 	next, counted := time.Now(), true
 	for {
 		wait := max(0, time.Until(next))
 		if !counted {
 			wait = 0
 		}
-		for _, m := range p.box.Take(wait) {
-			if f, ok := m.(*frame); !ok || !p.adds.put(f, time.Now()) {
-				p.take(m)
+		for _, m := range p.inbox.Take(wait) {
+			if f, ok := m.(*frame); !ok || !p.addQueue.push(f, time.Now()) {
+				p.handle(m)
 			}
 		}
-		counted = p.count()
+		counted = p.countAdds()
 		if now := time.Now(); !now.Before(next) {
-			next = now.Add(tick)
-			p.tick()
-			if !p.left.IsZero() && p.ended(now) {
-				p.say.Info("ended")
+			next = now.Add(tickInterval)
+			p.runTick()
+			if !p.leavingSince.IsZero() && p.advanceDeparture(now) {
+				p.logger.Info("ended")
 				return nil
 			}
 		}
 	}
 }
 
-func (p *Process) take(m any) {
+func (p *Process) handle(m any) {
 	now := p.now()
 	switch m := m.(type) {
 	case *frame:
-		p.carry(p.knot.Receive(now, m.From, m.Msg))
-	case beaten:
-		p.carry(p.knot.ServerHeartbeat(now, m.call, m.beat))
-	case deleted:
-		p.carry(p.knot.RemoveServer(now, m.call, m.id))
-	case proposed:
-		p.carry(p.knot.PutConfig(now, m.call, m.doc))
-	case withdrawn:
-		p.carry(p.knot.Withdraw(now, m.call, m.version, m.by))
-	case fetched:
-		p.carry(p.knot.GetConfig(now, m.call))
-	case proving:
-		p.carry(p.knot.ProveContact(now, m.call))
-	case shown:
-		p.reply(m.call, m.show(p))
-	case drained:
-		p.carry(p.knot.Drain(now, m.call, m.op, m.within))
+		p.execute(p.machine.Receive(now, m.From, m.Msg))
+	case heartbeatCall:
+		p.execute(p.machine.ServerHeartbeat(now, m.call, m.beat))
+	case endedCall:
+		p.execute(p.machine.RemoveServer(now, m.call, m.id))
+	case putCall:
+		p.execute(p.machine.PutConfig(now, m.call, m.doc))
+	case withdrawCall:
+		p.execute(p.machine.Withdraw(now, m.call, m.version, m.by))
+	case getCall:
+		p.execute(p.machine.GetConfig(now, m.call))
+	case contactCall:
+		p.execute(p.machine.ProveContact(now, m.call))
+	case showCall:
+		p.reply(m.call, m.build(p))
+	case drainCall:
+		p.execute(p.machine.Drain(now, m.call, m.op, m.within))
 	case *controlplane.ParsedConfig:
-		p.carry(p.knot.ConfigParsed(now, m))
-	case written:
-		p.carry(p.knot.Written(now, m.seq))
-	case ruled:
-		p.carry(p.knot.CallFaultRules(now, m.call, m.op, m.doc))
+		p.execute(p.machine.ConfigParsed(now, m))
+	case stateWritten:
+		p.execute(p.machine.Written(now, m.seq))
+	case faultRulesCall:
+		p.execute(p.machine.CallFaultRules(now, m.call, m.op, m.doc))
 	case rulesWritten:
-		p.carry(p.knot.FaultRulesWritten(now, m.seq))
-	case short:
-		p.short.Store(false)
-		p.carry(p.knot.RequestStrikes(now))
-	case nudge:
-		p.nudged.Store(false)
-		p.carry(p.knot.FlushAdds(now))
-	case changed:
-		p.reread()
-	case told:
-		if p.left.IsZero() {
-			p.say.Info("leaving")
-			p.left = time.Now()
+		p.execute(p.machine.FaultRulesWritten(now, m.seq))
+	case strikesWanted:
+		p.strikesPending.Store(false)
+		p.execute(p.machine.RequestStrikes(now))
+	case flushAdds:
+		p.flushPending.Store(false)
+		p.execute(p.machine.FlushAdds(now))
+	case reloadRequest:
+		p.reloadSettings()
+	case stopRequest:
+		if p.leavingSince.IsZero() {
+			p.logger.Info("leaving")
+			p.leavingSince = time.Now()
 			p.leaving.Store(true)
 			p.ready.Store(false)
-			p.carry(p.knot.Leave(now))
+			p.execute(p.machine.Leave(now))
 		}
 	}
 }
 
-func (p *Process) tick() {
-	p.knot.ReportAddDelay(p.now(), p.adds.waited)
-	p.adds.waited = 0
-	p.carry(p.knot.Tick(p.now()))
-	if ready := p.knot.Ready(); ready != p.ready.Load() {
+func (p *Process) runTick() {
+	p.machine.ReportAddDelay(p.now(), p.addQueue.longestWait)
+	p.addQueue.longestWait = 0
+	p.execute(p.machine.Tick(p.now()))
+	if ready := p.machine.Ready(); ready != p.ready.Load() {
 		p.ready.Store(ready)
-		p.say.WithField("ready", ready).Info("readiness")
-	}
-	p.role.Store(duty(p.knot.ConsensusStatus(), p.self))
-	p.keepList(time.Now())
-	p.idle(time.Now())
-	if at := time.Now(); at.Sub(p.totals) >= totalsEvery {
-		p.totals = at
-		go p.tell()
-	}
-	if !p.knot.Alone() {
-		p.alone = time.Time{}
-	} else if at := time.Now(); p.alone.IsZero() {
-		p.alone = at
-	} else if at.Sub(p.alone) > 2*time.Second { // the settings may name others by now
-		p.alone = at
-		p.reread()
+		p.logger.WithField("ready", ready).Info("readiness")
+	}
+	p.role.Store(consensusRole(p.machine.ConsensusStatus(), p.meshAddr))
+	p.storeServers(time.Now())
+	p.closeIdle(time.Now())
+	if at := time.Now(); at.Sub(p.totalsLoggedAt) >= totalsInterval {
+		p.totalsLoggedAt = at
+		go p.logTotals()
+	}
+	if !p.machine.Alone() {
+		p.aloneSince = time.Time{}
+	} else if at := time.Now(); p.aloneSince.IsZero() {
+		p.aloneSince = at
+	} else if at.Sub(p.aloneSince) > 2*time.Second { // the settings may have new seeds by now
+		p.aloneSince = at
+		p.reloadSettings()
 	}
 }
 
-// read reads configurations beside the loop.
-func (p *Process) read() {
+// parseConfigs parses configurations outside the control loop.
+func (p *Process) parseConfigs() {
 	for {
-		for _, t := range p.texts.Take(-1) {
-			p.box.Put(p.readings.Parse(t))
+		for _, t := range p.parseRequests.Take(-1) {
+			p.inbox.Put(p.parseCache.Parse(t))
 		}
 	}
 }
 
-// carry carries out what the machines want.
-func (p *Process) carry(out controlplane.Output) {
+// execute carries out the output of the machine.
+func (p *Process) execute(out controlplane.Output) {
 	if out.Write != nil {
-		p.disk.Put(out.Write)
+		p.stateWrites.Put(out.Write)
 	}
 	if out.FaultRulesWrite != nil {
-		p.rules.Put(out.FaultRulesWrite)
+		p.ruleWrites.Put(out.FaultRulesWrite)
 	}
 	if out.Parse != nil {
-		p.texts.Put(out.Parse)
+		p.parseRequests.Put(out.Parse)
 	}
 	if out.FaultRulesLog != "" {
-		p.say.Info(out.FaultRulesLog)
+		p.logger.Info(out.FaultRulesLog)
 	}
 	if out.Fenced {
-		p.say.Error("state is older than what was vouched for on it: joins anew")
+		p.logger.Error("state is older than what was vouched for on it: joins anew")
 	}
 	if out.MembersChanged {
-		p.say.WithField("up", out.Gateways.Count).Debug("membership")
-		p.up.Store(int64(out.Gateways.Count))
-		if !p.bare {
+		p.logger.WithField("up", out.Gateways.Count).Debug("membership")
+		p.processCount.Store(int64(out.Gateways.Count))
+		if !p.controlOnly {
 			p.plane.SetGateways(out.Gateways.Count, out.Gateways.Index)
 		}
 	}
 	if out.Adopt != nil {
-		p.grow(len(out.Doc.Body))
-		if !p.bare {
+		p.adjustHeap(len(out.Doc.Body))
+		if !p.controlOnly {
 			p.plane.Adopt(out.Adopt)
 		}
 		p.version.Store(out.Doc.Version)
-		p.say.WithField("version", fmt.Sprintf("%08x", out.Doc.Version)).Info("configuration in force")
+		p.logger.WithField("version", fmt.Sprintf("%08x", out.Doc.Version)).Info("configuration in force")
 	}
 	if out.GateChanged || out.Adopt != nil {
-		p.plane.SetGate(p.knot.Gate())
+		p.plane.SetGate(p.machine.Gate())
 	}
 	if out.AdoptError != nil {
-		p.say.WithError(out.AdoptError).WithField("version", out.Doc.Version).Error("kept, but not valid here")
+		p.logger.WithError(out.AdoptError).WithField("version", out.Doc.Version).Error("kept, but not valid here")
 	}
 	if out.ServersChanged {
-		p.dirty = true
-		p.listed(out.ServerChanges)
+		p.serversChanged = true
+		p.updateServers(out.ServerChanges)
 	}
 	p.send(out.Send)
 	if out.DrainChanged {
-		p.drains()
+		p.drainChanged()
 	}
 	for _, r := range out.Replies {
 		p.reply(r.CallID, r.Value)
 	}
 }
 
-const totalsEvery = 10 * time.Second
+const totalsInterval = 10 * time.Second
 
-// tell logs what each lane has done so far.
-func (p *Process) tell() {
+// logTotals logs the counters of each service, and of the process's memory.
+func (p *Process) logTotals() {
 	for name, t := range p.plane.ServiceStats() {
-		p.say.WithFields(log.Fields{"service": name, "requests": t.Requests, "served": t.Served, "refused": t.Refused,
+		p.logger.WithFields(log.Fields{"service": name, "requests": t.Requests, "served": t.Served, "refused": t.Refused,
 			"failed": t.Failed, "gone": t.Gone, "attempts": t.Attempts, "ends": t.Outcomes, "why": t.Module.Refused,
 			"limit": fmt.Sprintf("%.1f", t.Module.Limit), "out": fmt.Sprintf("%.1f", t.Module.Out)}).Info("totals")
 	}
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	p.say.WithFields(log.Fields{"limited": p.plane.QuotaRefusals(), "adds_dropped": p.adds.dropped.Load(), "mesh_in_kb": p.mesh.Counts.BytesIn.Load() >> 10, "mesh_out_kb": p.mesh.Counts.BytesOut.Load() >> 10, "heap_kb": mem.HeapInuse >> 10, "idle_kb": (mem.HeapIdle - mem.HeapReleased) >> 10,
+	p.logger.WithFields(log.Fields{"limited": p.plane.QuotaRefusals(), "adds_dropped": p.addQueue.dropped.Load(), "mesh_in_kb": p.mesh.Counts.BytesIn.Load() >> 10, "mesh_out_kb": p.mesh.Counts.BytesOut.Load() >> 10, "heap_kb": mem.HeapInuse >> 10, "idle_kb": (mem.HeapIdle - mem.HeapReleased) >> 10,
 		"stack_kb": mem.StackInuse >> 10, "other_kb": (mem.MSpanSys + mem.MCacheSys + mem.BuckHashSys + mem.GCSys + mem.OtherSys) >> 10,
 		"next_kb": mem.NextGC >> 10, "collections": mem.NumGC, "goroutines": runtime.NumGoroutine()}).Info("totals")
 }
 
-// send puts messages on their way. Those for this process itself come back to it.
+// send sends messages. Those for this process itself go back into its inbox.
 func (p *Process) send(out []fsm.Send) {
 	for _, s := range out {
-		f := &frame{From: p.self, Msg: s.Msg}
-		if s.To == p.self {
-			p.hand(f)
+		f := &frame{From: p.meshAddr, Msg: s.Msg}
+		if s.To == p.meshAddr {
+			p.enqueue(f)
 			continue
 		}
-		p.over(s.To, true, func() { p.mesh.ConnTo(s.To).Send(f) })
+		p.transmit(s.To, true, func() { p.mesh.ConnTo(s.To).Send(f) })
 	}
 }
 
-// ask puts a call to the loop and waits for its answer, a second at most.
-func (p *Process) ask(put func(call uint64)) any { return p.askFor(time.Second, put) }
+// call passes a call to the control loop and waits up to a second for its answer; nil: there was none.
+func (p *Process) call(put func(call uint64)) any { return p.callWithin(time.Second, put) }
 
-func (p *Process) askFor(within time.Duration, put func(call uint64)) any {
+func (p *Process) callWithin(within time.Duration, put func(call uint64)) any {
 	call, answer := p.lastCall.Add(1), make(chan any, 1)
-	p.waits.Store(call, answer)
-	defer p.waits.Delete(call)
+	p.pendingCalls.Store(call, answer)
+	defer p.pendingCalls.Delete(call)
 	put(call)
 	late := time.NewTimer(within)
 	defer late.Stop()
@@ -448,22 +448,22 @@
 	}
 }
 
-func (p *Process) reply(call uint64, a any) {
-	if to, ok := p.waits.Load(call); ok {
+func (p *Process) reply(call uint64, answer any) {
+	if waiting, ok := p.pendingCalls.Load(call); ok {
 		select {
-		case to.(chan any) <- a:
-		default: // it has one
+		case waiting.(chan any) <- answer:
+		default: // already answered
 		}
 	}
 }
 
-// reread takes over what the settings may change: the seeds.
-func (p *Process) reread() {
-	set, err := sysconfig.ReadSettings(p.path)
+// reloadSettings applies the settings that may change at run time: the seeds.
+func (p *Process) reloadSettings() {
+	set, err := sysconfig.ReadSettings(p.settingsPath)
 	if err != nil {
-		p.say.WithError(err).Warn("kept the settings in use")
+		p.logger.WithError(err).Warn("kept the settings in use")
 		return
 	}
-	p.set.Bootstrap = set.Bootstrap
-	p.knot.SetSeeds(p.now(), p.seeds())
+	p.settings.Bootstrap = set.Bootstrap
+	p.machine.SetSeeds(p.now(), p.seedAddrs())
 }
--- /dev/null
+++ b/internal/daemon/departure.go
@@ -0,0 +1,72 @@
+package daemon
+
+import (
+	"time"
+
+	"asterwell/internal/consensus"
+)
+
+// How a process leaves: it goes on serving until the platform has seen twice that it isn't ready. Requests
+// that are still open near the end of the grace period get an answer, since clients couldn't tell a
+// connection that just closes from a lost request.
+const (
+	unreadyNotice   = 2500 * time.Millisecond
+	answerAllBefore = 450 * time.Millisecond // before the grace period ends
+	quitBefore      = 150 * time.Millisecond
+)
+
+// departure tracks how far a process has come with leaving.
+type departure struct {
+	answered bool
+	noticed  consensus.Notice
+}
+
+type departureStep int
+
+const (
+	serveOn    departureStep = iota // serve as usual
+	drainConns                      // accept no new requests, and close idle connections
+	answerAll                       // once: answer all open requests
+	quitNow
+)
+
+// exitNoticeBefore is how long before the end of the grace period a core member gives up its place, if it
+// wasn't replaced before; it does so earlier once no request is open. Until then it counts as a member of
+// the core.
+const exitNoticeBefore = time.Second
+
+// notice returns what the other processes are to be told now; 0: nothing new.
+func (d *departure) notice(elapsed, grace time.Duration, idle bool) consensus.Notice {
+	n := d.noticed
+	switch {
+	case elapsed > grace-exitNoticeBefore:
+		n = consensus.Ends
+	case idle:
+		n = max(n, consensus.Last)
+	}
+	if n == d.noticed {
+		return 0
+	}
+	d.noticed = n
+	return n
+}
+
+// ends reports whether the process may end: no request is open, or the grace period is nearly over, and
+// its state is stored elsewhere.
+func (d *departure) ends(s departureStep, idle, left bool) bool {
+	return s == quitNow || s != serveOn && idle && left
+}
+
+// next returns the step at a time after the process was told to end.
+func (d *departure) next(elapsed, grace time.Duration) departureStep {
+	switch {
+	case elapsed > grace-quitBefore:
+		return quitNow
+	case elapsed > grace-answerAllBefore && !d.answered:
+		d.answered = true
+		return answerAll
+	case elapsed < min(unreadyNotice, grace/2):
+		return serveOn
+	}
+	return drainConns
+}
--- a/internal/daemon/leave_test.go
+++ b/internal/daemon/departure_test.go
@@ -8,22 +8,23 @@
 	"asterwell/internal/consensus"
 )
 
-// What is open near the end of the grace is answered once, and in time to be sent.
-func TestLeave(t *testing.T) {
+// TestDepartureSteps: requests that are open near the end of the grace period are answered once, and early
+// enough for the answers to be sent.
+func TestDepartureSteps(t *testing.T) {
 	for _, grace := range []time.Duration{6 * time.Second, 2 * time.Second} {
-		var l leave
-		var steps []step
+		var l departure
+		var steps []departureStep
 		var called time.Duration
 		for gone := time.Duration(0); gone < grace; gone += 50 * time.Millisecond {
 			s := l.next(gone, grace)
-			if s == reply {
+			if s == answerAll {
 				called = gone
 			}
 			if len(steps) == 0 || steps[len(steps)-1] != s {
 				steps = append(steps, s)
 			}
 		}
-		if want := []step{stay, empty, reply, empty, quit}; !slices.Equal(steps, want) {
+		if want := []departureStep{serveOn, drainConns, answerAll, drainConns, quitNow}; !slices.Equal(steps, want) {
 			t.Errorf("grace %v: steps %v, want %v", grace, steps, want)
 		}
 		if left := grace - called; left < 300*time.Millisecond || left > 500*time.Millisecond {
@@ -32,25 +33,27 @@
 	}
 }
 
-// A process ends once it is idle and its seat is given away, or at the end of its grace.
-func TestEnds(t *testing.T) {
-	var l leave
+// TestDepartureEnds: a process ends once it is idle and its state is stored elsewhere, or at the end of
+// the grace period.
+func TestDepartureEnds(t *testing.T) {
+	var l departure
 	for _, c := range []struct {
-		s          step
+		s          departureStep
 		idle, left bool
 		ends       bool
-	}{{stay, true, true, false}, {empty, true, false, false}, {empty, false, true, false}, {empty, true, true, true},
-		{reply, true, true, true}, {quit, false, false, true}} {
+	}{{serveOn, true, true, false}, {drainConns, true, false, false}, {drainConns, false, true, false}, {drainConns, true, true, true},
+		{answerAll, true, true, true}, {quitNow, false, false, true}} {
 		if l.ends(c.s, c.idle, c.left) != c.ends {
 			t.Errorf("%+v", c)
 		}
 	}
 }
 
-// TestNotice: the others are told once that nothing is open any more, and once that the end is near.
-func TestNotice(t *testing.T) {
+// TestDepartureNotices: the other processes are told once that no request is open any more, and once that
+// the end is near.
+func TestDepartureNotices(t *testing.T) {
 	for _, idle := range []time.Duration{3 * time.Second, 5500 * time.Millisecond} {
-		var l leave
+		var l departure
 		var told []consensus.Notice
 		for gone := time.Duration(0); gone < 6*time.Second; gone += 50 * time.Millisecond {
 			if n := l.notice(gone, 6*time.Second, gone >= idle); n != 0 {
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -16,116 +16,116 @@
 	"asterwell/internal/storage"
 )
 
-// record is the name under which agreement's state is kept.
-const record = "pact"
+// stateRecord is the name of the stored record of consensus.
+const stateRecord = "pact"
 
-// open reads what is on disk, and begins to write what comes. sound is false where
-// something was lost: what a member has forgotten, it may have promised, so that it
-// joins anew like one with an empty disk.
-func (p *Process) open(dir string) (v *storage.Vault, d *consensus.Disk, sound bool, err error) {
-	var lost *storage.Damaged
-	if v, err = storage.Open(dir); v == nil {
+// openStore reads the stored state and starts the writers. If intact is false, some state was lost: a
+// member may have made promises that it no longer knows of, so it has to join anew, as with an empty disk.
+func (p *Process) openStore(dir string) (store *storage.Vault, disk *consensus.Disk, intact bool, err error) {
+	var damaged *storage.Damaged
+	if store, err = storage.Open(dir); store == nil {
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
 	}
-	go p.write(v)
-	go p.writeList(v)
-	go p.writeRules(v)
+	go p.writeState(store)
+	go p.writeServers(store)
+	go p.writeRules(store)
 	if err != nil {
-		p.say.WithError(err).Error("state is damaged: joins anew")
-		return v, nil, false, nil
+		p.logger.WithError(err).Error("state is damaged: joins anew")
+		return store, nil, false, nil
 	}
-	data, err := v.Load(record)
-	var back *storage.SteppedBack
+	data, err := store.Load(stateRecord)
+	var steppedBack *storage.SteppedBack
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		aside, _ := v.Aside()
-		return v, nil, len(aside) == 0, nil
-	case errors.As(err, &back) || errors.As(err, &lost):
-		p.say.WithError(err).Error("state is damaged: joins anew")
-		return v, nil, false, nil
+		aside, _ := store.Aside()
+		return store, nil, len(aside) == 0, nil
+	case errors.As(err, &steppedBack) || errors.As(err, &damaged):
+		p.logger.WithError(err).Error("state is damaged: joins anew")
+		return store, nil, false, nil
 	case err != nil:
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
 	}
-	if d, err = consensus.ReadDisk(data); err != nil {
-		return nil, nil, false, fmt.Errorf("StateDir: record %q: %w", record, err)
+	if disk, err = consensus.ReadDisk(data); err != nil {
+		return nil, nil, false, fmt.Errorf("StateDir: record %q: %w", stateRecord, err)
 	}
-	return v, d, true, nil
+	return store, disk, true, nil
 }
 
-const writeAgain = 200 * time.Millisecond
+const writeRetryPause = 200 * time.Millisecond
 
-// write syncs what agreement wants kept, the newest of what has come: each is whole.
-// A disk that refuses is asked again; until then nothing is acknowledged.
-func (p *Process) write(v *storage.Vault) {
+// writeState stores the state of consensus, only the newest write if several wait: each is complete. A
+// failed write is retried; until it succeeds nothing is acknowledged.
+func (p *Process) writeState(store *storage.Vault) {
 	for {
-		all := p.disk.Take(-1)
+		all := p.stateWrites.Take(-1)
 		if len(all) == 0 {
 			continue
 		}
 		last := all[len(all)-1]
 		data, err := last.Disk.Bytes()
 		for err == nil {
-			if err = v.Save(record, data); err == nil {
+			if err = store.Save(stateRecord, data); err == nil {
 				break
 			}
-			p.say.WithError(err).Warn("disk refuses")
-			time.Sleep(writeAgain)
+			p.logger.WithError(err).Warn("disk refuses")
+			time.Sleep(writeRetryPause)
 			err = nil
 		}
-		p.box.Put(written{last.Seq})
+		p.inbox.Put(stateWritten{last.Seq})
 	}
 }
 
-// list is the name under which the servers are kept.
-const list = "lore"
+// serversRecord is the name of the stored list of servers.
+const serversRecord = "lore"
 
-// writeList keeps the servers, the newest word of what has come. Nothing waits for it.
-func (p *Process) writeList(v *storage.Vault) {
+// writeServers stores the list of servers, only the newest if several wait. Nothing depends on its
+// success.
+func (p *Process) writeServers(store *storage.Vault) {
 	for {
-		all := p.rows.Take(-1)
+		all := p.serverWrites.Take(-1)
 		if len(all) == 0 {
 			continue
 		}
 		data, err := cbor.Marshal(all[len(all)-1])
 		if err == nil {
-			err = v.Save(list, data)
+			err = store.Save(serversRecord, data)
 		}
 		if err != nil {
-			p.say.WithError(err).Debug("the list of servers is not kept")
+			p.logger.WithError(err).Debug("the list of servers was not stored")
 		}
 	}
 }
 
-// restore reads the servers as they were last kept.
-func (p *Process) restore() (rows []registry.Row) {
-	if p.vault == nil {
+// storedServers returns the list of servers that was last stored.
+func (p *Process) storedServers() (rows []registry.Row) {
+	if p.store == nil {
 		return nil
 	}
-	data, err := p.vault.Load(list)
+	data, err := p.store.Load(serversRecord)
 	if data == nil || cbor.Unmarshal(data, &rows) != nil {
-		p.say.WithField("why", err).Debug("no list of servers was kept")
+		p.logger.WithField("why", err).Debug("no stored list of servers")
 		return nil
 	}
 	return rows
 }
 
-const listEvery = time.Second
+const serversStoreInterval = time.Second
 
-// keepList sends the servers to disk if they have changed, once a second at most.
-func (p *Process) keepList(now time.Time) {
-	if p.vault == nil || !p.dirty || now.Sub(p.keptAt) < listEvery {
+// storeServers passes the list of servers to its writer if it has changed, at most once a second.
+func (p *Process) storeServers(now time.Time) {
+	if p.store == nil || !p.serversChanged || now.Sub(p.serversStoredAt) < serversStoreInterval {
 		return
 	}
-	if rows := p.knot.ServersToStore(); rows != nil {
-		p.dirty, p.keptAt = false, now
-		p.rows.Put(rows)
+	if rows := p.machine.ServersToStore(); rows != nil {
+		p.serversChanged, p.serversStoredAt = false, now
+		p.serverWrites.Put(rows)
 	}
 }
 
-// Status is what an operator sees of a process.
+// Status is the answer of GET /api/status.
 type Status struct {
 	Name, Mesh  string
-	ContactS    *float64 // since there was contact with most of the core for certain; -1: not in this life
+	ContactS    *float64 // seconds since the last proven contact with a majority of the core; -1: none since the start
 	Ready       bool
 	Leaving     bool
 	Draining    bool
@@ -138,8 +138,8 @@
 	FrameCounts map[string]int64 `json:"Frames"`
 }
 
-func (p *Process) examine() Status {
-	return Status{Name: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Ready: p.ready.Load(), Leaving: p.leaving.Load(), Draining: p.draining.Load(),
-		Version: fmt.Sprintf("%08x", p.plane.Version()), Pact: p.knot.ConsensusStatus(), Rollout: p.knot.RolloutStatus(p.now()), Turns: p.plane.GateStats(),
-		Nodes: p.knot.Nodes(), Servers: p.knot.Servers(), FrameCounts: p.mesh.Counts.All()}
+func (p *Process) currentStatus() Status {
+	return Status{Name: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Ready: p.ready.Load(), Leaving: p.leaving.Load(), Draining: p.draining.Load(),
+		Version: fmt.Sprintf("%08x", p.plane.Version()), Pact: p.machine.ConsensusStatus(), Rollout: p.machine.RolloutStatus(p.now()), Turns: p.plane.GateStats(),
+		Nodes: p.machine.Nodes(), Servers: p.machine.Servers(), FrameCounts: p.mesh.Counts.All()}
 }
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -9,8 +9,8 @@
 	"asterwell/internal/drainpermit"
 )
 
-// drained asks the loop to drain, or to end that.
-type drained struct {
+// drainCall asks the control loop to start or stop a drain.
+type drainCall struct {
 	call   uint64
 	op     drainpermit.Op
 	within time.Duration
@@ -18,30 +18,31 @@
 
 var drainOps = map[string]drainpermit.Op{"start": drainpermit.Start, "start-alone": drainpermit.StartAlone, "stop": drainpermit.Stop}
 
-// Why a drain is refused.
-var drainNoes = map[drainpermit.Answer]string{
+// drainRefusals are the reasons why a drain is refused.
+var drainRefusals = map[drainpermit.Answer]string{
 	drainpermit.Alone: "no other gateway is ready: clients would have nowhere to go",
 	drainpermit.Ends:  "this process is ending",
 	drainpermit.Other: "another order has come since",
 }
 
-// drain is an operator's: the platform and clients go elsewhere, and what still comes is
-// served. All else the process goes on doing. A drain does not outlive its process.
+// drain handles an operator's call that starts or stops a drain. During a drain the platform and clients
+// are sent to other gateways, requests that still come are served, and the process does all its other
+// work. A drain ends with the process.
 func (p *Process) drain(ctx *fasthttp.RequestCtx, rest string) {
 	op, known := drainOps[rest]
 	if !known {
 		ctx.Error("no such call\n", http.StatusNotFound)
 		return
 	}
-	end := time.Now().Add(drainWithin)
-	if op == drainpermit.Start { // it counts on another gateway, and is refused where there is none
-		if _, ok := p.proof(drainProof); !ok {
+	end := time.Now().Add(drainCallTimeout)
+	if op == drainpermit.Start { // needs another gateway, and is refused if there is none
+		if _, ok := p.proveContact(drainProofTimeout); !ok {
 			p.busy(ctx)
 			return
 		}
 	}
 	within := time.Until(end)
-	a, answered := p.askFor(within+tick, func(call uint64) { p.box.Put(drained{call, op, within}) }).(drainpermit.Answer)
+	a, answered := p.callWithin(within+tickInterval, func(call uint64) { p.inbox.Put(drainCall{call, op, within}) }).(drainpermit.Answer)
 	switch {
 	case a == drainpermit.Done:
 		ctx.SetContentType("application/json")
@@ -49,37 +50,37 @@
 	case !answered || a == drainpermit.Lost:
 		p.busy(ctx)
 	default:
-		ctx.Error(drainNoes[a]+"\n", http.StatusConflict)
+		ctx.Error(drainRefusals[a]+"\n", http.StatusConflict)
 	}
 }
 
-// A call ends within the second that callers wait, and leaves time for the word of another gateway.
+// A drain call ends within the second that callers wait, with time left for the answer of another gateway.
 const (
-	drainWithin = 850 * time.Millisecond
-	drainProof  = 600 * time.Millisecond
+	drainCallTimeout  = 850 * time.Millisecond
+	drainProofTimeout = 600 * time.Millisecond
 )
 
-// drains is for when clients are to go elsewhere, or to come again.
-func (p *Process) drains() {
-	on := p.knot.Draining()
+// drainChanged announces the start or end of a drain.
+func (p *Process) drainChanged() {
+	on := p.machine.Draining()
 	if p.draining.Swap(on) == on {
 		return
 	}
-	p.say.WithField("on", on).Info("drain")
-	p.drainedAt = time.Now()
-	p.tick() // the others and the platform hear of it at once
-	if !on && p.clients != nil {
-		p.clients.Resume()
+	p.logger.WithField("on", on).Info("drain")
+	p.drainChangedAt = time.Now()
+	p.runTick() // announce it to the other processes and the platform at once
+	if !on && p.ingress != nil {
+		p.ingress.Resume()
 	}
 }
 
-// away tells whether clients' next requests should come in elsewhere.
-func (p *Process) away() bool { return p.leaving.Load() || p.draining.Load() }
+// redirectsClients reports whether clients should send their next requests to another gateway.
+func (p *Process) redirectsClients() bool { return p.leaving.Load() || p.draining.Load() }
 
-// idle closes, while a drain lasts, the connections that nothing is asked on, once the
-// platform has seen twice that this process is not ready.
-func (p *Process) idle(now time.Time) {
-	if p.draining.Load() && p.clients != nil && now.Sub(p.drainedAt) >= staysFor {
-		p.clients.Drain()
+// closeIdle closes idle client connections during a drain, once the platform has seen twice that this
+// process isn't ready.
+func (p *Process) closeIdle(now time.Time) {
+	if p.draining.Load() && p.ingress != nil && now.Sub(p.drainChangedAt) >= unreadyNotice {
+		p.ingress.Drain()
 	}
 }
--- a/internal/daemon/faults.go
+++ b/internal/daemon/faults.go
@@ -12,28 +12,28 @@
 	"asterwell/internal/faultrules"
 )
 
-// What the loop is told of fault rules.
+// Inputs of the control loop about fault rules.
 type (
-	ruled struct {
+	faultRulesCall struct {
 		call uint64
 		op   faultrules.Op
 		doc  faultrules.Doc
 	}
-	rulesWritten struct{ seq uint64 }
-	short        struct{} // requests wait for strikes
+	rulesWritten  struct{ seq uint64 }
+	strikesWanted struct{} // requests wait for strikes of the budget
 )
 
-// longest is how long fault rules may live here; 0: there are none.
-func (p *Process) longest() time.Duration {
-	return time.Duration(p.set.FaultRules.LongestS * float64(time.Second))
+// maxRuleLifetime is the upper bound of a rule set's lifetime; 0: fault rules are disabled.
+func (p *Process) maxRuleLifetime() time.Duration {
+	return time.Duration(p.settings.FaultRules.LongestS * float64(time.Second))
 }
 
 func (p *Process) putFaults(ctx *fasthttp.RequestCtx, _ string) {
-	if p.noFaults(ctx) {
+	if p.refuseWithoutFaults(ctx) {
 		return
 	}
 	body := append([]byte(nil), ctx.PostBody()...)
-	set, err := faultrules.Parse(body, p.longest())
+	set, err := faultrules.Parse(body, p.maxRuleLifetime())
 	if err == nil {
 		known := func() error {
 			t := p.plane.Table()
@@ -43,8 +43,8 @@
 			p.busy(ctx)
 			return
 		}
-		if err = known(); err != nil { // what is not known here may be in a configuration that has not come
-			if kept, ok := p.proof(patience); !ok || p.plane.Version() < kept {
+		if err = known(); err != nil { // an unknown name may be in a newer configuration that hasn't arrived yet
+			if kept, ok := p.proveContact(proofTimeout); !ok || p.plane.Version() < kept {
 				p.busy(ctx)
 				return
 			}
@@ -55,23 +55,23 @@
 		ctx.Error(err.Error()+"\n", http.StatusBadRequest)
 		return
 	}
-	p.rule(ctx, faultrules.OpPut, faultrules.Doc{Version: set.Version, Body: body})
+	p.callFaultRules(ctx, faultrules.OpPut, faultrules.Doc{Version: set.Version, Body: body})
 }
 
 func (p *Process) getFaults(ctx *fasthttp.RequestCtx, _ string) {
-	if !p.noFaults(ctx) {
-		p.rule(ctx, faultrules.OpGet, faultrules.Doc{})
+	if !p.refuseWithoutFaults(ctx) {
+		p.callFaultRules(ctx, faultrules.OpGet, faultrules.Doc{})
 	}
 }
 
-// stopFaults stops the set that the path names. A call that names none is told its address:
-// if it is sent again, or comes late, it must not end what has been put since.
+// stopFaults stops the rule set that the path names. A call without a version is redirected to the path of
+// the current set: a repeated or delayed call must not stop a set that was put later.
 func (p *Process) stopFaults(ctx *fasthttp.RequestCtx, number string) {
-	if p.noFaults(ctx) {
+	if p.refuseWithoutFaults(ctx) {
 		return
 	}
 	if number == "" {
-		p.nameFaults(ctx)
+		p.redirectToFaults(ctx)
 		return
 	}
 	v, err := strconv.ParseUint(number, 10, 32)
@@ -79,43 +79,44 @@
 		ctx.Error("path: not a version of fault rules: "+strconv.Quote(number)+"\n", http.StatusBadRequest)
 		return
 	}
-	p.rule(ctx, faultrules.OpStop, faultrules.Doc{Version: uint32(v)})
+	p.callFaultRules(ctx, faultrules.OpStop, faultrules.Doc{Version: uint32(v)})
 }
 
-// nameFaults sends a caller to the set that is kept now; if there is none, it is told so.
-func (p *Process) nameFaults(ctx *fasthttp.RequestCtx) {
-	a, _ := p.ask(func(call uint64) { p.box.Put(ruled{call, faultrules.OpGet, faultrules.Doc{}}) }).(faultrules.Answer)
+// redirectToFaults redirects the caller to the path of the current set; if there is none, it answers so.
+func (p *Process) redirectToFaults(ctx *fasthttp.RequestCtx) {
+	a, _ := p.call(func(call uint64) { p.inbox.Put(faultRulesCall{call, faultrules.OpGet, faultrules.Doc{}}) }).(faultrules.Answer)
 	if s := a.State; a.Outcome == faultrules.Busy || s.Version == 0 || s.Stopped {
-		p.ruling(ctx, a)
+		p.answerFaultRules(ctx, a)
 		return
 	}
-	ctx.Error("a stop names its set: send it there\n", http.StatusTemporaryRedirect) // which takes headers away
+	ctx.Error("a stop names its set: send it there\n", http.StatusTemporaryRedirect) // resets the headers
 	ctx.Response.Header.Set("Location", fmt.Sprintf("http://%s/api/faults/%d", ctx.Host(), a.State.Version))
 }
 
-// noFaults refuses where the deployment has not turned fault rules on.
-func (p *Process) noFaults(ctx *fasthttp.RequestCtx) bool {
-	if p.longest() > 0 {
+// refuseWithoutFaults answers with an error, and returns true, if fault rules are disabled in this
+// deployment.
+func (p *Process) refuseWithoutFaults(ctx *fasthttp.RequestCtx) bool {
+	if p.maxRuleLifetime() > 0 {
 		return false
 	}
 	ctx.Error("fault rules are off in this deployment (FaultRules.LongestS)\n", http.StatusUnprocessableEntity)
 	return true
 }
 
-// rule makes a call, and answers with how the rules stand.
-func (p *Process) rule(ctx *fasthttp.RequestCtx, op faultrules.Op, doc faultrules.Doc) {
-	a, _ := p.ask(func(call uint64) { p.box.Put(ruled{call, op, doc}) }).(faultrules.Answer)
-	p.ruling(ctx, a)
+// callFaultRules passes a call to the control loop, and answers with the state of the rules.
+func (p *Process) callFaultRules(ctx *fasthttp.RequestCtx, op faultrules.Op, doc faultrules.Doc) {
+	a, _ := p.call(func(call uint64) { p.inbox.Put(faultRulesCall{call, op, doc}) }).(faultrules.Answer)
+	p.answerFaultRules(ctx, a)
 }
 
-func (p *Process) ruling(ctx *fasthttp.RequestCtx, a faultrules.Answer) {
+func (p *Process) answerFaultRules(ctx *fasthttp.RequestCtx, a faultrules.Answer) {
 	switch a.Outcome {
 	case faultrules.Busy:
 		p.busy(ctx)
 		return
 	case faultrules.Below:
 		ctx.SetStatusCode(http.StatusConflict)
-	case faultrules.Absent: // which is no promise that it won't come
+	case faultrules.Absent: // the set may still be accepted later
 		ctx.Error("no such set was accepted\n", http.StatusNotFound)
 		return
 	}
--- a/internal/daemon/frame_test.go
+++ b/internal/daemon/frame_test.go
@@ -9,10 +9,10 @@
 	"asterwell/internal/consensus"
 )
 
-// A frame that is cut at any of its bytes is no frame, and one that is damaged is no reason to
-// fall over; whole ones come as they were sent, one behind the other.
-func TestFramesCut(t *testing.T) {
-	for _, all := range machines {
+// TestTruncatedAndDamagedFrames: a frame that is truncated at any byte is an error, a damaged one doesn't
+// cause a panic, and intact frames in a row are decoded as they were sent.
+func TestTruncatedAndDamagedFrames(t *testing.T) {
+	for _, all := range messageTypes {
 		for _, msg := range all {
 			b := encode(&frame{From: "10.0.0.1:7000", Msg: msg})
 			for n := range len(b) {
@@ -20,7 +20,7 @@
 					t.Fatalf("%T cut at %d of %d: %+v", msg, n, len(b), f)
 				}
 				if n < 2 {
-					continue // another length: it would be waited for
+					continue // a greater length would wait for more bytes
 				}
 				for _, with := range []byte{0, 1, 0x7f, 0xff} {
 					damaged := bytes.Clone(b)
@@ -39,11 +39,11 @@
 	}
 }
 
-// A call's answer is its own: one that comes twice counts once, and one that comes when its call
-// has ended, or of a number that was never given, is nobody's.
-func TestCallsAnswers(t *testing.T) {
+// TestCallGetsItsOwnAnswer: a second answer to a call is dropped, and so are answers to calls that have
+// ended or never existed.
+func TestCallGetsItsOwnAnswer(t *testing.T) {
 	p, first := &Process{}, uint64(0)
-	got := p.ask(func(call uint64) {
+	got := p.call(func(call uint64) {
 		first = call
 		p.reply(call, consensus.Answer{ID: 1})
 		p.reply(call, consensus.Answer{ID: 2})
@@ -51,7 +51,7 @@
 	if a, ok := got.(consensus.Answer); !ok || a.ID != 1 {
 		t.Errorf("answered twice: got %v", got)
 	}
-	got = p.ask(func(call uint64) {
+	got = p.call(func(call uint64) {
 		p.reply(first, "late")
 		p.reply(call+1, "of no call")
 		p.reply(call, "own")
@@ -60,8 +60,8 @@
 		t.Errorf("got %v", got)
 	}
 	left := 0
-	p.waits.Range(func(any, any) bool { left++; return true })
+	p.pendingCalls.Range(func(any, any) bool { left++; return true })
 	if left != 0 {
-		t.Errorf("%d calls are still waited for", left)
+		t.Errorf("%d calls are still pending", left)
 	}
 }
--- a/internal/daemon/frames.go
+++ b/internal/daemon/framecounters.go
@@ -17,16 +17,16 @@
 	"asterwell/internal/quotas"
 )
 
-var addKind = numbers[reflect.TypeOf(quotas.Add{})]
+var addMessageKind = messageKinds[reflect.TypeOf(quotas.Add{})]
 
-// tally counts frames by their number on the wire.
-type tally [256]struct{ sent, bytesOut, got, bytesIn atomic.Int64 }
+// frameCounters counts frames by kind.
+type frameCounters [256]struct{ sent, bytesOut, got, bytesIn atomic.Int64 }
 
-// codec is the codec that counts what passes through it. What is encoded and then lost
-// in a full queue is counted as sent: it has cost as much. Where full says that adds come to no
-// use, they are not decoded: no frame.
-func (t *tally) codec(full func() bool) mesh.Codec[*frame] {
-	skip := func(kind byte) bool { return kind == addKind && full() }
+// codec returns a codec that counts frames. A frame that is encoded and then dropped from a full queue
+// counts as sent, since it costs as much. While full reports true, adds aren't decoded: Decode returns no
+// frame for them.
+func (t *frameCounters) codec(full func() bool) mesh.Codec[*frame] {
+	skip := func(kind byte) bool { return kind == addMessageKind && full() }
 	return mesh.Codec[*frame]{
 		Encode: func(f *frame) []byte {
 			b := encode(f)
@@ -38,7 +38,7 @@
 		Decode: func(in *bufio.Reader) (*frame, int, error) {
 			f, size, err := readUnless(in, skip)
 			if f != nil && err == nil {
-				c := &t[numbers[reflect.TypeOf(f.Msg)]]
+				c := &t[messageKinds[reflect.TypeOf(f.Msg)]]
 				c.got.Add(1)
 				c.bytesIn.Add(int64(size))
 			}
@@ -47,10 +47,10 @@
 	}
 }
 
-// kinds are the counts by message.
-func (t *tally) kinds() map[string]adminapi.MessageCounts {
+// kinds returns the counts by message name, without those that are zero.
+func (t *frameCounters) kinds() map[string]adminapi.MessageCounts {
 	all := map[string]adminapi.MessageCounts{}
-	for _, n := range numbers {
+	for _, n := range messageKinds {
 		c := &t[n]
 		k := adminapi.MessageCounts{Sent: c.sent.Load(), BytesOut: c.bytesOut.Load(), Got: c.got.Load(), BytesIn: c.bytesIn.Load()}
 		if k != (adminapi.MessageCounts{}) {
@@ -60,8 +60,8 @@
 	return all
 }
 
-// duty is what a process does in agreement: a member is a backup or a witness.
-func duty(s consensus.Status, self string) string {
+// consensusRole returns the role of a process in consensus, with members split into backups and witnesses.
+func consensusRole(s consensus.Status, self string) string {
 	switch {
 	case s.Role != "member":
 		return s.Role
@@ -71,14 +71,15 @@
 	return "witness"
 }
 
-// Frames is what has gone between this process and others. It does not wait for the loop.
+// FrameCounts returns the traffic between this process and the others. It doesn't wait for the control
+// loop.
 func (p *Process) FrameCounts() adminapi.Frames {
 	role, _ := p.role.Load().(string)
-	return adminapi.Frames{Name: p.set.NodeName, Role: role, Ready: p.ready.Load(), Version: p.version.Load(),
-		Up: int(p.up.Load()), Serving: int(p.known.Load()), Kinds: p.frames.kinds()}
+	return adminapi.Frames{Name: p.settings.NodeName, Role: role, Ready: p.ready.Load(), Version: p.version.Load(),
+		Up: int(p.processCount.Load()), Serving: int(p.serverCount.Load()), Kinds: p.frameCounters.kinds()}
 }
 
-func (p *Process) counted(ctx *fasthttp.RequestCtx, _ string) {
+func (p *Process) showFrames(ctx *fasthttp.RequestCtx, _ string) {
 	body, err := json.Marshal(p.FrameCounts())
 	if err != nil {
 		ctx.Error(err.Error()+"\n", http.StatusInternalServerError)
--- a/internal/daemon/frames_test.go
+++ b/internal/daemon/framecounters_test.go
@@ -9,9 +9,9 @@
 	"asterwell/internal/consensus"
 )
 
-// Frames are counted by their message, on the way out and in, with their bytes on the wire.
-func TestFrames(t *testing.T) {
-	var out, in tally
+// TestFrameCounters: frames are counted by message in both directions, with their bytes on the wire.
+func TestFrameCounters(t *testing.T) {
+	var out, in frameCounters
 	var wire bytes.Buffer
 	for _, msg := range []any{consensus.Ask{}, consensus.Pull{Held: 7}, consensus.Ask{}} {
 		wire.Write(out.codec(func() bool { return false }).Encode(&frame{From: "127.0.0.1:1", Msg: msg}))
@@ -35,11 +35,11 @@
 	}
 }
 
-func TestDuty(t *testing.T) {
+func TestConsensusRole(t *testing.T) {
 	for _, c := range []struct {
 		role, self, want string
 	}{{"primary", "a", "primary"}, {"member", "b", "backup"}, {"member", "c", "witness"}, {"follower", "b", "follower"}} {
-		if got := duty(consensus.Status{Role: c.role, Writers: []string{"a", "b"}}, c.self); got != c.want {
+		if got := consensusRole(consensus.Status{Role: c.role, Writers: []string{"a", "b"}}, c.self); got != c.want {
 			t.Errorf("%s %s: %s, want %s", c.role, c.self, got, c.want)
 		}
 	}
--- a/internal/daemon/heap.go
+++ b/internal/daemon/heap.go
@@ -2,32 +2,33 @@
 
 import "runtime/debug"
 
-// On a machine of one processor a collection holds requests up, by ten milliseconds at a time, for as
-// long as it marks; and it marks all that a large configuration has made of itself, with as few
-// as a quarter of these bytes allocated in between. So a process with a large text lets its heap grow
-// further. With a small one there is little to mark, and memory goes first.
+// On a machine with one processor the marking phase of a garbage collection delays requests by up to 10 ms
+// at a time, and it marks all that was built from a large configuration, after as little as a quarter of
+// that size was allocated. So a process with a large configuration lets its heap grow further. With a
+// small one there is little to mark, and saving memory comes first.
 const (
-	frugal     = 25  // percent that the heap grows between collections
-	generous   = 400 // at the most
-	largeText  = 256 << 10
-	heapOfText = 8        // bytes of the live heap for each byte of a text
-	heapElse   = 12 << 20 // and without any
+	minHeapPercent    = 25 // percent that the heap grows between collections
+	maxHeapPercent    = 400
+	largeConfig       = 256 << 10
+	heapPerConfigByte = 8        // bytes of live heap per byte of the configuration
+	baseHeap          = 12 << 20 // bytes of live heap without a configuration
 )
 
-// heapGrowth is by how many percent the heap may grow between collections, where the process may have
-// so many bytes in all: half of them are left to what is not the heap.
-func heapGrowth(text int, limit int64) int {
-	if text < largeText {
-		return frugal
+// heapPercentFor returns by how many percent the heap may grow between collections, for a configuration of
+// text bytes in a process limited to limit bytes. Half of the limit is left for memory outside the heap.
+func heapPercentFor(text int, limit int64) int {
+	if text < largeConfig {
+		return minHeapPercent
 	}
-	live := int64(heapElse + heapOfText*text)
-	return int(min(max((limit/2-live)*100/live, frugal), generous))
+	live := int64(baseHeap + heapPerConfigByte*text)
+	return int(min(max((limit/2-live)*100/live, minHeapPercent), maxHeapPercent))
 }
 
-// grow follows the text in force, where the process has the runtime for itself.
-func (p *Process) grow(text int) {
-	if next := heapGrowth(text, p.heapLimit); p.heapLimit > 0 && next != p.growth {
-		p.growth = next
+// adjustHeap adapts the growth of the heap to the size of the configuration in force, unless the process
+// shares its runtime.
+func (p *Process) adjustHeap(text int) {
+	if next := heapPercentFor(text, p.heapLimit); p.heapLimit > 0 && next != p.heapPercent {
+		p.heapPercent = next
 		debug.SetGCPercent(next)
 	}
 }
--- a/internal/daemon/meter.go
+++ b/internal/daemon/meter.go
@@ -8,47 +8,48 @@
 	"asterwell/internal/quotas"
 )
 
-// meter is the one that requests of all connections ask beside the loop.
+// meter guards a quotas.Meter by a lock, since the requests of all connections use it concurrently with
+// the control loop.
 type meter struct {
-	mu sync.Mutex
-	m  *quotas.Meter
+	mu    sync.Mutex
+	inner *quotas.Meter
 }
 
-// pass takes units of a quota, and says whether others should hear of it at once.
-func (l *meter) pass(now fsm.Time, tenant string, units float64) (ok bool, after time.Duration, due bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ok, after = l.m.Pass(now, tenant, units)
-	return ok, after, l.m.Due(now)
+// takeQuota takes units of a tenant's quota; due reports whether the counters should be told at once.
+func (m *meter) takeQuota(now fsm.Time, tenant string, units float64) (ok bool, after time.Duration, due bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	ok, after = m.inner.Pass(now, tenant, units)
+	return ok, after, m.inner.Due(now)
 }
 
-// Nodes, Enter, Take and Tick are what the knot tells it.
-func (l *meter) Nodes(now fsm.Time, gateways int, holders []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.m.Nodes(now, gateways, holders)
+// Nodes, Enter, Take, Tick and Mute implement controlplane.Meter.
+func (m *meter) Nodes(now fsm.Time, gateways int, holders []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.inner.Nodes(now, gateways, holders)
 }
 
-func (l *meter) Enter(now fsm.Time, r *quotas.Roster) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.m.Enter(now, r)
+func (m *meter) Enter(now fsm.Time, r *quotas.Roster) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.inner.Enter(now, r)
 }
 
-func (l *meter) Take(now fsm.Time, from string, msg any) []fsm.Send {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.m.Take(now, from, msg)
+func (m *meter) Take(now fsm.Time, from string, msg any) []fsm.Send {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.inner.Take(now, from, msg)
 }
 
-func (l *meter) Tick(now fsm.Time) []fsm.Send {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.m.Tick(now)
+func (m *meter) Tick(now fsm.Time) []fsm.Send {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.inner.Tick(now)
 }
 
-func (l *meter) Mute(now fsm.Time, holder string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.m.Mute(now, holder)
+func (m *meter) Mute(now fsm.Time, holder string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.inner.Mute(now, holder)
 }
--- a/internal/daemon/quotas.go
+++ b/internal/daemon/quotas.go
@@ -11,18 +11,18 @@
 	"asterwell/internal/quotas"
 )
 
-// account is what the meter's decisions went by.
-func (l *meter) account(now fsm.Time) quotas.Account {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.m.Account(now)
+// account returns the basis of the meter's decisions.
+func (m *meter) account(now fsm.Time) quotas.Account {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.inner.Account(now)
 }
 
-// quotas shows operators what this gateway's decisions about quotas went by.
-func (p *Process) quotas(ctx *fasthttp.RequestCtx, _ string) {
-	p.show(ctx, func(p *Process) any {
-		a, name := p.meter.account(p.now()), named(p.knot.GatewaySights(p.now()))
-		return adminapi.Quotas{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Holder: cmp.Or(name(a.Holder), a.Holder),
+// showQuotas answers with the basis of this gateway's quota decisions.
+func (p *Process) showQuotas(ctx *fasthttp.RequestCtx, _ string) {
+	p.showJSON(ctx, func(p *Process) any {
+		a, name := p.meter.account(p.now()), gatewayNames(p.machine.GatewaySights(p.now()))
+		return adminapi.Quotas{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Holder: cmp.Or(name(a.Holder), a.Holder),
 			HolderChanges: a.Changes, SharesFor: a.Gateways, InTouch: a.InTouch, UnansweredMs: a.UnheardMS,
 			BehindUnits: a.Behind, BehindAnswers: a.Answers,
 			Decided: lo.Map(quotas.Bases(), func(b quotas.Basis, _ int) adminapi.QuotaDecisions {
--- a/internal/daemon/rollout.go
+++ b/internal/daemon/rollout.go
@@ -11,10 +11,10 @@
 	"asterwell/internal/rollout"
 )
 
-// Withdrawal tells an operator what has come of a version that was to be withdrawn.
+// Withdrawal is the answer to a call that withdraws a version.
 type Withdrawal struct{ Version, Outcome, Live, Newest string }
 
-// withdraw brings an operator's wish to the primary, and its word back.
+// withdraw passes an operator's call to the primary, and answers with the outcome.
 func (p *Process) withdraw(ctx *fasthttp.RequestCtx, version string) {
 	v, err := strconv.ParseUint(version, 16, 32)
 	if err != nil || len(version) != 8 {
@@ -22,13 +22,13 @@
 		return
 	}
 	by := ctx.RemoteIP().String()
-	a, _ := p.ask(func(call uint64) { p.box.Put(withdrawn{call, uint32(v), by}) }).(rollout.Withdrew)
+	a, _ := p.call(func(call uint64) { p.inbox.Put(withdrawCall{call, uint32(v), by}) }).(rollout.Withdrew)
 	switch a.Outcome {
-	case rollout.Unclear: // it may still be taken up
+	case rollout.Unclear: // it may still become live
 		p.busy(ctx)
 		return
-	case rollout.Absent: // as far as a primary knew that may have been followed
-		if kept, ok := p.proof(glance); !ok || kept >= uint32(v) {
+	case rollout.Absent: // by the word of a primary that may have been replaced meanwhile
+		if kept, ok := p.proveContact(displayProofTimeout); !ok || kept >= uint32(v) {
 			p.busy(ctx)
 			return
 		}
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -15,45 +15,45 @@
 	"asterwell/internal/transport"
 )
 
-// serve begins to listen to clients, the platform, servers and operators.
-func (p *Process) serve() error {
-	b := p.set.Bind
-	clients := p.set.BoundsReq.FdLimit / 3
+// listenAll opens the listeners for clients, the platform, servers and operators.
+func (p *Process) listenAll() error {
+	b := p.settings.Bind
+	clients := p.settings.BoundsReq.FdLimit / 3
 	if b.Ingress != "" {
-		s := transport.NewServer(p.plane.Handle, mostBody)
-		s.ReadBufferSize, s.ReadTimeout, s.IdleTimeout, s.WriteTimeout = mostHead, headTime, idleTime, answerTime
-		if err := p.listen("Ingress", b.Ingress, clients, s); err != nil {
+		s := transport.NewServer(p.plane.Handle, maxIngressBody)
+		s.ReadBufferSize, s.ReadTimeout, s.IdleTimeout, s.WriteTimeout = maxIngressHeader, headerTimeout, idleTimeout, answerTimeout
+		if err := p.listenOn("Ingress", b.Ingress, clients, s); err != nil {
 			return err
 		}
-		p.clients = p.listeners[0]
+		p.ingress = p.listeners[0]
 	}
 	if b.Readiness != "" {
-		if err := p.listen("Readiness", b.Readiness, 64, transport.NewServer(p.readiness, 0)); err != nil {
+		if err := p.listenOn("Readiness", b.Readiness, 64, transport.NewServer(p.readiness, 0)); err != nil {
 			return err
 		}
 	}
 	if b.ControlPlane != "" {
-		s := transport.NewServer(p.control, mostConfiguration)
-		s.IdleTimeout = idleTime
-		if err := p.listen("ControlPlane", b.ControlPlane, 512, s); err != nil {
+		s := transport.NewServer(p.control, maxConfigBody)
+		s.IdleTimeout = idleTimeout
+		if err := p.listenOn("ControlPlane", b.ControlPlane, 512, s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// What clients may send, and how long they may take. The configuration's bounds are
-// at most these.
+// Limits of what clients may send and how long they may take. The configuration's bounds are at most
+// these.
 const (
-	mostBody          = 64 << 20
-	mostHead          = 17 << 10
-	mostConfiguration = 16 << 20
-	headTime          = 4 * time.Second
-	idleTime          = 17 * time.Second
-	answerTime        = 15 * time.Second
+	maxIngressBody   = 64 << 20
+	maxIngressHeader = 17 << 10
+	maxConfigBody    = 16 << 20
+	headerTimeout    = 4 * time.Second
+	idleTimeout      = 17 * time.Second
+	answerTimeout    = 15 * time.Second
 )
 
-func (p *Process) listen(key, addr string, most int, s *fasthttp.Server) error {
+func (p *Process) listenOn(key, addr string, most int, s *fasthttp.Server) error {
 	ln, err := transport.Listen(nil, addr, most)
 	if err != nil {
 		return fmt.Errorf("Bind.%s: %w", key, err)
@@ -61,7 +61,7 @@
 	p.listeners = append(p.listeners, ln)
 	go func() {
 		if err := ln.Serve(s); !errors.Is(err, net.ErrClosed) {
-			p.say.WithError(err).WithField("bind", key).Error("does not listen any more")
+			p.logger.WithError(err).WithField("bind", key).Error("does not listen any more")
 		}
 	}()
 	return nil
@@ -75,65 +75,66 @@
 	}
 }
 
-// ended does what is next for a process that leaves, and reports whether it is done.
-func (p *Process) ended(now time.Time) bool {
-	gone := now.Sub(p.left)
-	step := p.leave.next(gone, p.set.Bounds.Grace)
-	if step == stay {
+// advanceDeparture takes the next step of a process that leaves, and reports whether it may end.
+func (p *Process) advanceDeparture(now time.Time) bool {
+	elapsed := now.Sub(p.leavingSince)
+	step := p.departure.next(elapsed, p.settings.Bounds.Grace)
+	if step == serveOn {
 		return false
 	}
-	p.closing.Store(true)
+	p.refusing.Store(true)
 	open := 0
-	if p.clients != nil { // who else calls goes elsewhere
-		open = p.clients.Drain()
+	if p.ingress != nil { // callers of the other listeners retry at another process
+		open = p.ingress.Drain()
 	}
-	if step == reply {
+	if step == answerAll {
 		p.plane.Close()
 	}
 	idle := open == 0 && p.plane.OpenRequests() == 0
-	if n := p.leave.notice(gone, p.set.Bounds.Grace, idle); n != 0 {
-		p.carry(p.knot.AnnounceExit(p.now(), n))
+	if n := p.departure.notice(elapsed, p.settings.Bounds.Grace, idle); n != 0 {
+		p.execute(p.machine.AnnounceExit(p.now(), n))
 	}
-	return p.leave.ends(step, idle, p.knot.CanExit())
+	return p.departure.ends(step, idle, p.machine.CanExit())
 }
 
-// listed tells the data plane of servers that are otherwise than before.
-func (p *Process) listed(all []registry.Server) {
-	list, gone := lately(all)
-	for _, s := range list {
+// updateServers passes changed servers to the data plane.
+func (p *Process) updateServers(all []registry.Server) {
+	current, ended := latestServers(all)
+	for _, s := range current {
 		if s.State == choice.Up {
-			p.serving[s.ID] = true
+			p.servingServers[s.ID] = true
 		} else {
-			delete(p.serving, s.ID)
+			delete(p.servingServers, s.ID)
 		}
 	}
-	for _, id := range gone {
-		delete(p.serving, id)
+	for _, id := range ended {
+		delete(p.servingServers, id)
 	}
-	p.known.Store(int64(len(p.serving)))
-	if !p.bare {
-		p.plane.UpdateServers(list, gone)
+	p.serverCount.Store(int64(len(p.servingServers)))
+	if !p.controlOnly {
+		p.plane.UpdateServers(current, ended)
 	}
 }
 
-// lately sums up words on servers: of each the last one counts, and who has ended is nobody's any more.
-func lately(all []registry.Server) (list []dataplane.Server, gone []string) {
+// latestServers returns the last state of each server in a list of changes, and the IDs of those whose
+// last state is ended.
+func latestServers(all []registry.Server) (current []dataplane.Server, ended []string) {
 	seen := make(map[string]bool, len(all))
 	for _, s := range slices.Backward(all) {
 		switch {
 		case seen[s.ID]:
 		case s.Phase == registry.Ended:
-			gone = append(gone, s.ID)
+			ended = append(ended, s.ID)
 		default:
-			list = append(list, served(s))
+			current = append(current, planeServer(s))
 		}
 		seen[s.ID] = true
 	}
-	return list, gone
+	return current, ended
 }
 
-// served is a server as the data plane sees it.
-func served(s registry.Server) dataplane.Server {
+// planeServer converts a server to the data plane's form.
+func planeServer(s registry.Server) dataplane.Server {
 	state := choice.Up
 	switch s.Phase {
 	case registry.Quiescing:
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -7,12 +7,12 @@
 	"asterwell/internal/registry"
 )
 
-// Of a server the last word counts, and one that has ended is not served from any more.
-func TestLately(t *testing.T) {
+// TestLatestServers: the last state of each server counts, and one that has ended is removed.
+func TestLatestServers(t *testing.T) {
 	s := func(id string, phase registry.Phase) registry.Server {
 		return registry.Server{ID: id, Addr: id + ":1", Service: "toy", Phase: phase}
 	}
-	list, gone := lately([]registry.Server{s("a", registry.Serving), s("b", registry.Serving), s("c", registry.Ended), s("a", registry.Quiescing),
+	list, gone := latestServers([]registry.Server{s("a", registry.Serving), s("b", registry.Serving), s("c", registry.Ended), s("a", registry.Quiescing),
 		s("b", registry.Ended), s("c", registry.Serving), s("d", registry.Silent)})
 	states := map[string]choice.State{}
 	for _, v := range list {
--- a/internal/daemon/shared.go
+++ b/internal/daemon/shared.go
@@ -8,41 +8,42 @@
 	"asterwell/internal/sysconfig"
 )
 
-// Link carries a frame to or from a peer: it calls deliver once, later, or never.
+// Link simulates the network for a frame to or from a peer: it calls deliver once, now or later, or never.
 type Link func(peer string, out bool, deliver func())
 
-// Shared is what a process of the system is told that shares one of the operating
-// system's with others: many of them stand for a fleet in a measurement.
+// SharedOptions are for processes of the system that share one process of the operating system, such as
+// the many that stand for a fleet in a measurement.
 type SharedOptions struct {
 	Log         io.Writer
-	Link        Link // nil: as the network is
-	ControlOnly bool // the data plane is told nothing, so that what is left is control
+	Link        Link // nil: plain network connections
+	ControlOnly bool // the data plane gets nothing, so that only the control plane is measured
 
-	ParseCache *controlplane.ParseCache // of texts; nil: each process reads its own
+	ParseCache *controlplane.ParseCache // nil: each process parses for itself
 
-	OnRequestTimes func(id string, t *protocol.Times) // hears of each request's stages; nil: nobody measures
+	OnRequestTimes func(id string, t *protocol.Times) // called with the stages of each request; nil: they aren't measured
 }
 
-// NewShared puts a process together like New, and leaves the runtime's bounds alone:
-// they are for all that share it.
+// NewShared assembles a process like New, but leaves the limits of the Go runtime alone, since they apply
+// to all processes that share it.
 func NewShared(path string, set *sysconfig.Settings, shared SharedOptions) (*Process, error) {
 	return assemble(path, set, shared)
 }
 
-// Serve serves until the operating system's process ends.
-func (p *Process) Serve() error { return p.loop() }
+// Serve runs the process until the operating system's process ends.
+func (p *Process) Serve() error { return p.run() }
 
-// Name and Version may be asked at any time.
-func (p *Process) Name() string    { return p.set.NodeName }
+// Name returns the name of the node. Name and Version are safe for concurrent use.
+func (p *Process) Name() string    { return p.settings.NodeName }
 func (p *Process) Version() uint32 { return p.version.Load() }
 
-// Spend takes a unit of a tenant's quota as a request would.
+// TakeQuota takes one unit of a tenant's quota, as a request does.
 func (p *Process) TakeQuota(tenant string) bool {
-	ok, _ := p.pass(tenant, 1)
+	ok, _ := p.takeQuota(tenant, 1)
 	return ok
 }
 
-func (p *Process) over(peer string, out bool, deliver func()) {
+// transmit delivers a frame, through the simulated network if there is one.
+func (p *Process) transmit(peer string, out bool, deliver func()) {
 	if p.link == nil {
 		deliver()
 		return
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -16,17 +16,17 @@
 	"asterwell/internal/registry"
 )
 
-// shown asks the loop for something that operators are shown.
-type shown struct {
-	call uint64
-	show func(p *Process) any
+// showCall asks the control loop for a read-only answer.
+type showCall struct {
+	call  uint64
+	build func(p *Process) any
 }
 
-// show answers with what the loop makes of the process as it is. The loop copies, and
-// the connection's goroutine writes.
-func (p *Process) show(ctx *fasthttp.RequestCtx, of func(p *Process) any) {
-	p.proof(glance)
-	a := p.ask(func(call uint64) { p.box.Put(shown{call, of}) })
+// showJSON answers with what build returns. The control loop runs build, which copies the state; the
+// goroutine of the connection encodes and writes it.
+func (p *Process) showJSON(ctx *fasthttp.RequestCtx, build func(p *Process) any) {
+	p.proveContact(displayProofTimeout)
+	a := p.call(func(call uint64) { p.inbox.Put(showCall{call, build}) })
 	if a == nil {
 		p.busy(ctx)
 		return
@@ -40,15 +40,15 @@
 	ctx.SetBody(append(body, '\n'))
 }
 
-func (p *Process) status(ctx *fasthttp.RequestCtx, _ string) {
-	p.show(ctx, func(p *Process) any { return p.examine() })
+func (p *Process) showStatus(ctx *fasthttp.RequestCtx, _ string) {
+	p.showJSON(ctx, func(p *Process) any { return p.currentStatus() })
 }
 
-func (p *Process) members(ctx *fasthttp.RequestCtx, _ string) {
-	p.show(ctx, func(p *Process) any {
-		all := p.knot.GatewaySights(p.now())
-		name := named(all)
-		return adminapi.Members{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Draining: p.draining.Load(),
+func (p *Process) showMembers(ctx *fasthttp.RequestCtx, _ string) {
+	p.showJSON(ctx, func(p *Process) any {
+		all := p.machine.GatewaySights(p.now())
+		name := gatewayNames(all)
+		return adminapi.Members{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Draining: p.draining.Load(),
 			Gateways: lo.Map(all, func(s memberlist.Sight, _ int) adminapi.Gateway {
 				return adminapi.Gateway{Name: s.Name, Zone: s.Zone, Addr: s.Addr, Control: s.Control, Core: s.Member, State: s.State.String(),
 					ForS: s.For.Seconds(), Ready: s.Ready, Started: time.UnixMilli(int64(s.Life)).UTC(), NewsS: s.News.Seconds(),
@@ -58,18 +58,18 @@
 	})
 }
 
-// named finds the names of addresses.
-func named(all []memberlist.Sight) func(addr string) string {
+// gatewayNames returns a function that maps an address to the gateway's name, or to itself if it has none.
+func gatewayNames(all []memberlist.Sight) func(addr string) string {
 	names := lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Name })
 	return func(addr string) string { return cmp.Or(names[addr], addr) }
 }
 
-func (p *Process) services(ctx *fasthttp.RequestCtx, _ string) {
-	p.show(ctx, func(p *Process) any {
-		all := p.knot.GatewaySights(p.now())
-		name, at := named(all), lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Control })
-		return adminapi.Services{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(),
-			Servers: lo.Map(p.knot.ServerSights(p.now()), func(s registry.Sight, _ int) adminapi.Server {
+func (p *Process) showServices(ctx *fasthttp.RequestCtx, _ string) {
+	p.showJSON(ctx, func(p *Process) any {
+		all := p.machine.GatewaySights(p.now())
+		name, at := gatewayNames(all), lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Control })
+		return adminapi.Services{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(),
+			Servers: lo.Map(p.machine.ServerSights(p.now()), func(s registry.Sight, _ int) adminapi.Server {
 				v := adminapi.Server{ID: s.ID, Service: s.Service, Endpoint: s.Addr, Zone: s.Zone, Epoch: s.Epoch, Capacity: s.Capacity,
 					Phase: s.Phase.String(), WarmLeftS: s.WarmLeft.Seconds(), Home: name(s.Home), HomeAt: at[s.Home]}
 				if s.Beat >= 0 {
@@ -80,11 +80,11 @@
 	})
 }
 
-func (p *Process) epochs(ctx *fasthttp.RequestCtx, _ string) {
-	p.show(ctx, func(p *Process) any {
+func (p *Process) showEpochs(ctx *fasthttp.RequestCtx, _ string) {
+	p.showJSON(ctx, func(p *Process) any {
 		now, today := p.now(), time.Now()
-		return adminapi.Epochs{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Role: p.knot.ConsensusStatus().Role,
-			Epochs: lo.Map(p.knot.Epochs(), func(c consensus.Change, _ int) adminapi.Epoch {
+		return adminapi.Epochs{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Role: p.machine.ConsensusStatus().Role,
+			Epochs: lo.Map(p.machine.Epochs(), func(c consensus.Change, _ int) adminapi.Epoch {
 				return adminapi.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Seats, func(d consensus.Duty, _ int) adminapi.CoreMember {
 					return adminapi.CoreMember{Name: cmp.Or(d.Name, d.Addr), Zone: d.Zone, Addr: d.Addr, Does: d.Does}
 				})}
--- a/internal/daemon/tape_test.go
+++ b/internal/daemon/strikerecord_test.go
@@ -11,27 +11,27 @@
 	"asterwell/internal/storage"
 )
 
-func reopened(t *testing.T, dir string) (*Process, *storage.Vault) {
+func openTestProcess(t *testing.T, dir string) (*Process, *storage.Vault) {
 	t.Helper()
 	v, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Process{vault: v, tape: &tape{}, say: &log.Logger{Handler: discard.New()}}, v
+	return &Process{store: v, strikeRecord: &strikeRecord{}, logger: &log.Logger{Handler: discard.New()}}, v
 }
 
-// TestTape: the record of strikes outlives processes, is bounded, and goes on where it ended; the
-// state beside it is read as it was written before there was a record.
-func TestTape(t *testing.T) {
+// TestStrikeRecord: the record of strikes survives restarts, is bounded, and continues where it ended; a
+// state that was stored before the record existed can be read.
+func TestStrikeRecord(t *testing.T) {
 	dir := t.TempDir()
-	p, v := reopened(t, dir)
+	p, v := openTestProcess(t, dir)
 	old, _ := cbor.Marshal(faultrules.Disk{Promised: faultrules.Term{N: 7}, Kept: faultrules.Record{Seq: 9}})
-	if err := v.Save(rulesKept, old); err != nil {
+	if err := v.Save(rulesRecord, old); err != nil {
 		t.Fatal(err)
 	}
 	seq := uint64(0)
 	for start := range 4 {
-		d := p.keptRules(true)
+		d := p.storedRules(true)
 		if d == nil || d.Promised.N != 7 || d.Kept.Seq != 9 {
 			t.Fatal("start", start, "with", d)
 		}
@@ -41,7 +41,7 @@
 				seq++
 				notes = append(notes, faultrules.Entry{Node: "n1", Life: 3, Note: faultrules.Note{Seq: seq}})
 			}
-			for _, r := range p.tape.add(*d, notes) {
+			for _, r := range p.strikeRecord.add(*d, notes) {
 				data, err := cbor.Marshal(r.value)
 				if err == nil {
 					err = v.Save(r.name, data)
@@ -54,12 +54,12 @@
 		if err := v.Close(); err != nil {
 			t.Fatal(err)
 		}
-		p, v = reopened(t, dir)
+		p, v = openTestProcess(t, dir)
 	}
 	defer v.Close()
-	p.keptRules(false) // what a member may have forgotten counts for nothing, but people may read it
-	all := p.tape.all()
-	if len(all) < pages*pageNotes || len(all) > (pages+1)*pageNotes {
+	p.storedRules(false) // a state that isn't intact isn't used, but its record is still shown
+	all := p.strikeRecord.all()
+	if len(all) < maxPages*notesPerPage || len(all) > (maxPages+1)*notesPerPage {
 		t.Error(len(all), "kept of", seq)
 	}
 	for i, e := range all {
