--- a/internal/controlplane/configtext_test.go
+++ b/internal/controlplane/configtext_test.go
@@ -130,7 +130,7 @@
 		return c.machines[2].PutConfig(c.now, uint64(version), consensus.Doc{Version: version, Body: text})
 	})
 	c.run(300*time.Millisecond, false)
-	if len(c.answers) != 1 || c.answers[0].Verdict != consensus.Kept {
+	if len(c.answers) != 1 || c.answers[0].Result != consensus.ResultAccepted {
 		t.Fatalf("version %d: %+v", version, c.answers)
 	}
 }
--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -47,7 +47,7 @@
 // Reply is a consensus.Answer: Proved or Busy.
 func (m *Machine) ProveContact(now fsm.Time, call uint64) Output {
 	m.contact.askedAt[call] = now
-	m.applyConsensus(now, m.consensus.Prove(now, call))
+	m.applyConsensus(now, m.consensus.CheckContact(now, call))
 	return m.takeOutput()
 }
 
@@ -60,7 +60,7 @@
 // configuration that was current then.
 func (m *Machine) hasContact() bool {
 	held := uint32(0)
-	if d := m.consensus.Held(); d != nil {
+	if d := m.consensus.Committed(); d != nil {
 		held = d.Version
 	}
 	return m.bugs.ReadyWithoutContact || m.contact.provenAt != 0 && held >= m.contact.requiredVersion
@@ -77,7 +77,7 @@
 	}
 	c.lastOwnCall, c.pending = c.lastOwnCall+1, true
 	c.askedAt[ownCallFlag|c.lastOwnCall] = now
-	m.applyConsensus(now, m.consensus.Prove(now, ownCallFlag|c.lastOwnCall))
+	m.applyConsensus(now, m.consensus.CheckContact(now, ownCallFlag|c.lastOwnCall))
 }
 
 // takeProof records the answer if it belongs to a contact proof. It reports whether a client waits for the
@@ -89,7 +89,7 @@
 		return true
 	}
 	delete(c.askedAt, answer.ID)
-	if answer.Verdict == consensus.Proved {
+	if answer.Result == consensus.ResultContact {
 		if c.provenAt == 0 {
 			c.requiredVersion = answer.Version
 		}
@@ -104,7 +104,7 @@
 
 // updateCore tells the registry which processes are members of the core.
 func (m *Machine) updateCore() {
-	ballot, members := m.consensus.Seats()
+	ballot, members := m.consensus.Members()
 	if ballot == m.coreBallot && m.coreKnown {
 		return
 	}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -115,7 +115,7 @@
 }
 
 // New starts the machines of a process. A nil disk stands for an empty disk, or for none.
-func New(c Config, meter Meter, disk *consensus.Disk, now fsm.Time) *Machine {
+func New(c Config, meter Meter, disk *consensus.DurableState, now fsm.Time) *Machine {
 	m := &Machine{
 		self: c.Self, meter: meter, faultRules: c.newFaultRules(now), counter: quotas.NewCounter(c.Self, c.Incarnation), detours: map[string]*detour{},
 		members: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.ControlAddr, Member: c.Member,
@@ -126,7 +126,7 @@
 		bugs:  c.Bugs, contact: contact{askedAt: map[uint64]fsm.Time{}, retryPause: minProvePause},
 	}
 	m.consensus = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
-		Losses: c.ToleratedLosses, Seeds: c.Seeds, Seed: c.Seed, Enter: m.rollout.Enter}, disk, now)
+		ToleratedLosses: c.ToleratedLosses, Seeds: c.Seeds, Seed: c.Seed, Transform: m.rollout.Enter}, disk, now)
 	m.consensus.SetBug(c.Bugs.Consensus)
 	m.registry.SetBug(c.Bugs.Registry)
 	m.updateCore()
@@ -142,7 +142,7 @@
 	case group == registryMessages:
 		m.applyRegistry(m.registry.Take(now, from, msg))
 	case group == consensusMessages:
-		m.applyConsensus(now, m.consensus.Take(now, from, msg))
+		m.applyConsensus(now, m.consensus.Receive(now, from, msg))
 	case group == faultRuleMessages:
 		m.applyFaultRules(func() faultrules.Out { return m.faultRules.Take(now, from, msg) })
 	case group == rolloutMessages:
@@ -223,7 +223,7 @@
 
 // Written reports that the write with this sequence number, and all before it, are synced to disk.
 func (m *Machine) Written(now fsm.Time, seq uint64) Output {
-	m.applyConsensus(now, m.consensus.Written(now, seq))
+	m.applyConsensus(now, m.consensus.WriteDone(now, seq))
 	if m.prepareWrite != 0 && seq >= m.prepareWrite {
 		m.prepareWrite = 0
 		m.applyRollout(now, m.rollout.Synced(now))
@@ -236,24 +236,24 @@
 	m.leaving, m.ready = true, false
 	m.drain.Fit(false, true)
 	m.applyMembership(now, m.members.Leave(now))
-	m.applyConsensus(now, m.consensus.Leave(now, consensus.Leaves))
+	m.applyConsensus(now, m.consensus.Leave(now, consensus.LeaveEventually))
 	return m.takeOutput()
 }
 
 // AnnounceExit tells the core that this process ends as soon as the others can do without it, or soon in
 // any case.
-func (m *Machine) AnnounceExit(now fsm.Time, n consensus.Notice) Output {
+func (m *Machine) AnnounceExit(now fsm.Time, n consensus.LeaveUrgency) Output {
 	m.applyConsensus(now, m.consensus.Leave(now, n))
 	return m.takeOutput()
 }
 
 // CanExit reports whether the others can do without this process.
-func (m *Machine) CanExit() bool { return m.consensus.Left() }
+func (m *Machine) CanExit() bool { return m.consensus.MayExit() }
 
 // SetSeeds replaces the seed addresses.
 func (m *Machine) SetSeeds(now fsm.Time, seeds []string) {
 	m.members.Seeds(now, seeds)
-	m.consensus.Seeds(now, seeds)
+	m.consensus.SetSeeds(now, seeds)
 }
 
 // Ready reports whether this process should get requests.
@@ -278,7 +278,7 @@
 func (m *Machine) ServerSights(now fsm.Time) []registry.Sight { return m.registry.Sights(now) }
 
 // Epochs returns the consensus epochs seen by this process, the newest last.
-func (m *Machine) Epochs() []consensus.Change { return m.consensus.Past() }
+func (m *Machine) Epochs() []consensus.EpochChange { return m.consensus.EpochHistory() }
 
 // ConsensusStatus returns the state of consensus.
 func (m *Machine) ConsensusStatus() consensus.Status { return m.consensus.Status() }
@@ -306,7 +306,7 @@
 func (m *Machine) applyMembership(now fsm.Time, out memberlist.Out) {
 	m.send(out.Send)
 	for _, held := range out.Holds {
-		m.consensus.Holds(held.Addr, held.Held)
+		m.consensus.NotePeerVersion(held.Addr, held.Held)
 	}
 	if !out.Changed {
 		return
@@ -319,8 +319,8 @@
 	m.membershipPending, m.membershipAt, m.nodeCount = false, now, len(view)
 	up := lo.Filter(view, func(n memberlist.Node, _ int) bool { return n.State == memberlist.Up })
 	m.applyRegistry(m.registry.Nodes(now, view)) // a leaving process still serves, and needs to know the servers
-	m.consensus.Peers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
-		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Held: n.Held}
+	m.consensus.SetPeers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
+		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Version: n.Held}
 	}))
 	m.rollout.Nodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
 		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -74,7 +74,7 @@
 	for _, m := range earlier {
 		kinds[fmt.Sprintf("%T", m)]++
 	}
-	if kinds["consensus.Answered"] < 2 || kinds["registry.Ack"] == 0 {
+	if kinds["consensus.ForwardReply"] < 2 || kinds["registry.Ack"] == 0 {
 		t.Fatalf("no answers were held back: %v", kinds)
 	}
 	delete(p.heldBack, "calls")
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -9,20 +9,20 @@
 // feedRollout passes the progress of consensus on to the rollout.
 func (m *Machine) feedRollout(now fsm.Time, out consensus.Out) {
 	m.rollout.Primary(m.consensus.Primary())
-	epoch, leads := m.consensus.Leads()
+	epoch, leads := m.consensus.Leading()
 	if !leads {
 		m.applyRollout(now, m.rollout.Leads(now, epoch, false))
 	}
-	if out.Adopt != nil {
+	if out.Apply != nil {
 		if m.prepareWrite = 0; out.Write != nil { // a configuration isn't confirmed before it is on disk
 			m.prepareWrite = out.Write.Seq
 		}
-		m.applyRollout(now, m.rollout.Doc(now, *out.Adopt, out.Write == nil))
+		m.applyRollout(now, m.rollout.Doc(now, *out.Apply, out.Write == nil))
 	}
 	if leads {
 		m.applyRollout(now, m.rollout.Leads(now, epoch, true))
-		if out.Affirmed != 0 {
-			m.applyRollout(now, m.rollout.Affirmed(now, out.Affirmed))
+		if out.ConfirmedRound != 0 {
+			m.applyRollout(now, m.rollout.Affirmed(now, out.ConfirmedRound))
 		}
 	}
 }
@@ -52,7 +52,7 @@
 		}
 	}
 	if out.Affirm {
-		round, then := m.consensus.Affirm(now)
+		round, then := m.consensus.ConfirmLeadership(now)
 		m.rollout.Affirming(round)
 		m.applyConsensus(now, then)
 	}
--- a/internal/daemon/contact.go
+++ b/internal/daemon/contact.go
@@ -13,7 +13,7 @@
 // is false this process has no contact, and must neither promise anything nor refuse anything for good.
 func (p *Process) proveContact(within time.Duration) (version uint32, ok bool) {
 	a, _ := p.callWithin(within, func(call uint64) { p.inbox.Put(contactCall{call}) }).(consensus.Answer)
-	return a.Version, a.Verdict == consensus.Proved
+	return a.Version, a.Result == consensus.ResultContact
 }
 
 // proofTimeout bounds the wait for a proof before another step, so that the call still ends within the
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -146,7 +146,7 @@
 	now, seed := p.now(), hostenv.Real.Random()
 	member := settings.QuorumMember && settings.StateDir != ""
 	life := uint64(time.Now().UnixMilli())
-	var stored *consensus.Disk
+	var stored *consensus.DurableState
 	intact := true
 	if member {
 		var err error
--- a/internal/daemon/departure.go
+++ b/internal/daemon/departure.go
@@ -18,7 +18,7 @@
 // departure tracks how far a process has come with leaving.
 type departure struct {
 	answered bool
-	noticed  consensus.Notice
+	noticed  consensus.LeaveUrgency
 }
 
 type departureStep int
@@ -36,13 +36,13 @@
 const exitNoticeBefore = time.Second
 
 // notice returns what the other processes are to be told now; 0: nothing new.
-func (d *departure) notice(elapsed, grace time.Duration, idle bool) consensus.Notice {
+func (d *departure) notice(elapsed, grace time.Duration, idle bool) consensus.LeaveUrgency {
 	n := d.noticed
 	switch {
 	case elapsed > grace-exitNoticeBefore:
-		n = consensus.Ends
+		n = consensus.LeaveForced
 	case idle:
-		n = max(n, consensus.Last)
+		n = max(n, consensus.LeaveWhenSafe)
 	}
 	if n == d.noticed {
 		return 0
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -21,7 +21,7 @@
 
 // openStore reads the stored state and starts the writers. If intact is false, some state was lost: a
 // member may have made promises that it no longer knows of, so it has to join anew, as with an empty disk.
-func (p *Process) openStore(dir string) (store *storage.Vault, disk *consensus.Disk, intact bool, err error) {
+func (p *Process) openStore(dir string) (store *storage.Vault, disk *consensus.DurableState, intact bool, err error) {
 	var damaged *storage.Damaged
 	if store, err = storage.Open(dir); store == nil {
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
@@ -45,7 +45,7 @@
 	case err != nil:
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
 	}
-	if disk, err = consensus.ReadDisk(data); err != nil {
+	if disk, err = consensus.DecodeState(data); err != nil {
 		return nil, nil, false, fmt.Errorf("StateDir: record %q: %w", stateRecord, err)
 	}
 	return store, disk, true, nil
@@ -62,7 +62,7 @@
 			continue
 		}
 		last := all[len(all)-1]
-		data, err := last.Disk.Bytes()
+		data, err := last.State.Encode()
 		for err == nil {
 			if err = store.Save(stateRecord, data); err == nil {
 				break
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -84,9 +84,9 @@
 	p.showJSON(ctx, func(p *Process) any {
 		now, today := p.now(), time.Now()
 		return adminapi.Epochs{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Role: p.machine.ConsensusStatus().Role,
-			Epochs: lo.Map(p.machine.Epochs(), func(c consensus.Change, _ int) adminapi.Epoch {
-				return adminapi.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Seats, func(d consensus.Duty, _ int) adminapi.CoreMember {
-					return adminapi.CoreMember{Name: cmp.Or(d.Name, d.Addr), Zone: d.Zone, Addr: d.Addr, Does: d.Does}
+			Epochs: lo.Map(p.machine.Epochs(), func(c consensus.EpochChange, _ int) adminapi.Epoch {
+				return adminapi.Epoch{Epoch: c.Ballot.N, At: today.Add(c.At - now).UTC(), Seats: lo.Map(c.Members, func(d consensus.MemberRole, _ int) adminapi.CoreMember {
+					return adminapi.CoreMember{Name: cmp.Or(d.Name, d.Addr), Zone: d.Zone, Addr: d.Addr, Does: d.Role}
 				})}
 			})}
 	})
