--- a/internal/dataplane/plane_test.go
+++ b/internal/dataplane/adopt_bench_test.go
@@ -9,8 +9,8 @@
 	"asterwell/internal/sysconfig"
 )
 
-// grown is a configuration of the plan of two years.
-func grown(b testing.TB, version int) *sysconfig.Table {
+// largeTable is a configuration of the size planned for in two years.
+func largeTable(b testing.TB, version int) *sysconfig.Table {
 	var t strings.Builder
 	fmt.Fprintf(&t, `{"Epoch": "%08x", "Principals": [`, version)
 	for i := range 12000 {
@@ -33,25 +33,26 @@
 	return c.Table()
 }
 
-// BenchmarkAdopt is a configuration of that size, and a gateway more, at the data plane.
+// BenchmarkAdopt measures the adoption of a configuration of that size, and of a change in the number of
+// gateways.
 func BenchmarkAdopt(b *testing.B) {
 	start := time.Now()
 	p := New(Options{Now: func() time.Duration { return time.Hour + time.Since(start) }, TakeQuota: func(string, float64) (bool, time.Duration) { return true, 0 },
 		Leaving: func() bool { return false }, MaxServerConns: 100, Seed: 1})
 	defer p.Stop()
-	tables := []*sysconfig.Table{grown(b, 1), grown(b, 2)}
+	tables := []*sysconfig.Table{largeTable(b, 1), largeTable(b, 2)}
 	for n := 0; b.Loop(); n++ {
 		p.Adopt(tables[n%2])
 		p.SetGateways(490+n%2, 7)
 	}
 }
 
-// BenchmarkChange is one server of 5,200 that is otherwise than before.
+// BenchmarkChange measures the change of one of 5,200 servers.
 func BenchmarkChange(b *testing.B) {
 	start := time.Now()
 	p := New(Options{Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1})
 	defer p.Stop()
-	p.Adopt(grown(b, 1))
+	p.Adopt(largeTable(b, 1))
 	var all []Server
 	for i := range 5200 {
 		all = append(all, Server{ID: fmt.Sprint("srv-", i), Addr: fmt.Sprint("a-", i), Service: fmt.Sprint("s-", i%180), Capacity: 50})
--- a/internal/dataplane/change_test.go
+++ b/internal/dataplane/change_test.go
@@ -13,8 +13,8 @@
 	"asterwell/choice"
 )
 
-// What changes bring about, one after the other, is what the whole list would.
-func TestChange(t *testing.T) {
+// TestUpdatesEqualWholeList: a sequence of updates has the same result as setting the whole list.
+func TestUpdatesEqualWholeList(t *testing.T) {
 	plane := func() *Plane {
 		return New(Options{Now: func() time.Duration { return time.Hour }, MaxServerConns: 10, Seed: 1})
 	}
@@ -40,15 +40,15 @@
 		p.UpdateServers(list, gone)
 		whole := plane()
 		whole.SetServers(slices.Collect(maps.Values(all)))
-		if d := cmp.Diff(whole.servers, p.servers) + cmp.Diff(whole.places, p.places); d != "" {
+		if d := cmp.Diff(whole.servers, p.servers) + cmp.Diff(whole.serviceOf, p.serviceOf); d != "" {
 			t.Fatalf("step %d: %s", step, d)
 		}
-		if step%100 == 0 { // a list that takes the place of all
+		if step%100 == 0 { // replaces the whole list
 			p.SetServers(slices.Collect(maps.Values(all)))
 		}
 	}
 	p.SetServers(nil)
-	if len(p.servers)+len(p.places) > 0 {
-		t.Error(p.servers, p.places)
+	if len(p.servers)+len(p.serviceOf) > 0 {
+		t.Error(p.servers, p.serviceOf)
 	}
 }
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -1,7 +1,6 @@
-// Package dataplane is the system's data plane: it takes clients' requests by the
-// configuration in force, and carries them with the same core, module and
-// connections as the gateway in service. Each service has a lane of its own, so
-// that one that is overloaded takes nothing from the others.
+// Package dataplane is the system's data plane: it serves clients' requests by the configuration in force,
+// with the same routing core, balancing module and connections as the gateway in service. Each service has
+// a lane of its own, so that an overloaded service takes no capacity from the others.
 package dataplane
 
 import (
@@ -20,93 +19,93 @@
 	"asterwell/internal/transport"
 )
 
-// Server is one that the list names.
+// Server is a server that requests can be sent to.
 type Server struct {
 	ID, Addr, Service, Zone string
 	State                   choice.State
 	Capacity                int
-	WarmUntil               time.Duration // of the plane's clock: slow until then
+	WarmUntil               time.Duration // on the clock of Options.Now; until then the server is warming up
 }
 
-// Options are what a plane is told.
+// Options are the dependencies and settings of a Plane.
 type Options struct {
 	Host           hostenv.Seam
 	Zone           string
-	Now            func() time.Duration // the plane's clock, above 0
-	MaxServerConns int                  // connections to servers
+	Now            func() time.Duration // monotonic clock, always above 0
+	MaxServerConns int                  // limit for all servers together; 0: none
 	Seed           uint64
-	// Pass takes units of a tenant's quota, or says when there will be some.
+	// TakeQuota takes units of a tenant's quota, or returns when some will be available.
 	TakeQuota      func(tenant string, units float64) (ok bool, after time.Duration)
 	Leaving        func() bool
-	Closing        func() bool // it has left for long: what comes now may not be finished in time; nil: never
-	RetryRatio     float64     // of requests may be repeats, over all gateways
-	RetryAllowance float64     // and so many besides
+	Closing        func() bool // the process is about to end, and may not be able to finish new requests; nil: never
+	RetryRatio     float64     // part of the requests that may be retries, over all gateways
+	RetryAllowance float64     // retries allowed in addition
 	WarmupTime     time.Duration
 	FaultInjector  FaultInjector // nil: none
 	Bug            transport.Bug
-	OnRequestTimes func(id string, t *protocol.Times) // takes when each request came to each stage; nil: nobody measures
+	OnRequestTimes func(id string, t *protocol.Times) // called with the stages of each request; nil: they aren't measured
 }
 
-// Plane carries traffic.
+// Plane routes clients' requests to servers.
 type Plane struct {
-	opt     Options
-	peers   transport.PeerOptions
-	ids     *protocol.IDs
-	table   atomic.Pointer[sysconfig.Table]
-	gate    atomic.Pointer[gate] // nil: none
-	lanes   atomic.Pointer[map[string]*lane]
-	mu      sync.Mutex          // of what follows: one change at a time
-	servers map[string][]Server // by service, in the order of their IDs
-	places  map[string]string   // the service of each
-	gates   int
-	index   int
-	refused atomic.Int64 // by quota
-	held    atomic.Int64 // struck requests
-	copies  atomic.Int64 // bytes of those to be sent again
-	turns   tally
+	options        Options
+	peerOptions    transport.PeerOptions
+	requestIDs     *protocol.IDs
+	table          atomic.Pointer[sysconfig.Table]
+	gate           atomic.Pointer[gate] // nil: none
+	lanes          atomic.Pointer[map[string]*lane]
+	mu             sync.Mutex          // guards the fields below; one change at a time
+	servers        map[string][]Server // by service, ordered by ID
+	serviceOf      map[string]string   // by server ID
+	gatewayCount   int
+	gatewayIndex   int
+	quotaRefusals  atomic.Int64
+	struckRequests atomic.Int64 // requests in progress that a fault rule applies to
+	copiedBytes    atomic.Int64 // bytes held to repeat requests
+	gateCounters   gateCounters
 }
 
-// New returns a plane without a configuration: it refuses everything.
+// New returns a plane without a configuration: it refuses all requests.
 func New(o Options) *Plane {
 	o.Host = hostenv.Or(o.Host)
-	p := &Plane{opt: o, ids: protocol.NewIDs(), servers: map[string][]Server{}, places: map[string]string{}, gates: 1}
-	p.peers = transport.PeerOptions{World: o.Host, Connect: connectWithin, Sockets: transport.NewSockets(o.MaxServerConns),
-		Keep: transport.NewKeep(keepIdle), Strict: true, Bug: o.Bug}
+	p := &Plane{options: o, requestIDs: protocol.NewIDs(), servers: map[string][]Server{}, serviceOf: map[string]string{}, gatewayCount: 1}
+	p.peerOptions = transport.PeerOptions{World: o.Host, Connect: connectTimeout, Sockets: transport.NewSockets(o.MaxServerConns),
+		Keep: transport.NewKeep(idleConnTimeout), Strict: true, Bug: o.Bug}
 	if o.OnRequestTimes != nil {
-		p.peers.Wrote = protocol.MarkWritten
+		p.peerOptions.Wrote = protocol.MarkWritten
 	}
 	p.lanes.Store(&map[string]*lane{})
 	return p
 }
 
 const (
-	connectWithin = 300 * time.Millisecond
-	keepIdle      = 4 * time.Second
+	connectTimeout  = 300 * time.Millisecond
+	idleConnTimeout = 4 * time.Second
 )
 
-// Adopt puts a configuration in force. What is open keeps its rules.
+// Adopt puts a configuration in force. Open requests keep the rules they came by.
 func (p *Plane) Adopt(t *sysconfig.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	lanes := maps.Clone(*p.lanes.Load())
 	for name := range t.Services {
-		set := p.settings(t, name)
+		set := p.laneSettings(t, name)
 		if l := lanes[name]; l != nil {
-			l.adopt(int64(t.Version), set)
+			l.configure(int64(t.Version), set)
 		} else if len(set.Classes) > 0 {
 			l, err := newLane(p, name, set)
 			if err != nil {
-				continue // a service that no request can go to
+				continue // no request can be routed to this service
 			}
 			lanes[name] = l
-			l.update(p.servers[name])
+			l.setServers(p.servers[name])
 		}
 	}
 	p.lanes.Store(&lanes)
 	p.table.Store(t)
 }
 
-// Version is that of the configuration in force; 0: none.
+// Version returns the version of the configuration in force; 0: none.
 func (p *Plane) Version() uint32 {
 	if t := p.table.Load(); t != nil {
 		return t.Version
@@ -114,25 +113,25 @@
 	return 0
 }
 
-// Table is the configuration in force; nil: none.
+// Table returns the configuration in force; nil: none.
 func (p *Plane) Table() *sysconfig.Table { return p.table.Load() }
 
-// Gateways tells how many share the traffic, and which of them this one is.
+// SetGateways sets the number of gateways that share the traffic, and the index of this one.
 func (p *Plane) SetGateways(n, index int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n == p.gates && index == p.index {
+	if n == p.gatewayCount && index == p.gatewayIndex {
 		return
 	}
-	p.gates, p.index = max(n, 1), max(index, 0)
+	p.gatewayCount, p.gatewayIndex = max(n, 1), max(index, 0)
 	if t := p.table.Load(); t != nil {
 		for name, l := range *p.lanes.Load() {
-			l.adopt(int64(t.Version), p.settings(t, name))
+			l.configure(int64(t.Version), p.laneSettings(t, name))
 		}
 	}
 }
 
-// Serve takes the whole list of servers.
+// SetServers replaces the list of servers.
 func (p *Plane) SetServers(list []Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,88 +140,88 @@
 	for _, s := range list {
 		now[s.ID] = true
 	}
-	for id := range p.places {
+	for id := range p.serviceOf {
 		if !now[id] {
 			gone = append(gone, id)
 		}
 	}
-	p.change(list, gone)
+	p.applyChange(list, gone)
 }
 
-// Change takes those servers that are otherwise than before, and the IDs of those that have
-// ended. The work grows with the services that are touched, not with all servers.
+// UpdateServers applies changed servers, and removes those in gone. The cost grows with the services
+// affected, not with the number of all servers.
 func (p *Plane) UpdateServers(list []Server, gone []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.change(list, gone)
+	p.applyChange(list, gone)
 }
 
-func (p *Plane) change(list []Server, gone []string) {
-	was := map[string][]Server{} // of the services that are touched
-	touch := func(service string) {
-		if _, ok := was[service]; !ok {
-			was[service] = p.servers[service]
+func (p *Plane) applyChange(list []Server, gone []string) {
+	before := map[string][]Server{} // the servers before the change, by affected service
+	copyService := func(service string) {
+		if _, ok := before[service]; !ok {
+			before[service] = p.servers[service]
 			p.servers[service] = slices.Clone(p.servers[service])
 		}
 	}
-	find := func(service, id string) (int, bool) {
+	search := func(service, id string) (int, bool) {
 		return slices.BinarySearchFunc(p.servers[service], id, func(s Server, id string) int { return strings.Compare(s.ID, id) })
 	}
-	drop := func(id string) {
-		service, ok := p.places[id]
+	remove := func(id string) {
+		service, ok := p.serviceOf[id]
 		if !ok {
 			return
 		}
-		touch(service)
-		if i, ok := find(service, id); ok {
+		copyService(service)
+		if i, ok := search(service, id); ok {
 			p.servers[service] = slices.Delete(p.servers[service], i, i+1)
 		}
-		delete(p.places, id)
+		delete(p.serviceOf, id)
 	}
 	for _, id := range gone {
-		drop(id)
+		remove(id)
 	}
 	for _, s := range list {
-		if service, ok := p.places[s.ID]; ok && service != s.Service {
-			drop(s.ID)
+		if service, ok := p.serviceOf[s.ID]; ok && service != s.Service {
+			remove(s.ID)
 		}
-		touch(s.Service)
-		i, ok := find(s.Service, s.ID)
+		copyService(s.Service)
+		i, ok := search(s.Service, s.ID)
 		if ok {
 			p.servers[s.Service][i] = s
 		} else {
 			p.servers[s.Service] = slices.Insert(p.servers[s.Service], i, s)
 		}
-		p.places[s.ID] = s.Service
+		p.serviceOf[s.ID] = s.Service
 	}
 	t, lanes := p.table.Load(), *p.lanes.Load()
-	for service, before := range was {
+	for service, before := range before {
 		now := p.servers[service]
 		if len(now) == 0 {
 			delete(p.servers, service)
 		}
 		if l := lanes[service]; l != nil && !slices.Equal(now, before) {
-			l.adopt(int64(t.Version), p.settings(t, service)) // their capacity is in it
-			l.update(now)
+			l.configure(int64(t.Version), p.laneSettings(t, service)) // the settings depend on the servers' capacity
+			l.setServers(now)
 		}
 	}
 }
 
-// Close answers all that is open: the process ends in a moment.
+// Close answers all open requests, since the process is about to end.
 func (p *Plane) Close() {
 	for _, l := range *p.lanes.Load() {
 		l.core.Close()
 	}
 }
 
-// Stop ends all lanes.
+// Stop stops all lanes.
 func (p *Plane) Stop() {
 	for _, l := range *p.lanes.Load() {
 		l.core.Stop()
 	}
 }
 
-// Open is the number of requests under way.
+// OpenRequests returns the number of requests in progress.
 func (p *Plane) OpenRequests() (open int) {
 	for _, l := range *p.lanes.Load() {
 		open += l.core.Stats().Open
@@ -230,7 +229,7 @@
 	return open
 }
 
-// Totals are a lane's, for the log.
+// ServiceStats returns the counters of each service's lane.
 func (p *Plane) ServiceStats() map[string]routing.Stats {
 	all := map[string]routing.Stats{}
 	for name, l := range *p.lanes.Load() {
@@ -239,5 +238,5 @@
 	return all
 }
 
-// Limited is how many requests were beyond their tenant's quota.
-func (p *Plane) QuotaRefusals() int64 { return p.refused.Load() }
+// QuotaRefusals returns how many requests were refused by their tenant's quota.
+func (p *Plane) QuotaRefusals() int64 { return p.quotaRefusals.Load() }
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -12,58 +12,58 @@
 )
 
 const (
-	turnTakes = 100 * time.Millisecond // most that a request waits while all nodes turn
-	unleased  = time.Second            // when to come back to a gateway that may decide nothing
+	maxGateWait        = 100 * time.Millisecond // bound of a request's wait while a change of version takes effect on all nodes
+	unleasedRetryAfter = time.Second            // Retry-After of a gateway without a lease
 )
 
-// errTurned ends a request whose rules are not in force any more when it is decided.
-var errTurned = errors.New("the rules have changed, or are not confirmed")
+// errLeaseLost ends a request whose configuration is no longer in force when the request is routed.
+var errLeaseLost = errors.New("the configuration has changed, or this gateway holds no lease for it")
 
-// Turns counts what waited at the gate or was refused there, since the start.
+// GateStats counts the requests that waited at the gate or were refused there since the start.
 type GateStats struct {
-	Held       int64   // requests that waited in a turn
-	HeldMostMs float64 // the longest of those
-	InTurn     int64   // refused, as a turn took too long
-	Unleased   int64   // refused, as nothing may be decided here
+	Held       int64   // requests that waited for a change of version
+	HeldMostMs float64 // the longest wait
+	InTurn     int64   // refused, since the change of version took too long
+	Unleased   int64   // refused, since this gateway has no lease
 }
 
-// tally is those counts as they grow.
-type tally struct{ held, most, inTurn, unleased atomic.Int64 }
+// gateCounters are the counters behind GateStats.
+type gateCounters struct{ held, maxWait, inTurn, unleased atomic.Int64 }
 
-func (t *tally) waited(d time.Duration) {
+func (t *gateCounters) addWait(d time.Duration) {
 	t.held.Add(1)
-	for most := t.most.Load(); int64(d) > most && !t.most.CompareAndSwap(most, int64(d)); most = t.most.Load() {
+	for most := t.maxWait.Load(); int64(d) > most && !t.maxWait.CompareAndSwap(most, int64(d)); most = t.maxWait.Load() {
 	}
 }
 
-// Turns tells them.
+// GateStats returns the counters of the gate.
 func (p *Plane) GateStats() GateStats {
-	t := &p.turns
-	return GateStats{t.held.Load(), time.Duration(t.most.Load()).Seconds() * 1e3, t.inTurn.Load(), t.unleased.Load()}
+	t := &p.gateCounters
+	return GateStats{t.held.Load(), time.Duration(t.maxWait.Load()).Seconds() * 1e3, t.inTurn.Load(), t.unleased.Load()}
 }
 
-// gate is by what effectful requests may be decided.
+// gate decides whether requests that need a lease may be served. changed is closed when it is replaced.
 type gate struct {
 	rollout.Gate
 	changed chan struct{}
 }
 
-// Gate takes it over. The configuration that it is for has been adopted.
+// SetGate replaces the gate. The configuration that it is for has been adopted.
 func (p *Plane) SetGate(g rollout.Gate) {
 	if was := p.gate.Swap(&gate{g, make(chan struct{})}); was != nil {
 		close(was.changed)
 	}
 }
 
-// may says whether a request that needs a lease can go by that version. The time is taken here,
-// after it has come: a process that stood still notices.
-func (p *Plane) may(version uint32) bool {
+// mayServe reports whether a request that needs a lease may be served by that version. It reads the clock
+// after the request came, so a process that was stalled notices that its lease has expired.
+func (p *Plane) mayServe(version uint32) bool {
 	g := p.gate.Load()
-	return g == nil || !g.Together || g.May(p.opt.Now(), version)
+	return g == nil || !g.Together || g.May(p.options.Now(), version)
 }
 
-// gated says whether requests of a route need a lease.
-func (p *Plane) gated(r *sysconfig.Route) bool {
+// needsLease reports whether requests of a route need a lease.
+func (p *Plane) needsLease(r *sysconfig.Route) bool {
 	if r.Class == sysconfig.Effectful {
 		return true
 	}
@@ -71,17 +71,17 @@
 	return g != nil && g.Reads
 }
 
-// pass lets a request in that needs a lease, or refuses it; again tells that a turn was
-// waited for, and all is to be looked up anew.
-func (p *Plane) pass(ctx *fasthttp.RequestCtx, t *sysconfig.Table, r *sysconfig.Route) (ok, again bool) {
-	if !p.gated(r) || p.may(t.Version) {
+// passGate admits a request or refuses it if it needs a lease that this gateway doesn't hold. again
+// reports that the request waited for a change of version, and has to be routed anew.
+func (p *Plane) passGate(ctx *fasthttp.RequestCtx, t *sysconfig.Table, r *sysconfig.Route) (ok, again bool) {
+	if !p.needsLease(r) || p.mayServe(t.Version) {
 		return true, false
 	}
-	late, began, waited := time.NewTimer(turnTakes), p.opt.Now(), false
+	late, began, waited := time.NewTimer(maxGateWait), p.options.Now(), false
 	defer late.Stop()
-	for g := p.gate.Load(); g.Soon || g.May(p.opt.Now(), g.Version); g = p.gate.Load() {
-		if g.May(p.opt.Now(), g.Version) && p.Version() == g.Version {
-			p.turns.waited(p.opt.Now() - began)
+	for g := p.gate.Load(); g.Soon || g.May(p.options.Now(), g.Version); g = p.gate.Load() {
+		if g.May(p.options.Now(), g.Version) && p.Version() == g.Version {
+			p.gateCounters.addWait(p.options.Now() - began)
 			return false, true
 		}
 		waited = true
@@ -93,22 +93,23 @@
 		break
 	}
 	if waited {
-		p.turns.inTurn.Add(1)
+		p.gateCounters.inTurn.Add(1)
 	} else {
-		p.turns.unleased.Add(1)
+		p.gateCounters.unleased.Add(1)
 	}
-	refuse(ctx, fasthttp.StatusServiceUnavailable, unleased)
+	refuse(ctx, fasthttp.StatusServiceUnavailable, unleasedRetryAfter)
 	return false, false
 }
 
-// bound makes the core look again when it decides.
-func (p *Plane) bound(t *sysconfig.Table, r *sysconfig.Route) func() error {
-	if g := p.gate.Load(); !p.gated(r) || g == nil || !g.Together {
+// leaseCheck returns the check that the core makes when it sends the request: the lease may have ended
+// since the request was admitted.
+func (p *Plane) leaseCheck(t *sysconfig.Table, r *sysconfig.Route) func() error {
+	if g := p.gate.Load(); !p.needsLease(r) || g == nil || !g.Together {
 		return nil
 	}
 	return func() error {
-		if !p.may(t.Version) {
-			return errTurned
+		if !p.mayServe(t.Version) {
+			return errLeaseLost
 		}
 		return nil
 	}
--- a/internal/dataplane/gate_test.go
+++ b/internal/dataplane/gate_test.go
@@ -11,9 +11,10 @@
 	"asterwell/internal/rollout"
 )
 
-// Without a lease effectful requests are refused, and pure ones where the rules want it.
+// TestGate: without a lease effectful requests are refused, and pure ones if the configuration asks for
+// that.
 func TestGate(t *testing.T) {
-	g := newStage(t, faultrules.Strike{})
+	g := newTestGateway(t, faultrules.Strike{})
 	lease := policy.Lease{Version: 1, Until: 10 * time.Hour}
 	write := g.url
 	read := strings.TrimSuffix(g.url, "x") + "look"
@@ -33,8 +34,8 @@
 		for url, want := range map[string]int{write: c.write, read: c.read} {
 			g.url = url
 			id := c.name + url[len(url)-4:]
-			status, _, _ := g.ask(t, http.DefaultClient, "k10", id, "x")
-			if ran, _ := g.toy.of(id); status != want || (ran == 1) != (want == 200) {
+			status, _, _ := g.request(t, http.DefaultClient, "k10", id, "x")
+			if ran, _ := g.server.runsOf(id); status != want || (ran == 1) != (want == 200) {
 				t.Errorf("%s, %s: %d, ran %d times", c.name, url, status, ran)
 			}
 		}
@@ -42,11 +43,11 @@
 	if n := g.plane.GateStats(); n.InTurn != 2 || n.Unleased != 5 || n.Held != 0 {
 		t.Errorf("%+v", n)
 	}
-	// What waits in a turn goes on once it is over.
+	// A request that waits for a change of version continues when it is complete.
 	g.plane.SetGate(rollout.Gate{Version: 1, Together: true, Soon: true})
 	go g.plane.SetGate(rollout.Gate{Version: 1, Together: true, Lease: lease})
 	g.url = write
-	if status, _, _ := g.ask(t, http.DefaultClient, "k10", "waits", "x"); status != http.StatusOK {
+	if status, _, _ := g.request(t, http.DefaultClient, "k10", "waits", "x"); status != http.StatusOK {
 		t.Errorf("after the turn: %d", status)
 	}
 }
--- a/internal/dataplane/front.go
+++ b/internal/dataplane/handler.go
@@ -14,28 +14,28 @@
 	"asterwell/internal/routing"
 )
 
-var errNames = errors.New(headerID + ": more than one")
+var errRepeatedID = errors.New(headerID + ": more than one")
 
 // Handle serves one request of a client.
 func (p *Plane) Handle(ctx *fasthttp.RequestCtx) {
 	p.handle(ctx)
-	if p.opt.Leaving() { // the next request should come in elsewhere
+	if p.options.Leaving() { // the client's next request should go to another gateway
 		ctx.SetConnectionClose()
 	}
 }
 
-// untilReady is when to come back to a gateway that has no configuration yet.
-const untilReady = 300 * time.Millisecond
+// notReadyRetryAfter is the Retry-After of a gateway that has no configuration yet.
+const notReadyRetryAfter = 300 * time.Millisecond
 
 func (p *Plane) handle(ctx *fasthttp.RequestCtx) {
 	var times *protocol.Times
-	if p.opt.OnRequestTimes != nil {
+	if p.options.OnRequestTimes != nil {
 		times = &protocol.Times{Clock: func() int64 { return time.Now().UnixNano() }}
 		times.Mark(protocol.Begun)
 	}
 	t := p.table.Load()
-	if t == nil || p.opt.Closing != nil && p.opt.Closing() {
-		refuse(ctx, fasthttp.StatusServiceUnavailable, untilReady)
+	if t == nil || p.options.Closing != nil && p.options.Closing() {
+		refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
 		return
 	}
 	path, _, _ := bytes.Cut(ctx.Request.Header.RequestURI(), []byte("?"))
@@ -44,7 +44,7 @@
 		ctx.Error("no such route\n", fasthttp.StatusNotFound)
 		return
 	}
-	if ok, again := p.pass(ctx, t, route); again {
+	if ok, again := p.passGate(ctx, t, route); again {
 		p.handle(ctx)
 		return
 	} else if !ok {
@@ -52,15 +52,15 @@
 	}
 	var id, key, limit string
 	names := 0
-	call := speech.NewCall(ctx, func(name, value []byte) {
+	call := serverDialect.NewCall(ctx, func(name, value []byte) {
 		switch len(name) {
 		case len(headerID):
 			if bytes.EqualFold(name, []byte(headerID)) {
 				id = string(value)
 				names++
 			}
-		case len(speech.Deadline): // as long as Authorization
-			if bytes.EqualFold(name, []byte(speech.Deadline)) {
+		case len(serverDialect.Deadline): // Authorization has the same length
+			if bytes.EqualFold(name, []byte(serverDialect.Deadline)) {
 				limit = string(value)
 			} else if bytes.EqualFold(name, []byte("Authorization")) {
 				key = string(bytes.TrimPrefix(value, []byte("Bearer ")))
@@ -68,15 +68,15 @@
 		}
 	})
 	err := call.Err()
-	if names > 1 { // a server may go by the other, and its answer would be nobody's
-		err = errNames
+	if names > 1 { // the server might use the other one, so its answer couldn't be matched
+		err = errRepeatedID
 	}
 	if err != nil {
 		protocol.Bad(ctx, err)
 		return
 	}
 	call.Transparent, call.Times = true, times
-	r := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: plan, Units: 1, Width: 1, Fit: p.bound(t, route)}
+	r := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: quotaPlan, Units: 1, Width: 1, Fit: p.leaseCheck(t, route)}
 	l := (*p.lanes.Load())[route.Pick(xxhash.Sum64String(id))]
 	rank := route.Rank
 	if t.Keyed() && !route.Anonymous {
@@ -92,55 +92,55 @@
 		call.AddHeader(headerTenant, tenant.Name)
 		times.Mark(protocol.Routed)
 		if tenant.Rate > 0 {
-			if l.empty() { // a request that nobody can run takes no unit
-				refuse(ctx, fasthttp.StatusServiceUnavailable, untilReady)
+			if l.empty() { // a request that no server can run takes no quota
+				refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
 				return
 			}
-			if ok, after := p.opt.TakeQuota(tenant.Name, 1); !ok {
-				p.refused.Add(1)
+			if ok, after := p.options.TakeQuota(tenant.Name, 1); !ok {
+				p.quotaRefusals.Add(1)
 				refuse(ctx, fasthttp.StatusTooManyRequests, after)
 				return
 			}
 		}
 	}
-	times.Mark(protocol.Routed) // those without a key
+	times.Mark(protocol.Routed) // for requests without a key
 	times.Mark(protocol.Metered)
 	wait := route.Deadline
 	if ms, err := strconv.ParseFloat(limit, 64); err == nil && ms > 0 {
 		wait = min(wait, time.Duration(ms*float64(time.Millisecond)))
 	}
-	r.Class, r.Deadline = class(route, rank), p.opt.Now()+wait
+	r.Class, r.Deadline = className(route, rank), p.options.Now()+wait
 	call.Bind(r, wait)
 	if l == nil {
-		refuse(ctx, fasthttp.StatusServiceUnavailable, untilReady)
+		refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
 		return
 	}
-	if p.struck(ctx, l, id, route.Name, r, route.Deadline) {
+	if p.injectFault(ctx, l, id, route.Name, r, route.Deadline) {
 		return
 	}
-	final := protocol.Await(ctx, l.core, p.ids, id, r)
+	final := protocol.Await(ctx, l.core, p.requestIDs, id, r)
 	times.Mark(protocol.Decided)
 	p.answer(ctx, final)
 	if times != nil {
 		times.Mark(protocol.Ended)
-		p.opt.OnRequestTimes(id, times)
+		p.options.OnRequestTimes(id, times)
 	}
 }
 
-// answer gives the client the one final answer.
+// answer writes the response to the client.
 func (p *Plane) answer(ctx *fasthttp.RequestCtx, a protocol.Final) {
 	switch a.Kind {
 	case protocol.Served:
 		ctx.SetStatusCode(a.Answer.StatusCode())
 		protocol.PassOn(ctx, a.Answer)
 	case protocol.Refused:
-		if a.Verdict == routing.MayHaveRun { // no promise can be given
+		if a.Verdict == routing.MayHaveRun { // no promise that it didn't run
 			ctx.SetStatusCode(fasthttp.StatusBadGateway)
 			return
 		}
 		refuse(ctx, fasthttp.StatusServiceUnavailable, a.RetryAfter)
 	case protocol.Unfit:
-		refuse(ctx, fasthttp.StatusServiceUnavailable, untilReady)
+		refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
 	case protocol.TimedOut:
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	case protocol.Failed:
@@ -150,8 +150,8 @@
 	}
 }
 
-// refuse promises that the request has not run and never will. Who comes back when told so
-// should not be too early: the time is rounded up.
+// refuse promises that the request has not run and never will. The time in Retry-After is rounded up, so
+// that clients that follow it aren't too early.
 func refuse(ctx *fasthttp.RequestCtx, status int, after time.Duration) {
 	if after > 0 {
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(math.Ceil(after.Seconds()*1e3)/1e3, 'f', 3, 64))
--- a/internal/dataplane/idle_test.go
+++ b/internal/dataplane/idle_test.go
@@ -11,32 +11,32 @@
 	"asterwell/internal/hostenv"
 )
 
-// counting is the real world, and counts who gets up.
-type counting struct {
+// countingHost is the real host, and counts wakeups of goroutines that wait for a bell.
+type countingHost struct {
 	hostenv.Seam
 	wakes *atomic.Int64
 }
 
-type countedBell struct {
+type countingBell struct {
 	hostenv.Bell
 	wakes *atomic.Int64
 }
 
-func (c counting) NewBell() hostenv.Bell { return countedBell{c.Seam.NewBell(), c.wakes} }
+func (c countingHost) NewBell() hostenv.Bell { return countingBell{c.Seam.NewBell(), c.wakes} }
 
-func (b countedBell) Wait(d time.Duration) bool {
+func (b countingBell) Wait(d time.Duration) bool {
 	defer b.wakes.Add(1)
 	return b.Bell.Wait(d)
 }
 
-// Without requests the lanes of 180 services wake at most 40 times a second together, and
-// the same once a request has come and gone.
-func TestIdleWakes(t *testing.T) {
+// TestIdleLaneWakeups: without requests the lanes of 180 services together wake at most 40 times a second,
+// both after the start and after a change of servers.
+func TestIdleLaneWakeups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wakes atomic.Int64
 		start := time.Now()
-		p := New(Options{Host: counting{hostenv.Real, &wakes}, Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1})
-		p.Adopt(grown(t, 1))
+		p := New(Options{Host: countingHost{hostenv.Real, &wakes}, Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1})
+		p.Adopt(largeTable(t, 1))
 		var all []Server
 		for i := range 5200 {
 			all = append(all, Server{ID: fmt.Sprint("srv-", i), Addr: fmt.Sprint("a-", i), Service: fmt.Sprint("s-", i%180), Capacity: 50, State: choice.Up})
@@ -48,14 +48,14 @@
 			time.Sleep(10 * time.Second)
 			got := float64(wakes.Load()-was) / 10
 			t.Logf("%s: %.1f wakes a second", what, got)
-			if got > 40 { // each gets up once in 8 s
+			if got > 40 { // each lane wakes once in 8 s
 				t.Errorf("%s: %.1f wakes a second of 180 lanes", what, got)
 			}
 			all[0].Capacity++
 			p.SetServers(all)
 			time.Sleep(2 * time.Second)
 		}
-		p.SetServers(nil) // the servers' connections end
+		p.SetServers(nil) // closes the connections to the servers
 		time.Sleep(time.Second)
 		p.Stop()
 		synctest.Wait()
--- a/internal/dataplane/lane.go
+++ b/internal/dataplane/lane.go
@@ -16,97 +16,98 @@
 	"asterwell/internal/sysconfig"
 )
 
-// lane is one service: a core with the module, and its servers.
+// lane serves the requests to one service: a routing core with the balancing module, and the service's
+// servers.
 type lane struct {
-	core  *routing.Core
-	fleet *protocol.Fleet
-	now   func() time.Duration
-	cold  time.Duration
-	known map[string]uint32 // servers' numbers here
-	some  atomic.Bool       // there is a server
-	set   choice.Settings
+	core          *routing.Core
+	fleet         *protocol.Fleet
+	now           func() time.Duration
+	warmupTime    time.Duration
+	serverNumbers map[string]uint32 // numbers in the core, by server ID
+	hasServers    atomic.Bool
+	settings      choice.Settings
 }
 
-// The headers of the system's servers.
-var speech = &protocol.Dialect{Deadline: "X-Deadline-Ms", Millis: true, NotRun: "X-Not-Executed", Any: true, Echo: headerID,
+// serverDialect names the headers that the system's servers use.
+var serverDialect = &protocol.Dialect{Deadline: "X-Deadline-Ms", Millis: true, NotRun: "X-Not-Executed", Any: true, Echo: headerID,
 	Target: "X-Target-Instance", Drop: []string{"Authorization", headerTenant}}
 
 const (
 	headerID     = "X-Attempt-Id"
 	headerTenant = "X-Tenant-Name"
-	plan         = "tenant" // quotas are taken before a request comes to its lane
+	quotaPlan    = "tenant" // quotas are taken before a request comes to its lane
 )
 
 func newLane(p *Plane, name string, set choice.Settings) (*lane, error) {
-	l := &lane{now: p.opt.Now, cold: p.opt.WarmupTime, known: map[string]uint32{}, set: set}
-	l.fleet = protocol.NewFleet(p.peers, false)
-	l.fleet.Dialect = speech
+	l := &lane{now: p.options.Now, warmupTime: p.options.WarmupTime, serverNumbers: map[string]uint32{}, settings: set}
+	l.fleet = protocol.NewFleet(p.peerOptions, false)
+	l.fleet.Dialect = serverDialect
 	var err error
-	l.core, err = routing.New(set, p.opt.Seed^xxhash.Sum64String(name), p.opt.Now,
-		routing.Hands{World: p.opt.Host, Fleet: l.fleet, Watcher: silent{}, Drop: protocol.Drop})
+	l.core, err = routing.New(set, p.options.Seed^xxhash.Sum64String(name), p.options.Now,
+		routing.Hands{World: p.options.Host, Fleet: l.fleet, Watcher: noWatcher{}, Drop: protocol.Drop})
 	if err != nil {
 		return nil, err
 	}
 	l.fleet.Ends = l.core
-	p.opt.Host.Go(l.core.Run)
+	p.options.Host.Go(l.core.Run)
 	return l, nil
 }
 
-// silent: news comes without being asked for.
-type silent struct{}
+// noWatcher ignores requests to watch the servers: their changes are pushed.
+type noWatcher struct{}
 
-func (silent) Watch(bool) {}
+func (noWatcher) Watch(bool) {}
 
-// adopt goes over to other settings, if they are.
-func (l *lane) adopt(version int64, set choice.Settings) {
-	if len(set.Classes) == 0 || equal(l.set, set) {
+// configure applies settings if they have changed.
+func (l *lane) configure(version int64, set choice.Settings) {
+	if len(set.Classes) == 0 || sameSettings(l.settings, set) {
 		return
 	}
-	l.set = set
+	l.settings = set
 	l.core.Adopt(version, set)
 }
 
-func equal(a, b choice.Settings) bool {
+func sameSettings(a, b choice.Settings) bool {
 	return a.Doors == b.Doors && a.Index == b.Index && a.RetryMost == b.RetryMost && a.Slots == b.Slots && slices.Equal(a.Classes, b.Classes)
 }
 
-// update takes the service's servers. One that nobody has heard of for a while is
-// used only where there is no other.
-func (l *lane) update(list []Server) {
+// setServers replaces the service's servers. One that hasn't been heard of for a while is used only if
+// there is no other.
+func (l *lane) setServers(list []Server) {
 	live := lo.SomeBy(list, func(s Server) bool { return s.State == choice.Up })
 	news := routing.News{Whole: true}
 	for _, s := range list {
 		if s.State == choice.Down && live {
 			continue
 		}
-		id := l.known[s.ID]
+		id := l.serverNumbers[s.ID]
 		if id == 0 {
-			id = uint32(len(l.known) + 1)
-			l.known[s.ID] = id
+			id = uint32(len(l.serverNumbers) + 1)
+			l.serverNumbers[s.ID] = id
 		}
 		m := choice.Member{ID: id, Key: xxhash.Sum64String(s.ID), Zone: s.Zone, State: s.State, Weight: 1}
 		if m.State == choice.Down {
 			m.State = choice.Up
 		}
 		if left := s.WarmUntil - l.now(); left > 0 {
-			m.Started = l.now() - max(0, l.cold-left)
+			m.Started = l.now() - max(0, l.warmupTime-left)
 		}
 		news.Members = append(news.Members, routing.Member{Member: m, Addr: s.Addr, Name: s.ID})
 	}
-	l.some.Store(len(news.Members) > 0)
+	l.hasServers.Store(len(news.Members) > 0)
 	l.core.News(news)
 }
 
-// empty says that there is no server, or no lane.
-func (l *lane) empty() bool { return l == nil || !l.some.Load() }
+// empty reports whether there is no server, or no lane.
+func (l *lane) empty() bool { return l == nil || !l.hasServers.Load() }
 
-// settings are a service's by the configuration: a class for each route that leads
-// to it and each rank that its requests may have.
-func (p *Plane) settings(t *sysconfig.Table, service string) choice.Settings {
-	set := choice.Settings{Doors: p.gates, Index: p.index, Zone: p.opt.Zone, MaxTries: 1, Shuts: true, Spare: spare, SecondCopies: true, Cancels: true,
-		RetryAfter: true, ConnectTimeout: connectWithin, Weighted: true, Turns: turns, ColdFrom: 0.5, ColdFor: p.opt.WarmupTime,
-		CrossZone: crossZone, RetryShare: p.opt.RetryRatio * budgetUsed, RetryMost: max(1, p.opt.RetryAllowance*budgetUsed/float64(p.gates)),
-		Plans: []choice.Plan{{Name: plan, ValueFactor: 1, OverrunCost: 1}}}
+// laneSettings returns the settings of a service's lane: a class for each route to the service and each
+// rank that its requests may have.
+func (p *Plane) laneSettings(t *sysconfig.Table, service string) choice.Settings {
+	set := choice.Settings{Doors: p.gatewayCount, Index: p.gatewayIndex, Zone: p.options.Zone, MaxTries: 1, Shuts: true, Spare: spareDeviations, SecondCopies: true, Cancels: true,
+		RetryAfter: true, ConnectTimeout: connectTimeout, Weighted: true, Turns: roundRobinWeight, ColdFrom: 0.5, ColdFor: p.options.WarmupTime,
+		CrossZone: crossZoneGain, RetryShare: p.options.RetryRatio * retryBudgetShare, RetryMost: max(1, p.options.RetryAllowance*retryBudgetShare/float64(p.gatewayCount)),
+		Plans: []choice.Plan{{Name: quotaPlan, ValueFactor: 1, OverrunCost: 1}}}
 	if list := p.servers[service]; len(list) > 0 {
 		set.Slots = lo.SumBy(list, func(s Server) float64 { return float64(s.Capacity) }) / float64(len(list))
 	}
@@ -116,7 +117,7 @@
 			c.Effect = choice.Fragile
 		}
 		for _, rank := range t.Ranks(r) {
-			c.Name, c.Value = class(r, rank), float64(max(1, 4-rank))
+			c.Name, c.Value = className(r, rank), float64(max(1, 4-rank))
 			set.Classes = append(set.Classes, c)
 		}
 	}
@@ -125,11 +126,11 @@
 }
 
 const (
-	turns      = 0.03 // servers differ in speed by more than turns even out
-	spare      = 2    // standard deviations
-	budgetUsed = 0.6  // of the budget of repeats, which gateways that come and go share
-	crossZone  = 0.1  // of the aim, that another zone's server should be quicker by
+	roundRobinWeight = 0.03 // low, since servers differ in speed by more than taking turns evens out
+	spareDeviations  = 2    // in standard deviations
+	retryBudgetShare = 0.6  // part of the retry budget that is used, since gateways that come and go share it
+	crossZoneGain    = 0.1  // a server in another zone must be quicker by this part of the target latency
 )
 
-// class names a route's requests of one rank.
-func class(r *sysconfig.Route, rank int) string { return r.Name + "#" + strconv.Itoa(rank) }
+// className names the class of a route's requests of one rank.
+func className(r *sysconfig.Route, rank int) string { return r.Name + "#" + strconv.Itoa(rank) }
--- a/internal/dataplane/lane_test.go
+++ b/internal/dataplane/lane_test.go
@@ -12,20 +12,20 @@
 	"asterwell/internal/routing"
 )
 
-type closable struct{ closed atomic.Bool }
+type closeRecorder struct{ closed atomic.Bool }
 
-func (c *closable) Read([]byte) (int, error) { return 0, io.EOF }
-func (c *closable) Close() error             { c.closed.Store(true); return nil }
+func (c *closeRecorder) Read([]byte) (int, error) { return 0, io.EOF }
+func (c *closeRecorder) Close() error             { c.closed.Store(true); return nil }
 
-// A stream that comes when its request has been answered is given up: nobody else would ever
-// read it, and its connection would stay open for good.
-func TestLateStream(t *testing.T) {
-	g := newStage(t, faultrules.Strike{})
-	l, late := (*g.plane.lanes.Load())["toy"], &closable{}
+// TestLateStreamIsClosed: a response stream that arrives after its request was answered is closed. No one
+// else would read it, and its connection would stay open for good.
+func TestLateStreamIsClosed(t *testing.T) {
+	g := newTestGateway(t, faultrules.Strike{})
+	l, late := (*g.plane.lanes.Load())["toy"], &closeRecorder{}
 	resp := fasthttp.AcquireResponse()
 	resp.SetBodyStream(late, -1)
 	l.core.Ended(1, routing.Attempt{ID: 99}, choice.OK, resp, nil)
-	l.core.Stats() // waits for its turn
+	l.core.Stats() // returns after the core has handled the call above
 	if !late.closed.Load() {
 		t.Error("a late stream stays open")
 	}
--- a/internal/dataplane/size_test.go
+++ b/internal/dataplane/memory_bench_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// BenchmarkMemory is what 5,200 servers of 180 services take in the data plane, without a request.
+// BenchmarkMemory measures the memory of the data plane for 5,200 servers of 180 services, without
+// requests.
 func BenchmarkMemory(b *testing.B) {
 	start := time.Now()
 	heap := func() float64 {
@@ -16,7 +17,7 @@
 		runtime.ReadMemStats(&s)
 		return float64(s.HeapAlloc)
 	}
-	table := grown(b, 1)
+	table := largeTable(b, 1)
 	var all []Server
 	for i := range 5200 {
 		all = append(all, Server{ID: fmt.Sprintf("i-%08x", i*2654435761), Addr: fmt.Sprintf("10.1%02d.%d.%d:8080", i%10, i/200, i%200),
@@ -28,7 +29,7 @@
 		time.Sleep(200 * time.Millisecond)
 		before := heap()
 		p.SetServers(all)
-		time.Sleep(500 * time.Millisecond) // the lanes take it up
+		time.Sleep(500 * time.Millisecond) // until the lanes have applied it
 		b.ReportMetric((heap()-before)/float64(len(all)), "bytes/server")
 		p.Stop()
 	}
--- a/internal/dataplane/times_test.go
+++ b/internal/dataplane/times_test.go
@@ -9,18 +9,18 @@
 	"asterwell/internal/protocol"
 )
 
-// A request that was served came to each stage, one after the other.
-func TestTimes(t *testing.T) {
+// TestRequestTimes: a request that was served passes all stages in order.
+func TestRequestTimes(t *testing.T) {
 	got := make(chan [protocol.Stages]int64, 1)
-	g := newStage(t, faultrules.Strike{}, func(o *Options) {
-		o.FaultInjector = nil // what a fault rule strikes goes another way
+	g := newTestGateway(t, faultrules.Strike{}, func(o *Options) {
+		o.FaultInjector = nil // struck requests take another path
 		o.OnRequestTimes = func(id string, times *protocol.Times) {
 			if id == "one" {
 				got <- times.At()
 			}
 		}
 	})
-	if status, _, _ := g.ask(t, http.DefaultClient, "k1", "one", "x"); status != http.StatusOK {
+	if status, _, _ := g.request(t, http.DefaultClient, "k1", "one", "x"); status != http.StatusOK {
 		t.Fatal("answered ", status)
 	}
 	select {
