--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,51 +1,52 @@
-// Package adminapi is what operators are shown of a process: one form for the process that
-// fills it in and the client that reads it. Times that say how long are in seconds.
+// Package adminapi holds the answers of the operators' API, for the process that fills them in and the
+// client that reads them. Durations are in seconds.
 package adminapi
 
 import "time"
 
-// Members are the gateways as one of them sees them.
+// Members is the answer of GET /api/members: the gateways as one of them sees them.
 type Members struct {
-	Asked, Mesh string   // who tells it
-	ContactS    *float64 // since that one had contact with most of the core for certain; -1: not since its start; null: an older program, which doesn't say
-	Draining    bool     // it does
+	Asked, Mesh string   // the process that answers
+	ContactS    *float64 // since the last proven contact with a majority of the core; -1: none since the start; null: an older program, which doesn't report it
+	Draining    bool     // the process that answers is draining
 	Gateways    []Gateway
 }
 
 // Gateway is a process of the system.
 type Gateway struct {
 	Name, Zone, Addr, Control string
-	Core                      bool      // of it by its settings
+	Core                      bool      // may be a member of the core by its settings
 	State                     string    // up, leaving, gone
-	ForS                      float64   // it is that, as seen by the one that was asked
+	ForS                      float64   // time in this state, as seen by the process that answers
 	Ready                     bool      // clients may be sent to it
 	Started                   time.Time // by its own clock
-	NewsS                     float64   // since the one that was asked last heard of it
-	Watched                   bool      // by the one that was asked; else it hears only of changes
-	Watchers                  []string  // names of those that its heartbeats go to
-	Holds                     string    // the version in force there
+	NewsS                     float64   // since the process that answers last heard of it
+	Watched                   bool      // monitored by the process that answers, which otherwise hears only of changes
+	Watchers                  []string  // names of the processes that get its heartbeats
+	Holds                     string    // version in force there
 }
 
-// Services are the servers as one gateway sees them.
+// Services is the answer of GET /api/services: the servers as one gateway sees them.
 type Services struct {
 	Asked, Mesh string
 	ContactS    *float64 // as in Members
 	Servers     []Server
 }
 
-// Server is one life of a server.
+// Server is one run of a server.
 type Server struct {
 	ID, Service, Endpoint, Zone, Epoch string
 
 	Capacity  int
 	Phase     string
 	WarmLeftS float64
-	BeatS     *float64 // since its last beat; null: none came to the one that was asked
-	Home      string   // the gateway that it beats to
-	HomeAt    string   // that one's control address
+	BeatS     *float64 // since its last heartbeat; null: none came to the process that answers
+	Home      string   // the gateway that gets its heartbeats
+	HomeAt    string   // control address of that gateway
 }
 
-// Epochs are what one process has seen of agreement since its start, the newest last.
+// Epochs is the answer of GET /api/epochs: the consensus epochs that one process has seen since its start,
+// the newest last.
 type Epochs struct {
 	Asked, Mesh string
 	ContactS    *float64 // as in Members
@@ -53,12 +54,12 @@
 	Epochs      []Epoch
 }
 
-// Epoch is a time in which the core's duties stay.
+// Epoch is a period in which the roles in the core stay the same.
 type Epoch struct {
 	Epoch uint64
-	At    time.Time // it became known here
+	At    time.Time // when it became known here
 	Seats []CoreMember
 }
 
-// Seat is a machine of the core.
+// CoreMember is a member of the core, with its role.
 type CoreMember struct{ Name, Zone, Addr, Does string }
--- a/internal/adminapi/frames.go
+++ b/internal/adminapi/frames.go
@@ -1,14 +1,14 @@
 package adminapi
 
-// Frames is what has gone between a process and others since its start. It is small
-// however many there are.
+// Frames is the answer of GET /api/frames: the traffic between one process and the others since its start.
+// Its size doesn't depend on the number of processes.
 type Frames struct {
 	Name, Role  string
 	Ready       bool
 	Version     uint32 // in force
-	Up, Serving int    // processes and servers seen
+	Up, Serving int    // numbers of processes and servers known
 	Kinds       map[string]MessageCounts
 }
 
-// Kind counts the frames of one message.
+// MessageCounts counts the frames of one kind of message.
 type MessageCounts struct{ Sent, BytesOut, Got, BytesIn int64 }
--- a/internal/dataplane/faultinjection.go
+++ b/internal/dataplane/faultinjection.go
@@ -66,30 +66,30 @@
 		p.struckRequests.Add(-1)
 		return false
 	}
-	b := &injection{plane: p, ctx: ctx, lane: l, id: id, request: r, timeout: whole,
+	i := &injection{plane: p, ctx: ctx, lane: l, id: id, request: r, timeout: whole,
 		query: faultrules.Request{ID: id, Tenant: r.Customer, Route: route, Method: string(ctx.Method())}}
-	b.retain()
-	defer b.release()
+	i.retain()
+	defer i.release()
 	var hit bool
-	if b.strike, hit = f.Select(b.query, r.Deadline-p.options.Now()); !hit {
+	if i.strike, hit = f.Select(i.query, r.Deadline-p.options.Now()); !hit {
 		return false
 	}
-	b.struckAt = p.options.Now()
-	if b.strike.Kind == faultrules.Double {
-		b.repeat()
+	i.struckAt = p.options.Now()
+	if i.strike.Kind == faultrules.Double {
+		i.repeat()
 		return true
 	}
-	if !f.AwaitRecorded(b.strike, r.Deadline-b.struckAt) {
-		f.RecordUnused(b.query, b.strike, "not made: not on record in time")
+	if !f.AwaitRecorded(i.strike, r.Deadline-i.struckAt) {
+		f.RecordUnused(i.query, i.strike, "not made: not on record in time")
 		return false
 	}
-	switch b.strike.Kind {
+	switch i.strike.Kind {
 	case faultrules.Delay:
-		b.delay()
+		i.delay()
 	case faultrules.VanishBefore:
-		b.timeOut("never ran")
+		i.timeOut("never ran")
 	case faultrules.VanishAfter:
-		b.timeOut(executionOutcome(b.await()))
+		i.timeOut(executionOutcome(i.await()))
 	}
 	return true
 }
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -1,9 +1,9 @@
-// Package delta has a text as a difference to another one (delta encoding): what a change of a
-// large configuration is, most of which stays as it was.
+// Package delta encodes a text as its difference to another text (delta encoding), for changes to a large
+// configuration, most of which stays the same.
 //
-// A difference is a row of steps: so many bytes of the base from there on, or bytes of its own.
-// It names both texts by their sums, so that it is never put on another base, and what comes
-// out is never another text. Pure: no clock, no chance.
+// A delta is a sequence of operations: copy a range of the base, or insert literal bytes. It contains the
+// checksums of both texts, so it is never applied to another base and never yields another text. The
+// package is deterministic, and uses no clock.
 package delta
 
 import (
@@ -17,40 +17,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Errors of Apply. The base is unchanged after any.
+// Errors of Apply, which never changes the base.
 var (
-	ErrWrongBase = errors.New("the difference is to another text")
-	ErrDamaged   = errors.New("the difference is damaged")
+	ErrWrongBase = errors.New("delta is for another base")
+	ErrDamaged   = errors.New("delta is damaged")
 )
 
-// Most is how long a text that comes out of a difference may be.
+// MaxTextSize bounds the text that a delta may produce.
 const MaxTextSize = 16 << 20
 
-// Delta makes one text of another. The base of a whole text is the empty one.
+// Delta produces a text from its base. The base of a full text is the empty text.
 type Delta struct {
-	BaseSum    uint64 `cbor:"1,keyasint"` // sum of the base
-	ResultSum  uint64 `cbor:"2,keyasint"` // of the text that comes out
-	Size       int    `cbor:"3,keyasint"` // its length
+	BaseSum    uint64 `cbor:"1,keyasint"` // checksum of the base
+	ResultSum  uint64 `cbor:"2,keyasint"` // checksum of the result
+	Size       int    `cbor:"3,keyasint"` // length of the result
 	Ops        []byte `cbor:"4,keyasint"`
-	Compressed bool   `cbor:"5,keyasint,omitempty"` // the steps are packed
+	Compressed bool   `cbor:"5,keyasint,omitempty"` // Ops are compressed
 }
 
-// Sum tells texts apart. It finds faults, not forgers.
+// Checksum detects damage; it is no protection against forgery.
 func Checksum(text []byte) uint64 { return xxhash.Sum64(text) }
 
 const (
-	block    = 32       // of the base, by whose contents it is found again
-	long     = 4 << 10  // steps that are worth packing
-	least    = 512      // shorter texts are not worth a difference
-	sizeable = 32 << 10 // those that are packed whole
-	grain    = 24       // a shorter match costs as much as the bytes themselves
-	index    = 64 << 10 // blocks of the base that are looked up, at most
+	blockSize        = 32       // bytes of a block of the base that can be found by its contents
+	minCompressedOps = 4 << 10  // bytes of operations from which compression is worthwhile
+	minTextSize      = 512      // shorter texts are not worth a delta
+	minFullSize      = 32 << 10 // shorter full texts are sent as they are
+	minMatch         = 24       // a shorter match costs as much as the literal bytes
+	maxIndexedBlocks = 64 << 10 // limit of the index's size
 )
 
-// Make is the difference between two texts; false: it is not less than half of the new one,
-// packed.
+// New returns the delta from base to text; false: it is not smaller than half of the text, compressed.
 func New(base, text []byte) (Delta, bool) {
-	if len(text) < least || len(text) > MaxTextSize {
+	if len(text) < minTextSize || len(text) > MaxTextSize {
 		return Delta{}, false
 	}
 	steps, ok := diff(base, text)
@@ -58,29 +57,30 @@
 		return Delta{}, false
 	}
 	d := Delta{BaseSum: Checksum(base), ResultSum: Checksum(text), Size: len(text), Ops: steps}
-	d.pack()
+	d.compress()
 	return d, len(d.Ops) < len(text)/2
 }
 
-// Whole is a text as a difference to none: for who has nothing near. A short one is as well sent
-// as it is: to pack it takes a megabyte for a moment.
+// NewFull returns a text as a compressed delta to the empty text, for receivers without a similar text.
+// False: a short text had better be sent as it is, since compression takes a megabyte of memory for a
+// moment.
 func NewFull(text []byte) (Delta, bool) {
-	if len(text) < sizeable {
+	if len(text) < minFullSize {
 		return Delta{}, false
 	}
-	d := Delta{BaseSum: Checksum(nil), ResultSum: Checksum(text), Size: len(text), Ops: own(nil, text)}
-	d.pack()
+	d := Delta{BaseSum: Checksum(nil), ResultSum: Checksum(text), Size: len(text), Ops: appendLiteral(nil, text)}
+	d.compress()
 	return d, d.Compressed && len(text) <= MaxTextSize && len(d.Ops) < len(text)/2
 }
 
-// Same is the difference of a text to itself: it names that text to who has it.
+// Identity returns the delta from a text to itself, which identifies the text to a receiver that has it.
 func Identity(text []byte) *Delta {
 	sum := Checksum(text)
-	return &Delta{BaseSum: sum, ResultSum: sum, Size: len(text), Ops: again(nil, 0, len(text))}
+	return &Delta{BaseSum: sum, ResultSum: sum, Size: len(text), Ops: appendCopy(nil, 0, len(text))}
 }
 
-func (d *Delta) pack() {
-	if len(d.Ops) < long {
+func (d *Delta) compress() {
+	if len(d.Ops) < minCompressedOps {
 		return
 	}
 	if packed, ok := Compress(nil, d.Ops); ok {
@@ -88,25 +88,25 @@
 	}
 }
 
-// Pack packs data behind what is in front; false: it gets no shorter.
-func Compress(front, data []byte) ([]byte, bool) {
-	b := bytes.NewBuffer(append(make([]byte, 0, len(front)+len(data)/4), front...))
+// Compress appends compressed data to prefix; false: it is no shorter than the data.
+func Compress(prefix, data []byte) ([]byte, bool) {
+	b := bytes.NewBuffer(append(make([]byte, 0, len(prefix)+len(data)/4), prefix...))
 	w, err := flate.NewWriter(b, flate.BestSpeed)
 	if err != nil {
-		return nil, false // a bug: the level is a constant
+		return nil, false // can't happen: the level is valid
 	}
-	_, _ = w.Write(data) // to memory
+	_, _ = w.Write(data) // can't fail: it writes to memory
 	if w.Close() != nil || b.Len() >= len(data) {
 		return nil, false
 	}
 	return b.Bytes(), true
 }
 
-// Unpack is what was packed, if it is no longer than most.
-func Decompress(packed []byte, most int) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), int64(most)+1))
-	if err == nil && len(data) > most {
-		err = errors.New("it unpacks to more than it may")
+// Decompress returns the data if it is not longer than limit.
+func Decompress(packed []byte, limit int) ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), int64(limit)+1))
+	if err == nil && len(data) > limit {
+		err = errors.New("decompressed data exceeds its limit")
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
@@ -114,115 +114,116 @@
 	return data, nil
 }
 
-// step is a length, times two and one more where bytes of its own follow; else the place in
-// the base follows.
-func own(steps, text []byte) []byte {
+// An operation starts with twice its length. For literal bytes one is added, and the bytes follow; else
+// the position in the base follows.
+func appendLiteral(ops, text []byte) []byte {
 	if len(text) == 0 {
-		return steps
+		return ops
 	}
-	return append(binary.AppendUvarint(steps, uint64(len(text))<<1|1), text...)
+	return append(binary.AppendUvarint(ops, uint64(len(text))<<1|1), text...)
 }
 
-func again(steps []byte, at, n int) []byte {
-	return binary.AppendUvarint(binary.AppendUvarint(steps, uint64(n)<<1), uint64(at))
+func appendCopy(ops []byte, pos, n int) []byte {
+	return binary.AppendUvarint(binary.AppendUvarint(ops, uint64(n)<<1), uint64(pos))
 }
 
-// diff gives up where over half of the text is its own: it is not worth more time then.
-func diff(base, text []byte) (steps []byte, ok bool) {
-	var blocks map[uint64]int32 // built where it is needed: most of a change is in one place
-	lone, spent, at := 0, 0, 0  // bytes that no step has yet; of its own so far; where the base may go on
+// diff returns the operations that make text from base. It gives up if over half of the text is literal
+// bytes, since more time would not be worth it.
+func diff(base, text []byte) (ops []byte, ok bool) {
+	var blocks map[uint64]int32                 // built on demand: most changes are in one place
+	unmatched, literalBytes, basePos := 0, 0, 0 // start of the bytes not covered by ops; literal bytes so far; where the base is expected to continue
 	for i := 0; i < len(text); {
-		n := same(base[min(at, len(base)):], text[i:])
-		if n < grain && i+block <= len(text) {
+		length := commonPrefix(base[min(basePos, len(base)):], text[i:])
+		if length < minMatch && i+blockSize <= len(text) {
 			if blocks == nil {
-				blocks = blocksOf(base)
+				blocks = indexBlocks(base)
 			}
-			if p, found := blocks[xxhash.Sum64(text[i:i+block])]; found {
-				if m := same(base[p:], text[i:]); m >= block {
-					at, n = int(p), m
-					for at > 0 && i > lone && base[at-1] == text[i-1] { // the match begins before its block
-						at, i, n = at-1, i-1, n+1
+			if p, found := blocks[xxhash.Sum64(text[i:i+blockSize])]; found {
+				if m := commonPrefix(base[p:], text[i:]); m >= blockSize {
+					basePos, length = int(p), m
+					for basePos > 0 && i > unmatched && base[basePos-1] == text[i-1] { // the match starts before its block
+						basePos, i, length = basePos-1, i-1, length+1
 					}
 				}
 			}
 		}
-		if n < grain {
+		if length < minMatch {
 			i++
-			at++ // a text of the same length in its place
-			if spent++; spent > len(text)/2 {
+			basePos++ // expects bytes that replace as many others
+			if literalBytes++; literalBytes > len(text)/2 {
 				return nil, false
 			}
 			continue
 		}
-		steps = again(own(steps, text[lone:i]), at, n)
-		i, at = i+n, at+n
-		lone = i
+		ops = appendCopy(appendLiteral(ops, text[unmatched:i]), basePos, length)
+		i, basePos = i+length, basePos+length
+		unmatched = i
 	}
-	return own(steps, text[lone:]), true
+	return appendLiteral(ops, text[unmatched:]), true
 }
 
-func blocksOf(base []byte) map[uint64]int32 {
-	every := block
-	for len(base)/every > index {
-		every *= 2
+func indexBlocks(base []byte) map[uint64]int32 {
+	stride := blockSize
+	for len(base)/stride > maxIndexedBlocks {
+		stride *= 2
 	}
-	all := make(map[uint64]int32, len(base)/every)
-	for p := 0; p+block <= len(base); p += every {
-		all[xxhash.Sum64(base[p:p+block])] = int32(p)
+	positions := make(map[uint64]int32, len(base)/stride)
+	for p := 0; p+blockSize <= len(base); p += stride {
+		positions[xxhash.Sum64(base[p:p+blockSize])] = int32(p)
 	}
-	return all
+	return positions
 }
 
-// same is how many bytes two texts have in common at their beginnings.
-func same(a, b []byte) int {
-	n, most := 0, min(len(a), len(b))
-	for n+8 <= most && binary.LittleEndian.Uint64(a[n:]) == binary.LittleEndian.Uint64(b[n:]) {
+// commonPrefix returns the number of bytes that two texts have in common at their start.
+func commonPrefix(a, b []byte) int {
+	n, limit := 0, min(len(a), len(b))
+	for n+8 <= limit && binary.LittleEndian.Uint64(a[n:]) == binary.LittleEndian.Uint64(b[n:]) {
 		n += 8
 	}
-	for n < most && a[n] == b[n] {
+	for n < limit && a[n] == b[n] {
 		n++
 	}
 	return n
 }
 
-// Apply makes the text of its base.
+// Apply returns the text that the delta makes from its base.
 func (d Delta) Apply(base []byte) ([]byte, error) {
 	if d.Size < 0 || d.Size > MaxTextSize {
-		return nil, fmt.Errorf("%w: %d bytes", ErrDamaged, d.Size)
+		return nil, fmt.Errorf("%w: size %d", ErrDamaged, d.Size)
 	}
 	if Checksum(base) != d.BaseSum {
 		return nil, ErrWrongBase
 	}
-	steps := d.Ops
+	ops := d.Ops
 	if d.Compressed {
 		var err error
-		if steps, err = Decompress(steps, 2*d.Size+1024); err != nil { // steps are hardly longer than the text that they make
+		if ops, err = Decompress(ops, 2*d.Size+1024); err != nil { // operations are hardly longer than the text that they produce
 			return nil, err
 		}
 	}
 	text := make([]byte, 0, d.Size)
-	for len(steps) > 0 {
-		x, k := binary.Uvarint(steps)
+	for len(ops) > 0 {
+		x, k := binary.Uvarint(ops)
 		if k <= 0 || x>>1 > uint64(d.Size-len(text)) {
-			return nil, fmt.Errorf("%w: a length", ErrDamaged)
+			return nil, fmt.Errorf("%w: invalid length", ErrDamaged)
 		}
 		n := int(x >> 1)
-		steps = steps[k:]
+		ops = ops[k:]
 		if x&1 == 1 {
-			if n > len(steps) {
-				return nil, fmt.Errorf("%w: bytes are missing", ErrDamaged)
+			if n > len(ops) {
+				return nil, fmt.Errorf("%w: missing bytes", ErrDamaged)
 			}
-			text, steps = append(text, steps[:n]...), steps[n:]
+			text, ops = append(text, ops[:n]...), ops[n:]
 			continue
 		}
-		at, k := binary.Uvarint(steps)
+		at, k := binary.Uvarint(ops)
 		if k <= 0 || at > uint64(len(base)) || uint64(n) > uint64(len(base))-at {
-			return nil, fmt.Errorf("%w: a place", ErrDamaged)
+			return nil, fmt.Errorf("%w: invalid position", ErrDamaged)
 		}
-		text, steps = append(text, base[at:int(at)+n]...), steps[k:]
+		text, ops = append(text, base[at:int(at)+n]...), ops[k:]
 	}
 	if len(text) != d.Size || Checksum(text) != d.ResultSum {
-		return nil, fmt.Errorf("%w: another text comes out", ErrDamaged)
+		return nil, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
 	return text, nil
 }
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// config is a text such as operators send, and one entry of it changed.
-func config(epoch, routes int, changed ...int) []byte {
+// testConfig returns a text like an operator's configuration, with the given entries changed.
+func testConfig(epoch, routes int, changed ...int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"Epoch":"%08x","Sockets":[`, epoch)
 	r := rand.New(rand.NewPCG(7, 7))
@@ -26,9 +26,9 @@
 	return append(b.Bytes(), "]}"...)
 }
 
-func TestFew(t *testing.T) {
-	base := config(7, 4800)
-	for _, text := range [][]byte{config(8, 4800), config(8, 4800, 0), config(9, 4800, 17, 2400, 4799), config(16, 4801), config(8, 4799)} {
+func TestSmallChanges(t *testing.T) {
+	base := testConfig(7, 4800)
+	for _, text := range [][]byte{testConfig(8, 4800), testConfig(8, 4800, 0), testConfig(9, 4800, 17, 2400, 4799), testConfig(16, 4801), testConfig(8, 4799)} {
 		d, ok := New(base, text)
 		if !ok || len(d.Ops) > 500 {
 			t.Errorf("%v, %d bytes for a change of %d", ok, len(d.Ops), len(text))
@@ -39,12 +39,12 @@
 	}
 }
 
-// TestDrawn makes texts of each other by cuts, moves and inserts.
-func TestDrawn(t *testing.T) {
+// TestRandomChanges makes texts from each other by random deletions, copies, insertions and overwrites.
+func TestRandomChanges(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	made := 0
+	deltas := 0
 	for range 3000 {
-		base := config(1, 1+r.IntN(40))
+		base := testConfig(1, 1+r.IntN(40))
 		text := bytes.Clone(base)
 		for range r.IntN(6) {
 			i, j := r.IntN(len(text)+1), r.IntN(len(text)+1)
@@ -63,76 +63,76 @@
 			}
 		}
 		if d, ok := New(base, text); ok {
-			made++
+			deltas++
 			if got, err := d.Apply(base); err != nil || !bytes.Equal(got, text) {
 				t.Fatal(err)
 			}
 		}
 	}
-	if made < 2000 {
-		t.Errorf("only %d of 3000 had a difference", made)
+	if deltas < 2000 {
+		t.Errorf("only %d of 3000 had a delta", deltas)
 	}
 }
 
-func TestWhole(t *testing.T) {
-	if _, ok := NewFull(config(1, 100)); ok {
-		t.Error("a short text is packed")
+func TestFullText(t *testing.T) {
+	if _, ok := NewFull(testConfig(1, 100)); ok {
+		t.Error("a short text was compressed")
 	}
-	text := config(1, 1000)
+	text := testConfig(1, 1000)
 	d, ok := NewFull(text)
 	if got, err := d.Apply(nil); !ok || err != nil || !bytes.Equal(got, text) {
 		t.Error(ok, err)
 	}
 }
 
-func TestUnlike(t *testing.T) {
+func TestUnrelatedTexts(t *testing.T) {
 	noise := make([]byte, 20000)
 	for i := range noise {
 		noise[i] = byte(rand.Uint32())
 	}
-	if _, ok := New(config(1, 100), noise); ok {
-		t.Error("noise has a short difference")
+	if _, ok := New(testConfig(1, 100), noise); ok {
+		t.Error("noise has a short delta")
 	}
 	if _, ok := NewFull(noise); ok {
-		t.Error("noise is packed")
+		t.Error("noise was compressed")
 	}
 }
 
-// TestSpoilt changes a difference in each of its bytes, and cuts it: a text that is not the one
-// meant never comes out.
-func TestSpoilt(t *testing.T) {
-	base := config(1, 200)
-	text := config(2, 200, 3, 100)
+// TestDamagedDelta damages each byte of a delta, and truncates it: Apply never returns another text than
+// the intended one.
+func TestDamagedDelta(t *testing.T) {
+	base := testConfig(1, 200)
+	text := testConfig(2, 200, 3, 100)
 	d, _ := New(base, text)
 	if _, err := d.Apply(text); !errors.Is(err, ErrWrongBase) {
 		t.Error(err)
 	}
 	for i := range d.Ops {
 		for _, x := range []byte{1, 0x80, 0xff} {
-			s := d
-			s.Ops = bytes.Clone(d.Ops)
-			s.Ops[i] ^= x
-			if got, err := s.Apply(base); err == nil && !bytes.Equal(got, text) {
+			damaged := d
+			damaged.Ops = bytes.Clone(d.Ops)
+			damaged.Ops[i] ^= x
+			if got, err := damaged.Apply(base); err == nil && !bytes.Equal(got, text) {
 				t.Fatalf("byte %d", i)
 			}
 		}
-		s := d
-		s.Ops = d.Ops[:i]
-		if got, err := s.Apply(base); err == nil && !bytes.Equal(got, text) {
+		damaged := d
+		damaged.Ops = d.Ops[:i]
+		if got, err := damaged.Apply(base); err == nil && !bytes.Equal(got, text) {
 			t.Fatalf("cut at %d", i)
 		}
 	}
 	for _, size := range []int{-1, 0, MaxTextSize + 1} {
-		s := d
-		s.Size = size
-		if _, err := s.Apply(base); !errors.Is(err, ErrDamaged) {
+		damaged := d
+		damaged.Size = size
+		if _, err := damaged.Apply(base); !errors.Is(err, ErrDamaged) {
 			t.Error(size, err)
 		}
 	}
 }
 
 func BenchmarkMake(b *testing.B) {
-	base, text := config(7, 16800), config(8, 16800, 8000)
+	base, text := testConfig(7, 16800), testConfig(8, 16800, 8000)
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
 		New(base, text)
@@ -140,7 +140,7 @@
 }
 
 func BenchmarkApply(b *testing.B) {
-	base, text := config(7, 16800), config(8, 16800, 8000)
+	base, text := testConfig(7, 16800), testConfig(8, 16800, 8000)
 	d, _ := New(base, text)
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
--- a/internal/fsm/event.go
+++ b/internal/fsm/event.go
@@ -1,13 +1,13 @@
 package fsm
 
-// Event is what happens at a moment of simulated time.
+// Event is an action at a point of simulated time.
 type Event struct {
 	At       Time
-	Sequence uint64 // of coming, for those of one moment
+	Sequence uint64 // order of events with the same time
 	Run      func()
 }
 
-// Events are a heap for container/heap, the earliest first.
+// EventQueue is a heap of events, ordered by time. It implements heap.Interface.
 type EventQueue []Event
 
 func (e EventQueue) Len() int { return len(e) }
@@ -16,7 +16,7 @@
 }
 func (e EventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push and Pop are for container/heap alone.
+// Push and Pop are for container/heap only.
 func (e *EventQueue) Push(x any) { *e = append(*e, x.(Event)) }
 
 func (e *EventQueue) Pop() any {
@@ -25,41 +25,41 @@
 	return last
 }
 
-// Add and Next do what heap.Push and heap.Pop would, without two allocations for each
-// event: a played day is mostly these.
+// Insert adds an event. Insert and RemoveFirst do the same as heap.Push and heap.Pop, but without two
+// allocations for each event, which take most of the time of a simulated day.
 func (e *EventQueue) Insert(ev Event) {
 	*e = append(*e, ev)
-	all := *e
-	for i := len(all) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !all.Less(i, up) {
+	queue := *e
+	for i := len(queue) - 1; i > 0; {
+		parent := (i - 1) / 2
+		if !queue.Less(i, parent) {
 			return
 		}
-		all.Swap(i, up)
-		i = up
+		queue.Swap(i, parent)
+		i = parent
 	}
 }
 
-// Next takes the earliest away; there must be one.
+// RemoveFirst removes and returns the earliest event; the queue must not be empty.
 func (e *EventQueue) RemoveFirst() Event {
-	all := *e
-	first, end := all[0], len(all)-1
-	all[0], all[end] = all[end], Event{}
-	all = all[:end]
+	queue := *e
+	first, end := queue[0], len(queue)-1
+	queue[0], queue[end] = queue[end], Event{}
+	queue = queue[:end]
 	for i := 0; ; {
-		down := 2*i + 1
-		if down >= end {
+		child := 2*i + 1
+		if child >= end {
 			break
 		}
-		if down+1 < end && all.Less(down+1, down) {
-			down++
+		if child+1 < end && queue.Less(child+1, child) {
+			child++
 		}
-		if !all.Less(down, i) {
+		if !queue.Less(child, i) {
 			break
 		}
-		all.Swap(i, down)
-		i = down
+		queue.Swap(i, child)
+		i = child
 	}
-	*e = all
+	*e = queue
 	return first
 }
--- a/internal/logring/logring.go
+++ b/internal/logring/logring.go
@@ -1,5 +1,5 @@
-// Package logring keeps what the system says of itself: the last lines in a ring in
-// memory, written out when something goes wrong, and little else.
+// Package logring keeps the last log lines in a ring in memory. Lines below the level that is written at
+// once are written out only when an error occurs.
 package logring
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/apex/log"
 )
 
-// Ring is a handler of apex/log. It keeps the last lines; those below the level that is
-// written wait in it for an error.
+// Ring is a handler of apex/log that keeps the last lines. Those below the write level stay unwritten
+// until an error occurs.
 type Ring struct {
-	mu    sync.Mutex
-	out   io.Writer
-	level log.Level // written at once from here on
-	lines []entry
-	next  int
-	start time.Time
-	name  string
+	mu         sync.Mutex
+	out        io.Writer
+	writeLevel log.Level // lines from this level on are written at once
+	lines      []entry
+	nextIndex  int
+	start      time.Time
+	name       string
 }
 
 type entry struct {
@@ -29,12 +29,12 @@
 	written bool
 }
 
-// NewRing returns one that keeps so many lines.
-func New(out io.Writer, name string, keep int, level log.Level) *Ring {
-	return &Ring{out: out, name: name, level: level, lines: make([]entry, keep), start: time.Now()}
+// New returns a Ring that keeps size lines.
+func New(out io.Writer, name string, size int, level log.Level) *Ring {
+	return &Ring{out: out, name: name, writeLevel: level, lines: make([]entry, size), start: time.Now()}
 }
 
-// HandleLog takes a line. An error writes out what led to it.
+// HandleLog records a line. An error also writes out the lines before it.
 func (r *Ring) HandleLog(e *log.Entry) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%8.3f %s %s %s", time.Since(r.start).Seconds(), r.name, e.Level, e.Message)
@@ -45,11 +45,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e.Level >= log.ErrorLevel {
-		r.dump()
+		r.writePending()
 	}
-	written := e.Level >= r.level
-	r.lines[r.next] = entry{line, written}
-	r.next = (r.next + 1) % len(r.lines)
+	written := e.Level >= r.writeLevel
+	r.lines[r.nextIndex] = entry{line, written}
+	r.nextIndex = (r.nextIndex + 1) % len(r.lines)
 	if !written {
 		return nil
 	}
@@ -57,26 +57,26 @@
 	return err
 }
 
-// Lines are those kept, the oldest first.
+// Lines returns the kept lines, the oldest first.
 func (r *Ring) Lines() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var lines []string
 	for i := range r.lines {
-		if e := r.at(i); e.line != "" {
+		if e := r.entryAt(i); e.line != "" {
 			lines = append(lines, e.line)
 		}
 	}
 	return lines
 }
 
-// at counts from the oldest.
-func (r *Ring) at(i int) *entry { return &r.lines[(r.next+i)%len(r.lines)] }
+// entryAt returns the i-th entry, counted from the oldest.
+func (r *Ring) entryAt(i int) *entry { return &r.lines[(r.nextIndex+i)%len(r.lines)] }
 
-// dump writes out what has not been.
-func (r *Ring) dump() {
+// writePending writes out the lines that haven't been written.
+func (r *Ring) writePending() {
 	for i := range r.lines {
-		if e := r.at(i); e.line != "" && !e.written {
+		if e := r.entryAt(i); e.line != "" && !e.written {
 			fmt.Fprintln(r.out, "  |", e.line)
 			e.written = true
 		}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,6 +1,6 @@
-// Package mesh has the connections between processes: one out to each address that
-// is sent to, and those that come in. What a frame is, its user says. Frames to one
-// address keep their order; any may be lost, and nobody waits for a slow peer.
+// Package mesh manages the connections between processes: one outbound connection to each address that
+// frames are sent to, and the inbound ones. Its user defines the frames. Frames to one address keep their
+// order; any frame may be lost, and no sender waits for a slow peer.
 package mesh
 
 import (
@@ -16,62 +16,61 @@
 	"asterwell/internal/mailbox"
 )
 
-// Codec is what frames are on the wire.
+// Codec encodes and decodes frames.
 type Codec[F any] struct {
 	Encode func(F) []byte
-	Decode func(*bufio.Reader) (f F, size int, err error) // size: what is counted for it
+	Decode func(*bufio.Reader) (f F, size int, err error) // size: the bytes to count for it
 }
 
-// Errors of a Codec that are counted; after any, the connection ends.
+// Errors of a Codec that are counted. The connection ends after any error.
 var (
-	ErrForeignFrame = errors.New("not a frame of this mesh")
-	ErrDamagedFrame = errors.New("a damaged frame")
+	ErrForeignFrame = errors.New("frame of another mesh")
+	ErrDamagedFrame = errors.New("damaged frame")
 )
 
-// Options of a mesh.
+// Options are the settings of a Mesh.
 type Options[F any] struct {
-	Host           hostenv.Seam // nil: the real one
+	Host           hostenv.Seam // nil: the real host
 	Codec          Codec[F]
-	Handle         func(p *Conn[F], f F) // on the goroutine of the connection it came by
-	MaxInbound     int                   // connections that come in
-	ConfigureConn  func(net.Conn)        // nil: as they come
-	DialTimeout    time.Duration         // 0: 500 ms
-	IdleTimeout    time.Duration         // connections that come in end after it; 0: 30 s
-	ReadBufferSize int                   // of a reader; 0: 8 KiB
+	Handle         func(p *Conn[F], f F) // called on the goroutine of the connection
+	MaxInbound     int
+	ConfigureConn  func(net.Conn) // nil: none
+	DialTimeout    time.Duration  // 0: 500 ms
+	IdleTimeout    time.Duration  // for inbound connections; 0: 30 s
+	ReadBufferSize int            // of each connection; 0: 8 KiB
 }
 
-// Mesh is one process's part of it. Answers may go back on the connection that a
-// question came on.
+// Mesh is one process's part of the mesh. Answers may be sent on the connection that the question came on.
 type Mesh[F any] struct {
 	Options[F]
 
-	mu     sync.Mutex
-	out    map[string]*Conn[F]
-	in     map[*Conn[F]]bool
-	closed bool
-	ln     net.Listener
+	mu       sync.Mutex
+	outbound map[string]*Conn[F]
+	inbound  map[*Conn[F]]bool
+	closed   bool
+	listener net.Listener
 
 	Counts Counts
 }
 
-// Counts are frames since the start.
+// Counts are the numbers of frames since the start.
 type Counts struct {
 	Sent, Received, BytesOut, BytesIn atomic.Int64
-	Dropped                           atomic.Int64 // the queue to a slow peer was full
+	Dropped                           atomic.Int64 // since the queue to a slow peer was full
 	Foreign, Damaged, Stale           atomic.Int64 // of another cluster; damaged; for or from an earlier incarnation
 }
 
-// All are the counts by name.
+// All returns the counts by name.
 func (c *Counts) All() map[string]int64 {
 	return map[string]int64{"sent": c.Sent.Load(), "got": c.Received.Load(), "bytes_out": c.BytesOut.Load(), "bytes_in": c.BytesIn.Load(),
 		"dropped": c.Dropped.Load(), "strange": c.Foreign.Load(), "spoilt": c.Damaged.Load(), "old": c.Stale.Load()}
 }
 
-// Pipe is one connection with its queue.
+// Conn is a connection with its queue of frames to send.
 type Conn[F any] struct {
-	m      *Mesh[F]
-	addr   string // that it leads to; "": it came in
-	box    *mailbox.Box[[]byte]
+	mesh   *Mesh[F]
+	addr   string // address of the peer; "": an inbound connection
+	queue  *mailbox.Box[[]byte]
 	queued atomic.Int64
 	mu     sync.Mutex
 	conn   net.Conn
@@ -79,28 +78,28 @@
 }
 
 const (
-	mostQueued  = 512 // frames; a peer that takes none costs no more
-	writeWithin = 2 * time.Second
-	idleFor     = 15 * time.Second
-	dialPause   = 60 * time.Millisecond
+	maxQueuedFrames = 512 // in frames; bounds the memory that a peer which reads nothing takes up
+	writeTimeout    = 2 * time.Second
+	idleTimeout     = 15 * time.Second
+	dialRetryPause  = 60 * time.Millisecond
 )
 
 // New returns a mesh without connections.
 func New[F any](o Options[F]) *Mesh[F] {
-	o.Host, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.Or(o.Host), cmp.Or(o.DialTimeout, 500*time.Millisecond), cmp.Or(o.IdleTimeout, 2*idleFor), cmp.Or(o.ReadBufferSize, 8<<10)
-	return &Mesh[F]{Options: o, out: map[string]*Conn[F]{}, in: map[*Conn[F]]bool{}}
+	o.Host, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.Or(o.Host), cmp.Or(o.DialTimeout, 500*time.Millisecond), cmp.Or(o.IdleTimeout, 2*idleTimeout), cmp.Or(o.ReadBufferSize, 8<<10)
+	return &Mesh[F]{Options: o, outbound: map[string]*Conn[F]{}, inbound: map[*Conn[F]]bool{}}
 }
 
-// Listen opens the mesh's port.
+// Listen opens the mesh's port, and accepts connections.
 func (m *Mesh[F]) Listen(addr string) error {
 	ln, err := m.Host.Listen(addr)
 	if err != nil {
 		return err
 	}
-	m.ln = ln
+	m.listener = ln
 	m.Host.Go(func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				m.mu.Lock()
 				closed := m.closed
@@ -108,191 +107,191 @@
 				if closed || errors.Is(err, net.ErrClosed) {
 					return
 				}
-				m.Host.Sleep(20 * time.Millisecond) // descriptors may be short for a moment
+				m.Host.Sleep(20 * time.Millisecond) // file descriptors may be used up for a moment
 				continue
 			}
 			if m.ConfigureConn != nil {
-				m.ConfigureConn(c)
+				m.ConfigureConn(conn)
 			}
-			p := &Conn[F]{m: m, box: mailbox.NewBox[[]byte](m.Host), conn: c}
+			peer := &Conn[F]{mesh: m, queue: mailbox.NewBox[[]byte](m.Host), conn: conn}
 			m.mu.Lock()
-			full := m.closed || len(m.in) >= m.MaxInbound
+			full := m.closed || len(m.inbound) >= m.MaxInbound
 			if !full {
-				m.in[p] = true
+				m.inbound[peer] = true
 			}
 			m.mu.Unlock()
 			if full {
-				c.Close()
+				conn.Close()
 				continue
 			}
-			m.Host.Go(func() { p.read(c) })
-			m.Host.Go(p.write)
+			m.Host.Go(func() { peer.read(conn) })
+			m.Host.Go(peer.write)
 		}
 	})
 	return nil
 }
 
-// Addr is where it listens.
-func (m *Mesh[F]) Addr() string { return m.ln.Addr().String() }
+// Addr returns the address of the listener.
+func (m *Mesh[F]) Addr() string { return m.listener.Addr().String() }
 
-// To is the pipe to an address.
+// ConnTo returns the outbound connection to an address. It is dialled when there are frames to send.
 func (m *Mesh[F]) ConnTo(addr string) *Conn[F] {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := m.out[addr]
-	if p == nil {
-		p = &Conn[F]{m: m, addr: addr, box: mailbox.NewBox[[]byte](m.Host)}
-		if m.out[addr] = p; m.closed {
-			p.ended = true
-			return p
+	c := m.outbound[addr]
+	if c == nil {
+		c = &Conn[F]{mesh: m, addr: addr, queue: mailbox.NewBox[[]byte](m.Host)}
+		if m.outbound[addr] = c; m.closed {
+			c.ended = true
+			return c
 		}
-		m.Host.Go(p.write)
+		m.Host.Go(c.write)
 	}
-	return p
+	return c
 }
 
-// Close ends all of it.
+// Close closes the listener and all connections.
 func (m *Mesh[F]) Close() {
 	m.mu.Lock()
 	m.closed = true
-	var all []*Conn[F]
-	for _, p := range m.out {
-		all = append(all, p)
+	var conns []*Conn[F]
+	for _, c := range m.outbound {
+		conns = append(conns, c)
 	}
-	for p := range m.in {
-		all = append(all, p)
+	for c := range m.inbound {
+		conns = append(conns, c)
 	}
-	if m.ln != nil {
-		m.ln.Close()
+	if m.listener != nil {
+		m.listener.Close()
 	}
 	m.mu.Unlock()
-	for _, p := range all {
-		p.end()
+	for _, c := range conns {
+		c.close()
 	}
 }
 
-// Send queues a frame. A full queue drops it: what sends here sends again.
-func (p *Conn[F]) Send(f F) {
-	if p.queued.Load() >= mostQueued {
-		p.m.Counts.Dropped.Add(1)
+// Send queues a frame. If the queue is full the frame is dropped: senders repeat what matters.
+func (c *Conn[F]) Send(frame F) {
+	if c.queued.Load() >= maxQueuedFrames {
+		c.mesh.Counts.Dropped.Add(1)
 		return
 	}
-	p.queued.Add(1)
-	p.box.Put(p.m.Codec.Encode(f))
+	c.queued.Add(1)
+	c.queue.Put(c.mesh.Codec.Encode(frame))
 }
 
-func (p *Conn[F]) end() {
-	p.mu.Lock()
-	p.ended = true
-	if p.conn != nil {
-		p.conn.Close()
+func (c *Conn[F]) close() {
+	c.mu.Lock()
+	c.ended = true
+	if c.conn != nil {
+		c.conn.Close()
 	}
-	p.mu.Unlock()
-	p.box.Put(nil)
+	c.mu.Unlock()
+	c.queue.Put(nil)
 }
 
-// write sends what is queued. A pipe out dials as it needs to; what is queued
-// meanwhile is lost if it can't.
-func (p *Conn[F]) write() {
-	defer p.forget()
+// write sends queued frames. An outbound connection is dialled as needed; the frames queued meanwhile are
+// lost if that fails.
+func (c *Conn[F]) write() {
+	defer c.remove()
 	var conn net.Conn
-	if p.addr == "" {
-		conn = p.conn
+	if c.addr == "" {
+		conn = c.conn
 	}
 	for {
-		frames := p.box.Take(idleFor)
-		if len(frames) == 0 && p.addr != "" {
-			return // nobody has anything to say there
+		frames := c.queue.Take(idleTimeout)
+		if len(frames) == 0 && c.addr != "" {
+			return // idle
 		}
-		p.queued.Add(-int64(len(frames)))
-		p.mu.Lock()
-		ended, now := p.ended, p.conn
-		p.mu.Unlock()
+		c.queued.Add(-int64(len(frames)))
+		c.mu.Lock()
+		ended, current := c.ended, c.conn
+		c.mu.Unlock()
 		if ended {
 			return
 		}
-		if p.addr != "" && (conn == nil || conn != now) {
+		if c.addr != "" && (conn == nil || conn != current) {
 			var err error
-			if conn, err = p.m.Host.Dial(p.addr, p.m.DialTimeout); err != nil {
+			if conn, err = c.mesh.Host.Dial(c.addr, c.mesh.DialTimeout); err != nil {
 				conn = nil
-				p.m.Host.Sleep(dialPause)
+				c.mesh.Host.Sleep(dialRetryPause)
 				continue
 			}
-			if p.m.ConfigureConn != nil {
-				p.m.ConfigureConn(conn)
+			if c.mesh.ConfigureConn != nil {
+				c.mesh.ConfigureConn(conn)
 			}
-			p.mu.Lock()
-			p.conn, ended = conn, p.ended
-			p.mu.Unlock()
+			c.mu.Lock()
+			c.conn, ended = conn, c.ended
+			c.mu.Unlock()
 			if ended {
 				conn.Close()
 				return
 			}
-			c := conn
-			p.m.Host.Go(func() { p.read(c) })
+			conn := conn
+			c.mesh.Host.Go(func() { c.read(conn) })
 		}
-		var all []byte
-		for _, f := range frames {
-			all = append(all, f...)
+		var batch []byte
+		for _, frame := range frames {
+			batch = append(batch, frame...)
 		}
-		conn.SetWriteDeadline(p.m.Host.Now().Add(writeWithin))
-		if _, err := conn.Write(all); err != nil {
+		conn.SetWriteDeadline(c.mesh.Host.Now().Add(writeTimeout))
+		if _, err := conn.Write(batch); err != nil {
 			conn.Close()
-			if p.addr == "" {
+			if c.addr == "" {
 				return
 			}
 			conn = nil
 			continue
 		}
-		p.m.Counts.Sent.Add(int64(len(frames)))
-		p.m.Counts.BytesOut.Add(int64(len(all)))
+		c.mesh.Counts.Sent.Add(int64(len(frames)))
+		c.mesh.Counts.BytesOut.Add(int64(len(batch)))
 	}
 }
 
-// forget ends a pipe for good; whoever sends to its address next makes another.
-func (p *Conn[F]) forget() {
-	p.m.mu.Lock()
-	if p.addr != "" && p.m.out[p.addr] == p {
-		delete(p.m.out, p.addr)
+// remove ends a connection for good; the next frame to its address opens another.
+func (c *Conn[F]) remove() {
+	c.mesh.mu.Lock()
+	if c.addr != "" && c.mesh.outbound[c.addr] == c {
+		delete(c.mesh.outbound, c.addr)
 	}
-	delete(p.m.in, p)
-	p.m.mu.Unlock()
-	p.mu.Lock()
-	p.ended = true
-	if p.conn != nil {
-		p.conn.Close()
+	delete(c.mesh.inbound, c)
+	c.mesh.mu.Unlock()
+	c.mu.Lock()
+	c.ended = true
+	if c.conn != nil {
+		c.conn.Close()
 	}
-	p.mu.Unlock()
+	c.mu.Unlock()
 }
 
-func (p *Conn[F]) read(c net.Conn) {
-	in := bufio.NewReaderSize(c, p.m.ReadBufferSize)
+func (c *Conn[F]) read(conn net.Conn) {
+	reader := bufio.NewReaderSize(conn, c.mesh.ReadBufferSize)
 	for {
-		if p.addr == "" {
-			c.SetReadDeadline(p.m.Host.Now().Add(p.m.IdleTimeout))
+		if c.addr == "" {
+			conn.SetReadDeadline(c.mesh.Host.Now().Add(c.mesh.IdleTimeout))
 		}
-		f, size, err := p.m.Codec.Decode(in)
+		frame, size, err := c.mesh.Codec.Decode(reader)
 		if err != nil {
 			switch {
 			case errors.Is(err, ErrForeignFrame):
-				p.m.Counts.Foreign.Add(1)
+				c.mesh.Counts.Foreign.Add(1)
 			case errors.Is(err, ErrDamagedFrame):
-				p.m.Counts.Damaged.Add(1)
+				c.mesh.Counts.Damaged.Add(1)
 			}
 			break
 		}
-		p.m.Counts.Received.Add(1)
-		p.m.Counts.BytesIn.Add(int64(size))
-		p.m.Handle(p, f)
+		c.mesh.Counts.Received.Add(1)
+		c.mesh.Counts.BytesIn.Add(int64(size))
+		c.mesh.Handle(c, frame)
 	}
-	c.Close()
-	if p.addr == "" {
-		p.end()
+	conn.Close()
+	if c.addr == "" {
+		c.close()
 		return
 	}
-	p.mu.Lock()
-	if p.conn == c {
-		p.conn = nil // the next frame dials anew
+	c.mu.Lock()
+	if c.conn == conn {
+		c.conn = nil // the next frame dials again
 	}
-	p.mu.Unlock()
+	c.mu.Unlock()
 }
