--- a/internal/fsm/event.go
+++ b/internal/fsm/event.go
@@ -26,7 +26,7 @@
 }
 
 // Insert adds an event. Insert and RemoveFirst do the same as heap.Push and heap.Pop, but without two
-// allocations for each event, which take most of the time of a simulated day.
+// allocations for each event: a simulated day consists mostly of events.
 func (e *EventQueue) Insert(ev Event) {
 	*e = append(*e, ev)
 	queue := *e
