--- a/internal/controlplane/contact.go
+++ b/internal/controlplane/contact.go
@@ -113,5 +113,5 @@
 		addrs = append(addrs, s.Addr)
 	}
 	m.coreBallot, m.coreKnown = ballot, true
-	m.registry.Core(addrs)
+	m.registry.SetVoters(addrs)
 }
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -40,11 +40,11 @@
 // Meter is the part of *quotas.Meter that a Machine uses. Requests are metered concurrently with the
 // control loop, so an implementation may guard it by a lock.
 type Meter interface {
-	Nodes(now fsm.Time, gateways int, holders []string)
-	Enter(now fsm.Time, r *quotas.Roster)
-	Take(now fsm.Time, from string, msg any) []fsm.Send
+	SetGateways(now fsm.Time, gateways int, holders []string)
+	SetRoster(now fsm.Time, r *quotas.Roster)
+	Receive(now fsm.Time, from string, msg any) []fsm.Send
 	Tick(now fsm.Time) []fsm.Send
-	Mute(now fsm.Time, holder string) bool // the holder doesn't answer adds
+	ReadOverdue(now fsm.Time, holder string) bool // the holder doesn't answer adds
 }
 
 // Reply completes a call. Value is the answer type of the machine that handled it, such as registry.Answer
@@ -119,14 +119,14 @@
 	m := &Machine{
 		self: c.Self, meter: meter, faultRules: c.newFaultRules(now), counter: quotas.NewCounter(c.Self, c.Incarnation), detours: map[string]*detour{},
 		members: memberlist.New(memberlist.Node{Addr: c.Self, Name: c.Name, Zone: c.Zone, Control: c.ControlAddr, Member: c.Member,
-			Life: c.Incarnation}, c.Seeds, c.Seed, now),
+			Incarnation: c.Incarnation}, c.Seeds, c.Seed, now),
 		registry: registry.New(c.Self, c.Zone, c.HeartbeatInterval, c.Seed, now),
 		rollout:  rollout.New(rollout.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Seed: c.Seed}), checkConfig: c.CheckConfig,
 		drain: drainpermit.New(c.Self, startID(c), c.Bugs.Drain),
 		bugs:  c.Bugs, contact: contact{askedAt: map[uint64]fsm.Time{}, retryPause: minProvePause},
 	}
 	m.consensus = consensus.New(consensus.Config{Self: c.Self, Name: c.Name, Zone: c.Zone, Member: c.Member, Genesis: c.Genesis,
-		ToleratedLosses: c.ToleratedLosses, Seeds: c.Seeds, Seed: c.Seed, Transform: m.rollout.Enter}, disk, now)
+		ToleratedLosses: c.ToleratedLosses, Seeds: c.Seeds, Seed: c.Seed, Transform: m.rollout.PrepareDocument}, disk, now)
 	m.consensus.SetBug(c.Bugs.Consensus)
 	m.registry.SetBug(c.Bugs.Registry)
 	m.updateCore()
@@ -138,25 +138,25 @@
 	switch group, ok := messageGroups[reflect.TypeOf(msg)]; {
 	case !ok:
 	case group == memberlistMessages:
-		m.applyMembership(now, m.members.Take(now, from, msg))
+		m.applyMembership(now, m.members.Receive(now, from, msg))
 	case group == registryMessages:
-		m.applyRegistry(m.registry.Take(now, from, msg))
+		m.applyRegistry(m.registry.Receive(now, from, msg))
 	case group == consensusMessages:
 		m.applyConsensus(now, m.consensus.Receive(now, from, msg))
 	case group == faultRuleMessages:
 		m.applyFaultRules(func() faultrules.Out { return m.faultRules.Take(now, from, msg) })
 	case group == rolloutMessages:
-		m.applyRollout(now, m.rollout.Take(now, from, msg))
+		m.applyRollout(now, m.rollout.Receive(now, from, msg))
 	case group == relayMessages:
 		m.receiveRelay(now, from, msg.(Relay))
 	case group == quotaMessages:
-		if a, ok := msg.(quotas.Answer); ok && !a.Ask {
+		if a, ok := msg.(quotas.Answer); ok && !a.Probe {
 			if d := m.detours[from]; d != nil {
 				d.answeredDirectly(a)
 			}
 		}
-		m.send(m.counter.Take(now, from, msg))
-		m.send(m.meter.Take(now, from, msg))
+		m.send(m.counter.Receive(now, from, msg))
+		m.send(m.meter.Receive(now, from, msg))
 	}
 	return m.takeOutput()
 }
@@ -178,7 +178,7 @@
 	if m.faultRules.Awake() {
 		m.applyFaultRules(func() faultrules.Out { return m.faultRules.Tick(now) })
 	}
-	m.drain.Fit(m.servable(), m.leaving)
+	m.drain.SetReady(m.servable(), m.leaving)
 	m.applyDrain(m.drain.Tick(now))
 	if ready := m.servable() && !m.drain.Draining(); ready != m.ready {
 		m.ready = ready
@@ -189,7 +189,9 @@
 
 // ReportAddDelay tells the quota counter here how long an add lately waited in the process's queue behind
 // many others.
-func (m *Machine) ReportAddDelay(now fsm.Time, waited time.Duration) { m.counter.Strain(now, waited) }
+func (m *Machine) ReportAddDelay(now fsm.Time, waited time.Duration) {
+	m.counter.ReportQueueDelay(now, waited)
+}
 
 // FlushAdds sends the adds that should not wait for the next tick.
 func (m *Machine) FlushAdds(now fsm.Time) Output {
@@ -198,14 +200,14 @@
 }
 
 // ServerHeartbeat handles a heartbeat call of a server.
-func (m *Machine) ServerHeartbeat(now fsm.Time, call uint64, b registry.Beat) Output {
-	m.applyRegistry(m.registry.Beat(now, call, b))
+func (m *Machine) ServerHeartbeat(now fsm.Time, call uint64, b registry.Heartbeat) Output {
+	m.applyRegistry(m.registry.Heartbeat(now, call, b))
 	return m.takeOutput()
 }
 
 // RemoveServer handles a server's call that it has ended.
 func (m *Machine) RemoveServer(now fsm.Time, call uint64, id string) Output {
-	m.applyRegistry(m.registry.Delete(now, call, id))
+	m.applyRegistry(m.registry.Deregister(now, call, id))
 	return m.takeOutput()
 }
 
@@ -226,7 +228,7 @@
 	m.applyConsensus(now, m.consensus.WriteDone(now, seq))
 	if m.prepareWrite != 0 && seq >= m.prepareWrite {
 		m.prepareWrite = 0
-		m.applyRollout(now, m.rollout.Synced(now))
+		m.applyRollout(now, m.rollout.DocumentSynced(now))
 	}
 	return m.takeOutput()
 }
@@ -234,7 +236,7 @@
 // Leave announces that this process will end.
 func (m *Machine) Leave(now fsm.Time) Output {
 	m.leaving, m.ready = true, false
-	m.drain.Fit(false, true)
+	m.drain.SetReady(false, true)
 	m.applyMembership(now, m.members.Leave(now))
 	m.applyConsensus(now, m.consensus.Leave(now, consensus.LeaveEventually))
 	return m.takeOutput()
@@ -252,7 +254,7 @@
 
 // SetSeeds replaces the seed addresses.
 func (m *Machine) SetSeeds(now fsm.Time, seeds []string) {
-	m.members.Seeds(now, seeds)
+	m.members.SetSeeds(now, seeds)
 	m.consensus.SetSeeds(now, seeds)
 }
 
@@ -272,10 +274,14 @@
 func (m *Machine) Servers() []registry.Server { return m.registry.Servers() }
 
 // GatewaySights returns every known process with the details that operators are shown.
-func (m *Machine) GatewaySights(now fsm.Time) []memberlist.Sight { return m.members.Sights(now) }
+func (m *Machine) GatewaySights(now fsm.Time) []memberlist.NodeStatus {
+	return m.members.NodeStatuses(now)
+}
 
 // ServerSights returns every known server with the details that operators are shown.
-func (m *Machine) ServerSights(now fsm.Time) []registry.Sight { return m.registry.Sights(now) }
+func (m *Machine) ServerSights(now fsm.Time) []registry.ServerStatus {
+	return m.registry.ServerStatuses(now)
+}
 
 // Epochs returns the consensus epochs seen by this process, the newest last.
 func (m *Machine) Epochs() []consensus.EpochChange { return m.consensus.EpochHistory() }
@@ -305,8 +311,8 @@
 // applyMembership carries out the output of membership.
 func (m *Machine) applyMembership(now fsm.Time, out memberlist.Out) {
 	m.send(out.Send)
-	for _, held := range out.Holds {
-		m.consensus.NotePeerVersion(held.Addr, held.Held)
+	for _, held := range out.HeldVersions {
+		m.consensus.NotePeerVersion(held.Addr, held.Version)
 	}
 	if !out.Changed {
 		return
@@ -318,22 +324,22 @@
 	view := m.members.View()
 	m.membershipPending, m.membershipAt, m.nodeCount = false, now, len(view)
 	up := lo.Filter(view, func(n memberlist.Node, _ int) bool { return n.State == memberlist.Up })
-	m.applyRegistry(m.registry.Nodes(now, view)) // a leaving process still serves, and needs to know the servers
+	m.applyRegistry(m.registry.SetNodes(now, view)) // a leaving process still serves, and needs to know the servers
 	m.consensus.SetPeers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
-		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Version: n.Held}
+		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Version: n.ConfigVersion}
 	}))
-	m.rollout.Nodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
+	m.rollout.SetNodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
 		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
 	}))
 	m.updateDrainPeers(view)
 	m.out.MembersChanged = true
 	m.faultRules.Nodes(lo.FilterMap(view, func(n memberlist.Node, _ int) (faultrules.Node, bool) {
-		return faultrules.Node{Addr: n.Addr, Life: n.Life}, n.State != memberlist.Gone
+		return faultrules.Node{Addr: n.Addr, Life: n.Incarnation}, n.State != memberlist.Gone
 	}))
 	m.out.Gateways = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == m.self })}
 	holders := dutyOrder(up)
-	m.counter.Nodes(holders)
-	m.meter.Nodes(now, len(up), holders)
+	m.counter.SetGateways(holders)
+	m.meter.SetGateways(now, len(up), holders)
 }
 
 // dutyOrder returns the addresses of the processes in the order in which duties that one process does are
--- a/internal/controlplane/message_test.go
+++ b/internal/controlplane/message_test.go
@@ -18,26 +18,26 @@
 	name string
 }{
 	{
-		{memberlist.Beat{}, "bond.Beat"},
+		{memberlist.Heartbeat{}, "bond.Beat"},
 		{memberlist.Hello{}, "bond.Hello"},
-		{memberlist.Rumour{}, "bond.Rumour"},
+		{memberlist.Gossip{}, "bond.Rumour"},
 		{memberlist.Index{}, "bond.Index"},
 		{memberlist.Diff{}, "bond.Diff"},
 		{memberlist.Ping{}, "bond.Ping"},
-		{memberlist.Probe{}, "bond.Probe"},
-		{memberlist.Pong{}, "bond.Pong"},
-		{memberlist.Doubt{}, "bond.Doubt"},
+		{memberlist.IndirectPing{}, "bond.Probe"},
+		{memberlist.IndirectAck{}, "bond.Pong"},
+		{memberlist.Suspect{}, "bond.Doubt"},
 	},
 	{
-		{registry.News{}, "lore.News"},
+		{registry.Update{}, "lore.News"},
 		{registry.Ack{}, "lore.Ack"},
-		{registry.Pass{}, "lore.Pass"},
-		{registry.Sum{}, "lore.Sum"},
-		{registry.Parts{}, "lore.Parts"},
+		{registry.ForwardedHeartbeat{}, "lore.Pass"},
+		{registry.TableDigest{}, "lore.Sum"},
+		{registry.ServiceDigests{}, "lore.Parts"},
 		{registry.Index{}, "lore.Index"},
 		{registry.Diff{}, "lore.Diff"},
 		{registry.Fetch{}, "lore.Fetch"},
-		{registry.Whole{}, "lore.Whole"},
+		{registry.FullTable{}, "lore.Whole"},
 	},
 	{
 		{consensus.JoinRequest{}, "pact.Hello"},
@@ -92,10 +92,10 @@
 		{faultrules.Answered{}, "bane.Answered"},
 	},
 	{
-		{rollout.Ask{}, "accord.Ask"},
-		{rollout.Grant{}, "accord.Grant"},
-		{rollout.Withdraw{}, "accord.Withdraw"},
-		{rollout.Withdrew{}, "accord.Withdrew"},
+		{rollout.LeaseRequest{}, "accord.Ask"},
+		{rollout.LeaseGrant{}, "accord.Grant"},
+		{rollout.WithdrawRequest{}, "accord.Withdraw"},
+		{rollout.WithdrawReply{}, "accord.Withdrew"},
 	},
 }
 
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -17,13 +17,13 @@
 // share in addition to what the others admit. A holder's requests for signs of life are relayed in the
 // same way.
 type Relay struct {
-	From            string            `cbor:"1,keyasint"`
-	To              string            `cbor:"2,keyasint"`
-	RelayedBy       string            `cbor:"3,keyasint,omitempty"`
-	Add             *quotas.Add       `cbor:"4,keyasint,omitempty"`
-	Answer          *quotas.Answer    `cbor:"5,keyasint,omitempty"`
-	LivenessRequest bool              `cbor:"6,keyasint,omitempty"`
-	Drain           *drainpermit.Word `cbor:"7,keyasint,omitempty"` // sent directly; the previous version ignores it
+	From            string               `cbor:"1,keyasint"`
+	To              string               `cbor:"2,keyasint"`
+	RelayedBy       string               `cbor:"3,keyasint,omitempty"`
+	Add             *quotas.Add          `cbor:"4,keyasint,omitempty"`
+	Answer          *quotas.Answer       `cbor:"5,keyasint,omitempty"`
+	LivenessRequest bool                 `cbor:"6,keyasint,omitempty"`
+	Drain           *drainpermit.Message `cbor:"7,keyasint,omitempty"` // sent directly; the previous version ignores it
 }
 
 // detour is the state of the relayed path to one holder.
@@ -48,7 +48,7 @@
 // answeredDirectly ends the relayed path, since the holder's answer came directly.
 func (d *detour) answeredDirectly(a quotas.Answer) {
 	d.relay, d.expires = "", 0
-	if stamp, ok := a.Stamped(); ok {
+	if stamp, ok := a.RequestTimestamp(); ok {
 		d.lastDirect = max(d.lastDirect, stamp)
 	}
 }
@@ -57,7 +57,7 @@
 // directly: while a relay is used each add is sent both ways, so every relay would otherwise keep itself
 // in use.
 func (d *detour) answeredVia(now fsm.Time, by string, a quotas.Answer) {
-	if stamp, ok := a.Stamped(); ok && stamp > d.lastDirect {
+	if stamp, ok := a.RequestTimestamp(); ok && stamp > d.lastDirect {
 		d.relay, d.expires = by, now+detourLifetime
 	}
 }
@@ -87,9 +87,9 @@
 			m.send([]fsm.Send{{To: d.relay, Msg: Relay{From: m.self, To: s.To, Add: &add}}})
 		}
 		// Search even while a relay is in use: that relay may be gone.
-		if !m.stalled && m.meter.Mute(now, s.To) && d.startSearch(now, m.nodeCount) {
+		if !m.stalled && m.meter.ReadOverdue(now, s.To) && d.startSearch(now, m.nodeCount) {
 			if m.nodeCount > largeFleet {
-				add = add.Question()
+				add = add.WithoutItems()
 			}
 			m.sendViaRelays(s.To, Relay{From: m.self, To: s.To, Add: &add})
 		}
@@ -115,7 +115,7 @@
 	if m.stalled {
 		return
 	}
-	silent := lo.Filter(requests, func(s fsm.Send, _ int) bool { return m.counter.Blind(now, s.To) })
+	silent := lo.Filter(requests, func(s fsm.Send, _ int) bool { return m.counter.ProbeOverdue(now, s.To) })
 	if n := len(silent); n > maxAskedPerTick {
 		at := m.nextAsked % n
 		m.nextAsked += maxAskedPerTick
@@ -135,7 +135,7 @@
 
 // relays returns a few processes, in turn, that may be able to reach the holder.
 func (m *Machine) relays(holder string) (relays []string) {
-	candidates := lo.FilterMap(m.members.Up(), func(n memberlist.Node, _ int) (string, bool) {
+	candidates := lo.FilterMap(m.members.UpNodes(), func(n memberlist.Node, _ int) (string, bool) {
 		return n.Addr, n.Addr != m.self && n.Addr != holder
 	})
 	for range min(relaysPerSearch, len(candidates)) {
@@ -154,23 +154,23 @@
 			m.send([]fsm.Send{{To: relay.To, Msg: relay}})
 		}
 	case relay.Drain != nil:
-		m.drain.Fit(m.servable(), m.leaving)
-		m.applyDrain(m.drain.Take(now, relay.From, *relay.Drain))
+		m.drain.SetReady(m.servable(), m.leaving)
+		m.applyDrain(m.drain.Receive(now, relay.From, *relay.Drain))
 	case relay.Add != nil:
-		for _, s := range m.counter.Take(now, relay.From, *relay.Add) {
+		for _, s := range m.counter.Receive(now, relay.From, *relay.Add) {
 			if a, ok := s.Msg.(quotas.Answer); ok && s.To == relay.From {
 				s = fsm.Send{To: relay.RelayedBy, Msg: Relay{From: m.self, To: relay.From, Answer: &a}}
 			}
 			m.send([]fsm.Send{s})
 		}
 	case relay.LivenessRequest:
-		for _, s := range m.meter.Take(now, relay.From, quotas.Answer{Ask: true}) {
+		for _, s := range m.meter.Receive(now, relay.From, quotas.Answer{Probe: true}) {
 			if a, ok := s.Msg.(quotas.Add); ok {
 				m.send([]fsm.Send{{To: relay.RelayedBy, Msg: Relay{From: m.self, To: relay.From, Add: &a}}})
 			}
 		}
 	case relay.Answer != nil:
 		m.detourTo(relay.From).answeredVia(now, relay.RelayedBy, *relay.Answer)
-		m.send(m.meter.Take(now, relay.From, *relay.Answer))
+		m.send(m.meter.Receive(now, relay.From, *relay.Answer))
 	}
 }
--- a/internal/controlplane/servers.go
+++ b/internal/controlplane/servers.go
@@ -7,10 +7,10 @@
 
 // ServersToStore returns the list of servers to store on disk; nil while it is incomplete.
 func (m *Machine) ServersToStore() []registry.Row {
-	if !m.registry.Filled() {
+	if !m.registry.Complete() {
 		return nil
 	}
-	return m.registry.Keep()
+	return m.registry.Snapshot()
 }
 
 // RestoreServers takes the list of servers that was stored on disk.
--- a/internal/daemon/addqueue_test.go
+++ b/internal/daemon/addqueue_test.go
@@ -11,7 +11,7 @@
 )
 
 func newAdd(n int) *frame {
-	return &frame{From: "g", Msg: quotas.Add{Life: 1, Stamp: time.Duration(n)}}
+	return &frame{From: "g", Msg: quotas.Add{Incarnation: 1, Timestamp: time.Duration(n)}}
 }
 
 // TestAddQueue: in a short queue adds wait as long as necessary; in a long one those too old to be of use
@@ -28,12 +28,12 @@
 			}
 		}
 	}
-	if a.push(&frame{Msg: memberlist.Beat{}}, start) {
+	if a.push(&frame{Msg: memberlist.Heartbeat{}}, start) {
 		t.Fatal("a heartbeat was queued among adds")
 	}
 	taken := func(now time.Time) (got []int) {
 		for f := a.pop(now); f != nil; f = a.pop(now) {
-			got = append(got, int(f.Msg.(quotas.Add).Stamp))
+			got = append(got, int(f.Msg.(quotas.Add).Timestamp))
 		}
 		return got
 	}
@@ -70,7 +70,7 @@
 func TestFullQueueSkipsAdds(t *testing.T) {
 	var out, in frameCounters
 	var wire bytes.Buffer
-	for _, msg := range []any{quotas.Add{Life: 7}, memberlist.Ping{}} {
+	for _, msg := range []any{quotas.Add{Incarnation: 7}, memberlist.Ping{}} {
 		wire.Write(out.codec(nil).Encode(&frame{From: "127.0.0.1:1", Msg: msg}))
 	}
 	r := bufio.NewReader(&wire)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -221,7 +221,7 @@
 type (
 	heartbeatCall struct {
 		call uint64
-		beat registry.Beat
+		beat registry.Heartbeat
 	}
 	endedCall struct {
 		call uint64
@@ -408,8 +408,8 @@
 func (p *Process) logTotals() {
 	for name, t := range p.plane.ServiceStats() {
 		p.logger.WithFields(log.Fields{"service": name, "requests": t.Requests, "served": t.Served, "refused": t.Refused,
-			"failed": t.Failed, "gone": t.Gone, "attempts": t.Attempts, "ends": t.Outcomes, "why": t.Module.Refused,
-			"limit": fmt.Sprintf("%.1f", t.Module.Limit), "out": fmt.Sprintf("%.1f", t.Module.Out)}).Info("totals")
+			"failed": t.Failed, "gone": t.ClientsGone, "attempts": t.Attempts, "ends": t.Outcomes, "why": t.Module.Refused,
+			"limit": fmt.Sprintf("%.1f", t.Module.Limit), "out": fmt.Sprintf("%.1f", t.Module.InFlight)}).Info("totals")
 	}
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -20,9 +20,9 @@
 
 // drainRefusals are the reasons why a drain is refused.
 var drainRefusals = map[drainpermit.Answer]string{
-	drainpermit.Alone: "no other gateway is ready: clients would have nowhere to go",
-	drainpermit.Ends:  "this process is ending",
-	drainpermit.Other: "another order has come since",
+	drainpermit.NoOtherReady:  "no other gateway is ready: clients would have nowhere to go",
+	drainpermit.ProcessEnding: "this process is ending",
+	drainpermit.Superseded:    "another order has come since",
 }
 
 // drain handles an operator's call that starts or stops a drain. During a drain the platform and clients
@@ -47,7 +47,7 @@
 	case a == drainpermit.Done:
 		ctx.SetContentType("application/json")
 		ctx.SetBodyString("{}")
-	case !answered || a == drainpermit.Lost:
+	case !answered || a == drainpermit.NoPermission:
 		p.busy(ctx)
 	default:
 		ctx.Error(drainRefusals[a]+"\n", http.StatusConflict)
--- a/internal/daemon/meter.go
+++ b/internal/daemon/meter.go
@@ -19,27 +19,27 @@
 func (m *meter) takeQuota(now fsm.Time, tenant string, units float64) (ok bool, after time.Duration, due bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	ok, after = m.inner.Pass(now, tenant, units)
+	ok, after = m.inner.Allow(now, tenant, units)
 	return ok, after, m.inner.Due(now)
 }
 
-// Nodes, Enter, Take, Tick and Mute implement controlplane.Meter.
-func (m *meter) Nodes(now fsm.Time, gateways int, holders []string) {
+// SetGateways, SetRoster, Receive, Tick and ReadOverdue implement controlplane.Meter.
+func (m *meter) SetGateways(now fsm.Time, gateways int, holders []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.inner.Nodes(now, gateways, holders)
+	m.inner.SetGateways(now, gateways, holders)
 }
 
-func (m *meter) Enter(now fsm.Time, r *quotas.Roster) {
+func (m *meter) SetRoster(now fsm.Time, r *quotas.Roster) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.inner.Enter(now, r)
+	m.inner.SetRoster(now, r)
 }
 
-func (m *meter) Take(now fsm.Time, from string, msg any) []fsm.Send {
+func (m *meter) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.inner.Take(now, from, msg)
+	return m.inner.Receive(now, from, msg)
 }
 
 func (m *meter) Tick(now fsm.Time) []fsm.Send {
@@ -48,8 +48,8 @@
 	return m.inner.Tick(now)
 }
 
-func (m *meter) Mute(now fsm.Time, holder string) bool {
+func (m *meter) ReadOverdue(now fsm.Time, holder string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.inner.Mute(now, holder)
+	return m.inner.ReadOverdue(now, holder)
 }
--- a/internal/daemon/quotas.go
+++ b/internal/daemon/quotas.go
@@ -12,10 +12,10 @@
 )
 
 // account returns the basis of the meter's decisions.
-func (m *meter) account(now fsm.Time) quotas.Account {
+func (m *meter) account(now fsm.Time) quotas.Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.inner.Account(now)
+	return m.inner.Stats(now)
 }
 
 // showQuotas answers with the basis of this gateway's quota decisions.
@@ -23,8 +23,8 @@
 	p.showJSON(ctx, func(p *Process) any {
 		a, name := p.meter.account(p.now()), gatewayNames(p.machine.GatewaySights(p.now()))
 		return adminapi.Quotas{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Holder: cmp.Or(name(a.Holder), a.Holder),
-			HolderChanges: a.Changes, SharesFor: a.Gateways, InTouch: a.InTouch, UnansweredMs: a.UnheardMS,
-			BehindUnits: a.Behind, BehindAnswers: a.Answers,
+			HolderChanges: a.HolderChanges, SharesFor: a.Gateways, InTouch: a.Reachable, UnansweredMs: a.UnansweredMS,
+			BehindUnits: a.MaxBehind, BehindAnswers: a.AnswersBehind,
 			Decided: lo.Map(quotas.Bases(), func(b quotas.Basis, _ int) adminapi.QuotaDecisions {
 				return adminapi.QuotaDecisions{Basis: b.String(), Passed: a.Decided[b].Passed, Refused: a.Decided[b].Refused}
 			})}
--- a/internal/daemon/rollout.go
+++ b/internal/daemon/rollout.go
@@ -22,12 +22,12 @@
 		return
 	}
 	by := ctx.RemoteIP().String()
-	a, _ := p.call(func(call uint64) { p.inbox.Put(withdrawCall{call, uint32(v), by}) }).(rollout.Withdrew)
+	a, _ := p.call(func(call uint64) { p.inbox.Put(withdrawCall{call, uint32(v), by}) }).(rollout.WithdrawReply)
 	switch a.Outcome {
-	case rollout.Unclear: // it may still become live
+	case rollout.OutcomeUndecided: // it may still become live
 		p.busy(ctx)
 		return
-	case rollout.Absent: // by the word of a primary that may have been replaced meanwhile
+	case rollout.OutcomeAbsent: // by the word of a primary that may have been replaced meanwhile
 		if kept, ok := p.proveContact(displayProofTimeout); !ok || kept >= uint32(v) {
 			p.busy(ctx)
 			return
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -49,31 +49,31 @@
 		all := p.machine.GatewaySights(p.now())
 		name := gatewayNames(all)
 		return adminapi.Members{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Draining: p.draining.Load(),
-			Gateways: lo.Map(all, func(s memberlist.Sight, _ int) adminapi.Gateway {
+			Gateways: lo.Map(all, func(s memberlist.NodeStatus, _ int) adminapi.Gateway {
 				return adminapi.Gateway{Name: s.Name, Zone: s.Zone, Addr: s.Addr, Control: s.Control, Core: s.Member, State: s.State.String(),
-					ForS: s.For.Seconds(), Ready: s.Ready, Started: time.UnixMilli(int64(s.Life)).UTC(), NewsS: s.News.Seconds(),
-					Watched: s.Here, Watchers: lo.Map(s.Watchers, func(a string, _ int) string { return name(a) }),
-					Holds: fmt.Sprintf("%08x", s.Held)}
+					ForS: s.InState.Seconds(), Ready: s.Ready, Started: time.UnixMilli(int64(s.Incarnation)).UTC(), NewsS: s.SinceHeard.Seconds(),
+					Watched: s.WatchedHere, Watchers: lo.Map(s.Watchers, func(a string, _ int) string { return name(a) }),
+					Holds: fmt.Sprintf("%08x", s.ConfigVersion)}
 			})}
 	})
 }
 
 // gatewayNames returns a function that maps an address to the gateway's name, or to itself if it has none.
-func gatewayNames(all []memberlist.Sight) func(addr string) string {
-	names := lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Name })
+func gatewayNames(all []memberlist.NodeStatus) func(addr string) string {
+	names := lo.SliceToMap(all, func(s memberlist.NodeStatus) (string, string) { return s.Addr, s.Name })
 	return func(addr string) string { return cmp.Or(names[addr], addr) }
 }
 
 func (p *Process) showServices(ctx *fasthttp.RequestCtx, _ string) {
 	p.showJSON(ctx, func(p *Process) any {
 		all := p.machine.GatewaySights(p.now())
-		name, at := gatewayNames(all), lo.SliceToMap(all, func(s memberlist.Sight) (string, string) { return s.Addr, s.Control })
+		name, at := gatewayNames(all), lo.SliceToMap(all, func(s memberlist.NodeStatus) (string, string) { return s.Addr, s.Control })
 		return adminapi.Services{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(),
-			Servers: lo.Map(p.machine.ServerSights(p.now()), func(s registry.Sight, _ int) adminapi.Server {
+			Servers: lo.Map(p.machine.ServerSights(p.now()), func(s registry.ServerStatus, _ int) adminapi.Server {
 				v := adminapi.Server{ID: s.ID, Service: s.Service, Endpoint: s.Addr, Zone: s.Zone, Epoch: s.Epoch, Capacity: s.Capacity,
 					Phase: s.Phase.String(), WarmLeftS: s.WarmLeft.Seconds(), Home: name(s.Home), HomeAt: at[s.Home]}
-				if s.Beat >= 0 {
-					v.BeatS = lo.ToPtr(s.Beat.Seconds())
+				if s.SinceHeartbeat >= 0 {
+					v.BeatS = lo.ToPtr(s.SinceHeartbeat.Seconds())
 				}
 				return v
 			})}
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -210,7 +210,7 @@
 // Close answers all open requests, since the process is about to end.
 func (p *Plane) Close() {
 	for _, l := range *p.lanes.Load() {
-		l.core.Close()
+		l.core.AnswerOpen()
 	}
 }
 
--- a/internal/dataplane/faultinjection.go
+++ b/internal/dataplane/faultinjection.go
@@ -119,7 +119,7 @@
 	switch {
 	case a.Kind == protocol.Served:
 		return "ran"
-	case a.Kind == protocol.Refused && a.Verdict != routing.MayHaveRun, a.Kind == protocol.Twice:
+	case a.Kind == protocol.Refused && a.Verdict != routing.MayHaveExecuted, a.Kind == protocol.Twice:
 		return "never ran"
 	}
 	return "may have run"
@@ -200,7 +200,7 @@
 				end("not made: not on record in time")
 			default:
 				i.lane.core.Submit(&routing.Request{Class: i.request.Class, Plan: i.request.Plan, Customer: i.request.Customer, Deadline: i.plane.options.Now() + i.timeout,
-					Units: i.request.Units, Width: i.request.Width, Call: again, Reply: discardSecond{i, end}})
+					Units: i.request.Units, Gateways: i.request.Gateways, Call: again, Reply: discardSecond{i, end}})
 			}
 		})
 	}
@@ -237,7 +237,7 @@
 }
 
 func (u discardSecond) Refused(_ time.Duration, v routing.Verdict) {
-	if v == routing.MayHaveRun {
+	if v == routing.MayHaveExecuted {
 		u.record("ran once, and the second may have run")
 		return
 	}
@@ -246,7 +246,7 @@
 
 func (u discardSecond) Failed(bool) { u.record("ran once, and the second may have run") }
 
-func (u discardSecond) Unfit(error) { u.Refused(0, routing.Untried) }
+func (u discardSecond) Disallowed(error) { u.Refused(0, routing.NotAttempted) }
 
 func (u discardSecond) record(outcome string) {
 	u.injection.plane.options.Host.Go(func() {
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -59,7 +59,7 @@
 // after the request came, so a process that was stalled notices that its lease has expired.
 func (p *Plane) mayServe(version uint32) bool {
 	g := p.gate.Load()
-	return g == nil || !g.Together || g.May(p.options.Now(), version)
+	return g == nil || !g.Together || g.Allows(p.options.Now(), version)
 }
 
 // needsLease reports whether requests of a route need a lease.
@@ -79,8 +79,8 @@
 	}
 	late, began, waited := time.NewTimer(maxGateWait), p.options.Now(), false
 	defer late.Stop()
-	for g := p.gate.Load(); g.Soon || g.May(p.options.Now(), g.Version); g = p.gate.Load() {
-		if g.May(p.options.Now(), g.Version) && p.Version() == g.Version {
+	for g := p.gate.Load(); g.ReopensSoon || g.Allows(p.options.Now(), g.Version); g = p.gate.Load() {
+		if g.Allows(p.options.Now(), g.Version) && p.Version() == g.Version {
 			p.gateCounters.addWait(p.options.Now() - began)
 			return false, true
 		}
--- a/internal/dataplane/lane.go
+++ b/internal/dataplane/lane.go
@@ -44,7 +44,7 @@
 	l.fleet.Dialect = serverDialect
 	var err error
 	l.core, err = routing.New(set, p.options.Seed^xxhash.Sum64String(name), p.options.Now,
-		routing.Hands{World: p.options.Host, Fleet: l.fleet, Watcher: noWatcher{}, Drop: protocol.Drop})
+		routing.Dependencies{Env: p.options.Host, Fleet: l.fleet, Watcher: noWatcher{}, DiscardAnswer: protocol.Drop})
 	if err != nil {
 		return nil, err
 	}
@@ -64,18 +64,18 @@
 		return
 	}
 	l.settings = set
-	l.core.Adopt(version, set)
+	l.core.ApplyPolicy(version, set)
 }
 
 func sameSettings(a, b choice.Settings) bool {
-	return a.Doors == b.Doors && a.Index == b.Index && a.RetryMost == b.RetryMost && a.Slots == b.Slots && slices.Equal(a.Classes, b.Classes)
+	return a.Gateways == b.Gateways && a.Index == b.Index && a.RetryBudget == b.RetryBudget && a.ServerConcurrency == b.ServerConcurrency && slices.Equal(a.Classes, b.Classes)
 }
 
 // setServers replaces the service's servers. One that hasn't been heard of for a while is used only if
 // there is no other.
 func (l *lane) setServers(list []Server) {
 	live := lo.SomeBy(list, func(s Server) bool { return s.State == choice.Up })
-	news := routing.News{Whole: true}
+	news := routing.DiscoveryUpdate{Whole: true}
 	for _, s := range list {
 		if s.State == choice.Down && live {
 			continue
@@ -95,7 +95,7 @@
 		news.Members = append(news.Members, routing.Member{Member: m, Addr: s.Addr, Name: s.ID})
 	}
 	l.hasServers.Store(len(news.Members) > 0)
-	l.core.News(news)
+	l.core.HandleDiscovery(news)
 }
 
 // empty reports whether there is no server, or no lane.
@@ -104,17 +104,17 @@
 // laneSettings returns the settings of a service's lane: a class for each route to the service and each
 // rank that its requests may have.
 func (p *Plane) laneSettings(t *sysconfig.Table, service string) choice.Settings {
-	set := choice.Settings{Doors: p.gatewayCount, Index: p.gatewayIndex, Zone: p.options.Zone, MaxTries: 1, Shuts: true, Spare: spareDeviations, SecondCopies: true, Cancels: true,
-		RetryAfter: true, ConnectTimeout: connectTimeout, Weighted: true, Turns: roundRobinWeight, ColdFrom: 0.5, ColdFor: p.options.WarmupTime,
-		CrossZone: crossZoneGain, RetryShare: p.options.RetryRatio * retryBudgetShare, RetryMost: max(1, p.options.RetryAllowance*retryBudgetShare/float64(p.gatewayCount)),
+	set := choice.Settings{Gateways: p.gatewayCount, Index: p.gatewayIndex, Zone: p.options.Zone, MaxAttempts: 1, RefusesWhenBusy: true, HeadroomSigmas: spareDeviations, Hedging: true, Cancels: true,
+		RetryAfter: true, ConnectTimeout: connectTimeout, Weighted: true, TurnWeight: roundRobinWeight, ColdCapacity: 0.5, WarmupTime: p.options.WarmupTime,
+		CrossZone: crossZoneGain, RetryRatio: p.options.RetryRatio * retryBudgetShare, RetryBudget: max(1, p.options.RetryAllowance*retryBudgetShare/float64(p.gatewayCount)),
 		Plans: []choice.Plan{{Name: quotaPlan, ValueFactor: 1, OverrunCost: 1}}}
 	if list := p.servers[service]; len(list) > 0 {
-		set.Slots = lo.SumBy(list, func(s Server) float64 { return float64(s.Capacity) }) / float64(len(list))
+		set.ServerConcurrency = lo.SumBy(list, func(s Server) float64 { return float64(s.Capacity) }) / float64(len(list))
 	}
 	for _, r := range t.RoutesTo(service) {
-		c := choice.Class{Aim: cmp.Or(r.Target, r.Deadline), Deadline: r.Deadline, LateWorth: 0.3, Tries: max(r.Tries, 1)}
+		c := choice.Class{Target: cmp.Or(r.Target, r.Deadline), Deadline: r.Deadline, LateValue: 0.3, MaxAttempts: max(r.Tries, 1)}
 		if c.Effect = choice.Retryable; r.Class == sysconfig.Effectful {
-			c.Effect = choice.Fragile
+			c.Effect = choice.NonRetryable
 		}
 		for _, rank := range t.Ranks(r) {
 			c.Name, c.Value = className(r, rank), float64(max(1, 4-rank))
