--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -83,7 +83,7 @@
 	n := &Node{cfg: cfg, world: world, now: now, log: log, gateway: g, id: world.Random() | 1, hbox: mailbox.NewBox[any](world),
 		vbox: mailbox.NewBox[any](world), members: map[uint64]*reached{}, met: map[uint64]*pipe{}}
 	n.holder = policy.NewHolder(cfg.Terms(), cfg.Name, cfg.Zone, digest)
-	n.mesh = mesh.New(mesh.Options[*Frame]{Host: world, Codec: codec(clusterNumber(cfg.Cluster)), Handle: n.handle, MaxInbound: cfg.Connections})
+	n.mesh = mesh.New(mesh.Options[*Frame]{Env: world, Codec: codec(clusterNumber(cfg.Cluster)), Handle: n.handle, MaxInbound: cfg.Connections})
 	for _, v := range cfg.seeds() {
 		n.peers = append(n.peers, Peer{Name: v.Name, Address: v.Address})
 	}
--- a/internal/controlplane/configtext_test.go
+++ b/internal/controlplane/configtext_test.go
@@ -92,8 +92,8 @@
 }
 
 // run advances the time; texts are parsed only if parse is set.
-func (c *core) run(d time.Duration, parse bool) {
-	for end := c.now + d; c.now < end; c.now += 50 * time.Millisecond {
+func (c *core) run(duration time.Duration, parse bool) {
+	for end := c.now + duration; c.now < end; c.now += 50 * time.Millisecond {
 		for i, machine := range c.machines {
 			c.step(i, "tick", func() controlplane.Output { return machine.Tick(c.now) })
 		}
--- a/internal/controlplane/controlplane.go
+++ b/internal/controlplane/controlplane.go
@@ -244,8 +244,8 @@
 
 // AnnounceExit tells the core that this process ends as soon as the others can do without it, or soon in
 // any case.
-func (m *Machine) AnnounceExit(now fsm.Time, n consensus.LeaveUrgency) Output {
-	m.applyConsensus(now, m.consensus.Leave(now, n))
+func (m *Machine) AnnounceExit(now fsm.Time, urgency consensus.LeaveUrgency) Output {
+	m.applyConsensus(now, m.consensus.Leave(now, urgency))
 	return m.takeOutput()
 }
 
@@ -274,12 +274,12 @@
 func (m *Machine) Servers() []registry.Server { return m.registry.Servers() }
 
 // GatewaySights returns every known process with the details that operators are shown.
-func (m *Machine) GatewaySights(now fsm.Time) []memberlist.NodeStatus {
+func (m *Machine) GatewayStatuses(now fsm.Time) []memberlist.NodeStatus {
 	return m.members.NodeStatuses(now)
 }
 
 // ServerSights returns every known server with the details that operators are shown.
-func (m *Machine) ServerSights(now fsm.Time) []registry.ServerStatus {
+func (m *Machine) ServerStatuses(now fsm.Time) []registry.ServerStatus {
 	return m.registry.ServerStatuses(now)
 }
 
@@ -321,19 +321,19 @@
 		m.membershipPending = true
 		return
 	}
-	view := m.members.View()
-	m.membershipPending, m.membershipAt, m.nodeCount = false, now, len(view)
-	up := lo.Filter(view, func(n memberlist.Node, _ int) bool { return n.State == memberlist.Up })
-	m.applyRegistry(m.registry.SetNodes(now, view)) // a leaving process still serves, and needs to know the servers
-	m.consensus.SetPeers(now, lo.Map(view, func(n memberlist.Node, _ int) consensus.Peer {
+	nodes := m.members.View()
+	m.membershipPending, m.membershipAt, m.nodeCount = false, now, len(nodes)
+	up := lo.Filter(nodes, func(n memberlist.Node, _ int) bool { return n.State == memberlist.Up })
+	m.applyRegistry(m.registry.SetNodes(now, nodes)) // a leaving process still serves, and needs to know the servers
+	m.consensus.SetPeers(now, lo.Map(nodes, func(n memberlist.Node, _ int) consensus.Peer {
 		return consensus.Peer{Addr: n.Addr, Name: n.Name, Zone: n.Zone, Member: n.Member, Up: n.State == memberlist.Up, Version: n.ConfigVersion}
 	}))
 	m.rollout.SetNodes(lo.Map(up, func(n memberlist.Node, _ int) rollout.Node {
 		return rollout.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Member: n.Member}
 	}))
-	m.updateDrainPeers(view)
+	m.updateDrainPeers(nodes)
 	m.out.MembersChanged = true
-	m.faultRules.Nodes(lo.FilterMap(view, func(n memberlist.Node, _ int) (faultrules.Node, bool) {
+	m.faultRules.Nodes(lo.FilterMap(nodes, func(n memberlist.Node, _ int) (faultrules.Node, bool) {
 		return faultrules.Node{Addr: n.Addr, Life: n.Incarnation}, n.State != memberlist.Gone
 	}))
 	m.out.Gateways = Gateways{len(up), slices.IndexFunc(up, func(n memberlist.Node) bool { return n.Addr == m.self })}
--- a/internal/controlplane/drain.go
+++ b/internal/controlplane/drain.go
@@ -44,8 +44,8 @@
 // applyDrain carries out the output of the drain permit.
 func (m *Machine) applyDrain(out drainpermit.Out) {
 	for _, s := range out.Send {
-		w := s.Msg.(drainpermit.Message)
-		m.send([]fsm.Send{{To: s.To, Msg: Relay{From: m.self, To: s.To, Drain: &w}}})
+		message := s.Msg.(drainpermit.Message)
+		m.send([]fsm.Send{{To: s.To, Msg: Relay{From: m.self, To: s.To, Drain: &message}}})
 	}
 	for _, r := range out.Replies {
 		m.out.Replies = append(m.out.Replies, Reply{r.Call, r.Answer})
--- a/internal/controlplane/relay.go
+++ b/internal/controlplane/relay.go
@@ -116,10 +116,10 @@
 		return
 	}
 	silent := lo.Filter(requests, func(s fsm.Send, _ int) bool { return m.counter.ProbeOverdue(now, s.To) })
-	if n := len(silent); n > maxAskedPerTick {
-		at := m.nextAsked % n
+	if count := len(silent); count > maxAskedPerTick {
+		start := m.nextAsked % count
 		m.nextAsked += maxAskedPerTick
-		silent = append(silent[at:], silent[:at]...)[:maxAskedPerTick]
+		silent = append(silent[start:], silent[:start]...)[:maxAskedPerTick]
 	}
 	for _, s := range silent {
 		m.sendViaRelays(s.To, Relay{From: m.self, To: s.To, LivenessRequest: true})
@@ -158,15 +158,15 @@
 		m.applyDrain(m.drain.Receive(now, relay.From, *relay.Drain))
 	case relay.Add != nil:
 		for _, s := range m.counter.Receive(now, relay.From, *relay.Add) {
-			if a, ok := s.Msg.(quotas.Answer); ok && s.To == relay.From {
-				s = fsm.Send{To: relay.RelayedBy, Msg: Relay{From: m.self, To: relay.From, Answer: &a}}
+			if message, ok := s.Msg.(quotas.Answer); ok && s.To == relay.From {
+				s = fsm.Send{To: relay.RelayedBy, Msg: Relay{From: m.self, To: relay.From, Answer: &message}}
 			}
 			m.send([]fsm.Send{s})
 		}
 	case relay.LivenessRequest:
 		for _, s := range m.meter.Receive(now, relay.From, quotas.Answer{Probe: true}) {
-			if a, ok := s.Msg.(quotas.Add); ok {
-				m.send([]fsm.Send{{To: relay.RelayedBy, Msg: Relay{From: m.self, To: relay.From, Add: &a}}})
+			if message, ok := s.Msg.(quotas.Add); ok {
+				m.send([]fsm.Send{{To: relay.RelayedBy, Msg: Relay{From: m.self, To: relay.From, Add: &message}}})
 			}
 		}
 	case relay.Answer != nil:
--- a/internal/controlplane/rollout.go
+++ b/internal/controlplane/rollout.go
@@ -9,8 +9,8 @@
 // feedRollout passes the progress of consensus on to the rollout.
 func (m *Machine) feedRollout(now fsm.Time, out consensus.Out) {
 	m.rollout.SetPrimary(m.consensus.Primary())
-	epoch, leads := m.consensus.Leading()
-	if !leads {
+	epoch, leading := m.consensus.Leading()
+	if !leading {
 		m.applyRollout(now, m.rollout.SetLead(now, epoch, false))
 	}
 	if out.Apply != nil {
@@ -19,7 +19,7 @@
 		}
 		m.applyRollout(now, m.rollout.SetDocument(now, *out.Apply, out.Write == nil))
 	}
-	if leads {
+	if leading {
 		m.applyRollout(now, m.rollout.SetLead(now, epoch, true))
 		if out.ConfirmedRound != 0 {
 			m.applyRollout(now, m.rollout.LeadConfirmed(now, out.ConfirmedRound))
@@ -31,8 +31,8 @@
 func (m *Machine) applyRollout(now fsm.Time, out rollout.Out) {
 	m.send(out.Send)
 	m.out.GateChanged = m.out.GateChanged || out.Gate
-	for _, t := range out.WithdrawReplies {
-		m.out.Replies = append(m.out.Replies, Reply{t.Call, t})
+	for _, reply := range out.WithdrawReplies {
+		m.out.Replies = append(m.out.Replies, Reply{reply.Call, reply})
 	}
 	if out.Adopt != nil {
 		m.adopt(now, out.Adopt)
@@ -45,16 +45,16 @@
 	}
 	m.startParse()
 	if out.Amend != nil {
-		ok, then := m.consensus.Amend(now, *out.Amend)
-		m.applyConsensus(now, then)
+		ok, result := m.consensus.Amend(now, *out.Amend)
+		m.applyConsensus(now, result)
 		if !ok {
 			m.applyRollout(now, m.rollout.AmendmentRejected(now, *out.Amend))
 		}
 	}
 	if out.ConfirmLead {
-		round, then := m.consensus.ConfirmLeadership(now)
+		round, result := m.consensus.ConfirmLeadership(now)
 		m.rollout.ConfirmationStarted(round)
-		m.applyConsensus(now, then)
+		m.applyConsensus(now, result)
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,7 +78,7 @@
 	lastCall       atomic.Uint64
 	pendingCalls   sync.Map // call ID to chan any
 	leaving        atomic.Bool
-	refusing       atomic.Bool // leaving for so long that clients should have gone elsewhere
+	closing        atomic.Bool // leaving for so long that clients should have gone elsewhere
 	departure      departure
 	ready          atomic.Bool
 	draining       atomic.Bool // by an operator's call
@@ -97,11 +97,11 @@
 	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	signal.Notify(term, syscall.SIGTERM, os.Interrupt)
-	set, err := sysconfig.ReadSettings(path)
+	settings, err := sysconfig.ReadSettings(path)
 	if err != nil {
 		return err
 	}
-	p, err := New(path, set)
+	p, err := New(path, settings)
 	if err != nil {
 		return err
 	}
@@ -122,15 +122,17 @@
 }
 
 // New assembles a process and opens its listeners.
-func New(path string, set *sysconfig.Settings) (*Process, error) { return NewTimed(path, set, nil) }
+func New(path string, settings *sysconfig.Settings) (*Process, error) {
+	return NewTimed(path, settings, nil)
+}
 
 // NewTimed is New for a process whose request stages are measured; times is called after each request.
-func NewTimed(path string, set *sysconfig.Settings, times func(id string, t *protocol.Times)) (*Process, error) {
-	runtime.GOMAXPROCS(max(1, int(set.BoundsReq.CpuCount)))
+func NewTimed(path string, settings *sysconfig.Settings, times func(id string, t *protocol.Times)) (*Process, error) {
+	runtime.GOMAXPROCS(max(1, int(settings.BoundsReq.CpuCount)))
 	debug.SetGCPercent(minHeapPercent)
-	limit := int64(set.BoundsReq.MemMb) << 20 * 6 / 10
+	limit := int64(settings.BoundsReq.MemMb) << 20 * 6 / 10
 	debug.SetMemoryLimit(limit)
-	p, err := assemble(path, set, SharedOptions{Log: os.Stderr, OnRequestTimes: times})
+	p, err := assemble(path, settings, SharedOptions{Log: os.Stderr, OnRequestTimes: times})
 	if err == nil {
 		p.heapLimit, p.heapPercent = limit, minHeapPercent
 	}
@@ -145,7 +147,7 @@
 	p.logger = &log.Logger{Handler: p.ring, Level: log.DebugLevel}
 	now, seed := p.now(), hostenv.Real.Random()
 	member := settings.QuorumMember && settings.StateDir != ""
-	life := uint64(time.Now().UnixMilli())
+	incarnation := uint64(time.Now().UnixMilli())
 	var stored *consensus.DurableState
 	intact := true
 	if member {
@@ -154,14 +156,14 @@
 			return nil, err
 		}
 	}
-	p.meter = &meter{inner: quotas.NewMeter(p.meshAddr, life, seed)}
+	p.meter = &meter{inner: quotas.NewMeter(p.meshAddr, incarnation, seed)}
 	p.machine = controlplane.New(controlplane.Config{Self: p.meshAddr, Name: settings.NodeName, Zone: settings.Zone, ControlAddr: settings.Bind.ControlPlane,
 		Member: member, Genesis: settings.Genesis && intact, ToleratedLosses: settings.FaultBudget.MachineLosses,
-		HeartbeatInterval: time.Duration(settings.HeartbeatMs) * time.Millisecond, Seeds: p.seedAddrs(), Incarnation: life, Seed: seed,
+		HeartbeatInterval: time.Duration(settings.HeartbeatMs) * time.Millisecond, Seeds: p.seedAddrs(), Incarnation: incarnation, Seed: seed,
 		FaultRules: controlplane.FaultRulesConfig{MaxLifetime: p.maxRuleLifetime(), Judge: p.ruleJudge, Disk: p.storedRules(intact)}},
 		p.meter, stored, now)
 	p.plane = dataplane.New(dataplane.Options{Zone: settings.Zone, Now: p.now, MaxServerConns: settings.BoundsReq.FdLimit / 3, Seed: seed, TakeQuota: p.takeQuota,
-		Leaving: p.redirectsClients, Closing: p.refusing.Load, RetryRatio: settings.Bounds.RetryRatio, RetryAllowance: settings.Bounds.RetrySlack, WarmupTime: 3 * time.Second, FaultInjector: p.newInjector(life), OnRequestTimes: shared.OnRequestTimes})
+		Leaving: p.redirectsClients, Closing: p.closing.Load, RetryRatio: settings.Bounds.RetryRatio, RetryAllowance: settings.Bounds.RetrySlack, WarmupTime: 3 * time.Second, FaultInjector: p.newInjector(incarnation), OnRequestTimes: shared.OnRequestTimes})
 	p.mesh = mesh.New(mesh.Options[*frame]{Codec: p.frameCounters.codec(p.addQueue.full), MaxInbound: 1000, ConfigureConn: configureConn, ReadBufferSize: 2 << 10,
 		Handle: func(_ *mesh.Conn[*frame], f *frame) {
 			if f != nil {
@@ -180,8 +182,8 @@
 func (p *Process) now() fsm.Time { return time.Hour + time.Since(p.startedAt) }
 
 // meshAddress returns the mesh address of the process on a host.
-func meshAddress(host string, set *sysconfig.Settings) string {
-	return fmt.Sprintf("%s:%d", host, set.PortRange[0])
+func meshAddress(host string, settings *sysconfig.Settings) string {
+	return fmt.Sprintf("%s:%d", host, settings.PortRange[0])
 }
 
 // seedAddrs returns the mesh addresses of the bootstrap hosts in the settings.
@@ -220,12 +222,12 @@
 // Inputs of the control loop, besides frames.
 type (
 	heartbeatCall struct {
-		call uint64
-		beat registry.Heartbeat
+		call      uint64
+		heartbeat registry.Heartbeat
 	}
 	endedCall struct {
-		call uint64
-		id   string
+		call     uint64
+		serverID string
 	}
 	putCall struct {
 		call uint64
@@ -246,10 +248,10 @@
 // run is the control loop. It returns when the process was told to end and all requests are answered.
 func (p *Process) run() error {
 	p.logger.WithField("mesh", p.meshAddr).Info("started")
-	next, counted := time.Now(), true
+	next, addsDone := time.Now(), true
 	for {
 		wait := max(0, time.Until(next))
-		if !counted {
+		if !addsDone {
 			wait = 0
 		}
 		for _, m := range p.inbox.Take(wait) {
@@ -257,7 +259,7 @@
 				p.handle(m)
 			}
 		}
-		counted = p.countAdds()
+		addsDone = p.countAdds()
 		if now := time.Now(); !now.Before(next) {
 			next = now.Add(tickInterval)
 			p.runTick()
@@ -275,9 +277,9 @@
 	case *frame:
 		p.execute(p.machine.Receive(now, m.From, m.Msg))
 	case heartbeatCall:
-		p.execute(p.machine.ServerHeartbeat(now, m.call, m.beat))
+		p.execute(p.machine.ServerHeartbeat(now, m.call, m.heartbeat))
 	case endedCall:
-		p.execute(p.machine.RemoveServer(now, m.call, m.id))
+		p.execute(p.machine.RemoveServer(now, m.call, m.serverID))
 	case putCall:
 		p.execute(p.machine.PutConfig(now, m.call, m.doc))
 	case withdrawCall:
@@ -328,16 +330,16 @@
 	p.role.Store(consensusRole(p.machine.ConsensusStatus(), p.meshAddr))
 	p.storeServers(time.Now())
 	p.closeIdle(time.Now())
-	if at := time.Now(); at.Sub(p.totalsLoggedAt) >= totalsInterval {
-		p.totalsLoggedAt = at
+	if now := time.Now(); now.Sub(p.totalsLoggedAt) >= totalsInterval {
+		p.totalsLoggedAt = now
 		go p.logTotals()
 	}
 	if !p.machine.Alone() {
 		p.aloneSince = time.Time{}
-	} else if at := time.Now(); p.aloneSince.IsZero() {
-		p.aloneSince = at
-	} else if at.Sub(p.aloneSince) > 2*time.Second { // the settings may have new seeds by now
-		p.aloneSince = at
+	} else if now := time.Now(); p.aloneSince.IsZero() {
+		p.aloneSince = now
+	} else if now.Sub(p.aloneSince) > 2*time.Second { // the settings may have new seeds by now
+		p.aloneSince = now
 		p.reloadSettings()
 	}
 }
@@ -406,10 +408,10 @@
 
 // logTotals logs the counters of each service, and of the process's memory.
 func (p *Process) logTotals() {
-	for name, t := range p.plane.ServiceStats() {
-		p.logger.WithFields(log.Fields{"service": name, "requests": t.Requests, "served": t.Served, "refused": t.Refused,
-			"failed": t.Failed, "gone": t.ClientsGone, "attempts": t.Attempts, "ends": t.Outcomes, "why": t.Module.Refused,
-			"limit": fmt.Sprintf("%.1f", t.Module.Limit), "out": fmt.Sprintf("%.1f", t.Module.InFlight)}).Info("totals")
+	for name, stats := range p.plane.ServiceStats() {
+		p.logger.WithFields(log.Fields{"service": name, "requests": stats.Requests, "served": stats.Served, "refused": stats.Refused,
+			"failed": stats.Failed, "gone": stats.ClientsGone, "attempts": stats.Attempts, "ends": stats.Outcomes, "why": stats.Module.Refused,
+			"limit": fmt.Sprintf("%.1f", stats.Module.Limit), "out": fmt.Sprintf("%.1f", stats.Module.InFlight)}).Info("totals")
 	}
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
@@ -459,11 +461,11 @@
 
 // reloadSettings applies the settings that may change at run time: the seeds.
 func (p *Process) reloadSettings() {
-	set, err := sysconfig.ReadSettings(p.settingsPath)
+	settings, err := sysconfig.ReadSettings(p.settingsPath)
 	if err != nil {
 		p.logger.WithError(err).Warn("kept the settings in use")
 		return
 	}
-	p.settings.Bootstrap = set.Bootstrap
+	p.settings.Bootstrap = settings.Bootstrap
 	p.machine.SetSeeds(p.now(), p.seedAddrs())
 }
--- a/internal/daemon/departure.go
+++ b/internal/daemon/departure.go
@@ -10,7 +10,7 @@
 // that are still open near the end of the grace period get an answer, since clients couldn't tell a
 // connection that just closes from a lost request.
 const (
-	unreadyNotice   = 2500 * time.Millisecond
+	minServeTime    = 2500 * time.Millisecond
 	answerAllBefore = 450 * time.Millisecond // before the grace period ends
 	quitBefore      = 150 * time.Millisecond
 )
@@ -24,10 +24,10 @@
 type departureStep int
 
 const (
-	serveOn    departureStep = iota // serve as usual
-	drainConns                      // accept no new requests, and close idle connections
-	answerAll                       // once: answer all open requests
-	quitNow
+	keepServing departureStep = iota // serve as usual
+	drainConns                       // accept no new requests, and close idle connections
+	answerAll                        // once: answer all open requests
+	endNow
 )
 
 // exitNoticeBefore is how long before the end of the grace period a core member gives up its place, if it
@@ -37,36 +37,36 @@
 
 // notice returns what the other processes are to be told now; 0: nothing new.
 func (d *departure) notice(elapsed, grace time.Duration, idle bool) consensus.LeaveUrgency {
-	n := d.noticed
+	urgency := d.noticed
 	switch {
 	case elapsed > grace-exitNoticeBefore:
-		n = consensus.LeaveForced
+		urgency = consensus.LeaveForced
 	case idle:
-		n = max(n, consensus.LeaveWhenSafe)
+		urgency = max(urgency, consensus.LeaveWhenSafe)
 	}
-	if n == d.noticed {
+	if urgency == d.noticed {
 		return 0
 	}
-	d.noticed = n
-	return n
+	d.noticed = urgency
+	return urgency
 }
 
-// ends reports whether the process may end: no request is open, or the grace period is nearly over, and
-// its state is stored elsewhere.
-func (d *departure) ends(s departureStep, idle, left bool) bool {
-	return s == quitNow || s != serveOn && idle && left
+// ends reports whether the process may end: it is idle and the others can do without it, or the grace
+// period is nearly over.
+func (d *departure) ends(step departureStep, idle, replaceable bool) bool {
+	return step == endNow || step != keepServing && idle && replaceable
 }
 
 // next returns the step at a time after the process was told to end.
 func (d *departure) next(elapsed, grace time.Duration) departureStep {
 	switch {
 	case elapsed > grace-quitBefore:
-		return quitNow
+		return endNow
 	case elapsed > grace-answerAllBefore && !d.answered:
 		d.answered = true
 		return answerAll
-	case elapsed < min(unreadyNotice, grace/2):
-		return serveOn
+	case elapsed < min(minServeTime, grace/2):
+		return keepServing
 	}
 	return drainConns
 }
--- a/internal/daemon/departure_test.go
+++ b/internal/daemon/departure_test.go
@@ -24,7 +24,7 @@
 				steps = append(steps, s)
 			}
 		}
-		if want := []departureStep{serveOn, drainConns, answerAll, drainConns, quitNow}; !slices.Equal(steps, want) {
+		if want := []departureStep{keepServing, drainConns, answerAll, drainConns, endNow}; !slices.Equal(steps, want) {
 			t.Errorf("grace %v: steps %v, want %v", grace, steps, want)
 		}
 		if left := grace - called; left < 300*time.Millisecond || left > 500*time.Millisecond {
@@ -41,8 +41,8 @@
 		s          departureStep
 		idle, left bool
 		ends       bool
-	}{{serveOn, true, true, false}, {drainConns, true, false, false}, {drainConns, false, true, false}, {drainConns, true, true, true},
-		{answerAll, true, true, true}, {quitNow, false, false, true}} {
+	}{{keepServing, true, true, false}, {drainConns, true, false, false}, {drainConns, false, true, false}, {drainConns, true, true, true},
+		{answerAll, true, true, true}, {endNow, false, false, true}} {
 		if l.ends(c.s, c.idle, c.left) != c.ends {
 			t.Errorf("%+v", c)
 		}
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -57,12 +57,12 @@
 // failed write is retried; until it succeeds nothing is acknowledged.
 func (p *Process) writeState(store *storage.Vault) {
 	for {
-		all := p.stateWrites.Take(-1)
-		if len(all) == 0 {
+		writes := p.stateWrites.Take(-1)
+		if len(writes) == 0 {
 			continue
 		}
-		last := all[len(all)-1]
-		data, err := last.State.Encode()
+		newest := writes[len(writes)-1]
+		data, err := newest.State.Encode()
 		for err == nil {
 			if err = store.Save(stateRecord, data); err == nil {
 				break
@@ -71,7 +71,7 @@
 			time.Sleep(writeRetryPause)
 			err = nil
 		}
-		p.inbox.Put(stateWritten{last.Seq})
+		p.inbox.Put(stateWritten{newest.Seq})
 	}
 }
 
@@ -82,11 +82,11 @@
 // success.
 func (p *Process) writeServers(store *storage.Vault) {
 	for {
-		all := p.serverWrites.Take(-1)
-		if len(all) == 0 {
+		lists := p.serverWrites.Take(-1)
+		if len(lists) == 0 {
 			continue
 		}
-		data, err := cbor.Marshal(all[len(all)-1])
+		data, err := cbor.Marshal(lists[len(lists)-1])
 		if err == nil {
 			err = store.Save(serversRecord, data)
 		}
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -80,7 +80,7 @@
 // closeIdle closes idle client connections during a drain, once the platform has seen twice that this
 // process isn't ready.
 func (p *Process) closeIdle(now time.Time) {
-	if p.draining.Load() && p.ingress != nil && now.Sub(p.drainChangedAt) >= unreadyNotice {
+	if p.draining.Load() && p.ingress != nil && now.Sub(p.drainChangedAt) >= minServeTime {
 		p.ingress.Drain()
 	}
 }
--- a/internal/daemon/faults.go
+++ b/internal/daemon/faults.go
@@ -33,11 +33,11 @@
 		return
 	}
 	body := append([]byte(nil), ctx.PostBody()...)
-	set, err := faultrules.Parse(body, p.maxRuleLifetime())
+	rules, err := faultrules.Parse(body, p.maxRuleLifetime())
 	if err == nil {
 		known := func() error {
 			t := p.plane.Table()
-			return set.Known(func(name string) bool { return t.TenantNamed(name) != nil }, t.HasRoute)
+			return rules.Known(func(name string) bool { return t.TenantNamed(name) != nil }, t.HasRoute)
 		}
 		if p.plane.Table() == nil {
 			p.busy(ctx)
@@ -55,7 +55,7 @@
 		ctx.Error(err.Error()+"\n", http.StatusBadRequest)
 		return
 	}
-	p.callFaultRules(ctx, faultrules.OpPut, faultrules.Doc{Version: set.Version, Body: body})
+	p.callFaultRules(ctx, faultrules.OpPut, faultrules.Doc{Version: rules.Version, Body: body})
 }
 
 func (p *Process) getFaults(ctx *fasthttp.RequestCtx, _ string) {
--- a/internal/daemon/quotas.go
+++ b/internal/daemon/quotas.go
@@ -21,12 +21,12 @@
 // showQuotas answers with the basis of this gateway's quota decisions.
 func (p *Process) showQuotas(ctx *fasthttp.RequestCtx, _ string) {
 	p.showJSON(ctx, func(p *Process) any {
-		a, name := p.meter.account(p.now()), gatewayNames(p.machine.GatewaySights(p.now()))
-		return adminapi.Quotas{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Holder: cmp.Or(name(a.Holder), a.Holder),
-			HolderChanges: a.HolderChanges, SharesFor: a.Gateways, InTouch: a.Reachable, UnansweredMs: a.UnansweredMS,
-			BehindUnits: a.MaxBehind, BehindAnswers: a.AnswersBehind,
+		stats, name := p.meter.account(p.now()), gatewayNames(p.machine.GatewayStatuses(p.now()))
+		return adminapi.Quotas{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Holder: cmp.Or(name(stats.Holder), stats.Holder),
+			HolderChanges: stats.HolderChanges, SharesFor: stats.Gateways, InTouch: stats.Reachable, UnansweredMs: stats.UnansweredMS,
+			BehindUnits: stats.MaxBehind, BehindAnswers: stats.AnswersBehind,
 			Decided: lo.Map(quotas.Bases(), func(b quotas.Basis, _ int) adminapi.QuotaDecisions {
-				return adminapi.QuotaDecisions{Basis: b.String(), Passed: a.Decided[b].Passed, Refused: a.Decided[b].Refused}
+				return adminapi.QuotaDecisions{Basis: b.String(), Passed: stats.Decided[b].Passed, Refused: stats.Decided[b].Refused}
 			})}
 	})
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -53,14 +53,14 @@
 	answerTimeout    = 15 * time.Second
 )
 
-func (p *Process) listenOn(key, addr string, most int, s *fasthttp.Server) error {
-	ln, err := transport.Listen(nil, addr, most)
+func (p *Process) listenOn(key, addr string, maxConns int, server *fasthttp.Server) error {
+	listener, err := transport.Listen(nil, addr, maxConns)
 	if err != nil {
 		return fmt.Errorf("Bind.%s: %w", key, err)
 	}
-	p.listeners = append(p.listeners, ln)
+	p.listeners = append(p.listeners, listener)
 	go func() {
-		if err := ln.Serve(s); !errors.Is(err, net.ErrClosed) {
+		if err := listener.Serve(server); !errors.Is(err, net.ErrClosed) {
 			p.logger.WithError(err).WithField("bind", key).Error("does not listen any more")
 		}
 	}()
@@ -79,10 +79,10 @@
 func (p *Process) advanceDeparture(now time.Time) bool {
 	elapsed := now.Sub(p.leavingSince)
 	step := p.departure.next(elapsed, p.settings.Bounds.Grace)
-	if step == serveOn {
+	if step == keepServing {
 		return false
 	}
-	p.refusing.Store(true)
+	p.closing.Store(true)
 	open := 0
 	if p.ingress != nil { // callers of the other listeners retry at another process
 		open = p.ingress.Drain()
@@ -91,8 +91,8 @@
 		p.plane.Close()
 	}
 	idle := open == 0 && p.plane.OpenRequests() == 0
-	if n := p.departure.notice(elapsed, p.settings.Bounds.Grace, idle); n != 0 {
-		p.execute(p.machine.AnnounceExit(p.now(), n))
+	if urgency := p.departure.notice(elapsed, p.settings.Bounds.Grace, idle); urgency != 0 {
+		p.execute(p.machine.AnnounceExit(p.now(), urgency))
 	}
 	return p.departure.ends(step, idle, p.machine.CanExit())
 }
--- a/internal/daemon/shared.go
+++ b/internal/daemon/shared.go
@@ -25,8 +25,8 @@
 
 // NewShared assembles a process like New, but leaves the limits of the Go runtime alone, since they apply
 // to all processes that share it.
-func NewShared(path string, set *sysconfig.Settings, shared SharedOptions) (*Process, error) {
-	return assemble(path, set, shared)
+func NewShared(path string, settings *sysconfig.Settings, shared SharedOptions) (*Process, error) {
+	return assemble(path, settings, shared)
 }
 
 // Serve runs the process until the operating system's process ends.
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -46,7 +46,7 @@
 
 func (p *Process) showMembers(ctx *fasthttp.RequestCtx, _ string) {
 	p.showJSON(ctx, func(p *Process) any {
-		all := p.machine.GatewaySights(p.now())
+		all := p.machine.GatewayStatuses(p.now())
 		name := gatewayNames(all)
 		return adminapi.Members{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Draining: p.draining.Load(),
 			Gateways: lo.Map(all, func(s memberlist.NodeStatus, _ int) adminapi.Gateway {
@@ -66,10 +66,10 @@
 
 func (p *Process) showServices(ctx *fasthttp.RequestCtx, _ string) {
 	p.showJSON(ctx, func(p *Process) any {
-		all := p.machine.GatewaySights(p.now())
+		all := p.machine.GatewayStatuses(p.now())
 		name, at := gatewayNames(all), lo.SliceToMap(all, func(s memberlist.NodeStatus) (string, string) { return s.Addr, s.Control })
 		return adminapi.Services{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(),
-			Servers: lo.Map(p.machine.ServerSights(p.now()), func(s registry.ServerStatus, _ int) adminapi.Server {
+			Servers: lo.Map(p.machine.ServerStatuses(p.now()), func(s registry.ServerStatus, _ int) adminapi.Server {
 				v := adminapi.Server{ID: s.ID, Service: s.Service, Endpoint: s.Addr, Zone: s.Zone, Epoch: s.Epoch, Capacity: s.Capacity,
 					Phase: s.Phase.String(), WarmLeftS: s.WarmLeft.Seconds(), Home: name(s.Home), HomeAt: at[s.Home]}
 				if s.SinceHeartbeat >= 0 {
--- a/internal/daemon/strikerecord.go
+++ b/internal/daemon/strikerecord.go
@@ -65,16 +65,16 @@
 // the record of strikes.
 func (p *Process) writeRules(store *storage.Vault) {
 	for {
-		all := p.ruleWrites.Take(-1)
-		if len(all) == 0 {
+		writes := p.ruleWrites.Take(-1)
+		if len(writes) == 0 {
 			continue
 		}
-		last := all[len(all)-1]
+		newest := writes[len(writes)-1]
 		var notes []faultrules.Entry
-		for _, w := range all {
+		for _, w := range writes {
 			notes = append(notes, w.Notes...)
 		}
-		for _, r := range p.strikeRecord.add(last.Disk, notes) {
+		for _, r := range p.strikeRecord.add(newest.Disk, notes) {
 			data, err := cbor.Marshal(r.value)
 			if err != nil {
 				panic(err) // can't happen: these types can be encoded
@@ -84,7 +84,7 @@
 				time.Sleep(writeRetryPause)
 			}
 		}
-		p.inbox.Put(rulesWritten{last.Seq})
+		p.inbox.Put(rulesWritten{newest.Seq})
 	}
 }
 
@@ -115,12 +115,12 @@
 		return nil
 	}
 	for n := r.stored.Full - min(r.stored.Full, maxPages); n < r.stored.Full; n++ {
-		var some []faultrules.Entry
+		var page []faultrules.Entry
 		data, err := r.store.Load(pageName(n))
-		if errors.Is(err, fs.ErrNotExist) || cbor.Unmarshal(data, &some) != nil {
+		if errors.Is(err, fs.ErrNotExist) || cbor.Unmarshal(data, &page) != nil {
 			continue // damaged or not written yet; other members of the core have it
 		}
-		all = append(all, some...)
+		all = append(all, page...)
 	}
 	return append(all, r.stored.Tail...)
 }
--- a/internal/daemon/strikes.go
+++ b/internal/daemon/strikes.go
@@ -42,11 +42,11 @@
 	strikePollInterval = 5 * time.Millisecond
 )
 
-func (p *Process) newInjector(life uint64) dataplane.FaultInjector {
+func (p *Process) newInjector(incarnation uint64) dataplane.FaultInjector {
 	if p.maxRuleLifetime() == 0 {
 		return nil
 	}
-	p.injector = &faultInjector{process: p, incarnation: life}
+	p.injector = &faultInjector{process: p, incarnation: incarnation}
 	return p.injector
 }
 
@@ -66,15 +66,15 @@
 	p := f.process
 	at := time.Now()
 	q.At = at.UnixMilli()
-	s, v := p.ruleJudge.Strike(p.now(), q)
-	for end := p.now() + min(strikeTimeout, left/2); v == faultrules.Short && p.now() < end; {
-		leave := p.ruleJudge.Queue(s.Rule)
+	s, verdict := p.ruleJudge.Strike(p.now(), q)
+	for end := p.now() + min(strikeTimeout, left/2); verdict == faultrules.Short && p.now() < end; {
+		leaveQueue := p.ruleJudge.Queue(s.Rule)
 		f.requestStrikes()
 		time.Sleep(strikePollInterval)
-		s, v = p.ruleJudge.Strike(p.now(), q)
-		leave()
+		s, verdict = p.ruleJudge.Strike(p.now(), q)
+		leaveQueue()
 	}
-	if v != faultrules.Hit {
+	if verdict != faultrules.Hit {
 		return s, false
 	}
 	f.requestStrikes()
@@ -91,10 +91,10 @@
 func (f *faultInjector) AwaitRecorded(s faultrules.Strike, left time.Duration) bool {
 	p := f.process
 	for end := p.now() + min(strikeTimeout, left/2); ; time.Sleep(strikePollInterval) {
-		switch v := p.ruleJudge.Made(p.now(), s); {
-		case v == faultrules.Hit:
+		switch verdict := p.ruleJudge.Made(p.now(), s); {
+		case verdict == faultrules.Hit:
 			return true
-		case v == faultrules.Pass, p.now() >= end:
+		case verdict == faultrules.Pass, p.now() >= end:
 			return false
 		}
 		f.requestStrikes()
@@ -159,11 +159,11 @@
 	}
 	p.injector.mu.Unlock()
 	for _, e := range p.strikeRecord.all() {
-		n := e.Note
-		at := time.UnixMilli(n.Request.At)
-		add(strikeLine{At: at, AgoMs: time.Since(at).Milliseconds(), Rule: n.Name, Effect: string(n.Kind), Tenant: n.Request.Tenant,
-			Route: n.Request.Route, Method: n.Request.Method, ID: n.Request.ID, DelayMs: n.Delay.Seconds() * 1000, Node: e.Node,
-			Outcome: cmp.Or(n.Outcome, outcomePending), Life: e.Life, Seq: cmp.Or(n.Of, n.Seq)})
+		note := e.Note
+		at := time.UnixMilli(note.Request.At)
+		add(strikeLine{At: at, AgoMs: time.Since(at).Milliseconds(), Rule: note.Name, Effect: string(note.Kind), Tenant: note.Request.Tenant,
+			Route: note.Request.Route, Method: note.Request.Method, ID: note.Request.ID, DelayMs: note.Delay.Seconds() * 1000, Node: e.Node,
+			Outcome: cmp.Or(note.Outcome, outcomePending), Life: e.Life, Seq: cmp.Or(note.Of, note.Seq)})
 	}
 	body, err := json.Marshal(all)
 	if err != nil {
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -29,13 +29,14 @@
 
 // Options are the dependencies and settings of a Plane.
 type Options struct {
-	Host           hostenv.Seam
+	Env            hostenv.Seam
 	Zone           string
 	Now            func() time.Duration // monotonic clock, always above 0
 	MaxServerConns int                  // limit for all servers together; 0: none
 	Seed           uint64
 	// TakeQuota takes units of a tenant's quota, or returns when some will be available.
 	TakeQuota      func(tenant string, units float64) (ok bool, after time.Duration)
+	// Leaving reports whether clients should send their next requests to another gateway.
 	Leaving        func() bool
 	Closing        func() bool // the process is about to end, and may not be able to finish new requests; nil: never
 	RetryRatio     float64     // part of the requests that may be retries, over all gateways
@@ -67,9 +68,9 @@
 
 // New returns a plane without a configuration: it refuses all requests.
 func New(o Options) *Plane {
-	o.Host = hostenv.Or(o.Host)
+	o.Env = hostenv.Or(o.Env)
 	p := &Plane{options: o, requestIDs: protocol.NewIDs(), servers: map[string][]Server{}, serviceOf: map[string]string{}, gatewayCount: 1}
-	p.peerOptions = transport.PeerOptions{World: o.Host, Connect: connectTimeout, Sockets: transport.NewSockets(o.MaxServerConns),
+	p.peerOptions = transport.PeerOptions{World: o.Env, Connect: connectTimeout, Sockets: transport.NewSockets(o.MaxServerConns),
 		Keep: transport.NewKeep(idleConnTimeout), Strict: true, Bug: o.Bug}
 	if o.OnRequestTimes != nil {
 		p.peerOptions.Wrote = protocol.MarkWritten
@@ -89,11 +90,11 @@
 	defer p.mu.Unlock()
 	lanes := maps.Clone(*p.lanes.Load())
 	for name := range t.Services {
-		set := p.laneSettings(t, name)
+		settings := p.laneSettings(t, name)
 		if l := lanes[name]; l != nil {
-			l.configure(int64(t.Version), set)
-		} else if len(set.Classes) > 0 {
-			l, err := newLane(p, name, set)
+			l.configure(int64(t.Version), settings)
+		} else if len(settings.Classes) > 0 {
+			l, err := newLane(p, name, settings)
 			if err != nil {
 				continue // no request can be routed to this service
 			}
@@ -136,12 +137,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var gone []string
-	now := make(map[string]bool, len(list))
+	present := make(map[string]bool, len(list))
 	for _, s := range list {
-		now[s.ID] = true
+		present[s.ID] = true
 	}
 	for id := range p.serviceOf {
-		if !now[id] {
+		if !present[id] {
 			gone = append(gone, id)
 		}
 	}
@@ -196,13 +197,13 @@
 	}
 	t, lanes := p.table.Load(), *p.lanes.Load()
 	for service, before := range before {
-		now := p.servers[service]
-		if len(now) == 0 {
+		current := p.servers[service]
+		if len(current) == 0 {
 			delete(p.servers, service)
 		}
-		if l := lanes[service]; l != nil && !slices.Equal(now, before) {
+		if l := lanes[service]; l != nil && !slices.Equal(current, before) {
 			l.configure(int64(t.Version), p.laneSettings(t, service)) // the settings depend on the servers' capacity
-			l.setServers(now)
+			l.setServers(current)
 		}
 	}
 }
--- a/internal/dataplane/faultinjection.go
+++ b/internal/dataplane/faultinjection.go
@@ -57,21 +57,21 @@
 }
 
 // injectFault handles a request if a fault rule applies to it, and reports whether one does.
-func (p *Plane) injectFault(ctx *fasthttp.RequestCtx, l *lane, id, route string, r *routing.Request, whole time.Duration) bool {
-	f := p.options.FaultInjector
-	if f == nil || r.Customer == "" || !f.Active() {
+func (p *Plane) injectFault(ctx *fasthttp.RequestCtx, lane *lane, id, route string, request *routing.Request, timeout time.Duration) bool {
+	injector := p.options.FaultInjector
+	if injector == nil || request.Customer == "" || !injector.Active() {
 		return false
 	}
 	if p.struckRequests.Add(1) > p.maxStruck() {
 		p.struckRequests.Add(-1)
 		return false
 	}
-	i := &injection{plane: p, ctx: ctx, lane: l, id: id, request: r, timeout: whole,
-		query: faultrules.Request{ID: id, Tenant: r.Customer, Route: route, Method: string(ctx.Method())}}
+	i := &injection{plane: p, ctx: ctx, lane: lane, id: id, request: request, timeout: timeout,
+		query: faultrules.Request{ID: id, Tenant: request.Customer, Route: route, Method: string(ctx.Method())}}
 	i.retain()
 	defer i.release()
 	var hit bool
-	if i.strike, hit = f.Select(i.query, r.Deadline-p.options.Now()); !hit {
+	if i.strike, hit = injector.Select(i.query, request.Deadline-p.options.Now()); !hit {
 		return false
 	}
 	i.struckAt = p.options.Now()
@@ -79,8 +79,8 @@
 		i.repeat()
 		return true
 	}
-	if !f.AwaitRecorded(i.strike, r.Deadline-i.struckAt) {
-		f.RecordUnused(i.query, i.strike, "not made: not on record in time")
+	if !injector.AwaitRecorded(i.strike, request.Deadline-i.struckAt) {
+		injector.RecordUnused(i.query, i.strike, "not made: not on record in time")
 		return false
 	}
 	switch i.strike.Kind {
@@ -128,22 +128,22 @@
 // holdUntil waits until the given time, and reports whether the client is still connected.
 func (i *injection) holdUntil(until time.Duration) bool {
 	over := func() bool { return i.plane.options.Now() >= until }
-	left := until - i.plane.options.Now()
-	if left <= 0 {
+	remaining := until - i.plane.options.Now()
+	if remaining <= 0 {
 		return true
 	}
-	c, ok := i.ctx.Conn().(*transport.ClientConn)
+	conn, ok := i.ctx.Conn().(*transport.ClientConn)
 	if !ok {
-		i.plane.options.Host.Sleep(left)
+		i.plane.options.Env.Sleep(remaining)
 		return true
 	}
 	i.retain()
-	i.plane.options.Host.Go(func() {
+	i.plane.options.Env.Go(func() {
 		defer i.release()
-		i.plane.options.Host.Sleep(left + time.Millisecond)
-		c.Bell().Ring()
+		i.plane.options.Env.Sleep(remaining + time.Millisecond)
+		conn.Bell().Ring()
 	})
-	return c.Await(over)
+	return conn.Await(over)
 }
 
 // delay forwards the request after the delay, if its deadline allows that.
@@ -153,8 +153,8 @@
 			i.record("never ran: its client left")
 			return
 		}
-		a := i.await()
-		i.plane.answer(i.ctx, a)
+		final := i.await()
+		i.plane.answer(i.ctx, final)
 		i.record("delayed")
 		return
 	}
@@ -163,53 +163,53 @@
 
 // timeOut ends a request at its deadline, like one whose server doesn't answer. The status promises
 // nothing: whether the request ran is only in the record.
-func (i *injection) timeOut(what string) {
+func (i *injection) timeOut(outcome string) {
 	if i.holdUntil(i.request.Deadline) {
 		i.ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	}
-	i.record(what)
+	i.record(outcome)
 }
 
 // repeat sends a request a second time once it was served. A refused request isn't repeated: the promise
 // that it never ran must stay true. The caller waits neither for the second execution nor for the record.
 func (i *injection) repeat() {
-	c := i.request.Call.(*protocol.Call).Copied(i.plane.reserveCopy)
-	a := i.await()
-	served := a.Kind == protocol.Served
-	i.plane.answer(i.ctx, a)
-	again := c.Call()
+	copied := i.request.Call.(*protocol.Call).Copied(i.plane.reserveCopy)
+	final := i.await()
+	served := final.Kind == protocol.Served
+	i.plane.answer(i.ctx, final)
+	second := copied.Call()
 	i.retain()
-	end := func(unmade string) {
-		i.plane.copiedBytes.Add(int64(-c.Held()))
+	finish := func(reason string) {
+		i.plane.copiedBytes.Add(int64(-copied.Held()))
 		i.release()
-		if unmade != "" {
-			i.plane.options.FaultInjector.RecordUnused(i.query, i.strike, unmade)
+		if reason != "" {
+			i.plane.options.FaultInjector.RecordUnused(i.query, i.strike, reason)
 		}
 	}
 	switch {
 	case !served:
-		end("not doubled: the first was not served")
-	case again == nil:
-		end("not doubled: its body is too long to be kept")
+		finish("not doubled: the first was not served")
+	case second == nil:
+		finish("not doubled: its body is too long to be kept")
 	default:
-		i.plane.options.Host.Go(func() {
+		i.plane.options.Env.Go(func() {
 			switch {
 			case !i.takeQuota():
-				end("not doubled: beyond its quota")
+				finish("not doubled: beyond its quota")
 			case !i.plane.options.FaultInjector.AwaitRecorded(i.strike, i.timeout):
-				end("not made: not on record in time")
+				finish("not made: not on record in time")
 			default:
 				i.lane.core.Submit(&routing.Request{Class: i.request.Class, Plan: i.request.Plan, Customer: i.request.Customer, Deadline: i.plane.options.Now() + i.timeout,
-					Units: i.request.Units, Gateways: i.request.Gateways, Call: again, Reply: discardSecond{i, end}})
+					Units: i.request.Units, Gateways: i.request.Gateways, Call: second, Reply: discardSecond{i, finish}})
 			}
 		})
 	}
 }
 
 // reserveCopy reserves memory for the copy of a request, if there is some left.
-func (p *Plane) reserveCopy(n int) bool {
-	if p.copiedBytes.Add(int64(n)) > maxCopiedBytes {
-		p.copiedBytes.Add(int64(-n))
+func (p *Plane) reserveCopy(size int) bool {
+	if p.copiedBytes.Add(int64(size)) > maxCopiedBytes {
+		p.copiedBytes.Add(int64(-size))
 		return false
 	}
 	return true
@@ -231,26 +231,26 @@
 	finish    func(string)
 }
 
-func (u discardSecond) Served(answer any) {
+func (d discardSecond) Served(answer any) {
 	fasthttp.ReleaseResponse(answer.(*fasthttp.Response))
-	u.record("ran twice")
+	d.record("ran twice")
 }
 
-func (u discardSecond) Refused(_ time.Duration, v routing.Verdict) {
+func (d discardSecond) Refused(_ time.Duration, v routing.Verdict) {
 	if v == routing.MayHaveExecuted {
-		u.record("ran once, and the second may have run")
+		d.record("ran once, and the second may have run")
 		return
 	}
-	u.record("ran once: the second was refused")
+	d.record("ran once: the second was refused")
 }
 
-func (u discardSecond) Failed(bool) { u.record("ran once, and the second may have run") }
+func (d discardSecond) Failed(bool) { d.record("ran once, and the second may have run") }
 
-func (u discardSecond) Disallowed(error) { u.Refused(0, routing.NotAttempted) }
+func (d discardSecond) Disallowed(error) { d.Refused(0, routing.NotAttempted) }
 
-func (u discardSecond) record(outcome string) {
-	u.injection.plane.options.Host.Go(func() {
-		u.finish("")
-		u.injection.record(outcome)
+func (d discardSecond) record(outcome string) {
+	d.injection.plane.options.Env.Go(func() {
+		d.finish("")
+		d.injection.record(outcome)
 	})
 }
--- a/internal/dataplane/faultinjection_test.go
+++ b/internal/dataplane/faultinjection_test.go
@@ -70,18 +70,18 @@
 	unrecorded atomic.Bool // no strike gets on record
 }
 
-func (a *fixedInjector) Active() bool { return true }
-func (a *fixedInjector) Select(q faultrules.Request, _ time.Duration) (faultrules.Strike, bool) {
-	return a.strike, q.Tenant == "ship-1"
+func (f *fixedInjector) Active() bool { return true }
+func (f *fixedInjector) Select(q faultrules.Request, _ time.Duration) (faultrules.Strike, bool) {
+	return f.strike, q.Tenant == "ship-1"
 }
-func (a *fixedInjector) AwaitRecorded(faultrules.Strike, time.Duration) bool {
-	return !a.unrecorded.Load()
+func (f *fixedInjector) AwaitRecorded(faultrules.Strike, time.Duration) bool {
+	return !f.unrecorded.Load()
 }
-func (a *fixedInjector) RecordUnused(q faultrules.Request, s faultrules.Strike, what string) {
-	a.RecordOutcome(q, s, what)
+func (f *fixedInjector) RecordUnused(q faultrules.Request, s faultrules.Strike, outcome string) {
+	f.RecordOutcome(q, s, outcome)
 }
-func (a *fixedInjector) RecordOutcome(_ faultrules.Request, _ faultrules.Strike, what string) {
-	a.outcomes <- what
+func (f *fixedInjector) RecordOutcome(_ faultrules.Request, _ faultrules.Strike, outcome string) {
+	f.outcomes <- outcome
 }
 
 // pausableHost is the real host, except that sleeps don't end while it is locked. Only requests that a
@@ -123,7 +123,7 @@
 	start := time.Now()
 	o := Options{Zone: "a", Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1,
 		TakeQuota: func(tenant string, _ float64) (bool, time.Duration) { return gateway.quota(tenant), time.Second },
-		Leaving:   func() bool { return false }, Closing: gateway.closing.Load, RetryRatio: 0.2, RetryAllowance: 10, WarmupTime: time.Second, FaultInjector: gateway.injector, Host: gateway.pause}
+		Leaving:   func() bool { return false }, Closing: gateway.closing.Load, RetryRatio: 0.2, RetryAllowance: 10, WarmupTime: time.Second, FaultInjector: gateway.injector, Env: gateway.pause}
 	for _, f := range configure {
 		f(&o)
 	}
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -30,16 +30,16 @@
 // gateCounters are the counters behind GateStats.
 type gateCounters struct{ held, maxWait, inTurn, unleased atomic.Int64 }
 
-func (t *gateCounters) addWait(d time.Duration) {
-	t.held.Add(1)
-	for most := t.maxWait.Load(); int64(d) > most && !t.maxWait.CompareAndSwap(most, int64(d)); most = t.maxWait.Load() {
+func (c *gateCounters) addWait(d time.Duration) {
+	c.held.Add(1)
+	for longest := c.maxWait.Load(); int64(d) > longest && !c.maxWait.CompareAndSwap(longest, int64(d)); longest = c.maxWait.Load() {
 	}
 }
 
 // GateStats returns the counters of the gate.
 func (p *Plane) GateStats() GateStats {
-	t := &p.gateCounters
-	return GateStats{t.held.Load(), time.Duration(t.maxWait.Load()).Seconds() * 1e3, t.inTurn.Load(), t.unleased.Load()}
+	counters := &p.gateCounters
+	return GateStats{counters.held.Load(), time.Duration(counters.maxWait.Load()).Seconds() * 1e3, counters.inTurn.Load(), counters.unleased.Load()}
 }
 
 // gate decides whether requests that need a lease may be served. changed is closed when it is replaced.
@@ -50,8 +50,8 @@
 
 // SetGate replaces the gate. The configuration that it is for has been adopted.
 func (p *Plane) SetGate(g rollout.Gate) {
-	if was := p.gate.Swap(&gate{g, make(chan struct{})}); was != nil {
-		close(was.changed)
+	if previous := p.gate.Swap(&gate{g, make(chan struct{})}); previous != nil {
+		close(previous.changed)
 	}
 }
 
@@ -77,18 +77,18 @@
 	if !p.needsLease(r) || p.mayServe(t.Version) {
 		return true, false
 	}
-	late, began, waited := time.NewTimer(maxGateWait), p.options.Now(), false
-	defer late.Stop()
+	timer, start, waited := time.NewTimer(maxGateWait), p.options.Now(), false
+	defer timer.Stop()
 	for g := p.gate.Load(); g.ReopensSoon || g.Allows(p.options.Now(), g.Version); g = p.gate.Load() {
 		if g.Allows(p.options.Now(), g.Version) && p.Version() == g.Version {
-			p.gateCounters.addWait(p.options.Now() - began)
+			p.gateCounters.addWait(p.options.Now() - start)
 			return false, true
 		}
 		waited = true
 		select {
 		case <-g.changed:
 			continue
-		case <-late.C:
+		case <-timer.C:
 		}
 		break
 	}
--- a/internal/dataplane/handler.go
+++ b/internal/dataplane/handler.go
@@ -50,25 +50,25 @@
 	} else if !ok {
 		return
 	}
-	var id, key, limit string
-	names := 0
+	var id, credential, deadlineHeader string
+	idCount := 0
 	call := serverDialect.NewCall(ctx, func(name, value []byte) {
 		switch len(name) {
 		case len(headerID):
 			if bytes.EqualFold(name, []byte(headerID)) {
 				id = string(value)
-				names++
+				idCount++
 			}
 		case len(serverDialect.Deadline): // Authorization has the same length
 			if bytes.EqualFold(name, []byte(serverDialect.Deadline)) {
-				limit = string(value)
+				deadlineHeader = string(value)
 			} else if bytes.EqualFold(name, []byte("Authorization")) {
-				key = string(bytes.TrimPrefix(value, []byte("Bearer ")))
+				credential = string(bytes.TrimPrefix(value, []byte("Bearer ")))
 			}
 		}
 	})
 	err := call.Err()
-	if names > 1 { // the server might use the other one, so its answer couldn't be matched
+	if idCount > 1 { // the server might use the other one, so its answer couldn't be matched
 		err = errRepeatedID
 	}
 	if err != nil {
@@ -76,11 +76,11 @@
 		return
 	}
 	call.Transparent, call.Times = true, times
-	r := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: quotaPlan, Units: 1, Gateways: 1, ResolveTerms: p.leaseCheck(t, route)}
-	l := (*p.lanes.Load())[route.Pick(xxhash.Sum64String(id))]
+	request := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: quotaPlan, Units: 1, Gateways: 1, ResolveTerms: p.leaseCheck(t, route)}
+	lane := (*p.lanes.Load())[route.Pick(xxhash.Sum64String(id))]
 	rank := route.Rank
 	if t.Keyed() && !route.Anonymous {
-		tenant := t.Tenant(key)
+		tenant := t.Tenant(credential)
 		if tenant == nil {
 			ctx.Error("unknown key\n", fasthttp.StatusUnauthorized)
 			return
@@ -88,11 +88,11 @@
 		if tenant.Rank != nil {
 			rank = *tenant.Rank
 		}
-		r.Customer = tenant.Name
+		request.Customer = tenant.Name
 		call.AddHeader(headerTenant, tenant.Name)
 		times.Mark(protocol.Routed)
 		if tenant.Rate > 0 {
-			if l.empty() { // a request that no server can run takes no quota
+			if lane.empty() { // a request that no server can run takes no quota
 				refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
 				return
 			}
@@ -106,19 +106,19 @@
 	times.Mark(protocol.Routed) // for requests without a key
 	times.Mark(protocol.Metered)
 	wait := route.Deadline
-	if ms, err := strconv.ParseFloat(limit, 64); err == nil && ms > 0 {
+	if ms, err := strconv.ParseFloat(deadlineHeader, 64); err == nil && ms > 0 {
 		wait = min(wait, time.Duration(ms*float64(time.Millisecond)))
 	}
-	r.Class, r.Deadline = className(route, rank), p.options.Now()+wait
-	call.Bind(r, wait)
-	if l == nil {
+	request.Class, request.Deadline = className(route, rank), p.options.Now()+wait
+	call.Bind(request, wait)
+	if lane == nil {
 		refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
 		return
 	}
-	if p.injectFault(ctx, l, id, route.Name, r, route.Deadline) {
+	if p.injectFault(ctx, lane, id, route.Name, request, route.Deadline) {
 		return
 	}
-	final := protocol.Await(ctx, l.core, p.requestIDs, id, r)
+	final := protocol.Await(ctx, lane.core, p.requestIDs, id, request)
 	times.Mark(protocol.Decided)
 	p.answer(ctx, final)
 	if times != nil {
@@ -128,17 +128,17 @@
 }
 
 // answer writes the response to the client.
-func (p *Plane) answer(ctx *fasthttp.RequestCtx, a protocol.Final) {
-	switch a.Kind {
+func (p *Plane) answer(ctx *fasthttp.RequestCtx, final protocol.Final) {
+	switch final.Kind {
 	case protocol.Served:
-		ctx.SetStatusCode(a.Answer.StatusCode())
-		protocol.PassOn(ctx, a.Answer)
+		ctx.SetStatusCode(final.Answer.StatusCode())
+		protocol.PassOn(ctx, final.Answer)
 	case protocol.Refused:
-		if a.Verdict == routing.MayHaveExecuted { // no promise that it didn't run
+		if final.Verdict == routing.MayHaveExecuted { // no promise that it didn't run
 			ctx.SetStatusCode(fasthttp.StatusBadGateway)
 			return
 		}
-		refuse(ctx, fasthttp.StatusServiceUnavailable, a.RetryAfter)
+		refuse(ctx, fasthttp.StatusServiceUnavailable, final.RetryAfter)
 	case protocol.Unfit:
 		refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
 	case protocol.TimedOut:
--- a/internal/dataplane/idle_test.go
+++ b/internal/dataplane/idle_test.go
@@ -35,7 +35,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var wakes atomic.Int64
 		start := time.Now()
-		p := New(Options{Host: countingHost{hostenv.Real, &wakes}, Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1})
+		p := New(Options{Env: countingHost{hostenv.Real, &wakes}, Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1})
 		p.Adopt(largeTable(t, 1))
 		var all []Server
 		for i := range 5200 {
--- a/internal/dataplane/lane.go
+++ b/internal/dataplane/lane.go
@@ -38,18 +38,18 @@
 	quotaPlan    = "tenant" // quotas are taken before a request comes to its lane
 )
 
-func newLane(p *Plane, name string, set choice.Settings) (*lane, error) {
-	l := &lane{now: p.options.Now, warmupTime: p.options.WarmupTime, serverNumbers: map[string]uint32{}, settings: set}
+func newLane(p *Plane, name string, settings choice.Settings) (*lane, error) {
+	l := &lane{now: p.options.Now, warmupTime: p.options.WarmupTime, serverNumbers: map[string]uint32{}, settings: settings}
 	l.fleet = protocol.NewFleet(p.peerOptions, false)
 	l.fleet.Dialect = serverDialect
 	var err error
-	l.core, err = routing.New(set, p.options.Seed^xxhash.Sum64String(name), p.options.Now,
-		routing.Dependencies{Env: p.options.Host, Fleet: l.fleet, Watcher: noWatcher{}, DiscardAnswer: protocol.Drop})
+	l.core, err = routing.New(settings, p.options.Seed^xxhash.Sum64String(name), p.options.Now,
+		routing.Dependencies{Env: p.options.Env, Fleet: l.fleet, Watcher: noWatcher{}, DiscardAnswer: protocol.Drop})
 	if err != nil {
 		return nil, err
 	}
 	l.fleet.Ends = l.core
-	p.options.Host.Go(l.core.Run)
+	p.options.Env.Go(l.core.Run)
 	return l, nil
 }
 
@@ -59,12 +59,12 @@
 func (noWatcher) Watch(bool) {}
 
 // configure applies settings if they have changed.
-func (l *lane) configure(version int64, set choice.Settings) {
-	if len(set.Classes) == 0 || sameSettings(l.settings, set) {
+func (l *lane) configure(version int64, settings choice.Settings) {
+	if len(settings.Classes) == 0 || sameSettings(l.settings, settings) {
 		return
 	}
-	l.settings = set
-	l.core.ApplyPolicy(version, set)
+	l.settings = settings
+	l.core.ApplyPolicy(version, settings)
 }
 
 func sameSettings(a, b choice.Settings) bool {
@@ -74,10 +74,10 @@
 // setServers replaces the service's servers. One that hasn't been heard of for a while is used only if
 // there is no other.
 func (l *lane) setServers(list []Server) {
-	live := lo.SomeBy(list, func(s Server) bool { return s.State == choice.Up })
-	news := routing.DiscoveryUpdate{Whole: true}
+	anyUp := lo.SomeBy(list, func(s Server) bool { return s.State == choice.Up })
+	update := routing.DiscoveryUpdate{Whole: true}
 	for _, s := range list {
-		if s.State == choice.Down && live {
+		if s.State == choice.Down && anyUp {
 			continue
 		}
 		id := l.serverNumbers[s.ID]
@@ -85,17 +85,17 @@
 			id = uint32(len(l.serverNumbers) + 1)
 			l.serverNumbers[s.ID] = id
 		}
-		m := choice.Member{ID: id, Key: xxhash.Sum64String(s.ID), Zone: s.Zone, State: s.State, Weight: 1}
-		if m.State == choice.Down {
-			m.State = choice.Up
+		member := choice.Member{ID: id, Key: xxhash.Sum64String(s.ID), Zone: s.Zone, State: s.State, Weight: 1}
+		if member.State == choice.Down {
+			member.State = choice.Up
 		}
-		if left := s.WarmUntil - l.now(); left > 0 {
-			m.Started = l.now() - max(0, l.warmupTime-left)
+		if remaining := s.WarmUntil - l.now(); remaining > 0 {
+			member.Started = l.now() - max(0, l.warmupTime-remaining)
 		}
-		news.Members = append(news.Members, routing.Member{Member: m, Addr: s.Addr, Name: s.ID})
+		update.Members = append(update.Members, routing.Member{Member: member, Addr: s.Addr, Name: s.ID})
 	}
-	l.hasServers.Store(len(news.Members) > 0)
-	l.core.HandleDiscovery(news)
+	l.hasServers.Store(len(update.Members) > 0)
+	l.core.HandleDiscovery(update)
 }
 
 // empty reports whether there is no server, or no lane.
@@ -104,12 +104,12 @@
 // laneSettings returns the settings of a service's lane: a class for each route to the service and each
 // rank that its requests may have.
 func (p *Plane) laneSettings(t *sysconfig.Table, service string) choice.Settings {
-	set := choice.Settings{Gateways: p.gatewayCount, Index: p.gatewayIndex, Zone: p.options.Zone, MaxAttempts: 1, RefusesWhenBusy: true, HeadroomSigmas: spareDeviations, Hedging: true, Cancels: true,
+	settings := choice.Settings{Gateways: p.gatewayCount, Index: p.gatewayIndex, Zone: p.options.Zone, MaxAttempts: 1, RefusesWhenBusy: true, HeadroomSigmas: spareDeviations, Hedging: true, Cancels: true,
 		RetryAfter: true, ConnectTimeout: connectTimeout, Weighted: true, TurnWeight: roundRobinWeight, ColdCapacity: 0.5, WarmupTime: p.options.WarmupTime,
 		CrossZone: crossZoneGain, RetryRatio: p.options.RetryRatio * retryBudgetShare, RetryBudget: max(1, p.options.RetryAllowance*retryBudgetShare/float64(p.gatewayCount)),
 		Plans: []choice.Plan{{Name: quotaPlan, ValueFactor: 1, OverrunCost: 1}}}
 	if list := p.servers[service]; len(list) > 0 {
-		set.ServerConcurrency = lo.SumBy(list, func(s Server) float64 { return float64(s.Capacity) }) / float64(len(list))
+		settings.ServerConcurrency = lo.SumBy(list, func(s Server) float64 { return float64(s.Capacity) }) / float64(len(list))
 	}
 	for _, r := range t.RoutesTo(service) {
 		c := choice.Class{Target: cmp.Or(r.Target, r.Deadline), Deadline: r.Deadline, LateValue: 0.3, MaxAttempts: max(r.Tries, 1)}
@@ -118,11 +118,11 @@
 		}
 		for _, rank := range t.Ranks(r) {
 			c.Name, c.Value = className(r, rank), float64(max(1, 4-rank))
-			set.Classes = append(set.Classes, c)
+			settings.Classes = append(settings.Classes, c)
 		}
 	}
-	slices.SortFunc(set.Classes, func(a, b choice.Class) int { return cmp.Compare(a.Name, b.Name) })
-	return set
+	slices.SortFunc(settings.Classes, func(a, b choice.Class) int { return cmp.Compare(a.Name, b.Name) })
+	return settings
 }
 
 const (
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -30,7 +30,7 @@
 
 // Options are the settings of a Mesh.
 type Options[F any] struct {
-	Host           hostenv.Seam // nil: the real host
+	Env            hostenv.Seam // nil: the real host
 	Codec          Codec[F]
 	Handle         func(p *Conn[F], f F) // called on the goroutine of the connection
 	MaxInbound     int
@@ -86,20 +86,20 @@
 
 // New returns a mesh without connections.
 func New[F any](o Options[F]) *Mesh[F] {
-	o.Host, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.Or(o.Host), cmp.Or(o.DialTimeout, 500*time.Millisecond), cmp.Or(o.IdleTimeout, 2*idleTimeout), cmp.Or(o.ReadBufferSize, 8<<10)
+	o.Env, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.Or(o.Env), cmp.Or(o.DialTimeout, 500*time.Millisecond), cmp.Or(o.IdleTimeout, 2*idleTimeout), cmp.Or(o.ReadBufferSize, 8<<10)
 	return &Mesh[F]{Options: o, outbound: map[string]*Conn[F]{}, inbound: map[*Conn[F]]bool{}}
 }
 
 // Listen opens the mesh's port, and accepts connections.
 func (m *Mesh[F]) Listen(addr string) error {
-	ln, err := m.Host.Listen(addr)
+	listener, err := m.Env.Listen(addr)
 	if err != nil {
 		return err
 	}
-	m.listener = ln
-	m.Host.Go(func() {
+	m.listener = listener
+	m.Env.Go(func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				m.mu.Lock()
 				closed := m.closed
@@ -107,13 +107,13 @@
 				if closed || errors.Is(err, net.ErrClosed) {
 					return
 				}
-				m.Host.Sleep(20 * time.Millisecond) // file descriptors may be used up for a moment
+				m.Env.Sleep(20 * time.Millisecond) // file descriptors may be used up for a moment
 				continue
 			}
 			if m.ConfigureConn != nil {
 				m.ConfigureConn(conn)
 			}
-			peer := &Conn[F]{mesh: m, queue: mailbox.NewBox[[]byte](m.Host), conn: conn}
+			peer := &Conn[F]{mesh: m, queue: mailbox.NewBox[[]byte](m.Env), conn: conn}
 			m.mu.Lock()
 			full := m.closed || len(m.inbound) >= m.MaxInbound
 			if !full {
@@ -124,8 +124,8 @@
 				conn.Close()
 				continue
 			}
-			m.Host.Go(func() { peer.read(conn) })
-			m.Host.Go(peer.write)
+			m.Env.Go(func() { peer.read(conn) })
+			m.Env.Go(peer.write)
 		}
 	})
 	return nil
@@ -140,12 +140,12 @@
 	defer m.mu.Unlock()
 	c := m.outbound[addr]
 	if c == nil {
-		c = &Conn[F]{mesh: m, addr: addr, queue: mailbox.NewBox[[]byte](m.Host)}
+		c = &Conn[F]{mesh: m, addr: addr, queue: mailbox.NewBox[[]byte](m.Env)}
 		if m.outbound[addr] = c; m.closed {
 			c.ended = true
 			return c
 		}
-		m.Host.Go(c.write)
+		m.Env.Go(c.write)
 	}
 	return c
 }
@@ -212,9 +212,9 @@
 		}
 		if c.addr != "" && (conn == nil || conn != current) {
 			var err error
-			if conn, err = c.mesh.Host.Dial(c.addr, c.mesh.DialTimeout); err != nil {
+			if conn, err = c.mesh.Env.Dial(c.addr, c.mesh.DialTimeout); err != nil {
 				conn = nil
-				c.mesh.Host.Sleep(dialRetryPause)
+				c.mesh.Env.Sleep(dialRetryPause)
 				continue
 			}
 			if c.mesh.ConfigureConn != nil {
@@ -228,13 +228,13 @@
 				return
 			}
 			conn := conn
-			c.mesh.Host.Go(func() { c.read(conn) })
+			c.mesh.Env.Go(func() { c.read(conn) })
 		}
 		var batch []byte
 		for _, frame := range frames {
 			batch = append(batch, frame...)
 		}
-		conn.SetWriteDeadline(c.mesh.Host.Now().Add(writeTimeout))
+		conn.SetWriteDeadline(c.mesh.Env.Now().Add(writeTimeout))
 		if _, err := conn.Write(batch); err != nil {
 			conn.Close()
 			if c.addr == "" {
@@ -268,7 +268,7 @@
 	reader := bufio.NewReaderSize(conn, c.mesh.ReadBufferSize)
 	for {
 		if c.addr == "" {
-			conn.SetReadDeadline(c.mesh.Host.Now().Add(c.mesh.IdleTimeout))
+			conn.SetReadDeadline(c.mesh.Env.Now().Add(c.mesh.IdleTimeout))
 		}
 		frame, size, err := c.mesh.Codec.Decode(reader)
 		if err != nil {
