--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -140,7 +140,10 @@
 }
 
 func assemble(path string, settings *sysconfig.Settings, shared SharedOptions) (*Process, error) {
-	p := &Process{settingsPath: path, settings: settings, link: shared.Link, controlOnly: shared.ControlOnly, parseCache: shared.ParseCache, servingServers: map[string]bool{}, startedAt: time.Now(), inbox: mailbox.NewBox[any](nil), stateWrites: mailbox.NewBox[*consensus.Write](nil), parseRequests: mailbox.NewBox[*controlplane.ConfigText](nil), serverWrites: mailbox.NewBox[[]registry.Row](nil),
+	p := &Process{settingsPath: path, settings: settings, link: shared.Link, controlOnly: shared.ControlOnly,
+		parseCache: shared.ParseCache, servingServers: map[string]bool{}, startedAt: time.Now(),
+		inbox: mailbox.NewBox[any](nil), stateWrites: mailbox.NewBox[*consensus.Write](nil),
+		parseRequests: mailbox.NewBox[*controlplane.ConfigText](nil), serverWrites: mailbox.NewBox[[]registry.Row](nil),
 		ruleWrites: mailbox.NewBox[*faultrules.Write](nil), ruleJudge: faultrules.NewJudge(), strikeRecord: &strikeRecord{},
 		meshAddr: meshAddress(settings.IpAddr, settings)}
 	p.ring = logring.New(shared.Log, settings.NodeName, 256, log.InfoLevel)
@@ -163,7 +166,8 @@
 		FaultRules: controlplane.FaultRulesConfig{MaxLifetime: p.maxRuleLifetime(), Judge: p.ruleJudge, Disk: p.storedRules(intact)}},
 		p.meter, stored, now)
 	p.plane = dataplane.New(dataplane.Options{Zone: settings.Zone, Now: p.now, MaxServerConns: settings.BoundsReq.FdLimit / 3, Seed: seed, TakeQuota: p.takeQuota,
-		Leaving: p.redirectsClients, Closing: p.closing.Load, RetryRatio: settings.Bounds.RetryRatio, RetryAllowance: settings.Bounds.RetrySlack, WarmupTime: 3 * time.Second, FaultInjector: p.newInjector(incarnation), OnRequestTimes: shared.OnRequestTimes})
+		Leaving: p.redirectsClients, Closing: p.closing.Load, RetryRatio: settings.Bounds.RetryRatio, RetryAllowance: settings.Bounds.RetrySlack,
+		WarmupTime: 3 * time.Second, FaultInjector: p.newInjector(incarnation), OnRequestTimes: shared.OnRequestTimes})
 	p.mesh = mesh.New(mesh.Options[*frame]{Codec: p.frameCounters.codec(p.addQueue.full), MaxInbound: 1000, ConfigureConn: configureConn, ReadBufferSize: 2 << 10,
 		Handle: func(_ *mesh.Conn[*frame], f *frame) {
 			if f != nil {
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -35,7 +35,7 @@
 	MaxServerConns int                  // limit for all servers together; 0: none
 	Seed           uint64
 	// TakeQuota takes units of a tenant's quota, or returns when some will be available.
-	TakeQuota      func(tenant string, units float64) (ok bool, after time.Duration)
+	TakeQuota func(tenant string, units float64) (ok bool, after time.Duration)
 	// Leaving reports whether clients should send their next requests to another gateway.
 	Leaving        func() bool
 	Closing        func() bool // the process is about to end, and may not be able to finish new requests; nil: never
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -86,7 +86,8 @@
 
 // New returns a mesh without connections.
 func New[F any](o Options[F]) *Mesh[F] {
-	o.Env, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.Or(o.Env), cmp.Or(o.DialTimeout, 500*time.Millisecond), cmp.Or(o.IdleTimeout, 2*idleTimeout), cmp.Or(o.ReadBufferSize, 8<<10)
+	o.Env, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.Or(o.Env), cmp.Or(o.DialTimeout, 500*time.Millisecond),
+		cmp.Or(o.IdleTimeout, 2*idleTimeout), cmp.Or(o.ReadBufferSize, 8<<10)
 	return &Mesh[F]{Options: o, outbound: map[string]*Conn[F]{}, inbound: map[*Conn[F]]bool{}}
 }
 
