--- a/internal/daemon/addqueue_test.go
+++ b/internal/daemon/addqueue_test.go
@@ -18,49 +18,49 @@
 // are dropped, and the newer ones are counted in order.
 func TestAddQueue(t *testing.T) {
 	start := time.Now()
-	var a addQueue
-	push := func(from, to int, at time.Time) {
+	var queue addQueue
+	pushRange := func(from, to int, at time.Time) {
 		for n := from; n < to; n++ {
 			f := newAdd(n)
-			a.pending.Add(1)
-			if !a.push(f, at) {
+			queue.pending.Add(1)
+			if !queue.push(f, at) {
 				t.Fatal("an add was not queued")
 			}
 		}
 	}
-	if a.push(&frame{Msg: memberlist.Heartbeat{}}, start) {
+	if queue.push(&frame{Msg: memberlist.Heartbeat{}}, start) {
 		t.Fatal("a heartbeat was queued among adds")
 	}
-	taken := func(now time.Time) (got []int) {
-		for f := a.pop(now); f != nil; f = a.pop(now) {
+	popAll := func(now time.Time) (got []int) {
+		for f := queue.pop(now); f != nil; f = queue.pop(now) {
 			got = append(got, int(f.Msg.(quotas.Add).Timestamp))
 		}
 		return got
 	}
-	push(0, smallQueue, start)
-	if got := taken(start.Add(time.Second)); len(got) != smallQueue || got[0] != 0 || got[smallQueue-1] != smallQueue-1 {
+	pushRange(0, smallQueue, start)
+	if got := popAll(start.Add(time.Second)); len(got) != smallQueue || got[0] != 0 || got[smallQueue-1] != smallQueue-1 {
 		t.Errorf("short queue, after a second: %v", got)
 	}
-	push(0, 300, start)
-	push(300, 1000, start.Add(20*time.Millisecond))
-	if got := taken(start.Add(50 * time.Millisecond)); len(got) != 700 || got[0] != 300 || got[699] != 999 || a.dropped.Load() != 300 {
-		t.Errorf("long queue, after 50 ms: %d from %d, %d dropped", len(got), got[0], a.dropped.Load())
+	pushRange(0, 300, start)
+	pushRange(300, 1000, start.Add(20*time.Millisecond))
+	if got := popAll(start.Add(50 * time.Millisecond)); len(got) != 700 || got[0] != 300 || got[699] != 999 || queue.dropped.Load() != 300 {
+		t.Errorf("long queue, after 50 ms: %d from %d, %d dropped", len(got), got[0], queue.dropped.Load())
 	}
-	push(0, 5000, start)
+	pushRange(0, 5000, start)
 	for range 10 { // the queue is never empty here, and its memory must not grow
-		push(0, 1000, start.Add(time.Second))
+		pushRange(0, 1000, start.Add(time.Second))
 		for range 1000 {
-			a.pop(start)
+			queue.pop(start)
 		}
 	}
-	if len(taken(start)) != 5000 || cap(a.entries) > 20_000 {
-		t.Errorf("capacity %d", cap(a.entries))
+	if len(popAll(start)) != 5000 || cap(queue.entries) > 20_000 {
+		t.Errorf("capacity %d", cap(queue.entries))
 	}
-	if a.pending.Load() != 0 || a.full() {
-		t.Errorf("%d are pending", a.pending.Load())
+	if queue.pending.Load() != 0 || queue.full() {
+		t.Errorf("%d are pending", queue.pending.Load())
 	}
-	push(0, maxQueuedAdds, start)
-	if !a.full() {
+	pushRange(0, maxQueuedAdds, start)
+	if !queue.full() {
 		t.Error("the queue has its maximal length, and isn't full")
 	}
 }
--- a/internal/daemon/frame_test.go
+++ b/internal/daemon/frame_test.go
@@ -22,9 +22,9 @@
 				if n < 2 {
 					continue // a greater length would wait for more bytes
 				}
-				for _, with := range []byte{0, 1, 0x7f, 0xff} {
+				for _, value := range []byte{0, 1, 0x7f, 0xff} {
 					damaged := bytes.Clone(b)
-					damaged[n] = with
+					damaged[n] = value
 					read(bufio.NewReader(bytes.NewReader(damaged)))
 				}
 			}
@@ -59,9 +59,9 @@
 	if got != "own" {
 		t.Errorf("got %v", got)
 	}
-	left := 0
-	p.pendingCalls.Range(func(any, any) bool { left++; return true })
-	if left != 0 {
-		t.Errorf("%d calls are still pending", left)
+	pending := 0
+	p.pendingCalls.Range(func(any, any) bool { pending++; return true })
+	if pending != 0 {
+		t.Errorf("%d calls are still pending", pending)
 	}
 }
--- a/internal/daemon/strikerecord_test.go
+++ b/internal/daemon/strikerecord_test.go
@@ -31,9 +31,9 @@
 	}
 	seq := uint64(0)
 	for start := range 4 {
-		d := p.storedRules(true)
-		if d == nil || d.Promised.N != 7 || d.Kept.Seq != 9 {
-			t.Fatal("start", start, "with", d)
+		rules := p.storedRules(true)
+		if rules == nil || rules.Promised.N != 7 || rules.Kept.Seq != 9 {
+			t.Fatal("start", start, "with", rules)
 		}
 		for range 50 {
 			var notes []faultrules.Entry
@@ -41,7 +41,7 @@
 				seq++
 				notes = append(notes, faultrules.Entry{Node: "n1", Life: 3, Note: faultrules.Note{Seq: seq}})
 			}
-			for _, r := range p.strikeRecord.add(*d, notes) {
+			for _, r := range p.strikeRecord.add(*rules, notes) {
 				data, err := cbor.Marshal(r.value)
 				if err == nil {
 					err = v.Save(r.name, data)
--- a/internal/dataplane/change_test.go
+++ b/internal/dataplane/change_test.go
@@ -19,32 +19,32 @@
 		return New(Options{Now: func() time.Duration { return time.Hour }, MaxServerConns: 10, Seed: 1})
 	}
 	rng := rand.New(rand.NewPCG(34, 1))
-	p, all := plane(), map[string]Server{}
+	p, current := plane(), map[string]Server{}
 	for step := range 2000 {
-		var list []Server
+		var changed []Server
 		var gone []string
 		for range 1 + rng.IntN(4) {
 			id := fmt.Sprint("s-", rng.IntN(40))
-			if slices.Contains(gone, id) || slices.ContainsFunc(list, func(s Server) bool { return s.ID == id }) {
+			if slices.Contains(gone, id) || slices.ContainsFunc(changed, func(s Server) bool { return s.ID == id }) {
 				continue
 			}
 			if rng.IntN(4) == 0 {
 				gone = append(gone, id)
-				delete(all, id)
+				delete(current, id)
 				continue
 			}
 			s := Server{ID: id, Addr: id, Service: fmt.Sprint("toy-", rng.IntN(3)), State: choice.State(rng.IntN(3)), Capacity: rng.IntN(2)}
-			list = append(list, s)
-			all[id] = s
+			changed = append(changed, s)
+			current[id] = s
 		}
-		p.UpdateServers(list, gone)
+		p.UpdateServers(changed, gone)
 		whole := plane()
-		whole.SetServers(slices.Collect(maps.Values(all)))
+		whole.SetServers(slices.Collect(maps.Values(current)))
 		if d := cmp.Diff(whole.servers, p.servers) + cmp.Diff(whole.serviceOf, p.serviceOf); d != "" {
 			t.Fatalf("step %d: %s", step, d)
 		}
 		if step%100 == 0 { // replaces the whole list
-			p.SetServers(slices.Collect(maps.Values(all)))
+			p.SetServers(slices.Collect(maps.Values(current)))
 		}
 	}
 	p.SetServers(nil)
--- a/internal/dataplane/faultinjection_test.go
+++ b/internal/dataplane/faultinjection_test.go
@@ -146,8 +146,8 @@
 // nextOutcome returns the next outcome on record.
 func (g *testGateway) nextOutcome() string {
 	select {
-	case what := <-g.injector.outcomes:
-		return what
+	case outcome := <-g.injector.outcomes:
+		return outcome
 	case <-time.After(10 * time.Second):
 		return "nothing"
 	}
@@ -180,9 +180,9 @@
 		strike       faultrules.Strike
 		status, runs int
 		body         string
-		least        time.Duration
-		told         string
-		within       string // its deadline in ms
+		minTime      time.Duration
+		wantOutcome  string
+		deadlineMs   string // its deadline in ms
 	}{
 		{faultrules.Strike{Kind: faultrules.Delay, Delay: 150 * time.Millisecond}, 200, 1, "id 1 b", 150 * time.Millisecond, "delayed", "3000"},
 		{faultrules.Strike{Kind: faultrules.Delay, Delay: time.Minute}, 504, 0, "", 400 * time.Millisecond, "never ran", "400"},
@@ -190,18 +190,18 @@
 		{faultrules.Strike{Kind: faultrules.VanishAfter}, 504, 1, "", 400 * time.Millisecond, "ran", "400"},
 		{faultrules.Strike{Kind: faultrules.Double}, 200, 2, "id 1 b", 0, "ran twice", "3000"},
 	} {
-		t.Run(string(c.strike.Kind)+c.told, func(t *testing.T) {
+		t.Run(string(c.strike.Kind)+c.wantOutcome, func(t *testing.T) {
 			t.Parallel()
 			g := newTestGateway(t, c.strike)
 			g.pause.Lock()
 			var wg sync.WaitGroup
 			wg.Go(func() {
-				status, body, took := g.request(t, &http.Client{}, "k1", "id", "b", "X-Deadline-Ms", c.within)
-				if status != c.status || body != c.body || took < c.least {
+				status, body, took := g.request(t, &http.Client{}, "k1", "id", "b", "X-Deadline-Ms", c.deadlineMs)
+				if status != c.status || body != c.body || took < c.minTime {
 					t.Error("struck:", status, body, took)
 				}
-				if what := g.nextOutcome(); what != c.told {
-					t.Error("on record:", what)
+				if outcome := g.nextOutcome(); outcome != c.wantOutcome {
+					t.Error("on record:", outcome)
 				}
 			})
 			client := &http.Client{}
@@ -230,11 +230,11 @@
 // TestDoubleQuota: the second execution takes from the caller's own quota, or doesn't happen.
 func TestDoubleQuota(t *testing.T) {
 	g := newTestGateway(t, faultrules.Strike{Kind: faultrules.Double})
-	left := 1
-	g.quota = func(string) bool { left--; return left >= 0 }
+	remaining := 1
+	g.quota = func(string) bool { remaining--; return remaining >= 0 }
 	status, _, _ := g.request(t, &http.Client{}, "k1", "id", "b")
-	if what := g.nextOutcome(); status != 200 || !strings.Contains(what, "quota") {
-		t.Error(status, what)
+	if outcome := g.nextOutcome(); status != 200 || !strings.Contains(outcome, "quota") {
+		t.Error(status, outcome)
 	}
 	if n, _ := g.server.runsOf("id"); n != 1 {
 		t.Error("ran", n, "times")
@@ -251,8 +251,8 @@
 	fmt.Fprintf(c, "POST /x HTTP/1.1\r\nHost: toy.example\r\nAuthorization: Bearer k1\r\n%s: id\r\nContent-Length: 0\r\n\r\n", headerID)
 	status, _, _ := g.request(t, &http.Client{}, "k10", "other", "b") // by now the first request has arrived
 	c.Close()
-	if what := g.nextOutcome(); status != 200 || !strings.Contains(what, "client left") {
-		t.Error(status, what)
+	if outcome := g.nextOutcome(); status != 200 || !strings.Contains(outcome, "client left") {
+		t.Error(status, outcome)
 	}
 	if n, _ := g.server.runsOf("id"); n != 0 {
 		t.Error("ran")
@@ -265,8 +265,8 @@
 		g := newTestGateway(t, faultrules.Strike{Kind: kind, Delay: time.Minute})
 		g.injector.unrecorded.Store(true)
 		status, body, _ := g.request(t, &http.Client{}, "k1", "id", "b", "X-Deadline-Ms", "2000")
-		if what := g.nextOutcome(); status != 200 || body != "id 1 b" || !strings.HasPrefix(what, "not made") {
-			t.Error(kind, status, body, what)
+		if outcome := g.nextOutcome(); status != 200 || body != "id 1 b" || !strings.HasPrefix(outcome, "not made") {
+			t.Error(kind, status, body, outcome)
 		}
 		if n, _ := g.server.runsOf("id"); n != 1 {
 			t.Error(kind, "ran", n, "times")
@@ -325,22 +325,22 @@
 	g := newTestGateway(t, faultrules.Strike{Kind: faultrules.Delay, Delay: 1500 * time.Millisecond})
 	addr := strings.TrimSuffix(strings.TrimPrefix(g.url, "http://"), "/x")
 	before := runtime.NumGoroutine()
-	most := int(g.plane.maxStruck())
-	if most != 25 { // a quarter of the places for clients
-		t.Fatal(most)
+	limit := int(g.plane.maxStruck())
+	if limit != 25 { // a quarter of the places for clients
+		t.Fatal(limit)
 	}
 	client := &http.Client{}
 	g.request(t, client, "k10", "first", "b") // its connection stays open
-	knock := func(what string, i int) net.Conn {
+	connect := func(prefix string, i int) net.Conn {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(c, "POST /x HTTP/1.1\r\nHost: toy.example\r\nAuthorization: Bearer k1\r\n%s: %s-%d\r\nContent-Length: 0\r\n\r\n", headerID, what, i)
+		fmt.Fprintf(c, "POST /x HTTP/1.1\r\nHost: toy.example\r\nAuthorization: Bearer k1\r\n%s: %s-%d\r\nContent-Length: 0\r\n\r\n", headerID, prefix, i)
 		return c
 	}
 	for i := range 1000 { // they disconnect at once, and keep their places while something waits for them
-		knock("gone", i).Close()
+		connect("gone", i).Close()
 	}
 	if n := runtime.NumGoroutine() - before; n > 500 {
 		t.Error(n, "goroutines for clients that left")
@@ -350,12 +350,12 @@
 	}
 	g.pause.Lock()
 	for i := range 80 {
-		c := knock("held", i)
+		c := connect("held", i)
 		defer c.Close()
-		for i < most && g.plane.struckRequests.Load() < int64(most) && g.plane.struckRequests.Load() <= int64(i) {
+		for i < limit && g.plane.struckRequests.Load() < int64(limit) && g.plane.struckRequests.Load() <= int64(i) {
 			time.Sleep(100 * time.Microsecond)
 		}
-		if n := g.plane.struckRequests.Load(); n > int64(most)+1 {
+		if n := g.plane.struckRequests.Load(); n > int64(limit)+1 {
 			t.Fatal(n, "held")
 		}
 	}
@@ -364,7 +364,7 @@
 			t.Error("another's, beside those held:", status, took)
 		}
 	}
-	if n := g.plane.struckRequests.Load(); n < int64(most) {
+	if n := g.plane.struckRequests.Load(); n < int64(limit) {
 		t.Error(n, "held while others were answered")
 	}
 	g.pause.Unlock()
@@ -384,21 +384,21 @@
 		r.Host, r.ContentLength = "toy.example", length
 		r.Header.Set("Authorization", "Bearer k1")
 		r.Header.Set(headerID, fmt.Sprint("long", length))
-		a, err := http.DefaultClient.Do(r)
+		response, err := http.DefaultClient.Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Body.Close()
-		if what := g.nextOutcome(); a.StatusCode != 200 || what != "ran twice" {
-			t.Error(length, a.StatusCode, what)
+		response.Body.Close()
+		if outcome := g.nextOutcome(); response.StatusCode != 200 || outcome != "ran twice" {
+			t.Error(length, response.StatusCode, outcome)
 		}
 	}
 	if !slices.Equal(g.server.bodySums, []string{sum, sum, sum, sum}) {
 		t.Error("not the same:", g.server.bodySums)
 	}
 	status, _, _ := g.request(t, http.DefaultClient, "k1", "longer", strings.Repeat(long, 3))
-	if what := g.nextOutcome(); status != 200 || !strings.HasPrefix(what, "not doubled: its body") {
-		t.Error(status, what)
+	if outcome := g.nextOutcome(); status != 200 || !strings.HasPrefix(outcome, "not doubled: its body") {
+		t.Error(status, outcome)
 	}
 	if n := g.plane.copiedBytes.Load(); n != 0 {
 		t.Error(n, "bytes are still held")
--- a/internal/dataplane/handler_test.go
+++ b/internal/dataplane/handler_test.go
@@ -26,18 +26,18 @@
 // will be repeated.
 func TestNoServerTakesNoQuota(t *testing.T) {
 	g := newTestGateway(t, faultrules.Strike{})
-	counted := 0
-	g.quota = func(string) bool { counted++; return counted <= 1 }
+	quotaCalls := 0
+	g.quota = func(string) bool { quotaCalls++; return quotaCalls <= 1 }
 	g.plane.SetServers(nil)
 	for _, id := range []string{"a", "b", "c"} {
-		if status, _, _ := g.request(t, http.DefaultClient, "k10", id, "x"); status != http.StatusServiceUnavailable || counted > 0 {
-			t.Errorf("%s, without a server: %d, %d counted", id, status, counted)
+		if status, _, _ := g.request(t, http.DefaultClient, "k10", id, "x"); status != http.StatusServiceUnavailable || quotaCalls > 0 {
+			t.Errorf("%s, without a server: %d, %d counted", id, status, quotaCalls)
 		}
 	}
 	g.plane.SetServers(g.servers)
 	for i, want := range []int{http.StatusOK, http.StatusTooManyRequests} {
-		if status, _, _ := g.request(t, http.DefaultClient, "k10", strconv.Itoa(i), "x"); status != want || counted != i+1 {
-			t.Errorf("request %d with a server: %d, %d counted", i, status, counted)
+		if status, _, _ := g.request(t, http.DefaultClient, "k10", strconv.Itoa(i), "x"); status != want || quotaCalls != i+1 {
+			t.Errorf("request %d with a server: %d, %d counted", i, status, quotaCalls)
 		}
 	}
 }
@@ -45,19 +45,19 @@
 // TestRepeatedIDIsRefused: with two IDs it would be open which one the answer belongs to.
 func TestRepeatedIDIsRefused(t *testing.T) {
 	g := newTestGateway(t, faultrules.Strike{})
-	ask := func(names ...string) int {
+	request := func(ids ...string) int {
 		r, _ := http.NewRequest("GET", g.url, nil)
 		r.Host = "toy.example"
 		r.Header.Set("Authorization", "Bearer k10")
-		r.Header[headerID] = names
-		a, err := http.DefaultClient.Do(r)
+		r.Header[headerID] = ids
+		response, err := http.DefaultClient.Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Body.Close()
-		return a.StatusCode
+		response.Body.Close()
+		return response.StatusCode
 	}
-	if status := ask("a", "b"); status != http.StatusBadRequest {
+	if status := request("a", "b"); status != http.StatusBadRequest {
 		t.Errorf("two names: %d", status)
 	}
 	for _, id := range []string{"a", "b"} {
--- a/internal/dataplane/idle_test.go
+++ b/internal/dataplane/idle_test.go
@@ -37,22 +37,22 @@
 		start := time.Now()
 		p := New(Options{Env: countingHost{hostenv.Real, &wakes}, Now: func() time.Duration { return time.Hour + time.Since(start) }, MaxServerConns: 100, Seed: 1})
 		p.Adopt(largeTable(t, 1))
-		var all []Server
+		var servers []Server
 		for i := range 5200 {
-			all = append(all, Server{ID: fmt.Sprint("srv-", i), Addr: fmt.Sprint("a-", i), Service: fmt.Sprint("s-", i%180), Capacity: 50, State: choice.Up})
+			servers = append(servers, Server{ID: fmt.Sprint("srv-", i), Addr: fmt.Sprint("a-", i), Service: fmt.Sprint("s-", i%180), Capacity: 50, State: choice.Up})
 		}
-		p.SetServers(all)
+		p.SetServers(servers)
 		time.Sleep(3 * time.Second)
-		for _, what := range []string{"after the start", "after a change of servers"} {
-			was := wakes.Load()
+		for _, phase := range []string{"after the start", "after a change of servers"} {
+			before := wakes.Load()
 			time.Sleep(10 * time.Second)
-			got := float64(wakes.Load()-was) / 10
-			t.Logf("%s: %.1f wakes a second", what, got)
-			if got > 40 { // each lane wakes once in 8 s
-				t.Errorf("%s: %.1f wakes a second of 180 lanes", what, got)
+			rate := float64(wakes.Load()-before) / 10
+			t.Logf("%s: %.1f wakes a second", phase, rate)
+			if rate > 40 { // each lane wakes once in 8 s
+				t.Errorf("%s: %.1f wakes a second of 180 lanes", phase, rate)
 			}
-			all[0].Capacity++
-			p.SetServers(all)
+			servers[0].Capacity++
+			p.SetServers(servers)
 			time.Sleep(2 * time.Second)
 		}
 		p.SetServers(nil) // closes the connections to the servers
--- a/internal/dataplane/lane_test.go
+++ b/internal/dataplane/lane_test.go
@@ -21,12 +21,12 @@
 // else would read it, and its connection would stay open for good.
 func TestLateStreamIsClosed(t *testing.T) {
 	g := newTestGateway(t, faultrules.Strike{})
-	l, late := (*g.plane.lanes.Load())["toy"], &closeRecorder{}
+	l, stream := (*g.plane.lanes.Load())["toy"], &closeRecorder{}
 	resp := fasthttp.AcquireResponse()
-	resp.SetBodyStream(late, -1)
+	resp.SetBodyStream(stream, -1)
 	l.core.AttemptEnded(1, routing.Attempt{ID: 99}, choice.OK, resp, nil)
 	l.core.Stats() // returns after the core has handled the call above
-	if !late.closed.Load() {
+	if !stream.closed.Load() {
 		t.Error("a late stream stays open")
 	}
 }
--- a/internal/dataplane/times_test.go
+++ b/internal/dataplane/times_test.go
@@ -24,10 +24,10 @@
 		t.Fatal("answered ", status)
 	}
 	select {
-	case at := <-got:
-		for i, when := range at {
-			if when == 0 || i > 0 && when < at[i-1] {
-				t.Errorf("stage %d at %d, the one before at %v", i, when, at[:i])
+	case marks := <-got:
+		for i, mark := range marks {
+			if mark == 0 || i > 0 && mark < marks[i-1] {
+				t.Errorf("stage %d at %d, the one before at %v", i, mark, marks[:i])
 			}
 		}
 	case <-time.After(10 * time.Second):
