--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -414,8 +414,8 @@
 func (p *Process) logTotals() {
 	for name, stats := range p.plane.ServiceStats() {
 		p.logger.WithFields(log.Fields{"service": name, "requests": stats.Requests, "served": stats.Served, "refused": stats.Refused,
-			"failed": stats.Failed, "gone": stats.ClientsGone, "attempts": stats.Attempts, "ends": stats.Outcomes, "why": stats.Module.Refused,
-			"limit": fmt.Sprintf("%.1f", stats.Module.Limit), "out": fmt.Sprintf("%.1f", stats.Module.InFlight)}).Info("totals")
+			"failed": stats.Failed, "gone": stats.ClientsGone, "attempts": stats.Attempts, "ends": stats.Outcomes, "why": stats.Balancer.Refused,
+			"limit": fmt.Sprintf("%.1f", stats.Balancer.Limit), "out": fmt.Sprintf("%.1f", stats.Balancer.InFlight)}).Info("totals")
 	}
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
--- a/internal/memberlist/index.go
+++ b/internal/memberlist/index.go
@@ -23,12 +23,12 @@
 
 // partDigests returns the digests of n parts, four bytes each.
 func (m *Machine) partDigests(n int) []byte {
-	sums := make([]uint32, n)
+	digests := make([]uint32, n)
 	for i, s := range m.partSums {
-		sums[i&(n-1)] ^= s
+		digests[i&(n-1)] ^= s
 	}
 	var b []byte
-	for _, s := range sums {
+	for _, s := range digests {
 		b = binary.BigEndian.AppendUint32(b, s)
 	}
 	return b
@@ -41,27 +41,27 @@
 	if n > maxParts || n&(n-1) != 0 || n == 0 {
 		return
 	}
-	ours, only := m.partDigests(n), make([]byte, (n+7)/8)
+	ours, differing := m.partDigests(n), make([]byte, (n+7)/8)
 	for i := range n {
 		if !slices.Equal(ours[4*i:4*i+4], x.PartDigests[4*i:4*i+4]) {
-			only[i/8] |= 1 << (i % 8)
+			differing[i/8] |= 1 << (i % 8)
 		}
 	}
 	for k := 0; m.lostCount > 0 && k < len(m.sorted); k++ {
 		e := m.sorted[k]
 		if i := partOf(e, n); e.lostHere {
-			only[i/8] |= 1 << (i % 8)
+			differing[i/8] |= 1 << (i % 8)
 		}
 	}
-	if slices.Max(only) > 0 {
-		m.send(from, Index{Rows: m.encodeIndex(func(e *entry) bool { return inParts(only, n, e) }), Parts: append(only, byte(bits.Len(uint(n)))), Encoding: encodingPacked})
+	if slices.Max(differing) > 0 {
+		m.send(from, Index{Rows: m.encodeIndex(func(e *entry) bool { return inParts(differing, n, e) }), Parts: append(differing, byte(bits.Len(uint(n)))), Encoding: encodingPacked})
 	}
 }
 
 // inParts reports whether an entry belongs to one of the parts in the bit set.
-func inParts(only []byte, n int, e *entry) bool {
+func inParts(parts []byte, n int, e *entry) bool {
 	i := partOf(e, n)
-	return only[i/8]&(1<<(i%8)) != 0
+	return parts[i/8]&(1<<(i%8)) != 0
 }
 
 // addrHash identifies the entry in an index.
@@ -76,10 +76,10 @@
 }
 
 // encodeIndex encodes the entries that the filter selects; a nil filter selects all.
-func (m *Machine) encodeIndex(of func(*entry) bool) []byte {
+func (m *Machine) encodeIndex(filter func(*entry) bool) []byte {
 	b := make([]byte, 0, 8*len(m.sorted))
 	for _, e := range m.sorted {
-		if of == nil || of(e) {
+		if filter == nil || filter(e) {
 			b = binary.BigEndian.AppendUint32(b, e.addrHash())
 			b = binary.BigEndian.AppendUint32(b, e.indexVersion())
 		}
@@ -101,35 +101,35 @@
 			return
 		}
 	}
-	most := m.entryAllowance()
+	allowed := m.entryAllowance()
 	var nodes []Node
-	var want []uint32
+	var wanted []uint32
 	for _, e := range m.sorted {
 		if !all && !inParts(x.Parts, n, e) {
 			continue
 		}
 		key := e.addrHash()
-		v, has := theirs[key]
+		v, known := theirs[key]
 		delete(theirs, key)
-		if has && v == e.indexVersion() {
+		if known && v == e.indexVersion() {
 			continue
 		}
-		if !e.lostHere && (has || e.node.State != Gone) && len(nodes) < most {
+		if !e.lostHere && (known || e.node.State != Gone) && len(nodes) < allowed {
 			nodes = append(nodes, e.node)
 		}
-		if has && v != 0 {
-			want = append(want, key)
+		if known && v != 0 {
+			wanted = append(wanted, key)
 		}
 	}
 	for key, v := range theirs {
 		if v != 0 {
-			want = append(want, key)
+			wanted = append(wanted, key)
 		}
 	}
-	slices.Sort(want)
+	slices.Sort(wanted)
 	m.entryBudget -= float64(len(nodes))
-	if len(nodes)+len(want) > 0 {
-		m.send(from, m.newDiff(nodes, want, x.Encoding))
+	if len(nodes)+len(wanted) > 0 {
+		m.send(from, m.newDiff(nodes, wanted, x.Encoding))
 	}
 }
 
--- a/internal/registry/pace_test.go
+++ b/internal/registry/pacing_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// TestPace: while news comes all the time, a gateway of a large fleet compares its table with others' once in a while
-// and no more; one of a small fleet, or one that hears no news, at each difference it is told of, but for the pace.
-func TestPace(t *testing.T) {
+// TestComparisonPacing checks how often tables are compared. Under constant updates a gateway of a
+// large fleet compares rarely; without updates it compares as often as the interval allows, and in
+// a small fleet at each difference.
+func TestComparisonPacing(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
 		news     bool
 		least    int
 		most     int
 	}{{490, true, 4, 6}, {490, false, 25, 60}, {91, true, 6000, 6000}} {
-		p := newPlan(t, c.gateways, 200)
-		begun, row := 0, p.rows[0]
+		p := newFixture(t, c.gateways, 200)
+		started, row := 0, p.rows[0]
 		for i := range 6000 { // 60 s
 			p.now += 10 * time.Millisecond
 			from := p.nodes[1+i%(c.gateways-1)].Addr
@@ -24,14 +25,14 @@
 				row.Capacity = 6 + i%2
 				p.m.Receive(p.now, from, Update{Rows: []Row{row}})
 			}
-			for _, s := range p.m.Receive(p.now, from, TableDigest{Hash: p.m.sum + 1}).Send {
+			for _, s := range p.m.Receive(p.now, from, TableDigest{Hash: p.m.tableDigest + 1}).Send {
 				if _, ok := s.Msg.(ServiceDigests); ok && s.To == from {
-					begun++
+					started++
 				}
 			}
 		}
-		if begun < c.least || begun > c.most {
-			t.Errorf("%d gateways, news %v: %d comparisons in 60 s, wanted %d to %d", c.gateways, c.news, begun, c.least, c.most)
+		if started < c.least || started > c.most {
+			t.Errorf("%d gateways, updates %v: %d comparisons in 60 s, want %d to %d", c.gateways, c.news, started, c.least, c.most)
 		}
 	}
 }
--- a/internal/registry/relay.go
+++ b/internal/registry/relay.go
@@ -10,109 +10,111 @@
 	"asterwell/internal/fsm"
 )
 
-// News goes to all by way of a few: the first of each group passes it on to the rest, and its
-// Ack tells who has confirmed. So neither what a home sends nor the connections it has to make
-// grow with the gateways but with their root; up to mostDirect, each is a group of one.
+// Updates reach all processes through relays: the first process of each group forwards them to the
+// rest, and its Ack lists who has confirmed. So the traffic and connections of a home grow with the
+// square root of the number of processes. Up to maxDirect processes, each is a group of its own.
 const (
-	mostDirect = 16
-	relayFor   = 40 * time.Millisecond // then a relay says whom it has heard so far
+	maxDirect       = 16
+	relayAckTimeout = 40 * time.Millisecond // then a relay reports the confirmations that it has
 )
 
-// passage is news that goes on: from whom, and its number there.
-type passage struct {
-	from string
-	no   uint64
+// relayKey identifies a forwarded update by its sender and its number there.
+type relayKey struct {
+	from   string
+	number uint64
 }
 
-// relay is such news, while not all have confirmed it.
+// relay is a forwarded update that not all have confirmed.
 type relay struct {
-	left  map[string]bool
-	by    []string
-	since fsm.Time
+	unconfirmed map[string]bool
+	confirmed   []string
+	since       fsm.Time
 }
 
-// grouped are the groups, neighbours by zone, each time with another relay.
-func (m *Machine) grouped() [][]string {
+// relayRoutes returns the groups, which are formed by zone, each with another first member at each
+// call.
+func (m *Machine) relayRoutes() [][]string {
 	n := len(m.peers)
-	if m.groups == nil && n > 0 {
+	if m.relayGroups == nil && n > 0 {
 		size := 1
-		if n > mostDirect {
-			size = int(math.Ceil(float64(n) / max(mostDirect, math.Sqrt(float64(n)))))
+		if n > maxDirect {
+			size = int(math.Ceil(float64(n) / max(maxDirect, math.Sqrt(float64(n)))))
 		}
 		all := slices.Clone(m.peers)
 		slices.SortStableFunc(all, func(a, b string) int { return cmp.Compare(m.nodes[a].Zone, m.nodes[b].Zone) })
-		m.groups = slices.Collect(slices.Chunk(all, size))
+		m.relayGroups = slices.Collect(slices.Chunk(all, size))
 	}
-	out := make([][]string, 0, len(m.groups))
-	for _, g := range m.groups {
+	out := make([][]string, 0, len(m.relayGroups))
+	for _, g := range m.relayGroups {
 		first := m.rand.IntN(len(g))
 		out = append(out, append(slices.Clone(g[first:]), g[:first]...))
 	}
 	return out
 }
 
-// passOn is a relay's part.
-func (m *Machine) passOn(from string, x Update) {
+// forward forwards an update as a relay.
+func (m *Machine) forward(from string, x Update) {
 	for _, a := range x.ForwardTo {
-		on := Update{Number: x.Number, Rows: x.Rows}
+		forwarded := Update{Number: x.Number, Rows: x.Rows}
 		if x.Number != 0 {
-			on.Origin = from
+			forwarded.Origin = from
 		}
-		m.send(a, on)
+		m.send(a, forwarded)
 	}
 	if x.Number == 0 {
 		return
 	}
-	r := &relay{left: map[string]bool{}, since: m.now}
+	r := &relay{unconfirmed: map[string]bool{}, since: m.now}
 	for _, a := range x.ForwardTo {
-		r.left[a] = true
+		r.unconfirmed[a] = true
 	}
-	m.relays[passage{from, x.Number}] = r
+	m.pendingRelays[relayKey{from, x.Number}] = r
 }
 
-// passBack takes an Ack that is for another.
-func (m *Machine) passBack(from string, x Ack) {
-	to := passage{x.Origin, x.Number}
-	r := m.relays[to]
+// forwardAck handles an Ack that is for another process.
+func (m *Machine) forwardAck(from string, x Ack) {
+	key := relayKey{x.Origin, x.Number}
+	r := m.pendingRelays[key]
 	switch {
-	case r == nil || !r.left[from]:
+	case r == nil || !r.unconfirmed[from]:
 		m.send(x.Origin, Ack{Number: x.Number, Confirmer: from})
 		return
-	case len(r.left) > 1:
-		delete(r.left, from)
-		r.by = append(r.by, from)
+	case len(r.unconfirmed) > 1:
+		delete(r.unconfirmed, from)
+		r.confirmed = append(r.confirmed, from)
 		return
 	}
-	delete(m.relays, to)
-	m.send(x.Origin, Ack{Number: x.Number, ConfirmedBy: append(r.by, from)})
+	delete(m.pendingRelays, key)
+	m.send(x.Origin, Ack{Number: x.Number, ConfirmedBy: append(r.confirmed, from)})
 }
 
-// relayed ends the wait of relays: what comes later is passed back by itself.
-func (m *Machine) relayed() {
-	var over []passage
-	for to, r := range m.relays {
-		if m.now-r.since >= relayFor {
-			over = append(over, to)
+// expireRelays ends the wait of relays; later Acks are forwarded one by one.
+func (m *Machine) expireRelays() {
+	var expired []relayKey
+	for key, r := range m.pendingRelays {
+		if m.now-r.since >= relayAckTimeout {
+			expired = append(expired, key)
 		}
 	}
-	slices.SortFunc(over, func(a, b passage) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.no, b.no)) })
-	for _, to := range over {
-		m.send(to.from, Ack{Number: to.no, ConfirmedBy: m.relays[to].by})
-		delete(m.relays, to)
+	slices.SortFunc(expired, func(a, b relayKey) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.number, b.number)) })
+	for _, key := range expired {
+		m.send(key.from, Ack{Number: key.number, ConfirmedBy: m.pendingRelays[key].confirmed})
+		delete(m.pendingRelays, key)
 	}
 }
 
-// unused tells whether all know that a server leaves, by us: nobody sends to it any more.
-func (m *Machine) unused(id string) bool { return m.settled(id, Quiescing) }
+// quiesceConfirmed reports whether all have confirmed to this process that a server leaves, so that
+// none sends requests to it any more.
+func (m *Machine) quiesceConfirmed(id string) bool { return m.fullyConfirmed(id, Quiescing) }
 
-// finished is the end of those that have waited for other news.
-func (m *Machine) finished() {
-	for _, id := range slices.Sorted(maps.Keys(m.ending)) {
-		delete(m.ending, id)
+// flushPendingEnds ends the servers whose end waited for another update.
+func (m *Machine) flushPendingEnds() {
+	for _, id := range slices.Sorted(maps.Keys(m.pendingEnds)) {
+		delete(m.pendingEnds, id)
 		if it := m.items[id]; it != nil && it.Phase != Ended {
-			m.end(id)
-			if m.unused(id) {
-				m.spreads[id].phase = Ended // nothing waits for it
+			m.endServer(id)
+			if m.quiesceConfirmed(id) {
+				m.propagations[id].phase = Ended // no call waits for it
 			}
 		}
 	}
