--- a/internal/daemon/quotas.go
+++ b/internal/daemon/quotas.go
@@ -11,22 +11,22 @@
 	"asterwell/internal/quotas"
 )
 
-// account is what the meter's decisions went by.
-func (l *meter) account(now fsm.Time) quotas.Stats {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.m.Stats(now)
+// account returns the basis of the meter's decisions.
+func (m *meter) account(now fsm.Time) quotas.Stats {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.inner.Stats(now)
 }
 
-// quotas shows operators what this gateway's decisions about quotas went by.
-func (p *Process) quotas(ctx *fasthttp.RequestCtx, _ string) {
-	p.show(ctx, func(p *Process) any {
-		a, name := p.meter.account(p.now()), named(p.knot.GatewaySights(p.now()))
-		return adminapi.Quotas{Asked: p.set.NodeName, Mesh: p.self, ContactS: p.contactS(), Holder: cmp.Or(name(a.Holder), a.Holder),
-			HolderChanges: a.HolderChanges, SharesFor: a.Gateways, InTouch: a.Reachable, UnansweredMs: a.UnansweredMS,
-			BehindUnits: a.MaxBehind, BehindAnswers: a.AnswersBehind,
+// showQuotas answers with the basis of this gateway's quota decisions.
+func (p *Process) showQuotas(ctx *fasthttp.RequestCtx, _ string) {
+	p.showJSON(ctx, func(p *Process) any {
+		stats, name := p.meter.account(p.now()), gatewayNames(p.machine.GatewayStatuses(p.now()))
+		return adminapi.Quotas{Asked: p.settings.NodeName, Mesh: p.meshAddr, ContactS: p.contactSeconds(), Holder: cmp.Or(name(stats.Holder), stats.Holder),
+			HolderChanges: stats.HolderChanges, SharesFor: stats.Gateways, InTouch: stats.Reachable, UnansweredMs: stats.UnansweredMS,
+			BehindUnits: stats.MaxBehind, BehindAnswers: stats.AnswersBehind,
 			Decided: lo.Map(quotas.Bases(), func(b quotas.Basis, _ int) adminapi.QuotaDecisions {
-				return adminapi.QuotaDecisions{Basis: b.String(), Passed: a.Decided[b].Passed, Refused: a.Decided[b].Refused}
+				return adminapi.QuotaDecisions{Basis: b.String(), Passed: stats.Decided[b].Passed, Refused: stats.Decided[b].Refused}
 			})}
 	})
 }
--- /dev/null
+++ b/internal/dataplane/handler.go
@@ -0,0 +1,160 @@
+package dataplane
+
+import (
+	"bytes"
+	"errors"
+	"math"
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/valyala/fasthttp"
+
+	"asterwell/internal/protocol"
+	"asterwell/internal/routing"
+)
+
+var errRepeatedID = errors.New(headerID + ": more than one")
+
+// Handle serves one request of a client.
+func (p *Plane) Handle(ctx *fasthttp.RequestCtx) {
+	p.handle(ctx)
+	if p.options.Leaving() { // the client's next request should go to another gateway
+		ctx.SetConnectionClose()
+	}
+}
+
+// notReadyRetryAfter is the Retry-After of a gateway that has no configuration yet.
+const notReadyRetryAfter = 300 * time.Millisecond
+
+func (p *Plane) handle(ctx *fasthttp.RequestCtx) {
+	var times *protocol.Times
+	if p.options.OnRequestTimes != nil {
+		times = &protocol.Times{Clock: func() int64 { return time.Now().UnixNano() }}
+		times.Mark(protocol.Begun)
+	}
+	t := p.table.Load()
+	if t == nil || p.options.Closing != nil && p.options.Closing() {
+		refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
+		return
+	}
+	path, _, _ := bytes.Cut(ctx.Request.Header.RequestURI(), []byte("?"))
+	route := t.Route(string(ctx.Request.Header.Host()), string(path))
+	if route == nil {
+		ctx.Error("no such route\n", fasthttp.StatusNotFound)
+		return
+	}
+	if ok, again := p.passGate(ctx, t, route); again {
+		p.handle(ctx)
+		return
+	} else if !ok {
+		return
+	}
+	var id, credential, deadlineHeader string
+	idCount := 0
+	call := serverDialect.NewCall(ctx, func(name, value []byte) {
+		switch len(name) {
+		case len(headerID):
+			if bytes.EqualFold(name, []byte(headerID)) {
+				id = string(value)
+				idCount++
+			}
+		case len(serverDialect.Deadline): // Authorization has the same length
+			if bytes.EqualFold(name, []byte(serverDialect.Deadline)) {
+				deadlineHeader = string(value)
+			} else if bytes.EqualFold(name, []byte("Authorization")) {
+				credential = string(bytes.TrimPrefix(value, []byte("Bearer ")))
+			}
+		}
+	})
+	err := call.Err()
+	if idCount > 1 { // the server might use the other one, so its answer couldn't be matched
+		err = errRepeatedID
+	}
+	if err != nil {
+		protocol.Bad(ctx, err)
+		return
+	}
+	call.Transparent, call.Times = true, times
+	request := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: quotaPlan, Units: 1, Gateways: 1, ResolveTerms: p.leaseCheck(t, route)}
+	lane := (*p.lanes.Load())[route.Pick(xxhash.Sum64String(id))]
+	rank := route.Rank
+	if t.Keyed() && !route.Anonymous {
+		tenant := t.Tenant(credential)
+		if tenant == nil {
+			ctx.Error("unknown key\n", fasthttp.StatusUnauthorized)
+			return
+		}
+		if tenant.Rank != nil {
+			rank = *tenant.Rank
+		}
+		request.Customer = tenant.Name
+		call.AddHeader(headerTenant, tenant.Name)
+		times.Mark(protocol.Routed)
+		if tenant.Rate > 0 {
+			if lane.empty() { // a request that no server can run takes no quota
+				refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
+				return
+			}
+			if ok, after := p.options.TakeQuota(tenant.Name, 1); !ok {
+				p.quotaRefusals.Add(1)
+				refuse(ctx, fasthttp.StatusTooManyRequests, after)
+				return
+			}
+		}
+	}
+	times.Mark(protocol.Routed) // for requests without a key
+	times.Mark(protocol.Metered)
+	wait := route.Deadline
+	if ms, err := strconv.ParseFloat(deadlineHeader, 64); err == nil && ms > 0 {
+		wait = min(wait, time.Duration(ms*float64(time.Millisecond)))
+	}
+	request.Class, request.Deadline = className(route, rank), p.options.Now()+wait
+	call.Bind(request, wait)
+	if lane == nil {
+		refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
+		return
+	}
+	if p.injectFault(ctx, lane, id, route.Name, request, route.Deadline) {
+		return
+	}
+	final := protocol.Await(ctx, lane.core, p.requestIDs, id, request)
+	times.Mark(protocol.Decided)
+	p.answer(ctx, final)
+	if times != nil {
+		times.Mark(protocol.Ended)
+		p.options.OnRequestTimes(id, times)
+	}
+}
+
+// answer writes the response to the client.
+func (p *Plane) answer(ctx *fasthttp.RequestCtx, final protocol.Final) {
+	switch final.Kind {
+	case protocol.Served:
+		ctx.SetStatusCode(final.Answer.StatusCode())
+		protocol.PassOn(ctx, final.Answer)
+	case protocol.Refused:
+		if final.Verdict == routing.MayHaveExecuted { // no promise that it didn't run
+			ctx.SetStatusCode(fasthttp.StatusBadGateway)
+			return
+		}
+		refuse(ctx, fasthttp.StatusServiceUnavailable, final.RetryAfter)
+	case protocol.Unfit:
+		refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
+	case protocol.TimedOut:
+		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
+	case protocol.Failed:
+		ctx.SetStatusCode(fasthttp.StatusBadGateway)
+	case protocol.Twice:
+		ctx.Error(headerID+": "+protocol.SameID+"\n", fasthttp.StatusConflict)
+	}
+}
+
+// refuse promises that the request has not run and never will. The time in Retry-After is rounded up, so
+// that clients that follow it aren't too early.
+func refuse(ctx *fasthttp.RequestCtx, status int, after time.Duration) {
+	if after > 0 {
+		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(math.Ceil(after.Seconds()*1e3)/1e3, 'f', 3, 64))
+	}
+	ctx.SetStatusCode(status)
+}
