--- a/choice/books.go
+++ b/choice/books.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Books tells what it has counted, and what it goes by now.
-func (b *Balancer) Books() Books {
-	b.books.Out, b.books.Limit, b.books.Rate = b.limit.Load, b.limit.Max, b.sends
-	return b.books
+// Totals returns the counts since the start and the current load figures.
+func (b *Balancer) Totals() Totals {
+	b.totals.InFlight, b.totals.Limit, b.totals.SendRate = b.limit.Load, b.limit.Max, b.sendRate
+	return b.totals
 }
 
-// Avoided are the servers in the list that this gateway would send nothing now but a trial.
-func (b *Balancer) Avoided() int {
+// EjectedServers counts the listed servers that this gateway sends nothing to now, except for trial requests.
+func (b *Balancer) EjectedServers() int {
 	n := 0
-	for _, be := range b.fleet {
-		if be.listed && be.Out() {
+	for _, be := range b.backends {
+		if be.listed && be.Ejected() {
 			n++
 		}
 	}
 	return n
 }
 
-// Sent tells that a request's body still goes out: its server's silence counts from now on.
-func (b *Balancer) Sent(now time.Duration, id uint32, try int) {
-	if r := b.reqs[id]; r != nil && try < len(r.tries) {
-		r.tries[try].sent = now
+// HandleBodyProgress records that a request's body is still being sent: its server's silence counts from now on.
+func (b *Balancer) HandleBodyProgress(now time.Duration, id uint32, index int) {
+	if r := b.requests[id]; r != nil && index < len(r.attempts) {
+		r.attempts[index].sentAt = now
 	}
 }
 
 func (b *Balancer) logOnce(text string) {
 	if !b.logged[text] && len(b.logged) < 50 {
 		b.logged[text] = true
-		b.act.Log(text)
+		b.host.Log(text)
 	}
 }
--- a/internal/consensus/code_test.go
+++ b/internal/consensus/code_test.go
@@ -12,76 +12,78 @@
 	"asterwell/internal/fsm"
 )
 
-// slowCoder asks reflection for each field of each value: what scribes are held against.
-type slowCoder struct {
-	b       []byte
+// reflectEncoder uses reflection on each field of each value. The encode functions are compared
+// with it.
+type reflectEncoder struct {
+	buf     []byte
 	now     fsm.Time
 	written uint64
 }
 
-func (c *slowCoder) num(x uint64) { c.b = binary.AppendUvarint(c.b, x) }
+func (c *reflectEncoder) uvarint(x uint64) { c.buf = binary.AppendUvarint(c.buf, x) }
 
-// field says how one of a struct is written.
-type field uint8
+// fieldEncoding is how a field of a struct is encoded.
+type fieldEncoding uint8
 
 const (
-	plainField field = iota
-	noField
-	writeNum
+	encodePlain fieldEncoding = iota
+	encodeNothing
+	encodeWriteNumber
 )
 
-// fields is that of each struct's type: a walk writes millions.
-var fields locks.Map
+// fieldEncodings caches the encodings of each struct type, as random walks encode millions of
+// values.
+var fieldEncodings locks.Map
 
-func fieldsOf(t reflect.Type) []field {
-	if all, ok := fields.Load(t); ok {
-		return all.([]field)
+func fieldEncodingsOf(t reflect.Type) []fieldEncoding {
+	if all, ok := fieldEncodings.Load(t); ok {
+		return all.([]fieldEncoding)
 	}
-	all := make([]field, t.NumField())
+	all := make([]fieldEncoding, t.NumField())
 	for i := range all {
 		switch f := t.Field(i); {
-		case slices.Contains(writeNums, f.Name):
-			all[i] = writeNum
-		case slices.Contains(leftOut, f.Type):
-			all[i] = noField
+		case slices.Contains(writeNumberFields, f.Name):
+			all[i] = encodeWriteNumber
+		case slices.Contains(skippedTypes, f.Type):
+			all[i] = encodeNothing
 		}
 	}
-	fields.Store(t, all)
+	fieldEncodings.Store(t, all)
 	return all
 }
 
-func (c *slowCoder) value(v reflect.Value) {
-	if !slices.Contains(leftOut, v.Type()) {
+func (c *reflectEncoder) value(v reflect.Value) {
+	if !slices.Contains(skippedTypes, v.Type()) {
 		c.plain(v)
 	}
 }
 
-func (c *slowCoder) plain(v reflect.Value) {
+func (c *reflectEncoder) plain(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
-		c.num(map[bool]uint64{true: 1}[v.Bool()])
+		c.uvarint(map[bool]uint64{true: 1}[v.Bool()])
 	case reflect.Int64, reflect.Int:
 		if v.Type() != timeType {
-			c.num(uint64(v.Int()))
+			c.uvarint(uint64(v.Int()))
 		} else if at := fsm.Time(v.Int()); at == 0 {
-			c.num(0)
+			c.uvarint(0)
 		} else {
-			c.num(uint64(min(c.now-at, oldest)+2*oldest) + 1)
+			c.uvarint(uint64(min(c.now-at, maxEncodedAge)+2*maxEncodedAge) + 1)
 		}
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
-		c.num(v.Uint())
+		c.uvarint(v.Uint())
 	case reflect.String:
-		c.num(uint64(v.Len()))
-		c.b = append(c.b, v.String()...)
+		c.uvarint(uint64(v.Len()))
+		c.buf = append(c.buf, v.String()...)
 	case reflect.Slice:
-		c.num(uint64(v.Len()))
-		if !slices.Contains(leftOut, v.Type().Elem()) {
+		c.uvarint(uint64(v.Len()))
+		if !slices.Contains(skippedTypes, v.Type().Elem()) {
 			for i := range v.Len() {
 				c.plain(v.Index(i))
 			}
 		}
 	case reflect.Map:
-		c.num(uint64(v.Len()))
+		c.uvarint(uint64(v.Len()))
 		keys := v.MapKeys()
 		slices.SortFunc(keys, func(a, b reflect.Value) int {
 			if a.String() < b.String() {
@@ -95,63 +97,67 @@
 		}
 	case reflect.Pointer:
 		if v.IsNil() {
-			c.num(0)
+			c.uvarint(0)
 			return
 		}
-		c.num(1)
+		c.uvarint(1)
 		c.value(v.Elem())
 	case reflect.Interface:
 		c.value(reflect.ValueOf(v.Elem().Type().Name()))
 		c.value(v.Elem())
 	case reflect.Struct:
-		for i, how := range fieldsOf(v.Type()) {
+		for i, how := range fieldEncodingsOf(v.Type()) {
 			switch how {
-			case noField:
-			case writeNum:
+			case encodeNothing:
+			case encodeWriteNumber:
 				n := v.Field(i).Uint()
 				if n > 0 {
 					n = n - c.written + 1
 				}
-				c.num(n)
+				c.uvarint(n)
 			default:
 				c.plain(v.Field(i))
 			}
 		}
 	default:
-		panic(v.Type()) // a bug: a kind that no field had
+		panic(v.Type()) // a bug: no field had this kind so far
 	}
 }
 
-// TestScribes: scribes write each state and message of drawn schedules as reflection reads it, byte by byte.
-func TestScribes(t *testing.T) {
+// TestEncodeFuncs checks that the encode functions write each state and message of random walks
+// exactly as reflection reads them.
+func TestEncodeFuncs(t *testing.T) {
 	cells, messages := 0, 0
-	for _, b := range []Bounds{
-		{Puts: 3, Reads: 2, Lost: 3, Late: 2, Doubled: 2, Deaths: 2, Wipes: 1, Shorts: 6, Longs: 3, Copies: 1, Backs: 1},
-		{Puts: 2, Same: true, Lost: 2, Late: 1, Deaths: 1, Shorts: 6, Longs: 3, Leaves: 2, Learner: true},
+	for _, b := range []ModelBounds{
+		{Puts: 3, Reads: 2, LostMessages: 3, LateMessages: 2, DuplicatedMessages: 2, Crashes: 2, DiskWipes: 1,
+			ShortWaits: 6, LongWaits: 3, DiskCopies: 1, DiskRollbacks: 1},
+		{Puts: 2, SameVersion: true, LostMessages: 2, LateMessages: 1, Crashes: 1, ShortWaits: 6, LongWaits: 3,
+			Leaves: 2, Learner: true},
 	} {
 		x := newExplorer(b)
-		begin := x.first()
+		begin := x.initialState()
 		for seed := uint64(1); seed <= 30; seed++ {
-			w := &walk{x: x, s: begin.clone(), rng: rand.New(rand.NewPCG(seed, 7))}
+			w := &randomWalk{explorer: x, state: begin.clone(), rng: rand.New(rand.NewPCG(seed, 7))}
 			w.run(160)
 		}
-		for _, c := range x.cells {
-			slow := slowCoder{b: append([]byte(c.m.c.Self), 0), now: c.m.now, written: c.m.written}
+		for _, c := range x.nodes {
+			slow := reflectEncoder{buf: append([]byte(c.machine.config.Self), 0), now: c.machine.now,
+				written: c.machine.written}
 			slow.value(reflect.ValueOf(c).Elem())
-			if got := c.code(nil); !bytes.Equal(got, slow.b) {
-				t.Fatalf("a state is written\n%x, not\n%x", got, slow.b)
+			if got := c.encode(nil); !bytes.Equal(got, slow.buf) {
+				t.Fatalf("a state is encoded as\n%x, want\n%x", got, slow.buf)
 			}
 		}
-		for _, msg := range x.msgs {
-			slow := slowCoder{b: append([]byte(reflect.TypeOf(msg).Name()), 0)}
+		for _, msg := range x.messages {
+			slow := reflectEncoder{buf: append([]byte(reflect.TypeOf(msg).Name()), 0)}
 			slow.value(reflect.ValueOf(msg))
-			if got := code(msg, nil); !bytes.Equal(got, slow.b) {
-				t.Fatalf("%T is written\n%x, not\n%x", msg, got, slow.b)
+			if got := encodeMessage(msg, nil); !bytes.Equal(got, slow.buf) {
+				t.Fatalf("%T is encoded as\n%x, want\n%x", msg, got, slow.buf)
 			}
 		}
-		cells, messages = cells+len(x.cells), messages+len(x.msgs)
+		cells, messages = cells+len(x.nodes), messages+len(x.messages)
 	}
 	if t.Logf("%d states, %d messages", cells, messages); cells < 3000 || messages < 500 {
-		t.Error("too few states and messages were met")
+		t.Error("too few states and messages were compared")
 	}
 }
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -13,129 +13,135 @@
 )
 
 const (
-	beatEvery    = 200 * time.Millisecond
-	helloEvery   = 150 * time.Millisecond
-	pullEvery    = 300 * time.Millisecond
-	inquireEvery = 500 * time.Millisecond
-	resendEvery  = 100 * time.Millisecond
-	sticky       = 600 * time.Millisecond  // a primary heard within it lives
-	silence      = 700 * time.Millisecond  // and is lost after it
-	stall        = 450 * time.Millisecond  // a disk or a writer that takes longer is left out
-	vacant       = 1500 * time.Millisecond // a member silent so long may lose its seat
-	settle       = 600 * time.Millisecond  // no founding while members still come
-	patience     = 800 * time.Millisecond  // an operator's call, ticks included, ends within 900 ms
-	perRank      = 70 * time.Millisecond
-	booking      = 150 * time.Millisecond // keeps candidates from meeting half-way
-	gather       = 25 * time.Millisecond
+	heartbeatInterval   = 200 * time.Millisecond
+	joinInterval        = 150 * time.Millisecond
+	pullInterval        = 300 * time.Millisecond
+	viewRequestInterval = 500 * time.Millisecond
+	resendInterval      = 100 * time.Millisecond
+	primaryHold         = 600 * time.Millisecond  // members grant no promise while they heard a primary this recently
+	primaryTimeout      = 700 * time.Millisecond  // after this the primary counts as failed
+	stallTimeout        = 450 * time.Millisecond  // a disk or a writer that takes longer is replaced
+	vacancyTimeout      = 1500 * time.Millisecond // a member silent this long may lose its place to a joining one
+	quietPeriod         = 600 * time.Millisecond  // the cluster is not founded while members are still arriving
+	callTimeout         = 800 * time.Millisecond  // with the tick interval added, an operator's call ends within 900 ms
+	rankDelay           = 70 * time.Millisecond
+	preVoteReservation  = 150 * time.Millisecond // keeps two candidates from each winning half of the pre-votes
+	latePromiseWait     = 25 * time.Millisecond
 )
 
 // Config is what a process knows about itself.
 type Config struct {
-	Self       string // mesh address
-	Name, Zone string
-	Member     bool // has a disk
-	Genesis    bool // the disk is empty because nothing was ever there
-	Losses     int
-	Seeds      []string
-	Seed       uint64
-	Enter      func(kept, next Doc) Doc // what a primary keeps of a new document; nil: it as it is
+	Self            string // mesh address
+	Name, Zone      string
+	Member          bool // has a disk
+	Genesis         bool // the disk is empty because it was never used, not because it was lost
+	ToleratedLosses int
+	Seeds           []string
+	Seed            uint64
+	// maps a proposed document, given the committed one, to what the primary stores; nil stores it unchanged
+	Transform func(committed, proposed Doc) Doc
 }
 
-// Doc is the document. Version 0 is none. A primary may amend one: the same version
-// and body with a higher Rev, and what its user keeps beside it.
+// Doc is the replicated document. Version 0 means that there is none. A primary may amend it: the
+// amendment has the same version and body, a higher Rev and another Attachment.
 type Doc struct {
-	Version uint32 `cbor:"1,keyasint,omitempty"`
-	Body    []byte `cbor:"2,keyasint,omitempty"`
-	Rev     uint32 `cbor:"3,keyasint,omitempty"`
-	Side    []byte `cbor:"4,keyasint,omitempty"`
-
-	Sum    []byte       `cbor:"5,keyasint,omitempty"` // digest of Body
-	By     Ballot       `cbor:"6,keyasint,omitzero"`  // the epoch that made it
-	Orders dedup.Ledger `cbor:"7,keyasint,omitempty"` // accepted up to this one
-	Notes  uint32       `cbor:"8,keyasint,omitempty"` // how often others were added to them since
-	// Past is of the versions before this one: it stays while the version does, amended or not.
-	Past []byte `cbor:"9,keyasint,omitempty"`
-
-	Packed *delta.Delta `cbor:"10,keyasint,omitempty"` // the body, on the wire only: see pack.go
+	Version    uint32 `cbor:"1,keyasint,omitempty"`
+	Body       []byte `cbor:"2,keyasint,omitempty"`
+	Rev        uint32 `cbor:"3,keyasint,omitempty"`
+	Attachment []byte `cbor:"4,keyasint,omitempty"`
+
+	Digest    []byte        `cbor:"5,keyasint,omitempty"` // of Body
+	CreatedIn Ballot        `cbor:"6,keyasint,omitzero"`  // the epoch whose primary created it
+	Ledger    dedup.History `cbor:"7,keyasint,omitempty"` // requests accepted up to this version
+	// how often entries were added to Ledger since this Rev was created
+	LedgerRev uint32 `cbor:"8,keyasint,omitempty"`
+	// History concerns earlier versions. It is kept as long as the version is, amended or not.
+	History []byte `cbor:"9,keyasint,omitempty"`
+
+	Packed *delta.Delta `cbor:"10,keyasint,omitempty"` // the packed body, only on the wire: see pack.go
 }
 
-// Above says which of two documents takes the other's place.
-func (d Doc) Above(o Doc) bool {
-	return cmp.Or(cmp.Compare(d.Version, o.Version), cmp.Compare(d.Rev, o.Rev), cmp.Compare(d.Notes, o.Notes)) > 0
+// Supersedes reports whether d replaces o.
+func (d Doc) Supersedes(o Doc) bool {
+	return cmp.Or(cmp.Compare(d.Version, o.Version), cmp.Compare(d.Rev, o.Rev),
+		cmp.Compare(d.LedgerRev, o.LedgerRev)) > 0
 }
 
-// Disk is all that a member must not forget.
-type Disk struct {
-	Life     uint64 `cbor:"1,keyasint"`
-	Genesis  bool   `cbor:"2,keyasint,omitempty"` // never had a seat, so there is nothing forgotten
-	Promised Ballot `cbor:"3,keyasint"`
-	Record   Record `cbor:"4,keyasint"`
-	Stamp    Ballot `cbor:"5,keyasint"`            // the epoch that Kept and Next were last copied or appended in
-	Kept     Doc    `cbor:"6,keyasint"`            // committed
-	Next     Doc    `cbor:"7,keyasint"`            // perhaps not committed, above Kept
-	Count    uint64 `cbor:"8,keyasint,omitempty"`  // saves of this life, but for those of marks alone
-	Marks    []Mark `cbor:"9,keyasint,omitempty"`  // what other seats have vouched for, see fence.go
-	Format   uint32 `cbor:"10,keyasint,omitempty"` // see DiskFormat; of a write
+// DurableState is all that a member must keep on disk.
+type DurableState struct {
+	DiskID uint64 `cbor:"1,keyasint"`
+	// the disk was never part of a membership, so it has forgotten nothing
+	NeverMember bool        `cbor:"2,keyasint,omitempty"`
+	Promised    Ballot      `cbor:"3,keyasint"`
+	Record      EpochRecord `cbor:"4,keyasint"`
+	// the epoch in which Committed and Pending were last installed or appended
+	StateBallot Ballot `cbor:"5,keyasint"`
+	Committed   Doc    `cbor:"6,keyasint"`
+	Pending     Doc    `cbor:"7,keyasint"` // possibly not committed; supersedes Committed
+	// saves with this disk ID, without those that only update KnownTokens
+	Saves       uint64       `cbor:"8,keyasint,omitempty"`
+	KnownTokens []KnownToken `cbor:"9,keyasint,omitempty"`  // fencing tokens of the other members, see fence.go
+	Format      uint32       `cbor:"10,keyasint,omitempty"` // StateFormat of the program that wrote it
 }
 
-// latest is the state that a writer vouches for.
-func latest(kept, next Doc) Doc {
-	if next.Above(kept) {
-		return next
+// newestDoc returns the document that a writer vouches for.
+func newestDoc(committed, pending Doc) Doc {
+	if pending.Supersedes(committed) {
+		return pending
 	}
-	return kept
+	return committed
 }
 
-// Verdict is how an operator's call ended.
-type Verdict uint8
+// Result is how an operator's call ended.
+type Result uint8
 
-// The verdicts.
+// The results of calls.
 const (
-	Kept Verdict = iota + 1
-	Busy
-	Read
-	None
-	Differs // another text was accepted under this number
-	Proved
+	ResultAccepted Result = iota + 1 // the request was accepted, now or earlier
+	ResultBusy                       // no clear answer in time
+	ResultRead                       // the document follows in Answer.Doc
+	ResultNone                       // there is no document
+	ResultConflict                   // another body was accepted under this version
+	ResultContact                    // the primary was reachable, and its epoch valid
 )
 
-func (v Verdict) String() string {
+func (v Result) String() string {
 	return [...]string{"?", "kept", "busy", "read", "none", "differs", "proved"}[min(int(v), 6)]
 }
 
-// Answer ends a Put, a Get or a Prove.
+// Answer ends a Put, a Get or a CheckContact.
 type Answer struct {
 	ID      uint64
-	Verdict Verdict
+	Result  Result
 	Doc     *Doc
 	Primary string
-	Version uint32 // Proved: what was kept then
+	Version uint32 // for ResultContact: the version committed at that time
 }
 
-// Write asks to sync a disk's whole content.
+// Write asks for a durable write of the whole state.
 type Write struct {
-	Seq  uint64
-	Disk Disk
+	Seq   uint64
+	State DurableState
 }
 
-// Out is what a machine wants done.
+// Out holds the actions that a machine asks its host to perform.
 type Out struct {
-	Send     []fsm.Send
-	Write    *Write
-	Answers  []Answer
-	Adopt    *Doc
-	Affirmed uint64 // the newest of Affirm's rounds that is confirmed
-	Fenced   bool   // the disk was older than what it had vouched for: this member is a newcomer now
+	Send           []fsm.Send
+	Write          *Write
+	Answers        []Answer
+	Apply          *Doc   // a committed document to put in force
+	ConfirmedRound uint64 // the newest round of ConfirmLeadership that is confirmed
+	Fenced         bool   // the disk was older than what it had vouched for, and this member rejoins as a new one
 }
 
-// Peer is a process as the membership sees it.
+// Peer is a process as the cluster membership protocol sees it.
 type Peer struct {
 	Addr, Name, Zone string
 	Member, Up       bool
-	Held             uint32
+	Version          uint32
 }
 
-// Status is for operators.
+// Status describes a machine for operators.
 type Status struct {
 	Role     string // follower, member, candidate, primary
 	Epoch    uint64
@@ -146,405 +152,416 @@
 	Version  uint32
 }
 
-type heldSend struct {
+type deferredSend struct {
 	seq  uint64
 	send fsm.Send
 }
 
 type pendingWrite struct {
-	seq   uint64
-	at    fsm.Time
-	life  uint64
-	count uint64
+	seq    uint64
+	at     fsm.Time
+	diskID uint64
+	count  uint64
 }
 
-// Machine is one process's part.
+// Machine is the consensus state machine of one process.
 type Machine struct {
-	c     Config
-	d     Disk
-	rng   *rand.Rand
-	salt  uint64
-	now   fsm.Time
-	start fsm.Time
-	tick  fsm.Time
-	out   Out
-	loop  []fsm.Send // to itself
-
-	dirty   bool
-	seq     uint64
-	written uint64
-	writes  []pendingWrite
-	lag     lag
-	fresh   []fsm.Send // to go out once what this input wrote is synced
-	held    []heldSend
-
-	seeds  []string
-	peers  []Peer
-	most   uint32 // the highest version that one of them has
-	view   Record // the newest active one known
-	told   uint32 // highest committed version heard of
-	teller string
-	given  map[string]fsm.Time // large documents that were asked for, and may be on their way still
-	primed fsm.Time            // when the primary last told its view
-
-	alive    fsm.Time // when a primary or a candidate promised to was heard
-	aliveBy  string
-	top      uint64 // highest ballot number seen
-	jitter   fsm.Time
-	booked   fsm.Time // until when only bookedBy may be granted a probe
-	bookedBy string
-	bid      *bid
-	lead     *lead
-	shun     map[string]fsm.Time
-
-	calls   []*call
-	spare   fsm.Time // when a document may be repeated again
-	queue   []*wait
-	hello   fsm.Time
-	pulled  fsm.Time
-	behind  fsm.Time // since when others are known to have more; 0: they haven't
-	turn    int
-	founder founder
-	adopted Doc     // the newest handed out to be put in force
-	recent  []Delta // that led to the document held, for those that were away; never changed in place
-	packed  Delta   // the document held, whole
-	past    []Change
-	notice  Notice   // 0: it does not leave
-	parted  fsm.Time // when it first said that it ends as soon as it may
-	left    fsm.Time // when it last asked for that
-	free    bool     // it has been released
-	active  uint64   // the write that had the record as an active one first; 0: it is on disk
-	handed  fsm.Time // when it handed its epoch over
-	bug     Bug
-
-	base   uint64   // saves that the disk had when this process started
-	safe   uint64   // saves that are synced
-	noted  fsm.Time // since when marks wait to be written; 0: none do
-	flush  bool     // they wait no longer
-	fenced int
-
-	readers readers     // of packed documents
-	parcels []parcelled // what was packed last
+	config    Config
+	state     DurableState
+	rng       *rand.Rand
+	runID     uint64
+	now       fsm.Time
+	startedAt fsm.Time
+	lastTick  fsm.Time
+	out       Out
+	selfSends []fsm.Send // messages to this process itself
+
+	dirty         bool
+	seq           uint64
+	written       uint64
+	pendingWrites []pendingWrite
+	diskLag       diskLagTracker
+	afterSave     []fsm.Send // sent once the writes of this input are synced
+	deferred      []deferredSend
+
+	seeds             []string
+	peers             []Peer
+	newestPeerVersion uint32      // the highest version that a peer has
+	view              EpochRecord // the newest active record known
+	reportedVersion   uint32      // the highest committed version that was reported
+	reportedBy        string
+	// when each process was last sent a large document, which may still be in transit
+	largeSentAt   map[string]fsm.Time
+	primaryViewAt fsm.Time // when the primary last sent its view
+
+	primaryHeardAt       fsm.Time // when a primary, or a candidate that has our promise, was last heard
+	primaryHeardFrom     string
+	highestBallot        uint64 // highest ballot number seen
+	jitter               fsm.Time
+	preVoteReservedUntil fsm.Time // until then only preVoteReservedFor may be granted a pre-vote
+	preVoteReservedFor   string
+	candidate            *candidateState
+	primary              *primaryState
+	avoidUntil           map[string]fsm.Time
+
+	calls          []*call
+	nextDocRetryAt fsm.Time // when a document may be sent again
+	waiting        []*waitingCall
+	joinSentAt     fsm.Time
+	pulledAt       fsm.Time
+	behindSince    fsm.Time // since when others are known to be ahead; 0: they are not
+	rotation       int
+	founder        founder
+	applied        Doc // the newest document handed out in Out.Apply
+	// the deltas that led to the committed document, for processes that missed some; never changed in place
+	recentDeltas      []Delta
+	packedWhole       Delta // the committed document, packed without a base
+	epochHistory      []EpochChange
+	leaving           LeaveUrgency // 0: this process is not leaving
+	leaveWhenSafeAt   fsm.Time     // when LeaveWhenSafe or LeaveForced was first requested
+	leaveSentAt       fsm.Time     // when Leave was last sent
+	leaveGranted      bool         // LeaveGranted has arrived
+	activeRecordWrite uint64       // the write that first holds the current record as active; 0: it is on disk
+	handedOverAt      fsm.Time     // when it handed its epoch over
+	bug               Bug
+
+	savesAtStart  uint64   // saves that were on the disk when this process started
+	savesSynced   uint64   // saves that are synced
+	tokensNotedAt fsm.Time // since when tokens wait to be written; 0: none do
+	flushTokens   bool     // write the waiting tokens now
+	fenceCount    int
+
+	packReaders  packReaderList // processes that read packed documents
+	packedBodies []packedBody   // the bodies packed last
 }
 
-// Bug switches a guard off, to show that the judges miss it.
+// Bug disables a safeguard, to show that the tests notice its absence.
 type Bug uint8
 
-// The bugs. Those of disks are the models'.
+// The bugs. Those that concern disks are simulated by the model checker.
 const (
-	BugAckEarly    Bug = iota + 1 // answer before the backups have it
-	BugNoPromise                  // obey primaries that were overtaken
-	BugAnyData                    // take over with whatever data the promises bring
-	BugAlone                      // take over without the witnesses' promises and records
-	BugUnsynced                   // a disk says that it has synced before it has
-	BugAmnesia                    // an empty disk counts as the one that was there
-	BugOldDisk                    // a disk put back to an older state counts as the newer one
-	BugAnyText                    // acknowledge any text under a number that is not above the one kept
-	BugForgets                    // a takeover forgets which orders were accepted
-	BugStay                       // who leaves keeps its seat
-	BugUnproven                   // who does not answer counts as lost
-	BugNoLearner                  // a newcomer has its seat before it has said that it is there
-	BugReleased                   // who leaves ends before the others know the epoch without it
-	BugFew                        // take puts with fewer writers than copies are wanted
-	BugDeaf                       // who has missed a document doesn't ask for it
-	BugStorms                     // documents are repeated to whoever may lead, as often as small calls
-	BugUnconfirmed                // reads are answered without asking the writers
-	BugWhole                      // large documents are not packed in promises, copies, appends and calls
-	BugRemnant                    // who is ended soon while another one is missing keeps its seat
-	BugAnyLife                    // answers to calls of a caller's earlier life count
-	BugOwnText                    // a candidate that lacks a text which a promise names goes on with its own
+	BugAckEarly  Bug = iota + 1 // accept before the backups have the document
+	BugNoPromise                // obey primaries of older epochs
+	// take over with the state of any promise, not only of the last epoch's writers
+	BugAnyState
+	BugNoQuorum           // take over without promises and records of a majority
+	BugEarlySync          // report a write as synced before it is
+	BugReuseDiskID        // give a wiped disk its former ID
+	BugNoFencing          // accept a disk that was restored to an older state
+	BugAnyBody            // accept any body under a version that is not above the committed one
+	BugDropLedger         // forget at a takeover which requests were accepted
+	BugNoLeave            // keep the membership of a process that leaves
+	BugAssumeLost         // count a member that does not answer as lost
+	BugSkipLearner        // add a new member before it has answered
+	BugEarlyExit          // let a leaving process exit before the others know the epoch without it
+	BugTooFewWriters      // accept documents with fewer writers than required
+	BugNoCatchUp          // do not ask for missed documents
+	BugUnthrottledRetries // repeat documents as often as small calls, and to any likely primary
+	BugUnconfirmed        // answer reads without asking the writers
+	// do not pack large documents in promises, state transfers, appends and calls
+	BugNoPacking
+	// keep the membership of a process that is stopped soon while another member is missing
+	BugNoShrinkOnForcedLeave
+	BugAnyCaller // accept replies to calls of an earlier run of the caller
+	// use the candidate's own state where it lacks a body that a promise refers to
+	BugOwnBody
 )
 
-// SetBug switches a guard off.
+// SetBug disables a safeguard.
 func (m *Machine) SetBug(b Bug) { m.bug = b }
 
-// New starts a process. A nil disk is an empty one, or none.
-func New(c Config, d *Disk, now fsm.Time) *Machine {
+// New returns the machine of a process that starts. A nil state means an empty disk, or none.
+func New(c Config, d *DurableState, now fsm.Time) *Machine {
 	h := fnv.New64a()
 	h.Write([]byte(c.Self))
-	m := &Machine{c: c, rng: rand.New(rand.NewPCG(c.Seed, h.Sum64())), now: now, start: now, tick: now,
-		alive: now, hello: now - helloEvery, pulled: now - pullEvery, shun: map[string]fsm.Time{},
-		seeds: slices.Clone(c.Seeds)}
-	m.salt = m.rng.Uint64()
+	m := &Machine{config: c, rng: rand.New(rand.NewPCG(c.Seed, h.Sum64())), now: now, startedAt: now, lastTick: now,
+		primaryHeardAt: now, joinSentAt: now - joinInterval, pulledAt: now - pullInterval,
+		avoidUntil: map[string]fsm.Time{},
+		seeds:      slices.Clone(c.Seeds)}
+	m.runID = m.rng.Uint64()
 	m.jitter = time.Duration(m.rng.Int64N(int64(60 * time.Millisecond)))
 	m.founder = newFounder(c, now)
 	if !c.Member {
 		return m
 	}
-	if d != nil && d.Life != 0 {
-		m.d = *d
+	if d != nil && d.DiskID != 0 {
+		m.state = *d
 	} else {
-		m.d = Disk{Life: m.rng.Uint64() | 1, Genesis: c.Genesis}
+		m.state = DurableState{DiskID: m.rng.Uint64() | 1, NeverMember: c.Genesis}
 		m.dirty = true
 	}
-	m.base, m.safe = m.d.Count, m.d.Count
-	m.top = m.d.Promised.N
-	if m.d.Record.Active {
-		m.view = m.d.Record
+	m.savesAtStart, m.savesSynced = m.state.Saves, m.state.Saves
+	m.highestBallot = m.state.Promised.N
+	if m.state.Record.Active {
+		m.view = m.state.Record
 	}
-	if w := m.d.Record.Writers; len(w) > 0 && w[0] == c.Self {
-		m.alive = now - silence + 150*time.Millisecond
+	if w := m.state.Record.Writers; len(w) > 0 && w[0] == c.Self {
+		m.primaryHeardAt = now - primaryTimeout + 150*time.Millisecond
 	}
 	return m
 }
 
-// Held is the newest committed document known here.
-func (m *Machine) Held() *Doc {
-	if m.d.Kept.Version == 0 {
+// Committed returns the newest committed document known here, or nil.
+func (m *Machine) Committed() *Doc {
+	if m.state.Committed.Version == 0 {
 		return nil
 	}
-	d := m.d.Kept
+	d := m.state.Committed
 	return &d
 }
 
-// Status tells operators how things stand.
+// Status describes this machine for operators.
 func (m *Machine) Status() Status {
-	s := Status{Role: "follower", Epoch: m.view.Ballot.N, Primary: m.view.primary(), Founding: m.view.Founding,
-		Writers: slices.Clone(m.view.Writers), Version: m.d.Kept.Version}
-	for _, seat := range m.view.Set {
+	s := Status{Role: "follower", Epoch: m.view.Ballot.N, Primary: m.view.primary(), Founding: m.view.ClusterID,
+		Writers: slices.Clone(m.view.Writers), Version: m.state.Committed.Version}
+	for _, seat := range m.view.Members {
 		s.Members = append(s.Members, seat.Addr)
 	}
 	switch {
-	case m.lead != nil:
+	case m.primary != nil:
 		s.Role = "primary"
-	case m.bid != nil:
+	case m.candidate != nil:
 		s.Role = "candidate"
-	case m.seated():
+	case m.isMember():
 		s.Role = "member"
 	}
 	return s
 }
 
-// Peers takes the membership's view, which may be wrong, and keeps it.
-func (m *Machine) Peers(now fsm.Time, peers []Peer) {
-	m.now, m.peers, m.most = max(m.now, now), peers, 0
+// SetPeers takes the peers as the membership protocol sees them, which may be wrong. It keeps the
+// slice.
+func (m *Machine) SetPeers(now fsm.Time, peers []Peer) {
+	m.now, m.peers, m.newestPeerVersion = max(m.now, now), peers, 0
 	for _, p := range peers {
-		m.most = max(m.most, p.Held)
+		m.newestPeerVersion = max(m.newestPeerVersion, p.Version)
 	}
 }
 
-// Holds notes which version a process has.
-func (m *Machine) Holds(addr string, version uint32) {
+// NotePeerVersion records that a process has a version.
+func (m *Machine) NotePeerVersion(addr string, version uint32) {
 	if i := slices.IndexFunc(m.peers, func(p Peer) bool { return p.Addr == addr }); i >= 0 {
-		m.peers[i].Held = max(m.peers[i].Held, version)
-		m.most = max(m.most, version)
+		m.peers[i].Version = max(m.peers[i].Version, version)
+		m.newestPeerVersion = max(m.newestPeerVersion, version)
 	}
 }
 
-// Seeds replaces the addresses to turn to.
-func (m *Machine) Seeds(now fsm.Time, seeds []string) {
+// SetSeeds replaces the addresses to contact first.
+func (m *Machine) SetSeeds(now fsm.Time, seeds []string) {
 	m.now, m.seeds = max(m.now, now), slices.Clone(seeds)
 }
 
-// Tick lets time pass.
+// Tick advances the time and does what is due.
 func (m *Machine) Tick(now fsm.Time) Out {
 	m.now = max(m.now, now)
-	if m.now-m.tick > sticky && m.lead == nil { // frozen: what was not heard says nothing
-		m.alive = m.now
-		m.bid = nil
+	// after a pause of this process, a missing heartbeat proves nothing
+	if m.now-m.lastTick > primaryHold && m.primary == nil {
+		m.primaryHeardAt = m.now
+		m.candidate = nil
 	}
-	m.tick = m.now
-	m.expire()
-	m.greet()
-	m.found()
-	m.steer()
-	m.depart()
-	m.rise()
+	m.lastTick = m.now
+	m.retryCalls()
+	m.requestJoin()
+	m.foundCluster()
+	m.maintainEpoch()
+	m.requestLeave()
+	m.campaign()
 	m.catchUp()
-	m.settleMarks()
-	return m.end()
+	m.flushTokensWhenDue()
+	return m.finishInput()
 }
 
-// Written says that a write, and all before it, are synced.
-func (m *Machine) Written(now fsm.Time, seq uint64) Out {
+// WriteDone reports that a write and all before it are synced.
+func (m *Machine) WriteDone(now fsm.Time, seq uint64) Out {
 	m.now = max(m.now, now)
 	m.written = max(m.written, seq)
-	if m.active <= m.written {
-		m.active = 0
+	if m.activeRecordWrite <= m.written {
+		m.activeRecordWrite = 0
 	}
-	if len(m.writes) > 0 && m.writes[0].seq <= seq {
-		m.lag.note(m.now, m.now-m.writes[0].at)
+	if len(m.pendingWrites) > 0 && m.pendingWrites[0].seq <= seq {
+		m.diskLag.observe(m.now, m.now-m.pendingWrites[0].at)
 	}
-	for _, w := range m.writes {
+	for _, w := range m.pendingWrites {
 		if w.seq <= m.written {
-			m.saved(w)
+			m.noteSaved(w)
 		}
 	}
-	m.writes = slices.DeleteFunc(m.writes, func(w pendingWrite) bool { return w.seq <= m.written })
-	rest := m.held[:0:0]
-	for _, h := range m.held {
+	m.pendingWrites = slices.DeleteFunc(m.pendingWrites, func(w pendingWrite) bool { return w.seq <= m.written })
+	rest := m.deferred[:0:0]
+	for _, h := range m.deferred {
 		if h.seq <= m.written {
 			m.send(h.send.To, h.send.Msg)
 		} else {
 			rest = append(rest, h)
 		}
 	}
-	m.held = rest
-	return m.end()
+	m.deferred = rest
+	return m.finishInput()
 }
 
-// Take takes a message.
-func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
+// Receive handles a message.
+func (m *Machine) Receive(now fsm.Time, from string, msg any) Out {
 	m.now = max(m.now, now)
-	m.take(from, msg)
-	return m.end()
+	m.dispatch(from, msg)
+	return m.finishInput()
 }
 
-func (m *Machine) take(from string, msg any) {
-	m.noteReader(from, msg)
-	msg, whole := m.unpacked(msg)
-	if !whole {
-		if _, ok := msg.(Forward); ok { // the caller may have gone by an older one than leads
-			m.tell(from)
+func (m *Machine) dispatch(from string, msg any) {
+	m.notePackReader(from, msg)
+	msg, complete := m.unpack(msg)
+	if !complete {
+		if _, ok := msg.(Forward); ok { // the caller may have made its delta against a base that an earlier primary had
+			m.sendView(from)
 		}
 		return
 	}
 	switch t := msg.(type) {
-	case Hello:
-		m.onHello(from, t)
-	case Found:
-		m.onFound(t.Record)
-	case Ask:
-		m.tell(from)
+	case JoinRequest:
+		m.onJoinRequest(from, t)
+	case FirstEpoch:
+		m.onFirstEpoch(t.Record)
+	case ViewRequest:
+		m.sendView(from)
 	case View:
-		m.learn(t.Record)
-		if t.Leads && from == m.view.primary() {
-			m.primed = m.now
-			if m.bid == nil && m.lead == nil {
-				m.hear(from)
+		m.learnRecord(t.Record)
+		if t.Leading && from == m.view.primary() {
+			m.primaryViewAt = m.now
+			if m.candidate == nil && m.primary == nil {
+				m.notePrimaryHeard(from)
 			}
 		}
-		m.heardOf(from, t.Version)
+		m.noteReportedVersion(from, t.Version)
 	case Push:
 		if len(t.Deltas) > 0 {
 			m.onDeltas(from, t.Deltas)
 		} else {
 			m.commit(t.Doc)
 		}
-		for _, to := range t.On {
-			m.send(to, Push{Doc: t.Doc.bare(), Deltas: t.Deltas})
+		for _, to := range t.Relay {
+			m.send(to, Push{Doc: t.Doc.withoutLedger(), Deltas: t.Deltas})
 		}
-	case Amended:
-		kept := m.d.Kept
-		doc := Doc{Version: t.Version, Rev: t.Rev, Body: kept.Body, Sum: kept.Sum, By: t.By, Notes: t.Notes, Past: kept.Past}
-		if kept.Version == t.Version && (t.Notes == 0 || doc.is(m.d.Next)) {
+	case CommitAmendment:
+		committed := m.state.Committed
+		doc := Doc{Version: t.Version, Rev: t.Rev, Body: committed.Body, Digest: committed.Digest,
+			CreatedIn: t.CreatedIn, LedgerRev: t.LedgerRev, History: committed.History}
+		if committed.Version == t.Version && (t.LedgerRev == 0 || doc.sameAs(m.state.Pending)) {
 			m.commit(doc)
 		}
 	case Pull:
-		if m.d.Kept.Version > t.Held {
-			if t.Deltas {
-				m.bring(from, m.parcel(t.Held))
-			} else { // what came as differences was damaged
-				m.send(from, Push{Doc: m.d.Kept.bare()})
+		if m.state.Committed.Version > t.Version {
+			if t.AcceptsDeltas {
+				m.sendDoc(from, m.committedPush(t.Version))
+			} else { // a delta was damaged: send the whole document
+				m.send(from, Push{Doc: m.state.Committed.withoutLedger()})
 			}
 		}
 	case Forward:
 		m.onForward(from, t)
-	case Answered:
-		m.onAnswered(t)
+	case ForwardReply:
+		m.onForwardReply(t)
 	default:
-		if m.c.Member {
-			m.takeMember(from, msg)
+		if m.config.Member {
+			m.dispatchMember(from, msg)
 		}
 	}
 }
 
-func (m *Machine) takeMember(from string, msg any) {
-	if !m.believes(from, msg) {
+func (m *Machine) dispatchMember(from string, msg any) {
+	if !m.acceptsToken(from, msg) {
 		return
 	}
 	switch t := msg.(type) {
-	case Beat:
-		m.onBeat(from, t)
+	case Heartbeat:
+		m.onHeartbeat(from, t)
 	case Resign:
 		m.onResign(from, t)
-	case Probe:
-		m.onProbe(from, t)
+	case PreVote:
+		m.onPreVote(from, t)
 	case Prepare:
 		m.onPrepare(from, t)
-	case Copy:
-		m.onCopy(from, t)
-	case Enact:
-		m.onEnact(from, t)
+	case InstallState:
+		m.onInstallState(from, t)
+	case RecordEpoch:
+		m.onRecordEpoch(from, t)
 	case Append:
 		m.onAppend(from, t)
 	case Confirm:
 		m.onConfirm(from, t)
-	case Probed:
-		m.onProbed(from, t)
+	case PreVoteReply:
+		m.onPreVoteReply(from, t)
 	case Promise:
 		m.onPromise(from, t)
-	case Refuse:
-		m.onRefuse(from, t)
-	case Copied:
-		m.onCopied(from, t)
-	case Enacted:
-		m.onEnacted(from, t)
+	case Reject:
+		m.onReject(from, t)
+	case StateInstalled:
+		m.onStateInstalled(from, t)
+	case EpochRecorded:
+		m.onEpochRecorded(from, t)
 	case Leave:
 		m.onLeave(from, t)
-	case Released:
-		m.free = m.free || m.notice != 0 && t.Life == m.d.Life
+	case LeaveGranted:
+		m.leaveGranted = m.leaveGranted || m.leaving != 0 && t.DiskID == m.state.DiskID
 	case Handover:
 		m.onHandover(from, t)
-	case Void:
-		m.onVoid(from, t)
-	case Beaten:
-		m.onBeaten(from, t)
+	case MemberLost:
+		m.onMemberLost(from, t)
+	case HeartbeatReply:
+		m.onHeartbeatReply(from, t)
 	case Appended:
 		m.onAppended(from, t)
 	case Confirmed:
 		m.onConfirmed(from, t)
-	case Fenced:
-		m.onFenced(t)
+	case FenceNotice:
+		m.onFenceNotice(t)
 	}
 }
 
 func (m *Machine) send(to string, msg any) {
-	msg = m.shortened(to, m.stamped(msg))
-	if to == m.c.Self {
-		m.loop = append(m.loop, fsm.Send{To: to, Msg: msg})
+	msg = m.packedFor(to, m.withToken(msg))
+	if to == m.config.Self {
+		m.selfSends = append(m.selfSends, fsm.Send{To: to, Msg: msg})
 		return
 	}
 	m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: msg})
 }
 
-// durable sends once all that is known here now is on disk.
-func (m *Machine) durable(to string, msg any) {
-	m.fresh = append(m.fresh, fsm.Send{To: to, Msg: msg})
+// sendAfterSave sends a message once all that is known here now is on disk.
+func (m *Machine) sendAfterSave(to string, msg any) {
+	m.afterSave = append(m.afterSave, fsm.Send{To: to, Msg: msg})
 }
 
-// end closes an input: what it wrote, and what may go out at once.
-func (m *Machine) end() Out {
+// finishInput ends the handling of an input: it collects the write and the messages that may go out
+// at once.
+func (m *Machine) finishInput() Out {
 	for {
-		for len(m.loop) > 0 {
-			s := m.loop[0]
-			m.loop = m.loop[1:]
-			m.take(m.c.Self, s.Msg)
+		for len(m.selfSends) > 0 {
+			s := m.selfSends[0]
+			m.selfSends = m.selfSends[1:]
+			m.dispatch(m.config.Self, s.Msg)
 		}
-		if (m.dirty || m.flush) && m.c.Member {
+		if (m.dirty || m.flushTokens) && m.config.Member {
 			if m.dirty {
-				m.d.Count++
+				m.state.Saves++
 			}
 			m.seq++
-			m.writes = append(m.writes, pendingWrite{m.seq, m.now, m.d.Life, m.d.Count})
-			m.noted = 0
-			m.d.Format = DiskFormat
-			m.out.Write = &Write{Seq: m.seq, Disk: m.d}
+			m.pendingWrites = append(m.pendingWrites, pendingWrite{m.seq, m.now, m.state.DiskID, m.state.Saves})
+			m.tokensNotedAt = 0
+			m.state.Format = StateFormat
+			m.out.Write = &Write{Seq: m.seq, State: m.state}
 		}
-		m.dirty, m.flush = false, false
-		fresh := m.fresh
-		m.fresh = nil
+		m.dirty, m.flushTokens = false, false
+		fresh := m.afterSave
+		m.afterSave = nil
 		for _, s := range fresh {
 			if m.seq > m.written {
-				m.held = append(m.held, heldSend{m.seq, s})
+				m.deferred = append(m.deferred, deferredSend{m.seq, s})
 			} else {
 				m.send(s.To, s.Msg)
 			}
 		}
-		if len(m.loop) == 0 {
-			m.remember()
-			if m.d.Kept.later(m.adopted) {
-				m.adopted, m.out.Adopt = m.d.Kept, m.Held()
+		if len(m.selfSends) == 0 {
+			m.recordEpochHistory()
+			if m.state.Committed.newerThan(m.applied) {
+				m.applied, m.out.Apply = m.state.Committed, m.Committed()
 			}
 			out := m.out
 			m.out = Out{}
@@ -553,8 +570,12 @@
 	}
 }
 
-// slow says whether the disk has left a write unsynced for long.
-func (m *Machine) slow() bool { return len(m.writes) > 0 && m.now-m.writes[0].at > stall }
+// diskStalled reports whether a write has been unsynced for longer than stallTimeout.
+func (m *Machine) diskStalled() bool {
+	return len(m.pendingWrites) > 0 && m.now-m.pendingWrites[0].at > stallTimeout
+}
 
-// seated says whether the newest record held gives this very memory a seat.
-func (m *Machine) seated() bool { return m.c.Member && m.d.Record.has(m.c.Self, m.d.Life) }
+// isMember reports whether the newest record has this process, with this disk ID, as a member.
+func (m *Machine) isMember() bool {
+	return m.config.Member && m.state.Record.has(m.config.Self, m.state.DiskID)
+}
--- a/internal/consensus/delta_test.go
+++ b/internal/consensus/delta_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// routes is a document of a large site with one route of it changed.
-func routes(version, changed int) Doc {
+// docWithRoutes returns the document of a large site with one route changed.
+func docWithRoutes(version, changed int) Doc {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"Epoch":"%08x","Policy":[`, version)
 	r := rand.New(rand.NewPCG(1, 1))
@@ -23,11 +23,12 @@
 	return Doc{Version: uint32(version), Body: b.Bytes()}
 }
 
-// fleet has a core of three with that document, 8 followers, and counts what pushes bring.
-func fleet(t *testing.T) (w *world, bytes *int, wholes *int) {
-	w = calm(t, 3, 8, 1)
+// newFleet returns a cluster of three members and 8 followers with that document, and counters for
+// the bytes and the whole documents of pushes.
+func newFleet(t *testing.T) (w *simulation, bytes *int, wholes *int) {
+	w = newSteadyCluster(t, 3, 8, 1)
 	bytes, wholes = new(int), new(int)
-	w.seen = func(_ string, msg any) {
+	w.onSend = func(_ string, msg any) {
 		if p, ok := msg.(Push); ok {
 			*bytes += len(p.Doc.Body)
 			if p.Doc.Version != 0 {
@@ -41,58 +42,61 @@
 			}
 		}
 	}
-	w.change(t, routes(11, 0))
+	w.putAndCheck(t, docWithRoutes(11, 0))
 	return w, bytes, wholes
 }
 
-func (w *world) change(t *testing.T, d Doc) {
+func (w *simulation) putAndCheck(t *testing.T, d Doc) {
 	t.Helper()
 	o := w.call(w.nodes[len(w.nodes)-1], false, d)
 	w.run(1500 * ms)
-	if o.done == nil || o.done.Verdict != Kept {
-		t.Fatalf("version %d: %+v", d.Version, o.done)
+	if o.answer == nil || o.answer.Result != ResultAccepted {
+		t.Fatalf("version %d: %+v", d.Version, o.answer)
 	}
-	w.alike(t)
+	w.checkAllEqual(t)
 }
 
-func (w *world) alike(t *testing.T) {
+func (w *simulation) checkAllEqual(t *testing.T) {
 	t.Helper()
 	for _, n := range w.nodes {
-		if h := n.m.Held(); n.up && (h == nil || h.Version != w.acked || string(h.Body) != w.bodies[w.acked]) {
-			t.Fatalf("%s has not version %d", n.cfg.Self, w.acked)
+		if h := n.machine.Committed(); n.up && (h == nil || h.Version != w.highestAcked ||
+			string(h.Body) != w.appliedBodies[w.highestAcked]) {
+			t.Fatalf("%s does not have version %d", n.config.Self, w.highestAcked)
 		}
 	}
-	if w.broken != nil {
-		t.Fatal(w.broken)
+	if w.failure != nil {
+		t.Fatal(w.failure)
 	}
 }
 
-// TestDeltas: a change of one route in 2,000 brings each process that route and little more.
+// TestDeltas checks that a change of one route in 2,000 sends little more than that route to each
+// process.
 func TestDeltas(t *testing.T) {
 	t.Parallel()
-	w, sent, wholes := fleet(t)
+	w, sent, wholes := newFleet(t)
 	*sent, *wholes = 0, 0
 	for v := range 10 {
-		w.change(t, routes(v+12, 100*v))
+		w.putAndCheck(t, docWithRoutes(v+12, 100*v))
 	}
 	if each := *sent / 10 / (len(w.nodes) - 1); each > 400 || *wholes > 0 {
-		t.Errorf("%d bytes a change and process, %d whole documents", each, *wholes)
+		t.Errorf("%d bytes per change and process, %d whole documents", each, *wholes)
 	}
 }
 
-// TestDeltasAway: who was away for a few changes gets those, who lost all, or missed more than is kept, gets the whole.
-func TestDeltasAway(t *testing.T) {
+// TestDeltasAfterAbsence checks that a process that missed a few changes gets those, and one that
+// lost everything gets the whole document.
+func TestDeltasAfterAbsence(t *testing.T) {
 	t.Parallel()
-	w, sent, wholes := fleet(t)
+	w, sent, wholes := newFleet(t)
 	away, empty := w.nodes[8], w.nodes[9]
-	w.part(away, 12*time.Second, func(*node) bool { return true }, true)
+	w.partition(away, 12*time.Second, func(*simNode) bool { return true }, true)
 	for v := range 5 {
-		w.change2(t, routes(v+12, 100*v))
+		w.putAtPrimary(t, docWithRoutes(v+12, 100*v))
 	}
 	*sent, *wholes = 0, 0
-	w.cut = map[[2]string]bool{}
+	w.cutLinks = map[[2]string]bool{}
 	w.run(2 * time.Second)
-	w.alike(t)
+	w.checkAllEqual(t)
 	if *sent > 4000 || *wholes > 0 {
 		t.Errorf("five changes: %d bytes, %d whole documents", *sent, *wholes)
 	}
@@ -100,84 +104,89 @@
 	w.run(time.Second)
 	w.start(empty)
 	w.run(2 * time.Second)
-	w.alike(t)
-	if whole := len(routes(11, 0).Body); *wholes == 0 || *sent > whole*3/4 {
+	w.checkAllEqual(t)
+	if whole := len(docWithRoutes(11, 0).Body); *wholes == 0 || *sent > whole*3/4 {
 		t.Errorf("after a start: %d whole documents, %d bytes of %d", *wholes, *sent, whole)
 	}
 }
 
-// change2 is change where some process is away.
-func (w *world) change2(t *testing.T, d Doc) {
+// putAtPrimary is putAndCheck while some process is cut off.
+func (w *simulation) putAtPrimary(t *testing.T, d Doc) {
 	t.Helper()
 	o := w.call(w.primary(), false, d)
 	w.run(time.Second)
-	if o.done == nil || o.done.Verdict != Kept {
-		t.Fatalf("version %d: %+v", d.Version, o.done)
+	if o.answer == nil || o.answer.Result != ResultAccepted {
+		t.Fatalf("version %d: %+v", d.Version, o.answer)
 	}
 }
 
-// TestDeltaSpoilt: one that is damaged, or made of another text, changes nothing; the whole is asked for. One of a
-// version that is not here changes nothing either; what is lacking is asked for, as short as it goes.
-func TestDeltaSpoilt(t *testing.T) {
+// TestDamagedDelta checks that a damaged delta, or one made from another body, changes nothing, and
+// that the whole document is requested. A delta to a version that is not here changes nothing
+// either, and the missing deltas are requested.
+func TestDamagedDelta(t *testing.T) {
 	t.Parallel()
-	w, _, _ := fleet(t)
+	w, _, _ := newFleet(t)
 	n := w.nodes[5]
 	p := w.primary()
-	w.change2(t, routes(12, 7))
-	held := n.m.Held()
-	good := p.m.recent[len(p.m.recent)-1]
+	w.putAtPrimary(t, docWithRoutes(12, 7))
+	held := n.machine.Committed()
+	good := p.machine.recentDeltas[len(p.machine.recentDeltas)-1]
 	for i, spoil := range []func(d *Delta){
-		func(d *Delta) { d.Body.Steps = d.Body.Steps[:len(d.Body.Steps)-1] },
-		func(d *Delta) { d.Body.From++ },
-		func(d *Delta) { d.Body.To++ },
+		func(d *Delta) { d.Change.Ops = d.Change.Ops[:len(d.Change.Ops)-1] },
+		func(d *Delta) { d.Change.BaseSum++ },
+		func(d *Delta) { d.Change.ResultSum++ },
 		func(d *Delta) { d.From++ },
 	} {
 		d := good
-		d.From, d.Head.Version = 12, 13
+		d.From, d.Doc.Version = 12, 13
 		spoil(&d)
-		out := n.m.Take(w.now, p.cfg.Self, Push{Deltas: []Delta{d}})
-		if h := n.m.Held(); h.Version != held.Version || string(h.Body) != string(held.Body) || out.Adopt != nil {
-			t.Errorf("%d: it was taken", i)
+		out := n.machine.Receive(w.now, p.config.Self, Push{Deltas: []Delta{d}})
+		if h := n.machine.Committed(); h.Version != held.Version || string(h.Body) != string(held.Body) ||
+			out.Apply != nil {
+			t.Errorf("%d: the delta was accepted", i)
 		}
 		asked := false
 		for _, s := range out.Send {
 			pull, ok := s.Msg.(Pull)
-			asked = asked || ok && pull.Deltas == (i == 3) && pull.Held == held.Version && s.To == p.cfg.Self
+			asked = asked || ok && pull.AcceptsDeltas == (i == 3) && pull.Version == held.Version &&
+				s.To == p.config.Self
 		}
 		if !asked {
-			t.Errorf("%d: the document is not asked for: %+v", i, out.Send)
+			t.Errorf("%d: the document is not requested: %+v", i, out.Send)
 		}
 	}
 }
 
-// TestOldPull: a program that knows no differences asks without a word of them, and gets a document.
-func TestOldPull(t *testing.T) {
+// TestPullFromOlderRelease checks that a release without deltas, whose Pull doesn't accept them,
+// gets a whole document.
+func TestPullFromOlderRelease(t *testing.T) {
 	t.Parallel()
-	w, _, _ := fleet(t)
-	w.change(t, routes(12, 7))
-	out := w.nodes[4].m.Take(w.now, "n05", Pull{Held: 11})
+	w, _, _ := newFleet(t)
+	w.putAndCheck(t, docWithRoutes(12, 7))
+	out := w.nodes[4].machine.Receive(w.now, "n05", Pull{Version: 11})
 	if p, ok := out.Send[0].Msg.(Push); !ok || p.Doc.Version != 12 || len(p.Deltas) > 0 {
 		t.Errorf("%+v", out.Send)
 	}
 }
 
-// TestFewKept: what is kept for those that were away is bounded.
-func TestFewKept(t *testing.T) {
+// TestDeltaLimits checks that the number and the size of stored deltas are limited.
+func TestDeltaLimits(t *testing.T) {
 	t.Parallel()
 	m := New(Config{Self: "a"}, nil, 0)
 	for v := range uint32(1500) {
-		d := Delta{From: v, Head: Doc{Version: v + 1}}
-		d.Body.Steps = make([]byte, 100)
-		m.keepDelta(d)
+		d := Delta{From: v, Doc: Doc{Version: v + 1}}
+		d.Change.Ops = make([]byte, 100)
+		m.appendDelta(d)
 	}
 	size := 0
-	for _, d := range m.recent {
+	for _, d := range m.recentDeltas {
 		size += d.size()
 	}
-	if size > recentMost || len(m.recent) != fewMost || m.recent[len(m.recent)-1].Head.Version != 1500 {
-		t.Errorf("%d bytes in %d", size, len(m.recent))
+	if size > maxDeltaBytes || len(m.recentDeltas) != maxDeltas ||
+		m.recentDeltas[len(m.recentDeltas)-1].Doc.Version != 1500 {
+		t.Errorf("%d bytes in %d deltas", size, len(m.recentDeltas))
 	}
-	if m.keepDelta(Delta{From: 9, Head: Doc{Version: 10}}); len(m.recent) != 1 {
-		t.Error("a chain with a gap")
+	if m.appendDelta(Delta{From: 9, Doc: Doc{Version: 10}}); len(m.recentDeltas) != 1 {
+		t.Error("a chain of deltas has a gap")
 	}
 }
--- a/internal/consensus/fence.go
+++ b/internal/consensus/fence.go
@@ -8,191 +8,201 @@
 	"time"
 )
 
-// A disk that is put back to an older state forgets what was vouched for on it since, and its
-// life is the same. So whatever a member vouches for carries a fencing token, others remember
-// the newest one of each seat and say so in their promises, and a member that shows less than
-// it once vouched for is fenced: it draws a new life and joins like one whose disk is empty.
-
-// Token is how far a disk has got. A process can't reach by saves of its own what another one
-// vouched for on the same disk: what counts is what it found there.
+// A disk that is restored to an older state, by a snapshot or a backup, has lost writes that its
+// process has vouched for, and its disk ID is the same. So a member sends a fencing token with all
+// that it vouches for. Others remember the newest token of each member and pass them on in their
+// promises. A member whose token is behind one that it sent before is fenced: it draws a new disk
+// ID and joins like a process with an empty disk.
+
+// Token tells how far a disk has got. Later saves of a process can't make up for those that another
+// process made on the same disk, so SavesAtStart decides.
 type Token struct {
-	Count uint64 `cbor:"1,keyasint,omitempty"` // saves that are on the disk
-	Base  uint64 `cbor:"2,keyasint,omitempty"` // those that the process found when it started
-	Run   uint64 `cbor:"3,keyasint,omitempty"` // names the process; 0: one that knows no tokens
+	Saves        uint64 `cbor:"1,keyasint,omitempty"` // saves that are on the disk
+	SavesAtStart uint64 `cbor:"2,keyasint,omitempty"` // saves that the process found on the disk when it started
+	RunID        uint64 `cbor:"3,keyasint,omitempty"` // identifies the run of the process; 0: a release without tokens
 }
 
-// Mark is the newest token that a seat is known to have vouched for.
-type Mark struct {
-	Addr  string `cbor:"1,keyasint"`
-	Life  uint64 `cbor:"2,keyasint"`
-	Count uint64 `cbor:"3,keyasint"`
-	Run   uint64 `cbor:"4,keyasint"`
+// KnownToken is the newest token that a member is known to have sent.
+type KnownToken struct {
+	Addr   string `cbor:"1,keyasint"`
+	DiskID uint64 `cbor:"2,keyasint"`
+	Saves  uint64 `cbor:"3,keyasint"`
+	RunID  uint64 `cbor:"4,keyasint"`
 }
 
-// Fenced tells a member that its life has vouched for more than its disk has.
-type Fenced struct {
-	Mark Mark `cbor:"1,keyasint"`
+// FenceNotice tells a member that it has vouched for more than its disk holds.
+type FenceNotice struct {
+	Token KnownToken `cbor:"1,keyasint"`
 }
 
-// noteAfter is how long marks wait for a save that takes them along, before one is made for
-// them: never in a row of changes, once after it. Nothing waits for it.
-const noteAfter = 300 * time.Millisecond
+// tokenFlushDelay is how long new tokens wait for a save that includes them before one is made for
+// them: not during a series of changes, but once after it. Nothing waits for that save.
+const tokenFlushDelay = 300 * time.Millisecond
 
-func (m *Machine) token() Token { return Token{Count: m.safe, Base: m.base, Run: m.salt} }
+func (m *Machine) ownToken() Token {
+	return Token{Saves: m.savesSynced, SavesAtStart: m.savesAtStart, RunID: m.runID}
+}
 
-// lacks says whether a process's disk was without what the mark tells when it started.
-func (k Mark) lacks(t Token) bool {
-	return k.Run != 0 && t.Run != 0 && t.Run != k.Run && t.Base < k.Count
+// provesRollback reports whether a process started on a disk without saves that k vouches for.
+func (k KnownToken) provesRollback(t Token) bool {
+	return k.RunID != 0 && t.RunID != 0 && t.RunID != k.RunID && t.SavesAtStart < k.Saves
 }
 
-// stamped gives a message that a memory stands behind the token of what is synced now.
-func (m *Machine) stamped(msg any) any {
+// withToken adds the token of what is synced to a message that vouches for this member.
+func (m *Machine) withToken(msg any) any {
 	switch t := msg.(type) {
 	case Prepare:
-		t.Token = m.token()
+		t.Token = m.ownToken()
 		return t
 	case Promise:
-		t.Token, t.Marks = m.token(), m.marks(m.d.Record)
+		t.Token, t.KnownTokens = m.ownToken(), m.memberTokens(m.state.Record)
 		return t
-	case Copied:
-		t.Token = m.token()
+	case StateInstalled:
+		t.Token = m.ownToken()
 		return t
-	case Enacted:
-		t.Token = m.token()
+	case EpochRecorded:
+		t.Token = m.ownToken()
 		return t
 	case Appended:
-		t.Token = m.token()
+		t.Token = m.ownToken()
 		return t
 	case Confirmed:
-		t.Token = m.token()
+		t.Token = m.ownToken()
 		return t
-	case Beaten:
-		t.Token, t.Sum = m.token(), m.sum(m.d.Record)
+	case HeartbeatReply:
+		t.Token, t.TokensHash = m.ownToken(), m.tokensHash(m.state.Record)
 		return t
 	}
 	return msg
 }
 
-// vouch is the memory that a message speaks for, and how far it has got.
-func vouch(msg any) (life uint64, t Token, ok bool) {
+// senderToken returns the disk ID and the token of a message that vouches for its sender.
+func senderToken(msg any) (diskID uint64, t Token, ok bool) {
 	switch t := msg.(type) {
 	case Prepare:
-		return t.Ballot.Life, t.Token, true
+		return t.Ballot.DiskID, t.Token, true
 	case Promise:
-		return t.Life, t.Token, true
-	case Copied:
-		return t.Life, t.Token, true
-	case Enacted:
-		return t.Life, t.Token, true
+		return t.DiskID, t.Token, true
+	case StateInstalled:
+		return t.DiskID, t.Token, true
+	case EpochRecorded:
+		return t.DiskID, t.Token, true
 	case Appended:
-		return t.Life, t.Token, true
+		return t.DiskID, t.Token, true
 	case Confirmed:
-		return t.Life, t.Token, true
-	case Beaten:
-		return t.Life, t.Token, true
+		return t.DiskID, t.Token, true
+	case HeartbeatReply:
+		return t.DiskID, t.Token, true
 	}
 	return 0, Token{}, false
 }
 
-// believes notes what a message vouches for, or fences its sender, and then it doesn't count.
-// One that came late from a process before is taken for that as well: it is sent again.
-func (m *Machine) believes(from string, msg any) bool {
-	life, t, ok := vouch(msg)
-	if !ok || from == m.c.Self || t.Run == 0 {
+// acceptsToken notes the token of a message. It returns false, and fences the sender, if the token
+// proves a rollback. A late message from an earlier run looks the same; its request will be
+// repeated.
+func (m *Machine) acceptsToken(from string, msg any) bool {
+	diskID, t, ok := senderToken(msg)
+	if !ok || from == m.config.Self || t.RunID == 0 {
 		return true
 	}
-	k := Mark{from, life, t.Count, t.Run}
-	if old, ok := m.mark(from, life); ok && old.lacks(t) && m.bug != BugOldDisk {
-		m.send(from, Fenced{old})
+	k := KnownToken{from, diskID, t.Saves, t.RunID}
+	if old, ok := m.knownToken(from, diskID); ok && old.provesRollback(t) && m.bug != BugNoFencing {
+		m.send(from, FenceNotice{old})
 		return false
 	}
-	m.note(k)
+	m.noteToken(k)
 	return true
 }
 
-func (m *Machine) mark(addr string, life uint64) (Mark, bool) {
-	i := slices.IndexFunc(m.d.Marks, func(k Mark) bool { return k.Addr == addr && k.Life == life })
+func (m *Machine) knownToken(addr string, diskID uint64) (KnownToken, bool) {
+	i := slices.IndexFunc(m.state.KnownTokens, func(k KnownToken) bool { return k.Addr == addr && k.DiskID == diskID })
 	if i < 0 {
-		return Mark{}, false
+		return KnownToken{}, false
 	}
-	return m.d.Marks[i], true
+	return m.state.KnownTokens[i], true
 }
 
-// note keeps the newest mark of each seat, and of seats only: there are no more than those.
-func (m *Machine) note(k Mark) {
-	if k.Addr == m.c.Self || k.Run == 0 {
+// noteToken keeps the newest token of each member. Tokens of others are not kept, which limits
+// their number.
+func (m *Machine) noteToken(k KnownToken) {
+	if k.Addr == m.config.Self || k.RunID == 0 {
 		return
 	}
-	seats := m.d.Record.voters()
-	old, ok := m.mark(k.Addr, k.Life)
-	if !has(seats, k.Addr, k.Life) || ok && old.Count >= k.Count && (old.Run == k.Run || old.Count > k.Count) {
+	members := m.state.Record.votingMembers()
+	old, ok := m.knownToken(k.Addr, k.DiskID)
+	if !hasMember(members, k.Addr, k.DiskID) ||
+		ok && old.Saves >= k.Saves && (old.RunID == k.RunID || old.Saves > k.Saves) {
 		return
 	}
-	marks := slices.DeleteFunc(slices.Clone(m.d.Marks), func(o Mark) bool {
-		return o.Addr == k.Addr && o.Life == k.Life || !has(seats, o.Addr, o.Life)
+	tokens := slices.DeleteFunc(slices.Clone(m.state.KnownTokens), func(o KnownToken) bool {
+		return o.Addr == k.Addr && o.DiskID == k.DiskID || !hasMember(members, o.Addr, o.DiskID)
+	})
+	tokens = append(tokens, k)
+	slices.SortFunc(tokens, func(a, b KnownToken) int {
+		return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID))
 	})
-	marks = append(marks, k)
-	slices.SortFunc(marks, func(a, b Mark) int { return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Life, b.Life)) })
-	m.d.Marks = marks
-	if m.noted == 0 {
-		m.noted = m.now
+	m.state.KnownTokens = tokens
+	if m.tokensNotedAt == 0 {
+		m.tokensNotedAt = m.now
 	}
 }
 
-// merge takes what others remember: of this member, and of those whose promises it counts.
-func (m *Machine) merge(marks []Mark) {
-	for _, k := range marks {
-		if k.Addr == m.c.Self {
-			m.onFenced(Fenced{k})
+// mergeTokens takes the tokens that another member knows, of this member and of those whose
+// promises it has counted.
+func (m *Machine) mergeTokens(tokens []KnownToken) {
+	for _, k := range tokens {
+		if k.Addr == m.config.Self {
+			m.onFenceNotice(FenceNotice{k})
 			continue
 		}
-		m.note(k)
+		m.noteToken(k)
 	}
-	if m.bid == nil || m.bug == BugOldDisk {
+	if m.candidate == nil || m.bug == BugNoFencing {
 		return
 	}
-	for _, k := range m.d.Marks {
-		if p, ok := m.bid.promises[k.Addr]; ok && p.Life == k.Life && k.lacks(p.Token) {
-			delete(m.bid.promises, k.Addr)
-			m.bid.enough = 0
-			m.send(k.Addr, Fenced{k})
+	for _, k := range m.state.KnownTokens {
+		if p, ok := m.candidate.promises[k.Addr]; ok && p.DiskID == k.DiskID && k.provesRollback(p.Token) {
+			delete(m.candidate.promises, k.Addr)
+			m.candidate.quorumAt = 0
+			m.send(k.Addr, FenceNotice{k})
 		}
 	}
 }
 
-// onFenced makes a newcomer of a member whose disk is older than what it vouched for. What is
-// committed stays so, and is kept.
-func (m *Machine) onFenced(t Fenced) {
-	if t.Mark.Addr != m.c.Self || t.Mark.Life != m.d.Life || !t.Mark.lacks(m.token()) || m.bug == BugOldDisk {
+// onFenceNotice makes a member with a disk older than its token a new one. The committed document
+// is kept, as it remains committed.
+func (m *Machine) onFenceNotice(t FenceNotice) {
+	if t.Token.Addr != m.config.Self || t.Token.DiskID != m.state.DiskID || !t.Token.provesRollback(m.ownToken()) ||
+		m.bug == BugNoFencing {
 		return
 	}
-	m.d = Disk{Life: m.rng.Uint64() | 1, Kept: m.d.Kept}
-	m.lead, m.bid, m.held, m.fresh, m.loop = nil, nil, nil, nil, nil
-	m.base, m.safe, m.noted, m.dirty = 0, 0, 0, true
-	m.hello = m.now - 2*helloEvery
-	m.fenced, m.out.Fenced = m.fenced+1, true
-}
-
-// marks are those of an epoch's seats, this member's own among them.
-func (m *Machine) marks(r Record) []Mark {
-	var all []Mark
-	for _, s := range r.Set {
-		if s.is(m.c.Self, m.d.Life) {
-			all = append(all, Mark{s.Addr, s.Life, m.safe, m.salt})
-		} else if k, ok := m.mark(s.Addr, s.Life); ok {
-			all = append(all, k)
+	m.state = DurableState{DiskID: m.rng.Uint64() | 1, Committed: m.state.Committed}
+	m.primary, m.candidate, m.deferred, m.afterSave, m.selfSends = nil, nil, nil, nil, nil
+	m.savesAtStart, m.savesSynced, m.tokensNotedAt, m.dirty = 0, 0, 0, true
+	m.joinSentAt = m.now - 2*joinInterval
+	m.fenceCount, m.out.Fenced = m.fenceCount+1, true
+}
+
+// memberTokens returns the tokens of an epoch's members, with this process's own.
+func (m *Machine) memberTokens(r EpochRecord) []KnownToken {
+	var tokens []KnownToken
+	for _, s := range r.Members {
+		if s.matches(m.config.Self, m.state.DiskID) {
+			tokens = append(tokens, KnownToken{s.Addr, s.DiskID, m.savesSynced, m.runID})
+		} else if k, ok := m.knownToken(s.Addr, s.DiskID); ok {
+			tokens = append(tokens, k)
 		}
 	}
-	return all
+	return tokens
 }
 
-// sum is the same where the marks are, so that a beat need not bring them.
-func (m *Machine) sum(r Record) uint32 {
+// tokensHash is equal where the tokens are, so that a heartbeat need not carry them.
+func (m *Machine) tokensHash(r EpochRecord) uint32 {
 	h := fnv.New32a()
 	var b []byte
-	for _, k := range m.marks(r) {
+	for _, k := range m.memberTokens(r) {
 		b = append(b[:0], k.Addr...)
-		for _, n := range []uint64{k.Life, k.Count, k.Run} {
+		for _, n := range []uint64{k.DiskID, k.Saves, k.RunID} {
 			b = binary.BigEndian.AppendUint64(b, n)
 		}
 		h.Write(b)
@@ -200,19 +210,19 @@
 	return h.Sum32() | 1
 }
 
-// settleMarks has marks written that no save has taken along.
-func (m *Machine) settleMarks() {
-	if m.noted != 0 && m.now-m.noted >= noteAfter && len(m.writes) == 0 {
-		m.flush = true
+// flushTokensWhenDue writes tokens that no save has included.
+func (m *Machine) flushTokensWhenDue() {
+	if m.tokensNotedAt != 0 && m.now-m.tokensNotedAt >= tokenFlushDelay && len(m.pendingWrites) == 0 {
+		m.flushTokens = true
 	}
 }
 
-// saved notes that a save is on disk.
-func (m *Machine) saved(w pendingWrite) {
-	if w.life == m.d.Life {
-		m.safe = max(m.safe, w.count)
+// noteSaved notes that a save is on disk.
+func (m *Machine) noteSaved(w pendingWrite) {
+	if w.diskID == m.state.DiskID {
+		m.savesSynced = max(m.savesSynced, w.count)
 	}
 }
 
-// Fences is how often this process was told that its disk is older than what it vouched for.
-func (m *Machine) Fences() int { return m.fenced }
+// FenceCount returns how often this process was told that its disk is older than its token.
+func (m *Machine) FenceCount() int { return m.fenceCount }
--- a/internal/consensus/name.go
+++ b/internal/consensus/name.go
@@ -7,46 +7,46 @@
 	"asterwell/internal/delta"
 )
 
-// A promise names the texts that its member holds: version, digest, and all that is beside them. The text
-// itself goes only to a candidate that lacks it, from one of those that have named it, as a difference
-// where it can. Until then the candidate has no state to begin with, and gives up when its time is over.
+// A promise refers to the documents of its sender by version, digest and the other fields. A body
+// is sent only to a candidate that lacks it, by a member that has referred to it, if possible as a
+// delta. Until then the candidate has no initial state, and it gives up when its time is over.
 
-// named is a document of a promise as that candidate wants it.
-func (m *Machine) named(d Doc, t Prepare) Doc {
-	if !t.Names || len(d.Sum) == 0 || len(d.Body) == 0 {
+// promiseDoc returns a document in the form that a candidate wants in a promise.
+func (m *Machine) promiseDoc(d Doc, t Prepare) Doc {
+	if !t.OmitBodies || len(d.Digest) == 0 || len(d.Body) == 0 {
 		return d
 	}
-	if !slices.ContainsFunc(t.Want, func(sum []byte) bool { return bytes.Equal(sum, d.Sum) }) {
-		return d.nameOnly()
+	if !slices.ContainsFunc(t.WantedBodies, func(sum []byte) bool { return bytes.Equal(sum, d.Digest) }) {
+		return d.bodyOmitted()
 	}
-	kept := m.d.Kept
-	if t.Held == kept.Version && d.Version != kept.Version {
-		return m.differing(d)
+	committed := m.state.Committed
+	if t.CommittedVersion == committed.Version && d.Version != committed.Version {
+		return m.asDelta(d)
 	}
-	if all := m.since(t.Held); len(all) == 1 && d.Version == kept.Version {
-		d.Body, d.Packed = nil, &all[0].Body
+	if deltas := m.deltasSince(t.CommittedVersion); len(deltas) == 1 && d.Version == committed.Version {
+		d.Body, d.Packed = nil, &deltas[0].Change
 	}
 	return d
 }
 
-// nameOnly is a document without its text: the difference of that text to itself.
-func (d Doc) nameOnly() Doc {
-	d.Packed = delta.Same(d.Body)
+// bodyOmitted returns a document whose body is replaced by the delta of that body to itself.
+func (d Doc) bodyOmitted() Doc {
+	d.Packed = delta.Identity(d.Body)
 	d.Body = nil
 	return d
 }
 
-// lacks says whether a document's text is not here.
-func (d Doc) lacks() bool { return d.Packed != nil }
+// lacksBody reports whether a document's body is not here.
+func (d Doc) lacksBody() bool { return d.Packed != nil }
 
-// found is a document with its text, if anybody's promise has brought that.
-func (b *bid) found(d Doc) Doc {
-	if !d.lacks() {
+// withBody returns a document with its body, if a promise has brought that.
+func (b *candidateState) withBody(d Doc) Doc {
+	if !d.lacksBody() {
 		return d
 	}
 	for _, p := range b.promises {
-		for _, o := range []Doc{p.Kept, p.Next} {
-			if !o.lacks() && len(o.Body) > 0 && bytes.Equal(o.Sum, d.Sum) {
+		for _, o := range []Doc{p.Committed, p.Pending} {
+			if !o.lacksBody() && len(o.Body) > 0 && bytes.Equal(o.Digest, d.Digest) {
 				d.Body, d.Packed = o.Body, nil
 				return d
 			}
@@ -55,49 +55,53 @@
 	return d
 }
 
-// want asks for texts that the epoch to be must go on with. One that names them is asked, and after
-// a while the next one.
-func (m *Machine) want(docs ...Doc) {
-	b := m.bid
+// requestBodies requests the missing bodies of the new epoch's state from one of the members that
+// refer to them, and after a while from the next.
+func (m *Machine) requestBodies(docs ...Doc) {
+	b := m.candidate
 	var sums [][]byte
 	size := 0
 	for _, d := range docs {
-		if d.lacks() {
-			sums, size = append(sums, d.Sum), size+d.Packed.Size
+		if d.lacksBody() {
+			sums, size = append(sums, d.Digest), size+d.Packed.Size
 		}
 	}
-	if b.wanted != 0 && m.now-b.wanted < resendEvery+min(Way(size), mostState) {
+	if b.bodiesAskedAt != 0 && m.now-b.bodiesAskedAt < resendInterval+min(TransferTime(size), maxStateTransfer) {
 		return
 	}
-	var who []Seat
-	for _, s := range union(b.base.voters(), b.plan) {
-		p, ok := b.promises[s.Addr]
-		has := func(sum []byte) bool { return bytes.Equal(sum, p.Kept.Sum) || bytes.Equal(sum, p.Next.Sum) }
-		if ok && p.Life == s.Life && s.Addr != m.c.Self && slices.ContainsFunc(sums, has) {
-			who = append(who, s)
+	var holders []Member
+	for _, member := range union(b.baseRecord.votingMembers(), b.nextMembers) {
+		p, ok := b.promises[member.Addr]
+		has := func(sum []byte) bool {
+			return bytes.Equal(sum, p.Committed.Digest) || bytes.Equal(sum, p.Pending.Digest)
+		}
+		if ok && p.DiskID == member.DiskID && member.Addr != m.config.Self && slices.ContainsFunc(sums, has) {
+			holders = append(holders, member)
 		}
 	}
-	if len(who) == 0 {
+	if len(holders) == 0 {
 		return
 	}
-	s := who[int(b.asked)%len(who)]
-	b.wanted, b.asked = m.now, b.asked+1
-	m.durable(s.Addr, Prepare{Ballot: b.ballot, Life: s.Life, Record: b.base, Handed: b.handed, Names: true, Want: sums,
-		Held: m.d.Kept.Version})
+	holder := holders[int(b.bodyRequests)%len(holders)]
+	b.bodiesAskedAt, b.bodyRequests = m.now, b.bodyRequests+1
+	m.sendAfterSave(holder.Addr, Prepare{Ballot: b.ballot, DiskID: holder.DiskID, Record: b.baseRecord,
+		HandedOver: b.handedOver, OmitBodies: true, WantedBodies: sums,
+		CommittedVersion: m.state.Committed.Version})
 }
 
-// toWriter is a document for a writer that has promised: named where it has the text, else as a difference to what it has.
-func (m *Machine) toWriter(to string, d Doc) Doc {
-	if m.bid == nil || len(d.Body) == 0 || len(d.Sum) == 0 {
-		return m.packDoc(d)
+// docForWriter returns a document for a writer that has promised: without the body if it has that,
+// else as a delta to its committed one.
+func (m *Machine) docForWriter(to string, d Doc) Doc {
+	if m.candidate == nil || len(d.Body) == 0 || len(d.Digest) == 0 {
+		return m.packWhole(d)
 	}
-	p := m.bid.promises[to]
-	if bytes.Equal(p.Kept.Sum, d.Sum) || bytes.Equal(p.Next.Sum, d.Sum) {
-		return d.nameOnly()
+	p := m.candidate.promises[to]
+	if bytes.Equal(p.Committed.Digest, d.Digest) || bytes.Equal(p.Pending.Digest, d.Digest) {
+		return d.bodyOmitted()
 	}
-	base := m.bid.found(p.Kept).Body
+	base := m.candidate.withBody(p.Committed).Body
 	if len(base) == 0 {
-		return m.packDoc(d)
+		return m.packWhole(d)
 	}
-	return m.differingFrom(base, d)
+	return m.asDeltaFrom(base, d)
 }
--- a/internal/consensus/past_test.go
+++ b/internal/consensus/past_test.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// TestPast: who stays sees one duty pass to another, and the list of epochs is bounded.
-func TestPast(t *testing.T) {
+// TestEpochHistory checks that a process sees the primary's role pass to another member, and that
+// the history is limited.
+func TestEpochHistory(t *testing.T) {
 	t.Parallel()
-	w := calm(t, 3, 5, 1)
-	lost, stays := w.primary(), w.nodes[len(w.nodes)-1]
-	before := stays.m.Past()
+	w := newSteadyCluster(t, 3, 5, 1)
+	lost, survivor := w.primary(), w.nodes[len(w.nodes)-1]
+	before := survivor.machine.EpochHistory()
 	w.kill(lost, true)
 	w.run(2 * time.Second)
-	past := stays.m.Past()
-	if len(before) == 0 || len(past) <= len(before) {
-		t.Fatalf("%d epochs before, %d after", len(before), len(past))
+	history := survivor.machine.EpochHistory()
+	if len(before) == 0 || len(history) <= len(before) {
+		t.Fatalf("%d epochs before, %d after", len(before), len(history))
 	}
-	was, is := before[len(before)-1], past[len(past)-1]
-	primary := func(c Change) (addr string) {
-		for _, s := range c.Seats {
-			if s.Does == "primary" {
+	last, newest := before[len(before)-1], history[len(history)-1]
+	primary := func(c EpochChange) (addr string) {
+		for _, s := range c.Members {
+			if s.Role == "primary" {
 				addr += s.Addr
 			}
 		}
 		return addr
 	}
-	if primary(was) != lost.cfg.Self || primary(is) != w.primary().cfg.Self || is.At <= was.At || len(is.Seats) != 3 {
-		t.Errorf("%+v, then %+v", was, is)
+	if primary(last) != lost.config.Self || primary(newest) != w.primary().config.Self || newest.At <= last.At ||
+		len(newest.Members) != 3 {
+		t.Errorf("%+v, then %+v", last, newest)
 	}
-	for range 2 * mostPast {
-		stays.m.view.Ballot.N++
-		stays.m.remember()
+	for range 2 * maxEpochHistory {
+		survivor.machine.view.Ballot.N++
+		survivor.machine.recordEpochHistory()
 	}
-	if n := len(stays.m.Past()); n != mostPast {
-		t.Errorf("%d epochs are kept", n)
+	if n := len(survivor.machine.EpochHistory()); n != maxEpochHistory {
+		t.Errorf("%d epochs in the history", n)
 	}
 }
--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// Latency is what is known of the time that answers of one kind take, in seconds.
+// Latency holds the latency statistics of one request class, in seconds.
 type Latency struct {
-	Mean, Dev float64
-	Base      float64 // lowest lasting mean: what work takes without queues
+	Mean, Deviation float64
+	Baseline        float64 // lowest lasting mean: service time without queueing
 
-	n    int
-	calm float64 // more than that can't be calm
+	samples     int
+	maxBaseline float64 // highest Baseline
 }
 
-// NewLatency returns a guess for answers that should come within aim.
+// NewLatency returns an initial estimate for a class with this target latency.
 func NewLatency(aim time.Duration) Latency {
 	guess := aim.Seconds() / 8
-	return Latency{Mean: guess, Base: guess, Dev: guess / 2, calm: aim.Seconds() / 4}
+	return Latency{Mean: guess, Baseline: guess, Deviation: guess / 2, maxBaseline: aim.Seconds() / 4}
 }
 
-// Took takes one in, at a weight between 0 and 1.
-func (l *Latency) Took(took, weight float64) {
-	l.Dev += (math.Abs(took-l.Mean) - l.Dev) * weight
-	l.Mean += (took - l.Mean) * weight
-	if l.n++; l.n < 50 || l.Mean < l.Base {
-		l.Base = min(l.Mean, l.calm) // a start under load must not pass for calm
+// Observe records the latency of a response, with a weight between 0 and 1.
+func (l *Latency) Observe(latency, weight float64) {
+	l.Deviation += (math.Abs(latency-l.Mean) - l.Deviation) * weight
+	l.Mean += (latency - l.Mean) * weight
+	if l.samples++; l.samples < 50 || l.Mean < l.Baseline {
+		l.Baseline = min(l.Mean, l.maxBaseline) // latency of a start under load must not become the baseline
 	} else {
-		l.Base += (l.Mean - l.Base) * 0.0003
+		l.Baseline += (l.Mean - l.Baseline) * 0.0003
 	}
 }
 
-// Tardy is how long an answer takes only rarely.
-func (l *Latency) Tardy() time.Duration {
-	return time.Duration((l.Mean + 4*l.Dev) * float64(time.Second))
+// Slow is a latency that responses rarely exceed.
+func (l *Latency) Slow() time.Duration {
+	return time.Duration((l.Mean + 4*l.Deviation) * float64(time.Second))
 }
 
-// Pressed reports whether answers show queues: then lateness comes of load, and tells nothing of one server.
-func (l *Latency) Pressed() bool { return l.Mean > 1.5*l.Base }
+// Queueing reports whether latencies show queueing. Late responses are then due to load, not to one server.
+func (l *Latency) Queueing() bool { return l.Mean > 1.5*l.Baseline }
 
-// Gone reports whether so long a silence means more than load.
-func (l *Latency) Gone(quiet time.Duration) bool { return quiet > l.Tardy()*3/2 && !l.Pressed() }
+// Unresponsive reports whether so long a silence can't be explained by load.
+func (l *Latency) Unresponsive(silence time.Duration) bool {
+	return silence > l.Slow()*3/2 && !l.Queueing()
+}
--- a/internal/quotas/basis.go
+++ b/internal/quotas/basis.go
@@ -2,87 +2,89 @@
 
 import "asterwell/internal/fsm"
 
-// Basis is what a gateway goes by when it decides a request: whose sums it reads, or its own share.
+// Basis is what a decision of a gateway relies on: the sums of one of the holders, or an allowance of its
+// own.
 type Basis uint8
 
 const (
-	ByFirst  Basis = iota // the first holder's sums
-	BySecond              // the second holder's, since the first doesn't answer
-	Unread                // it hasn't read the tenant yet: a start allowance
-	ByShare               // no holder answers: its even share
+	FirstHolder  Basis = iota // the sums of the first holder
+	SecondHolder              // the sums of the second holder, as the first doesn't answer
+	Unread                    // a start allowance: the tenant's level has not been read yet
+	OwnShare                  // the even share of the quota: no holder answers
 	bases
 )
 
-// String names a basis as metrics and traces do.
+// String returns the name in metrics and traces.
 func (b Basis) String() string {
 	return [bases]string{"first_holder", "second_holder", "unread", "own_share"}[b]
 }
 
-// Bases are all there are.
-func Bases() []Basis { return []Basis{ByFirst, BySecond, Unread, ByShare} }
+// Bases returns all values.
+func Bases() []Basis { return []Basis{FirstHolder, SecondHolder, Unread, OwnShare} }
 
-// basis is what the next decision about a tenant goes by.
-func (m *Meter) basis(now fsm.Time, e *entry) Basis {
+// basis is what the next decision about a tenant will rely on.
+func (m *Meter) basis(now fsm.Time, state *tenantState) Basis {
 	switch {
-	case e.mute || m.reader < 0 && m.silent(now):
-		return ByShare
-	case !e.seen:
+	case state.holdersSilent || m.reader < 0 && m.holdersSilent(now):
+		return OwnShare
+	case !state.levelRead:
 		return Unread
 	case m.reader == 1:
-		return BySecond
+		return SecondHolder
 	}
-	return ByFirst
+	return FirstHolder
 }
 
-// Tally counts the requests decided by one basis since the start.
-type Tally struct{ Passed, Refused uint64 }
+// Decisions counts the decisions with one basis since the start.
+type Decisions struct{ Passed, Refused uint64 }
 
-// Account is what a meter shows of its quotas: which basis its decisions had, and what it knows of the fleet.
-type Account struct {
-	Decided   [bases]Tally
-	Holder    string // the one that is read; "": none answers
-	Changes   uint64 // of the holder that is read, since the start
-	Gateways  int    // that shares are made for,
-	InTouch   int    // of these, in sight
-	UnheardMS int64  // since the oldest read that is not answered
+// Stats shows what a meter's decisions relied on, and what it knows of the fleet.
+type Stats struct {
+	Decided       [bases]Decisions
+	Holder        string // the one that is read; "": none answers
+	HolderChanges uint64 // changes of that holder since the start
+	Gateways      int    // among which quotas are shared
+	Reachable     int    // of these, how many are in contact
+	UnansweredMS  int64  // age of the oldest unanswered read
 
-	// Behind is by how many units a holder's level was above what this gateway reckoned with, at the most in
-	// one answer; Answers is how many answers were a unit or more above it.
-	Behind  float64
-	Answers uint64
+	// MaxBehind is the largest difference in units, within one answer, between a holder's level and the
+	// lower one that this gateway assumed; AnswersBehind counts the answers with a difference of at least a
+	// unit.
+	MaxBehind     float64
+	AnswersBehind uint64
 }
 
-// Account tells them.
-func (m *Meter) Account(now fsm.Time) Account {
-	a := Account{Decided: m.decided, Changes: m.changes, Behind: m.behind, Answers: m.behindAnswers, Gateways: m.even(now), InTouch: m.present()}
+// Stats returns the current statistics.
+func (m *Meter) Stats(now fsm.Time) Stats {
+	a := Stats{Decided: m.decided, HolderChanges: m.holderChanges, MaxBehind: m.maxBehind, AnswersBehind: m.answersBehind, Gateways: m.shareCount(now), Reachable: m.reachableGateways()}
 	if m.reader >= 0 {
-		s := &m.slots[m.reader]
-		a.Holder = s.addr
-		if s.pending != 0 {
-			a.UnheardMS = (now - s.pending).Milliseconds()
+		holder := &m.holders[m.reader]
+		a.Holder = holder.addr
+		if holder.unansweredSince != 0 {
+			a.UnansweredMS = (now - holder.unansweredSince).Milliseconds()
 		}
 	}
 	return a
 }
 
-// BasisOf is what a tenant's next request would be decided by; false: it has no limit here.
+// BasisOf returns what the next decision about a tenant will rely on; false: the tenant has no limit here.
 func (m *Meter) BasisOf(now fsm.Time, tenant string) (Basis, bool) {
-	e := m.entries[tenant]
-	if e == nil {
+	state := m.tenants[tenant]
+	if state == nil {
 		return 0, false
 	}
-	return m.basis(now, e), true
+	return m.basis(now, state), true
 }
 
-// compare notes by how much a holder's level is above what is reckoned with here.
-func (m *Meter) compare(e *entry, t Total, stamp fsm.Time) {
-	if !e.seen || !t.Sure {
+// noteBehind records by how much a holder's level exceeds the usage assumed here.
+func (m *Meter) noteBehind(state *tenantState, t Total, timestamp fsm.Time) {
+	if !state.levelRead || !t.LevelKnown {
 		return
 	}
-	behind := float64(t.Level)/milli + e.unheard() - float64(e.tat-stamp)/e.gap
+	behind := float64(t.Level)/milliUnits + state.unacked() - float64(state.tat-timestamp)/state.interval
 	if behind < 1 {
 		return
 	}
-	m.behind = max(m.behind, behind)
-	m.behindAnswers++
+	m.maxBehind = max(m.maxBehind, behind)
+	m.answersBehind++
 }
--- a/internal/quotas/meter.go
+++ b/internal/quotas/meter.go
@@ -12,257 +12,257 @@
 )
 
 const (
-	easeGap   = 200 * time.Millisecond // between adds of a tenant far from its limit
-	leastGap  = 50 * time.Millisecond  // between any two adds
-	retryGap  = 60 * time.Millisecond  // an unanswered read is repeated
-	mutedGap  = 200 * time.Millisecond // a holder that leaves reads unanswered is silent
-	stallGap  = 400 * time.Millisecond // between ticks: a gateway that froze doesn't know what others did
-	spareGap  = time.Second            // between adds to the holder that is not read
-	proveGap  = 5 * time.Second        // between questions which roster it has
-	firstGap  = 10 * time.Millisecond  // before the first read of a tenant, after any add
-	crowdRead = 25 * time.Millisecond  // the same, where first reads would fill the wire with heads of messages:
-	quickRate = 10.0                   // so many a second may come after firstGap,
-	quickMost = 10.0                   // and so many at once
-	crowdEach = 100 * time.Microsecond // for each gateway, of many: a holder gets no more than 10,000 of them a second,
-	quickAll  = 2500.0                 // so many of those that follow closely,
-	spareEach = 200 * time.Microsecond // and the one that is not read 5,000 adds
-
-	chargeGap  = 2 * time.Second         // after which what gateways passed while they were lost unknown is worked off
-	freshGap   = 30 * time.Millisecond   // within which an answer is back that is not late
-	trustGap   = time.Second             // after which a holder that is read anew has been told what it missed
-	vouchGap   = 1500 * time.Millisecond // in which a holder that is read anew is told what others' holders knew
-	companyGap = 300 * time.Millisecond  // without adds of others a holder may be cut off
-	settle     = 300 * time.Millisecond  // after a change of period, before the old name is reread
-	believe    = time.Minute             // after which gateways that are missing are taken as gone
-	young      = 3 * time.Second         // in which one that has met no other gateway may be cut off
-	unknown    = 32                      // gateways, at least, that a young meter reckons with
-	nearGap    = 500 * time.Millisecond  // so long after it, holders are told that a tenant was near its limit
+	relaxedGap            = 200 * time.Millisecond // between two adds for a tenant that is far from its limit
+	minGap                = 50 * time.Millisecond  // between any two adds
+	retryGap              = 60 * time.Millisecond  // after which an unanswered read is repeated
+	silentAfter           = 200 * time.Millisecond // without an answer to a read, a holder counts as silent
+	stallThreshold        = 400 * time.Millisecond // between ticks: a gateway frozen for longer missed what others passed
+	standbyGap            = time.Second            // between adds to the holder that is not read
+	rosterCheckGap        = 5 * time.Second        // between requests for the hash of a holder's roster
+	earlyReadGap          = 10 * time.Millisecond  // before the first read of a tenant, after any add
+	batchedReadGap        = 25 * time.Millisecond  // the same above earlyReadRate: message headers would dominate the traffic
+	earlyReadRate         = 10.0                   // first reads a second that may follow after earlyReadGap,
+	earlyReadBurst        = 10.0                   // and their burst
+	batchedReadPerGateway = 100 * time.Microsecond // for each gateway in large fleets: a holder gets 10,000 batched reads a second at most,
+	earlyReadFleetRate    = 2500.0                 // early reads a second,
+	standbyPerGateway     = 200 * time.Microsecond // and 5,000 adds a second where it is not the one that is read
+
+	lossSettleTime    = 2 * time.Second         // for units that gateways passed before their loss was noticed to drain
+	freshAnswer       = 30 * time.Millisecond   // an answer within this round trip is not delayed
+	trustAfter        = time.Second             // after which a new reader has received what it missed
+	reportUsedFor     = 1500 * time.Millisecond // in which a new reader is also sent the usage known from other holders
+	othersHeardWithin = 300 * time.Millisecond  // a holder that received no adds of others for longer may be partitioned
+	periodSettleTime  = 300 * time.Millisecond  // after a change of period, before the last read of the previous one
+	peakRetention     = time.Minute             // after which missing gateways count as removed
+	startupWindow     = 3 * time.Second         // in which a gateway that has met no other one may be partitioned
+	assumedGateways   = 32                      // number of gateways that a meter assumes, at least, during startupWindow
+	nearLimitWindow   = 500 * time.Millisecond  // time after which holders are no longer told that a tenant was near its limit
 )
 
-// slot is one of the two holders.
-type slot struct {
-	addr    string
-	self    bool
-	pending fsm.Time // the first read without an answer; 0: none
-	spareAt fsm.Time
-	refill  bool   // it may be new: it is told all sums again
-	list    uint32 // the roster that it is told numbers of; 0: it is told names
-	former  uint32 // the one before, in adds before listAt,
-	listAt  fsm.Time
-	sinceAt fsm.Time // and since then
-	proveAt fsm.Time // when it was last asked which it has, without a read
-	missing uint32   // gateways out of its sight, as it last said
-	brief   bool     // it reads adds that are shortened
-	paced   uint8    // how far apart it wants adds
-	tries   int      // adds repeated since its last answer
-
-	last [4]string // tenants that it was told of last, of each kind, where not all had room
-	way  roundTrip
+// holderState is what a meter knows of one of the two holders.
+type holderState struct {
+	addr            string
+	self            bool
+	unansweredSince fsm.Time // when the oldest unanswered read was sent; 0: none is open
+	lastAddAt       fsm.Time
+	resendAll       bool   // the holder may be new: send it all sums again
+	rosterHash      uint32 // the roster by whose places it is told tenants; 0: by names
+	prevRosterHash  uint32 // the previous one, which applies to adds between prevRosterSince
+	rosterSince     fsm.Time
+	prevRosterSince fsm.Time // and rosterSince
+	rosterCheckAt   fsm.Time // when its roster was last asked for without a read
+	missing         uint32   // gateways that its failure detector misses, by its last answer
+	readsCompact    bool     // it understands compact adds
+	sendInterval    uint8    // the gap between adds that it asks for, in sendIntervalUnit
+	retries         int      // repeated adds since its last answer
+
+	last [4]string // the last tenant sent of each kind of items, where not all fitted
+	rtt  roundTrip
 }
 
-// far: what it tells is older than what near ones tell ever is.
-func (s *slot) far() bool { return s.way.beyond(freshGap) > 0 }
+// far reports whether answers take longer than freshAnswer even at the best.
+func (holder *holderState) far() bool { return holder.rtt.excess(freshAnswer) > 0 }
 
-// unheard is for how long others may have passed units that aren't in an answer: nothing
-// where it is near, since what the quota's margin bears is reckoned with that.
-func (s *slot) unheard(now, stamp fsm.Time) fsm.Time {
-	if s.far() {
-		return now - stamp
+// unreportedSpan is the time in which other gateways may have passed units that the answer doesn't have. It
+// is 0 for a near holder, whose delay is within the margin of the quota.
+func (holder *holderState) unreportedSpan(now, timestamp fsm.Time) fsm.Time {
+	if holder.far() {
+		return now - timestamp
 	}
 	return 0
 }
 
-// late: a read of it has been without an answer for so long that it is repeated.
-func (s *slot) late(now fsm.Time) bool {
-	return s.pending != 0 && now-s.pending >= s.way.stretch(retryGap)
+// retryDue reports whether a read has gone unanswered for long enough to be repeated.
+func (holder *holderState) retryDue(now fsm.Time) bool {
+	return holder.unansweredSince != 0 && now-holder.unansweredSince >= holder.rtt.extend(retryGap)
 }
 
-// mute: so long that the holder is silent. One repetition may be lost, as near by.
-func (s *slot) mute(now fsm.Time) bool {
-	return s.pending != 0 && now-s.pending >= mutedGap+s.way.beyond(retryGap)
+// silent reports whether the holder counts as unreachable. The timeout leaves time for one lost repetition.
+func (holder *holderState) silent(now fsm.Time) bool {
+	return holder.unansweredSince != 0 && now-holder.unansweredSince >= silentAfter+holder.rtt.excess(retryGap)
 }
 
-// Meter decides at one gateway which requests of which tenants pass.
+// Meter decides at one gateway which requests are within their tenants' quotas.
 type Meter struct {
-	self string
-	life uint64
-
-	entries map[string]*entry
-	order   []*entry // by tenant: messages must not depend on a map's order
-	active  active
-
-	slots    [2]slot
-	reader   int      // the slot that is read; -1: none answers
-	readAt   fsm.Time // since when
-	counted  int      // gateways in touch
-	lostAt   fsm.Time // when many were last lost
-	gateways int      // as told
-	peak     int      // the most that were told, until the others are taken as gone
-	fellAt   fsm.Time
-	bornAt   fsm.Time
-
-	period, prev uint64
-	periodAt     fsm.Time
-	sentAt       fsm.Time
-	easeAt       fsm.Time
-	tickAt       fsm.Time
-	companyAt    fsm.Time // when the counter here had heard others lately
-	due          bool
-	nearAt       fsm.Time // when a tenant was near its limit
-	novel        bool     // a tenant that is not seen is in demand
-	quick        quick
-	rosters      rosters
-
-	decided [bases]Tally
-	changes uint64 // of the reader
-
-	behind        float64 // see Account
-	behindAnswers uint64
+	self        string
+	incarnation uint64
+
+	tenants map[string]*tenantState
+	ordered []*tenantState // by name: messages must not depend on the order of a map
+	active  activeSet
+
+	holders     [2]holderState
+	reader      int      // index of the holder that is read; -1: none answers
+	readerSince fsm.Time // when it became the reader
+	reachable   int      // gateways that are not missing, at the last count
+	lostAt      fsm.Time // when more than an eighth of the gateways last became unreachable at once
+	gateways    int      // members, as told by SetGateways
+	peak        int      // the highest number of gateways within peakRetention
+	peakAt      fsm.Time
+	startedAt   fsm.Time
+
+	period, prev  uint64
+	periodAt      fsm.Time
+	sentAt        fsm.Time
+	relaxedAt     fsm.Time
+	tickAt        fsm.Time
+	othersHeardAt fsm.Time // when the counter of this process had last heard other gateways
+	due           bool
+	nearLimitAt   fsm.Time // when any tenant was last near its limit
+	newDemand     bool     // a request came for a tenant whose level has not been read
+	earlyReads    earlyReads
+	rosters       rosters
+
+	decided       [bases]Decisions
+	holderChanges uint64 // how often the reader has changed
+
+	maxBehind     float64 // see Stats
+	answersBehind uint64
 }
 
-// NewMeter makes the meter of one life of a gateway. The seed shifts its adds
-// against those of the others.
-func NewMeter(self string, life uint64, seed uint64) *Meter {
-	rng := rand.New(rand.NewPCG(seed, life))
+// NewMeter makes the meter of one incarnation of a gateway. The seed spreads the times of its adds against
+// those of other gateways.
+func NewMeter(self string, incarnation uint64, seed uint64) *Meter {
+	rng := rand.New(rand.NewPCG(seed, incarnation))
 	return &Meter{
-		self: self, life: life, entries: map[string]*entry{}, reader: -1,
-		easeAt: fsm.Time(rng.Int64N(int64(easeGap))),
+		self: self, incarnation: incarnation, tenants: map[string]*tenantState{}, reader: -1,
+		relaxedAt: fsm.Time(rng.Int64N(int64(relaxedGap))),
 	}
 }
 
-// Limits takes the limits of the configuration. See entry.change for what a
-// change leaves; a tenant that had no limit starts as one that was not seen.
-func (m *Meter) Limits(now fsm.Time, limits map[string]Limit) { m.Enter(now, NewRoster(limits)) }
+// SetLimits sets the limits of the configuration. For a changed limit see tenantState.changeLimit; a new
+// tenant starts as unread.
+func (m *Meter) SetLimits(now fsm.Time, limits map[string]Limit) { m.SetRoster(now, NewRoster(limits)) }
 
-// Enter is Limits with the roster made already: most configurations change none of them, and to go
-// through thousands of tenants would hold requests up.
-func (m *Meter) Enter(now fsm.Time, r *Roster) {
-	if !m.rosters.renew(r) {
+// SetRoster is SetLimits with a roster that was made beforehand. Most configurations don't change the
+// limits, and going through thousands of tenants would delay requests.
+func (m *Meter) SetRoster(now fsm.Time, r *Roster) {
+	if !m.rosters.update(r) {
 		return
 	}
-	for tenant, e := range m.entries {
+	for tenant, state := range m.tenants {
 		if l, ok := r.limits[tenant]; !ok || l.Rate <= 0 {
-			delete(m.entries, tenant)
-		} else if l.Rate != e.limit.Rate || max(l.Burst, 1) != e.limit.Burst {
-			e.change(now, l)
+			delete(m.tenants, tenant)
+		} else if l.Rate != state.limit.Rate || max(l.Burst, 1) != state.limit.Burst {
+			state.changeLimit(now, l)
 		}
 	}
-	m.order = m.order[:0]
+	m.ordered = m.ordered[:0]
 	for place, tenant := range r.names {
-		e := m.entries[tenant]
-		if e == nil {
-			e = &entry{tenant: tenant, lot: lot(m.self, tenant), cur: name{period: m.period}, pushed: now}
-			e.set(r.limits[tenant])
-			e.start(now, m.even(now))
-			m.entries[tenant] = e
+		state := m.tenants[tenant]
+		if state == nil {
+			state = &tenantState{tenant: tenant, roundingDraw: roundingDraw(m.self, tenant), cur: periodSum{period: m.period}, assumedUntil: now}
+			state.setLimit(r.limits[tenant])
+			state.resetToStartAllowance(now, m.shareCount(now))
+			m.tenants[tenant] = state
 		}
-		e.place = int32(place)
-		m.order = append(m.order, e)
+		state.place = int32(place)
+		m.ordered = append(m.ordered, state)
 	}
-	m.active = active{}
+	m.active = activeSet{}
 }
 
-func lot(gateway, tenant string) float64 {
+func roundingDraw(gateway, tenant string) float64 {
 	return float64(xxhash.Sum64String(gateway+" "+tenant)>>11) / (1 << 53)
 }
 
-// Nodes takes the number of gateways and the holders in the agreed order.
-func (m *Meter) Nodes(now fsm.Time, gateways int, holders []string) {
+// SetGateways sets the number of gateways and the addresses of the holders in the agreed order.
+func (m *Meter) SetGateways(now fsm.Time, gateways int, holders []string) {
 	if m.gateways == 0 {
-		m.bornAt = now
+		m.startedAt = now
 	}
 	m.gateways = max(gateways, 1)
-	m.believe(now)
-	m.count(now)
-	var next [2]slot
-	var from [2]int
+	m.updatePeak(now)
+	m.noteLosses(now)
+	var next [2]holderState
+	var previous [2]int
 	for i := range next {
-		from[i] = -1
+		previous[i] = -1
 		if i >= len(holders) {
 			continue
 		}
-		next[i].refill = true
+		next[i].resendAll = true
 		next[i].addr, next[i].self = holders[i], holders[i] == m.self
-		if j := m.slot(holders[i]); j >= 0 {
-			next[i], from[i] = m.slots[j], j
+		if j := m.holderIndex(holders[i]); j >= 0 {
+			next[i], previous[i] = m.holders[j], j
 		}
 	}
-	if from == [2]int{0, 1} {
+	if previous == [2]int{0, 1} {
 		return
 	}
-	m.slots, m.reader = next, -1
-	for _, e := range m.order {
-		told, again := e.told, e.again
-		e.told, e.again = [2]uint64{e.cur.sum, e.cur.sum}, [2]bool{} // for a new holder, nothing of it is fresh
-		for i, j := range from {
+	m.holders, m.reader = next, -1
+	for _, state := range m.ordered {
+		reported, resend := state.reported, state.resend
+		state.reported, state.resend = [2]uint64{state.cur.sum, state.cur.sum}, [2]bool{} // nothing counts as unreported to a new holder
+		for i, j := range previous {
 			if j >= 0 {
-				e.told[i], e.again[i] = told[j], again[j]
+				state.reported[i], state.resend[i] = reported[j], resend[j]
 			}
 		}
 	}
-	m.active.known = false
+	m.active.complete = false
 }
 
-// believe keeps the peak: gateways that are missing may only be out of reach, and
-// go on passing their even share.
-func (m *Meter) believe(now fsm.Time) {
-	if m.gateways >= m.peak || now-m.fellAt >= believe {
-		m.peak, m.fellAt = m.gateways, now
+// updatePeak tracks the highest number of gateways. Missing ones may only be unreachable, and go on passing
+// their even share.
+func (m *Meter) updatePeak(now fsm.Time) {
+	if m.gateways >= m.peak || now-m.peakAt >= peakRetention {
+		m.peak, m.peakAt = m.gateways, now
 	}
 }
 
-// even is the number of gateways that shares are made for.
-func (m *Meter) even(now fsm.Time) int {
-	if m.gateways == 0 || m.peak == 1 && now-m.bornAt < young {
-		return max(m.peak, unknown)
+// shareCount is the number of gateways among which quotas are shared.
+func (m *Meter) shareCount(now fsm.Time) int {
+	if m.gateways == 0 || m.peak == 1 && now-m.startedAt < startupWindow {
+		return max(m.peak, assumedGateways)
 	}
 	return m.peak
 }
 
-// present is how many gateways are in touch, by the members or by the holder that is
-// read: whoever of both knows sooner.
-func (m *Meter) present() int {
+// reachableGateways is the number of gateways that are in contact, by the membership or by the reader's
+// failure detector, whichever notices a loss first.
+func (m *Meter) reachableGateways() int {
 	if m.reader < 0 {
 		return m.gateways
 	}
-	return max(1, m.gateways-int(m.slots[m.reader].missing))
+	return max(1, m.gateways-int(m.holders[m.reader].missing))
 }
 
-// count notes when many go out of touch at once.
-func (m *Meter) count(now fsm.Time) {
-	n := m.present()
-	if 8*(m.counted-n) > m.peak {
+// noteLosses notes the time when many gateways become unreachable at once.
+func (m *Meter) noteLosses(now fsm.Time) {
+	n := m.reachableGateways()
+	if 8*(m.reachable-n) > m.peak {
 		m.lostAt = now
 	}
-	m.counted = n
+	m.reachable = n
 }
 
-// reserve is the part of a tenant's rate and burst that is kept for gateways that are
-// missing. The margin of the quota bears a few of them, on one side of a cut.
-func (m *Meter) reserve(e *entry) float64 {
+// reservedPart is the part of a tenant's rate and burst that is reserved for missing gateways. The margin
+// of the quota covers a few of them, on the larger side of a partition.
+func (m *Meter) reservedPart(state *tenantState) float64 {
 	if m.peak == 0 {
 		return 0
 	}
-	part := float64(m.peak-m.present()) / float64(m.peak)
+	part := float64(m.peak-m.reachableGateways()) / float64(m.peak)
 	if part < 0.5 {
-		part -= e.bears()
+		part -= state.toleratedPart()
 	}
 	return max(0, part)
 }
 
-func (m *Meter) slot(addr string) int {
-	return slices.IndexFunc(m.slots[:], func(s slot) bool { return s.addr != "" && s.addr == addr })
+func (m *Meter) holderIndex(addr string) int {
+	return slices.IndexFunc(m.holders[:], func(holder holderState) bool { return holder.addr != "" && holder.addr == addr })
 }
 
-// Pass decides a request; a refusal says after which time to come back.
-func (m *Meter) Pass(now fsm.Time, tenant string, units float64) (bool, time.Duration) {
-	e := m.entries[tenant]
-	if e == nil {
+// Allow decides a request; a refusal comes with the time after which to retry.
+func (m *Meter) Allow(now fsm.Time, tenant string, units float64) (bool, time.Duration) {
+	state := m.tenants[tenant]
+	if state == nil {
 		return true, 0
 	}
-	m.touch(now, e)
-	ok, after := m.decide(now, e, units)
-	if t := &m.decided[m.basis(now, e)]; ok {
+	m.refresh(now, state)
+	ok, after := m.decide(now, state, units)
+	if t := &m.decided[m.basis(now, state)]; ok {
 		t.Passed++
 	} else {
 		t.Refused++
@@ -270,151 +270,155 @@
 	return ok, after
 }
 
-// decide tests an entry that is up to date, and takes the units if they may pass.
-func (m *Meter) decide(now fsm.Time, e *entry, units float64) (bool, time.Duration) {
-	if !e.seen {
-		e.asked = true
+// decide tests a refreshed tenant state, and takes the units if they may pass.
+func (m *Meter) decide(now fsm.Time, state *tenantState, units float64) (bool, time.Duration) {
+	if !state.levelRead {
+		state.readWanted = true
 	}
-	room := e.room(now)
-	if e.seen && room < e.limit.Burst/2 {
-		m.nearAt = now
-		if e.limit.Burst < 2*float64(m.even(now)) {
-			e.nearAt = now
+	available := state.available(now)
+	if state.levelRead && available < state.limit.Burst/2 {
+		m.nearLimitAt = now
+		if state.limit.Burst < 2*float64(m.shareCount(now)) {
+			state.nearLimitAt = now
 		}
 	}
-	if now < e.tat+e.span(units-1)-e.tau {
-		m.hurry(e)
-		m.due = m.due || !e.seen && !e.mute
-		if !e.seen && !e.mute { // what the counter says may let it pass at once
-			return false, min(e.wait(now, units, 0), 2*leastGap)
+	if now < state.tat+state.duration(units-1)-state.tau {
+		m.requestRead(state)
+		m.due = m.due || !state.levelRead && !state.holdersSilent
+		if !state.levelRead && !state.holdersSilent { // the first read may allow it
+			return false, min(state.retryAfter(now, units, 0), 2*minGap)
 		}
-		part := 0.0
-		if e.seen { // one that isn't may be told more of any moment
-			part = m.reserve(e)
+		reserved := 0.0
+		if state.levelRead { // an unread tenant may be told of more units at any moment
+			reserved = m.reservedPart(state)
 		}
-		return false, e.wait(now, units, part)
+		return false, state.retryAfter(now, units, reserved)
 	}
-	if e.seen && e.unheard() > 0 && e.unheard()+units > e.lead(now, m.even(now)) {
+	if state.levelRead && state.unacked() > 0 && state.unacked()+units > state.maxUnacked(now, m.shareCount(now)) {
 		m.due = true
-		return false, leastGap
+		return false, minGap
 	}
-	e.use(now, units)
-	if m.urgent(now, e, room-units) {
+	state.consume(now, units)
+	if m.urgent(now, state, available-units) {
 		m.due = true
-		m.hurry(e)
+		m.requestRead(state)
 	}
 	return true, 0
 }
 
-// hurry asks at once for a tenant that is not seen, if there is someone who knows.
-func (m *Meter) hurry(e *entry) { m.novel = m.novel || !e.seen && !e.mute && !e.vague }
+// requestRead asks for an early read of an unread tenant, if a holder can answer it.
+func (m *Meter) requestRead(state *tenantState) {
+	m.newDemand = m.newDemand || !state.levelRead && !state.holdersSilent && !state.levelUnknown
+}
 
-// Settle moves TAT by what an answer cost more, or less, than was taken.
-func (m *Meter) Settle(now fsm.Time, tenant string, units float64) {
-	e := m.entries[tenant]
-	if e == nil {
+// AdjustCost corrects TAT by the difference between the actual cost of a request and the units taken for
+// it.
+func (m *Meter) AdjustCost(now fsm.Time, tenant string, units float64) {
+	state := m.tenants[tenant]
+	if state == nil {
 		return
 	}
-	m.touch(now, e)
+	m.refresh(now, state)
 	if units >= 0 {
-		e.use(now, units)
+		state.consume(now, units)
 		return
 	}
-	e.tat += e.span(units)
-	e.known += e.span(units)
-	e.credit += uint64(math.Round(-units * milli))
+	state.tat += state.duration(units)
+	state.knownTAT += state.duration(units)
+	state.credit += uint64(math.Round(-units * milliUnits))
 }
 
-// urgent says whether the others should hear of a tenant at once.
-func (m *Meter) urgent(now fsm.Time, e *entry, room float64) bool {
-	if !e.seen {
-		return room < e.share(m.even(now))*3/4
+// urgent reports whether the other gateways should learn of a tenant's usage at once.
+func (m *Meter) urgent(now fsm.Time, state *tenantState, available float64) bool {
+	if !state.levelRead {
+		return available < state.evenShare(m.shareCount(now))*3/4
 	}
-	part, unsent := e.limit.Burst/float64(8*m.even(now)), e.unsent()
+	part, unsent := state.limit.Burst/float64(8*m.shareCount(now)), state.unsent()
 	switch {
-	case room < e.limit.Burst/4:
+	case available < state.limit.Burst/4:
 		return true
-	case room < e.limit.Burst*3/4 && unsent >= max(1, part):
+	case available < state.limit.Burst*3/4 && unsent >= max(1, part):
 		return true
 	}
-	return unsent >= max(2, 2*part) || e.unheard() > e.lead(now, m.even(now))/2
+	return unsent >= max(2, 2*part) || state.unacked() > state.maxUnacked(now, m.shareCount(now))/2
 }
 
-// touch brings an entry up to now before it is judged.
-func (m *Meter) touch(now fsm.Time, e *entry) {
-	m.active.stir(e)
-	e.roll(now, m.period, m.prev)
-	switch silent := m.silent(now); {
-	case silent && !e.mute: // what was passed unheard comes out of the share of the burst
-		e.mute = true
-		e.leave(now, e.share(m.even(now))-e.unheard())
-		e.forget(now)
-	case !silent && e.mute:
-		e.mute = false
-		e.forget(now)
-	case e.seen && now-m.tickAt > stallGap:
-		e.start(now, m.even(now))
-	case e.seen && e.room(now) < -2*e.limit.Burst-e.limit.Rate:
-		e.forget(now) // so deep in debt that what was read can hardly be true
-	case e.seen && e.tat < now-e.tau:
-		e.start(now, m.even(now))
-		if m.far(now) {
-			e.rest(now, m.even(now))
+// refresh brings a tenant's state up to date before a decision.
+func (m *Meter) refresh(now fsm.Time, state *tenantState) {
+	m.active.add(state)
+	state.rollPeriod(now, m.period, m.prev)
+	switch silent := m.holdersSilent(now); {
+	case silent && !state.holdersSilent: // units that no holder has counted are taken out of the share of the burst
+		state.holdersSilent = true
+		state.capAvailable(now, state.evenShare(m.shareCount(now))-state.unacked())
+		state.markUnread(now)
+	case !silent && state.holdersSilent:
+		state.holdersSilent = false
+		state.markUnread(now)
+	case state.levelRead && now-m.tickAt > stallThreshold:
+		state.resetToStartAllowance(now, m.shareCount(now))
+	case state.levelRead && state.available(now) < -2*state.limit.Burst-state.limit.Rate:
+		state.markUnread(now) // a debt this deep can't be right: the level was misread
+	case state.levelRead && state.tat < now-state.tau:
+		state.resetToStartAllowance(now, m.shareCount(now))
+		if m.readerFar(now) {
+			state.grantIdleAllowance(now, m.shareCount(now))
 		}
 	}
-	e.tat = max(e.tat, e.known) // a start allowance is no second burst
-	if e.seen {
-		part := m.reserve(e)
-		e.assume(now, part)
-		if away := m.peak - m.present(); away != e.away {
-			e.miss(now, away-e.away, m.present(), m.peak, part)
-			e.away = away
+	state.tat = max(state.tat, state.knownTAT) // the start allowance is not a second burst
+	if state.levelRead {
+		reserved := m.reservedPart(state)
+		state.assumeOthers(now, reserved)
+		if missing := m.peak - m.reachableGateways(); missing != state.missing {
+			state.chargeMissing(now, missing-state.missing, m.reachableGateways(), m.peak, reserved)
+			state.missing = missing
 		}
-		if part > 0 {
-			e.leave(now, max(1, e.limit.Burst*(1-part))) // less than one unit would be none, for a minute
+		if reserved > 0 {
+			// With less than one unit nothing would pass for as long as the peak is kept.
+			state.capAvailable(now, max(1, state.limit.Burst*(1-reserved)))
 		}
 		return
 	}
-	e.away = m.peak - m.present()
-	even := m.even(now)
-	e.assume(now, 1-1/float64(even))
-	e.leave(now, max(e.share(even), e.rested))
+	state.missing = m.peak - m.reachableGateways()
+	share := m.shareCount(now)
+	state.assumeOthers(now, 1-1/float64(share))
+	state.capAvailable(now, max(state.evenShare(share), state.idleUnits))
 }
 
-// far says that a first read takes long where a tenant has only rested, and that nobody is
-// or was just out of touch.
-func (m *Meter) far(now fsm.Time) bool {
-	return m.reader >= 0 && m.slots[m.reader].far() && m.trusts(now) && m.present() >= m.peak
+// readerFar reports whether first reads take long, while no gateway is or was lately unreachable. Idle
+// tenants get an allowance then.
+func (m *Meter) readerFar(now fsm.Time) bool {
+	return m.reader >= 0 && m.holders[m.reader].far() && m.readerTrusted(now) && m.reachableGateways() >= m.peak
 }
 
-// trusts: the holder that is read has heard of all that was passed lately.
-func (m *Meter) trusts(now fsm.Time) bool {
-	return now-m.readAt >= trustGap && (m.lostAt == 0 || now-m.lostAt >= chargeGap)
+// readerTrusted reports whether the reader has counted all that was passed lately.
+func (m *Meter) readerTrusted(now fsm.Time) bool {
+	return now-m.readerSince >= trustAfter && (m.lostAt == 0 || now-m.lostAt >= lossSettleTime)
 }
 
-// silent says that no holder answers: the gateway has its even share. A holder is
-// not silent before it was asked.
-func (m *Meter) silent(now fsm.Time) bool {
-	for i := range m.slots {
-		if m.answers(now, i) {
+// holdersSilent reports whether no holder answers, so that the gateway falls back to its even share. A
+// holder that has not been asked yet is not silent.
+func (m *Meter) holdersSilent(now fsm.Time) bool {
+	for i := range m.holders {
+		if m.holderAnswers(now, i) {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *Meter) answers(now fsm.Time, i int) bool {
-	s := &m.slots[i]
+func (m *Meter) holderAnswers(now fsm.Time, i int) bool {
+	holder := &m.holders[i]
 	switch {
-	case s.addr == "" || s.mute(now):
+	case holder.addr == "" || holder.silent(now):
 		return false
-	case !s.self || m.gateways == 1 || now-m.companyAt < companyGap:
+	case !holder.self || m.gateways == 1 || now-m.othersHeardAt < othersHeardWithin:
 		return true
 	}
-	other := &m.slots[1-i]
-	return other.addr != "" && !other.mute(now)
+	other := &m.holders[1-i]
+	return other.addr != "" && !other.silent(now)
 }
 
-// holds says that this gateway's own process is a holder. It always answers, even
-// when it is cut off; so the other holder is asked as well, or others must be heard.
-func (m *Meter) holds() bool { return m.slots[0].self || m.slots[1].self }
+// isHolder reports whether this gateway's own process is a holder. It always answers itself, even when it
+// is partitioned; so it needs answers of the other holder too, or adds of other gateways.
+func (m *Meter) isHolder() bool { return m.holders[0].self || m.holders[1].self }
--- a/internal/quotas/pace.go
+++ b/internal/quotas/pace.go
@@ -6,35 +6,36 @@
 	"asterwell/internal/fsm"
 )
 
-// Back-pressure: a holder that is told more than it can count says in its answers how far apart adds should be. Those who
-// are told so do; else its answers would come too late to be believed, all would repeat what it hasn't
-// answered, and turn to the second holder with as much. What is passed unheard for longer is bounded by
-// each gateway's lead; below the strain nothing differs.
+// Back-pressure: an overloaded holder says in its answers how far apart a gateway's adds should be.
+// Otherwise its answers would come too late to be used, and all gateways would repeat what it hasn't
+// answered and send the same load to the second holder. Units that stay unacknowledged for longer are
+// bounded by maxUnacked of each gateway. Without overload nothing changes.
 
 const (
-	strained = 20 * time.Millisecond  // adds that have waited for so long are too many
-	mostPace = 400 * time.Millisecond // between adds of a gateway, at the most
-	paceUnit = 4 * time.Millisecond   // on the wire
+	maxQueueDelay    = 20 * time.Millisecond  // of an add, above which the counter is overloaded
+	maxSendInterval  = 400 * time.Millisecond // longest gap that gateways are asked for
+	sendIntervalUnit = 4 * time.Millisecond   // resolution on the wire
 
-	strainedMute = time.Second // after which one that was under strain is taken as out of reach
+	overloadedTimeout = time.Second // after which a holder that had asked for fewer adds counts as unreachable
 )
 
-// Strain tells the counter how long, lately, an add had to wait among many others: every 50 ms or so.
-func (c *Counter) Strain(now fsm.Time, waited time.Duration) {
+// ReportQueueDelay tells the counter how long, lately, an add had to wait in the queue. It is called about
+// every 50 ms.
+func (c *Counter) ReportQueueDelay(now fsm.Time, waited time.Duration) {
 	switch {
-	case waited >= strained && now-c.pacedAt > 2*c.pace: // what was asked for has to be heard first
-		c.pace, c.pacedAt = min(max(c.pace, leastGap)*5/4, mostPace), now
-	case waited < strained:
-		if c.pace -= c.pace / 64; c.pace <= leastGap {
-			c.pace = 0
+	case waited >= maxQueueDelay && now-c.intervalRaisedAt > 2*c.sendInterval: // the last change has to take effect first
+		c.sendInterval, c.intervalRaisedAt = min(max(c.sendInterval, minGap)*5/4, maxSendInterval), now
+	case waited < maxQueueDelay:
+		if c.sendInterval -= c.sendInterval / 64; c.sendInterval <= minGap {
+			c.sendInterval = 0
 		}
 	}
 }
 
-// paced is the gap as an answer says it.
-func (c *Counter) paced() uint8 { return uint8(c.pace / paceUnit) }
+// encodedInterval is sendInterval as answers encode it.
+func (c *Counter) encodedInterval() uint8 { return uint8(c.sendInterval / sendIntervalUnit) }
 
-// pace is how far apart adds to a holder should be.
-func (s *slot) pace(least time.Duration) time.Duration {
-	return max(least, time.Duration(s.paced)*paceUnit)
+// sendGap is the gap between adds that the holder asks for, at least the given one.
+func (holder *holderState) sendGap(least time.Duration) time.Duration {
+	return max(least, time.Duration(holder.sendInterval)*sendIntervalUnit)
 }
--- a/internal/quotas/pack_test.go
+++ b/internal/quotas/pack_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestPack: what is packed comes back; only what is in use may be less, and a level more, by
-// less than a grain. Spoilt bytes are no items, and harm nobody.
+// TestPack checks that packed items decode to the original; only the units in use may be lower, and a level
+// higher, by less than their resolution. Corrupt bytes are rejected without harm.
 func TestPack(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	limits := map[string]Limit{}
@@ -21,31 +21,31 @@
 	units := func() uint64 {
 		u := uint64(rng.IntN(3000))
 		if rng.IntN(3) > 0 {
-			u *= milli
+			u *= milliUnits
 		}
 		return u
 	}
 	for range 300 {
 		var items, back []Item
 		var totals, sums []Total
-		guesses := make([]int32, rng.IntN(20)) // right or not, as where a place is of another roster
+		guesses := make([]int32, rng.IntN(20)) // right or wrong, as places in another roster
 		for i := range guesses {
 			guesses[i] = rng.Int32N(400)
 		}
 		for range rng.IntN(20) {
 			name, period := fmt.Sprintf("t%d", rng.IntN(300)), 7+uint64(rng.IntN(2))
-			it := Item{Tenant: name, Period: period, Sum: units(), Fresh: units(), Gap: gapOf(limits[name].Rate), Near: rng.IntN(2) == 0}
+			it := Item{Tenant: name, Period: period, Sum: units(), Unreported: units(), Interval: intervalOf(limits[name].Rate), NearLimit: rng.IntN(2) == 0}
 			if rng.IntN(2) == 0 {
-				it.Gap, it.Used, it.Fresh = uint64(rng.IntN(2e6)), uint64(rng.IntN(5000)), it.Sum
+				it.Interval, it.Used, it.Unreported = uint64(rng.IntN(2e6)), uint64(rng.IntN(5000)), it.Sum
 			}
 			want := it
-			if want.Used = (max(it.Used, 1) - 1) / milli * milli; want.Used > 0 {
+			if want.Used = (max(it.Used, 1) - 1) / milliUnits * milliUnits; want.Used > 0 {
 				want.Used++
 			}
 			items, back = append(items, it), append(back, want)
-			tot := Total{Tenant: name, Period: period, Others: units(), Mine: units(), Level: uint64(rng.IntN(9000)), Sure: rng.IntN(2) == 0}
+			tot := Total{Tenant: name, Period: period, Others: units(), Own: units(), Level: uint64(rng.IntN(9000)), LevelKnown: rng.IntN(2) == 0}
 			totals = append(totals, tot)
-			tot.Level = (tot.Level + levelGrain - 1) / levelGrain * levelGrain
+			tot.Level = (tot.Level + levelUnit - 1) / levelUnit * levelUnit
 			sums = append(sums, tot)
 		}
 		packed, rest := r.pack(7, append(items, Item{Tenant: "another"}), guesses)
@@ -71,27 +71,26 @@
 	}
 }
 
-// old makes a message what a program of the version before understands of it.
-func old(msg any) any {
+// asPreviousVersion reduces a message to what the previous version of the program understands of it.
+func asPreviousVersion(msg any) any {
 	switch m := msg.(type) {
 	case Add:
-		m.Packed, m.List, m.Asked, m.Brief = nil, 0, 0, nil
+		m.Packed, m.RosterHash, m.ProbeTimestamp, m.Compact = nil, 0, 0, nil
 		return m
 	case Answer:
-		m.Packed, m.Taken, m.List, m.Briefs, m.Brief, m.Pace = nil, false, 0, false, nil, 0
+		m.Packed, m.PackedAccepted, m.RosterHash, m.ReadsCompact, m.Compact, m.SendInterval = nil, false, 0, false, nil, 0
 		return m
 	}
 	return msg
 }
 
-// TestMixed: gateways and holders of the version before among new ones, programs that are put
-// back, and gateways that have a configuration earlier than the holders: all units count, and
-// requests in quota pass.
+// TestMixed runs gateways and holders of the previous version among new ones, downgrades, and gateways with
+// an earlier configuration than the holders: all units count, and requests within quotas pass.
 func TestMixed(t *testing.T) {
 	for name, c := range map[string]struct {
-		olds   []int // boxes
+		olds   []int // machines
 		script string
-		later  bool // the holders' configuration comes late, and again another
+		later  bool // the holders get the configuration late, and then another one
 		byName float64
 	}{
 		"all new":             {nil, "", false, 0.05},
@@ -103,54 +102,54 @@
 		"configurations late": {nil, "", true, 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hot := &flow{tenant: "hot", limit: Limit{129, 129}, rate: 600}
-			calm := &flow{tenant: "calm", limit: Limit{129, 129}, rate: 100}
-			f := newField(t, 7, 1, hot, calm, &flow{tenant: "tiny", limit: Limit{13, 13}, rate: 100})
+			hot := &tenantTraffic{tenant: "hot", limit: Limit{129, 129}, rate: 600}
+			calm := &tenantTraffic{tenant: "calm", limit: Limit{129, 129}, rate: 100}
+			f := newTestFleet(t, 7, 1, hot, calm, &tenantTraffic{tenant: "tiny", limit: Limit{13, 13}, rate: 100})
 			for _, i := range c.olds {
-				f.boxes[i].old = true
+				f.machines[i].oldVersion = true
 			}
-			named, packed, brief := 0, 0, 0
-			f.wire = func(from, to *box, msg any) {
+			named, packed, compact := 0, 0, 0
+			f.onSend = func(from, to *testMachine, msg any) {
 				if a, ok := msg.(Add); ok && from != to {
 					if len(a.Items) > 0 {
 						named++
 					}
-					if len(a.Packed)+len(a.Brief) > 0 {
+					if len(a.Packed)+len(a.Compact) > 0 {
 						packed++
 					}
-					if len(a.Brief) > 0 {
-						brief++
+					if len(a.Compact) > 0 {
+						compact++
 					}
 				}
 			}
 			for until, n := 10*time.Second, 0; until <= 40*time.Second; until, n = until+time.Second, n+1 {
 				f.run(until, c.script)
-				c.script = after(c.script, until)
+				c.script = scriptFrom(c.script, until)
 				if c.later {
 					more := f.limits()
-					more[fmt.Sprintf("a%d", n)] = Limit{1 + float64(n), 5} // all numbers move
-					for i, b := range f.boxes {
-						b.meter.Limits(f.now, more)
+					more[fmt.Sprintf("a%d", n)] = Limit{1 + float64(n), 5} // all places change
+					for i, b := range f.machines {
+						b.meter.SetLimits(f.now, more)
 						if i > 1 || n%3 == 0 {
-							b.counter.Limits(more)
+							b.counter.SetLimits(more)
 						}
 					}
 				}
 			}
-			for _, l := range f.flows {
-				t.Logf("%-4s passed %d refused %.4f worst 5 s %d of %d", l.tenant, len(l.passed), l.part(), l.worst(), l.bound())
-				if l.worst() > l.bound() {
-					t.Errorf("%s passes %d in 5 s, bound %d", l.tenant, l.worst(), l.bound())
+			for _, l := range f.traffic {
+				t.Logf("%-4s passed %d refused %.4f worst 5 s %d of %d", l.tenant, len(l.passed), l.refusedPart(), l.maxInWindow(), l.bound())
+				if l.maxInWindow() > l.bound() {
+					t.Errorf("%s passes %d in 5 s, bound %d", l.tenant, l.maxInWindow(), l.bound())
 				}
 			}
-			if calm.part() > 0.01 || len(hot.passed) < 129*35*9/10 {
-				t.Errorf("calm refused %.4f, hot passed %d", calm.part(), len(hot.passed))
+			if calm.refusedPart() > 0.01 || len(hot.passed) < 129*35*9/10 {
+				t.Errorf("%.4f of tenant calm refused, %d of tenant hot passed", calm.refusedPart(), len(hot.passed))
 			}
 			if by := float64(named) / float64(named+packed); by > c.byName {
-				t.Errorf("%.3f of the adds by names", by)
+				t.Errorf("%.3f of the adds name tenants", by)
 			}
-			if name == "all new" && brief < packed*9/10 {
-				t.Errorf("%d of %d packed adds are short", brief, packed)
+			if name == "all new" && compact < packed*9/10 {
+				t.Errorf("%d of %d packed adds are compact", compact, packed)
 			}
 		})
 	}
--- a/internal/quotas/sync.go
+++ b/internal/quotas/sync.go
@@ -4,22 +4,23 @@
 	"asterwell/internal/fsm"
 )
 
-// Due says that an add should go out before the next tick, and may.
+// Due reports whether an add should be sent before the next tick, and may be.
 func (m *Meter) Due(now fsm.Time) bool {
-	return (m.due || m.novel) && (m.sentAt == 0 || now-m.sentAt >= m.least(now))
+	return (m.due || m.newDemand) && (m.sentAt == 0 || now-m.sentAt >= m.minSendGap(now))
 }
 
-// least is what lies between the last add and the next at least.
-func (m *Meter) least(now fsm.Time) fsm.Time {
-	least := leastGap
-	if m.novel {
-		least = m.quick.gap(now, m.gateways)
+// minSendGap is the shortest gap between two adds at this moment.
+func (m *Meter) minSendGap(now fsm.Time) fsm.Time {
+	least := minGap
+	if m.newDemand {
+		least = m.earlyReads.gap(now, m.gateways)
 	}
 	switch {
-	case m.reader >= 0 && !m.slots[m.reader].late(now): // a repetition isn't paced: the holder would be taken as mute
-		return m.slots[m.reader].pace(least)
-	case m.patience() > leastGap: // but of many gateways none repeats often
-		return m.patience()
+	// A repetition isn't delayed by the requested gap, or the holder would count as silent.
+	case m.reader >= 0 && !m.holders[m.reader].retryDue(now):
+		return m.holders[m.reader].sendGap(least)
+	case m.retryBackoff() > minGap: // in large fleets repetitions are rare
+		return m.retryBackoff()
 	}
 	return least
 }
@@ -28,339 +29,342 @@
 func (m *Meter) Tick(now fsm.Time) []fsm.Send {
 	m.tickAt = now
 	since := now - m.sentAt
-	if since < m.least(now) && m.sentAt != 0 {
+	if since < m.minSendGap(now) && m.sentAt != 0 {
 		return nil
 	}
-	ease := now >= m.easeAt
-	retry := m.reader >= 0 && m.slots[m.reader].late(now)
-	if !ease && !m.due && !m.novel && !retry {
+	relaxed := now >= m.relaxedAt
+	retry := m.reader >= 0 && m.holders[m.reader].retryDue(now)
+	if !relaxed && !m.due && !m.newDemand && !retry {
 		return nil
 	}
-	m.due, m.novel = false, false
-	m.believe(now)
-	if ease {
-		m.easeAt = max(m.easeAt, now-easeGap) + easeGap
+	m.due, m.newDemand = false, false
+	m.updatePeak(now)
+	if relaxed {
+		m.relaxedAt = max(m.relaxedAt, now-relaxedGap) + relaxedGap
 	}
-	m.choose(now)
-	walk := m.gather()
+	m.chooseReader(now)
+	tenants := m.activeTenants()
 	var out []fsm.Send
-	for i := range m.slots {
-		s := &m.slots[i]
-		gap, read := spareGap, i == m.reader || !m.answers(now, i)
-		echo := !read && m.holds()
-		if echo {
-			gap = easeGap
+	for i := range m.holders {
+		holder := &m.holders[i]
+		gap, read := standbyGap, i == m.reader || !m.holderAnswers(now, i)
+		ping := !read && m.isHolder()
+		if ping {
+			gap = relaxedGap
 		}
-		if now-m.nearAt < nearGap && m.nearAt != 0 { // others may read the other holder: it must know as much
-			gap = s.pace(max(leastGap, fsm.Time(m.gateways)*spareEach))
+		if now-m.nearLimitAt < nearLimitWindow && m.nearLimitAt != 0 { // others may read the other holder, which must know as much
+			gap = holder.sendGap(max(minGap, fsm.Time(m.gateways)*standbyPerGateway))
 		}
 		switch {
-		case s.addr == "":
+		case holder.addr == "":
 			continue
 		case i == m.reader:
-		case now-s.spareAt < gap && !(read && ease):
+		case now-holder.lastAddAt < gap && !(read && relaxed):
 			continue
 		}
-		items, places, more := m.items(now, walk, i, read)
+		items, places, moreItems := m.collectItems(now, tenants, i, read)
 		if len(items) == 0 {
 			continue
 		}
-		m.due = m.due || more && read
-		late := s.late(now)
+		m.due = m.due || moreItems && read
+		late := holder.retryDue(now)
 		if late {
-			s.tries++
+			holder.retries++
 		}
-		if (read || echo) && s.pending == 0 {
-			s.pending = now
+		if (read || ping) && holder.unansweredSince == 0 {
+			holder.unansweredSince = now
 		}
-		if !read && now-s.proveAt >= proveGap {
-			s.proveAt, echo = now, true
+		if !read && now-holder.rosterCheckAt >= rosterCheckGap {
+			holder.rosterCheckAt, ping = now, true
 		}
-		s.spareAt = now
-		add := Add{Life: m.life, Period: m.period, Stamp: now, Read: read, Echo: echo, Near: now-m.nearAt < nearGap, Signs: true,
-			Items: items, List: m.rosters.newest()}
-		if r := m.rosters.find(s.list); r != nil {
-			add.List = r.hash
+		holder.lastAddAt = now
+		add := Add{Incarnation: m.incarnation, Period: m.period, Timestamp: now, Read: read, Ping: ping, NearLimit: now-m.nearLimitAt < nearLimitWindow, AnswersProbes: true,
+			Items: items, RosterHash: m.rosters.newestHash()}
+		if r := m.rosters.byHash(holder.rosterHash); r != nil {
+			add.RosterHash = r.hash
 			add.Packed, add.Items = r.pack(m.period, items, places)
-			if s.brief = s.brief && !late; s.brief && len(add.Items) == 0 { // what isn't answered may not have been read
-				add = add.shorten()
+			// The holder may not have been able to read a compact add that it didn't answer.
+			if holder.readsCompact = holder.readsCompact && !late; holder.readsCompact && len(add.Items) == 0 {
+				add = add.compact()
 			}
 		}
-		out = append(out, fsm.Send{To: s.addr, Msg: add})
+		out = append(out, fsm.Send{To: holder.addr, Msg: add})
 	}
-	for _, e := range walk {
-		for _, told := range e.told {
-			e.sent = max(e.sent, told)
+	for _, state := range tenants {
+		for _, told := range state.reported {
+			state.sent = max(state.sent, told)
 		}
 	}
-	m.settled()
+	m.dropSettled()
 	if len(out) > 0 {
-		if m.sentAt = now; since < crowdRead {
-			m.quick.left--
+		if m.sentAt = now; since < batchedReadGap {
+			m.earlyReads.left--
 		}
 	}
 	return out
 }
 
-// quick is how many first reads may still follow another message closely. Where a gateway sees few
-// tenants that is all of them; where it sees thousands, each of them once, a message for each would be
-// most of what control sends, and those of some 25 ms go together; of more than 250 gateways, of as
-// long as the holder has for one add of each, up to what lies between any two adds.
-type quick struct {
+// earlyReads is a token bucket for first reads sent shortly after another message. Where a gateway sees few
+// tenants it covers all first reads. Where it sees thousands, each once, a message for each would be most
+// of the control traffic, so the reads of some 25 ms are sent together; with more than 250 gateways those
+// of a longer time, in which the holder can take one add of each, but at most minGap.
+type earlyReads struct {
 	left float64
 	at   fsm.Time
 }
 
-func (q *quick) gap(now fsm.Time, gateways int) fsm.Time {
-	q.left = min(quickMost, q.left+(now-q.at).Seconds()*min(quickRate, quickAll/float64(max(1, gateways))))
-	if q.at = now; q.left < 1 {
-		return min(leastGap, max(crowdRead, fsm.Time(gateways)*crowdEach))
+func (r *earlyReads) gap(now fsm.Time, gateways int) fsm.Time {
+	r.left = min(earlyReadBurst, r.left+(now-r.at).Seconds()*min(earlyReadRate, earlyReadFleetRate/float64(max(1, gateways))))
+	if r.at = now; r.left < 1 {
+		return min(minGap, max(batchedReadGap, fsm.Time(gateways)*batchedReadPerGateway))
 	}
-	return firstGap
+	return earlyReadGap
 }
 
-// choose takes the first holder that answers. One that was not read before is
-// told everything again: it may be new.
-func (m *Meter) choose(now fsm.Time) {
+// chooseReader selects the first holder that answers. A newly selected one is told everything again, as it
+// may be new.
+func (m *Meter) chooseReader(now fsm.Time) {
 	reader := -1
-	for i := range m.slots {
-		if m.answers(now, i) {
+	for i := range m.holders {
+		if m.holderAnswers(now, i) {
 			reader = i
 			break
 		}
 	}
 	if reader != m.reader {
-		m.changes++
+		m.holderChanges++
 	}
 	if reader != m.reader && reader >= 0 {
-		m.slots[reader].refill, m.readAt = true, now
+		m.holders[reader].resendAll, m.readerSince = true, now
 	}
 	m.reader = reader
 }
 
-// items is what a holder is told, and whether there was more than an add has room for.
-func (m *Meter) items(now fsm.Time, walk []*entry, i int, read bool) (out []Item, places []int32, more bool) {
-	s := &m.slots[i]
-	var t talks
-	for _, e := range walk {
-		if e.cur.sum == 0 && e.old.period == 0 && !e.asked {
+// collectItems returns the items for a holder with their places, and whether there are more than fit in one
+// add.
+func (m *Meter) collectItems(now fsm.Time, tenants []*tenantState, i int, read bool) (out []Item, places []int32, more bool) {
+	holder := &m.holders[i]
+	var pending pendingItems
+	for _, state := range tenants {
+		if state.cur.sum == 0 && state.prev.period == 0 && !state.readWanted {
 			continue
 		}
-		e.roll(now, m.period, m.prev)
-		if e.old.period != 0 && read && now-m.periodAt >= settle {
-			t.old = append(t.old, e)
+		state.rollPeriod(now, m.period, m.prev)
+		if state.prev.period != 0 && read && now-m.periodAt >= periodSettleTime {
+			pending.prev = append(pending.prev, state)
 		}
-		e.again[i] = (e.again[i] || s.refill) && e.cur.sum > 0
-		if e.cur.sum != e.told[i] || e.again[i] || read && (e.cur.sum > e.cur.acked || e.asked) && !m.onItsWay(now, e, s) {
-			t.cur = append(t.cur, e)
+		state.resend[i] = (state.resend[i] || holder.resendAll) && state.cur.sum > 0
+		if state.cur.sum != state.reported[i] || state.resend[i] || read && (state.cur.sum > state.cur.acked || state.readWanted) && !m.inFlight(now, state, holder) {
+			pending.cur = append(pending.cur, state)
 		}
 	}
-	s.refill = false // walk was all there are
-	all := t.len()
-	t.some(now, s, bound(m.gateways))
-	out, places = make([]Item, 0, t.len()), make([]int32, 0, t.len())
-	for k, j := 0, 0; k < len(t.old) || j < len(t.cur); {
-		if k < len(t.old) && (j == len(t.cur) || byTenant(t.old[k], t.cur[j]) <= 0) {
-			e := t.old[k]
+	holder.resendAll = false // tenants had all of them
+	all := pending.len()
+	pending.trim(now, holder, itemLimit(m.gateways))
+	out, places = make([]Item, 0, pending.len()), make([]int32, 0, pending.len())
+	for k, j := 0, 0; k < len(pending.prev) || j < len(pending.cur); {
+		if k < len(pending.prev) && (j == len(pending.cur) || byPlace(pending.prev[k], pending.cur[j]) <= 0) {
+			state := pending.prev[k]
 			k++
-			places = append(places, e.place)
-			out = append(out, Item{Tenant: e.tenant, Period: e.old.period, Sum: e.old.sum, Fresh: e.old.sum - e.old.acked})
+			places = append(places, state.place)
+			out = append(out, Item{Tenant: state.tenant, Period: state.prev.period, Sum: state.prev.sum, Unreported: state.prev.sum - state.prev.acked})
 			continue
 		}
-		e := t.cur[j]
+		state := pending.cur[j]
 		j++
-		places = append(places, e.place)
-		out = append(out, Item{Tenant: e.tenant, Period: e.cur.period, Sum: e.cur.sum,
-			Fresh: e.cur.sum - min(e.cur.acked, e.told[i]), Gap: uint64(e.gap / 1e3 / (1 - m.reserve(e))),
-			Used: m.vouch(now, e, i), Near: e.nearAt != 0 && now-e.nearAt < nearGap})
+		places = append(places, state.place)
+		out = append(out, Item{Tenant: state.tenant, Period: state.cur.period, Sum: state.cur.sum,
+			Unreported: state.cur.sum - min(state.cur.acked, state.reported[i]), Interval: uint64(state.interval / 1e3 / (1 - m.reservedPart(state))),
+			Used: m.usedToReport(now, state, i), NearLimit: state.nearLimitAt != 0 && now-state.nearLimitAt < nearLimitWindow})
 		if i == m.reader {
-			e.saidAt = now
+			state.reportedAt = now
 		}
-		if e.again[i] = false; e.cur.period != 0 {
-			e.told[i] = e.cur.sum
+		if state.resend[i] = false; state.cur.period != 0 {
+			state.reported[i] = state.cur.sum
 		}
 	}
 	return out, places, len(out) < all
 }
 
-// vouch is what a holder is told to be in use of a tenant's burst: by one that hasn't learned it from that holder.
-// What a holder has told is not told back to it, or what each gateway reckons with on top would add up.
-func (m *Meter) vouch(now fsm.Time, e *entry, i int) uint64 {
-	if i == m.reader && now-m.readAt >= vouchGap {
+// usedToReport is the usage reported to a holder by a gateway that hasn't learned it from this holder. A
+// holder's own level isn't reported back to it: what each gateway adds on top would accumulate.
+func (m *Meter) usedToReport(now fsm.Time, state *tenantState, i int) uint64 {
+	if i == m.reader && now-m.readerSince >= reportUsedFor {
 		return 0
 	}
-	return e.used(now)
+	return state.usedUnits(now)
 }
 
-// Take hears an answer of a holder.
-func (m *Meter) Take(now fsm.Time, from string, msg any) []fsm.Send {
+// Receive handles an answer or a probe of a holder.
+func (m *Meter) Receive(now fsm.Time, from string, msg any) []fsm.Send {
 	a, ok := msg.(Answer)
-	if ok && a.Ask {
-		return []fsm.Send{{To: from, Msg: Add{Life: m.life, Period: m.period, Stamp: now, Signs: true, Asked: a.Stamp}}}
+	if ok && a.Probe {
+		return []fsm.Send{{To: from, Msg: Add{Incarnation: m.incarnation, Period: m.period, Timestamp: now, AnswersProbes: true, ProbeTimestamp: a.Timestamp}}}
 	}
-	i := m.slot(from)
+	i := m.holderIndex(from)
 	if !ok || i < 0 {
 		return nil
 	}
-	a, lost, ok := a.lengthen(m.life)
-	if !ok || a.Life != m.life || a.Stamp > now {
+	a, unknown, ok := a.expand(m.incarnation)
+	if !ok || a.Incarnation != m.incarnation || a.Timestamp > now {
 		return nil
 	}
-	s := &m.slots[i]
-	if s.brief = a.Briefs && !lost; lost { // it lives, and is told again, with the whole life
-		s.refill, m.due = true, true
-		if s.pending != 0 && a.Stamp >= s.pending {
-			s.pending, s.tries = 0, 0
+	holder := &m.holders[i]
+	if holder.readsCompact = a.ReadsCompact && !unknown; unknown { // the holder lives: it gets a full add with the whole incarnation
+		holder.resendAll, m.due = true, true
+		if holder.unansweredSince != 0 && a.Timestamp >= holder.unansweredSince {
+			holder.unansweredSince, holder.retries = 0, 0
 		}
 		return nil
 	}
 	totals := m.unpack(now, i, a)
-	for _, t := range totals { // up to now, by what was known
-		if e := m.entries[t.Tenant]; e != nil {
-			m.touch(now, e)
+	for _, t := range totals { // up to now by the state before the answer
+		if state := m.tenants[t.Tenant]; state != nil {
+			m.refresh(now, state)
 		}
 	}
-	if s.pending != 0 && a.Stamp >= s.pending {
-		s.pending, s.tries = 0, 0
+	if holder.unansweredSince != 0 && a.Timestamp >= holder.unansweredSince {
+		holder.unansweredSince, holder.retries = 0, 0
 	}
-	s.way.note(now, now-a.Stamp)
-	s.missing, s.paced = a.Missing, a.Pace
-	m.count(now)
-	if a.Company {
-		m.companyAt = now
+	holder.rtt.observe(now, now-a.Timestamp)
+	holder.missing, holder.sendInterval = a.Missing, a.SendInterval
+	m.noteLosses(now)
+	if a.HeardOthers {
+		m.othersHeardAt = now
 	}
 	if a.Period > m.period {
 		m.prev, m.period, m.periodAt = m.period, a.Period, now
 	}
 	for _, t := range totals {
-		if e := m.entries[t.Tenant]; e != nil {
-			m.total(now, e, t, a.Stamp, s)
+		if state := m.tenants[t.Tenant]; state != nil {
+			m.applyTotal(now, state, t, a.Timestamp, holder)
 		}
 	}
 	return nil
 }
 
-// unpack returns an answer's totals, and notes which roster the holder has.
+// unpack returns the totals of an answer, and records which roster the holder has.
 func (m *Meter) unpack(now fsm.Time, i int, a Answer) []Total {
-	s := &m.slots[i]
-	used := s.list
+	holder := &m.holders[i]
+	used := holder.rosterHash
 	switch {
-	case a.Stamp < s.sinceAt:
+	case a.Timestamp < holder.prevRosterSince:
 		used = 0
-	case a.Stamp < s.listAt:
-		used = s.former
+	case a.Timestamp < holder.rosterSince:
+		used = holder.prevRosterHash
 	}
 	totals := a.Totals
-	if r := m.rosters.find(used); r != nil && a.Taken {
-		more, ok := r.totals(a.Period, a.Packed)
+	if r := m.rosters.byHash(used); r != nil && a.PackedAccepted {
+		packed, ok := r.totals(a.Period, a.Packed)
 		if !ok {
 			return nil
 		}
-		totals = append(more, totals...)
+		totals = append(packed, totals...)
 	}
-	next := s.list
+	next := holder.rosterHash
 	switch {
-	case m.rosters.find(a.List) != nil:
-		next = a.List
-	case !a.Taken && a.Stamp >= s.listAt: // it had numbers that it doesn't know, or can't know the names' numbers
+	case m.rosters.byHash(a.RosterHash) != nil:
+		next = a.RosterHash
+	// The holder could not use the roster of the add, or named no known one.
+	case !a.PackedAccepted && a.Timestamp >= holder.rosterSince:
 		next = 0
 	}
-	if next == s.list {
+	if next == holder.rosterHash {
 		return totals
 	}
-	if !a.Taken && s.list != 0 {
-		s.refill = true
+	if !a.PackedAccepted && holder.rosterHash != 0 {
+		holder.resendAll = true
 	}
-	s.list, s.former, s.listAt, s.sinceAt = next, s.list, now, s.listAt
+	holder.rosterHash, holder.prevRosterHash, holder.rosterSince, holder.prevRosterSince = next, holder.rosterHash, now, holder.rosterSince
 	return totals
 }
 
-func (m *Meter) total(now fsm.Time, e *entry, t Total, stamp fsm.Time, s *slot) {
-	m.touch(now, e)
-	e.vague = !t.Sure && t.Period == e.cur.period
-	if t.Period == 0 || t.Period != e.cur.period {
-		m.reread(now, e, t)
-		if e.asked && t.Sure {
-			m.hurry(e) // by the name that it has now
+func (m *Meter) applyTotal(now fsm.Time, state *tenantState, t Total, timestamp fsm.Time, holder *holderState) {
+	m.refresh(now, state)
+	state.levelUnknown = !t.LevelKnown && t.Period == state.cur.period
+	if t.Period == 0 || t.Period != state.cur.period {
+		m.applyPrevTotal(now, state, t)
+		if state.readWanted && t.LevelKnown {
+			m.requestRead(state) // by the current period
 		}
 		return
 	}
-	c := &e.cur
-	var n float64
-	if c.based && t.Others > c.others {
-		n = float64(t.Others-c.others) / milli
-	}
-	var own float64
-	if mine := min(t.Mine, c.sum); mine > c.acked {
-		own = float64(mine-c.acked) / milli
-		c.acked = mine
-	}
-	fresh := t.Sure && c.based && t.Others >= c.others
-	c.others, c.based, c.read = max(c.others, t.Others), true, true
-	since := s.unheard(now, stamp) // others pass their rate meanwhile
-	if m.first(now, e, t, stamp) {
-		e.tat += since
-	} else if e.seen {
-		e.learn(now, n)
-		if fresh && now-stamp <= s.way.stretch(freshGap) && m.trusts(now) {
-			e.ease(now+since, float64(t.Level)/milli)
+	cur := &state.cur
+	var newOthers float64
+	if cur.hasBase && t.Others > cur.others {
+		newOthers = float64(t.Others-cur.others) / milliUnits
+	}
+	var newOwn float64
+	if own := min(t.Own, cur.sum); own > cur.acked {
+		newOwn = float64(own-cur.acked) / milliUnits
+		cur.acked = own
+	}
+	fresh := t.LevelKnown && cur.hasBase && t.Others >= cur.others
+	cur.others, cur.hasBase, cur.answered = max(cur.others, t.Others), true, true
+	staleness := holder.unreportedSpan(now, timestamp) // in which others pass units at the tenant's rate
+	if m.applyFirstRead(now, state, t, timestamp) {
+		state.tat += staleness
+	} else if state.levelRead {
+		state.addOthers(now, newOthers)
+		if fresh && now-timestamp <= holder.rtt.extend(freshAnswer) && m.readerTrusted(now) {
+			state.lowerToLevel(now+staleness, float64(t.Level)/milliUnits)
 		}
-		if t.Sure { // sums only tell what was added since the answer before, which may have been another holder's
-			e.lift(stamp, float64(t.Level)/milli-rounded)
+		if t.LevelKnown { // sums only have what was added since the previous answer, which may have been another holder's
+			state.raiseToLevel(timestamp, float64(t.Level)/milliUnits-levelRounding)
 		}
 	}
-	m.compare(e, t, stamp)
-	e.weigh(now, own, n)
+	m.noteBehind(state, t, timestamp)
+	state.noteTraffic(now, newOwn, newOthers)
 }
 
-// first sets TAT of an unseen tenant by the level that the holder knows, and by
-// what was passed here and isn't in that level.
-func (m *Meter) first(now fsm.Time, e *entry, t Total, stamp fsm.Time) bool {
-	if e.seen || !t.Sure || stamp < e.since || e.mute {
+// applyFirstRead sets TAT of an unread tenant by the level that the holder knows, and the units passed here
+// that are not in it.
+func (m *Meter) applyFirstRead(now fsm.Time, state *tenantState, t Total, timestamp fsm.Time) bool {
+	if state.levelRead || !t.LevelKnown || timestamp < state.unreadSince || state.holdersSilent {
 		return false
 	}
-	e.seen, e.asked = true, false
-	e.tat = now
-	if over := float64(t.Level)/milli + e.unheard(); over > 0 {
-		e.tat += e.span(over)
+	state.levelRead, state.readWanted = true, false
+	state.tat = now
+	if over := float64(t.Level)/milliUnits + state.unacked(); over > 0 {
+		state.tat += state.duration(over)
 	}
 	return true
 }
 
-// reread takes the last of what the others added under the period before.
-func (m *Meter) reread(now fsm.Time, e *entry, t Total) {
-	o := &e.old
-	if t.Period == 0 || t.Period != o.period {
+// applyPrevTotal takes the last units that others added in the previous period.
+func (m *Meter) applyPrevTotal(now fsm.Time, state *tenantState, t Total) {
+	prev := &state.prev
+	if t.Period == 0 || t.Period != prev.period {
 		return
 	}
-	o.acked = max(o.acked, min(t.Mine, o.sum))
-	if o.based && e.seen && t.Others > o.others {
-		n := float64(t.Others-o.others) / milli
-		if o.most > 0 {
-			n, o.most = min(n, o.most), max(1e-9, o.most-n)
+	prev.acked = max(prev.acked, min(t.Own, prev.sum))
+	if prev.hasBase && state.levelRead && t.Others > prev.others {
+		units := float64(t.Others-prev.others) / milliUnits
+		if prev.maxNew > 0 {
+			units, prev.maxNew = min(units, prev.maxNew), max(1e-9, prev.maxNew-units)
 		}
-		e.learn(now, n)
+		state.addOthers(now, units)
 	}
-	o.others = max(o.others, t.Others)
-	if now-m.periodAt >= settle && o.acked >= o.sum {
-		e.old = name{}
+	prev.others = max(prev.others, t.Others)
+	if now-m.periodAt >= periodSettleTime && prev.acked >= prev.sum {
+		state.prev = periodSum{}
 	}
 }
 
-// Mute reports whether a holder leaves adds unanswered, so that another way to it
-// should be tried. What is late by a few ways there and back may be lost; one that has said
-// that it is told more than it can count drops adds, and ways round bring it more of them.
-func (m *Meter) Mute(now fsm.Time, holder string) bool {
-	i := m.slot(holder)
-	if i < 0 || !m.slots[i].late(now) {
+// ReadOverdue reports whether a holder leaves adds unanswered, so that another route to it should be tried.
+// After several round trips an answer is probably lost. A holder that has asked for fewer adds is
+// overloaded and drops some; further routes would only bring it more of them.
+func (m *Meter) ReadOverdue(now fsm.Time, addr string) bool {
+	i := m.holderIndex(addr)
+	if i < 0 || !m.holders[i].retryDue(now) {
 		return false
 	}
-	s := &m.slots[i]
-	switch unanswered := now - s.pending; {
-	case s.paced > 0:
-		return unanswered >= strainedMute
-	case s.far(): // what goes through other regions varies by more than what stays in one
-		return unanswered >= s.way.stretch(retryGap)+retryGap
+	holder := &m.holders[i]
+	switch unanswered := now - holder.unansweredSince; {
+	case holder.sendInterval > 0:
+		return unanswered >= overloadedTimeout
+	case holder.far(): // routes through other regions vary by more than those within one
+		return unanswered >= holder.rtt.extend(retryGap)+retryGap
 	}
 	return true
 }
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -1,5 +1,6 @@
-// Package registry knows which servers there are. Each service has a home gateway in each
-// zone: its servers beat there, and it tells the others what has changed.
+// Package registry maintains the table of the servers of all services. Each service has a home
+// gateway in each zone: its servers send their heartbeats there, and it sends changes to the other
+// gateways.
 package registry
 
 import (
@@ -11,11 +12,11 @@
 	"asterwell/internal/fsm"
 )
 
-// Phase of a server.
+// Phase is the phase of a server.
 type Phase uint8
 
-// The phases, in the order in which they override each other.
-// Silent is below Quiescing: a leaving server gets no request, heard or not.
+// The phases, in the order in which they override each other. Silent is below Quiescing: a leaving
+// server gets no requests, whether it is heard or not.
 const (
 	Serving Phase = iota
 	Silent
@@ -27,20 +28,19 @@
 	return [...]string{"serving", "silent", "quiescing", "ended"}[min(p, Ended)]
 }
 
-// Server is one life of a server.
+// Server is one instance of a server, from its start to its end.
 type Server struct {
 	ID, Addr, Service, Zone, Epoch string
 
-	Capacity int
-	Phase    Phase
-	Seq      uint64
-	Warm     fsm.Time // it is slow until then, by this process's clock
+	Capacity  int
+	Phase     Phase
+	Seq       uint64
+	WarmUntil fsm.Time `json:"Warm"` // end of its warm-up, by this process's clock
 }
 
-// newer is the order in which words about a server override each other. A server that
-// has begun to leave doesn't come back, whatever number a later word has: its next
-// start is another life.
-func (s Server) newer(o Server) bool {
+// supersedes reports whether s overrides o. A server that has begun to leave doesn't come back,
+// whatever sequence number a later row has: its next start has another ID.
+func (s Server) supersedes(o Server) bool {
 	if s.Phase >= Quiescing || o.Phase >= Quiescing {
 		if s.Phase != o.Phase {
 			return s.Phase > o.Phase
@@ -53,14 +53,14 @@
 	return s.Phase > o.Phase
 }
 
-// same: a beat with these words tells nothing new.
-func (s Server) same(o Server) bool {
-	s.Seq, s.Warm = o.Seq, o.Warm
+// equalIgnoringSeq reports whether a heartbeat with o carries no change.
+func (s Server) equalIgnoringSeq(o Server) bool {
+	s.Seq, s.WarmUntil = o.Seq, o.WarmUntil
 	return s == o
 }
 
-// mark is a hash of the version.
-func (s Server) mark() uint64 {
+// digest is a hash of the version.
+func (s Server) digest() uint64 {
 	b := make([]byte, 0, 48)
 	b = append(b, s.ID...)
 	b = append(b, byte(s.Phase))
@@ -85,50 +85,50 @@
 
 func (s Server) row(now fsm.Time) Row {
 	return Row{s.ID, s.Addr, s.Service, s.Zone, s.Epoch, s.Capacity, s.Phase, s.Seq,
-		int(max(0, s.Warm-now) / time.Millisecond)}
+		int(max(0, s.WarmUntil-now) / time.Millisecond)}
 }
 
 func (r Row) server(now fsm.Time) Server {
 	s := Server{ID: r.ID, Addr: r.Addr, Service: r.Service, Zone: r.Zone, Epoch: r.Epoch,
 		Capacity: r.Capacity, Phase: r.Phase, Seq: r.Seq}
 	if r.WarmMs > 0 {
-		s.Warm = now + time.Duration(r.WarmMs)*time.Millisecond
+		s.WarmUntil = now + time.Duration(r.WarmMs)*time.Millisecond
 	}
 	return s
 }
 
-// The messages.
+// The messages between the processes.
 type (
-	// News is pushed to every process. With a number it asks for an Ack.
-	// One that goes round a cut is To a third process, which the taker passes it on to, and
-	// then For the one that it came from. With On, the taker passes it on to those, and its
-	// Ack tells who has confirmed; a program that knows no On confirms for itself alone.
-	News struct {
-		No   uint64 `cbor:"1,keyasint,omitempty"`
-		Rows []Row  `cbor:"2,keyasint"`
-		To   string `cbor:"3,keyasint,omitempty"`
-		For  string `cbor:"4,keyasint,omitempty"`
-
-		On []string `cbor:"5,keyasint,omitempty"`
+	// Update is sent to every process. With a Number it asks for an Ack. To get around a cut link
+	// it is sent to a third process with RelayTo set; that one sends it on with Origin set to the
+	// sender. With ForwardTo the receiver forwards it to those processes, and its Ack lists who has
+	// confirmed; a program version without ForwardTo confirms only for itself.
+	Update struct {
+		Number  uint64 `cbor:"1,keyasint,omitempty"`
+		Rows    []Row  `cbor:"2,keyasint"`
+		RelayTo string `cbor:"3,keyasint,omitempty"`
+		Origin  string `cbor:"4,keyasint,omitempty"`
+
+		ForwardTo []string `cbor:"5,keyasint,omitempty"`
 	}
-	// Ack confirms a News; For whom, and Of which process, where it goes round, and By whom
-	// else.
+	// Ack confirms an Update. When it is forwarded, Origin is its destination and Confirmer the
+	// process that confirmed; ConfirmedBy lists further ones.
 	Ack struct {
-		No  uint64   `cbor:"1,keyasint"`
-		For string   `cbor:"2,keyasint,omitempty"`
-		Of  string   `cbor:"3,keyasint,omitempty"`
-		By  []string `cbor:"4,keyasint,omitempty"`
+		Number      uint64   `cbor:"1,keyasint"`
+		Origin      string   `cbor:"2,keyasint,omitempty"`
+		Confirmer   string   `cbor:"3,keyasint,omitempty"`
+		ConfirmedBy []string `cbor:"4,keyasint,omitempty"`
 	}
-	// Pass hands a beat on to the server's home.
-	Pass struct {
+	// ForwardedHeartbeat passes a heartbeat on to the server's home.
+	ForwardedHeartbeat struct {
 		Row Row `cbor:"1,keyasint"`
 	}
-	// Sum is what a table hashes to; it is answered where the tables differ.
-	Sum struct {
+	// TableDigest is the hash of a table. It is answered if the tables differ.
+	TableDigest struct {
 		Hash uint64 `cbor:"1,keyasint"`
 	}
-	// Parts is a table's hashes by service: 12 bytes each.
-	Parts struct {
+	// ServiceDigests has the digests of a table by service, 12 bytes each.
+	ServiceDigests struct {
 		Rows []byte `cbor:"1,keyasint"`
 	}
 	// Index lists the servers of the services that differ, 8 bytes each.
@@ -136,41 +136,42 @@
 		Services []uint32 `cbor:"1,keyasint"`
 		Rows     []byte   `cbor:"2,keyasint"`
 	}
-	// Diff has the rows that an Index lacks, and asks for those that it has otherwise.
+	// Diff has the rows that an Index lacks, and requests those that the Index has in another
+	// version.
 	Diff struct {
 		Rows []Row    `cbor:"1,keyasint,omitempty"`
 		Want []uint32 `cbor:"2,keyasint,omitempty"`
 	}
-	// Fetch asks for a whole table.
+	// Fetch requests a full table.
 	Fetch struct{}
-	// Whole is one. Filled: the sender had one itself.
-	Whole struct {
-		Filled bool  `cbor:"1,keyasint,omitempty"`
-		Rows   []Row `cbor:"2,keyasint"`
+	// FullTable is a whole table. Complete: the sender's table is complete.
+	FullTable struct {
+		Complete bool  `cbor:"1,keyasint,omitempty"`
+		Rows     []Row `cbor:"2,keyasint"`
 	}
 )
 
-// Messages lists what a Machine takes; the order stays.
+// Messages lists the messages that a Machine receives. Their order is part of the wire format.
 func Messages() []any {
-	return []any{News{}, Ack{}, Pass{}, Sum{}, Parts{}, Index{}, Diff{}, Fetch{}, Whole{}}
+	return []any{Update{}, Ack{}, ForwardedHeartbeat{}, TableDigest{}, ServiceDigests{}, Index{}, Diff{}, Fetch{}, FullTable{}}
 }
 
-// Answer to a server's call.
+// Answer answers a server's call.
 type Answer struct {
 	Call   uint64
 	OK     bool
-	Target string // control address for its later beats; "" for none
+	Target string // control address for its next heartbeats; "" for none
 }
 
-// Out is what follows from an input.
+// Out is the result of one input.
 type Out struct {
 	Send    []fsm.Send
 	Answers []Answer
 	Changes []Server
 }
 
-// Beat is a server's word about itself.
-type Beat struct {
+// Heartbeat is what a server reports of itself.
+type Heartbeat struct {
 	ID, Addr, Service, Zone, Epoch string
 
 	Capacity  int
@@ -179,14 +180,14 @@
 	WarmMs    int
 }
 
-func (b Beat) server(now fsm.Time) Server {
+func (b Heartbeat) server(now fsm.Time) Server {
 	s := Server{ID: b.ID, Addr: b.Addr, Service: b.Service, Zone: b.Zone, Epoch: b.Epoch,
 		Capacity: b.Capacity, Seq: b.Seq, Phase: Serving}
 	if b.Quiescing {
 		s.Phase = Quiescing
 	}
 	if b.WarmMs > 0 {
-		s.Warm = now + time.Duration(b.WarmMs)*time.Millisecond
+		s.WarmUntil = now + time.Duration(b.WarmMs)*time.Millisecond
 	}
 	return s
 }
--- a/internal/rollout/world/seeds_test.go
+++ b/internal/rollout/world/seeds_test.go
@@ -7,8 +7,8 @@
 	"asterwell/internal/rollout"
 )
 
-// plays plays seeds side by side; it ends once bad says so.
-func plays(bug rollout.Bug, count int, each func(seed uint64, r Result) (end bool)) {
+// runSeeds runs simulations of seeds in parallel; it ends once each returns true.
+func runSeeds(bug rollout.Bug, count int, each func(seed uint64, r Result) (end bool)) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next, over := uint64(0), false
@@ -23,7 +23,7 @@
 				if done {
 					return
 				}
-				r := Play(Options{Seed: seed, Bug: bug})
+				r := Simulate(Options{Seed: seed, Bug: bug})
 				mu.Lock()
 				over = each(seed, r) || over
 				mu.Unlock()
@@ -39,8 +39,8 @@
 	if testing.Short() {
 		count = 30
 	}
-	plays(0, count, func(seed uint64, r Result) bool {
-		for _, b := range r.Broken {
+	runSeeds(0, count, func(seed uint64, r Result) bool {
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %v", seed, b)
 		}
 		live, withdrawn = live+r.Live, withdrawn+r.Withdrawn
@@ -52,19 +52,19 @@
 	}
 }
 
-// TestMutants shows that the judge misses none of the guards; package rollout's own test
-// has one more.
+// TestMutants checks that the simulator finds the absence of each safeguard; package rollout's own test
+// covers one more.
 func TestMutants(t *testing.T) {
 	t.Parallel()
-	for name, bug := range map[string]rollout.Bug{"early": rollout.Early, "impatient": rollout.Impatient, "careless": rollout.Careless,
-		"lasting": rollout.Lasting, "successor": rollout.Successor, "hasty": rollout.Hasty} {
+	for name, bug := range map[string]rollout.Bug{"one confirmation short": rollout.BugOneConfirmationShort, "turn ignores leases": rollout.BugTurnIgnoresLeases, "confirmed before held": rollout.BugConfirmBeforeHeld,
+		"stale lease check": rollout.BugStaleLeaseCheck, "successor skips wait": rollout.BugSuccessorSkipsWait, "reply before kept": rollout.BugReplyBeforeKept} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			found := false
-			plays(bug, 400, func(seed uint64, r Result) bool {
-				if len(r.Broken) > 0 && r.Broken[0].Rule != "STUCK" {
+			runSeeds(bug, 400, func(seed uint64, r Result) bool {
+				if len(r.Violations) > 0 && r.Violations[0].Rule != "STUCK" {
 					found = true
-					t.Logf("seed %d: %v", seed, r.Broken[0])
+					t.Logf("seed %d: %v", seed, r.Violations[0])
 				}
 				return found
 			})
@@ -73,21 +73,21 @@
 			}
 		})
 	}
-	t.Run("vacuous", func(t *testing.T) { // one drawn day in some hundreds meets it, so it has a scenario
+	t.Run("empty hold counts", func(t *testing.T) { // one random run in some hundreds meets it, so it has a scenario
 		t.Parallel()
 		for seed := range uint64(10) {
-			if all := StillHold(seed, rollout.Vacuous); len(all) > 0 && all[0].Rule == "FEW" {
+			if all := FreezeDuringHold(seed, rollout.BugEmptyHoldCounts); len(all) > 0 && all[0].Rule == "FEW" {
 				t.Logf("seed %d: %v", seed, all[0])
 				return
 			}
 		}
 		t.Error("not found")
 	})
-	t.Run("unaffirmed", func(t *testing.T) {
+	t.Run("grant unconfirmed", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(100) {
-			if w := oldPrimary(t, seed, rollout.Unaffirmed); len(w.res.Broken) > 0 {
-				t.Logf("seed %d: %v", seed, w.res.Broken[0])
+			if w := oldPrimary(t, seed, rollout.BugGrantUnconfirmed); len(w.result.Violations) > 0 {
+				t.Logf("seed %d: %v", seed, w.result.Violations[0])
 				return
 			}
 		}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,7 +1,7 @@
-// Package routing is the core of the gateway. It knows requests, attempts and
-// outcomes, and no wire: fronts submit requests, a fleet carries out attempts,
-// a counter adds numbers, and the decision module in package choice says what
-// happens. One goroutine owns the module, its timers and the open requests.
+// Package routing is the core of the gateway. It handles requests, attempts and
+// outcomes independently of protocols: frontends submit requests, a Fleet executes
+// attempts, a Counter adds numbers, and the Balancer of package choice decides. One
+// goroutine owns the balancer, its timers and the open requests.
 package routing
 
 import (
@@ -17,402 +17,402 @@
 	"asterwell/internal/mailbox"
 )
 
-// Request is a client's try. A front fills it in and submits it once.
+// Request is a client's request. A frontend fills it in and submits it once.
 type Request struct {
-	Class, Plan, Customer string
-	Deadline              time.Duration // on the core's clock: the client waits no longer
-	Units                 float64
-	Width, First          int
-	Again                 bool
-	Call                  any // what the fleet passes on; the core does not look at it
-	Reply                 Reply
+	Class, Plan, Customer  string
+	Deadline               time.Duration // on the core's clock: when the client stops waiting
+	Units                  float64
+	Gateways, FirstGateway int
+	IsRetry                bool
+	Call                   any // opaque to the core; passed to the fleet
+	Reply                  Reply
 
-	// Fit gives the request its terms by the policy in force, or an error if that does
-	// not allow it. Nil: it has them.
-	Fit func() error
+	// ResolveTerms fills in what depends on the policy in force, or returns an error if
+	// the policy doesn't allow the request. Nil: nothing is left to fill in.
+	ResolveTerms func() error
 
-	// Spent tells that what has been sent of it can't be sent again. Nil: it always can.
-	Spent func() bool
+	// BodyConsumed reports that the body can't be sent again. Nil: it always can.
+	BodyConsumed func() bool
 
 	id uint32
 }
 
-// Reply takes the one final answer to a request. Its methods must not block.
+// Reply receives the one final answer to a request. Its methods must not block.
 type Reply interface {
 	Served(answer any)
-	// Refused: to try again is harmless. A request that was tried met a fault of
-	// the servers; one that was not is beyond its quota, or there is no room.
+	// Refused means that a retry is safe. If the request was attempted, servers
+	// failed; if not, it is beyond its quota or there is no capacity.
 	Refused(retryAfter time.Duration, verdict Verdict)
-	Failed(timedOut bool) // no promise
-	Unfit(err error)      // the policy in force does not allow what it says; it was not tried
+	Failed(timedOut bool) // the request may have run
+	Disallowed(err error) // the policy in force doesn't allow the request; it was not attempted
 }
 
-// Verdict tells whether a request may have run.
+// Verdict tells whether a request may have been executed.
 type Verdict int
 
 // The verdicts.
 const (
-	Untried Verdict = iota // it was sent to nobody
-	Unrun                  // it was, and has not run: each that it was sent to has proved that
-	MayHaveRun
+	NotAttempted Verdict = iota // not sent to any server
+	NotExecuted                 // sent, but each attempt has proof that it didn't run
+	MayHaveExecuted
 )
 
-// Member is a server of the list and where it listens.
+// Member is a server and its address.
 type Member struct {
 	choice.Member
 	Addr string
-	Name string // the id that the list has for it
+	Name string // its id in discovery
 }
 
-// News is what discovery tells.
-type News struct {
+// DiscoveryUpdate is a change of the server list. Its fields are those of choice.RosterUpdate.
+type DiscoveryUpdate struct {
 	Members              []Member
 	Whole, Saved, Broken bool
 }
 
-// Attempt names one attempt for as long as it is out. A probe has ID 0.
+// Attempt identifies a pending attempt or probe. Probes have ID 0.
 type Attempt struct {
-	ID  uint32
-	Try int
+	ID     uint32
+	Number int
 }
 
-// Fleet carries out attempts. The core calls it from its own goroutine only,
-// and hears of the ends by Core.Ended and Core.Probed. Nothing is heard of an
-// attempt that was cancelled, or it is ignored.
+// Fleet executes attempts. Only the core's goroutine calls it. It reports their ends
+// by Core.AttemptEnded and Core.ProbeEnded; those of cancelled attempts are ignored.
 type Fleet interface {
-	Update(news News)
+	Update(news DiscoveryUpdate)
 	Send(server uint32, a Attempt, call any, left time.Duration)
 	Probe(server uint32, a Attempt, left time.Duration)
 	Cancel(server uint32, a Attempt)
 }
 
-// Counter adds to named numbers. It answers every Add once, by Core.Counted.
+// Counter adds to named numbers. It answers every Add once, by Core.CounterEnded.
 type Counter interface {
 	Add(name string, amount float64, life time.Duration)
 }
 
-// Watcher starts and stops the news where the deployment wants to be asked.
+// Watcher starts and stops discovery updates where they need a subscription.
 type Watcher interface {
 	Watch(on bool)
 }
 
-// Health hears how attempts and probes end, on the core's goroutine.
-type Health interface {
-	Heard(server uint32, status choice.Status)
+// HealthObserver is told how attempts and probes end, on the core's goroutine.
+type HealthObserver interface {
+	Observe(server uint32, status choice.Status)
 }
 
-// Gate tells by which version of the policy the core may decide, if any. It is asked
-// with the time after a request has come, and looks at the lease before it compares.
+// Gate tells by which policy version the core may decide, if any. It must read the
+// clock after the request has arrived, so that an expired lease is never used.
 type Gate interface {
-	// May returns the version; with ok false none, and soon tells that it will be
-	// over in a moment.
-	May(now func() time.Duration) (version int64, ok, soon bool)
+	// Version returns the policy version. If ok is false there is none, and soon tells
+	// that there will be one in a moment.
+	Version(now func() time.Duration) (version int64, ok, soon bool)
 }
 
-// Hands are what the core acts through.
-type Hands struct {
-	World   hostenv.Seam // nil: the real one
-	Fleet   Fleet
-	Counter Counter
-	Watcher Watcher
-	Health  Health                    // nil: nobody wants to hear
-	Gate    Gate                      // nil: the settings of the start are in force for good
-	Wait    time.Duration             // most that a request waits at the gate
-	Drop    func(answer any)          // takes answers that come too late; nil: nobody has to
-	Adopted func(set choice.Settings) // hears of a policy that comes into force, before any request is decided by it
+// Dependencies are what the core acts through.
+type Dependencies struct {
+	Env           hostenv.Seam // nil: the real environment
+	Fleet         Fleet
+	Counter       Counter
+	Watcher       Watcher
+	Health        HealthObserver            // nil: none
+	Gate          Gate                      // nil: the initial settings stay in force
+	MaxGateWait   time.Duration             // longest wait of a request at the gate
+	DiscardAnswer func(answer any)          // releases responses that nobody receives; may be nil
+	PolicyApplied func(set choice.Settings) // called before the first request is decided by a new policy
 }
 
-// Stats are totals since the start.
+// Stats are totals since the start, and current figures.
 type Stats struct {
-	Requests, Served, Refused, Failed, Gone int
-	Attempts, Probes, Counts                int
-	Outcomes                                [choice.Moot + 1]int
-	Open, Ready                             int
-	Out                                     int // attempts and probes under way
-	Waited, Unleased                        int // at the gate; refused there
-	Version                                 int64
-	Module                                  choice.Books
+	Requests, Served, Refused, Failed, ClientsGone int
+	Attempts, Probes, CounterCalls                 int
+	Outcomes                                       [choice.NotExecuted + 1]int
+	Open, Ready                                    int
+	InFlight                                       int // pending attempts and probes
+	WaitedAtGate, RefusedUnleased                  int // at the gate: queued, and refused without a lease
+	Version                                        int64
+	Balancer                                       choice.Totals
 }
 
-// Core is the actor round the module.
+// Core is the actor that owns the balancer.
 type Core struct {
-	box        *mailbox.Box[message]
-	now        func() time.Duration
-	hands      Hands
-	bal        *choice.Balancer
-	timers     timers
-	seq        uint64 // keeps timers of one moment in order
-	open       map[uint32]*open
-	lastID     uint32
-	probes     map[uint32]probe
-	probed     int
-	counts     map[string]time.Duration
-	later      []choice.Outcome // of cancels, told once the module has finished its turn
-	probeLimit time.Duration
-	up         map[uint32]bool
-	stats      Stats
-	halted     bool
-	told       bool          // the list came from discovery, not from the saved copy
-	trust      time.Duration // from then on the saved copy has to do
-	version    int64         // of the policy in the module
-	waiting    []uint32      // requests at the gate, in order
-	listed     map[uint32]bool
-	counted    time.Duration // when view was brought up to date
-	view       view
-	rest
-}
-
-// view is what others may read at any time, without the core's turn.
-type view struct{ listed, avoided, ready atomic.Int64 }
-
-const viewEvery = 200 * time.Millisecond
-
-// Ready is the number of servers that requests may go to.
-func (c *Core) Ready() int { return int(c.view.ready.Load()) }
-
-// Targets are the servers in the list, and Avoided those of them that nothing is sent to now.
-func (c *Core) Targets() int { return int(c.view.listed.Load()) }
-
-// Avoided are the listed servers that this gateway keeps away from.
-func (c *Core) Avoided() int { return int(c.view.avoided.Load()) }
-
-func (c *Core) survey(now time.Duration) {
-	c.counted = now
-	c.view.listed.Store(int64(len(c.listed)))
-	c.view.avoided.Store(int64(len(c.listed) - len(c.up) + c.bal.Avoided()))
+	inbox           *mailbox.Box[message]
+	now             func() time.Duration
+	deps            Dependencies
+	balancer        *choice.Balancer
+	timers          timers
+	timerSeq        uint64 // orders timers of the same time
+	requests        map[uint32]*openRequest
+	lastID          uint32
+	probes          map[uint32]probe
+	probeCount      int
+	counterCalls    map[string]time.Duration
+	pendingOutcomes []choice.Outcome // of cancelled attempts, delivered after the balancer has returned
+	probeTimeout    time.Duration
+	upServers       map[uint32]bool
+	stats           Stats
+	stopped         bool
+	discovered      bool          // the server list comes from discovery, not from the saved copy
+	trustSavedAt    time.Duration // when the saved copy becomes good enough
+	policyVersion   int64         // of the policy in the balancer
+	gateQueue       []uint32      // requests waiting at the gate, in order
+	listedServers   map[uint32]bool
+	viewUpdatedAt   time.Duration // last update of view
+	view            view
+	sleepState
+}
+
+// view holds figures that other goroutines may read at any time.
+type view struct{ listed, ejected, ready atomic.Int64 }
+
+const viewPeriod = 200 * time.Millisecond
+
+// ReadyServers is the number of servers that requests may go to.
+func (c *Core) ReadyServers() int { return int(c.view.ready.Load()) }
+
+// ListedServers is the number of servers in the list.
+func (c *Core) ListedServers() int { return int(c.view.listed.Load()) }
+
+// EjectedServers is the number of listed servers that get no requests now.
+func (c *Core) EjectedServers() int { return int(c.view.ejected.Load()) }
+
+func (c *Core) updateView(now time.Duration) {
+	c.viewUpdatedAt = now
+	c.view.listed.Store(int64(len(c.listedServers)))
+	c.view.ejected.Store(int64(len(c.listedServers) - len(c.upServers) + c.balancer.EjectedServers()))
 	ready := 0
-	if c.told || now >= c.trust {
-		ready = len(c.up)
+	if c.discovered || now >= c.trustSavedAt {
+		ready = len(c.upServers)
 	}
 	c.view.ready.Store(int64(ready))
 }
 
-type open struct {
-	req      *Request
-	came     time.Duration
-	attempts []attempt
-	out      int
-	answered bool
+type openRequest struct {
+	req       *Request
+	arrivedAt time.Duration
+	attempts  []attempt
+	inFlight  int
+	answered  bool
 }
 
 type attempt struct {
-	server uint32
-	sent   time.Duration
-	out    bool
-	status choice.Status // its end
+	server  uint32
+	sent    time.Duration
+	pending bool
+	status  choice.Status // once it has ended
 }
 
-// verdict is what the attempts so far prove.
-func (o *open) verdict() Verdict {
-	v := Untried
+// verdict tells what the attempts so far prove.
+func (o *openRequest) verdict() Verdict {
+	v := NotAttempted
 	for _, a := range o.attempts {
-		if v = max(v, Unrun); a.out || a.status != choice.Full && a.status != choice.ConnectFailed && a.status != choice.Moot {
-			return MayHaveRun
+		if v = max(v, NotExecuted); a.pending || a.status != choice.Overloaded && a.status != choice.ConnectFailed && a.status != choice.NotExecuted {
+			return MayHaveExecuted
 		}
 	}
 	return v
 }
 
 type probe struct {
-	try  int
-	sent time.Duration
+	number int
+	sent   time.Duration
 }
 
-// savedAfter is how long a gateway waits for discovery's word after its start.
-// While discovery is down the saved list is better than none.
-const savedAfter = 500 * time.Millisecond
+// savedListDelay is how long a gateway waits for discovery after its start before it uses
+// the saved server list. While discovery is down, that list is better than none.
+const savedListDelay = 500 * time.Millisecond
 
 type message interface {
 	apply(c *Core, now time.Duration)
 }
 
-// New returns a core that acts through hands once it runs. now is its clock.
-func New(set choice.Settings, seed uint64, now func() time.Duration, hands Hands) (*Core, error) {
-	c := &Core{box: mailbox.NewBox[message](hands.World), now: now, hands: hands, open: map[uint32]*open{},
-		probes: map[uint32]probe{}, counts: map[string]time.Duration{}, up: map[uint32]bool{},
-		listed: map[uint32]bool{}, rest: newRest(set, seed)}
-	if c.probeLimit = set.ConnectTimeout; c.probeLimit <= 0 {
-		c.probeLimit = time.Second
+// New returns a core that acts through deps once it runs. now is its clock.
+func New(set choice.Settings, seed uint64, now func() time.Duration, deps Dependencies) (*Core, error) {
+	c := &Core{inbox: mailbox.NewBox[message](deps.Env), now: now, deps: deps, requests: map[uint32]*openRequest{},
+		probes: map[uint32]probe{}, counterCalls: map[string]time.Duration{}, upServers: map[uint32]bool{},
+		listedServers: map[uint32]bool{}, sleepState: newSleepState(set, seed)}
+	if c.probeTimeout = set.ConnectTimeout; c.probeTimeout <= 0 {
+		c.probeTimeout = time.Second
 	}
-	c.trust = now() + savedAfter
+	c.trustSavedAt = now() + savedListDelay
 	var err error
-	c.bal, err = choice.New(set, seed, (*actions)(c))
+	c.balancer, err = choice.New(set, seed, (*actions)(c))
 	return c, err
 }
 
-// Run serves until it is stopped.
+// Run processes messages and timers until Stop.
 func (c *Core) Run() {
-	for !c.halted {
-		c.turn(c.wait())
+	for !c.stopped {
+		c.runOnce(c.nextWake())
 	}
 }
 
-// Stop ends Run. What is open then gets no answer.
-func (c *Core) Stop() { c.box.Put(halt{}) }
+// Stop ends Run. Open requests then get no answer.
+func (c *Core) Stop() { c.inbox.Put(stop{}) }
 
-// Close answers all that is open, at once, by what is known of it: the process is about to
-// end, and nobody could tell its silence from a lost request. What comes later is as ever.
-func (c *Core) Close() { c.box.Put(closing{}) }
+// AnswerOpen answers all open requests at once, by what is known of them: the process is
+// about to exit, and clients couldn't tell its silence from a lost request. Later requests
+// are processed as usual.
+func (c *Core) AnswerOpen() { c.inbox.Put(answerOpen{}) }
 
-type closing struct{}
+type answerOpen struct{}
 
-func (closing) apply(c *Core, now time.Duration) {
-	ids := slices.Sorted(maps.Keys(c.open))
-	for _, id := range c.waiting {
+func (answerOpen) apply(c *Core, now time.Duration) {
+	ids := slices.Sorted(maps.Keys(c.requests))
+	for _, id := range c.gateQueue {
 		(*actions)(c).Refuse(id, 0)
 	}
-	c.waiting = nil
+	c.gateQueue = nil
 	for _, id := range ids {
-		if o := c.open[id]; o != nil && !o.answered {
-			c.bal.GiveUp(now, id)
+		if o := c.requests[id]; o != nil && !o.answered {
+			c.balancer.AnswerNow(now, id)
 		}
-		c.settle()
+		c.deliverOutcomes()
 	}
 }
 
-type halt struct{}
+type stop struct{}
 
-func (halt) apply(c *Core, _ time.Duration) { c.halted = true }
+func (stop) apply(c *Core, _ time.Duration) { c.stopped = true }
 
-// wait is how long the core may sleep: until the next timer that does something.
-func (c *Core) wait() time.Duration {
-	for len(c.timers) > 0 && c.lapsed(c.timers[0]) {
+// nextWake is how long the core may block: until the next timer that isn't expired.
+func (c *Core) nextWake() time.Duration {
+	for len(c.timers) > 0 && c.expired(c.timers[0]) {
 		heap.Pop(&c.timers)
 	}
 	switch {
 	case c.asleep:
-		return max(0, c.until-c.now())
+		return max(0, c.wakeAt-c.now())
 	case len(c.timers) == 0:
 		return time.Second
 	}
 	return max(0, min(c.timers[0].at-c.now(), time.Second))
 }
 
-// turn takes what has come within the wait, and all timers that are due.
-func (c *Core) turn(wait time.Duration) {
-	got := c.box.Take(wait)
+// runOnce processes the messages that arrive within wait, and all timers that are due.
+func (c *Core) runOnce(wait time.Duration) {
+	got := c.inbox.Take(wait)
 	now := c.now()
-	beaten := c.asleep
-	c.catchUp(now)
+	housekept := c.asleep
+	c.replayMissed(now)
 	for _, m := range got {
 		m.apply(c, c.now())
-		c.settle()
+		c.deliverOutcomes()
 	}
 	now = c.now()
 	for len(c.timers) > 0 && c.timers[0].at <= now {
 		t := heap.Pop(&c.timers).(timer)
 		t.fire(c, now)
-		c.settle()
-		beaten = beaten || t.token == choice.Beat
+		c.deliverOutcomes()
+		housekept = housekept || t.token == choice.HousekeepingTimer
 	}
-	if now-c.counted >= viewEvery {
-		c.survey(now)
+	if now-c.viewUpdatedAt >= viewPeriod {
+		c.updateView(now)
 	}
-	c.doze(now, beaten)
+	c.trySleep(now, housekept)
 }
 
-// settle tells the module the ends of what it cancelled.
-func (c *Core) settle() {
-	for len(c.later) > 0 {
-		o := c.later[0]
-		c.later = c.later[1:]
-		c.bal.Outcome(c.now(), o)
+// deliverOutcomes tells the balancer the ends of attempts that it cancelled.
+func (c *Core) deliverOutcomes() {
+	for len(c.pendingOutcomes) > 0 {
+		o := c.pendingOutcomes[0]
+		c.pendingOutcomes = c.pendingOutcomes[1:]
+		c.balancer.HandleOutcome(c.now(), o)
 	}
 }
 
-// Submit takes a request. Its Reply hears of the answer, whatever happens.
-func (c *Core) Submit(r *Request) { c.box.Put(submitted{r}) }
+// Submit takes a request. Its Reply always gets an answer, unless the client leaves.
+func (c *Core) Submit(r *Request) { c.inbox.Put(submitted{r}) }
 
-// Sent tells that more of a submitted request's body has gone out: silence and time count
-// from now on.
-func (c *Core) Sent(r *Request) { c.box.Put(sent{r}) }
+// BodyProgress records that more of a submitted request's body was sent: the server's
+// silence and latency count from now on.
+func (c *Core) BodyProgress(r *Request) { c.inbox.Put(bodyProgress{r}) }
 
-type sent struct{ r *Request }
+type bodyProgress struct{ r *Request }
 
-func (m sent) apply(c *Core, now time.Duration) {
-	o := c.open[m.r.id]
+func (m bodyProgress) apply(c *Core, now time.Duration) {
+	o := c.requests[m.r.id]
 	if o == nil || o.req != m.r {
 		return
 	}
-	for try := range o.attempts {
-		if a := &o.attempts[try]; a.out {
+	for number := range o.attempts {
+		if a := &o.attempts[number]; a.pending {
 			a.sent = now
-			c.bal.Sent(now, m.r.id, try)
+			c.balancer.HandleBodyProgress(now, m.r.id, number)
 		}
 	}
 }
 
-// Gone tells that the client of a submitted request has left.
-func (c *Core) Gone(r *Request) { c.box.Put(gone{r}) }
+// ClientGone tells that the client of a submitted request has disconnected.
+func (c *Core) ClientGone(r *Request) { c.inbox.Put(clientGone{r}) }
 
-// Ended tells how an attempt ended.
-func (c *Core) Ended(server uint32, a Attempt, status choice.Status, answer any, load *choice.Load) {
-	c.box.Put(ended{server, a, status, answer, load})
+// AttemptEnded tells how an attempt ended.
+func (c *Core) AttemptEnded(server uint32, a Attempt, status choice.Status, answer any, load *choice.Load) {
+	c.inbox.Put(attemptEnded{server, a, status, answer, load})
 }
 
-// Probed tells how a probe ended.
-func (c *Core) Probed(server uint32, a Attempt, status choice.Status, load *choice.Load) {
-	c.box.Put(probed{server, a, status, load})
+// ProbeEnded tells how a probe ended.
+func (c *Core) ProbeEnded(server uint32, a Attempt, status choice.Status, load *choice.Load) {
+	c.inbox.Put(probeEnded{server, a, status, load})
 }
 
-// Counted tells the end of a counter call.
-func (c *Core) Counted(name string, status choice.Status, total float64) {
-	c.box.Put(counted{name, status, total})
+// CounterEnded tells how a counter call ended.
+func (c *Core) CounterEnded(name string, status choice.Status, total float64) {
+	c.inbox.Put(counterEnded{name, status, total})
 }
 
-// News tells what discovery has said.
-func (c *Core) News(n News) { c.box.Put(n) }
+// HandleDiscovery takes a change of the server list.
+func (c *Core) HandleDiscovery(n DiscoveryUpdate) { c.inbox.Put(n) }
 
-// Stats asks for the totals; it waits for the core's turn.
+// Stats returns the totals. It waits for the core's goroutine.
 func (c *Core) Stats() Stats {
-	ask := &asked{bell: hostenv.Or(c.hands.World).NewBell()}
-	c.box.Put(ask)
+	ask := &statsRequest{bell: hostenv.Or(c.deps.Env).NewBell()}
+	c.inbox.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.stats
 }
 
-// Twins tells how many processes are this gateway.
-func (c *Core) Twins(n int) { c.box.Put(twins(n)) }
+// SetProcesses sets how many processes share this gateway's identity.
+func (c *Core) SetProcesses(n int) { c.inbox.Put(processCount(n)) }
 
-type twins int
+type processCount int
 
-func (m twins) apply(c *Core, _ time.Duration) { c.bal.Twins(int(m)) }
+func (m processCount) apply(c *Core, _ time.Duration) { c.balancer.SetProcesses(int(m)) }
 
-// Hand asks for what the module knows; it waits for the core's turn.
-func (c *Core) Hand() choice.Learnt {
-	ask := &hand{bell: hostenv.Or(c.hands.World).NewBell()}
-	c.box.Put(ask)
+// ExportState returns the balancer's state. It waits for the core's goroutine.
+func (c *Core) ExportState() choice.SavedState {
+	ask := &exportRequest{bell: hostenv.Or(c.deps.Env).NewBell()}
+	c.inbox.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.state
 }
 
-type hand struct {
+type exportRequest struct {
 	bell  hostenv.Bell
-	state choice.Learnt
+	state choice.SavedState
 }
 
-func (m *hand) apply(c *Core, now time.Duration) {
-	m.state = c.bal.Hand(now)
+func (m *exportRequest) apply(c *Core, now time.Duration) {
+	m.state = c.balancer.ExportState(now)
 	m.bell.Ring()
 }
 
-// Take gives the module what another process of this gateway knew. It waits for the core's
-// turn, and reports what is strange about it: then nothing is taken.
-func (c *Core) Take(s choice.Learnt) error {
-	ask := &take{bell: hostenv.Or(c.hands.World).NewBell(), state: s}
-	c.box.Put(ask)
+// ImportState gives the balancer the state of another process of this gateway, or returns
+// an error if the state is invalid. It waits for the core's goroutine.
+func (c *Core) ImportState(s choice.SavedState) error {
+	ask := &importRequest{bell: hostenv.Or(c.deps.Env).NewBell(), state: s}
+	c.inbox.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.err
 }
 
-type take struct {
+type importRequest struct {
 	bell  hostenv.Bell
-	state choice.Learnt
+	state choice.SavedState
 	err   error
 }
 
-func (m *take) apply(c *Core, now time.Duration) {
-	m.err = c.bal.Take(now, m.state)
+func (m *importRequest) apply(c *Core, now time.Duration) {
+	m.err = c.balancer.ImportState(now, m.state)
 	m.bell.Ring()
 }
 
@@ -420,46 +420,46 @@
 
 func (m submitted) apply(c *Core, now time.Duration) {
 	r := m.r
-	for c.lastID++; c.lastID == 0 || c.open[c.lastID] != nil; c.lastID++ { // 0 is for probes
+	for c.lastID++; c.lastID == 0 || c.requests[c.lastID] != nil; c.lastID++ { // 0 is for probes
 	}
 	r.id = c.lastID
-	c.open[r.id] = &open{req: r, came: now}
+	c.requests[r.id] = &openRequest{req: r, arrivedAt: now}
 	c.stats.Requests++
-	if c.hands.Gate != nil && !c.pass(now, r) {
+	if c.deps.Gate != nil && !c.passGate(now, r) {
 		return
 	}
 	c.decide(now, r)
 }
 
 func (c *Core) decide(now time.Duration, r *Request) {
-	if r.Fit != nil {
-		if err := r.Fit(); err != nil {
-			if reply := c.final(r.id); reply != nil {
+	if r.ResolveTerms != nil {
+		if err := r.ResolveTerms(); err != nil {
+			if reply := c.takeReply(r.id); reply != nil {
 				c.stats.Refused++
-				reply.Unfit(err)
+				reply.Disallowed(err)
 			}
 			return
 		}
 	}
-	c.bal.Request(now, choice.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
-		NotAfter: r.Deadline, Units: r.Units, Width: r.Width, First: r.First, Again: r.Again})
+	c.balancer.HandleRequest(now, choice.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
+		Deadline: r.Deadline, Units: r.Units, Gateways: r.Gateways, FirstGateway: r.FirstGateway, IsRetry: r.IsRetry})
 }
 
-type gone struct{ r *Request }
+type clientGone struct{ r *Request }
 
-func (m gone) apply(c *Core, now time.Duration) {
-	o := c.open[m.r.id]
+func (m clientGone) apply(c *Core, now time.Duration) {
+	o := c.requests[m.r.id]
 	if o == nil || o.req != m.r || o.answered {
 		return
 	}
-	o.answered = true // nobody is left to answer
-	c.stats.Gone++
-	c.waiting = slices.DeleteFunc(c.waiting, func(id uint32) bool { return id == m.r.id })
-	c.bal.Gone(now, m.r.id)
-	c.forget(m.r.id, o)
+	o.answered = true // no answer can be delivered
+	c.stats.ClientsGone++
+	c.gateQueue = slices.DeleteFunc(c.gateQueue, func(id uint32) bool { return id == m.r.id })
+	c.balancer.HandleClientGone(now, m.r.id)
+	c.removeIfDone(m.r.id, o)
 }
 
-type ended struct {
+type attemptEnded struct {
 	server uint32
 	Attempt
 	status choice.Status
@@ -467,150 +467,150 @@
 	load   *choice.Load
 }
 
-// apply drops what comes late: an attempt has one end, and a request one answer.
-func (m ended) apply(c *Core, now time.Duration) {
-	o := c.open[m.ID]
-	if o == nil || m.Try >= len(o.attempts) || !o.attempts[m.Try].out || o.attempts[m.Try].server != m.server {
-		c.drop(m.answer)
+// apply ignores late ends: an attempt has one end, and a request one answer.
+func (m attemptEnded) apply(c *Core, now time.Duration) {
+	o := c.requests[m.ID]
+	if o == nil || m.Number >= len(o.attempts) || !o.attempts[m.Number].pending || o.attempts[m.Number].server != m.server {
+		c.discard(m.answer)
 		return
 	}
-	a := &o.attempts[m.Try]
-	a.out, a.status = false, m.status
-	o.out--
+	a := &o.attempts[m.Number]
+	a.pending, a.status = false, m.status
+	o.inFlight--
 	c.stats.Outcomes[m.status]++
-	c.heard(m.server, m.status)
+	c.observe(m.server, m.status)
 	if m.status == choice.OK && !o.answered {
 		o.answered = true
 		c.stats.Served++
 		o.req.Reply.Served(m.answer)
 	} else {
-		c.drop(m.answer)
+		c.discard(m.answer)
 	}
-	c.bal.Outcome(now, choice.Outcome{ID: m.ID, Try: m.Try, Backend: m.server, Status: m.status,
+	c.balancer.HandleOutcome(now, choice.Outcome{ID: m.ID, Attempt: m.Number, Backend: m.server, Status: m.status,
 		Elapsed: now - a.sent, Final: o.answered, Load: m.load})
-	c.forget(m.ID, o)
+	c.removeIfDone(m.ID, o)
 }
 
-type probed struct {
+type probeEnded struct {
 	server uint32
 	Attempt
 	status choice.Status
 	load   *choice.Load
 }
 
-func (m probed) apply(c *Core, now time.Duration) {
+func (m probeEnded) apply(c *Core, now time.Duration) {
 	p, ok := c.probes[m.server]
-	if !ok || p.try != m.Try {
+	if !ok || p.number != m.Number {
 		return
 	}
 	delete(c.probes, m.server)
-	c.heard(m.server, m.status)
-	c.bal.Probed(now, choice.Probed{Backend: m.server, Status: m.status, Elapsed: now - p.sent, Load: m.load})
+	c.observe(m.server, m.status)
+	c.balancer.HandleProbe(now, choice.ProbeResult{Backend: m.server, Status: m.status, Elapsed: now - p.sent, Load: m.load})
 }
 
-type counted struct {
+type counterEnded struct {
 	name   string
 	status choice.Status
 	total  float64
 }
 
-func (m counted) apply(c *Core, now time.Duration) {
-	sent := c.counts[m.name]
-	delete(c.counts, m.name)
-	c.bal.Counted(now, choice.Counted{Name: m.name, Status: m.status, Total: m.total, Elapsed: now - sent})
+func (m counterEnded) apply(c *Core, now time.Duration) {
+	sent := c.counterCalls[m.name]
+	delete(c.counterCalls, m.name)
+	c.balancer.HandleCounter(now, choice.CounterResult{Name: m.name, Status: m.status, Total: m.total, Elapsed: now - sent})
 }
 
-func (m News) apply(c *Core, now time.Duration) {
-	r := choice.Roster{Whole: m.Whole, Saved: m.Saved, Broken: m.Broken}
+func (m DiscoveryUpdate) apply(c *Core, now time.Duration) {
+	r := choice.RosterUpdate{Whole: m.Whole, Saved: m.Saved, Broken: m.Broken}
 	if !m.Broken {
-		if c.hands.Fleet.Update(m); m.Whole {
-			clear(c.up)
-			clear(c.listed)
+		if c.deps.Fleet.Update(m); m.Whole {
+			clear(c.upServers)
+			clear(c.listedServers)
 		}
 		for _, s := range m.Members {
 			r.Members = append(r.Members, s.Member)
-			if delete(c.up, s.ID); s.State == choice.Up {
-				c.up[s.ID] = true
+			if delete(c.upServers, s.ID); s.State == choice.Up {
+				c.upServers[s.ID] = true
 			}
-			if delete(c.listed, s.ID); s.State != choice.Down {
-				c.listed[s.ID] = true
+			if delete(c.listedServers, s.ID); s.State != choice.Down {
+				c.listedServers[s.ID] = true
 			}
 		}
-		c.told = c.told || !m.Saved
+		c.discovered = c.discovered || !m.Saved
 	}
-	c.bal.Roster(now, r)
-	c.survey(now)
+	c.balancer.HandleRoster(now, r)
+	c.updateView(now)
 }
 
-type asked struct {
+type statsRequest struct {
 	bell  hostenv.Bell
 	stats Stats
 }
 
-func (m *asked) apply(c *Core, now time.Duration) {
+func (m *statsRequest) apply(c *Core, now time.Duration) {
 	s := c.stats
-	c.survey(now)
-	s.Open, s.Ready = len(c.open), c.Ready()
-	s.Out, s.Module, s.Version = len(c.probes), c.bal.Books(), c.version
-	for _, o := range c.open {
-		s.Out += o.out
+	c.updateView(now)
+	s.Open, s.Ready = len(c.requests), c.ReadyServers()
+	s.InFlight, s.Balancer, s.Version = len(c.probes), c.balancer.Totals(), c.policyVersion
+	for _, o := range c.requests {
+		s.InFlight += o.inFlight
 	}
 	m.stats = s
 	m.bell.Ring()
 }
 
-func (c *Core) heard(server uint32, status choice.Status) {
-	if c.hands.Health != nil {
-		c.hands.Health.Heard(server, status)
+func (c *Core) observe(server uint32, status choice.Status) {
+	if c.deps.Health != nil {
+		c.deps.Health.Observe(server, status)
 	}
 }
 
-// drop gives up an answer that nobody takes.
-func (c *Core) drop(answer any) {
-	if c.hands.Drop != nil {
-		c.hands.Drop(answer)
+// discard releases a response that nobody receives.
+func (c *Core) discard(answer any) {
+	if c.deps.DiscardAnswer != nil {
+		c.deps.DiscardAnswer(answer)
 	}
 }
 
-func (c *Core) forget(id uint32, o *open) {
-	if o.answered && o.out == 0 {
-		delete(c.open, id)
+func (c *Core) removeIfDone(id uint32, o *openRequest) {
+	if o.answered && o.inFlight == 0 {
+		delete(c.requests, id)
 	}
 }
 
-// actions is the Core as the module sees it.
+// actions implements choice.Actions for the balancer.
 type actions Core
 
 func (x *actions) Send(id, backend uint32, limit time.Duration) {
 	c := (*Core)(x)
-	o := c.open[id]
+	o := c.requests[id]
 	if o == nil {
 		log.Printf("event=bug what=%q request=%d", "send for an unknown request", id)
 		return
 	}
 	now := c.now()
-	try := len(o.attempts)
-	o.attempts = append(o.attempts, attempt{server: backend, sent: now, out: true})
-	o.out++
+	number := len(o.attempts)
+	o.attempts = append(o.attempts, attempt{server: backend, sent: now, pending: true})
+	o.inFlight++
 	left := o.req.Deadline - now
 	if limit > 0 {
 		left = min(left, limit)
 	}
-	again := try > 0 && o.req.Spent != nil && o.req.Spent()
-	if o.answered || left <= 0 || again { // the request is over: it must not go out
-		o.attempts[try].out, o.attempts[try].status = false, choice.Moot
-		o.out--
-		c.later = append(c.later, choice.Outcome{ID: id, Try: try, Backend: backend, Status: choice.Moot, Final: o.answered})
+	again := number > 0 && o.req.BodyConsumed != nil && o.req.BodyConsumed()
+	if o.answered || left <= 0 || again { // the request is finished: don't send it
+		o.attempts[number].pending, o.attempts[number].status = false, choice.NotExecuted
+		o.inFlight--
+		c.pendingOutcomes = append(c.pendingOutcomes, choice.Outcome{ID: id, Attempt: number, Backend: backend, Status: choice.NotExecuted, Final: o.answered})
 		return
 	}
 	c.stats.Attempts++
-	c.after(left, timer{kind: attemptTimer, id: id, try: try})
-	c.hands.Fleet.Send(backend, Attempt{id, try}, o.req.Call, left)
+	c.schedule(left, timer{kind: attemptTimer, id: id, number: number})
+	c.deps.Fleet.Send(backend, Attempt{id, number}, o.req.Call, left)
 }
 
 func (x *actions) Refuse(id uint32, retryAfter time.Duration) {
-	o := x.open[id]
-	if r := (*Core)(x).final(id); r != nil {
+	o := x.requests[id]
+	if r := (*Core)(x).takeReply(id); r != nil {
 		x.stats.Refused++
 		r.Refused(retryAfter, o.verdict())
 	}
@@ -618,95 +618,95 @@
 
 func (x *actions) Fail(id uint32) {
 	c := (*Core)(x)
-	o := c.open[id]
-	if r := c.final(id); r != nil {
+	o := c.requests[id]
+	if r := c.takeReply(id); r != nil {
 		x.stats.Failed++
-		// The module gives up a little before the deadline, in time to answer.
+		// The balancer fails requests shortly before their deadline, so that the answer arrives in time.
 		r.Failed(c.now()+20*time.Millisecond >= o.req.Deadline)
 	}
 }
 
-// final marks a request as answered and returns who hears of it.
-func (c *Core) final(id uint32) Reply {
-	o := c.open[id]
+// takeReply marks a request as answered and returns its Reply, or nil if it was answered before.
+func (c *Core) takeReply(id uint32) Reply {
+	o := c.requests[id]
 	if o == nil || o.answered {
 		return nil
 	}
 	o.answered = true
-	c.forget(id, o)
+	c.removeIfDone(id, o)
 	return o.req.Reply
 }
 
-func (x *actions) Cancel(id uint32, try int) {
+func (x *actions) Cancel(id uint32, number int) {
 	c := (*Core)(x)
-	if o := c.open[id]; o != nil && try < len(o.attempts) && o.attempts[try].out {
-		c.stop(id, o, try, choice.Cancelled)
+	if o := c.requests[id]; o != nil && number < len(o.attempts) && o.attempts[number].pending {
+		c.abortAttempt(id, o, number, choice.Cancelled)
 	}
 }
 
-// stop gives up an attempt that is out.
-func (c *Core) stop(id uint32, o *open, try int, status choice.Status) {
-	a := &o.attempts[try]
-	a.out, a.status = false, status
-	o.out--
+// abortAttempt ends a pending attempt.
+func (c *Core) abortAttempt(id uint32, o *openRequest, number int, status choice.Status) {
+	a := &o.attempts[number]
+	a.pending, a.status = false, status
+	o.inFlight--
 	c.stats.Outcomes[status]++
-	c.heard(a.server, status)
-	c.hands.Fleet.Cancel(a.server, Attempt{id, try})
-	c.later = append(c.later, choice.Outcome{ID: id, Try: try, Backend: a.server, Status: status,
+	c.observe(a.server, status)
+	c.deps.Fleet.Cancel(a.server, Attempt{id, number})
+	c.pendingOutcomes = append(c.pendingOutcomes, choice.Outcome{ID: id, Attempt: number, Backend: a.server, Status: status,
 		Elapsed: c.now() - a.sent, Final: o.answered})
-	c.forget(id, o)
+	c.removeIfDone(id, o)
 }
 
 func (x *actions) Probe(backend uint32) {
 	c := (*Core)(x)
-	c.probed++
+	c.probeCount++
 	c.stats.Probes++
-	c.probes[backend] = probe{try: c.probed, sent: c.now()}
-	c.after(c.probeLimit, timer{kind: probeTimer, id: backend, try: c.probed})
-	c.hands.Fleet.Probe(backend, Attempt{0, c.probed}, c.probeLimit)
+	c.probes[backend] = probe{number: c.probeCount, sent: c.now()}
+	c.schedule(c.probeTimeout, timer{kind: probeTimer, id: backend, number: c.probeCount})
+	c.deps.Fleet.Probe(backend, Attempt{0, c.probeCount}, c.probeTimeout)
 }
 
-func (x *actions) Count(name string, add float64, life time.Duration) {
+func (x *actions) AddToCounter(name string, add float64, life time.Duration) {
 	c := (*Core)(x)
-	c.stats.Counts++
-	c.counts[name] = c.now()
-	c.hands.Counter.Add(name, add, life)
+	c.stats.CounterCalls++
+	c.counterCalls[name] = c.now()
+	c.deps.Counter.Add(name, add, life)
 }
 
-func (x *actions) SetTimer(after time.Duration, token string) {
+func (x *actions) SetTimer(delay time.Duration, token string) {
 	c := (*Core)(x)
-	if token == choice.Beat {
-		c.beat = after
+	if token == choice.HousekeepingTimer {
+		c.interval = delay
 	}
-	c.after(after, timer{kind: moduleTimer, token: token, id: of(token)})
+	c.schedule(delay, timer{kind: balancerTimer, token: token, id: timerRequest(token)})
 }
 
-func (x *actions) Watch(on bool) { x.hands.Watcher.Watch(on) }
+func (x *actions) Watch(on bool) { x.deps.Watcher.Watch(on) }
 
 func (x *actions) Log(text string) { log.Printf("event=module text=%q", text) }
 
 type timerKind int
 
 const (
-	moduleTimer timerKind = iota
+	balancerTimer timerKind = iota
 	attemptTimer
 	probeTimer
 	gateTimer
 )
 
 type timer struct {
-	at    time.Duration
-	seq   uint64
-	kind  timerKind
-	token string
-	id    uint32
-	try   int
-}
-
-func (c *Core) after(d time.Duration, t timer) {
-	c.seq++
-	if t.seq = c.seq; c.played > 0 {
-		t.at = c.played + d
+	at     time.Duration
+	seq    uint64
+	kind   timerKind
+	token  string
+	id     uint32
+	number int
+}
+
+func (c *Core) schedule(d time.Duration, t timer) {
+	c.timerSeq++
+	if t.seq = c.timerSeq; c.replayTime > 0 {
+		t.at = c.replayTime + d
 	} else {
 		t.at = c.now() + d
 	}
@@ -715,23 +715,23 @@
 
 func (t timer) fire(c *Core, now time.Duration) {
 	switch t.kind {
-	case moduleTimer:
-		c.bal.Timer(now, t.token)
+	case balancerTimer:
+		c.balancer.HandleTimer(now, t.token)
 	case attemptTimer:
-		if o := c.open[t.id]; o != nil && t.try < len(o.attempts) && o.attempts[t.try].out {
-			c.stop(t.id, o, t.try, choice.Timeout)
+		if o := c.requests[t.id]; o != nil && t.number < len(o.attempts) && o.attempts[t.number].pending {
+			c.abortAttempt(t.id, o, t.number, choice.Timeout)
 		}
 	case gateTimer:
-		c.look(now)
+		c.recheckGate(now)
 	case probeTimer:
-		if p, ok := c.probes[t.id]; ok && p.try == t.try {
-			c.hands.Fleet.Cancel(t.id, Attempt{0, t.try})
-			probed{t.id, Attempt{0, t.try}, choice.Timeout, nil}.apply(c, now)
+		if p, ok := c.probes[t.id]; ok && p.number == t.number {
+			c.deps.Fleet.Cancel(t.id, Attempt{0, t.number})
+			probeEnded{t.id, Attempt{0, t.number}, choice.Timeout, nil}.apply(c, now)
 		}
 	}
 }
 
-// timers is a heap, the earliest first.
+// timers is a heap, ordered by time.
 type timers []timer
 
 func (h timers) Len() int { return len(h) }
