--- a/internal/systemsim/bug.go
+++ b/internal/systemsim/bug.go
@@ -47,33 +47,33 @@
 func (b Bug) guards() controlplane.Bugs {
 	switch b {
 	case OldDisk:
-		return controlplane.Bugs{Pact: consensus.BugOldDisk}
+		return controlplane.Bugs{Consensus: consensus.BugNoFencing}
 	case Deaf:
-		return controlplane.Bugs{Pact: consensus.BugDeaf}
+		return controlplane.Bugs{Consensus: consensus.BugNoCatchUp}
 	case Unheard:
-		return controlplane.Bugs{Pact: consensus.BugNoLearner}
+		return controlplane.Bugs{Consensus: consensus.BugSkipLearner}
 	case Remnant:
-		return controlplane.Bugs{Pact: consensus.BugRemnant}
+		return controlplane.Bugs{Consensus: consensus.BugNoShrinkOnForcedLeave}
 	case Whole:
-		return controlplane.Bugs{Pact: consensus.BugWhole}
+		return controlplane.Bugs{Consensus: consensus.BugNoPacking}
 	case Unread:
-		return controlplane.Bugs{Pact: consensus.BugUnconfirmed}
+		return controlplane.Bugs{Consensus: consensus.BugUnconfirmed}
 	case Unvouched:
-		return controlplane.Bugs{Lore: registry.Unvouched}
+		return controlplane.Bugs{Registry: registry.BugNoQuorumConfirmation}
 	case Straight:
-		return controlplane.Bugs{Lore: registry.Straight}
+		return controlplane.Bugs{Registry: registry.BugNoIndirectDelivery}
 	case Unmet:
-		return controlplane.Bugs{Unmet: true}
+		return controlplane.Bugs{ReadyWithoutContact: true}
 	case Unasked:
-		return controlplane.Bugs{Bane: faultrules.Unconfirmed}
+		return controlplane.Bugs{FaultRules: faultrules.Unconfirmed}
 	case Numberless:
-		return controlplane.Bugs{Bane: faultrules.Numberless}
+		return controlplane.Bugs{FaultRules: faultrules.Numberless}
 	case Uncalled:
-		return controlplane.Bugs{Cede: drainpermit.Hasty}
+		return controlplane.Bugs{Drain: drainpermit.BugNoPermission}
 	case Outdated:
-		return controlplane.Bugs{Cede: drainpermit.Stale}
+		return controlplane.Bugs{Drain: drainpermit.BugStalePermission}
 	case Unfenced:
-		return controlplane.Bugs{Bane: faultrules.Unfenced}
+		return controlplane.Bugs{FaultRules: faultrules.Unfenced}
 	}
 	return controlplane.Bugs{}
 }
@@ -89,32 +89,32 @@
 		}
 	case quotas.Add:
 		if b == Twice && p.life > 1 {
-			again, _ := t.Lengthen(^t.Life)
-			again.Life, again.Read, again.Echo = ^t.Life, false, false
+			again, _ := t.Expand(^t.Incarnation)
+			again.Incarnation, again.Read, again.Ping = ^t.Incarnation, false, false
 			return []any{again, msg}
 		}
-	case consensus.Answered:
-		if b == Confirms && t.Verdict == consensus.Differs {
-			t.Verdict = consensus.Kept
+	case consensus.ForwardReply:
+		if b == Confirms && t.Result == consensus.ResultConflict {
+			t.Result = consensus.ResultAccepted
 		}
 		return []any{t}
-	case consensus.Copy:
+	case consensus.InstallState:
 		if b == Forgets {
-			t.Kept, t.Next = t.Kept.Forgetful(), t.Next.Forgetful()
+			t.Committed, t.Pending = t.Committed.ResetLedger(), t.Pending.ResetLedger()
 		}
 		return []any{t}
 	case consensus.Promise:
 		if b == Forgets {
-			t.Kept, t.Next = t.Kept.Forgetful(), t.Next.Forgetful()
+			t.Committed, t.Pending = t.Committed.ResetLedger(), t.Pending.ResetLedger()
 		}
 		return []any{t}
-	case registry.News:
+	case registry.Update:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
 	case registry.Diff:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
-	case registry.Whole:
+	case registry.FullTable:
 		t.Rows = b.rows(t.Rows)
 		return []any{t}
 	}
