--- a/internal/rollout/world/check.go
+++ b/internal/rollout/world/check.go
@@ -166,10 +166,10 @@
 }
 
 func (w *World) checkConfirmations(p *Process, d consensus.Doc) {
-	if w.judged[d.Version] != 0 || w.fates[d.Version] == rollout.Live { // checked at its first proposal
+	if w.confirmationsChecked[d.Version] != 0 || w.fates[d.Version] == rollout.Live { // checked at its first proposal
 		return
 	}
-	w.judged[d.Version] = 1
+	w.confirmationsChecked[d.Version] = 1
 	confirmed, zones := 1, map[string][2]int{} // the primary itself
 	zones[p.zone] = [2]int{1, 1}
 	for _, n := range w.nodes {
--- a/internal/rollout/world/world.go
+++ b/internal/rollout/world/world.go
@@ -92,22 +92,22 @@
 	extraDelay  time.Duration
 	result      Result
 
-	newestDecided uint32 // the highest version that a request was decided by
-	firstDecided  map[uint32]time.Duration
-	putAt         map[uint32]time.Duration
-	bodies        map[uint32]string
-	fates         map[uint32]rollout.Fate
-	reports       map[string]receivedReport // the newest report of each node that has reached a primary
-	judged        map[uint32]int
-	highestPut    uint32
-	serving       map[uint32]map[*Process]bool
-	bytes         int
-	delayed       []rollout.WithdrawRequest // copies held back by the network
-	quiet         bool                      // no clients
-	toldNever     map[uint32]bool           // versions of which an operator was told that they never will be live
-	texts         map[uint32][]byte
-	conflicting   map[uint32]bool // versions that were put with different texts
-	toldWithdrawn map[uint32]bool // versions that an operator was told to be withdrawn
+	newestDecided        uint32 // the highest version that a request was decided by
+	firstDecided         map[uint32]time.Duration
+	putAt                map[uint32]time.Duration
+	bodies               map[uint32]string
+	fates                map[uint32]rollout.Fate
+	reports              map[string]receivedReport // the newest report of each node that has reached a primary
+	confirmationsChecked map[uint32]int
+	highestPut           uint32
+	serving              map[uint32]map[*Process]bool
+	bytes                int
+	delayed              []rollout.WithdrawRequest // copies held back by the network
+	quiet                bool                      // no clients
+	toldNever            map[uint32]bool           // versions of which an operator was told that they never will be live
+	texts                map[uint32][]byte
+	conflicting          map[uint32]bool // versions that were put with different texts
+	toldWithdrawn        map[uint32]bool // versions that an operator was told to be withdrawn
 }
 
 // New starts processes in three zones.
@@ -115,7 +115,7 @@
 	o.Nodes, o.RequestInterval = cmp.Or(o.Nodes, 11), cmp.Or(o.RequestInterval, 6*ms)
 	w := &World{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 27)), byAddr: map[string]*Process{}, blocked: map[[2]string]bool{},
 		firstDecided: map[uint32]time.Duration{}, putAt: map[uint32]time.Duration{}, bodies: map[uint32]string{},
-		fates: map[uint32]rollout.Fate{}, reports: map[string]receivedReport{}, judged: map[uint32]int{}}
+		fates: map[uint32]rollout.Fate{}, reports: map[string]receivedReport{}, confirmationsChecked: map[uint32]int{}}
 	w.texts, w.conflicting = map[uint32][]byte{}, map[uint32]bool{}
 	w.toldNever, w.toldWithdrawn = map[uint32]bool{}, map[uint32]bool{}
 	w.serving, w.result.ServedByAll, w.result.PutAt = map[uint32]map[*Process]bool{}, map[uint32]time.Duration{}, w.putAt
