--- a/internal/quotas/incarnations.go
+++ b/internal/quotas/incarnations.go
@@ -6,52 +6,53 @@
 	"asterwell/internal/fsm"
 )
 
-// Sums of 490 gateways in 12,000 tenants' names are millions. So each life of a gateway has a number here, and a name
-// has four bytes for whose a sum is.
+// 490 gateways with 12,000 tenants have millions of sums. So each incarnation of a gateway is numbered, and
+// the key of a sum takes four bytes.
 
-// incarnation is a life that a counter has heard.
+// incarnation is one incarnation of a gateway that a counter has heard.
 type incarnation struct {
 	id      uint64
 	number  uint32
 	heardAt fsm.Time // when it was last heard
 }
 
-// incarnations are those of each gateway, the one that was heard last at the end.
+// incarnations holds those of each gateway; the one that was heard last is at the end.
 type incarnations struct {
 	byGateway  map[string][]incarnation
 	lastNumber uint32
 }
 
-// incarnationRetention is longer than any name is kept: no sum has the number of who was not heard for so long.
+// incarnationRetention is longer than any period is kept, so no sum has the number of a forgotten
+// incarnation.
 const incarnationRetention = 4 * periodRetention
 
-// observe is a gateway's lives, of which this one is the last.
-func (l *incarnations) observe(now fsm.Time, gateway string, id uint64) []incarnation {
-	if l.byGateway == nil {
-		l.byGateway = map[string][]incarnation{}
+// observe records an incarnation as the gateway's latest, and returns all of the gateway's.
+func (in *incarnations) observe(now fsm.Time, gateway string, id uint64) []incarnation {
+	if in.byGateway == nil {
+		in.byGateway = map[string][]incarnation{}
 	}
-	who := l.byGateway[gateway]
-	i := slices.IndexFunc(who, func(v incarnation) bool { return v.id == id })
+	all := in.byGateway[gateway]
+	i := slices.IndexFunc(all, func(in incarnation) bool { return in.id == id })
 	switch {
 	case i < 0:
-		l.lastNumber++
-		who = append(who, incarnation{id: id, number: l.lastNumber})
-	case i < len(who)-1:
-		v := who[i]
-		who = append(slices.Delete(who, i, i+1), v)
+		in.lastNumber++
+		all = append(all, incarnation{id: id, number: in.lastNumber})
+	case i < len(all)-1:
+		in := all[i]
+		all = append(slices.Delete(all, i, i+1), in)
 	}
-	who[len(who)-1].heardAt = now
-	l.byGateway[gateway] = who
-	return who
+	all[len(all)-1].heardAt = now
+	in.byGateway[gateway] = all
+	return all
 }
 
-// sweep forgets those that were not heard for long.
-func (l *incarnations) sweep(now fsm.Time) {
-	for gateway, who := range l.byGateway {
-		if who = slices.DeleteFunc(who, func(v incarnation) bool { return now-v.heardAt > incarnationRetention }); len(who) == 0 {
-			delete(l.byGateway, gateway)
+// sweep removes incarnations that have not been heard for incarnationRetention.
+func (in *incarnations) sweep(now fsm.Time) {
+	for gateway, all := range in.byGateway {
+		if all = slices.DeleteFunc(all, func(in incarnation) bool { return now-in.heardAt > incarnationRetention }); len(all) == 0 {
+			delete(in.byGateway, gateway)
 		} else {
-			l.byGateway[gateway] = who
+			in.byGateway[gateway] = all
 		}
 	}
 }
--- a/internal/rollout/lead.go
+++ b/internal/rollout/lead.go
@@ -9,190 +9,191 @@
 	"asterwell/internal/policy"
 )
 
-// lead is the primary's part in one epoch. All of it may be lost: a successor finds in
-// the document whether a version is live, and asks the nodes anew for the rest.
-type lead struct {
-	epoch   consensus.Ballot
-	c       *policy.Conduct // nil: what is live is taken up by each
-	reg     policy.Register
-	addrs   map[uint64]string // of the nodes' lives
-	reads   bool              // the conduct wants the writers' confirmation, which is not asked for yet
-	round   uint64            // of the one that it waits for
-	pending uint32
-	since   fsm.Time          // of pending, here
-	asks    []asks            // to withdraw, that wait for the document
-	ended   []WithdrawRequest // the last of them that have been answered
+// leadership is the state of the primary in one epoch. It may be lost at any time: a successor finds in the
+// document whether a version is live, and asks the nodes again for the rest.
+type leadership struct {
+	epoch         consensus.Ballot
+	conduct       *policy.Conduct // nil: each node puts what is live in force by itself
+	register      policy.Register
+	addrs         map[uint64]string // by incarnation of the node
+	confirmWanted bool              // the conduct needs a confirmation of the writers that has not been started yet
+	confirmRound  uint64            // the round of confirmation that the conduct waits for
+	pending       uint32
+	pendingSince  fsm.Time             // when this process first saw pending
+	withdrawals   []receivedWithdrawal // waiting for their outcome in the document
+	answered      []WithdrawRequest    // the latest of those that were answered
 }
 
-// turn takes over what is kept.
-func (m *Machine) turn(now fsm.Time) {
-	l := m.lead
-	m.settle()
-	if !m.rollout.Together || m.side.Version == 0 {
-		l.c, l.addrs = nil, map[uint64]string{}
+// updateLead applies the current document to the primary's state.
+func (m *Machine) updateLead(now fsm.Time) {
+	lead := m.lead
+	m.answerWithdrawals()
+	if !m.rollout.Together || m.state.Version == 0 {
+		lead.conduct, lead.addrs = nil, map[uint64]string{}
 		return
 	}
-	live := int64(m.side.Version)
-	l.reg = policy.Register{Format: policy.Format, Version: live,
+	live := int64(m.state.Version)
+	lead.register = policy.Register{Format: policy.Format, Version: live,
 		Changes: []policy.Change{{ID: uint64(live), Version: live, Fate: policy.Committed}}}
-	if m.side.Fate == Prepared {
-		l.reg.Under = uint64(m.doc.Version)
-		l.reg.Changes = append(l.reg.Changes, policy.Change{ID: l.reg.Under, Base: live, Fate: policy.UnderWay})
-		if l.pending != m.doc.Version {
-			l.pending, l.since = m.doc.Version, now
+	if m.state.Fate == Prepared {
+		lead.register.Under = uint64(m.doc.Version)
+		lead.register.Changes = append(lead.register.Changes, policy.Change{ID: lead.register.Under, Base: live, Fate: policy.UnderWay})
+		if lead.pending != m.doc.Version {
+			lead.pending, lead.pendingSince = m.doc.Version, now
 		}
 	}
-	if l.c == nil {
+	if lead.conduct == nil {
 		since := now
 		if m.bug == BugSuccessorSkipsWait {
 			since -= 2 * Terms.Lease
 		}
-		l.c = policy.Lead(m.terms(), &l.reg, l.epoch.N, since)
-		l.c.Enough = func() bool { return m.enough(m.seen) }
+		lead.conduct = policy.Lead(m.terms(), &lead.register, lead.epoch.N, since)
+		lead.conduct.Enough = func() bool { return m.enoughConfirmed(m.leadSeenAt) }
 		if m.bug != BugEmptyHoldCounts {
-			l.c.Still = l.c.Enough
+			lead.conduct.Still = lead.conduct.Enough
 		}
 	}
-	m.seen = now
-	l.c.Applied(now)
-	m.carry(now)
+	m.leadSeenAt = now
+	lead.conduct.Applied(now)
+	m.applyConduct(now)
 }
 
-func (m *Machine) asked(now fsm.Time, from string, a LeaseRequest) {
-	l := m.lead
-	if l == nil || l.c == nil {
+func (m *Machine) handleLeaseRequest(now fsm.Time, from string, request LeaseRequest) {
+	lead := m.lead
+	if lead == nil || lead.conduct == nil {
 		return
 	}
-	l.addrs[a.ID] = from
-	a.HeldRound = l.held(a)
-	m.seen = now
-	l.c.Renew(now, a.ID, a.renew())
-	if l.c.Stage() == policy.Holding { // everybody waits for the last one's word
-		l.c.Tick(now)
+	lead.addrs[request.ID] = from
+	request.HeldRound = lead.heldRound(request)
+	m.leadSeenAt = now
+	lead.conduct.Renew(now, request.ID, request.policyRenew())
+	if lead.conduct.Stage() == policy.Holding { // nodes wait for the last confirmation of the hold
+		lead.conduct.Tick(now)
 	}
-	m.carry(now)
+	m.applyConduct(now)
 }
 
-// held is the round in which a node decides nothing. Another primary's may have the same
-// number.
-func (l *lead) held(a LeaseRequest) uint64 {
-	if a.Epoch != l.epoch {
+// heldRound is the round of the hold in which the node decides nothing, or 0: a hold of another primary may
+// have the same number.
+func (l *leadership) heldRound(request LeaseRequest) uint64 {
+	if request.Epoch != l.epoch {
 		return 0
 	}
-	return a.HeldRound
+	return request.HeldRound
 }
 
-func (m *Machine) tick(now fsm.Time) {
-	l := m.lead
-	l.lapse(now)
-	if l.c == nil {
+func (m *Machine) tickLead(now fsm.Time) {
+	lead := m.lead
+	lead.expireWithdrawals(now)
+	if lead.conduct == nil {
 		return
 	}
-	m.seen = now
-	l.c.Tick(now)
-	m.carry(now)
-	if m.side.Fate == Prepared && m.rollout.Within > 0 && now-l.since > m.rollout.Within {
-		if l.c.Stage() == policy.Checking {
+	m.leadSeenAt = now
+	lead.conduct.Tick(now)
+	m.applyConduct(now)
+	if m.state.Fate == Prepared && m.rollout.Within > 0 && now-lead.pendingSince > m.rollout.Within {
+		if lead.conduct.Stage() == policy.Checking {
 			m.withdraw(m.doc.Version, fmt.Sprintf("not enough have confirmed within %v", m.rollout.Within))
 		}
 	}
 }
 
-// ConfirmationStarted tells the round of the writers' confirmation that was asked for; 0: this is
-// no primary any more.
+// ConfirmationStarted reports the round of the writers' confirmation that was requested; 0: this process is
+// no longer the primary.
 func (m *Machine) ConfirmationStarted(round uint64) {
-	l := m.lead
-	if l == nil {
+	lead := m.lead
+	if lead == nil {
 		return
 	}
-	if l.c != nil && l.reads {
-		if l.round = round; round == 0 {
-			l.c.Unconfirmed()
+	if lead.conduct != nil && lead.confirmWanted {
+		if lead.confirmRound = round; round == 0 {
+			lead.conduct.Unconfirmed()
 		}
 	}
-	l.reads = false
-	for i := range l.asks {
-		if a := &l.asks[i]; a.round == 0 {
-			a.round = round
+	lead.confirmWanted = false
+	for i := range lead.withdrawals {
+		if withdrawal := &lead.withdrawals[i]; withdrawal.confirmRound == 0 {
+			withdrawal.confirmRound = round
 		}
 	}
 }
 
-// LeadConfirmed tells that the writers have confirmed that round.
+// LeadConfirmed reports that the writers have confirmed this process as primary in that round.
 func (m *Machine) LeadConfirmed(now fsm.Time, round uint64) Out {
-	l := m.lead
-	if l != nil && l.c != nil && l.round != 0 && round >= l.round {
-		l.round = 0
-		m.seen = now
-		l.c.Confirmed(now)
-		m.carry(now)
-	}
-	if l != nil {
-		for i := range l.asks {
-			a := &l.asks[i]
-			a.sure = a.sure || a.round != 0 && round >= a.round
+	lead := m.lead
+	if lead != nil && lead.conduct != nil && lead.confirmRound != 0 && round >= lead.confirmRound {
+		lead.confirmRound = 0
+		m.leadSeenAt = now
+		lead.conduct.Confirmed(now)
+		m.applyConduct(now)
+	}
+	if lead != nil {
+		for i := range lead.withdrawals {
+			withdrawal := &lead.withdrawals[i]
+			withdrawal.confirmed = withdrawal.confirmed || withdrawal.confirmRound != 0 && round >= withdrawal.confirmRound
 		}
-		m.settle()
+		m.answerWithdrawals()
 	}
-	return m.end()
+	return m.takeOut()
 }
 
-// AmendmentRejected tells that an amendment could not be made, as another document is on its way.
+// AmendmentRejected reports that an amendment could not be proposed, because another document is being
+// agreed on.
 func (m *Machine) AmendmentRejected(now fsm.Time, d consensus.Doc) Out {
-	if l := m.lead; l != nil && l.c != nil && ReadState(d).Fate == Live {
-		l.c.Dropped(now)
-		m.carry(now)
+	if lead := m.lead; lead != nil && lead.conduct != nil && ReadState(d).Fate == Live {
+		lead.conduct.Dropped(now)
+		m.applyConduct(now)
 	}
-	return m.end()
+	return m.takeOut()
 }
 
-// carry carries out what the conduct wants.
-func (m *Machine) carry(now fsm.Time) {
-	l := m.lead
+// applyConduct carries out the requests of the conduct.
+func (m *Machine) applyConduct(now fsm.Time) {
+	lead := m.lead
 	for again := true; again; {
-		o := l.c.Out()
+		o := lead.conduct.Out()
 		again = false
 		for _, p := range o.Propose {
 			switch {
-			case p.ID != uint64(m.doc.Version) || m.side.Fate != Prepared:
+			case p.ID != uint64(m.doc.Version) || m.state.Fate != Prepared:
 			case p.Kind == policy.Turn:
-				d := turned(m.doc)
+				d := madeLive(m.doc)
 				m.out.Amend = &d
 			case p.Kind == policy.Withdraw:
 				m.withdraw(m.doc.Version, p.Why)
 			}
 		}
 		if o.Read && m.bug == BugGrantUnconfirmed {
-			l.c.Confirmed(now)
+			lead.conduct.Confirmed(now)
 			again = true
 		} else if o.Read {
-			m.out.ConfirmLead, l.reads = true, true
+			m.out.ConfirmLead, lead.confirmWanted = true, true
 		}
 		for _, g := range o.Grants {
 			if m.bug == BugTurnIgnoresLeases && g.Seq != 0 && g.Hold == 0 && g.Fenced == "" {
 				g.Lease = Terms.Lease
 			}
-			m.send(l.addrs[g.To], LeaseGrant{ID: g.To, Seq: g.Seq, Epoch: l.epoch, Version: g.Version, Lease: g.Lease,
+			m.send(lead.addrs[g.To], LeaseGrant{ID: g.To, Seq: g.Seq, Epoch: lead.epoch, Version: g.Version, Lease: g.Lease,
 				Change: g.Change, HoldRound: g.Hold, Fenced: g.Fenced, Newest: m.doc.Version, Rev: m.doc.Rev})
 		}
 	}
 }
 
-// enough says whether as many nodes hold the version as it needs: the number that is
-// asked for, and most of those that live in each zone. A node has confirmed if all
-// lives of it have that may still go by anything: an earlier one's word is not this one's.
-// A word counts only with a lease, so only if the writers took this one for the primary
-// after it; and in a hold only if it was said again in that round, as who has a lease must.
-func (m *Machine) enough(now fsm.Time) bool {
-	_, all := m.lead.c.Status(now)
+// enoughConfirmed reports whether enough nodes hold the version: the required number, and the majority of
+// the live ones in each zone. A node has confirmed if all of its incarnations have that may still decide by
+// any version: a confirmation of an earlier incarnation doesn't count for the current one. A confirmation
+// only counts with a lease, so only if the writers took this process for the primary after it; and during a
+// hold only if it was repeated in that round, as nodes with a lease must.
+func (m *Machine) enoughConfirmed(now fsm.Time) bool {
+	_, all := m.lead.conduct.Status(now)
 	held := map[string]bool{}
 	for _, s := range all {
-		has := s.Checked == uint64(m.doc.Version) && s.Refusal == ""
-		if !s.Leased && (has || s.Ago > Terms.Lease) {
+		confirmed := s.Checked == uint64(m.doc.Version) && s.Refusal == ""
+		if !s.Leased && (confirmed || s.Ago > Terms.Lease) {
 			continue
 		}
 		ok, known := held[s.Name]
-		held[s.Name] = has && (ok || !known) || m.bug == BugCountEarlierIncarnation && (has || ok)
+		held[s.Name] = confirmed && (ok || !known) || m.bug == BugCountEarlierIncarnation && (confirmed || ok)
 	}
 	zones, sum := map[string][2]int{}, 0
 	for _, n := range m.nodes {
@@ -204,7 +205,7 @@
 		}
 		zones[n.Zone] = z
 	}
-	need := max(m.rollout.Confirm, 1)
+	required := max(m.rollout.Confirm, 1)
 	if m.bug == BugOneConfirmationShort {
 		sum++
 	}
@@ -213,19 +214,19 @@
 			return false
 		}
 	}
-	return sum >= need
+	return sum >= required
 }
 
 func (m *Machine) terms() policy.Terms {
 	t := Terms
 	if m.bug == BugTurnIgnoresLeases {
-		t.Lease = Terms.Lease / 8 // none at all would count no word, and nothing would turn
+		t.Lease = Terms.Lease / 8 // without any lease no confirmation would count, and no version would become live
 	}
 	return t
 }
 
-// names are sorted, so that what is shown stays in its place.
-func names(all []string) []string {
+// sortedUnique keeps the order of names in the status stable.
+func sortedUnique(all []string) []string {
 	slices.Sort(all)
 	return slices.Compact(all)
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -14,8 +14,8 @@
 	return consensus.Doc{Version: version, Body: fmt.Appendf(nil, `{"Epoch":"%08x","Rollout":{%s}}`, version, rollout)}
 }
 
-// keeps is Doc where what is to be read is read at once.
-func keeps(m *Machine, now fsm.Time, d consensus.Doc) {
+// setDocument sets a document, and reads and checks its text at once.
+func setDocument(m *Machine, now fsm.Time, d consensus.Doc) {
 	out := m.SetDocument(now, d, true)
 	if r := out.Read; r != nil {
 		out = m.TextRead(now, *r, sysconfig.RolloutOf(r.Body))
@@ -25,7 +25,7 @@
 	}
 }
 
-// What is kept of a document goes by what is live when it comes, and has one outcome.
+// The state of a new document depends on what is live when it comes, and has one outcome.
 func TestEnter(t *testing.T) {
 	const together, each = `"Mode":"together"`, `"Mode":"each"`
 	one := PrepareDocument(consensus.Doc{}, doc(1, together))
@@ -38,11 +38,11 @@
 	}{
 		{"the first", one, Live, 1},
 		{"prepared", two, Prepared, 1},
-		{"turned", turned(two), Live, 2},
+		{"turned", madeLive(two), Live, 2},
 		{"withdrawn", withdrawn(two, "why"), Withdrawn, 1},
 		{"overtaking", PrepareDocument(two, doc(5, each)), Prepared, 1},
 		{"after a withdrawn one", PrepareDocument(withdrawn(two, "why"), doc(3, each)), Prepared, 1},
-		{"after each again", PrepareDocument(turned(two), doc(3, together)), Live, 3},
+		{"after each again", PrepareDocument(madeLive(two), doc(3, together)), Live, 3},
 		{"an operator's own words beside it", PrepareDocument(one, consensus.Doc{Version: 2, Rev: 9, Attachment: []byte{1}}), Prepared, 1},
 		{"unreadable", consensus.Doc{Version: 2, Attachment: []byte{0xff}}, Withdrawn, 0},
 	} {
@@ -50,64 +50,64 @@
 			t.Errorf("%s: %v, live %d", c.name, s.Fate, s.Version)
 		}
 	}
-	if two.Supersedes(turned(two)) || !doc(3, each).Supersedes(turned(two)) {
-		t.Error("order")
+	if two.Supersedes(madeLive(two)) || !doc(3, each).Supersedes(madeLive(two)) {
+		t.Error("the prepared document is above the amended one, or the next one is not")
 	}
 }
 
-// fleet is a primary with version 2 prepared, and three nodes that it knows of.
-func fleet(bug Bug) (*Machine, fsm.Time) {
+// primaryWithNodes returns a primary with version 2 prepared, and three known nodes.
+func primaryWithNodes(bug Bug) (*Machine, fsm.Time) {
 	m, now := New(Config{Self: "a", Name: "a", Zone: "x"}), time.Hour
 	m.SetBug(bug)
 	m.SetNodes([]Node{{Name: "a", Zone: "x", Addr: "a"}, {Name: "b", Zone: "x", Addr: "b"}, {Name: "c", Zone: "y", Addr: "c"}})
 	one := PrepareDocument(consensus.Doc{}, doc(1, `"Mode":"together","Confirm":3`))
-	keeps(m, now, one)
+	setDocument(m, now, one)
 	m.SetLead(now, consensus.Ballot{N: 3, By: "a"}, true)
-	keeps(m, now, PrepareDocument(one, doc(2, "")))
+	setDocument(m, now, PrepareDocument(one, doc(2, "")))
 	return m, now
 }
 
-// says has a node call, and the writers take this one for the primary still.
-func says(m *Machine, now fsm.Time, a LeaseRequest) {
+// receiveLeaseRequest delivers a node's request, and has the writers confirm the primary.
+func receiveLeaseRequest(m *Machine, now fsm.Time, a LeaseRequest) {
 	a.Version = 1
 	m.Receive(now, a.Name, a)
-	affirms(m, now)
+	confirmLead(m, now)
 }
 
-func affirms(m *Machine, now fsm.Time) {
+func confirmLead(m *Machine, now fsm.Time) {
 	m.ConfirmationStarted(1)
 	m.LeadConfirmed(now, 1)
 }
 
-// The word of a node's earlier life is not this one's; of a second life that confirms
-// too, both count as one.
+// A confirmation of a node's earlier incarnation doesn't count for the current one; if both have confirmed,
+// they count as one node.
 func TestEarlierLife(t *testing.T) {
-	play := func(bug Bug) (before, after, again bool) {
-		m, now := fleet(bug)
+	run := func(bug Bug) (before, after, again bool) {
+		m, now := primaryWithNodes(bug)
 		for i, name := range []string{"a", "b", "c"} {
-			says(m, now, LeaseRequest{ID: uint64(i + 1), Seq: 1, Checked: 2, Name: name})
+			receiveLeaseRequest(m, now, LeaseRequest{ID: uint64(i + 1), Seq: 1, Checked: 2, Name: name})
 		}
 		before = m.Status(now).Enough
 		now += 200 * time.Millisecond
-		says(m, now, LeaseRequest{ID: 9, Seq: 1, Name: "b"})
+		receiveLeaseRequest(m, now, LeaseRequest{ID: 9, Seq: 1, Name: "b"})
 		after = m.Status(now).Enough
-		says(m, now, LeaseRequest{ID: 9, Seq: 2, Checked: 2, Name: "b"})
+		receiveLeaseRequest(m, now, LeaseRequest{ID: 9, Seq: 2, Checked: 2, Name: "b"})
 		return before, after, m.Status(now).Enough
 	}
-	if before, after, again := play(0); !before || after || !again {
+	if before, after, again := run(0); !before || after || !again {
 		t.Errorf("enough before the restart: %v, after it: %v, once it has confirmed: %v", before, after, again)
 	}
-	if _, after, _ := play(BugCountEarlierIncarnation); !after {
-		t.Error("the mutant is not found")
+	if _, after, _ := run(BugCountEarlierIncarnation); !after {
+		t.Error("the injected bug is not found")
 	}
 }
 
-// Most in each zone have to confirm, and one's refusal is no word for it.
+// The majority of each zone has to confirm, and a refusal is no confirmation.
 func TestEnough(t *testing.T) {
-	m, now := fleet(0)
+	m, now := primaryWithNodes(0)
 	m.rollout.Confirm = 0
 	say := func(id uint64, name, refusal string) bool {
-		says(m, now, LeaseRequest{ID: id, Seq: 1, Checked: 2, Refusal: refusal, Name: name})
+		receiveLeaseRequest(m, now, LeaseRequest{ID: id, Seq: 1, Checked: 2, Refusal: refusal, Name: name})
 		return m.Status(now).Enough
 	}
 	if say(1, "a", "") || say(2, "b", "") {
@@ -121,86 +121,86 @@
 	}
 }
 
-// A hold's round counts for the primary that named it only: another's may have the same number.
+// The round of a hold only counts for the primary that started it: another one's may have the same number.
 func TestRound(t *testing.T) {
-	m, now := fleet(0)
+	m, now := primaryWithNodes(0)
 	a := LeaseRequest{ID: 7, Seq: 1, Version: 1, HeldRound: m.lead.epoch.N<<24 + 1, Epoch: consensus.Ballot{N: 3, By: "b"}, Name: "c", Checked: 2}
 	m.Receive(now, "c", a)
-	if _, all := m.lead.c.Status(now); len(all) != 1 {
+	if _, all := m.lead.conduct.Status(now); len(all) != 1 {
 		t.Fatal(all)
 	}
 	for _, from := range []consensus.Ballot{{N: 3, By: "b"}, {N: 3, By: "a"}} {
 		a.Epoch = from
-		if got := m.lead.held(a); (got != 0) != (from == m.lead.epoch) {
+		if got := m.lead.heldRound(a); (got != 0) != (from == m.lead.epoch) {
 			t.Errorf("a round of %v counts as %d", from, got)
 		}
 	}
 }
 
-// A late copy of a wish that was told that there is no such version withdraws none that came since;
-// the same wish, made anew, does.
+// A delayed copy of a call that was told that the version is absent must not withdraw the version when it
+// comes; the same call made again must.
 func TestLateWish(t *testing.T) {
-	m, now := fleet(0)
-	keeps(m, now, turned(m.doc))
-	wish := WithdrawRequest{Version: 3, ID: 9, Call: 1}
-	m.Receive(now, "b", wish)
+	m, now := primaryWithNodes(0)
+	setDocument(m, now, madeLive(m.doc))
+	call := WithdrawRequest{Version: 3, ID: 9, Call: 1}
+	m.Receive(now, "b", call)
 	m.ConfirmationStarted(1)
-	told := m.LeadConfirmed(now, 1).Send
-	if len(told) != 1 || told[0].Msg.(WithdrawReply).Outcome != OutcomeAbsent {
-		t.Fatal(told)
+	replies := m.LeadConfirmed(now, 1).Send
+	if len(replies) != 1 || replies[0].Msg.(WithdrawReply).Outcome != OutcomeAbsent {
+		t.Fatal(replies)
 	}
-	keeps(m, now, PrepareDocument(consensus.Doc{Version: 2, Body: doc(2, `"Mode":"together"`).Body}, doc(3, "")))
-	if out := m.Receive(now, "b", wish); m.side.Fate != Prepared || out.Amend != nil {
-		t.Errorf("%v: the late copy withdraws: %v", m.side.Fate, out.Amend)
+	setDocument(m, now, PrepareDocument(consensus.Doc{Version: 2, Body: doc(2, `"Mode":"together"`).Body}, doc(3, "")))
+	if out := m.Receive(now, "b", call); m.state.Fate != Prepared || out.Amend != nil {
+		t.Errorf("%v: the delayed copy withdraws: %v", m.state.Fate, out.Amend)
 	}
-	wish.Call++
-	if out := m.Receive(now, "b", wish); out.Amend == nil {
-		t.Error("the wish made anew does not withdraw")
+	call.Call++
+	if out := m.Receive(now, "b", call); out.Amend == nil {
+		t.Error("the call made again does not withdraw")
 	}
 }
 
-// The same at a primary that was not asked before: a wish is for what was kept when it was made. One
-// that finds the version there is told so, and comes again.
+// The same at a primary that has not seen the call before: a call refers to what was kept when it was made.
+// If the version has come since, the caller is told so, and repeats the call.
 func TestFencedWish(t *testing.T) {
 	for _, bug := range []Bug{0, BugIgnoreFence} {
-		m, now := fleet(0)
+		m, now := primaryWithNodes(0)
 		m.SetBug(bug)
-		wish := WithdrawRequest{Version: m.doc.Version, ID: 9, Call: 1, Fence: m.doc.Version}
-		out := m.Receive(now, "b", wish)
+		call := WithdrawRequest{Version: m.doc.Version, ID: 9, Call: 1, Fence: m.doc.Version}
+		out := m.Receive(now, "b", call)
 		if bug != 0 {
 			if out.Amend == nil {
-				t.Error("the guard taken out withdraws nothing")
+				t.Error("without the fence nothing is withdrawn")
 			}
 			continue
 		}
-		if len(out.Send) != 1 || out.Send[0].Msg != (WithdrawReply{9, 1, OutcomeUndecided, m.side.Version, m.doc.Version}) || out.Amend != nil {
+		if len(out.Send) != 1 || out.Send[0].Msg != (WithdrawReply{9, 1, OutcomeUndecided, m.state.Version, m.doc.Version}) || out.Amend != nil {
 			t.Errorf("%+v", out)
 		}
-		wish.Fence++
-		if out := m.Receive(now, "b", wish); out.Amend == nil {
-			t.Error("the wish for what is there does not withdraw")
+		call.Fence++
+		if out := m.Receive(now, "b", call); out.Amend == nil {
+			t.Error("the repeated call does not withdraw")
 		}
 	}
 }
 
-// A word counts once the writers have confirmed the primary after it, and no longer than the
-// lease that goes with it.
+// A confirmation counts once the writers have confirmed the primary after it, and no longer than the lease
+// that goes with it.
 func TestWordWithoutLease(t *testing.T) {
-	m, now := fleet(0)
+	m, now := primaryWithNodes(0)
 	for i, name := range []string{"a", "b", "c"} {
 		m.Receive(now, name, LeaseRequest{ID: uint64(i + 1), Seq: 1, Version: 1, Checked: 2, Name: name})
 	}
 	before := m.Status(now).Enough
-	affirms(m, now)
-	affirms(m, now) // those that came while the first was under way
+	confirmLead(m, now)
+	confirmLead(m, now) // requests that came during the first confirmation
 	after, later := m.Status(now).Enough, m.Status(now+2*Terms.Lease).Enough
 	if before || !after || later {
-		t.Errorf("enough before the writers' word: %v, after it: %v, with all leases out: %v", before, after, later)
+		t.Errorf("enough before the writers' confirmation: %v, after it: %v, with all leases expired: %v", before, after, later)
 	}
 }
 
-// TestTaken: what is read beside the loop is put in force in order, the gate goes by it only then, and one that was to be taken
-// up together and has been overtaken meanwhile is left out.
+// TestTaken checks that texts read in another goroutine are put in force in order, that the gate follows
+// only then, and that an overtaken version with mode "together" is skipped.
 func TestTaken(t *testing.T) {
 	m, now := New(Config{Self: "a", Name: "a", Zone: "x"}), time.Hour
 	keep := func(d consensus.Doc, reads uint32) {
@@ -225,7 +225,7 @@
 	take(one, 2)
 	keep(three, 3)
 	keep(four, 0)
-	keep(turned(four), 4)
+	keep(madeLive(four), 4)
 	take(three, 2)
 	take(doc(4, ""), 4)
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -2,42 +2,42 @@
 
 import "asterwell/internal/fsm"
 
-// Status is how a rollout stands, for operators. Only the primary knows the nodes.
+// Status is the state of the rollout for operators. Only the primary knows about other nodes.
 type Status struct {
-	Mode     string // of what is live
+	Mode     string // of the live version
 	Live     uint32
 	Newest   uint32 // not live if it differs from Live
-	Fate     string // of the newest
+	Fate     string // of the newest version
 	Why      string `json:",omitempty"`
-	Stage    string `json:",omitempty"` // of a change under way
+	Stage    string `json:",omitempty"` // of the rollout in progress
 	Leads    bool
-	Enough   bool      // have confirmed
-	SinceMs  int64     `json:",omitempty"` // the primary has seen the change
+	Enough   bool      // enough nodes have confirmed
+	SinceMs  int64     `json:",omitempty"` // since the primary saw the change
 	WithinMs int64     `json:",omitempty"`
 	Prepared []string  `json:",omitempty"`
 	Refused  []Refusal `json:",omitempty"`
-	Missing  []string  `json:",omitempty"` // live nodes that have not said a word on it
+	Missing  []string  `json:",omitempty"` // live nodes that have neither confirmed nor refused it
 	Lapsed   []string  `json:",omitempty"` // nodes without a lease: they refuse effectful requests
-	Here     string    `json:",omitempty"` // what this node itself may do
+	Here     string    `json:",omitempty"` // what this node may decide
 }
 
-// Refusal is a node's reason.
+// Refusal is a node's reason to refuse a version.
 type Refusal struct{ Name, Why string }
 
-// Status tells it.
+// Status returns the current status.
 func (m *Machine) Status(now fsm.Time) Status {
-	s := Status{Mode: "each", Live: m.side.Version, Newest: m.doc.Version, Fate: m.side.Fate.String(), Why: m.side.Why,
+	status := Status{Mode: "each", Live: m.state.Version, Newest: m.doc.Version, Fate: m.state.Fate.String(), Why: m.state.Why,
 		WithinMs: m.rollout.Within.Milliseconds()}
 	if !m.rollout.Together {
-		return s
+		return status
 	}
-	s.Mode = "together"
-	_, s.Here = m.holder.State(now)
-	if m.lead == nil || m.lead.c == nil {
-		return s
+	status.Mode = "together"
+	_, status.Here = m.holder.State(now)
+	if m.lead == nil || m.lead.conduct == nil {
+		return status
 	}
-	s.Leads = true
-	stage, all := m.lead.c.Status(now)
+	status.Leads = true
+	stage, all := m.lead.conduct.Status(now)
 	leased, held, refused := map[string]bool{}, map[string]bool{}, map[string]string{}
 	for _, n := range all {
 		leased[n.Name] = leased[n.Name] || n.Leased
@@ -46,30 +46,30 @@
 			refused[n.Name] = n.Refusal
 		}
 	}
-	pending := m.side.Fate == Prepared
+	pending := m.state.Fate == Prepared
 	if pending {
-		s.Stage, s.Enough, s.SinceMs = stage.String(), m.enough(now), (now - m.lead.since).Milliseconds()
+		status.Stage, status.Enough, status.SinceMs = stage.String(), m.enoughConfirmed(now), (now - m.lead.pendingSince).Milliseconds()
 	}
 	for _, n := range m.nodes {
 		if !leased[n.Name] {
-			s.Lapsed = append(s.Lapsed, n.Name)
+			status.Lapsed = append(status.Lapsed, n.Name)
 		}
 		switch {
 		case !pending:
 		case held[n.Name]:
-			s.Prepared = append(s.Prepared, n.Name)
+			status.Prepared = append(status.Prepared, n.Name)
 		case refused[n.Name] != "":
-			s.Refused = append(s.Refused, Refusal{n.Name, refused[n.Name]})
+			status.Refused = append(status.Refused, Refusal{n.Name, refused[n.Name]})
 		default:
-			s.Missing = append(s.Missing, n.Name)
+			status.Missing = append(status.Missing, n.Name)
 		}
 	}
-	s.Prepared, s.Missing, s.Lapsed = names(s.Prepared), names(s.Missing), names(s.Lapsed)
-	return s
+	status.Prepared, status.Missing, status.Lapsed = sortedUnique(status.Prepared), sortedUnique(status.Missing), sortedUnique(status.Lapsed)
+	return status
 }
 
-// Newest is the newest version held here, and what has become of it.
-func (m *Machine) Newest() (version uint32, fate Fate) { return m.doc.Version, m.side.Fate }
+// Newest returns the newest version held here and its fate.
+func (m *Machine) Newest() (version uint32, fate Fate) { return m.doc.Version, m.state.Fate }
 
-// LiveText is that of what is live.
-func (m *Machine) LiveText() []byte { return m.side.Body }
+// LiveText returns the text of the live version.
+func (m *Machine) LiveText() []byte { return m.state.Body }
--- a/internal/stride/stride.go
+++ b/internal/stride/stride.go
@@ -1,40 +1,39 @@
-// Package stride lets a gateway's servers take turns by weight, by stride
-// scheduling (Waldspurger and Weihl, 1995). Hundreds of gateways that each draw
-// servers by chance send a server as unevenly as chance is, however even the odds
-// are: the spread of a sum of draws. Where each gateway takes its servers in turn,
-// from a place that chance gives it, a gateway adds no more to a server's sum than
-// the rest of one turn. No I/O, no clock: time is counted in requests.
+// Package stride schedules a gateway's servers by weight, using stride scheduling
+// (Waldspurger and Weihl, 1995). If hundreds of gateways choose servers at random, a
+// server's load has the variance of a sum of random draws. If each gateway uses its
+// servers in turn, from a random start, it adds at most the remainder of one turn to
+// a server's deviation. No I/O, no clock: time is counted in requests.
 package stride
 
-// Clock is a gateway's: it goes on by one for each round over all its servers.
-type Scheduler struct{ now float64 }
+// Scheduler is the virtual time of one gateway. It advances by one for each round over all servers.
+type Scheduler struct{ round float64 }
 
-// Seat is a server's place among the turns.
+// Position is a server's position in the schedule.
 type Position struct {
-	due   float64 // its next turn
-	taken bool
+	due    float64 // virtual time of its next turn
+	placed bool
 }
 
 const (
-	mostAhead  = 1.5 // a server that is used out of turn does not pay for long
-	mostBehind = 1.5 // nor is one that was left out made up to
+	maxAhead  = 1.5 // a server that is used out of turn isn't delayed for long
+	maxBehind = 1.5 // a server that was left out doesn't catch up
 )
 
-// Ahead is how far a server is from its next turn, in its own intervals: 0 and
-// below, it is due; 1, it has just had it. weight is its share of a round against
-// the mean; odds, from 0 to 1, give a server that is new its place.
+// Distance is how far a server is from its next turn, in its own intervals: at 0 or
+// below it is due, at 1 it has just had its turn. weight is its weight relative to the
+// mean. odds, random from 0 to 1, is the initial position of a new server.
 func (c *Scheduler) Distance(s *Position, weight, odds float64) float64 {
-	if !s.taken {
-		s.due, s.taken = c.now+odds/weight, true
+	if !s.placed {
+		s.due, s.placed = c.round+odds/weight, true
 	}
-	return min(max((s.due-c.now)*weight, -mostBehind), mostAhead)
+	return min(max((s.due-c.round)*weight, -maxBehind), maxAhead)
 }
 
-// Took gives a server a turn. total is the weight of all that take turns.
+// Advance records a turn of a server. total is the weight of all servers.
 func (c *Scheduler) Advance(s *Position, weight, total float64) {
 	if total > 0 {
-		c.now += 1 / total
+		c.round += 1 / total
 	}
-	s.due = min(max(s.due, c.now-mostBehind/weight)+1/weight, c.now+mostAhead/weight)
-	s.taken = true
+	s.due = min(max(s.due, c.round-maxBehind/weight)+1/weight, c.round+maxAhead/weight)
+	s.placed = true
 }
