--- a/cmd/loom/state.go
+++ b/cmd/loom/state.go
@@ -38,7 +38,7 @@
 	if _, err := os.Stat(filepath.Join(dir, file)); err != nil {
 		return &Unfit{dir, "no state: " + file + " is missing"}
 	}
-	found, err := storage.Look(dir) // opening a damaged one would begin to mend it
+	found, err := storage.Inspect(dir) // opening a damaged one would begin to mend it
 	if err != nil {
 		return err
 	}
@@ -64,10 +64,10 @@
 }
 
 // doubts are all that is not whole in a state.
-func doubts(f *storage.Found) error {
+func doubts(f *storage.Inspection) error {
 	var all []error
-	if f.What != "" {
-		all = append(all, &storage.Damaged{Path: f.Path, What: f.What})
+	if f.Reason != "" {
+		all = append(all, &storage.DamagedError{Path: f.Path, Reason: f.Reason})
 	}
 	for _, r := range f.Records {
 		if r.Err != nil {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := storage.Look(dir)
+	f, err := storage.Inspect(dir)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 		is, holds := "whole", "-"
 		switch r.Err.(type) {
 		case nil:
-		case *storage.SteppedBack:
+		case *storage.RolledBackError:
 			is = "stepped back"
 		default:
 			is = "lost"
@@ -121,10 +121,10 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\n", r.Name, is, holds)
 	}
 	w.Flush()
-	for _, aside := range f.Aside {
+	for _, aside := range f.DamagedFiles {
 		fmt.Fprintf(out, "moved aside, damaged: %s\n", aside)
 	}
-	if f.What != "" {
+	if f.Reason != "" {
 		seat = "anew, as a newcomer: it may have forgotten what it promised"
 	}
 	fmt.Fprintf(out, "a process starts %s\n", seat)
@@ -212,7 +212,7 @@
 }
 
 // read reads every record, and sums up what is in them.
-func read(v *storage.Vault) (string, error) {
+func read(v *storage.Store) (string, error) {
 	sum, names := "no state of agreement", v.Names()
 	for _, name := range names {
 		data, err := v.Load(name)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -58,7 +58,7 @@
 	controlOnly               bool            // the data plane gets no configuration and no servers
 	version                   atomic.Uint32
 	processCount, serverCount atomic.Int64   // copies for frequent readers outside the control loop
-	store                     *storage.Vault // nil: no disk
+	store                     *storage.Store // nil: no disk
 	stateWrites               *mailbox.Box[*consensus.Write]
 	parseRequests             *mailbox.Box[*controlplane.ConfigText] // one at a time
 	parseCache                *controlplane.ParseCache               // nil: not shared with other processes
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -21,8 +21,8 @@
 
 // openStore reads the stored state and starts the writers. If intact is false, some state was lost: a
 // member may have made promises that it no longer knows of, so it has to join anew, as with an empty disk.
-func (p *Process) openStore(dir string) (store *storage.Vault, disk *consensus.DurableState, intact bool, err error) {
-	var damaged *storage.Damaged
+func (p *Process) openStore(dir string) (store *storage.Store, disk *consensus.DurableState, intact bool, err error) {
+	var damaged *storage.DamagedError
 	if store, err = storage.Open(dir); store == nil {
 		return nil, nil, false, fmt.Errorf("StateDir: %w", err)
 	}
@@ -34,10 +34,10 @@
 		return store, nil, false, nil
 	}
 	data, err := store.Load(stateRecord)
-	var steppedBack *storage.SteppedBack
+	var steppedBack *storage.RolledBackError
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		aside, _ := store.Aside()
+		aside, _ := store.DamagedFiles()
 		return store, nil, len(aside) == 0, nil
 	case errors.As(err, &steppedBack) || errors.As(err, &damaged):
 		p.logger.WithError(err).Error("state is damaged: joins anew")
@@ -55,7 +55,7 @@
 
 // writeState stores the state of consensus, only the newest write if several wait: each is complete. A
 // failed write is retried; until it succeeds nothing is acknowledged.
-func (p *Process) writeState(store *storage.Vault) {
+func (p *Process) writeState(store *storage.Store) {
 	for {
 		writes := p.stateWrites.Take(-1)
 		if len(writes) == 0 {
@@ -80,7 +80,7 @@
 
 // writeServers stores the list of servers, only the newest if several wait. Nothing depends on its
 // success.
-func (p *Process) writeServers(store *storage.Vault) {
+func (p *Process) writeServers(store *storage.Store) {
 	for {
 		lists := p.serverWrites.Take(-1)
 		if len(lists) == 0 {
--- a/internal/daemon/strikerecord.go
+++ b/internal/daemon/strikerecord.go
@@ -25,7 +25,7 @@
 
 // strikeRecord is the stored state of fault rules, with the record of strikes.
 type strikeRecord struct {
-	store  *storage.Vault
+	store  *storage.Store
 	mu     sync.Mutex
 	stored storedRules
 }
@@ -63,7 +63,7 @@
 
 // writeRules stores fault rules, only the newest if several writes wait, with the notes of all of them for
 // the record of strikes.
-func (p *Process) writeRules(store *storage.Vault) {
+func (p *Process) writeRules(store *storage.Store) {
 	for {
 		writes := p.ruleWrites.Take(-1)
 		if len(writes) == 0 {
--- a/internal/daemon/strikerecord_test.go
+++ b/internal/daemon/strikerecord_test.go
@@ -11,7 +11,7 @@
 	"asterwell/internal/storage"
 )
 
-func openTestProcess(t *testing.T, dir string) (*Process, *storage.Vault) {
+func openTestProcess(t *testing.T, dir string) (*Process, *storage.Store) {
 	t.Helper()
 	v, err := storage.Open(dir)
 	if err != nil {
--- a/internal/storage/crashfs_test.go
+++ b/internal/storage/crashfs_test.go
@@ -17,7 +17,7 @@
 )
 
 // recorded does something to the records in a folder, and tells each step of it.
-func recorded(t *testing.T, dir string, do func(v *Vault)) []crashfs.Step {
+func recorded(t *testing.T, dir string, do func(v *Store)) []crashfs.Step {
 	t.Helper()
 	must(t, crashfs.Register())
 	was := vfs
@@ -150,7 +150,7 @@
 			return err
 		}
 		defer v.Close()
-		if aside, err := v.Aside(); err != nil || len(aside) > 0 {
+		if aside, err := v.DamagedFiles(); err != nil || len(aside) > 0 {
 			return fmt.Errorf("moved aside: %v %w", aside, err)
 		}
 		var holds [2]int
@@ -184,7 +184,7 @@
 func TestEachStepOfASave(t *testing.T) {
 	dir := stocked(t)
 	start := folder(t, dir)
-	steps := recorded(t, dir, func(v *Vault) { must(t, v.SaveAll(both(4))) })
+	steps := recorded(t, dir, func(v *Store) { must(t, v.SaveAll(both(4))) })
 	n, err := crashes(start, steps, rand.New(rand.NewPCG(1, 2)), 60, saved(t, 3, len(steps)))
 	t.Logf("%d steps, %d folders", len(steps), n)
 	if err != nil || len(steps) < 20 || n < 1000 {
@@ -230,7 +230,7 @@
 	v := opened(t, dir)
 	must(t, v.Close())
 	start := folder(t, dir)
-	steps = recorded(t, dir, func(v *Vault) { must(t, v.SaveAll(both(1))) })
+	steps = recorded(t, dir, func(v *Store) { must(t, v.SaveAll(both(1))) })
 	n, err = crashes(start, steps, rand.New(rand.NewPCG(1, 2)), 60, saved(t, 0, len(steps)))
 	t.Logf("%d steps, %d folders", len(steps), n)
 	if err != nil {
@@ -268,7 +268,7 @@
 	must(t, opened(t, dir).Close())
 	start := folder(t, dir)
 	var tape []crashfs.Step
-	recorded(t, dir, func(v *Vault) {
+	recorded(t, dir, func(v *Store) {
 		for g := 1; g <= saves; g++ {
 			all := map[string][]byte{"config": drawn("config", g)}
 			if g%3 == 0 {
--- a/internal/storage/database.go
+++ b/internal/storage/database.go
@@ -82,7 +82,7 @@
 		return fmt.Errorf("no such format: %d", have)
 	}
 	if have > format {
-		return &Format{path, have, format}
+		return &FormatError{path, have, format}
 	}
 	if have == format {
 		return nil
--- a/internal/storage/mend.go
+++ b/internal/storage/repair.go
@@ -27,7 +27,7 @@
 // mend moves a damaged file aside and puts one in its place that has all that is good
 // in it. A record of which one row is good keeps just that row, so that Load goes on
 // telling that it stepped back.
-func mend(path string, v *Vault, what string) (*Vault, error) {
+func mend(path string, v *Store, what string) (*Store, error) {
 	if len(v.gens) == 0 {
 		if p := revive(path); p != nil {
 			v.db.Close()
@@ -50,18 +50,18 @@
 	}
 	n, again, err := open(path)
 	if err == nil && again != "" {
-		err = &Damaged{path, "", "damaged again: " + again}
+		err = &DamagedError{path, "", "damaged again: " + again}
 	}
 	if err != nil {
 		return nil, err
 	}
-	return n, &Damaged{aside, "", what}
+	return n, &DamagedError{aside, "", what}
 }
 
 // revive opens a copy of a file that can't be read at all, with what all else hangs on
 // put right: its length, if it was cut short, and the first page, which is the same in
 // each file of a format but for the number of pages. It returns nil if that is no help.
-func revive(path string) *Vault {
+func revive(path string) *Store {
 	src, err := os.Open(path)
 	if err != nil {
 		return nil
@@ -129,7 +129,7 @@
 }
 
 // rescue writes what is good of a vault to a new file.
-func rescue(path string, from *Vault) error {
+func rescue(path string, from *Store) error {
 	if err := discard(path); err != nil {
 		return err
 	}
@@ -139,32 +139,32 @@
 		err = settle(path, db)
 	}
 	if err != nil {
-		return &Failed{path, "mending", err}
+		return &IOError{path, "mending", err}
 	}
 	tx, err := db.Begin()
 	if err != nil {
-		return &Failed{path, "mending", err}
+		return &IOError{path, "mending", err}
 	}
 	defer tx.Rollback()
 	for name := range from.gens {
 		p, err := readPair(from.db, name)
 		if err != nil {
-			return &Failed{from.path, "reading", err}
+			return &IOError{from.path, "reading", err}
 		}
 		for _, r := range p {
 			if r.state != good {
 				continue
 			}
 			if err := writeRow(tx, name, r.gen, r.data); err != nil {
-				return &Failed{path, "mending", err}
+				return &IOError{path, "mending", err}
 			}
 		}
 	}
 	if err := writeRoster(tx, from.gens); err != nil {
-		return &Failed{path, "mending", err}
+		return &IOError{path, "mending", err}
 	}
 	if err := tx.Commit(); err != nil {
-		return &Failed{path, "mending", err}
+		return &IOError{path, "mending", err}
 	}
 	return nil
 }
@@ -202,17 +202,17 @@
 			break
 		}
 		if err := os.Rename(path+suffix, aside+suffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return "", &Failed{path + suffix, "moving aside", err}
+			return "", &IOError{path + suffix, "moving aside", err}
 		}
 	}
 	return aside, syncFolder(path)
 }
 
-// Aside lists the damaged files that were moved aside, also by earlier starts.
-func (v *Vault) Aside() ([]string, error) {
+// DamagedFiles lists the damaged files that were moved aside, also by earlier starts.
+func (v *Store) DamagedFiles() ([]string, error) {
 	entries, err := os.ReadDir(filepath.Dir(v.path))
 	if err != nil {
-		return nil, &Failed{filepath.Dir(v.path), "listing", err}
+		return nil, &IOError{filepath.Dir(v.path), "listing", err}
 	}
 	var found []string
 	for _, e := range entries {
@@ -237,7 +237,7 @@
 func discard(path string) error {
 	for _, p := range []string{path, path + journal} {
 		if err := os.Remove(p); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return &Failed{p, "removing", err}
+			return &IOError{p, "removing", err}
 		}
 	}
 	return nil
@@ -247,10 +247,10 @@
 // empty by then, and goes first: under the new name it would be taken for a live one.
 func move(from, to string) error {
 	if err := os.Remove(from + journal); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return &Failed{from + journal, "removing", err}
+		return &IOError{from + journal, "removing", err}
 	}
 	if err := os.Rename(from, to); err != nil {
-		return &Failed{from, "renaming", err}
+		return &IOError{from, "renaming", err}
 	}
 	return syncFolder(to)
 }
@@ -262,7 +262,7 @@
 		err = dir.Sync()
 	}
 	if err != nil {
-		return &Failed{filepath.Dir(path), "syncing the folder", err}
+		return &IOError{filepath.Dir(path), "syncing the folder", err}
 	}
 	return nil
 }
--- a/internal/storage/survey.go
+++ b/internal/storage/scan.go
@@ -10,11 +10,11 @@
 
 // survey reads everything there is, and returns what is damaged in a way that a later
 // save wouldn't put right. A record with a row missing is no such damage.
-func (v *Vault) survey() (what string, err error) {
+func (v *Store) survey() (what string, err error) {
 	var verdict string
 	if err := v.db.QueryRow("PRAGMA quick_check(1)").Scan(&verdict); err != nil {
 		if refused(err) {
-			return "", &Failed{v.path, "checking", err}
+			return "", &IOError{v.path, "checking", err}
 		}
 		what = err.Error()
 	} else if verdict != "ok" {
@@ -22,14 +22,14 @@
 	}
 	named, spoiled, err := v.listed()
 	if err != nil {
-		return "", &Failed{v.path, "listing", err}
+		return "", &IOError{v.path, "listing", err}
 	}
 	what = cmp.Or(what, spoiled)
 	v.gens = make(map[string]uint64, len(named))
 	for _, name := range slices.Sorted(maps.Keys(named)) {
 		p, err := readPair(v.db, name)
 		if err != nil {
-			return "", &Failed{v.path, "reading", err}
+			return "", &IOError{v.path, "reading", err}
 		}
 		r, _ := p.newest()
 		if p[0].state == bad || p[1].state == bad || !named[name] {
@@ -45,7 +45,7 @@
 // listed has the names that the roster lists, as true, and others that the tables
 // have: a name that damage has changed, or one that a lost roster listed. It returns
 // what else is damaged.
-func (v *Vault) listed() (named map[string]bool, what string, err error) {
+func (v *Store) listed() (named map[string]bool, what string, err error) {
 	named = map[string]bool{}
 	for _, t := range tables {
 		for _, order := range []string{"ASC", "DESC"} {
@@ -78,7 +78,7 @@
 }
 
 // scan adds the names of a table as far as it can be read in one direction.
-func (v *Vault) scan(table, order string, names map[string]bool) error {
+func (v *Store) scan(table, order string, names map[string]bool) error {
 	rows, err := v.db.Query("SELECT name FROM " + table + " ORDER BY name " + order)
 	if err != nil {
 		return err
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -8,18 +8,18 @@
 
 // Snapshot writes a copy of all records to path, which must not exist. The copy has
 // been read back when it returns.
-func (v *Vault) Snapshot(path string) error {
+func (v *Store) Snapshot(path string) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if exists(path) {
-		return &Failed{path, "copying", fs.ErrExist}
+		return &IOError{path, "copying", fs.ErrExist}
 	}
 	part := path + fresh
 	if err := discard(part); err != nil {
 		return err
 	}
 	if _, err := v.db.Exec("VACUUM INTO ?", part); err != nil {
-		return &Failed{part, "copying", errors.Join(err, discard(part))}
+		return &IOError{part, "copying", errors.Join(err, discard(part))}
 	}
 	if _, err := readCopy(part); err != nil {
 		return errors.Join(err, discard(part))
@@ -32,7 +32,7 @@
 
 // Restore replaces all records by those of a copy, at once: a copy with anything in it
 // that can't be read is refused, and the old state stays. change may alter them before.
-func (v *Vault) Restore(path string, change func(records map[string][]byte) error) error {
+func (v *Store) Restore(path string, change func(records map[string][]byte) error) error {
 	records, err := readCopy(path)
 	if err == nil && change != nil {
 		err = change(records)
@@ -57,7 +57,7 @@
 // readCopy reads all of a copy without writing to it or beside it.
 func readCopy(path string) (map[string][]byte, error) {
 	if !exists(path) {
-		return nil, &Failed{path, "reading the copy", fs.ErrNotExist}
+		return nil, &IOError{path, "reading the copy", fs.ErrNotExist}
 	}
 	db, err := connect(path, "&mode=ro&immutable=1")
 	var have, owner int
@@ -69,23 +69,23 @@
 			(SELECT application_id FROM pragma_application_id)`).Scan(&have, &owner)
 	}
 	if err != nil && refused(err) {
-		return nil, &Failed{path, "reading the copy", err}
+		return nil, &IOError{path, "reading the copy", err}
 	} else if err != nil {
-		return nil, &Damaged{path, "", err.Error()}
+		return nil, &DamagedError{path, "", err.Error()}
 	}
 	if owner != mark || have != format {
-		return nil, &Format{path, have, format}
+		return nil, &FormatError{path, have, format}
 	}
-	c := &Vault{path: path, db: db}
+	c := &Store{path: path, db: db}
 	if what, err := c.survey(); err != nil {
 		return nil, err
 	} else if what != "" {
-		return nil, &Damaged{path, "", what}
+		return nil, &DamagedError{path, "", what}
 	}
 	records := make(map[string][]byte, len(c.gens))
 	for name := range c.gens {
 		data, err := c.Load(name)
-		if back := (*SteppedBack)(nil); err != nil && !errors.As(err, &back) {
+		if back := (*RolledBackError)(nil); err != nil && !errors.As(err, &back) {
 			return nil, err
 		}
 		records[name] = data
@@ -100,7 +100,7 @@
 		err = f.Sync()
 	}
 	if err != nil {
-		return &Failed{path, "syncing", err}
+		return &IOError{path, "syncing", err}
 	}
 	return nil
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -20,8 +20,8 @@
 
 const file = "vault.db"
 
-// Vault is an open folder of records. A process has it alone.
-type Vault struct {
+// Store is an open folder of records. A process has it alone.
+type Store struct {
 	mu    sync.Mutex
 	path  string
 	db    *sql.DB
@@ -31,11 +31,11 @@
 
 // Open opens the records in a folder, or begins new ones. When a file is damaged, it
 // is moved aside (vault.db.damaged-1), what is good in it is taken over, and both the
-// vault and a *Damaged come back: a Vault that isn't nil can be used. Until the
+// vault and a *DamagedError come back: a Store that isn't nil can be used. Until the
 // next Save of a record, Load goes on telling what became of it.
-func Open(dir string) (*Vault, error) {
+func Open(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, &Failed{dir, "making the folder", err}
+		return nil, &IOError{dir, "making the folder", err}
 	}
 	path := filepath.Join(dir, file)
 	if err := tidy(path); err != nil {
@@ -49,7 +49,7 @@
 }
 
 // open also returns what is damaged. Even then the vault reads what can be read.
-func open(path string) (v *Vault, what string, err error) {
+func open(path string) (v *Store, what string, err error) {
 	db, err := connect(path, "")
 	if err == nil {
 		err = settle(path, db)
@@ -57,13 +57,13 @@
 	if err != nil {
 		what = err.Error()
 	}
-	if fe, ok := err.(*Format); ok {
+	if fe, ok := err.(*FormatError); ok {
 		return nil, "", errors.Join(fe, db.Close())
 	}
 	if err != nil && refused(err) {
-		return nil, "", errors.Join(&Failed{path, "opening", err}, db.Close())
+		return nil, "", errors.Join(&IOError{path, "opening", err}, db.Close())
 	}
-	v = &Vault{path: path, db: db}
+	v = &Store{path: path, db: db}
 	found, err := v.survey()
 	if err != nil {
 		return nil, "", errors.Join(err, db.Close())
@@ -72,52 +72,52 @@
 }
 
 // Close ends the use of the folder.
-func (v *Vault) Close() error {
+func (v *Store) Close() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.db.Close()
 }
 
 // Names lists the records that were ever saved, in order.
-func (v *Vault) Names() []string {
+func (v *Store) Names() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return slices.Sorted(maps.Keys(v.gens))
 }
 
-// Load returns a record. Its error is *SteppedBack along with data, or without data
-// *Damaged, *Absent or *Failed.
-func (v *Vault) Load(name string) ([]byte, error) {
+// Load returns a record. Its error is *RolledBackError along with data, or without data
+// *DamagedError, *NotFoundError or *IOError.
+func (v *Store) Load(name string) ([]byte, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.refresh(); err != nil {
 		return nil, err
 	}
 	if _, ok := v.gens[name]; !ok {
-		return nil, &Absent{v.path, name}
+		return nil, &NotFoundError{v.path, name}
 	}
 	p, err := readPair(v.db, name)
 	if err != nil {
-		return nil, &Failed{v.path, "reading", err}
+		return nil, &IOError{v.path, "reading", err}
 	}
 	r, sure := p.newest()
 	switch {
 	case r.state != good:
-		return nil, &Damaged{v.path, name, p.trouble()}
+		return nil, &DamagedError{v.path, name, p.trouble()}
 	case !sure:
-		return r.data, &SteppedBack{v.path, name, p.trouble()}
+		return r.data, &RolledBackError{v.path, name, p.trouble()}
 	}
 	return r.data, nil
 }
 
 // Save replaces a record. After an error the record is the old one or the new one,
 // never a mixture; Load tells which.
-func (v *Vault) Save(name string, data []byte) error {
+func (v *Store) Save(name string, data []byte) error {
 	return v.SaveAll(map[string][]byte{name: data})
 }
 
 // SaveAll replaces several records at once: all of them or none.
-func (v *Vault) SaveAll(records map[string][]byte) error {
+func (v *Store) SaveAll(records map[string][]byte) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.refresh(); err != nil {
@@ -127,7 +127,7 @@
 }
 
 // write saves records and drops others, in one transaction.
-func (v *Vault) write(records map[string][]byte, drop []string) error {
+func (v *Store) write(records map[string][]byte, drop []string) error {
 	gens := maps.Clone(v.gens)
 	tx, err := v.db.Begin()
 	if err != nil {
@@ -136,7 +136,7 @@
 	defer tx.Rollback()
 	for _, name := range slices.Sorted(maps.Keys(records)) {
 		if name == roster {
-			return &Failed{v.path, "saving", os.ErrInvalid}
+			return &IOError{v.path, "saving", os.ErrInvalid}
 		}
 		if gens[name], err = advance(tx, name, gens[name], records[name]); err != nil {
 			return v.fail(err)
@@ -162,12 +162,12 @@
 	return nil
 }
 
-func (v *Vault) fail(err error) error {
+func (v *Store) fail(err error) error {
 	v.stale = true
 	if !refused(err) {
-		return &Damaged{v.path, "", err.Error()}
+		return &DamagedError{v.path, "", err.Error()}
 	}
-	return &Failed{v.path, "saving", err}
+	return &IOError{v.path, "saving", err}
 }
 
 // advance writes the generation after gen, and returns it. A new record, or one that
@@ -195,7 +195,7 @@
 	return err
 }
 
-func (v *Vault) refresh() error {
+func (v *Store) refresh() error {
 	if !v.stale {
 		return nil
 	}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func opened(t *testing.T, dir string) *Vault {
+func opened(t *testing.T, dir string) *Store {
 	t.Helper()
 	v, err := Open(dir)
 	must(t, err)
@@ -77,11 +77,11 @@
 		}
 		must(t, os.WriteFile(filepath.Join(dir, file), spoiled, 0o644))
 		v, err := Open(dir)
-		var fe *Format
+		var fe *FormatError
 		if errors.As(err, &fe) {
 			return // the damage reads as a later format: left as it is
 		}
-		var d *Damaged
+		var d *DamagedError
 		if v == nil || err != nil && !errors.As(err, &d) {
 			t.Fatalf("byte %d: %v", at, err)
 		}
@@ -92,7 +92,7 @@
 		}
 		for _, name := range []string{"config", "vote"} {
 			got, err := v.Load(name)
-			var sb *SteppedBack
+			var sb *RolledBackError
 			switch {
 			case err == nil && bytes.Equal(got, blob(name, 3)):
 			case errors.As(err, &sb) && (bytes.Equal(got, blob(name, 3)) || bytes.Equal(got, blob(name, 2))):
@@ -138,7 +138,7 @@
 		dir := t.TempDir()
 		must(t, os.WriteFile(filepath.Join(dir, file), text[:size], 0o644))
 		v, err := Open(dir)
-		var d *Damaged
+		var d *DamagedError
 		if v == nil || err != nil && !errors.As(err, &d) {
 			t.Fatalf("cut at %d: %v", size, err)
 		}
@@ -194,7 +194,7 @@
 	v := opened(t, stocked(t))
 	_, err := v.db.Exec("PRAGMA max_page_count = 20")
 	must(t, err)
-	var f *Failed
+	var f *IOError
 	big := bytes.Repeat([]byte("x"), 1<<20)
 	if err := v.SaveAll(map[string][]byte{"config": blob("config", 4), "vote": big}); !errors.As(err, &f) {
 		t.Fatal(err)
@@ -215,7 +215,7 @@
 	for n := 1; n <= 2; n++ {
 		must(t, os.WriteFile(path, []byte(strings.Repeat("no database ", 400)), 0o644))
 		v, err := Open(dir)
-		var d *Damaged
+		var d *DamagedError
 		if v == nil || !errors.As(err, &d) || d.Path != fmt.Sprintf("%s.damaged-%d", path, n) {
 			t.Fatal(n, err)
 		}
@@ -225,7 +225,7 @@
 	must(t, os.Remove(path))
 	must(t, os.WriteFile(path+journal, []byte("left"), 0o644))
 	v := opened(t, dir)
-	if got, err := v.Aside(); err != nil || len(got) != 2 {
+	if got, err := v.DamagedFiles(); err != nil || len(got) != 2 {
 		t.Fatal(got, err)
 	}
 	if _, err := os.Stat(path + ".damaged-3" + journal); err != nil {
@@ -249,7 +249,7 @@
 	_, err := v.db.Exec("PRAGMA user_version = 2")
 	must(t, err)
 	must(t, v.Close())
-	var f *Format
+	var f *FormatError
 	if v, err := Open(dir); v != nil || !errors.As(err, &f) || f.Have != 2 {
 		t.Fatal(err)
 	}
@@ -267,7 +267,7 @@
 	must(t, err)
 	text[bytes.Index(text, []byte("vote:3;"))] ^= 1
 	must(t, os.WriteFile(path+"-spoiled", text, 0o644))
-	var d *Damaged
+	var d *DamagedError
 	if err := v.Restore(path+"-spoiled", nil); !errors.As(err, &d) {
 		t.Fatal(err)
 	}
