--- a/internal/storage/crashfs/abi.h
+++ b/internal/storage/crashfs/abi.h
@@ -1,8 +1,8 @@
-#ifndef BRITTLE_ABI_H
-#define BRITTLE_ABI_H
+#ifndef CRASHFS_ABI_H
+#define CRASHFS_ABI_H
 
-/* What SQLite's interface to file systems (version 1 of it) lays down for good; the library
-   itself is the one that the program is linked with. */
+/* The parts of the SQLite VFS interface (version 1) that the shim uses, declared here because they
+   are ABI-stable; the library itself is the one that the program is linked with. */
 
 #define SQLITE_OK 0
 #define SQLITE_ERROR 1
--- a/internal/storage/crashfs/crashfs.go
+++ b/internal/storage/crashfs/crashfs.go
@@ -1,6 +1,7 @@
-// Package crashfs is a file system for SQLite that tells of each change, and a disk that makes
-// of such changes the folders that a loss of power may leave: writes and names that were not
-// synced may be there or not, each by itself, and a write may be torn. It is for tests.
+// Package crashfs is for tests. It provides a SQLite VFS that records each change to its files,
+// and a simulated disk that derives from such a recording the files that a power loss may leave:
+// each write, creation or deletion that was not synced may independently be present or absent,
+// and a write may be torn.
 package crashfs
 
 /*
@@ -16,120 +17,124 @@
 	"sync"
 	"unsafe"
 
-	_ "github.com/mattn/go-sqlite3" // which the shim is linked with
+	_ "github.com/mattn/go-sqlite3" // provides the SQLite library that the shim calls
 )
 
-// Name is what SQLite knows the file system by.
-const Name = "brittle"
+// VFSName is the name under which the VFS is registered with SQLite.
+const VFSName = "brittle"
 
-// Kind is what was done.
+// Kind is the kind of a recorded operation.
 type Kind uint8
 
-// The kinds. Sync is of a file; Named is of a folder, all of whose names are synced.
+// Kinds of operations. Sync applies to one file; SyncDir to the directory: it makes all
+// creations and deletions durable.
 const (
-	Made Kind = iota
-	Wrote
-	Cut
+	Create Kind = iota
+	Write
+	Truncate
 	Sync
-	Removed
-	Named
+	Delete
+	SyncDir
 )
 
-// Step is one change, or one sync.
-type Step struct {
+// Change is one recorded operation: a change to a file, or a sync.
+type Change struct {
 	Kind Kind
-	File string // without its folder
-	At   int64  // Cut: the size
+	File string // base name
+	At   int64  // Write: the offset; Truncate: the new size
 	Data []byte
 }
 
-func (s Step) String() string {
-	return fmt.Sprintf("%s %s %d %d", [...]string{"made", "wrote", "cut", "sync", "removed", "named"}[s.Kind], s.File, s.At, len(s.Data))
+func (c Change) String() string {
+	kinds := [...]string{"create", "write", "truncate", "sync", "delete", "syncdir"}
+	return fmt.Sprintf("%s %s %d %d", kinds[c.Kind], c.File, c.At, len(c.Data))
 }
 
-var tape struct {
+var recorder struct {
 	sync.Mutex
-	on    bool
-	files []file
-	steps []Step
+	on      bool
+	files   []openFile
+	changes []Change
 }
 
-type file struct {
-	name   string
-	unsaid bool // its folder is synced along with it the next time, as SQLite does for journals
+type openFile struct {
+	name string
+	// syncDirPending: the first sync of a new journal also syncs its directory, as SQLite's
+	// unix VFS does.
+	syncDirPending bool
 }
 
 var register = sync.OnceValue(func() error {
-	name, base := C.CString(Name), C.CString("unix-none")
+	name, base := C.CString(VFSName), C.CString("unix-none")
 	defer C.free(unsafe.Pointer(name))
 	defer C.free(unsafe.Pointer(base))
-	if rc := C.brittle_register(name, base); rc != 0 {
-		return fmt.Errorf("the file system is not taken: %d", rc)
+	if rc := C.crashfs_register(name, base); rc != 0 {
+		return fmt.Errorf("registering VFS %q: SQLite error %d", VFSName, rc)
 	}
 	return nil
 })
 
-// Register makes the file system known.
+// Register registers the VFS with SQLite.
 func Register() error { return register() }
 
-// Record begins to tell, or goes on, and returns what was told until now.
-func Record() []Step {
-	tape.Lock()
-	defer tape.Unlock()
-	steps := tape.steps
-	tape.on, tape.steps = true, nil
-	return steps
+// TakeRecording returns the changes recorded so far and starts a new recording.
+func TakeRecording() []Change {
+	recorder.Lock()
+	defer recorder.Unlock()
+	changes := recorder.changes
+	recorder.on, recorder.changes = true, nil
+	return changes
 }
 
-func tell(s Step) {
-	if tape.on {
-		tape.steps = append(tape.steps, s)
+func record(c Change) {
+	if recorder.on {
+		recorder.changes = append(recorder.changes, c)
 	}
 }
 
-//export brittleOpen
-func brittleOpen(name *C.char, made, journal C.int) C.int {
-	tape.Lock()
-	defer tape.Unlock()
-	f := file{name: filepath.Base(C.GoString(name)), unsaid: journal != 0 && made != 0}
-	tape.files = append(tape.files, f)
-	if made != 0 {
-		tell(Step{Kind: Made, File: f.name})
+//export crashfsOpen
+func crashfsOpen(name *C.char, created, journal C.int) C.int {
+	recorder.Lock()
+	defer recorder.Unlock()
+	f := openFile{name: filepath.Base(C.GoString(name)), syncDirPending: journal != 0 && created != 0}
+	recorder.files = append(recorder.files, f)
+	if created != 0 {
+		record(Change{Kind: Create, File: f.name})
 	}
-	return C.int(len(tape.files) - 1)
+	return C.int(len(recorder.files) - 1)
 }
 
-//export brittleWrite
-func brittleWrite(id C.int, at C.longlong, from unsafe.Pointer, n C.int) {
-	tape.Lock()
-	defer tape.Unlock()
-	tell(Step{Wrote, tape.files[id].name, int64(at), C.GoBytes(from, n)})
+//export crashfsWrite
+func crashfsWrite(id C.int, offset C.longlong, data unsafe.Pointer, n C.int) {
+	recorder.Lock()
+	defer recorder.Unlock()
+	record(Change{Write, recorder.files[id].name, int64(offset), C.GoBytes(data, n)})
 }
 
-//export brittleTruncate
-func brittleTruncate(id C.int, size C.longlong) {
-	tape.Lock()
-	defer tape.Unlock()
-	tell(Step{Kind: Cut, File: tape.files[id].name, At: int64(size)})
+//export crashfsTruncate
+func crashfsTruncate(id C.int, size C.longlong) {
+	recorder.Lock()
+	defer recorder.Unlock()
+	record(Change{Kind: Truncate, File: recorder.files[id].name, At: int64(size)})
 }
 
-//export brittleSync
-func brittleSync(id C.int) {
-	tape.Lock()
-	defer tape.Unlock()
-	tell(Step{Kind: Sync, File: tape.files[id].name})
-	if tape.files[id].unsaid {
-		tape.files[id].unsaid = false
-		tell(Step{Kind: Named})
+//export crashfsSync
+func crashfsSync(id C.int) {
+	recorder.Lock()
+	defer recorder.Unlock()
+	record(Change{Kind: Sync, File: recorder.files[id].name})
+	if recorder.files[id].syncDirPending {
+		recorder.files[id].syncDirPending = false
+		record(Change{Kind: SyncDir})
 	}
 }
 
-//export brittleDelete
-func brittleDelete(name *C.char, synced C.int) {
-	tape.Lock()
-	defer tape.Unlock()
-	tell(Step{Kind: Removed, File: filepath.Base(C.GoString(name))})
-	if synced != 0 {
-		tell(Step{Kind: Named})
+//export crashfsDelete
+func crashfsDelete(name *C.char, dirSynced C.int) {
+	recorder.Lock()
+	defer recorder.Unlock()
+	record(Change{Kind: Delete, File: filepath.Base(C.GoString(name))})
+	if dirSynced != 0 {
+		record(Change{Kind: SyncDir})
 	}
 }
--- a/internal/storage/crashfs/disk.go
+++ b/internal/storage/crashfs/disk.go
@@ -6,137 +6,141 @@
 	"slices"
 )
 
-// Folder is the files of one, by name.
-type Folder map[string][]byte
+// Files holds the content of each file of a directory, by name.
+type Files map[string][]byte
 
-// Disk knows what is sure to last, and what was done since.
+// Disk simulates one directory: it keeps the durable state and the changes not yet synced.
 type Disk struct {
-	nodes   []node
-	sure    map[string]int // names that last
-	now     map[string]int // names as programs see them
-	pending []naming
+	inodes  []inode
+	durable map[string]int // inode by name, as of the last directory sync
+	current map[string]int // inode by name, as programs see it
+	pending []dirChange
 }
 
-type node struct {
-	sure    []byte
-	pending []Step
+type inode struct {
+	durable []byte
+	pending []Change
 }
 
-type naming struct {
-	step Step
-	node int
+// dirChange is a creation or deletion that is not yet durable.
+type dirChange struct {
+	change Change
+	inode  int
 }
 
-// NewDisk is one that has a folder for certain.
-func NewDisk(f Folder) *Disk {
-	d := &Disk{sure: map[string]int{}, now: map[string]int{}}
-	for _, name := range slices.Sorted(maps.Keys(f)) {
-		d.sure[name], d.now[name] = len(d.nodes), len(d.nodes)
-		d.nodes = append(d.nodes, node{sure: f[name]})
+// NewDisk returns a disk on which files are durable.
+func NewDisk(files Files) *Disk {
+	d := &Disk{durable: map[string]int{}, current: map[string]int{}}
+	for _, name := range slices.Sorted(maps.Keys(files)) {
+		d.durable[name], d.current[name] = len(d.inodes), len(d.inodes)
+		d.inodes = append(d.inodes, inode{durable: files[name]})
 	}
 	return d
 }
 
-// Do takes a step.
-func (d *Disk) Do(s Step) {
-	switch s.Kind {
-	case Made:
-		d.now[s.File] = len(d.nodes)
-		d.pending = append(d.pending, naming{s, len(d.nodes)})
-		d.nodes = append(d.nodes, node{})
-	case Removed:
-		delete(d.now, s.File)
-		d.pending = append(d.pending, naming{step: s})
-	case Named:
-		d.sure, d.pending = d.named(nil), nil
+// Apply carries out a recorded operation.
+func (d *Disk) Apply(c Change) {
+	switch c.Kind {
+	case Create:
+		d.current[c.File] = len(d.inodes)
+		d.pending = append(d.pending, dirChange{c, len(d.inodes)})
+		d.inodes = append(d.inodes, inode{})
+	case Delete:
+		delete(d.current, c.File)
+		d.pending = append(d.pending, dirChange{change: c})
+	case SyncDir:
+		d.durable, d.pending = d.namesAfter(nil), nil
 	case Sync:
-		n := &d.nodes[d.now[s.File]]
-		*n = node{sure: n.after(nil)}
+		n := &d.inodes[d.current[c.File]]
+		*n = inode{durable: n.contentAfter(nil)}
 	default:
-		n := &d.nodes[d.now[s.File]]
-		n.pending = append(n.pending, s)
+		n := &d.inodes[d.current[c.File]]
+		n.pending = append(n.pending, c)
 	}
 }
 
-// Fate is what a loss of power leaves of a change that was not synced: none, it, or pieces of it.
-type Fate func(Step) []Step
+// Survivors returns what a power loss leaves of a change that was not synced: nothing, the
+// change itself, or parts of it.
+type Survivors func(Change) []Change
 
-// Pending is all changes that a loss of power may undo.
-func (d *Disk) Pending() []Step {
-	var all []Step
+// Pending returns all changes that a power loss may undo.
+func (d *Disk) Pending() []Change {
+	var all []Change
 	for _, n := range d.pending {
-		all = append(all, n.step)
+		all = append(all, n.change)
 	}
-	for _, n := range d.nodes {
+	for _, n := range d.inodes {
 		all = append(all, n.pending...)
 	}
 	return all
 }
 
-// Crash is the folder after a loss of power. The fate is asked in the order of Pending.
-func (d *Disk) Crash(fate Fate) Folder {
-	names, f := d.named(fate), Folder{}
-	after := make([][]byte, len(d.nodes))
-	for i, n := range d.nodes {
-		after[i] = n.after(fate)
+// Crash returns the files after a power loss. It calls survivors in the order of Pending.
+func (d *Disk) Crash(survivors Survivors) Files {
+	names, files := d.namesAfter(survivors), Files{}
+	contents := make([][]byte, len(d.inodes))
+	for i, n := range d.inodes {
+		contents[i] = n.contentAfter(survivors)
 	}
 	for name, i := range names {
-		f[name] = after[i]
+		files[name] = contents[i]
 	}
-	return f
+	return files
 }
 
-func (d *Disk) named(fate Fate) map[string]int {
-	names := maps.Clone(d.sure)
+// namesAfter applies the surviving creations and deletions; all of them if survivors is nil.
+func (d *Disk) namesAfter(survivors Survivors) map[string]int {
+	names := maps.Clone(d.durable)
 	for _, n := range d.pending {
-		if fate != nil && len(fate(n.step)) == 0 {
+		if survivors != nil && len(survivors(n.change)) == 0 {
 			continue
 		}
-		if n.step.Kind == Made {
-			names[n.step.File] = n.node
+		if n.change.Kind == Create {
+			names[n.change.File] = n.inode
 		} else {
-			delete(names, n.step.File)
+			delete(names, n.change.File)
 		}
 	}
 	return names
 }
 
-func (n node) after(fate Fate) []byte {
-	data := bytes.Clone(n.sure)
-	for _, s := range n.pending {
-		left := []Step{s}
-		if fate != nil {
-			left = fate(s)
+// contentAfter applies the surviving writes and truncations; all of them if survivors is nil.
+func (n inode) contentAfter(survivors Survivors) []byte {
+	data := bytes.Clone(n.durable)
+	for _, c := range n.pending {
+		surviving := []Change{c}
+		if survivors != nil {
+			surviving = survivors(c)
 		}
-		for _, s := range left {
-			size := s.At
-			if s.Kind == Wrote {
-				size = max(int64(len(data)), s.At+int64(len(s.Data)))
+		for _, c := range surviving {
+			size := c.At
+			if c.Kind == Write {
+				size = max(int64(len(data)), c.At+int64(len(c.Data)))
 			}
 			if grow := size - int64(len(data)); grow > 0 {
 				data = append(data, make([]byte, grow)...)
 			}
 			data = data[:size]
-			if s.Kind == Wrote {
-				copy(data[s.At:], s.Data)
+			if c.Kind == Write {
+				copy(data[c.At:], c.Data)
 			}
 		}
 	}
 	return data
 }
 
-const sector = 512
+const sectorSize = 512
 
-// Torn is the sectors of a write that a choice takes.
-func Torn(s Step, takes func(i int) bool) []Step {
-	if s.Kind != Wrote {
+// Sectors splits a write into sectors and returns those that keep selects: a torn write.
+func Sectors(c Change, keep func(i int) bool) []Change {
+	if c.Kind != Write {
 		return nil
 	}
-	var left []Step
-	for i := 0; i*sector < len(s.Data); i++ {
-		if takes(i) {
-			left = append(left, Step{Wrote, s.File, s.At + int64(i*sector), s.Data[i*sector : min((i+1)*sector, len(s.Data))]})
+	var kept []Change
+	for i := 0; i*sectorSize < len(c.Data); i++ {
+		if keep(i) {
+			kept = append(kept, Change{Write, c.File, c.At + int64(i*sectorSize), c.Data[i*sectorSize : min((i+1)*sectorSize, len(c.Data))]})
 		}
 	}
-	return left
+	return kept
 }
--- a/internal/storage/crashfs/shim.c
+++ b/internal/storage/crashfs/shim.c
@@ -5,7 +5,7 @@
 #include "shim.h"
 #include "_cgo_export.h"
 
-/* File is one of the base's, with its number in the tape. */
+/* File wraps a file of the base VFS; id is its index in the recorder. */
 typedef struct {
 	sqlite3_file head;
 	int id;
@@ -28,44 +28,44 @@
 
 static int fWrite(sqlite3_file *f, const void *from, int n, sqlite3_int64 at) {
 	int rc = REAL(f)->pMethods->xWrite(REAL(f), from, n, at);
-	if (rc == SQLITE_OK) brittleWrite(ID(f), at, (void *)from, n);
+	if (rc == SQLITE_OK) crashfsWrite(ID(f), at, (void *)from, n);
 	return rc;
 }
 
 static int fTruncate(sqlite3_file *f, sqlite3_int64 size) {
 	int rc = REAL(f)->pMethods->xTruncate(REAL(f), size);
-	if (rc == SQLITE_OK) brittleTruncate(ID(f), size);
+	if (rc == SQLITE_OK) crashfsTruncate(ID(f), size);
 	return rc;
 }
 
 static int fSync(sqlite3_file *f, int flags) {
 	int rc = REAL(f)->pMethods->xSync(REAL(f), flags);
-	if (rc == SQLITE_OK) brittleSync(ID(f));
+	if (rc == SQLITE_OK) crashfsSync(ID(f));
 	return rc;
 }
 
-static int fSize(sqlite3_file *f, sqlite3_int64 *size) { return REAL(f)->pMethods->xFileSize(REAL(f), size); }
-static int fLock(sqlite3_file *f, int how) { return REAL(f)->pMethods->xLock(REAL(f), how); }
-static int fUnlock(sqlite3_file *f, int how) { return REAL(f)->pMethods->xUnlock(REAL(f), how); }
-static int fReserved(sqlite3_file *f, int *out) { return REAL(f)->pMethods->xCheckReservedLock(REAL(f), out); }
-static int fSector(sqlite3_file *f) { return REAL(f)->pMethods->xSectorSize(REAL(f)); }
-static int fTraits(sqlite3_file *f) { return REAL(f)->pMethods->xDeviceCharacteristics(REAL(f)); }
+static int fFileSize(sqlite3_file *f, sqlite3_int64 *size) { return REAL(f)->pMethods->xFileSize(REAL(f), size); }
+static int fLock(sqlite3_file *f, int level) { return REAL(f)->pMethods->xLock(REAL(f), level); }
+static int fUnlock(sqlite3_file *f, int level) { return REAL(f)->pMethods->xUnlock(REAL(f), level); }
+static int fCheckReservedLock(sqlite3_file *f, int *out) { return REAL(f)->pMethods->xCheckReservedLock(REAL(f), out); }
+static int fSectorSize(sqlite3_file *f) { return REAL(f)->pMethods->xSectorSize(REAL(f)); }
+static int fDeviceCharacteristics(sqlite3_file *f) { return REAL(f)->pMethods->xDeviceCharacteristics(REAL(f)); }
 
-/* A size set ahead would change files without a word. */
-static int fControl(sqlite3_file *f, int op, void *arg) {
+/* Preallocation would change file sizes without being recorded, so hints are ignored. */
+static int fFileControl(sqlite3_file *f, int op, void *arg) {
 	if (op == SQLITE_FCNTL_SIZE_HINT || op == SQLITE_FCNTL_CHUNK_SIZE) return SQLITE_OK;
 	return REAL(f)->pMethods->xFileControl(REAL(f), op, arg);
 }
 
-static const sqlite3_io_methods methods = {1, fClose, fRead, fWrite, fTruncate, fSync, fSize, fLock, fUnlock, fReserved,
-	fControl, fSector, fTraits};
+static const sqlite3_io_methods methods = {1, fClose, fRead, fWrite, fTruncate, fSync, fFileSize, fLock, fUnlock, fCheckReservedLock,
+	fFileControl, fSectorSize, fDeviceCharacteristics};
 
 static int vOpen(sqlite3_vfs *v, sqlite3_filename name, sqlite3_file *f, int flags, int *out) {
 	sqlite3_file *real = calloc(1, base->szOsFile);
 	if (!real) return SQLITE_NOMEM;
 	f->pMethods = 0;
-	int there = 0;
-	if (name) base->xAccess(base, name, SQLITE_ACCESS_EXISTS, &there);
+	int exists = 0;
+	if (name) base->xAccess(base, name, SQLITE_ACCESS_EXISTS, &exists);
 	int rc = base->xOpen(base, name, real, flags, out);
 	if (rc != SQLITE_OK) {
 		free(real);
@@ -73,26 +73,26 @@
 	}
 	f->pMethods = &methods;
 	((File *)f)->real = real;
-	((File *)f)->id = brittleOpen((char *)(name ? name : ""), name && !there,
+	((File *)f)->id = crashfsOpen((char *)(name ? name : ""), name && !exists,
 		(flags & (SQLITE_OPEN_MAIN_JOURNAL | SQLITE_OPEN_SUPER_JOURNAL | SQLITE_OPEN_WAL)) != 0);
 	return SQLITE_OK;
 }
 
-static int vDelete(sqlite3_vfs *v, const char *name, int syncFolder) {
-	int rc = base->xDelete(base, name, syncFolder);
-	if (rc == SQLITE_OK) brittleDelete((char *)name, syncFolder);
+static int vDelete(sqlite3_vfs *v, const char *name, int sync_dir) {
+	int rc = base->xDelete(base, name, sync_dir);
+	if (rc == SQLITE_OK) crashfsDelete((char *)name, sync_dir);
 	return rc;
 }
 
 static int vAccess(sqlite3_vfs *v, const char *name, int flags, int *out) { return base->xAccess(base, name, flags, out); }
-static int vFull(sqlite3_vfs *v, const char *name, int n, char *out) { return base->xFullPathname(base, name, n, out); }
-static int vRandom(sqlite3_vfs *v, int n, char *out) { return base->xRandomness(base, n, out); }
+static int vFullPathname(sqlite3_vfs *v, const char *name, int n, char *out) { return base->xFullPathname(base, name, n, out); }
+static int vRandomness(sqlite3_vfs *v, int n, char *out) { return base->xRandomness(base, n, out); }
 static int vSleep(sqlite3_vfs *v, int us) { return base->xSleep(base, us); }
-static int vNow(sqlite3_vfs *v, double *out) { return base->xCurrentTime(base, out); }
-static int vError(sqlite3_vfs *v, int n, char *out) { return base->xGetLastError(base, n, out); }
+static int vCurrentTime(sqlite3_vfs *v, double *out) { return base->xCurrentTime(base, out); }
+static int vGetLastError(sqlite3_vfs *v, int n, char *out) { return base->xGetLastError(base, n, out); }
 
-int brittle_register(const char *name, const char *of) {
-	base = sqlite3_vfs_find(of);
+int crashfs_register(const char *name, const char *base_name) {
+	base = sqlite3_vfs_find(base_name);
 	if (!base) return SQLITE_ERROR;
 	sqlite3_vfs *v = calloc(1, sizeof *v);
 	if (!v) return SQLITE_NOMEM;
@@ -103,10 +103,10 @@
 	v->xOpen = vOpen;
 	v->xDelete = vDelete;
 	v->xAccess = vAccess;
-	v->xFullPathname = vFull;
-	v->xRandomness = vRandom;
+	v->xFullPathname = vFullPathname;
+	v->xRandomness = vRandomness;
 	v->xSleep = vSleep;
-	v->xCurrentTime = vNow;
-	v->xGetLastError = vError;
+	v->xCurrentTime = vCurrentTime;
+	v->xGetLastError = vGetLastError;
 	return sqlite3_vfs_register(v, 0);
 }
--- a/internal/storage/crashfs/shim.h
+++ b/internal/storage/crashfs/shim.h
@@ -1,7 +1,7 @@
-#ifndef BRITTLE_SHIM_H
-#define BRITTLE_SHIM_H
+#ifndef CRASHFS_SHIM_H
+#define CRASHFS_SHIM_H
 
-/* Makes a file system known to SQLite under a name: that of base, with each change told of. */
-int brittle_register(const char *name, const char *base);
+/* Registers a VFS that wraps the VFS base_name and records each change to its files. */
+int crashfs_register(const char *name, const char *base_name);
 
 #endif
--- a/internal/storage/crashfs_test.go
+++ b/internal/storage/crashfs_test.go
@@ -16,31 +16,32 @@
 	"asterwell/internal/storage/crashfs"
 )
 
-// recorded does something to the records in a folder, and tells each step of it.
-func recorded(t *testing.T, dir string, do func(v *Store)) []crashfs.Step {
+// recordChanges opens the store in dir and returns the changes that run makes to its files, or
+// those of opening it if run is nil.
+func recordChanges(t *testing.T, dir string, run func(s *Store)) []crashfs.Change {
 	t.Helper()
 	must(t, crashfs.Register())
-	was := vfs
-	vfs = crashfs.Name
-	defer func() { vfs = was }()
-	crashfs.Record()
-	v, err := Open(dir)
+	previous := vfs
+	vfs = crashfs.VFSName
+	defer func() { vfs = previous }()
+	crashfs.TakeRecording()
+	s, err := Open(dir)
 	must(t, err)
-	if do == nil {
-		must(t, v.Close())
-		return crashfs.Record()
+	if run == nil {
+		must(t, s.Close())
+		return crashfs.TakeRecording()
 	}
-	crashfs.Record()
-	do(v)
-	steps := crashfs.Record()
-	must(t, v.Close())
-	return steps
+	crashfs.TakeRecording()
+	run(s)
+	changes := crashfs.TakeRecording()
+	must(t, s.Close())
+	return changes
 }
 
-func folder(t *testing.T, dir string) crashfs.Folder {
+func readFiles(t *testing.T, dir string) crashfs.Files {
 	t.Helper()
-	f := crashfs.Folder{}
-	for _, name := range []string{file, file + journal} {
+	f := crashfs.Files{}
+	for _, name := range []string{databaseName, databaseName + journalSuffix} {
 		data, err := os.ReadFile(filepath.Join(dir, name))
 		if err == nil {
 			f[name] = data
@@ -51,73 +52,74 @@
 	return f
 }
 
-// crashes lays out what a loss of power can leave after each step: every subset of what was not synced where that is
-// few, else each change alone lost and alone kept, and drawn subsets; torn writes, by sectors in order and drawn.
-func crashes(start crashfs.Folder, steps []crashfs.Step, rng *rand.Rand, drawn int, judge func(f crashfs.Folder, after int) error) (count int, first error) {
-	d := crashfs.NewDisk(start)
+// checkCrashes calls check with the files that a power loss may leave after each change: with every subset of the
+// unsynced changes if there are at most 8, else with each one alone lost and alone kept; with random subsets and
+// random torn writes; and with the last write torn after each sector. It returns the number of cases and the first error.
+func checkCrashes(initial crashfs.Files, changes []crashfs.Change, rng *rand.Rand, randomCases int, check func(f crashfs.Files, after int) error) (count int, first error) {
+	d := crashfs.NewDisk(initial)
 	for at := 0; first == nil; at++ {
 		n := len(d.Pending())
-		try := func(how string, takes func(i int, s crashfs.Step) []crashfs.Step) {
+		try := func(how string, survive func(i int, c crashfs.Change) []crashfs.Change) {
 			if first != nil {
 				return
 			}
 			i := -1
 			count++
-			f := d.Crash(func(s crashfs.Step) []crashfs.Step { i++; return takes(i, s) })
-			if err := judge(f, at); err != nil {
-				first = fmt.Errorf("after step %d of %d, %s: %w", at, len(steps), how, err)
+			f := d.Crash(func(c crashfs.Change) []crashfs.Change { i++; return survive(i, c) })
+			if err := check(f, at); err != nil {
+				first = fmt.Errorf("after change %d of %d, %s: %w", at, len(changes), how, err)
 			}
 		}
-		whole := func(yes bool, s crashfs.Step) []crashfs.Step {
-			if yes {
-				return []crashfs.Step{s}
+		keepIf := func(keep bool, c crashfs.Change) []crashfs.Change {
+			if keep {
+				return []crashfs.Change{c}
 			}
 			return nil
 		}
 		if n <= 8 {
 			for set := range 1 << n {
-				try(fmt.Sprintf("set %b of %d", set, n), func(i int, s crashfs.Step) []crashfs.Step { return whole(set>>i&1 == 1, s) })
+				try(fmt.Sprintf("set %b of %d", set, n), func(i int, c crashfs.Change) []crashfs.Change { return keepIf(set>>i&1 == 1, c) })
 			}
 		} else {
 			for one := range n {
 				for _, lost := range []bool{true, false} {
-					try(fmt.Sprintf("%d of %d, lost %v", one, n, lost), func(i int, s crashfs.Step) []crashfs.Step { return whole((i == one) != lost, s) })
+					try(fmt.Sprintf("%d of %d, lost %v", one, n, lost), func(i int, c crashfs.Change) []crashfs.Change { return keepIf((i == one) != lost, c) })
 				}
 			}
 		}
-		for range drawn {
+		for range randomCases {
 			seed, full := rng.Uint64(), rng.IntN(3)
-			try(fmt.Sprintf("drawn %d", seed), func(i int, s crashfs.Step) []crashfs.Step {
+			try(fmt.Sprintf("random %d", seed), func(i int, c crashfs.Change) []crashfs.Change {
 				r := rand.New(rand.NewPCG(seed, uint64(i)))
 				switch k := r.IntN(4); {
 				case k < full:
-					return []crashfs.Step{s}
-				case k == 3 && s.Kind == crashfs.Wrote:
-					return crashfs.Torn(s, func(int) bool { return r.IntN(2) == 0 })
+					return []crashfs.Change{c}
+				case k == 3 && c.Kind == crashfs.Write:
+					return crashfs.Sectors(c, func(int) bool { return r.IntN(2) == 0 })
 				}
 				return nil
 			})
 		}
-		if n > 0 { // the last write is torn after each of its sectors, with all before it there
+		if n > 0 { // all changes survive, but the last write is torn after each of its sectors
 			for cut := range 8 {
-				try(fmt.Sprintf("torn after %d", cut), func(i int, s crashfs.Step) []crashfs.Step {
-					if i < n-1 || s.Kind != crashfs.Wrote {
-						return []crashfs.Step{s}
+				try(fmt.Sprintf("torn after %d", cut), func(i int, c crashfs.Change) []crashfs.Change {
+					if i < n-1 || c.Kind != crashfs.Write {
+						return []crashfs.Change{c}
 					}
-					return crashfs.Torn(s, func(i int) bool { return i < cut })
+					return crashfs.Sectors(c, func(i int) bool { return i < cut })
 				})
 			}
 		}
-		if at == len(steps) {
+		if at == len(changes) {
 			return count, first
 		}
-		d.Do(steps[at])
+		d.Apply(changes[at])
 	}
 	return count, first
 }
 
-// lay writes a folder, in memory's time: what is judged is what a start makes of it.
-func lay(t *testing.T, dir string, f crashfs.Folder) {
+// replaceFiles replaces the content of dir. It doesn't sync: only what Open makes of the files matters.
+func replaceFiles(t *testing.T, dir string, f crashfs.Files) {
 	t.Helper()
 	old, err := os.ReadDir(dir)
 	must(t, err)
@@ -129,8 +131,8 @@
 	}
 }
 
-// quick keeps SQLite from syncing while folders are judged that no power is lost over.
-func quick(t *testing.T) string {
+// memoryDir returns a directory in memory if possible, so that the syncs of checking a case cost nothing.
+func memoryDir(t *testing.T) string {
 	t.Helper()
 	if dir, err := os.MkdirTemp("/dev/shm", "vault-"); err == nil {
 		t.Cleanup(func() { os.RemoveAll(dir) })
@@ -139,218 +141,218 @@
 	return t.TempDir()
 }
 
-// saved says that what a folder holds is generation gen or the next one, of both records alike, and surely that one
-// after the last step. Generation 0 is none.
-func saved(t *testing.T, gen, last int) func(f crashfs.Folder, after int) error {
-	at := quick(t)
-	return func(f crashfs.Folder, after int) error {
-		lay(t, at, f)
-		v, err := Open(at)
+// checkSaved returns a check that both records are of generation gen or both of gen+1, and of gen+1 after the last
+// change. Generation 0 means that the record does not exist.
+func checkSaved(t *testing.T, gen, last int) func(f crashfs.Files, after int) error {
+	at := memoryDir(t)
+	return func(f crashfs.Files, after int) error {
+		replaceFiles(t, at, f)
+		s, err := Open(at)
 		if err != nil {
 			return err
 		}
-		defer v.Close()
-		if aside, err := v.DamagedFiles(); err != nil || len(aside) > 0 {
+		defer s.Close()
+		if aside, err := s.DamagedFiles(); err != nil || len(aside) > 0 {
 			return fmt.Errorf("moved aside: %v %w", aside, err)
 		}
-		var holds [2]int
+		var held [2]int
 		for i, name := range []string{"config", "vote"} {
-			data, err := v.Load(name)
+			data, err := s.Load(name)
 			switch {
 			case gen == 0 && errors.Is(err, fs.ErrNotExist):
 			case err != nil:
 				return err
-			case bytes.Equal(data, blob(name, gen+1)):
-				holds[i] = gen + 1
-			case bytes.Equal(data, blob(name, gen)):
-				holds[i] = gen
+			case bytes.Equal(data, testContent(name, gen+1)):
+				held[i] = gen + 1
+			case bytes.Equal(data, testContent(name, gen)):
+				held[i] = gen
 			default:
-				return fmt.Errorf("%s has %d bytes that nobody saved", name, len(data))
+				return fmt.Errorf("%s has %d bytes that were never saved", name, len(data))
 			}
 		}
-		if holds[0] != holds[1] || after == last && holds[0] != gen+1 {
-			return fmt.Errorf("generations %v, %d was saved", holds, gen+1)
+		if held[0] != held[1] || after == last && held[0] != gen+1 {
+			return fmt.Errorf("generations %v, %d was saved", held, gen+1)
 		}
 		return nil
 	}
 }
 
-func both(gen int) map[string][]byte {
-	return map[string][]byte{"config": blob("config", gen), "vote": blob("vote", gen)}
+func bothRecords(gen int) map[string][]byte {
+	return map[string][]byte{"config": testContent("config", gen), "vote": testContent("vote", gen)}
 }
 
-// TestEachStepOfASave: after each step of one save a loss of power leaves the state before it or the new one. Without
-// one of its syncs it doesn't; but for the first of the journal, whose pages carry sums.
-func TestEachStepOfASave(t *testing.T) {
-	dir := stocked(t)
-	start := folder(t, dir)
-	steps := recorded(t, dir, func(v *Store) { must(t, v.SaveAll(both(4))) })
-	n, err := crashes(start, steps, rand.New(rand.NewPCG(1, 2)), 60, saved(t, 3, len(steps)))
-	t.Logf("%d steps, %d folders", len(steps), n)
-	if err != nil || len(steps) < 20 || n < 1000 {
+// A power loss after any change of a save leaves the old or the new state. Omitting any of the syncs breaks that,
+// except the first sync of the journal, whose pages have checksums.
+func TestPowerLossDuringSave(t *testing.T) {
+	dir := populatedDir(t)
+	initial := readFiles(t, dir)
+	changes := recordChanges(t, dir, func(s *Store) { must(t, s.SaveAll(bothRecords(4))) })
+	n, err := checkCrashes(initial, changes, rand.New(rand.NewPCG(1, 2)), 60, checkSaved(t, 3, len(changes)))
+	t.Logf("%d changes, %d cases", len(changes), n)
+	if err != nil || len(changes) < 20 || n < 1000 {
 		t.Error(err)
 	}
 	var mu sync.Mutex
-	var without []string
+	var redundant []string
 	syncs := 0
 	t.Run("without", func(t *testing.T) {
-		for i, s := range steps {
-			if s.Kind != crashfs.Sync && s.Kind != crashfs.Named {
+		for i, c := range changes {
+			if c.Kind != crashfs.Sync && c.Kind != crashfs.SyncDir {
 				continue
 			}
 			syncs++
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
-				less := slices.Delete(slices.Clone(steps), i, i+1)
-				if _, err := crashes(start, less, rand.New(rand.NewPCG(1, 2)), 8, saved(t, 3, len(less))); err == nil {
+				shortened := slices.Delete(slices.Clone(changes), i, i+1)
+				if _, err := checkCrashes(initial, shortened, rand.New(rand.NewPCG(1, 2)), 8, checkSaved(t, 3, len(shortened))); err == nil {
 					mu.Lock()
 					defer mu.Unlock()
-					without = append(without, fmt.Sprintf("%d %v", i, s))
+					redundant = append(redundant, fmt.Sprintf("%d %v", i, c))
 				}
 			})
 		}
 	})
-	if syncs != 5 || len(without) != 1 || !strings.Contains(without[0], "sync "+file+journal) {
-		t.Errorf("of %d syncs these are not missed: %v", syncs, without)
+	if syncs != 5 || len(redundant) != 1 || !strings.Contains(redundant[0], "sync "+databaseName+journalSuffix) {
+		t.Errorf("of %d syncs, omitting these had no effect: %v", syncs, redundant)
 	}
 }
 
-// TestEachStepOfTheFirst is the same for a folder that had nothing: there is no record, or the first one, and nothing
-// was moved aside, since a member whose disk had something may not found.
-func TestEachStepOfTheFirst(t *testing.T) {
+// A power loss during the first Open or Save leaves no record or the first one, and no file is moved aside: a member
+// whose disk held data may not bootstrap a cluster.
+func TestPowerLossDuringFirstSave(t *testing.T) {
 	dir := t.TempDir()
-	steps := recorded(t, dir, nil)
+	changes := recordChanges(t, dir, nil)
 	must(t, os.RemoveAll(dir))
 	dir = t.TempDir()
-	n, err := crashes(crashfs.Folder{}, steps, rand.New(rand.NewPCG(1, 2)), 60, saved(t, 0, -1))
-	t.Logf("%d steps, %d folders", len(steps), n)
+	n, err := checkCrashes(crashfs.Files{}, changes, rand.New(rand.NewPCG(1, 2)), 60, checkSaved(t, 0, -1))
+	t.Logf("%d changes, %d cases", len(changes), n)
 	if err != nil {
 		t.Error("opened: ", err)
 	}
-	v := opened(t, dir)
-	must(t, v.Close())
-	start := folder(t, dir)
-	steps = recorded(t, dir, func(v *Store) { must(t, v.SaveAll(both(1))) })
-	n, err = crashes(start, steps, rand.New(rand.NewPCG(1, 2)), 60, saved(t, 0, len(steps)))
-	t.Logf("%d steps, %d folders", len(steps), n)
+	s := openStore(t, dir)
+	must(t, s.Close())
+	initial := readFiles(t, dir)
+	changes = recordChanges(t, dir, func(s *Store) { must(t, s.SaveAll(bothRecords(1))) })
+	n, err = checkCrashes(initial, changes, rand.New(rand.NewPCG(1, 2)), 60, checkSaved(t, 0, len(changes)))
+	t.Logf("%d changes, %d cases", len(changes), n)
 	if err != nil {
 		t.Error("saved: ", err)
 	}
 }
 
-// drawn is what generation g of a record holds, of a length of its own.
-func drawn(name string, g int) []byte {
+// randomContent returns the content of generation g of a record, of a length that depends on g.
+func randomContent(name string, g int) []byte {
 	r := rand.New(rand.NewPCG(uint64(g), uint64(len(name))))
 	return bytes.Repeat([]byte(fmt.Sprintf("%s:%d;", name, g)), 1+r.IntN([]int{20, 700, 12000}[r.IntN(3)]))
 }
 
-// lose leaves of each change that was not synced it, nothing or some sectors.
-func lose(rng *rand.Rand) crashfs.Fate {
+// randomSurvivors keeps each unsynced change, loses it, or keeps some sectors of it, at random.
+func randomSurvivors(rng *rand.Rand) crashfs.Survivors {
 	full := rng.IntN(3)
-	return func(s crashfs.Step) []crashfs.Step {
+	return func(c crashfs.Change) []crashfs.Change {
 		switch k := rng.IntN(4); {
 		case k <= full:
-			return []crashfs.Step{s}
+			return []crashfs.Change{c}
 		case k == 3:
-			return crashfs.Torn(s, func(int) bool { return rng.IntN(2) == 0 })
+			return crashfs.Sectors(c, func(int) bool { return rng.IntN(2) == 0 })
 		}
 		return nil
 	}
 }
 
-// TestManySaves loses power at drawn moments of many saves, of one record or two, that grow and shrink; and again while
-// what is left is opened: the newest that Save returned for is there, or the one that was under way.
-func TestManySaves(t *testing.T) {
+// Power is lost at random moments of many saves, of one or two records of varying size, and again while the remaining
+// files are opened. Afterwards the store holds the last save that returned, or the one in progress.
+func TestPowerLossDuringManySaves(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 33))
 	dir := t.TempDir()
 	const saves = 40
-	var ends []int // steps when each save returned
-	must(t, opened(t, dir).Close())
-	start := folder(t, dir)
-	var tape []crashfs.Step
-	recorded(t, dir, func(v *Store) {
+	var ends []int // number of changes when each save returned
+	must(t, openStore(t, dir).Close())
+	initial := readFiles(t, dir)
+	var recording []crashfs.Change
+	recordChanges(t, dir, func(s *Store) {
 		for g := 1; g <= saves; g++ {
-			all := map[string][]byte{"config": drawn("config", g)}
+			all := map[string][]byte{"config": randomContent("config", g)}
 			if g%3 == 0 {
-				all["vote"] = drawn("vote", g)
+				all["vote"] = randomContent("vote", g)
 			}
-			must(t, v.SaveAll(all))
-			tape = append(tape, crashfs.Record()...)
-			ends = append(ends, len(tape))
+			must(t, s.SaveAll(all))
+			recording = append(recording, crashfs.TakeRecording()...)
+			ends = append(ends, len(recording))
 		}
 	})
-	check := func(t *testing.T, at string, f crashfs.Folder, done int) {
-		lay(t, at, f)
-		v, err := Open(at)
+	check := func(t *testing.T, at string, f crashfs.Files, done int) {
+		replaceFiles(t, at, f)
+		s, err := Open(at)
 		must(t, err)
-		defer v.Close()
-		held := 0
+		defer s.Close()
+		configGeneration := 0
 		for _, name := range []string{"config", "vote"} {
-			data, err := v.Load(name)
+			data, err := s.Load(name)
 			if errors.Is(err, fs.ErrNotExist) {
 				continue
 			}
 			must(t, err)
 			ok := false
 			for g := max(done-2, 1); g <= min(done+1, saves); g++ {
-				if name == "vote" && g%3 != 0 || !bytes.Equal(data, drawn(name, g)) {
+				if name == "vote" && g%3 != 0 || !bytes.Equal(data, randomContent(name, g)) {
 					continue
 				}
 				ok = true
 				if name == "config" {
-					held = g
-				} else if g != held-held%3 {
-					t.Fatalf("vote is of generation %d, config of %d", g, held)
+					configGeneration = g
+				} else if g != configGeneration-configGeneration%3 {
+					t.Fatalf("vote is of generation %d, config of %d", g, configGeneration)
 				}
 			}
 			if !ok {
 				t.Fatalf("%s holds none of generations %d to %d", name, done-2, done+1)
 			}
 		}
-		if held < done || held > done+1 {
-			t.Fatalf("config is of generation %d, %d was saved", held, done)
+		if configGeneration < done || configGeneration > done+1 {
+			t.Fatalf("config is of generation %d, %d was saved", configGeneration, done)
 		}
 	}
-	type end struct {
-		folder crashfs.Folder
-		done   int
+	type crashCase struct {
+		files crashfs.Files
+		done  int
 	}
-	var left []end
-	at, twice := quick(t), 0
+	var cases []crashCase
+	at, crashesDuringOpen := memoryDir(t), 0
 	for range 400 {
-		stop := rng.IntN(len(tape) + 1)
+		stop := rng.IntN(len(recording) + 1)
 		done, _ := slices.BinarySearch(ends, stop+1)
-		d := crashfs.NewDisk(start)
-		for _, s := range tape[:stop] {
-			d.Do(s)
+		d := crashfs.NewDisk(initial)
+		for _, c := range recording[:stop] {
+			d.Apply(c)
 		}
-		f := d.Crash(lose(rng))
-		left = append(left, end{f, done})
-		lay(t, at, f)
-		again := recorded(t, at, nil)
-		if len(again) == 0 {
+		f := d.Crash(randomSurvivors(rng))
+		cases = append(cases, crashCase{f, done})
+		replaceFiles(t, at, f)
+		openChanges := recordChanges(t, at, nil)
+		if len(openChanges) == 0 {
 			continue
 		}
-		twice++
+		crashesDuringOpen++
 		d = crashfs.NewDisk(f)
-		for _, s := range again[:rng.IntN(len(again)+1)] {
-			d.Do(s)
+		for _, c := range openChanges[:rng.IntN(len(openChanges)+1)] {
+			d.Apply(c)
 		}
-		left = append(left, end{d.Crash(lose(rng)), done})
+		cases = append(cases, crashCase{d.Crash(randomSurvivors(rng)), done})
 	}
 	t.Run("opened", func(t *testing.T) {
-		for part := range slices.Chunk(left, 50) {
+		for part := range slices.Chunk(cases, 50) {
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
-				at := quick(t)
+				at := memoryDir(t)
 				for _, e := range part {
-					check(t, at, e.folder, e.done)
+					check(t, at, e.files, e.done)
 				}
 			})
 		}
 	})
-	t.Logf("%d steps of %d saves, %d times power was lost again while it opened", len(tape), saves, twice)
-	if twice < 50 {
-		t.Errorf("power was lost while it opened %d times", twice)
+	t.Logf("%d changes of %d saves, %d times power was lost again during Open", len(recording), saves, crashesDuringOpen)
+	if crashesDuringOpen < 50 {
+		t.Errorf("power was lost during Open %d times, want at least 50", crashesDuringOpen)
 	}
 }
--- a/internal/storage/database.go
+++ b/internal/storage/database.go
@@ -11,9 +11,10 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// pragmas suit one process alone on a small disk: no log beside the database, whose
-// index would need memory that processes have in common; every step synced; a journal
-// that stays, since removing a file lasts only once its folder is synced too.
+// pragmas configure SQLite for a single process on a small disk: no write-ahead log,
+// whose index would need shared memory; a sync at every step of a transaction; and a
+// journal that is truncated rather than deleted, since a deletion is durable only once
+// the directory is synced too.
 const pragmas = `
 PRAGMA page_size = 4096;
 PRAGMA locking_mode = EXCLUSIVE;
@@ -25,17 +26,17 @@
 PRAGMA synchronous = EXTRA;
 PRAGMA journal_mode = TRUNCATE;`
 
-// vfs is the file system that SQLite works on: its own, without locks.
+// vfs is the SQLite VFS in use: the standard Unix one without file locks. Tests replace it.
 var vfs = "unix-none"
 
 const pageSize = 4096
 
-// mark tells our files from those of other programs (application_id).
-const mark = 0x61767431
+// applicationID distinguishes our files from those of other programs.
+const applicationID = 0x61767431
 
-var stamp = fmt.Sprintf("PRAGMA application_id = %d; PRAGMA user_version = %d", mark, format)
+var setVersion = fmt.Sprintf("PRAGMA application_id = %d; PRAGMA user_version = %d", applicationID, formatVersion)
 
-// connector opens the one connection with its pragmas set.
+// connector opens connections through a driver that sets the pragmas.
 type connector struct {
 	dsn    string
 	driver *sqlite3.SQLiteDriver
@@ -44,8 +45,8 @@
 func (c connector) Connect(context.Context) (driver.Conn, error) { return c.driver.Open(c.dsn) }
 func (c connector) Driver() driver.Driver                        { return c.driver }
 
-// connect opens a file; flags are further parameters of its address. No locks are
-// asked for: they would have no effect.
+// connect opens a database file; flags are appended to its URI parameters. It requests
+// no locks: the VFS ignores them.
 func connect(path, flags string) (*sql.DB, error) {
 	dsn := "file:" + (&url.URL{Path: path}).EscapedPath() + "?vfs=" + vfs + flags
 	db := sql.OpenDB(connector{dsn, &sqlite3.SQLiteDriver{
@@ -59,32 +60,32 @@
 	return db, db.Ping()
 }
 
-// steps bring a file from format i to i+1. They stay as they are; new ones are added.
-var steps = [format]string{`
+// migrations[i] upgrades a file from format i to i+1. Never change an entry; append new ones.
+var migrations = [formatVersion]string{`
 CREATE TABLE even (name TEXT PRIMARY KEY, gen INTEGER, crc INTEGER, data BLOB) WITHOUT ROWID;
 CREATE TABLE odd (name TEXT PRIMARY KEY, gen INTEGER, crc INTEGER, data BLOB) WITHOUT ROWID;`,
 }
 
-// settle checks whose file it is, and brings it to the format of this program.
-func settle(path string, db *sql.DB) error {
-	var have, owner, objects int
+// migrate verifies that the file is ours and upgrades it to the current format.
+func migrate(path string, db *sql.DB) error {
+	var version, appID, objects int
 	err := db.QueryRow(`SELECT (SELECT user_version FROM pragma_user_version),
 		(SELECT application_id FROM pragma_application_id),
-		(SELECT count(*) FROM sqlite_schema)`).Scan(&have, &owner, &objects)
+		(SELECT count(*) FROM sqlite_schema)`).Scan(&version, &appID, &objects)
 	if err != nil {
 		return err
 	}
-	empty := have == 0 && owner == 0 && objects == 0
-	if owner != mark && !empty {
+	empty := version == 0 && appID == 0 && objects == 0
+	if appID != applicationID && !empty {
 		return errors.New("not one of our files")
 	}
-	if have > 255 {
-		return fmt.Errorf("no such format: %d", have)
+	if version > 255 {
+		return fmt.Errorf("no such format: %d", version)
 	}
-	if have > format {
-		return &FormatError{path, have, format}
+	if version > formatVersion {
+		return &FormatError{path, version, formatVersion}
 	}
-	if have == format {
+	if version == formatVersion {
 		return nil
 	}
 	tx, err := db.Begin()
@@ -92,17 +93,17 @@
 		return err
 	}
 	defer tx.Rollback()
-	for _, step := range steps[have:] {
-		if _, err := tx.Exec(step); err != nil {
+	for _, migration := range migrations[version:] {
+		if _, err := tx.Exec(migration); err != nil {
 			return err
 		}
 	}
 	if empty {
-		if err := writeRoster(tx, nil); err != nil {
+		if err := writeNameIndex(tx, nil); err != nil {
 			return err
 		}
 	}
-	if _, err := tx.Exec(stamp); err != nil {
+	if _, err := tx.Exec(setVersion); err != nil {
 		return err
 	}
 	return tx.Commit()
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -8,7 +8,7 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// DamagedError tells that a record, or with no Name a whole file, can't be believed.
+// DamagedError reports that a record, or the whole file if Name is empty, is corrupt.
 type DamagedError struct{ Path, Name, Reason string }
 
 func (e *DamagedError) Error() string {
@@ -18,22 +18,24 @@
 	return fmt.Sprintf("%s: record %q: damaged: %s", e.Path, e.Name, e.Reason)
 }
 
-// RolledBackError comes with the one good generation of a record whose other one is lost.
-// Which of them was newer can't be told any more, so the data may be the last but one.
+// RolledBackError is returned along with the one intact generation of a record whose
+// other generation is lost. Which of the two was newer is unknown, so the data may be
+// that of the last save but one.
 type RolledBackError struct{ Path, Name, Reason string }
 
 func (e *RolledBackError) Error() string {
 	return fmt.Sprintf("%s: record %q: stepped back: %s", e.Path, e.Name, e.Reason)
 }
 
-// NotFoundError tells that a record was never saved. It is fs.ErrNotExist too.
+// NotFoundError reports that a record was never saved. It matches fs.ErrNotExist.
 type NotFoundError struct{ Path, Name string }
 
 func (e *NotFoundError) Error() string { return fmt.Sprintf("%s: no record %q", e.Path, e.Name) }
 
 func (e *NotFoundError) Is(err error) bool { return err == fs.ErrNotExist }
 
-// FormatError tells that a file is of a later version of the program. It is left as it is.
+// FormatError reports that a file was written by a later version of the program. The
+// file is left unchanged.
 type FormatError struct {
 	Path       string
 	Have, Want int
@@ -43,7 +45,7 @@
 	return fmt.Sprintf("%s: format %d, this program knows up to %d", e.Path, e.Have, e.Want)
 }
 
-// IOError tells that the disk refused: nothing is known to be damaged.
+// IOError reports that the disk failed an operation; no data is known to be damaged.
 type IOError struct {
 	Path, Op string
 	Err      error
@@ -53,15 +55,15 @@
 
 func (e *IOError) Unwrap() error { return e.Err }
 
-// refused tells a disk in trouble from a damaged file. Only the disk's own refusals
-// count as such: what else SQLite says of a file we wrote, damage made it say.
-func refused(err error) bool {
+// isIOError distinguishes a failing disk from a damaged file. Any SQLite error that
+// does not come from the disk itself is attributed to damage, since we wrote the file.
+func isIOError(err error) bool {
 	var se sqlite3.Error
 	if !errors.As(err, &se) {
 		return false
 	}
 	if se.ExtendedCode == sqlite3.ErrIoErrShortRead {
-		return false // the file ends before what it should hold
+		return false // the file is truncated
 	}
 	switch se.Code {
 	case sqlite3.ErrCorrupt, sqlite3.ErrNotADB, sqlite3.ErrError, sqlite3.ErrMismatch, sqlite3.ErrFormat:
--- a/internal/storage/inspect.go
+++ b/internal/storage/inspect.go
@@ -7,79 +7,79 @@
 	"path/filepath"
 )
 
-// Inspection is what a start would find in a folder.
+// Inspection describes what Open would find in a directory.
 type Inspection struct {
 	Path         string
 	Bytes        int64
-	Reason       string // is damaged in the file as a whole; empty: nothing
+	Reason       string // why the file as a whole is damaged; empty if it is not
 	Records      []Record
-	DamagedFiles []string // damaged files that were moved aside before
+	DamagedFiles []string // damaged files that earlier repairs moved aside
 }
 
-// Record is one of them, as Load would return it.
+// Record is a record as Load would return it.
 type Record struct {
 	Name string
 	Data []byte
-	Err  error // *RolledBackError with data, *DamagedError without
+	Err  error // *RolledBackError if Data is set, else *DamagedError
 }
 
-// Intact tells whether nothing is in doubt.
-func (f *Inspection) Intact() bool {
-	for _, r := range f.Records {
+// Intact reports whether neither the file nor any record is damaged.
+func (i *Inspection) Intact() bool {
+	for _, r := range i.Records {
 		if r.Err != nil {
 			return false
 		}
 	}
-	return f.Reason == ""
+	return i.Reason == ""
 }
 
-// Inspect does what Open would do, on a copy elsewhere: the folder stays as it is. Nobody
-// may have it open.
+// Inspect does what Open would do, but on a temporary copy, so that the directory is
+// left unchanged. No process may have it open.
 func Inspect(dir string) (*Inspection, error) {
-	path := filepath.Join(dir, file)
+	path := filepath.Join(dir, databaseName)
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, &IOError{path, "looking", err}
 	}
-	to, err := os.MkdirTemp("", "vault-look-")
+	tempDir, err := os.MkdirTemp("", "vault-look-")
 	if err != nil {
 		return nil, &IOError{path, "looking", err}
 	}
-	defer os.RemoveAll(to)
-	for _, suffix := range []string{"", journal} {
-		if err := copyAs(path+suffix, filepath.Join(to, file+suffix)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	defer os.RemoveAll(tempDir)
+	for _, suffix := range []string{"", journalSuffix} {
+		if err := copyAs(path+suffix, filepath.Join(tempDir, databaseName+suffix)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return nil, &IOError{path + suffix, "looking", err}
 		}
 	}
-	f := &Inspection{Path: path, Bytes: info.Size()}
-	if f.DamagedFiles, err = (&Store{path: path}).DamagedFiles(); err != nil {
+	inspection := &Inspection{Path: path, Bytes: info.Size()}
+	if inspection.DamagedFiles, err = (&Store{path: path}).DamagedFiles(); err != nil {
 		return nil, err
 	}
-	v, err := Open(to)
-	var newer *FormatError
-	var damaged *DamagedError
+	s, err := Open(tempDir)
+	var formatErr *FormatError
+	var damagedErr *DamagedError
 	switch {
-	case errors.As(err, &newer):
-		newer.Path = path
-	case errors.As(err, &damaged):
-		f.Reason = damaged.Reason
+	case errors.As(err, &formatErr):
+		formatErr.Path = path
+	case errors.As(err, &damagedErr):
+		inspection.Reason = damagedErr.Reason
 	}
-	if v == nil {
+	if s == nil {
 		return nil, err
 	}
-	defer v.Close()
-	for _, name := range v.Names() {
+	defer s.Close()
+	for _, name := range s.Names() {
 		r := Record{Name: name}
-		r.Data, r.Err = v.Load(name)
+		r.Data, r.Err = s.Load(name)
 		switch e := r.Err.(type) {
 		case *DamagedError:
 			e.Path = path
 		case *RolledBackError:
 			e.Path = path
 		}
-		f.Records = append(f.Records, r)
+		inspection.Records = append(inspection.Records, r)
 	}
-	return f, nil
+	return inspection, nil
 }
 
 func copyAs(from, to string) error {
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -8,35 +8,35 @@
 	"hash/crc32"
 )
 
-// A record has two generations, in two tables: generation g is in table g%2, so that
-// each save replaces the older one and a damaged page takes one of them at most.
-// A record is born with an empty generation 0, so that a missing row always means
-// that something was lost.
+// tables hold the two latest generations of each record: generation g is in table g%2,
+// so that each save replaces the older one and a damaged page affects at most one of
+// them. A new record starts with an empty generation 0, so that a missing row always
+// means data loss.
 var tables = [2]string{"even", "odd"}
 
-// roster is the record that lists the names of the others: without it a record whose
-// rows are both gone would look as if it had never been.
-const roster = ""
+// nameIndex is the name of the record that lists the names of all others. Without it, a
+// record that lost both rows would look as if it had never been saved.
+const nameIndex = ""
 
-type state uint8
+type rowState uint8
 
 const (
-	missing state = iota
-	bad
-	good
+	missing rowState = iota
+	corrupt
+	intact
 )
 
-// row is what one table has of a record.
+// row is one table's generation of a record.
 type row struct {
-	state state
-	why   string
-	gen   uint64
-	data  []byte
+	state   rowState
+	problem string // why state is not intact
+	gen     uint64
+	data    []byte
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func sum(name string, gen uint64, data []byte) uint32 {
+func checksum(name string, gen uint64, data []byte) uint32 {
 	head := binary.BigEndian.AppendUint64(nil, gen)
 	head = binary.BigEndian.AppendUint32(head, uint32(len(name)))
 	head = append(head, name...)
@@ -49,7 +49,7 @@
 	Exec(query string, args ...any) (sql.Result, error)
 }
 
-// readRow fails only where the disk refuses; damage is a state of the row.
+// readRow returns an error only if the disk fails; damage is reported as the row's state.
 func readRow(q querier, table int, name string) (row, error) {
 	var gen, crc int64
 	var data []byte
@@ -57,17 +57,17 @@
 		Scan(&gen, &crc, &data)
 	switch {
 	case errors.Is(err, sql.ErrNoRows):
-		return row{why: "its row is gone"}, nil
-	case err != nil && refused(err):
+		return row{problem: "its row is gone"}, nil
+	case err != nil && isIOError(err):
 		return row{}, err
 	case err != nil:
-		return row{state: bad, why: err.Error()}, nil
+		return row{state: corrupt, problem: err.Error()}, nil
 	case gen < 0 || gen%2 != int64(table):
-		return row{state: bad, why: fmt.Sprintf("generation %d in table %s", gen, tables[table])}, nil
-	case int64(sum(name, uint64(gen), data)) != crc:
-		return row{state: bad, why: "its checksum differs"}, nil
+		return row{state: corrupt, problem: fmt.Sprintf("generation %d in table %s", gen, tables[table])}, nil
+	case int64(checksum(name, uint64(gen), data)) != crc:
+		return row{state: corrupt, problem: "its checksum differs"}, nil
 	}
-	return row{state: good, gen: uint64(gen), data: data}, nil
+	return row{state: intact, gen: uint64(gen), data: data}, nil
 }
 
 func writeRow(q querier, name string, gen uint64, data []byte) error {
@@ -75,14 +75,14 @@
 		data = []byte{}
 	}
 	_, err := q.Exec("REPLACE INTO "+tables[gen%2]+" (name, gen, crc, data) VALUES (?, ?, ?, ?)",
-		name, int64(gen), int64(sum(name, gen, data)), data)
+		name, int64(gen), int64(checksum(name, gen, data)), data)
 	return err
 }
 
-// pair is both generations of a record.
-type pair [2]row
+// generationPair is both generations of a record, by table.
+type generationPair [2]row
 
-func readPair(q querier, name string) (p pair, err error) {
+func readPair(q querier, name string) (p generationPair, err error) {
 	for i := range p {
 		if p[i], err = readRow(q, i, name); err != nil {
 			return p, err
@@ -91,22 +91,22 @@
 	return p, nil
 }
 
-// newest is the good row with the highest generation, and whether that is beyond
-// doubt. A row of generation 0 holds nothing.
-func (p pair) newest() (r row, sure bool) {
+// newest returns the intact row with the highest generation, ignoring the empty
+// generation 0. confirmed is false if the other row is lost: it may have been newer.
+func (p generationPair) newest() (r row, confirmed bool) {
 	for _, c := range p {
-		if c.state == good && c.gen > 0 && (r.state != good || c.gen > r.gen) {
+		if c.state == intact && c.gen > 0 && (r.state != intact || c.gen > r.gen) {
 			r = c
 		}
 	}
-	return r, p[0].state == good && p[1].state == good
+	return r, p[0].state == intact && p[1].state == intact
 }
 
-// trouble says what is wrong with the rows that aren't good.
-func (p pair) trouble() string {
+// problem describes the first row that is not intact.
+func (p generationPair) problem() string {
 	for i, c := range p {
-		if c.state != good {
-			return "table " + tables[i] + ": " + c.why
+		if c.state != intact {
+			return "table " + tables[i] + ": " + c.problem
 		}
 	}
 	return "no generation was saved"
--- a/internal/storage/repair.go
+++ b/internal/storage/repair.go
@@ -11,108 +11,109 @@
 	"strings"
 )
 
-// The file beside the database that SQLite keeps, and those that mending makes.
+// Suffixes of SQLite's rollback journal and of the files that a repair creates.
 const (
-	journal = "-journal"
-	fresh   = ".new"
-	revived = ".revived"
+	journalSuffix   = "-journal"
+	newSuffix       = ".new"
+	recoveredSuffix = ".revived"
 )
 
-// Where the first page keeps the number of pages, and the most we believe (64 MB).
+// Offset of the page count in the first page, and the highest count that a repair
+// trusts (64 MB).
 const (
-	countAt  = 28
-	maxPages = 64 << 20 / pageSize
+	pageCountOffset = 28
+	maxPages        = 64 << 20 / pageSize
 )
 
-// mend moves a damaged file aside and puts one in its place that has all that is good
-// in it. A record of which one row is good keeps just that row, so that Load goes on
-// telling that it stepped back.
-func mend(path string, v *Store, what string) (*Store, error) {
-	if len(v.gens) == 0 {
-		if p := revive(path); p != nil {
-			v.db.Close()
-			v = p
+// repair moves a damaged file aside and replaces it with a new one that contains every
+// intact row. A record with one intact row keeps only that row, so that Load continues
+// to return *RolledBackError for it.
+func repair(path string, s *Store, damage string) (*Store, error) {
+	if len(s.generations) == 0 {
+		if recovered := recoverCopy(path); recovered != nil {
+			s.db.Close()
+			s = recovered
 		}
 	}
-	err := rescue(path+fresh, v)
-	if err = errors.Join(err, v.db.Close()); err != nil {
+	err := salvage(path+newSuffix, s)
+	if err = errors.Join(err, s.db.Close()); err != nil {
 		return nil, err
 	}
-	aside, err := setAside(path)
+	aside, err := moveAside(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := move(path+fresh, path); err != nil {
+	if err := renameDatabase(path+newSuffix, path); err != nil {
 		return nil, err
 	}
-	if err := discard(path + revived); err != nil {
+	if err := removeDatabase(path + recoveredSuffix); err != nil {
 		return nil, err
 	}
-	n, again, err := open(path)
-	if err == nil && again != "" {
-		err = &DamagedError{path, "", "damaged again: " + again}
+	repaired, stillDamaged, err := open(path)
+	if err == nil && stillDamaged != "" {
+		err = &DamagedError{path, "", "damaged again: " + stillDamaged}
 	}
 	if err != nil {
 		return nil, err
 	}
-	return n, &DamagedError{aside, "", what}
+	return repaired, &DamagedError{aside, "", damage}
 }
 
-// revive opens a copy of a file that can't be read at all, with what all else hangs on
-// put right: its length, if it was cut short, and the first page, which is the same in
-// each file of a format but for the number of pages. It returns nil if that is no help.
-func revive(path string) *Store {
+// recoverCopy opens a copy of an unreadable file after restoring what reading depends
+// on: the length, if the file was truncated, and the first page, which is the same in
+// each file of a format except for the page count. It returns nil if that does not help.
+func recoverCopy(path string) *Store {
 	src, err := os.Open(path)
 	if err != nil {
 		return nil
 	}
 	defer src.Close()
 	info, err := src.Stat()
-	if err != nil || discard(path+revived) != nil || copyFile(src, path+revived) != nil {
+	if err != nil || removeDatabase(path+recoveredSuffix) != nil || copyFile(src, path+recoveredSuffix) != nil {
 		return nil
 	}
-	var told [4]byte
-	if _, err := src.ReadAt(told[:], countAt); err != nil {
+	var count [4]byte
+	if _, err := src.ReadAt(count[:], pageCountOffset); err != nil {
 		return nil
 	}
 	pages := (info.Size() + pageSize - 1) / pageSize
-	if n := int64(binary.BigEndian.Uint32(told[:])); n > pages && n <= maxPages {
+	if n := int64(binary.BigEndian.Uint32(count[:])); n > pages && n <= maxPages {
 		pages = n
 	}
-	head, err := firstPage(path + fresh)
+	page, err := emptyFirstPage(path + newSuffix)
 	if err != nil {
 		return nil
 	}
-	binary.BigEndian.PutUint32(head[countAt:], uint32(pages))
-	f, err := os.OpenFile(path+revived, os.O_RDWR, 0)
+	binary.BigEndian.PutUint32(page[pageCountOffset:], uint32(pages))
+	f, err := os.OpenFile(path+recoveredSuffix, os.O_RDWR, 0)
 	if err != nil {
 		return nil
 	}
-	_, err = f.WriteAt(head, 0)
+	_, err = f.WriteAt(page, 0)
 	if err = errors.Join(err, f.Truncate(pages*pageSize), f.Close()); err != nil {
 		return nil
 	}
-	v, _, err := open(path + revived)
+	s, _, err := open(path + recoveredSuffix)
 	if err != nil {
 		return nil
 	}
-	return v
+	return s
 }
 
-// firstPage is that of a file with nothing in it, made at path for the purpose.
-func firstPage(path string) ([]byte, error) {
+// emptyFirstPage creates an empty database at path and returns its first page.
+func emptyFirstPage(path string) ([]byte, error) {
 	db, err := connect(path, "")
 	if err == nil {
-		err = settle(path, db)
+		err = migrate(path, db)
 	}
 	if err = errors.Join(err, db.Close()); err != nil {
 		return nil, err
 	}
-	text, err := os.ReadFile(path)
-	if err != nil || len(text) < pageSize {
+	content, err := os.ReadFile(path)
+	if err != nil || len(content) < pageSize {
 		return nil, errors.Join(err, io.ErrUnexpectedEOF)
 	}
-	return text[:pageSize], nil
+	return content[:pageSize], nil
 }
 
 func copyFile(src *os.File, to string) error {
@@ -128,15 +129,15 @@
 	return err
 }
 
-// rescue writes what is good of a vault to a new file.
-func rescue(path string, from *Store) error {
-	if err := discard(path); err != nil {
+// salvage copies the intact rows of a store to a new file.
+func salvage(path string, from *Store) error {
+	if err := removeDatabase(path); err != nil {
 		return err
 	}
 	db, err := connect(path, "")
 	if err == nil {
 		defer db.Close()
-		err = settle(path, db)
+		err = migrate(path, db)
 	}
 	if err != nil {
 		return &IOError{path, "mending", err}
@@ -146,13 +147,13 @@
 		return &IOError{path, "mending", err}
 	}
 	defer tx.Rollback()
-	for name := range from.gens {
+	for name := range from.generations {
 		p, err := readPair(from.db, name)
 		if err != nil {
 			return &IOError{from.path, "reading", err}
 		}
 		for _, r := range p {
-			if r.state != good {
+			if r.state != intact {
 				continue
 			}
 			if err := writeRow(tx, name, r.gen, r.data); err != nil {
@@ -160,7 +161,7 @@
 			}
 		}
 	}
-	if err := writeRoster(tx, from.gens); err != nil {
+	if err := writeNameIndex(tx, from.generations); err != nil {
 		return &IOError{path, "mending", err}
 	}
 	if err := tx.Commit(); err != nil {
@@ -169,55 +170,55 @@
 	return nil
 }
 
-// tidy ends what a mending that was cut off began. While the database stands, a new
-// file beside it may be half done; once it was moved aside, the new one is whole.
-func tidy(path string) error {
-	if err := discard(path + revived); err != nil {
+// finishRepair completes or undoes an interrupted repair. As long as the database is in
+// place, the new file may be incomplete; once the database was moved aside, it is complete.
+func finishRepair(path string) error {
+	if err := removeDatabase(path + recoveredSuffix); err != nil {
 		return err
 	}
 	if exists(path) {
-		return discard(path + fresh)
+		return removeDatabase(path + newSuffix)
 	}
-	if filled(path + journal) {
-		// Left alone, SQLite would remove it as belonging to nothing.
-		if _, err := setAside(path); err != nil {
+	if nonEmpty(path + journalSuffix) {
+		// SQLite would delete a journal without a database.
+		if _, err := moveAside(path); err != nil {
 			return err
 		}
 	}
-	if exists(path + fresh) {
-		return move(path+fresh, path)
+	if exists(path + newSuffix) {
+		return renameDatabase(path+newSuffix, path)
 	}
 	return nil
 }
 
-// setAside renames a database and its journal, unless that is empty, to the next free
-// name, and returns it.
-func setAside(path string) (string, error) {
+// moveAside renames a database, and its journal unless that is empty, to the next
+// unused name, and returns that name.
+func moveAside(path string) (string, error) {
 	aside := ""
-	for n := 1; aside == "" || exists(aside) || exists(aside+journal); n++ {
+	for n := 1; aside == "" || exists(aside) || exists(aside+journalSuffix); n++ {
 		aside = fmt.Sprintf("%s.damaged-%d", path, n)
 	}
-	for _, suffix := range []string{"", journal} {
-		if suffix == journal && !filled(path+journal) {
+	for _, suffix := range []string{"", journalSuffix} {
+		if suffix == journalSuffix && !nonEmpty(path+journalSuffix) {
 			break
 		}
 		if err := os.Rename(path+suffix, aside+suffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return "", &IOError{path + suffix, "moving aside", err}
 		}
 	}
-	return aside, syncFolder(path)
+	return aside, syncDir(path)
 }
 
-// DamagedFiles lists the damaged files that were moved aside, also by earlier starts.
-func (v *Store) DamagedFiles() ([]string, error) {
-	entries, err := os.ReadDir(filepath.Dir(v.path))
+// DamagedFiles lists the damaged files that this and earlier repairs moved aside.
+func (s *Store) DamagedFiles() ([]string, error) {
+	entries, err := os.ReadDir(filepath.Dir(s.path))
 	if err != nil {
-		return nil, &IOError{filepath.Dir(v.path), "listing", err}
+		return nil, &IOError{filepath.Dir(s.path), "listing", err}
 	}
 	var found []string
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), filepath.Base(v.path)+".damaged-") && !strings.HasSuffix(e.Name(), journal) {
-			found = append(found, filepath.Join(filepath.Dir(v.path), e.Name()))
+		if strings.HasPrefix(e.Name(), filepath.Base(s.path)+".damaged-") && !strings.HasSuffix(e.Name(), journalSuffix) {
+			found = append(found, filepath.Join(filepath.Dir(s.path), e.Name()))
 		}
 	}
 	return found, nil
@@ -228,14 +229,14 @@
 	return err == nil
 }
 
-func filled(path string) bool {
+func nonEmpty(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.Size() > 0
 }
 
-// discard removes a file of our own making, and its journal.
-func discard(path string) error {
-	for _, p := range []string{path, path + journal} {
+// removeDatabase deletes a database file and its journal, if they exist.
+func removeDatabase(path string) error {
+	for _, p := range []string{path, path + journalSuffix} {
 		if err := os.Remove(p); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return &IOError{p, "removing", err}
 		}
@@ -243,19 +244,19 @@
 	return nil
 }
 
-// move puts a database that is closed under another name, for good. Its journal is
-// empty by then, and goes first: under the new name it would be taken for a live one.
-func move(from, to string) error {
-	if err := os.Remove(from + journal); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return &IOError{from + journal, "removing", err}
+// renameDatabase durably renames a closed database. Its journal is empty by then and is
+// removed first instead of renamed along: SQLite could take it for a hot journal.
+func renameDatabase(from, to string) error {
+	if err := os.Remove(from + journalSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return &IOError{from + journalSuffix, "removing", err}
 	}
 	if err := os.Rename(from, to); err != nil {
 		return &IOError{from, "renaming", err}
 	}
-	return syncFolder(to)
+	return syncDir(to)
 }
 
-func syncFolder(path string) error {
+func syncDir(path string) error {
 	dir, err := os.Open(filepath.Dir(path))
 	if err == nil {
 		defer dir.Close()
--- a/internal/storage/scan.go
+++ b/internal/storage/scan.go
@@ -8,78 +8,80 @@
 	"slices"
 )
 
-// survey reads everything there is, and returns what is damaged in a way that a later
-// save wouldn't put right. A record with a row missing is no such damage.
-func (v *Store) survey() (what string, err error) {
-	var verdict string
-	if err := v.db.QueryRow("PRAGMA quick_check(1)").Scan(&verdict); err != nil {
-		if refused(err) {
-			return "", &IOError{v.path, "checking", err}
+// scan reads the whole file, fills s.generations and describes any damage that a later
+// save would not repair. A missing row of a record is not reported: the next saves
+// replace it.
+func (s *Store) scan() (damage string, err error) {
+	var checkResult string
+	if err := s.db.QueryRow("PRAGMA quick_check(1)").Scan(&checkResult); err != nil {
+		if isIOError(err) {
+			return "", &IOError{s.path, "checking", err}
 		}
-		what = err.Error()
-	} else if verdict != "ok" {
-		what = verdict
+		damage = err.Error()
+	} else if checkResult != "ok" {
+		damage = checkResult
 	}
-	named, spoiled, err := v.listed()
+	named, namesDamage, err := s.readNames()
 	if err != nil {
-		return "", &IOError{v.path, "listing", err}
+		return "", &IOError{s.path, "listing", err}
 	}
-	what = cmp.Or(what, spoiled)
-	v.gens = make(map[string]uint64, len(named))
+	damage = cmp.Or(damage, namesDamage)
+	s.generations = make(map[string]uint64, len(named))
 	for _, name := range slices.Sorted(maps.Keys(named)) {
-		p, err := readPair(v.db, name)
+		p, err := readPair(s.db, name)
 		if err != nil {
-			return "", &IOError{v.path, "reading", err}
+			return "", &IOError{s.path, "reading", err}
 		}
 		r, _ := p.newest()
-		if p[0].state == bad || p[1].state == bad || !named[name] {
-			what = cmp.Or(what, fmt.Sprintf("record %q: %s", name, p.trouble()))
+		if p[0].state == corrupt || p[1].state == corrupt || !named[name] {
+			damage = cmp.Or(damage, fmt.Sprintf("record %q: %s", name, p.problem()))
 		}
-		if named[name] || r.state == good {
-			v.gens[name] = r.gen
+		if named[name] || r.state == intact {
+			s.generations[name] = r.gen
 		}
 	}
-	return what, nil
+	return damage, nil
 }
 
-// listed has the names that the roster lists, as true, and others that the tables
-// have: a name that damage has changed, or one that a lost roster listed. It returns
-// what else is damaged.
-func (v *Store) listed() (named map[string]bool, what string, err error) {
+// readNames returns the record names in the name index (as true) and those found only in
+// the tables (as false): a name changed by damage, or one that a lost index listed. It
+// also describes any damage to the tables or the index.
+func (s *Store) readNames() (named map[string]bool, damage string, err error) {
 	named = map[string]bool{}
 	for _, t := range tables {
 		for _, order := range []string{"ASC", "DESC"} {
-			if err := v.scan(t, order, named); err != nil && refused(err) {
+			if err := s.scanTable(t, order, named); err != nil && isIOError(err) {
 				return nil, "", err
 			} else if err != nil {
-				what = err.Error()
+				damage = err.Error()
 			}
 		}
 	}
-	p, err := readPair(v.db, roster)
+	p, err := readPair(s.db, nameIndex)
 	if err != nil {
 		return nil, "", err
 	}
-	r, sure := p.newest()
-	if !sure {
-		what = cmp.Or(what, "the roster: "+p.trouble())
+	r, confirmed := p.newest()
+	if !confirmed {
+		damage = cmp.Or(damage, "the roster: "+p.problem())
 	}
-	if r.state == good {
+	if r.state == intact {
 		var list []string
 		if err := json.Unmarshal(r.data, &list); err != nil {
-			what = cmp.Or(what, "the roster: "+err.Error())
+			damage = cmp.Or(damage, "the roster: "+err.Error())
 		}
 		for _, name := range list {
 			named[name] = true
 		}
 	}
-	delete(named, roster)
-	return named, what, nil
+	delete(named, nameIndex)
+	return named, damage, nil
 }
 
-// scan adds the names of a table as far as it can be read in one direction.
-func (v *Store) scan(table, order string, names map[string]bool) error {
-	rows, err := v.db.Query("SELECT name FROM " + table + " ORDER BY name " + order)
+// scanTable adds the names of a table, in the given order, until a row is unreadable. Both
+// orders together reach the rows on either side of a damaged page.
+func (s *Store) scanTable(table, order string, names map[string]bool) error {
+	rows, err := s.db.Query("SELECT name FROM " + table + " ORDER BY name " + order)
 	if err != nil {
 		return err
 	}
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -6,33 +6,34 @@
 	"os"
 )
 
-// Snapshot writes a copy of all records to path, which must not exist. The copy has
-// been read back when it returns.
-func (v *Store) Snapshot(path string) error {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+// Snapshot writes a copy of all records to path, which must not exist, and verifies the
+// copy by reading it back.
+func (s *Store) Snapshot(path string) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if exists(path) {
 		return &IOError{path, "copying", fs.ErrExist}
 	}
-	part := path + fresh
-	if err := discard(part); err != nil {
+	partial := path + newSuffix
+	if err := removeDatabase(partial); err != nil {
 		return err
 	}
-	if _, err := v.db.Exec("VACUUM INTO ?", part); err != nil {
-		return &IOError{part, "copying", errors.Join(err, discard(part))}
+	if _, err := s.db.Exec("VACUUM INTO ?", partial); err != nil {
+		return &IOError{partial, "copying", errors.Join(err, removeDatabase(partial))}
 	}
-	if _, err := readCopy(part); err != nil {
-		return errors.Join(err, discard(part))
+	if _, err := readCopy(partial); err != nil {
+		return errors.Join(err, removeDatabase(partial))
 	}
-	if err := syncFile(part); err != nil {
+	if err := syncFile(partial); err != nil {
 		return err
 	}
-	return move(part, path)
+	return renameDatabase(partial, path)
 }
 
-// Restore replaces all records by those of a copy, at once: a copy with anything in it
-// that can't be read is refused, and the old state stays. change may alter them before.
-func (v *Store) Restore(path string, change func(records map[string][]byte) error) error {
+// Restore atomically replaces all records with those of a snapshot. If any part of the
+// snapshot is unreadable, it returns an error and changes nothing. A non-nil change may
+// modify the records before they are written.
+func (s *Store) Restore(path string, change func(records map[string][]byte) error) error {
 	records, err := readCopy(path)
 	if err == nil && change != nil {
 		err = change(records)
@@ -40,52 +41,52 @@
 	if err != nil {
 		return err
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if err := v.refresh(); err != nil {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.rescan(); err != nil {
 		return err
 	}
 	var drop []string
-	for name := range v.gens {
+	for name := range s.generations {
 		if _, ok := records[name]; !ok {
 			drop = append(drop, name)
 		}
 	}
-	return v.write(records, drop)
+	return s.write(records, drop)
 }
 
-// readCopy reads all of a copy without writing to it or beside it.
+// readCopy reads all records of a snapshot without creating or changing any file.
 func readCopy(path string) (map[string][]byte, error) {
 	if !exists(path) {
 		return nil, &IOError{path, "reading the copy", fs.ErrNotExist}
 	}
 	db, err := connect(path, "&mode=ro&immutable=1")
-	var have, owner int
+	var version, appID int
 	if err != nil {
 		db.Close()
 	} else {
 		defer db.Close()
 		err = db.QueryRow(`SELECT (SELECT user_version FROM pragma_user_version),
-			(SELECT application_id FROM pragma_application_id)`).Scan(&have, &owner)
+			(SELECT application_id FROM pragma_application_id)`).Scan(&version, &appID)
 	}
-	if err != nil && refused(err) {
+	if err != nil && isIOError(err) {
 		return nil, &IOError{path, "reading the copy", err}
 	} else if err != nil {
 		return nil, &DamagedError{path, "", err.Error()}
 	}
-	if owner != mark || have != format {
-		return nil, &FormatError{path, have, format}
+	if appID != applicationID || version != formatVersion {
+		return nil, &FormatError{path, version, formatVersion}
 	}
-	c := &Store{path: path, db: db}
-	if what, err := c.survey(); err != nil {
+	snapshot := &Store{path: path, db: db}
+	if damage, err := snapshot.scan(); err != nil {
 		return nil, err
-	} else if what != "" {
-		return nil, &DamagedError{path, "", what}
+	} else if damage != "" {
+		return nil, &DamagedError{path, "", damage}
 	}
-	records := make(map[string][]byte, len(c.gens))
-	for name := range c.gens {
-		data, err := c.Load(name)
-		if back := (*RolledBackError)(nil); err != nil && !errors.As(err, &back) {
+	records := make(map[string][]byte, len(snapshot.generations))
+	for name := range snapshot.generations {
+		data, err := snapshot.Load(name)
+		if rolledBack := (*RolledBackError)(nil); err != nil && !errors.As(err, &rolledBack) {
 			return nil, err
 		}
 		records[name] = data
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,6 +1,7 @@
-// Package storage keeps named records on a small disk that may lose power, tear what is
-// written, refuse it or damage it. What Save has returned for is on the disk; what
-// can't be read back is told, never made up, and stepped back from where it can be.
+// Package storage keeps named records durably on a small disk, in a SQLite database. It
+// withstands power loss, torn writes, I/O errors and corruption: a record is on the disk
+// once Save returns, and a record that cannot be read back is reported, with its previous
+// generation where that is intact.
 package storage
 
 import (
@@ -15,164 +16,165 @@
 	"sync"
 )
 
-// format is the version of the tables. Formats below it are brought up at Open.
-const format = 1
+// formatVersion is the version of the tables. Open upgrades files of earlier versions.
+const formatVersion = 1
 
-const file = "vault.db"
+const databaseName = "vault.db"
 
-// Store is an open folder of records. A process has it alone.
+// Store is an open directory of records. Only one process may have it open.
 type Store struct {
-	mu    sync.Mutex
-	path  string
-	db    *sql.DB
-	gens  map[string]uint64 // newest good generation by name; 0 where all are lost
-	stale bool              // a write failed: gens may not be what the disk has
+	mu          sync.Mutex
+	path        string
+	db          *sql.DB
+	generations map[string]uint64 // highest intact generation by record name; 0 if all are lost
+	stale       bool              // a write failed: generations may differ from the disk
 }
 
-// Open opens the records in a folder, or begins new ones. When a file is damaged, it
-// is moved aside (vault.db.damaged-1), what is good in it is taken over, and both the
-// vault and a *DamagedError come back: a Store that isn't nil can be used. Until the
-// next Save of a record, Load goes on telling what became of it.
+// Open opens the store in a directory, or creates it. A damaged file is moved aside (to
+// vault.db.damaged-1), its intact contents are salvaged, and Open returns both the store
+// and a *DamagedError: a non-nil Store is usable. Load continues to report the damage of
+// a record until the next Save of it.
 func Open(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, &IOError{dir, "making the folder", err}
 	}
-	path := filepath.Join(dir, file)
-	if err := tidy(path); err != nil {
+	path := filepath.Join(dir, databaseName)
+	if err := finishRepair(path); err != nil {
 		return nil, err
 	}
-	v, what, err := open(path)
-	if err != nil || what == "" {
-		return v, err
+	s, damage, err := open(path)
+	if err != nil || damage == "" {
+		return s, err
 	}
-	return mend(path, v, what)
+	return repair(path, s, damage)
 }
 
-// open also returns what is damaged. Even then the vault reads what can be read.
-func open(path string) (v *Store, what string, err error) {
+// open also returns a description of any damage; the store then reads what is readable.
+func open(path string) (s *Store, damage string, err error) {
 	db, err := connect(path, "")
 	if err == nil {
-		err = settle(path, db)
+		err = migrate(path, db)
 	}
 	if err != nil {
-		what = err.Error()
+		damage = err.Error()
 	}
 	if fe, ok := err.(*FormatError); ok {
 		return nil, "", errors.Join(fe, db.Close())
 	}
-	if err != nil && refused(err) {
+	if err != nil && isIOError(err) {
 		return nil, "", errors.Join(&IOError{path, "opening", err}, db.Close())
 	}
-	v = &Store{path: path, db: db}
-	found, err := v.survey()
+	s = &Store{path: path, db: db}
+	found, err := s.scan()
 	if err != nil {
 		return nil, "", errors.Join(err, db.Close())
 	}
-	return v, cmp.Or(what, found), nil
+	return s, cmp.Or(damage, found), nil
 }
 
-// Close ends the use of the folder.
-func (v *Store) Close() error {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.db.Close()
+// Close closes the store.
+func (s *Store) Close() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.db.Close()
 }
 
-// Names lists the records that were ever saved, in order.
-func (v *Store) Names() []string {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return slices.Sorted(maps.Keys(v.gens))
+// Names returns the sorted names of all records that were ever saved, also of lost ones.
+func (s *Store) Names() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Sorted(maps.Keys(s.generations))
 }
 
-// Load returns a record. Its error is *RolledBackError along with data, or without data
-// *DamagedError, *NotFoundError or *IOError.
-func (v *Store) Load(name string) ([]byte, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if err := v.refresh(); err != nil {
+// Load returns the content of a record. Its error is a *RolledBackError along with data,
+// or a *DamagedError, *NotFoundError or *IOError without data.
+func (s *Store) Load(name string) ([]byte, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.rescan(); err != nil {
 		return nil, err
 	}
-	if _, ok := v.gens[name]; !ok {
-		return nil, &NotFoundError{v.path, name}
+	if _, ok := s.generations[name]; !ok {
+		return nil, &NotFoundError{s.path, name}
 	}
-	p, err := readPair(v.db, name)
+	p, err := readPair(s.db, name)
 	if err != nil {
-		return nil, &IOError{v.path, "reading", err}
+		return nil, &IOError{s.path, "reading", err}
 	}
-	r, sure := p.newest()
+	r, confirmed := p.newest()
 	switch {
-	case r.state != good:
-		return nil, &DamagedError{v.path, name, p.trouble()}
-	case !sure:
-		return r.data, &RolledBackError{v.path, name, p.trouble()}
+	case r.state != intact:
+		return nil, &DamagedError{s.path, name, p.problem()}
+	case !confirmed:
+		return r.data, &RolledBackError{s.path, name, p.problem()}
 	}
 	return r.data, nil
 }
 
-// Save replaces a record. After an error the record is the old one or the new one,
-// never a mixture; Load tells which.
-func (v *Store) Save(name string, data []byte) error {
-	return v.SaveAll(map[string][]byte{name: data})
+// Save replaces a record. After an error, Load returns either the old or the new
+// content, never a mixture.
+func (s *Store) Save(name string, data []byte) error {
+	return s.SaveAll(map[string][]byte{name: data})
 }
 
-// SaveAll replaces several records at once: all of them or none.
-func (v *Store) SaveAll(records map[string][]byte) error {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if err := v.refresh(); err != nil {
+// SaveAll replaces several records atomically.
+func (s *Store) SaveAll(records map[string][]byte) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.rescan(); err != nil {
 		return err
 	}
-	return v.write(records, nil)
+	return s.write(records, nil)
 }
 
-// write saves records and drops others, in one transaction.
-func (v *Store) write(records map[string][]byte, drop []string) error {
-	gens := maps.Clone(v.gens)
-	tx, err := v.db.Begin()
+// write saves records and deletes those named in drop, in one transaction.
+func (s *Store) write(records map[string][]byte, drop []string) error {
+	generations := maps.Clone(s.generations)
+	tx, err := s.db.Begin()
 	if err != nil {
-		return v.fail(err)
+		return s.saveError(err)
 	}
 	defer tx.Rollback()
 	for _, name := range slices.Sorted(maps.Keys(records)) {
-		if name == roster {
-			return &IOError{v.path, "saving", os.ErrInvalid}
+		if name == nameIndex {
+			return &IOError{s.path, "saving", os.ErrInvalid}
 		}
-		if gens[name], err = advance(tx, name, gens[name], records[name]); err != nil {
-			return v.fail(err)
+		if generations[name], err = writeNext(tx, name, generations[name], records[name]); err != nil {
+			return s.saveError(err)
 		}
 	}
 	for _, name := range drop {
-		delete(gens, name)
+		delete(generations, name)
 		for _, t := range tables {
 			if _, err := tx.Exec("DELETE FROM "+t+" WHERE name = ?", name); err != nil {
-				return v.fail(err)
+				return s.saveError(err)
 			}
 		}
 	}
-	if len(gens) != len(v.gens) || len(drop) > 0 {
-		if err := writeRoster(tx, gens); err != nil {
-			return v.fail(err)
+	if len(generations) != len(s.generations) || len(drop) > 0 {
+		if err := writeNameIndex(tx, generations); err != nil {
+			return s.saveError(err)
 		}
 	}
 	if err := tx.Commit(); err != nil {
-		return v.fail(err)
+		return s.saveError(err)
 	}
-	v.gens = gens
+	s.generations = generations
 	return nil
 }
 
-func (v *Store) fail(err error) error {
-	v.stale = true
-	if !refused(err) {
-		return &DamagedError{v.path, "", err.Error()}
+// saveError classifies the error of a failed write and marks the cached generations as stale.
+func (s *Store) saveError(err error) error {
+	s.stale = true
+	if !isIOError(err) {
+		return &DamagedError{s.path, "", err.Error()}
 	}
-	return &IOError{v.path, "saving", err}
+	return &IOError{s.path, "saving", err}
 }
 
-// advance writes the generation after gen, and returns it. A new record, or one that
-// is lost, is born.
-func advance(q querier, name string, gen uint64, data []byte) (uint64, error) {
+// writeNext writes the generation after gen and returns its number. A new or lost record
+// (gen 0) gets its empty generation 0 first.
+func writeNext(q querier, name string, gen uint64, data []byte) (uint64, error) {
 	if gen == 0 {
 		if err := writeRow(q, name, 0, nil); err != nil {
 			return 0, err
@@ -181,27 +183,28 @@
 	return gen + 1, writeRow(q, name, gen+1, data)
 }
 
-func writeRoster(q querier, gens map[string]uint64) error {
-	list, err := json.Marshal(slices.Sorted(maps.Keys(gens)))
+func writeNameIndex(q querier, generations map[string]uint64) error {
+	list, err := json.Marshal(slices.Sorted(maps.Keys(generations)))
 	if err != nil {
 		return err
 	}
-	p, err := readPair(q, roster)
+	p, err := readPair(q, nameIndex)
 	if err != nil {
 		return err
 	}
 	r, _ := p.newest()
-	_, err = advance(q, roster, r.gen, list)
+	_, err = writeNext(q, nameIndex, r.gen, list)
 	return err
 }
 
-func (v *Store) refresh() error {
-	if !v.stale {
+// rescan reloads the generations from the disk after a failed write.
+func (s *Store) rescan() error {
+	if !s.stale {
 		return nil
 	}
-	if _, err := v.survey(); err != nil {
+	if _, err := s.scan(); err != nil {
 		return err
 	}
-	v.stale = false
+	s.stale = false
 	return nil
 }
