--- a/cmd/loom/state.go
+++ b/cmd/loom/state.go
@@ -18,239 +18,243 @@
 )
 
 const (
-	file   = "vault.db"
-	record = "pact" // as package daemon names them
-	list   = "lore"
+	databaseName = "vault.db" // as package storage names it
+
+	// Names of the records that package daemon saves.
+	consensusRecord = "pact"
+	serversRecord   = "lore"
 )
 
-// Unfit tells why a state can't be copied or replaced.
-type Unfit struct{ Dir, Why string }
+// UnusableStateError reports why a state directory cannot be read, copied or replaced.
+type UnusableStateError struct{ Dir, Reason string }
 
-func (e *Unfit) Error() string { return e.Dir + ": " + e.Why }
+func (e *UnusableStateError) Error() string { return e.Dir + ": " + e.Reason }
 
-// snapshot copies a state whose every record reads well: a copy of a doubtful one
-// would hide the doubt from the process that starts on it.
+// snapshot copies a state if every record of it is intact: a copy of a damaged one would
+// hide the damage from a process that starts on it.
 func snapshot(args []string, out io.Writer) error {
-	dir, to, err := places(args)
+	dir, to, err := parseDirAndFile(args)
 	if err != nil {
 		return err
 	}
-	if _, err := os.Stat(filepath.Join(dir, file)); err != nil {
-		return &Unfit{dir, "no state: " + file + " is missing"}
+	if _, err := os.Stat(filepath.Join(dir, databaseName)); err != nil {
+		return &UnusableStateError{dir, "no state: " + databaseName + " is missing"}
 	}
-	found, err := storage.Inspect(dir) // opening a damaged one would begin to mend it
+	inspection, err := storage.Inspect(dir) // Open would repair a damaged state
 	if err != nil {
 		return err
 	}
-	if err := doubts(found); err != nil {
+	if err := damageOf(inspection); err != nil {
 		return err
 	}
-	v, err := storage.Open(dir)
-	if v != nil {
-		defer v.Close()
+	store, err := storage.Open(dir)
+	if store != nil {
+		defer store.Close()
 	}
 	if err != nil {
 		return err
 	}
-	sum, err := read(v)
+	summary, err := verify(store)
 	if err != nil {
 		return err
 	}
-	if err := v.Snapshot(to); err != nil {
+	if err := store.Snapshot(to); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: %s\n", to, sum)
+	fmt.Fprintf(out, "%s: %s\n", to, summary)
 	return nil
 }
 
-// doubts are all that is not whole in a state.
-func doubts(f *storage.Inspection) error {
-	var all []error
-	if f.Reason != "" {
-		all = append(all, &storage.DamagedError{Path: f.Path, Reason: f.Reason})
+// damageOf returns an error for each damaged part of a state, joined; nil if it is intact.
+func damageOf(inspection *storage.Inspection) error {
+	var damage []error
+	if inspection.Reason != "" {
+		damage = append(damage, &storage.DamagedError{Path: inspection.Path, Reason: inspection.Reason})
 	}
-	for _, r := range f.Records {
+	for _, r := range inspection.Records {
 		if r.Err != nil {
-			all = append(all, r.Err)
+			damage = append(damage, r.Err)
 		}
 	}
-	return errors.Join(all...)
+	return errors.Join(damage...)
 }
 
-// status tells what a start would find in a state, and changes nothing.
+// status prints what a process would find in a state when it starts; it changes nothing.
 func status(args []string, out io.Writer) error {
 	if len(args) != 1 {
 		return fmt.Errorf("needs DIR, not %d arguments", len(args))
 	}
-	dir, err := place(args[0])
+	dir, err := resolveStateDir(args[0])
 	if err != nil {
 		return err
 	}
-	f, err := storage.Inspect(dir)
+	inspection, err := storage.Inspect(dir)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: %d bytes\n", f.Path, f.Bytes)
+	fmt.Fprintf(out, "%s: %d bytes\n", inspection.Path, inspection.Bytes)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "RECORD\tSTATE\tHOLDS")
-	seat := "empty, as a newcomer"
-	var strange error
-	for _, r := range f.Records {
-		is, holds := "whole", "-"
+	startMode := "empty, as a newcomer"
+	var unreadable error
+	for _, r := range inspection.Records {
+		state, content := "whole", "-"
 		switch r.Err.(type) {
 		case nil:
 		case *storage.RolledBackError:
-			is = "stepped back"
+			state = "stepped back"
 		default:
-			is = "lost"
+			state = "lost"
 		}
 		if r.Data != nil {
-			if holds, err = holding(r.Name, r.Data); err != nil {
-				is, holds, strange = "unreadable", "-", errors.Join(strange, err)
+			if content, err = summarize(r.Name, r.Data); err != nil {
+				state, content, unreadable = "unreadable", "-", errors.Join(unreadable, err)
 			}
 		}
 		switch {
-		case r.Name != record:
-		case is == "whole":
-			seat = "on what it holds"
-		case is == "unreadable":
-			seat = "not at all"
+		case r.Name != consensusRecord:
+		case state == "whole":
+			startMode = "on what it holds"
+		case state == "unreadable":
+			startMode = "not at all"
 		default:
-			seat = "anew, as a newcomer: it may have forgotten what it promised"
+			startMode = "anew, as a newcomer: it may have forgotten what it promised"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", r.Name, is, holds)
+		fmt.Fprintf(w, "%s\t%s\t%s\n", r.Name, state, content)
 	}
 	w.Flush()
-	for _, aside := range f.DamagedFiles {
+	for _, aside := range inspection.DamagedFiles {
 		fmt.Fprintf(out, "moved aside, damaged: %s\n", aside)
 	}
-	if f.Reason != "" {
-		seat = "anew, as a newcomer: it may have forgotten what it promised"
+	if inspection.Reason != "" {
+		startMode = "anew, as a newcomer: it may have forgotten what it promised"
 	}
-	fmt.Fprintf(out, "a process starts %s\n", seat)
-	return errors.Join(doubts(f), strange)
+	fmt.Fprintf(out, "a process starts %s\n", startMode)
+	return errors.Join(damageOf(inspection), unreadable)
 }
 
-// holding sums up a record.
-func holding(name string, data []byte) (string, error) {
+// summarize describes the content of a record.
+func summarize(name string, data []byte) (string, error) {
 	switch name {
-	case record:
-		d, err := consensus.DecodeState(data)
+	case consensusRecord:
+		state, err := consensus.DecodeState(data)
 		if err != nil {
 			return "", fmt.Errorf("record %q: %w", name, err)
 		}
-		return fmt.Sprintf("configuration %08x, epoch %d", d.Committed.Version, d.Record.Ballot.N), nil
-	case list:
-		var rows []registry.Row
-		if err := cbor.Unmarshal(data, &rows); err != nil {
+		return fmt.Sprintf("configuration %08x, epoch %d", state.Committed.Version, state.Record.Ballot.N), nil
+	case serversRecord:
+		var servers []registry.Row
+		if err := cbor.Unmarshal(data, &servers); err != nil {
 			return "", fmt.Errorf("record %q: %w", name, err)
 		}
-		return fmt.Sprintf("%d servers", len(rows)), nil
+		return fmt.Sprintf("%d servers", len(servers)), nil
 	}
 	return fmt.Sprintf("%d bytes", len(data)), nil
 }
 
-// restore replaces a state. A single machine must not go back: it would break promises
-// that it has given since. So it gets a new life, and nothing but the configuration: it
-// joins as if its disk were empty. A whole core keeps its lives, and forgets what its
-// machines remember of each other, since their copies are of different moments.
-func restore(args []string, whole bool, out io.Writer) error {
-	dir, from, err := places(args)
+// restore replaces a state with a snapshot. A single machine must not go back to an
+// earlier state, since it would break promises that it has given in the meantime. So it
+// gets a new disk ID and only the configuration, and joins as if its disk were empty. If
+// the whole core is restored, its machines keep their disk IDs but forget the tokens that
+// they know of each other, since their snapshots are of different times.
+func restore(args []string, wholeCore bool, out io.Writer) error {
+	dir, snapshotPath, err := parseDirAndFile(args)
 	if err != nil {
 		return err
 	}
-	if _, err := os.Stat(from); err != nil {
+	if _, err := os.Stat(snapshotPath); err != nil {
 		return err
 	}
-	v, err := storage.Open(dir)
-	if v == nil {
+	store, err := storage.Open(dir)
+	if store == nil {
 		return err
 	}
-	err = v.Restore(from, func(records map[string][]byte) error { return back(records, whole) })
-	if err = errors.Join(err, v.Close()); err != nil {
+	err = store.Restore(snapshotPath, func(records map[string][]byte) error { return prepareRestored(records, wholeCore) })
+	if err = errors.Join(err, store.Close()); err != nil {
 		return err
 	}
-	if v, err = storage.Open(dir); v != nil {
-		defer v.Close()
+	if store, err = storage.Open(dir); store != nil {
+		defer store.Close()
 	}
 	if err != nil {
 		return err
 	}
-	sum, err := read(v)
+	summary, err := verify(store)
 	if err == nil {
-		fmt.Fprintf(out, "%s: %s\n", dir, sum)
-		if !whole {
+		fmt.Fprintf(out, "%s: %s\n", dir, summary)
+		if !wholeCore {
 			fmt.Fprintln(out, "alone: a process joins anew, as a newcomer")
 		}
 	}
 	return err
 }
 
-// back makes of a copy's records what a machine may start on.
-func back(records map[string][]byte, whole bool) error {
-	data, ok := records[record]
+// prepareRestored changes the records of a snapshot into those that a machine may start on.
+func prepareRestored(records map[string][]byte, wholeCore bool) error {
+	data, ok := records[consensusRecord]
 	if !ok {
 		return nil
 	}
-	d, err := consensus.DecodeState(data)
+	state, err := consensus.DecodeState(data)
 	if err != nil {
-		return fmt.Errorf("record %q: %w", record, err)
+		return fmt.Errorf("record %q: %w", consensusRecord, err)
 	}
-	if whole {
-		d.KnownTokens = nil
+	if wholeCore {
+		state.KnownTokens = nil
 	} else {
-		var life [8]byte
-		if _, err := rand.Read(life[:]); err != nil {
+		var diskID [8]byte
+		if _, err := rand.Read(diskID[:]); err != nil {
 			return err
 		}
-		d = &consensus.DurableState{DiskID: binary.BigEndian.Uint64(life[:]) | 1, Committed: d.Committed}
+		state = &consensus.DurableState{DiskID: binary.BigEndian.Uint64(diskID[:]) | 1, Committed: state.Committed}
 		clear(records)
 	}
-	data, err = d.Encode()
-	records[record] = data
+	data, err = state.Encode()
+	records[consensusRecord] = data
 	return err
 }
 
-// read reads every record, and sums up what is in them.
-func read(v *storage.Store) (string, error) {
-	sum, names := "no state of agreement", v.Names()
+// verify reads every record and returns a summary.
+func verify(store *storage.Store) (string, error) {
+	summary, names := "no state of agreement", store.Names()
 	for _, name := range names {
-		data, err := v.Load(name)
+		data, err := store.Load(name)
 		if err != nil {
 			return "", err
 		}
-		if name != record {
+		if name != consensusRecord {
 			continue
 		}
-		if sum, err = holding(name, data); err != nil {
+		if summary, err = summarize(name, data); err != nil {
 			return "", err
 		}
 	}
-	return fmt.Sprintf("%d records, read back: %s", len(names), sum), nil
+	return fmt.Sprintf("%d records, read back: %s", len(names), summary), nil
 }
 
-// places takes DIR and FILE.
-func places(args []string) (dir, path string, err error) {
+// parseDirAndFile returns the arguments DIR and FILE.
+func parseDirAndFile(args []string) (dir, path string, err error) {
 	if len(args) != 2 {
 		return "", "", fmt.Errorf("needs DIR and FILE, not %d arguments", len(args))
 	}
-	dir, err = place(args[0])
+	dir, err = resolveStateDir(args[0])
 	return dir, args[1], err
 }
 
-// place finds a folder, and refuses one that a process has open.
-func place(dir string) (string, error) {
+// resolveStateDir returns the resolved path of a state directory, or an error if a process
+// has its database open.
+func resolveStateDir(dir string) (string, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return "", err
 	}
-	if real, err := filepath.EvalSymlinks(dir); err == nil {
-		dir = real
+	if resolved, err := filepath.EvalSymlinks(dir); err == nil {
+		dir = resolved
 	}
-	open, _ := filepath.Glob("/proc/[0-9]*/fd/*")
-	for _, fd := range open {
-		if to, err := os.Readlink(fd); err == nil && to == filepath.Join(dir, file) {
-			return "", &Unfit{dir, "in use by process " + filepath.Base(filepath.Dir(filepath.Dir(fd))) + ": stop it first"}
+	openFiles, _ := filepath.Glob("/proc/[0-9]*/fd/*")
+	for _, fd := range openFiles {
+		if target, err := os.Readlink(fd); err == nil && target == filepath.Join(dir, databaseName) {
+			return "", &UnusableStateError{dir, "in use by process " + filepath.Base(filepath.Dir(filepath.Dir(fd))) + ": stop it first"}
 		}
 	}
 	return dir, nil
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -125,7 +125,7 @@
 		}
 	})
 	if rolledBack.Load() < 20 || lost.Load() > 0 {
-		t.Fatalf("stepped rolledBack %d times, lost %d", rolledBack.Load(), lost.Load())
+		t.Fatalf("rolled back %d times, lost %d", rolledBack.Load(), lost.Load())
 	}
 }
 
