--- a/internal/sysconfig/bounds.go
+++ b/internal/sysconfig/bounds.go
@@ -9,7 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Bounds are the figures of the rules.
+// Bounds are the time limits and tolerances of the guarantees.
 type Bounds struct {
 	BootstrapLag, Quarantine, Contact, Commit, Sync time.Duration
 	Drain, Grace, LossSlack, Converge, Regress      time.Duration
@@ -20,9 +20,9 @@
 	QuotaExcess, QuotaMargin                        float64
 }
 
-// usual has the figures that stand when the file leaves one out: a rule that isn't
-// in force needs none, and a process that doesn't start for want of it helps nobody.
-func usual() Bounds {
+// defaultBounds returns the values for bounds that the settings file omits. A guarantee that
+// is disabled needs none, and a missing bound must not keep the process from starting.
+func defaultBounds() Bounds {
 	const s, ms = time.Second, time.Millisecond
 	return Bounds{
 		BootstrapLag: 3 * s, Quarantine: 2 * s, Contact: 3 * s, Commit: 5 * s, Sync: 4 * s,
@@ -32,8 +32,9 @@
 	}
 }
 
-// slot finds where a figure goes, by its name and, for times, its unit.
-func (b *Bounds) slot(name string) (to any, unit time.Duration) {
+// field returns a pointer to the bound with this name, and the unit of a duration, which
+// the suffix of the name gives. It returns nil for an unknown name.
+func (b *Bounds) field(name string) (target any, unit time.Duration) {
 	switch name {
 	case "RevokedFail":
 		return &b.RevokedFail, 0
@@ -53,27 +54,28 @@
 		"Stretch": &b.Stretch, "Revoke": &b.Revoke, "RetryWindow": &b.RetryWindow,
 		"QuotaWindow": &b.QuotaWindow, "Recovery": &b.Recovery,
 	}
-	if stem, ok := strings.CutSuffix(name, "Ms"); ok && times[stem] != nil {
-		return times[stem], time.Millisecond
+	if baseName, ok := strings.CutSuffix(name, "Ms"); ok && times[baseName] != nil {
+		return times[baseName], time.Millisecond
 	}
-	if stem, ok := strings.CutSuffix(name, "S"); ok && times[stem] != nil {
-		return times[stem], time.Second
+	if baseName, ok := strings.CutSuffix(name, "S"); ok && times[baseName] != nil {
+		return times[baseName], time.Second
 	}
 	return nil, 0
 }
 
-// set takes one text of the form name=value. It returns what is wrong, if anything.
+// set applies one setting of the form name=value and ignores unknown names. It returns the
+// reason if the setting is invalid, otherwise the empty string.
 func (b *Bounds) set(text string) string {
 	name, value, ok := strings.Cut(text, "=")
 	name, value = strings.TrimSpace(name), strings.TrimSpace(value)
 	if !ok || name == "" {
 		return "not of the form name=value: " + strconv.Quote(text)
 	}
-	to, unit := b.slot(name)
-	if to == nil {
+	target, unit := b.field(name)
+	if target == nil {
 		return ""
 	}
-	if flag, ok := to.(*bool); ok {
+	if flag, ok := target.(*bool); ok {
 		v, err := strconv.ParseBool(value)
 		if err != nil {
 			return name + ": neither true nor false: " + strconv.Quote(value)
@@ -85,17 +87,17 @@
 	if err != nil || math.IsNaN(v) || v < 0 || v > 1e9 {
 		return name + ": not a figure of 0 or more: " + strconv.Quote(value)
 	}
-	switch to := to.(type) {
+	switch target := target.(type) {
 	case *time.Duration:
-		*to = time.Duration(v * float64(unit))
+		*target = time.Duration(v * float64(unit))
 	case *float64:
-		*to = v
+		*target = v
 	}
 	return ""
 }
 
-// bounds reads a list of texts, or one text with commas.
-func (r *reader) bounds(b *Bounds) {
+// bounds decodes the Bounds key: a list of settings, or one string with commas between them.
+func (r *settingsReader) bounds(b *Bounds) {
 	n, _ := r.find("Bounds")
 	if n == nil || n.Tag == "!!null" {
 		return
@@ -103,7 +105,7 @@
 	var list []string
 	if n.Kind == yaml.ScalarNode {
 		list = []string{n.Value}
-	} else if !r.may("Bounds", &list) {
+	} else if !r.optional("Bounds", &list) {
 		return
 	}
 	for i, line := range list {
@@ -112,7 +114,7 @@
 				continue
 			}
 			if why := b.set(text); why != "" {
-				r.fault("Bounds["+strconv.Itoa(i)+"]", why)
+				r.addFault("Bounds["+strconv.Itoa(i)+"]", why)
 			}
 		}
 	}
--- a/internal/sysconfig/config.go
+++ b/internal/sysconfig/config.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Configuration is what an operator sends, as it stands in the text. Figures are
-// fractions here because the text may write 600.0 for 600.
+// Configuration is the decoded form of the JSON that an operator submits. Numbers are
+// float64 because the JSON may write 600.0 for 600.
 type Configuration struct {
 	Epoch      string
 	BoundsReq  Limits
@@ -22,10 +22,10 @@
 	version uint32
 }
 
-// Limits bound what a client may send.
+// Limits are the request size limits and timeouts that apply to clients.
 type Limits struct{ MaxHeaderBytes, MaxBodyBytes, HeaderReadMs, KeepaliveMs float64 }
 
-// Principal is a tenant with its keys.
+// Principal is a tenant with its API keys, rate limit and optional priority rank.
 type Principal struct {
 	Name                string
 	Credentials         []string
@@ -33,13 +33,13 @@
 	RatePerS, BurstSize float64
 }
 
-// Socket has the routes of a host.
+// Socket is a virtual host with its routes.
 type Socket struct {
 	Authority string
 	Policy    []Rule
 }
 
-// Rule is a route.
+// Rule is a route: a path prefix, the class of its requests and where they are sent.
 type Rule struct {
 	Name, RouteClass string
 	TargetMs, Rank   float64
@@ -48,7 +48,7 @@
 	Effect           Effect
 }
 
-// Effect is where a request goes: to one service, or to several by their shares.
+// Effect is the destination of a route: one service, or several with weighted shares.
 type Effect struct {
 	Backend    string
 	Partition  []Part
@@ -56,13 +56,13 @@
 	Tries      float64
 }
 
-// Part is a service's share of a route.
+// Part is the share of a route's requests that one service receives.
 type Part struct {
 	Backend string
 	Share   float64
 }
 
-// Pool is a service.
+// Pool is a backend service.
 type Pool struct {
 	Name, ProbePath string
 	MaxConns        float64
@@ -70,18 +70,19 @@
 	Encrypted       bool
 }
 
-// Version is the Epoch as a number.
+// Version returns the Epoch as a number.
 func (c *Configuration) Version() uint32 { return c.version }
 
-// Parse reads a configuration and refuses an invalid one with a *Fault. Its checks
-// are written in Go: a configuration arrives while traffic runs on a part of a core,
-// and the schema that tells an operator everything at once (package sysconfig/schema)
-// costs many times as much. What is only strange, and not on the protocol's list, is
-// taken: an operator whose valid change is refused is worse off.
+// Parse decodes and validates a configuration; an invalid one returns a *Fault. The
+// checks are written in Go because a configuration arrives while the process serves
+// traffic on a fraction of a core, and the schema that reports all faults at once
+// (package sysconfig/schema) costs many times as much. Unusual values that the protocol
+// doesn't list as invalid are accepted: rejecting a valid change would hurt the operator
+// more than accepting an odd one.
 func Parse(body []byte) (*Configuration, error) {
 	c := new(Configuration)
 	if err := json.Unmarshal(body, c); err != nil {
-		return nil, unread(body, err)
+		return nil, decodeFault(body, err)
 	}
 	v, err := strconv.ParseUint(c.Epoch, 16, 32)
 	if len(c.Epoch) != 8 || err != nil {
@@ -91,7 +92,7 @@
 	if f := c.checkRollout(); f != nil {
 		return nil, f
 	}
-	if f := c.checkKeys(); f != nil {
+	if f := c.checkCredentials(); f != nil {
 		return nil, f
 	}
 	if f := c.checkRoutes(); f != nil {
@@ -100,7 +101,8 @@
 	return c, nil
 }
 
-func (c *Configuration) checkKeys() *Fault {
+// checkCredentials rejects a key that belongs to more than one principal.
+func (c *Configuration) checkCredentials() *Fault {
 	owner := map[string]int{}
 	for i, p := range c.Principals {
 		for j, key := range p.Credentials {
@@ -114,34 +116,38 @@
 	return nil
 }
 
+// checkRoutes validates each route and rejects two routes with the same host and prefix.
 func (c *Configuration) checkRoutes() *Fault {
-	pools := make(map[string]bool, len(c.Pools))
+	services := make(map[string]bool, len(c.Pools))
 	for _, p := range c.Pools {
-		pools[p.Name] = true
+		services[p.Name] = true
 	}
-	type place struct{ host, prefix string }
-	seen := map[place]string{}
+	type hostPrefix struct{ host, prefix string }
+	seen := map[hostPrefix]string{}
 	for i := range c.Sockets {
 		host := Host(c.Sockets[i].Authority)
 		for j := range c.Sockets[i].Policy {
 			r := &c.Sockets[i].Policy[j]
-			if key, why := r.check(pools); why != "" {
-				return &Fault{Key: at(i, j) + "." + key, Why: why}
+			if key, why := r.validate(services); why != "" {
+				return &Fault{Key: routeKey(i, j) + "." + key, Why: why}
 			}
-			p := place{host, r.Predicate.PathPrefix}
-			if other, ok := seen[p]; ok {
-				return &Fault{Key: at(i, j) + ".Predicate.PathPrefix", Why: "same host and prefix as " + other}
+			p := hostPrefix{host, r.Predicate.PathPrefix}
+			if first, ok := seen[p]; ok {
+				return &Fault{Key: routeKey(i, j) + ".Predicate.PathPrefix", Why: "same host and prefix as " + first}
 			}
-			seen[p] = at(i, j)
+			seen[p] = routeKey(i, j)
 		}
 	}
 	return nil
 }
 
-func at(i, j int) string { return fmt.Sprintf("Sockets[%d].Policy[%d]", i, j) }
+// routeKey is the key of route j of socket i.
+func routeKey(i, j int) string { return fmt.Sprintf("Sockets[%d].Policy[%d]", i, j) }
 
-// check looks at one route by itself, and returns the key that is wrong and why.
-func (r *Rule) check(pools map[string]bool) (key, why string) {
+// validate checks one route against the names of the configured services. It returns
+// the key that is wrong, relative to the route, and the reason, which is empty for a
+// valid route.
+func (r *Rule) validate(services map[string]bool) (key, why string) {
 	e := &r.Effect
 	switch {
 	case !strings.HasPrefix(r.Predicate.PathPrefix, "/"):
@@ -151,7 +157,7 @@
 	case r.TargetMs >= e.DeadlineMs+60_000:
 		return "TargetMs", "exceeds Effect.DeadlineMs by a minute or more"
 	}
-	if e.Backend != "" && !pools[e.Backend] {
+	if e.Backend != "" && !services[e.Backend] {
 		return "Effect.Backend", "unknown service " + strconv.Quote(e.Backend)
 	}
 	if e.Backend == "" && e.Partition == nil {
@@ -160,7 +166,7 @@
 	sum := 0.0
 	for k, p := range e.Partition {
 		part := "Effect.Partition[" + strconv.Itoa(k) + "]"
-		if !pools[p.Backend] {
+		if !services[p.Backend] {
 			return part + ".Backend", "unknown service " + strconv.Quote(p.Backend)
 		}
 		if p.Share < 0 {
@@ -174,13 +180,14 @@
 	return "", ""
 }
 
-// unread turns what the decoder says into the key and the place of the trouble.
-func unread(body []byte, err error) *Fault {
+// decodeFault converts an error of the JSON decoder into a fault that names the key, or
+// the byte offset where the text isn't JSON.
+func decodeFault(body []byte, err error) *Fault {
 	var te *json.UnmarshalTypeError
 	var se *json.SyntaxError
 	switch {
 	case errors.As(err, &te):
-		key := keyAt(body, te.Offset)
+		key := keyPathAt(body, te.Offset)
 		if key == "" {
 			return &Fault{Why: "not an object"}
 		}
@@ -191,14 +198,14 @@
 	return &Fault{Why: err.Error()}
 }
 
-// keyAt walks the text to the value that ends at or holds an offset, since the
-// decoder's own path leaves out which element of a list it was.
-func keyAt(body []byte, offset int64) string {
+// keyPathAt returns the key path of the value that ends at or contains an offset. It
+// reads the text again because the path in the decoder's error has no list indexes.
+func keyPathAt(body []byte, offset int64) string {
 	type level struct {
-		key   string
-		named bool // the key has been read, its value hasn't
-		list  bool
-		index int
+		key    string
+		hasKey bool // the key has been read, its value hasn't
+		list   bool
+		index  int
 	}
 	var stack []level
 	path := func() string {
@@ -217,28 +224,28 @@
 	}
 	d := json.NewDecoder(bytes.NewReader(body))
 	for {
-		tok, err := d.Token()
+		token, err := d.Token()
 		if err != nil {
 			return path()
 		}
 		top := len(stack) - 1
-		if delim, ok := tok.(json.Delim); ok && (delim == '}' || delim == ']') {
+		if delim, ok := token.(json.Delim); ok && (delim == '}' || delim == ']') {
 			stack = stack[:top]
 			continue
 		}
-		if top >= 0 && !stack[top].list && !stack[top].named {
-			stack[top].key, stack[top].named = tok.(string), true
+		if top >= 0 && !stack[top].list && !stack[top].hasKey {
+			stack[top].key, stack[top].hasKey = token.(string), true
 			continue
 		}
 		if top >= 0 {
 			stack[top].index++
-			stack[top].named = false
+			stack[top].hasKey = false
 		}
 		if d.InputOffset() >= offset {
 			return path()
 		}
-		if tok == json.Delim('{') || tok == json.Delim('[') {
-			stack = append(stack, level{list: tok == json.Delim('['), index: -1})
+		if token == json.Delim('{') || token == json.Delim('[') {
+			stack = append(stack, level{list: token == json.Delim('['), index: -1})
 		}
 	}
 }
--- a/internal/sysconfig/diff.go
+++ b/internal/sysconfig/diff.go
@@ -75,7 +75,7 @@
 	for i, s := range c.Sockets {
 		for j, r := range s.Policy {
 			place := Host(s.Authority) + r.Predicate.PathPrefix
-			add("route", place, strings.TrimSpace(r.Name+" "+place), at(i, j), r)
+			add("route", place, strings.TrimSpace(r.Name+" "+place), routeKey(i, j), r)
 		}
 	}
 	for i, p := range c.Pools {
--- a/internal/sysconfig/settings.go
+++ b/internal/sysconfig/settings.go
@@ -12,18 +12,19 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Settings is what a process is told at its start, and again when the file changes.
+// Settings are read from the settings file when a process starts, and again when the
+// file changes.
 type Settings struct {
 	NodeName, Role, MachineClass string
 	Serves                       []string
 	IpAddr, Zone, Region         string
 	Zones                        map[string]string // zone → region
 	Bind                         Bind
-	PortRange                    [2]int // from the first to the second, both free
+	PortRange                    [2]int // first and last port; the process may use both
 	Bootstrap                    []string
 	Genesis, QuorumMember        bool
 	BoundsReq                    Share
-	StateDir                     string // empty where the machine has no disk
+	StateDir                     string // empty if the machine has no disk
 	HeartbeatMs                  int
 	Guarantees                   []string
 	FaultBudget                  FaultBudget
@@ -31,10 +32,11 @@
 	FaultRules                   FaultRules
 }
 
-// Bind has the addresses of what the role serves; the others are empty.
+// Bind holds the listen addresses of the interfaces that the role serves; the others are
+// empty.
 type Bind struct{ Ingress, Readiness, ControlPlane string }
 
-// Share is the process's part of its machine. What is 0 was not told.
+// Share is the process's share of its machine's resources. 0 means not specified.
 type Share struct {
 	CpuFraction   float64
 	CpuCount      float64
@@ -44,22 +46,24 @@
 	StorageMb     int
 }
 
-// FaultBudget is what may be lost at one time while every rule holds.
+// FaultBudget is the number of machines, zones and regions that may fail at the same time
+// while every guarantee still holds.
 type FaultBudget struct{ MachineLosses, Zones, Regions int }
 
-// FaultRules lets operators strike single tenants (docs/faults.md), by rules that end within
-// so many seconds; 0: not at all.
+// FaultRules permits operators to inject faults into the requests of single tenants
+// (docs/faults.md). LongestS is the longest lifetime of such a rule in seconds; 0 disables
+// fault injection.
 type FaultRules struct{ LongestS float64 }
 
-// Has tells whether a part of the rules is in force.
+// Has reports whether a guarantee is enabled.
 func (s *Settings) Has(guarantee string) bool { return slices.Contains(s.Guarantees, guarantee) }
 
-// ServesTo tells whether callers of a kind (edge, controller) come to this process.
+// ServesTo reports whether this process serves callers of a kind (edge, controller).
 func (s *Settings) ServesTo(kind string) bool { return slices.Contains(s.Serves, kind) }
 
-// ReadSettings reads the file at path. Its error joins one *Fault for each key that
-// is missing or wrong, so that a file is put right in one go. Keys that no rule can
-// do without are asked for; the rest is left at a value that does no harm.
+// ReadSettings reads the settings file at path. Its error joins one *Fault for each key
+// that is missing or invalid, so that a file can be corrected in one pass. Only keys that
+// the process can't run without are required; the others have safe defaults.
 func ReadSettings(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -72,7 +76,7 @@
 	return ParseSettings(path, text)
 }
 
-// ParseSettings reads the text of a settings file; path is only named in faults.
+// ParseSettings parses the text of a settings file; path is used only in faults.
 func ParseSettings(path string, text []byte) (*Settings, error) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
@@ -81,7 +85,7 @@
 	if len(doc.Content) == 0 || doc.Content[0].Kind != yaml.MappingNode {
 		return nil, &Fault{File: path, Why: "not a mapping of keys"}
 	}
-	r := &reader{path: path, root: doc.Content[0]}
+	r := &settingsReader{path: path, root: doc.Content[0]}
 	s := r.settings()
 	if len(r.faults) > 0 {
 		return nil, errors.Join(r.faults...)
@@ -89,49 +93,51 @@
 	return s, nil
 }
 
-type reader struct {
+// settingsReader decodes the keys of a settings file and collects the faults.
+type settingsReader struct {
 	path   string
 	root   *yaml.Node
 	faults []error
 }
 
-func (r *reader) settings() *Settings {
-	s := &Settings{HeartbeatMs: 1500, Bounds: usual()}
-	r.must("NodeName", &s.NodeName)
-	r.may("Role", &s.Role)
-	r.may("MachineClass", &s.MachineClass)
-	r.may("Serves", &s.Serves)
-	r.must("IpAddr", &s.IpAddr)
-	r.must("Zone", &s.Zone)
-	r.may("Region", &s.Region)
-	r.may("Zones", &s.Zones)
-	r.may("Bind.Ingress", &s.Bind.Ingress)
-	r.may("Bind.Readiness", &s.Bind.Readiness)
-	r.may("Bind.ControlPlane", &s.Bind.ControlPlane)
-	r.may("Bootstrap", &s.Bootstrap)
-	r.may("Genesis", &s.Genesis)
-	r.may("QuorumMember", &s.QuorumMember)
-	r.may("BoundsReq.CpuFraction", &s.BoundsReq.CpuFraction)
-	r.may("BoundsReq.CpuCount", &s.BoundsReq.CpuCount)
-	r.may("BoundsReq.MemMb", &s.BoundsReq.MemMb)
-	r.may("BoundsReq.FdLimit", &s.BoundsReq.FdLimit)
-	r.may("BoundsReq.BandwidthMbps", &s.BoundsReq.BandwidthMbps)
-	r.may("BoundsReq.StorageMb", &s.BoundsReq.StorageMb)
-	r.may("StateDir", &s.StateDir)
-	r.may("HeartbeatMs", &s.HeartbeatMs)
-	r.may("Guarantees", &s.Guarantees)
-	r.may("FaultBudget.MachineLosses", &s.FaultBudget.MachineLosses)
-	r.may("FaultBudget.Zones", &s.FaultBudget.Zones)
-	r.may("FaultBudget.Regions", &s.FaultBudget.Regions)
-	r.may("FaultRules.LongestS", &s.FaultRules.LongestS)
+func (r *settingsReader) settings() *Settings {
+	s := &Settings{HeartbeatMs: 1500, Bounds: defaultBounds()}
+	r.required("NodeName", &s.NodeName)
+	r.optional("Role", &s.Role)
+	r.optional("MachineClass", &s.MachineClass)
+	r.optional("Serves", &s.Serves)
+	r.required("IpAddr", &s.IpAddr)
+	r.required("Zone", &s.Zone)
+	r.optional("Region", &s.Region)
+	r.optional("Zones", &s.Zones)
+	r.optional("Bind.Ingress", &s.Bind.Ingress)
+	r.optional("Bind.Readiness", &s.Bind.Readiness)
+	r.optional("Bind.ControlPlane", &s.Bind.ControlPlane)
+	r.optional("Bootstrap", &s.Bootstrap)
+	r.optional("Genesis", &s.Genesis)
+	r.optional("QuorumMember", &s.QuorumMember)
+	r.optional("BoundsReq.CpuFraction", &s.BoundsReq.CpuFraction)
+	r.optional("BoundsReq.CpuCount", &s.BoundsReq.CpuCount)
+	r.optional("BoundsReq.MemMb", &s.BoundsReq.MemMb)
+	r.optional("BoundsReq.FdLimit", &s.BoundsReq.FdLimit)
+	r.optional("BoundsReq.BandwidthMbps", &s.BoundsReq.BandwidthMbps)
+	r.optional("BoundsReq.StorageMb", &s.BoundsReq.StorageMb)
+	r.optional("StateDir", &s.StateDir)
+	r.optional("HeartbeatMs", &s.HeartbeatMs)
+	r.optional("Guarantees", &s.Guarantees)
+	r.optional("FaultBudget.MachineLosses", &s.FaultBudget.MachineLosses)
+	r.optional("FaultBudget.Zones", &s.FaultBudget.Zones)
+	r.optional("FaultBudget.Regions", &s.FaultBudget.Regions)
+	r.optional("FaultRules.LongestS", &s.FaultRules.LongestS)
 	r.portRange(&s.PortRange)
 	r.bounds(&s.Bounds)
-	r.relations(s)
+	r.checkConsistency(s)
 	return s
 }
 
-// relations checks what one key alone doesn't show.
-func (r *reader) relations(s *Settings) {
+// checkConsistency fills in the region and the zones, and validates addresses, numbers
+// and keys that depend on each other.
+func (r *settingsReader) checkConsistency(s *Settings) {
 	if s.Region == "" {
 		s.Region = s.Zones[s.Zone]
 	}
@@ -139,7 +145,7 @@
 		s.Zones = map[string]string{s.Zone: s.Region}
 	}
 	if a, err := netip.ParseAddr(s.IpAddr); s.IpAddr != "" && (err != nil || !a.Is4()) {
-		r.fault("IpAddr", "not an IPv4 address: "+s.IpAddr)
+		r.addFault("IpAddr", "not an IPv4 address: "+s.IpAddr)
 	}
 	for _, b := range []struct{ key, addr, kind string }{
 		{"Bind.Ingress", s.Bind.Ingress, "edge"},
@@ -147,66 +153,70 @@
 		{"Bind.ControlPlane", s.Bind.ControlPlane, "controller"},
 	} {
 		if b.addr == "" && s.ServesTo(b.kind) {
-			r.fault(b.key, "missing, and the role serves "+b.kind)
+			r.addFault(b.key, "missing, and the role serves "+b.kind)
 		}
-		r.address(b.key, b.addr)
+		r.checkAddress(b.key, b.addr)
 	}
 	for i, addr := range s.Bootstrap {
-		r.address("Bootstrap["+strconv.Itoa(i)+"]", addr)
+		r.checkAddress("Bootstrap["+strconv.Itoa(i)+"]", addr)
 	}
 	if s.HeartbeatMs <= 0 {
-		r.fault("HeartbeatMs", "must be above 0")
+		r.addFault("HeartbeatMs", "must be above 0")
 	}
 	if l := s.FaultRules.LongestS; !(l >= 0 && l <= 86400) {
-		r.fault("FaultRules.LongestS", "not from 0 to 86400")
+		r.addFault("FaultRules.LongestS", "not from 0 to 86400")
 	}
 	if s.BoundsReq.CpuFraction < 0 || s.BoundsReq.MemMb < 0 || s.BoundsReq.FdLimit < 0 {
-		r.fault("BoundsReq", "has a figure below 0")
+		r.addFault("BoundsReq", "has a figure below 0")
 	}
 }
 
-func (r *reader) address(key, addr string) {
+// checkAddress reports a fault unless addr is empty or an IP address with a port.
+func (r *settingsReader) checkAddress(key, addr string) {
 	if _, err := netip.ParseAddrPort(addr); addr != "" && err != nil {
-		r.fault(key, "not an address with a port: "+addr)
+		r.addFault(key, "not an address with a port: "+addr)
 	}
 }
 
-func (r *reader) portRange(to *[2]int) {
+func (r *settingsReader) portRange(target *[2]int) {
 	var ports []int
-	if !r.must("PortRange", &ports) {
+	if !r.required("PortRange", &ports) {
 		return
 	}
 	if len(ports) != 2 || ports[0] < 1 || ports[1] < ports[0] || ports[1] > 65535 {
-		r.fault("PortRange", "needs two ports, the first not above the second")
+		r.addFault("PortRange", "needs two ports, the first not above the second")
 		return
 	}
-	*to = [2]int{ports[0], ports[1]}
+	*target = [2]int{ports[0], ports[1]}
 }
 
-// must reads a key that has to be there and not empty; it tells whether it was read.
-func (r *reader) must(key string, to any) bool {
+// required decodes a key that must be present and not empty, and reports whether it was
+// decoded.
+func (r *settingsReader) required(key string, target any) bool {
 	n, _ := r.find(key)
 	if n == nil || n.Kind == yaml.ScalarNode && n.Value == "" {
-		r.fault(key, "missing")
+		r.addFault(key, "missing")
 		return false
 	}
-	return r.may(key, to)
+	return r.optional(key, target)
 }
 
-func (r *reader) may(key string, to any) bool {
+// optional decodes a key into target, which keeps its value if the key is absent or null.
+// It returns false if the value can't be decoded.
+func (r *settingsReader) optional(key string, target any) bool {
 	n, _ := r.find(key)
 	if n == nil || n.Tag == "!!null" {
 		return true
 	}
-	if err := n.Decode(to); err != nil {
-		r.fault(key, plain(err))
+	if err := n.Decode(target); err != nil {
+		r.addFault(key, decodeErrorReason(err))
 		return false
 	}
 	return true
 }
 
-// plain is the decoder's first complaint without its own prefix and line.
-func plain(err error) string {
+// decodeErrorReason returns the decoder's first error without its prefix and line number.
+func decodeErrorReason(err error) string {
 	why := err.Error()
 	if te := (*yaml.TypeError)(nil); errors.As(err, &te) && len(te.Errors) > 0 {
 		why = te.Errors[0]
@@ -217,13 +227,13 @@
 	return why
 }
 
-// find follows a key with dots from the root. Besides the node it returns the line
-// of the deepest part there is, which a fault about a missing key can point to.
-func (r *reader) find(key string) (*yaml.Node, int) {
+// find returns the node of a dotted key, or nil. It also returns the line of the deepest
+// existing part of the key, so that a fault about a missing key can point to it.
+func (r *settingsReader) find(key string) (*yaml.Node, int) {
 	n, line := r.root, 0
 	for part := range strings.SplitSeq(key, ".") {
 		name, rest, indexed := strings.Cut(part, "[")
-		n = child(n, name)
+		n = mappingValue(n, name)
 		if n == nil {
 			return nil, line
 		}
@@ -241,7 +251,8 @@
 	return n, line
 }
 
-func child(n *yaml.Node, name string) *yaml.Node {
+// mappingValue returns the value of a key of a mapping, with an alias resolved, or nil.
+func mappingValue(n *yaml.Node, name string) *yaml.Node {
 	if n.Kind != yaml.MappingNode {
 		return nil
 	}
@@ -257,7 +268,7 @@
 	return nil
 }
 
-func (r *reader) fault(key, why string) {
+func (r *settingsReader) addFault(key, why string) {
 	_, line := r.find(key)
 	r.faults = append(r.faults, &Fault{File: r.path, Line: line, Key: key, Why: why})
 }
--- a/internal/sysconfig/settings_test.go
+++ b/internal/sysconfig/settings_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func file(t *testing.T) string {
+func settingsText(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("testdata/settings.yaml")
 	if err != nil {
@@ -31,20 +31,20 @@
 		!s.Has("quota") || s.Has("none") || !s.ServesTo("edge") || s.FaultBudget.MachineLosses != 1 {
 		t.Errorf("%+v", s)
 	}
-	if s.Bounds != usual() {
+	if s.Bounds != defaultBounds() {
 		t.Errorf("%+v", s.Bounds)
 	}
 }
 
 func TestBounds(t *testing.T) {
-	text := file(t)
+	text := settingsText(t)
 	text = text[:strings.Index(text, "Bounds:\n")] +
 		`Bounds: "RetryWindowS=2.5, SyncS=9,ConvergeMs=70,RevokedFail=true,RetrySlack=1.5,NewS=x,"` + "\n"
 	s, err := ParseSettings("f", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := usual()
+	want := defaultBounds()
 	want.RetryWindow, want.Sync, want.Converge = 2500*time.Millisecond, 9*time.Second, 70*time.Millisecond
 	want.RevokedFail, want.RetrySlack = true, 1.5
 	if s.Bounds != want {
@@ -68,10 +68,10 @@
 		{`"SyncS=4"`, `"SyncS=-4"`, "Bounds[4]", "-4"},
 		{`HeartbeatMs: 1500`, `HeartbeatMs: 0`, "HeartbeatMs", "above 0"},
 	} {
-		text := strings.Replace(file(t), c.old, c.new, 1)
+		text := strings.Replace(settingsText(t), c.old, c.new, 1)
 		line := strings.Count(text[:strings.Index(text, c.new)], "\n") + 1
 		if c.why == "missing" || c.key == "PortRange" {
-			line = 0 // the part above is pointed to, or nothing
+			line = 0 // the fault has the line of the enclosing key, or none
 		}
 		_, err := ParseSettings("f.yaml", []byte(text))
 		var f *Fault
@@ -82,11 +82,11 @@
 	}
 	_, err := ParseSettings("f", []byte("Serves: [edge]\nPortRange: [a, b]\n"))
 	if n := strings.Count(err.Error(), "\n") + 1; n != 6 {
-		t.Errorf("%d faults are told: %v", n, err)
+		t.Errorf("got %d faults, want 6: %v", n, err)
 	}
 	for _, text := range []string{"", "- a", "a: [", "\x00"} {
 		if _, err := ParseSettings("f", []byte(text)); err == nil {
-			t.Errorf("took %q", text)
+			t.Errorf("accepted %q", text)
 		}
 	}
 	_, err = ReadSettings(filepath.Join(t.TempDir(), "none"))
