--- a/internal/sysconfig/diff.go
+++ b/internal/sysconfig/diff.go
@@ -11,60 +11,62 @@
 	"strings"
 )
 
-// Change is one thing that two configurations have otherwise.
+// Change is one element that differs between two configurations.
 type Change struct {
 	Kind    string   // limit, route, pool, tenant, rollout
-	Name    string   // as people call it
-	Key     string   // its place in the text: of the new one, or the old one where it was removed
+	Name    string   // the display name
+	Key     string   // its path in the new configuration, or in the old one if it was removed
 	How     string   // added, removed, changed
-	Figures []Figure `json:",omitempty"` // of what has changed
+	Figures []Figure `json:",omitempty"` // the values that differ in a changed element
 }
 
-// Figure is a figure that has changed. No key of a tenant is whole in it.
+// Figure is a value that differs. It never holds the whole API key of a tenant.
 type Figure struct{ Key, Old, New string }
 
-// thing is a part of a configuration that has a name among its kind.
-type thing struct {
+// element is a part of a configuration that is identified by its kind and ID.
+type element struct {
 	kind, id, name, key string
 	figures             map[string]string
-	secrets             []string
+	credentials         []string
 }
 
-// Diff tells in what two configurations differ, as a gateway understands them: the order
-// of things and of tenants' keys does not count, nor does how a figure is written.
+// Diff returns the differences between two configurations that affect a gateway. It ignores
+// the order of elements and of tenants' keys, and the notation of numbers.
 func Diff(old, next *Configuration) []Change {
-	was, is := old.things(), next.things()
-	all := []Change{}
-	for _, t := range is {
-		o, ok := find(was, t)
+	before, after := old.elements(), next.elements()
+	changes := []Change{}
+	for _, t := range after {
+		o, ok := findElement(before, t)
 		if !ok {
-			all = append(all, Change{Kind: t.kind, Name: t.name, Key: t.key, How: "added"})
-		} else if parts := t.against(o); len(parts) > 0 {
-			all = append(all, Change{Kind: t.kind, Name: t.name, Key: t.key, How: "changed", Figures: parts})
+			changes = append(changes, Change{Kind: t.kind, Name: t.name, Key: t.key, How: "added"})
+		} else if figures := t.changedFigures(o); len(figures) > 0 {
+			changes = append(changes, Change{Kind: t.kind, Name: t.name, Key: t.key, How: "changed", Figures: figures})
 		}
 	}
-	for _, o := range was {
-		if _, ok := find(is, o); !ok {
-			all = append(all, Change{Kind: o.kind, Name: o.name, Key: o.key, How: "removed"})
+	for _, o := range before {
+		if _, ok := findElement(after, o); !ok {
+			changes = append(changes, Change{Kind: o.kind, Name: o.name, Key: o.key, How: "removed"})
 		}
 	}
 	order := []string{"limit", "route", "pool", "tenant", "rollout"}
-	slices.SortStableFunc(all, func(a, b Change) int {
+	slices.SortStableFunc(changes, func(a, b Change) int {
 		return cmp.Or(cmp.Compare(slices.Index(order, a.Kind), slices.Index(order, b.Kind)), cmp.Compare(a.Name, b.Name))
 	})
-	return all
+	return changes
 }
 
-func find(all map[string]*thing, t *thing) (*thing, bool) {
+// findElement looks up the element with the kind and ID of t.
+func findElement(all map[string]*element, t *element) (*element, bool) {
 	o, ok := all[t.kind+" "+t.id]
 	return o, ok
 }
 
-// things are all that can differ. Of two with one name the second is called so.
-func (c *Configuration) things() map[string]*thing {
-	all := map[string]*thing{}
-	add := func(kind, id, name, key string, of any) *thing {
-		t := &thing{kind: kind, id: id, name: name, key: key, figures: figures(of)}
+// elements returns everything that can differ, by kind and ID. If several elements have the
+// same ID, a number is appended to those after the first.
+func (c *Configuration) elements() map[string]*element {
+	all := map[string]*element{}
+	add := func(kind, id, name, key string, value any) *element {
+		t := &element{kind: kind, id: id, name: name, key: key, figures: leafValues(value)}
 		for n := 2; all[kind+" "+t.id] != nil; n++ {
 			t.id, t.name = fmt.Sprintf("%s #%d", id, n), fmt.Sprintf("%s #%d", name, n)
 		}
@@ -82,9 +84,9 @@
 		add("pool", p.Name, p.Name, fmt.Sprintf("Pools[%d]", i), p)
 	}
 	for i, p := range c.Principals {
-		bare := p
-		bare.Credentials = nil
-		add("tenant", p.Name, p.Name, fmt.Sprintf("Principals[%d]", i), bare).secrets = p.Credentials
+		withoutKeys := p
+		withoutKeys.Credentials = nil
+		add("tenant", p.Name, p.Name, fmt.Sprintf("Principals[%d]", i), withoutKeys).credentials = p.Credentials
 	}
 	if c.Rollout != nil && *c.Rollout != (Rollout{}) {
 		add("rollout", "", "Rollout", "Rollout", c.Rollout)
@@ -92,38 +94,39 @@
 	return all
 }
 
-// against is what a thing has otherwise than its older self.
-func (t *thing) against(o *thing) (parts []Figure) {
+// changedFigures returns the values that differ from the older version of an element.
+func (t *element) changedFigures(o *element) (figures []Figure) {
 	keys := maps.Clone(o.figures)
 	maps.Copy(keys, t.figures)
 	for _, k := range slices.Sorted(maps.Keys(keys)) {
-		if was, is := o.figures[k], t.figures[k]; was != is {
-			parts = append(parts, Figure{k, was, is})
+		if before, after := o.figures[k], t.figures[k]; before != after {
+			figures = append(figures, Figure{k, before, after})
 		}
 	}
-	for i, s := range o.secrets {
-		if !slices.Contains(t.secrets, s) {
-			parts = append(parts, Figure{Key: fmt.Sprintf("Credentials[%d]", i), Old: Masked(s)})
+	for i, s := range o.credentials {
+		if !slices.Contains(t.credentials, s) {
+			figures = append(figures, Figure{Key: fmt.Sprintf("Credentials[%d]", i), Old: Masked(s)})
 		}
 	}
-	for i, s := range t.secrets {
-		if !slices.Contains(o.secrets, s) {
-			parts = append(parts, Figure{Key: fmt.Sprintf("Credentials[%d]", i), New: Masked(s)})
+	for i, s := range t.credentials {
+		if !slices.Contains(o.credentials, s) {
+			figures = append(figures, Figure{Key: fmt.Sprintf("Credentials[%d]", i), New: Masked(s)})
 		}
 	}
-	return parts
+	return figures
 }
 
-// Masked is a key as it may be shown: who has it knows it again, nobody else can use it.
+// Masked returns a key in a form that can be shown: its owner recognizes it, but nobody can
+// use it.
 func Masked(key string) string {
 	return fmt.Sprintf("%s… (%d bytes)", key[:min(4, len(key)/4)], len(key))
 }
 
-// figures are the leaves of a value, by their path below it.
-func figures(of any) map[string]string {
-	text, err := json.Marshal(of)
+// leafValues returns the leaves of the JSON form of a value by their paths within it.
+func leafValues(value any) map[string]string {
+	text, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // a bug: the types are our own
+		panic(err) // a bug: only types of this package are encoded
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -132,27 +135,28 @@
 		panic(err)
 	}
 	all := map[string]string{}
-	leaves("", tree, all)
+	collectLeaves("", tree, all)
 	return all
 }
 
-func leaves(path string, tree any, to map[string]string) {
+// collectLeaves adds the leaves of a decoded JSON tree by their paths.
+func collectLeaves(path string, tree any, leaves map[string]string) {
 	switch t := tree.(type) {
 	case map[string]any:
 		for k, v := range t {
-			leaves(strings.TrimPrefix(path+"."+k, "."), v, to)
+			collectLeaves(strings.TrimPrefix(path+"."+k, "."), v, leaves)
 		}
 	case []any:
 		for i, v := range t {
-			leaves(fmt.Sprintf("%s[%d]", path, i), v, to)
+			collectLeaves(fmt.Sprintf("%s[%d]", path, i), v, leaves)
 		}
 	case nil:
 	default:
-		to[path] = fmt.Sprint(t)
+		leaves[path] = fmt.Sprint(t)
 	}
 }
 
-// MarshalJSON writes what UnmarshalJSON reads.
+// MarshalJSON writes the form that UnmarshalJSON reads.
 func (r Rollout) MarshalJSON() ([]byte, error) {
 	text := struct {
 		Mode     string
--- a/internal/sysconfig/diff_test.go
+++ b/internal/sysconfig/diff_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestDiffSeesAll: whatever field of a configuration is another, the difference names it,
-// and shows no tenant's key.
-func TestDiffSeesAll(t *testing.T) {
+// Checks that Diff reports a change of any field of a configuration and shows no tenant's
+// key. It guards against a new field that Diff leaves out.
+func TestDiffReportsEveryField(t *testing.T) {
 	body, err := os.ReadFile("testdata/configuration.json")
 	if err != nil {
 		t.Fatal(err)
@@ -23,26 +23,26 @@
 	}
 	const secret = "a-new-key-0123456789"
 	tried := 0
-	var walk func(path string, v reflect.Value, same func() bool)
-	walk = func(path string, v reflect.Value, same func() bool) {
-		was := reflect.New(v.Type()).Elem()
-		was.Set(v)
+	var walk func(path string, v reflect.Value, unchanged func() bool)
+	walk = func(path string, v reflect.Value, unchanged func() bool) {
+		original := reflect.New(v.Type()).Elem()
+		original.Set(v)
 		switch v.Kind() {
 		case reflect.Struct:
 			for i := range v.NumField() {
 				if f := v.Type().Field(i); f.IsExported() && f.Name != "Epoch" {
-					walk(path+"."+f.Name, v.Field(i), same)
+					walk(path+"."+f.Name, v.Field(i), unchanged)
 				}
 			}
 			return
 		case reflect.Slice:
 			if v.Len() > 0 {
-				walk(path+"[0]", v.Index(0), same)
+				walk(path+"[0]", v.Index(0), unchanged)
 			}
 			return
 		case reflect.Pointer:
 			if !v.IsNil() {
-				walk(path, v.Elem(), same)
+				walk(path, v.Elem(), unchanged)
 			}
 			return
 		case reflect.String:
@@ -54,10 +54,10 @@
 		case reflect.Bool:
 			v.SetBool(!v.Bool())
 		}
-		if tried++; same() {
-			t.Errorf("%s: not seen", path)
+		if tried++; unchanged() {
+			t.Errorf("%s: change not reported", path)
 		}
-		v.Set(was)
+		v.Set(original)
 	}
 	changed, err := Parse(body)
 	if err != nil {
@@ -77,6 +77,6 @@
 		return len(d) == 0
 	})
 	if tried < 20 {
-		t.Errorf("%d fields tried", tried)
+		t.Errorf("only %d fields tried, want 20 or more", tried)
 	}
 }
--- a/internal/sysconfig/fault.go
+++ b/internal/sysconfig/fault.go
@@ -1,6 +1,6 @@
-// Package sysconfig reads what a process is told: its settings file, and the
-// configurations that operators send. What it returns has been checked whole, so
-// nobody behind it checks again.
+// Package sysconfig reads the settings file of a process and the configurations that
+// operators submit. Everything it returns is fully validated, so callers don't validate
+// it again.
 package sysconfig
 
 import (
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong, named so that whoever wrote it finds it.
+// Fault is an error in a settings file or a configuration, with its location.
 type Fault struct {
-	File string // empty for a configuration, which comes over the network
-	Line int    // 0 where none is known
-	Key  string // as Sockets[1].Policy[0].Effect.DeadlineMs; empty for the whole
+	File string // empty for a configuration, which arrives over the network
+	Line int    // 0 if unknown
+	Key  string // such as Sockets[1].Policy[0].Effect.DeadlineMs; empty for the whole text
 	Why  string
 }
 
--- a/internal/sysconfig/list.go
+++ b/internal/sysconfig/list.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Routes are all routes, in an order that stays. They are not to be changed.
+// Routes returns all routes in a stable order. Callers must not modify them.
 func (t *Table) Routes() []*Route { return t.routes }
 
-// RoutesTo are those that lead to a service, in the same order.
-func (t *Table) RoutesTo(service string) []*Route { return t.leads[service] }
+// RoutesTo returns the routes that send requests to a service, in the order of Routes.
+func (t *Table) RoutesTo(service string) []*Route { return t.routesByService[service] }
 
-// index makes the lists once: who asks for them by service or tenant would else go over
-// all routes for each service, and over all tenants for each route.
-func (t *Table) index() {
+// buildIndexes computes the lists of routes, tenants and ranks once. Otherwise callers would
+// scan all routes for each service, and all tenants for each route.
+func (t *Table) buildIndexes() {
 	for _, routes := range t.hosts {
 		t.routes = append(t.routes, routes...)
 	}
 	slices.SortFunc(t.routes, func(a, b *Route) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Prefix, b.Prefix)) })
-	t.leads = make(map[string][]*Route, len(t.Services))
+	t.routesByService = make(map[string][]*Route, len(t.Services))
 	for _, r := range t.routes {
 		for i, w := range r.Backends {
 			if w.Share > 0 && !slices.ContainsFunc(r.Backends[:i], func(o Weighted) bool { return o.Service == w.Service && o.Share > 0 }) {
-				t.leads[w.Service] = append(t.leads[w.Service], r)
+				t.routesByService[w.Service] = append(t.routesByService[w.Service], r)
 			}
 		}
 	}
@@ -32,23 +32,23 @@
 			continue
 		}
 		seen[tenant] = true
-		t.named = append(t.named, tenant)
-		if tenant.Rank != nil && !slices.Contains(t.ranks, *tenant.Rank) {
-			t.ranks = append(t.ranks, *tenant.Rank)
+		t.tenantsByName = append(t.tenantsByName, tenant)
+		if tenant.Rank != nil && !slices.Contains(t.tenantRanks, *tenant.Rank) {
+			t.tenantRanks = append(t.tenantRanks, *tenant.Rank)
 		}
 	}
-	slices.SortFunc(t.named, func(a, b *Tenant) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(t.tenantsByName, func(a, b *Tenant) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// HasRoute tells whether a route has this name.
+// HasRoute reports whether there is a route with this name.
 func (t *Table) HasRoute(name string) bool {
 	return slices.ContainsFunc(t.Routes(), func(r *Route) bool { return r.Name == name })
 }
 
-// Tenants are all tenants by name. They are not to be changed.
-func (t *Table) Tenants() []*Tenant { return t.named }
+// Tenants returns all tenants sorted by name. Callers must not modify them.
+func (t *Table) Tenants() []*Tenant { return t.tenantsByName }
 
-// TenantNamed finds a tenant by name, or nil. It looks through all.
+// TenantNamed returns the tenant with this name, or nil, by a scan of all tenants.
 func (t *Table) TenantNamed(name string) *Tenant {
 	for _, tenant := range t.tenants {
 		if tenant.Name == name {
@@ -58,10 +58,11 @@
 	return nil
 }
 
-// Ranks are those that a route's requests may have: its own, or their tenant's.
+// Ranks returns the ranks that requests of a route can have, in ascending order: the
+// route's own and those of tenants.
 func (t *Table) Ranks(r *Route) []int {
 	ranks := []int{r.Rank}
-	for _, rank := range t.ranks {
+	for _, rank := range t.tenantRanks {
 		if rank != r.Rank {
 			ranks = append(ranks, rank)
 		}
--- a/internal/sysconfig/rollout.go
+++ b/internal/sysconfig/rollout.go
@@ -12,29 +12,30 @@
 	"time"
 )
 
-// Rollout says how the configuration after this one is taken up: the rules of a
-// change are those that everybody goes by when it comes. Left out it is "each".
+// Rollout says how nodes apply the configuration that follows this one: a change is rolled
+// out by the rules in force when it arrives. The default mode is "each".
 type Rollout struct {
-	Together bool          // else each node takes it up as it gets it
-	Confirm  int           // nodes that must have confirmed; 0: all that live
-	Within   time.Duration // then it is withdrawn; 0: it waits for as long as it takes
-	Reads    bool          // pure routes too go by what is live for certain, or are refused
-	bad      *Fault
+	Together bool          // all nodes apply it at once; otherwise each applies it on arrival
+	Confirm  int           // number of nodes that must confirm; 0: all live nodes
+	Within   time.Duration // time limit after which the change is withdrawn; 0: it waits indefinitely
+	Reads    bool          // pure routes too use only a configuration that is certainly in force, or are refused
+	fault    *Fault        // found by UnmarshalJSON
 }
 
-// UnmarshalJSON keeps what is wrong for the check, which names the place.
+// UnmarshalJSON keeps a fault for checkRollout, which reports it with its key, instead of
+// returning it.
 func (r *Rollout) UnmarshalJSON(text []byte) error {
 	*r = Rollout{}
 	if bytes.Equal(bytes.TrimSpace(text), []byte("null")) {
 		return nil
 	}
-	bad := func(key, why string) error {
-		r.bad = &Fault{Key: "Rollout" + key, Why: why}
+	setFault := func(key, why string) error {
+		r.fault = &Fault{Key: "Rollout" + key, Why: why}
 		return nil
 	}
 	var all map[string]json.RawMessage
 	if json.Unmarshal(text, &all) != nil {
-		return bad("", "not an object")
+		return setFault("", "not an object")
 	}
 	keys := make([]string, 0, len(all))
 	for k := range all {
@@ -42,35 +43,35 @@
 	}
 	slices.Sort(keys)
 	for _, k := range keys {
-		var why error
+		var err error
 		switch v := all[k]; k {
 		case "Mode":
-			r.Together, why = word(v, "each", "together")
+			r.Together, err = parseChoice(v, "each", "together")
 		case "Reads":
-			r.Reads, why = word(v, "last", "live")
+			r.Reads, err = parseChoice(v, "last", "live")
 		case "Confirm":
-			r.Confirm, why = confirm(v)
+			r.Confirm, err = parseConfirm(v)
 		case "WithinMs":
 			var ms float64
 			if json.Unmarshal(v, &ms) != nil || ms < 0 || ms > 1e9 {
-				why = errors.New("must be a number from 0 to 1e9: " + string(v))
+				err = errors.New("must be a number from 0 to 1e9: " + string(v))
 			}
 			r.Within = time.Duration(ms * float64(time.Millisecond))
 		default:
-			why = errors.New("unknown; there are Mode, Confirm, WithinMs and Reads")
+			err = errors.New("unknown; there are Mode, Confirm, WithinMs and Reads")
 		}
-		if why != nil {
-			return bad("."+k, why.Error())
+		if err != nil {
+			return setFault("."+k, err.Error())
 		}
 	}
-	if r.Reads && !r.Together { // there are no leases to go by
-		return bad(".Reads", `"live" needs "Mode": "together"`)
+	if r.Reads && !r.Together { // only mode "together" grants the leases that live reads rely on
+		return setFault(".Reads", `"live" needs "Mode": "together"`)
 	}
 	return nil
 }
 
-// word reads one of two, and tells whether it is the second.
-func word(v json.RawMessage, first, second string) (bool, error) {
+// parseChoice decodes one of two strings and reports whether it is the second.
+func parseChoice(v json.RawMessage, first, second string) (bool, error) {
 	var s string
 	if json.Unmarshal(v, &s) != nil || s != first && s != second {
 		return false, fmt.Errorf("must be %q or %q: %s", first, second, v)
@@ -78,7 +79,8 @@
 	return s == second, nil
 }
 
-func confirm(v json.RawMessage) (int, error) {
+// parseConfirm decodes "all" as 0, or a positive integer.
+func parseConfirm(v json.RawMessage) (int, error) {
 	var s string
 	if json.Unmarshal(v, &s) == nil && s == "all" {
 		return 0, nil
@@ -90,28 +92,31 @@
 	return strconv.Atoi(strconv.FormatFloat(n, 'f', 0, 64))
 }
 
+// checkRollout returns the fault that UnmarshalJSON found, or nil.
 func (c *Configuration) checkRollout() *Fault {
 	if c.Rollout == nil {
 		return nil
 	}
-	return c.Rollout.bad
+	return c.Rollout.fault
 }
 
-// RolloutOf reads that part of a configuration only.
+// RolloutOf decodes only the rollout of a configuration. It returns the default if that is
+// absent or invalid.
 func RolloutOf(body []byte) Rollout {
-	if !mayName(body, "rollout") {
+	if !mayContainKey(body, "rollout") {
 		return Rollout{}
 	}
 	var c struct{ Rollout Rollout }
-	if json.Unmarshal(body, &c) != nil || c.Rollout.bad != nil {
+	if json.Unmarshal(body, &c) != nil || c.Rollout.fault != nil {
 		return Rollout{}
 	}
 	return c.Rollout
 }
 
-// mayName says whether a text may have a key of that name, which is in lower case: JSON's keys are read in any, and may be
-// written by escapes. Most texts of any length don't, and needn't be read for it.
-func mayName(body []byte, name string) bool {
+// mayContainKey reports whether a JSON text may have a key with this lower-case name. Keys
+// match in any case and can be written with escapes. Most long texts don't have the key, and
+// this check avoids decoding them.
+func mayContainKey(body []byte, name string) bool {
 	if bytes.IndexByte(body, '\\') >= 0 {
 		return true
 	}
--- a/internal/sysconfig/schema/configuration.cue
+++ b/internal/sysconfig/schema/configuration.cue
@@ -1,7 +1,7 @@
-// A configuration (PROTOCOL.md, "The operator"). What needs a look at every other
-// part (names that are known, host and prefix only once, keys of one principal)
-// is left to Go: here it would cost the square of the routes. Nulls count as left out,
-// and are taken away before.
+// A configuration (PROTOCOL.md, "The operator"). Checks that compare elements with each
+// other (known services, unique host and prefix, keys of only one principal) are done in
+// Go: here they would take time quadratic in the number of routes. Nulls count as missing
+// keys and are removed before validation.
 #Count: number & >=0
 
 #Configuration: {
--- a/internal/sysconfig/schema/schema.go
+++ b/internal/sysconfig/schema/schema.go
@@ -1,7 +1,7 @@
-// Package schema checks settings and configurations against schemas in CUE, and tells
-// everything that is wrong at once. It is a package of its own because CUE costs each
-// program that links it some milliseconds and a megabyte at its start, which a gateway
-// on a part of a core does without: package sysconfig refuses the same texts by itself.
+// Package schema validates settings and configurations against CUE schemas and reports all
+// faults at once. It is a separate package because CUE adds a few milliseconds and a
+// megabyte to the start of each program that links it. A gateway on a fraction of a core
+// avoids that cost: package sysconfig rejects the same texts without CUE.
 package schema
 
 import (
@@ -20,31 +20,31 @@
 
 var (
 	//go:embed settings.cue
-	settings string
+	settingsSchema string
 	//go:embed configuration.cue
-	configuration string
+	configurationSchema string
 )
 
-// CheckSettings checks the text of a settings file; path is only named in faults.
-// A file that passes the schema is read by package sysconfig as well.
+// CheckSettings validates the text of a settings file; path is used only in faults. A text
+// that passes the schema is also parsed by package sysconfig.
 func CheckSettings(path string, text []byte) error {
 	var tree map[string]any
 	if err := yaml.Unmarshal(text, &tree); err != nil {
 		return &sysconfig.Fault{File: path, Why: strings.TrimPrefix(err.Error(), "yaml: ")}
 	}
-	if err := check(path, settings, "#Settings", tree); err != nil {
+	if err := check(path, settingsSchema, "#Settings", tree); err != nil {
 		return err
 	}
 	_, err := sysconfig.ParseSettings(path, text)
 	return err
 }
 
-// Explain tells an operator all that is wrong with a configuration: first by the
-// schema, and where that is content, by what only the Go checks look at.
+// Explain returns all faults of a configuration that the schema finds. If there are none, it
+// returns the first fault of the Go checks, some of which the schema doesn't have.
 func Explain(body []byte) error {
 	var tree map[string]any
 	if json.Unmarshal(body, &tree) == nil {
-		if err := check("", configuration, "#Configuration", tree); err != nil {
+		if err := check("", configurationSchema, "#Configuration", tree); err != nil {
 			return err
 		}
 	}
@@ -52,20 +52,20 @@
 	return err
 }
 
-// check returns the faults of a tree, joined.
-func check(path, schema, name string, tree map[string]any) error {
+// check validates a decoded tree against a definition of a schema and joins the faults.
+func check(path, schema, definition string, tree map[string]any) error {
 	ctx := cuecontext.New()
-	want := ctx.CompileString(schema).LookupPath(cue.ParsePath(name))
-	if err := want.Err(); err != nil {
-		return &sysconfig.Fault{File: name, Why: err.Error()}
+	constraint := ctx.CompileString(schema).LookupPath(cue.ParsePath(definition))
+	if err := constraint.Err(); err != nil {
+		return &sysconfig.Fault{File: definition, Why: err.Error()}
 	}
-	err := want.Unify(ctx.Encode(bare(tree))).Validate(cue.Concrete(true), cue.Final())
+	err := constraint.Unify(ctx.Encode(dropNulls(tree))).Validate(cue.Concrete(true), cue.Final())
 	var faults []error
 	seen := map[string]bool{}
 	for _, e := range errors.Errors(err) {
-		key := spell(e.Path())
+		key := formatPath(e.Path())
 		if seen[key] {
-			continue // one disagreement is told once for each side of it
+			continue // CUE reports a conflict once for each side
 		}
 		seen[key] = true
 		format, args := e.Msg()
@@ -75,27 +75,27 @@
 	return stderrors.Join(faults...)
 }
 
-// bare is a tree without its nulls, which count as left out.
-func bare(tree any) any {
+// dropNulls removes the nulls from a tree, because a null counts as a missing key.
+func dropNulls(tree any) any {
 	switch t := tree.(type) {
 	case map[string]any:
 		for key, v := range t {
 			if v == nil {
 				delete(t, key)
 			} else {
-				t[key] = bare(v)
+				t[key] = dropNulls(v)
 			}
 		}
 	case []any:
 		for i, v := range t {
-			t[i] = bare(v)
+			t[i] = dropNulls(v)
 		}
 	}
 	return tree
 }
 
-// spell writes a path as the rest of the system does: Sockets[1].Policy[0].Rank.
-func spell(path []string) string {
+// formatPath writes a path in the notation of sysconfig.Fault: Sockets[1].Policy[0].Rank.
+func formatPath(path []string) string {
 	var b strings.Builder
 	for _, part := range path {
 		switch {
--- a/internal/sysconfig/schema/schema_test.go
+++ b/internal/sysconfig/schema/schema_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func read(t testing.TB, name string) string {
+func readTestdata(t testing.TB, name string) string {
 	t.Helper()
 	text, err := os.ReadFile("../testdata/" + name)
 	if err != nil {
@@ -15,10 +15,11 @@
 	return string(text)
 }
 
-// Each change makes the text wrong at a key. Those that a schema sees are told all at
-// once, those that only Go looks at after that.
+// Each change invalidates the configuration at the given key, or leaves it valid if the key
+// is empty. Faults that the schema finds are reported together; those that only the Go checks
+// find are reported if there are none.
 func TestExplain(t *testing.T) {
-	good := strings.Join(strings.Fields(read(t, "configuration.json")), "")
+	good := strings.Join(strings.Fields(readTestdata(t, "configuration.json")), "")
 	if err := Explain([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
@@ -49,15 +50,15 @@
 			t.Errorf("%s: %v", c[2], err)
 		}
 	}
-	two := strings.NewReplacer(`"/puka111/"`, `"puka111/"`, `"DeadlineMs":600`, `"DeadlineMs":0`).Replace(good)
-	err := Explain([]byte(two))
+	twoFaults := strings.NewReplacer(`"/puka111/"`, `"puka111/"`, `"DeadlineMs":600`, `"DeadlineMs":0`).Replace(good)
+	err := Explain([]byte(twoFaults))
 	if err == nil || !strings.Contains(err.Error(), "PathPrefix") || !strings.Contains(err.Error(), "DeadlineMs") {
 		t.Error(err)
 	}
 }
 
 func TestCheckSettings(t *testing.T) {
-	good := read(t, "settings.yaml")
+	good := readTestdata(t, "settings.yaml")
 	if err := CheckSettings("f", []byte(good)); err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +79,7 @@
 }
 
 func BenchmarkCheckSettings(b *testing.B) {
-	text := []byte(read(b, "settings.yaml"))
+	text := []byte(readTestdata(b, "settings.yaml"))
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := CheckSettings("f", text); err != nil {
@@ -88,7 +89,7 @@
 }
 
 func BenchmarkExplain(b *testing.B) {
-	text := []byte(read(b, "configuration.json"))
+	text := []byte(readTestdata(b, "configuration.json"))
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := Explain(text); err != nil {
--- a/internal/sysconfig/schema/settings.cue
+++ b/internal/sysconfig/schema/settings.cue
@@ -1,5 +1,5 @@
-// The settings file (DEPLOY.md, "What a process is told"). Fields that are not
-// known are let through.
+// The settings file (DEPLOY.md, "What a process is told"). Unknown fields are
+// accepted.
 #Address: =~"^[0-9]{1,3}([.][0-9]{1,3}){3}:[0-9]{1,5}$"
 #Port:    int & >=1 & <=65535
 #Count:   int & >=0
--- a/internal/sysconfig/table.go
+++ b/internal/sysconfig/table.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// Table is a configuration as the data plane looks it up. It never changes, so any
-// number of readers share one.
+// Table is a configuration indexed for lookups by the data plane. It is immutable, so any
+// number of goroutines can share it.
 type Table struct {
 	Version  uint32
 	Bounds   Caps
 	Services map[string]Service
 
-	hosts   map[string][]*Route // by lower-case host, longest prefix first
-	tenants map[string]*Tenant  // by key
-	keyed   bool
+	hosts      map[string][]*Route // by lower-case host, longest prefix first
+	tenants    map[string]*Tenant  // by key
+	hasTenants bool
 
-	routes []*Route // all, by name
-	leads  map[string][]*Route
-	named  []*Tenant // all, by name
-	ranks  []int     // that tenants have
+	routes          []*Route // sorted by name and prefix
+	routesByService map[string][]*Route
+	tenantsByName   []*Tenant // each tenant once
+	tenantRanks     []int     // the distinct ranks of tenants
 }
 
-// Caps bound what a client may send. What is 0 has no bound.
+// Caps are the request size limits and timeouts for clients. 0 means no limit.
 type Caps struct {
 	HeaderBytes, BodyBytes int64
 	HeaderRead, Keepalive  time.Duration
 }
 
-// Service is a kind of server.
+// Service is a backend service, which any number of servers provide.
 type Service struct {
 	Name, ProbePath string
 	MaxConns        int
 }
 
-// Class tells what may be repeated. A class that isn't known counts as effectful,
-// which is the one that does no harm.
+// Class tells whether the requests of a route may be repeated. An unknown class counts as
+// Effectful, the safe choice.
 type Class uint8
 
 const (
@@ -47,7 +47,7 @@
 	Pure
 )
 
-// Route is where requests go that it fits.
+// Route holds the handling and the destinations of requests that match its prefix.
 type Route struct {
 	Name, Prefix     string
 	Class            Class
@@ -55,37 +55,37 @@
 	Tries, Rank      int
 	Anonymous        bool
 	Backends         []Weighted // none with a share of 0
-	total            uint64
+	totalShare       uint64
 }
 
-// Weighted is a service's share of a route.
+// Weighted is a service and its weight among the destinations of a route.
 type Weighted struct {
 	Service string
 	Share   int
 }
 
-// Tenant is whom a key belongs to. Rate and Burst of 0 are no limit.
+// Tenant is the owner of one or more API keys. A Rate or Burst of 0 means no limit.
 type Tenant struct {
 	Name        string
-	Rank        *int // stands in for the route's, if there is one
+	Rank        *int // overrides the route's rank unless nil
 	Rate, Burst float64
 }
 
-// Table makes the form that requests are looked up in.
+// Table builds the lookup table of the configuration.
 func (c *Configuration) Table() *Table {
 	t := &Table{
 		Version: c.version,
 		Bounds: Caps{
-			HeaderBytes: int64(whole(c.BoundsReq.MaxHeaderBytes)), HeaderRead: ms(c.BoundsReq.HeaderReadMs),
-			BodyBytes: int64(whole(c.BoundsReq.MaxBodyBytes)), Keepalive: ms(c.BoundsReq.KeepaliveMs),
+			HeaderBytes: int64(clampInt(c.BoundsReq.MaxHeaderBytes)), HeaderRead: clampMillis(c.BoundsReq.HeaderReadMs),
+			BodyBytes: int64(clampInt(c.BoundsReq.MaxBodyBytes)), Keepalive: clampMillis(c.BoundsReq.KeepaliveMs),
 		},
-		Services: make(map[string]Service, len(c.Pools)),
-		hosts:    make(map[string][]*Route, len(c.Sockets)),
-		tenants:  make(map[string]*Tenant),
-		keyed:    len(c.Principals) > 0,
+		Services:   make(map[string]Service, len(c.Pools)),
+		hosts:      make(map[string][]*Route, len(c.Sockets)),
+		tenants:    make(map[string]*Tenant),
+		hasTenants: len(c.Principals) > 0,
 	}
 	for _, p := range c.Pools {
-		t.Services[p.Name] = Service{Name: p.Name, ProbePath: p.ProbePath, MaxConns: whole(p.MaxConns)}
+		t.Services[p.Name] = Service{Name: p.Name, ProbePath: p.ProbePath, MaxConns: clampInt(p.MaxConns)}
 	}
 	for _, s := range c.Sockets {
 		host := Host(s.Authority)
@@ -99,7 +99,7 @@
 	for _, p := range c.Principals {
 		tenant := &Tenant{Name: p.Name, Rate: max(p.RatePerS, 0), Burst: max(p.BurstSize, 0)}
 		if p.Rank != nil {
-			rank := whole(*p.Rank)
+			rank := clampInt(*p.Rank)
 			tenant.Rank = &rank
 		}
 		for _, key := range p.Credentials {
@@ -108,15 +108,16 @@
 			}
 		}
 	}
-	t.index()
+	t.buildIndexes()
 	return t
 }
 
+// route converts a configured rule to the form used for lookups.
 func (r *Rule) route() *Route {
 	out := &Route{
 		Name: r.Name, Prefix: r.Predicate.PathPrefix,
-		Target: ms(r.TargetMs), Deadline: max(ms(r.Effect.DeadlineMs), 1),
-		Tries: max(whole(r.Effect.Tries), 1), Rank: whole(r.Rank), Anonymous: r.Anonymous,
+		Target: clampMillis(r.TargetMs), Deadline: max(clampMillis(r.Effect.DeadlineMs), 1),
+		Tries: max(clampInt(r.Effect.Tries), 1), Rank: clampInt(r.Rank), Anonymous: r.Anonymous,
 	}
 	if r.RouteClass == "pure" {
 		out.Class = Pure
@@ -124,43 +125,43 @@
 	if len(r.Effect.Partition) == 0 {
 		out.Backends = []Weighted{{r.Effect.Backend, 1}}
 	}
-	scale := scaleOf(r.Effect.Partition)
+	scale := shareScale(r.Effect.Partition)
 	for _, p := range r.Effect.Partition {
 		if share := int(math.Round(p.Share * scale)); share > 0 {
 			out.Backends = append(out.Backends, Weighted{p.Backend, share})
 		}
 	}
 	for _, w := range out.Backends {
-		out.total += uint64(w.Share)
+		out.totalShare += uint64(w.Share)
 	}
 	return out
 }
 
-// scaleOf leaves whole shares as they are; others are brought to a millionth of the
-// largest, so that 0.9 and 0.1 keep their relation.
-func scaleOf(parts []Part) float64 {
-	top, exact := 0.0, true
+// shareScale returns the factor that turns shares into integers: 1 if all are integers,
+// otherwise one that makes the largest 1e6, so that 0.9 and 0.1 keep their ratio.
+func shareScale(parts []Part) float64 {
+	largest, integral := 0.0, true
 	for _, p := range parts {
-		top = max(top, p.Share)
-		exact = exact && p.Share == math.Trunc(p.Share)
+		largest = max(largest, p.Share)
+		integral = integral && p.Share == math.Trunc(p.Share)
 	}
-	if exact && top < 1<<31 {
+	if integral && largest < 1<<31 {
 		return 1
 	}
-	return 1e6 / top
+	return 1e6 / largest
 }
 
-// Route finds the route of a request, or nil. The host may carry a port and the path
-// a query; neither counts. It allocates nothing.
+// Route returns the route with the longest prefix that matches a request, or nil. A port in
+// the host and a query in the path are ignored. It doesn't allocate.
 func (t *Table) Route(host, path string) *Route {
-	var low [256]byte
-	host = bare(host)
+	var lowered [256]byte
+	host = stripPort(host)
 	routes, ok := t.hosts[host]
-	if !ok && len(host) <= len(low) {
+	if !ok && len(host) <= len(lowered) {
 		for i := range len(host) {
-			low[i] = lower(host[i])
+			lowered[i] = lowerASCII(host[i])
 		}
-		routes = t.hosts[string(low[:len(host)])]
+		routes = t.hosts[string(lowered[:len(host)])]
 	}
 	if q := strings.IndexByte(path, '?'); q >= 0 {
 		path = path[:q]
@@ -173,19 +174,19 @@
 	return nil
 }
 
-// Tenant finds whom a key belongs to, or nil.
+// Tenant returns the owner of an API key, or nil.
 func (t *Table) Tenant(key string) *Tenant { return t.tenants[key] }
 
-// Keyed tells whether requests on routes that aren't anonymous carry a key.
-func (t *Table) Keyed() bool { return t.keyed }
+// Keyed reports whether requests on routes that aren't anonymous need an API key.
+func (t *Table) Keyed() bool { return t.hasTenants }
 
-// Pick chooses a service by its share. The same u always gives the same service;
-// u need not be spread well.
+// Pick chooses a service with a probability proportional to its share. The same u always
+// gives the same service; u need not be evenly distributed.
 func (r *Route) Pick(u uint64) string {
 	if len(r.Backends) == 1 {
 		return r.Backends[0].Service
 	}
-	n, _ := bits.Mul64(stir(u), r.total)
+	n, _ := bits.Mul64(mixBits(u), r.totalShare)
 	for _, w := range r.Backends {
 		if n < uint64(w.Share) {
 			return w.Service
@@ -195,39 +196,40 @@
 	return ""
 }
 
-// stir spreads u over all bits (the last step of splitmix64).
-func stir(u uint64) uint64 {
+// mixBits is the finalizer of splitmix64, which spreads u over all bits.
+func mixBits(u uint64) uint64 {
 	u = (u ^ u>>30) * 0xbf58476d1ce4e5b9
 	u = (u ^ u>>27) * 0x94d049bb133111eb
 	return u ^ u>>31
 }
 
-// Host is the form under which hosts are compared: no port, lower case.
+// Host returns the form in which hosts are compared: lower case and without a port.
 func Host(authority string) string {
-	b := []byte(bare(authority))
+	b := []byte(stripPort(authority))
 	for i := range b {
-		b[i] = lower(b[i])
+		b[i] = lowerASCII(b[i])
 	}
 	return string(b)
 }
 
-func bare(host string) string {
+// stripPort removes the port; the colons of an IPv6 address in brackets stay.
+func stripPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && strings.IndexByte(host[i:], ']') < 0 {
 		return host[:i]
 	}
 	return host
 }
 
-func lower(c byte) byte {
+func lowerASCII(c byte) byte {
 	if 'A' <= c && c <= 'Z' {
 		return c + 'a' - 'A'
 	}
 	return c
 }
 
-// ms and whole keep figures of any size within what the types hold.
-func ms(v float64) time.Duration {
+// clampMillis and clampInt convert a number of any size to one that the type can hold.
+func clampMillis(v float64) time.Duration {
 	return time.Duration(min(max(v, 0), 1e12) * float64(time.Millisecond))
 }
 
-func whole(v float64) int { return int(min(max(v, 0), 1<<53)) }
+func clampInt(v float64) int { return int(min(max(v, 0), 1<<53)) }
