--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -135,7 +135,7 @@
 	if b.TsMs == nil {
 		return fmt.Errorf("not a batch: tsMs is missing")
 	}
-	h.now, h.out = settings.Span(*b.TsMs), []action{}
+	h.now, h.out = settings.FromMillis(*b.TsMs), []action{}
 	for i := range b.Arrivals {
 		if err := h.event(&b.Arrivals[i]); err != nil {
 			return fmt.Errorf("arrivals[%d]: %w", i, err)
@@ -163,7 +163,7 @@
 				return fmt.Errorf("DIRECTORY: members[%d]: unknown state %q", i, m.State)
 			}
 			ms[i] = choice.Member{ID: m.Backend, Zone: m.DC, Kind: m.GenerationHw, Cell: m.Cohort,
-				State: s, Weight: m.Heft, Started: settings.Span(m.CameUpMs)}
+				State: s, Weight: m.Heft, Started: settings.FromMillis(m.CameUpMs)}
 		}
 		h.rosters[e.RosterID] = ms
 		return nil
@@ -238,7 +238,7 @@
 		d.b.HandleRoster(now, r)
 	case "WORK_ITEM":
 		d.b.HandleRequest(now, choice.Request{ID: e.RID, Class: e.Service, Plan: e.Tier, Customer: e.APIKey,
-			Deadline: settings.Span(e.NotAfterMs), Units: e.QuotaUnits, Gateways: e.Width, FirstGateway: e.FirstDoor, IsRetry: e.Again})
+			Deadline: settings.FromMillis(e.NotAfterMs), Units: e.QuotaUnits, Gateways: e.Width, FirstGateway: e.FirstDoor, IsRetry: e.Again})
 	case "ACCEPTED":
 		d.b.HandleStreamStart(now, e.RID, e.Try)
 	case "RESULT":
@@ -246,17 +246,17 @@
 			return fmt.Errorf("RESULT: unknown status %d", e.Status)
 		}
 		d.b.HandleOutcome(now, choice.Outcome{ID: e.RID, Attempt: e.Try, Backend: e.Backend, Status: choice.Status(e.Status),
-			Elapsed: settings.Span(e.SpentMs), Final: e.Final, ActualUnits: e.Actual, Load: settings.Load(e.Telemetry)})
+			Elapsed: settings.FromMillis(e.SpentMs), Final: e.Final, ActualUnits: e.Actual, Load: settings.Load(e.Telemetry)})
 	case "LEFT":
 		d.b.HandleClientGone(now, e.RID)
 	case "REMINDER":
 		d.b.HandleTimer(now, e.Tag)
 	case "PONG":
 		d.b.HandleProbe(now, choice.ProbeResult{Backend: e.Backend, Status: choice.Status(e.Status),
-			Elapsed: settings.Span(e.SpentMs), Load: settings.Load(e.Telemetry)})
+			Elapsed: settings.FromMillis(e.SpentMs), Load: settings.Load(e.Telemetry)})
 	case "LEDGER_REPLY":
 		d.b.HandleCounter(now, choice.CounterResult{Name: e.Counter, Status: choice.Status(e.Status), Total: e.Sum,
-			Elapsed: settings.Span(e.SpentMs)})
+			Elapsed: settings.FromMillis(e.SpentMs)})
 	case "NOTE_FROM": // the module has no use for peers
 	default:
 		return fmt.Errorf("unknown event_type %q", e.Type)
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -64,7 +64,7 @@
 	in := json.NewDecoder(bytes.NewReader(text))
 	in.DisallowUnknownFields()
 	if err := in.Decode(c); err != nil {
-		return nil, settings.Lined(text, err)
+		return nil, settings.WithLine(text, err)
 	}
 	if _, err := in.Token(); err != io.EOF {
 		return nil, errors.New("more behind the object")
--- a/internal/clustercli/clustercli.go
+++ b/internal/clustercli/clustercli.go
@@ -165,7 +165,7 @@
 	}
 	own := settings.Settings{}
 	own.Gateways = 1
-	if _, err := own.With(text); err != nil {
+	if _, err := own.WithPolicy(text); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	var id [8]byte
--- a/internal/program/cluster.go
+++ b/internal/program/cluster.go
@@ -99,7 +99,7 @@
 		if len(text) == 0 {
 			return own, nil
 		}
-		return own.With(text)
+		return own.WithPolicy(text)
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("gateway", g.cfg.Name, "part", "cluster")
 	node, err := cluster.New(g.world, cfg, g.cfg.Name, digest(own), now, log, cluster.Gateway{
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -117,11 +117,11 @@
 // gateway might start with it: it may be half of one.
 func (c *Config) follows(inUse *Config) error {
 	if inUse.Text != nil {
-		if err := settings.Shape(inUse.Text, c.Text); err != nil {
+		if err := settings.CheckShape(inUse.Text, c.Text); err != nil {
 			return err
 		}
 	}
-	if err := c.Settings.Positive(); err != nil {
+	if err := c.Settings.CheckPositive(); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
 	return nil
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// With returns the settings with a policy in the place of their services, contracts
+// WithPolicy returns the settings with a policy in the place of their services, contracts
 // and prices. Unlike in the settings object, which others write too, a key that is
 // not known is an error: an older program must not take over what it would leave
 // out. Errors name the line, and the key where there is one.
-func (s Settings) With(text []byte) (Settings, error) {
+func (s Settings) WithPolicy(text []byte) (Settings, error) {
 	var r rules
 	in := json.NewDecoder(bytes.NewReader(text))
 	in.DisallowUnknownFields()
 	if err := in.Decode(&r); err != nil {
-		return s, Lined(text, err)
+		return s, WithLine(text, err)
 	}
 	if _, err := in.Token(); err != io.EOF {
 		return s, fmt.Errorf("line %d: more behind the object", lineOf(text, in.InputOffset()))
@@ -34,8 +34,8 @@
 	return s, named(text, s.Check())
 }
 
-// Lined makes a decoder's error name the line and, where it knows it, the key.
-func Lined(text []byte, err error) error {
+// WithLine makes a decoder's error name the line and, where it knows it, the key.
+func WithLine(text []byte, err error) error {
 	var syntax *json.SyntaxError
 	var typ *json.UnmarshalTypeError
 	switch {
--- a/internal/settings/policy_test.go
+++ b/internal/settings/policy_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := own.With([]byte(policyText))
+	s, err := own.WithPolicy([]byte(policyText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,12 +52,12 @@
 		{`"contracts": [{`, `"contracts": [], "x": [{`, `line 6: unknown key "x"`},
 	} {
 		text := strings.Replace(policyText, c[0], c[1], 1)
-		if _, err := own.With([]byte(text)); err == nil || !strings.HasPrefix(err.Error(), c[2]) {
+		if _, err := own.WithPolicy([]byte(text)); err == nil || !strings.HasPrefix(err.Error(), c[2]) {
 			t.Errorf("%s: %v, want %s", c[1], err, c[2])
 		}
 	}
 	for text, want := range map[string]string{`{}`: "is missing", policyText + "{": "more behind the object", ``: "EOF", `[]`: "does not fit"} {
-		if _, err := own.With([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := own.WithPolicy([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -99,19 +99,19 @@
 	if err := json.Unmarshal(data, &e); err != nil {
 		return Settings{}, err
 	}
-	s := Settings{IdleClose: Span(e.Caps.IdleCloseMs), Reports: e.LoadInfo.Source != "" && e.LoadInfo.Source != "off"}
+	s := Settings{IdleClose: FromMillis(e.Caps.IdleCloseMs), Reports: e.LoadInfo.Source != "" && e.LoadInfo.Source != "off"}
 	s.Settings = choice.Settings{
-		Gateways: e.Balancers, Index: e.SelfIndex, Zone: e.Locality, Tick: Span(e.TickMs),
+		Gateways: e.Balancers, Index: e.SelfIndex, Zone: e.Locality, Tick: FromMillis(e.TickMs),
 		MaxAttempts: e.Caps.TryLimit, Hedging: e.Caps.SecondCopies, Cancels: e.Caps.Cancel, Probes: e.Caps.Probes,
-		RetryAfter: e.Caps.RetryAfter, MaxRetryAfter: Span(e.Caps.MaxRetryAfterMs),
-		ConnectTimeout: Span(e.Caps.ConnectTimeoutMs),
-		Subscribe:      e.Discovery == "subscribe", MaxNewsAge: Span(e.Safety.AskWithinMs),
+		RetryAfter: e.Caps.RetryAfter, MaxRetryAfter: FromMillis(e.Caps.MaxRetryAfterMs),
+		ConnectTimeout: FromMillis(e.Caps.ConnectTimeoutMs),
+		Subscribe:      e.Discovery == "subscribe", MaxNewsAge: FromMillis(e.Safety.AskWithinMs),
 		Weighted: e.WeightSource != "off" && e.WeightSource != "",
-		Counter:  e.FamilyInfo.SharedCounter, CounterTimeout: Span(e.FamilyInfo.CounterTimeoutMs),
+		Counter:  e.FamilyInfo.SharedCounter, CounterTimeout: FromMillis(e.FamilyInfo.CounterTimeoutMs),
 		MaxUnits: e.FamilyInfo.MaxUnits, PostPaid: e.FamilyInfo.PostPaid,
-		AnswerSlack: Span(e.Safety.AnswerSlackMs), DrainGrace: Span(e.Safety.DrainGraceMs),
-		ColdCapacity: e.Safety.ColdFrom, WarmupTime: Span(e.Safety.ColdMs),
-		OverloadRatio: e.Safety.FallMultiple, OverloadTime: Span(e.Safety.TipAfterMs),
+		AnswerSlack: FromMillis(e.Safety.AnswerSlackMs), DrainGrace: FromMillis(e.Safety.DrainGraceMs),
+		ColdCapacity: e.Safety.ColdFrom, WarmupTime: FromMillis(e.Safety.ColdMs),
+		OverloadRatio: e.Safety.FallMultiple, OverloadTime: FromMillis(e.Safety.TipAfterMs),
 		CounterPrice: e.FamilyInfo.CountFee,
 	}
 	return s, e.into(&s)
@@ -132,8 +132,8 @@
 		if !ok {
 			return fmt.Errorf("services: %s: unknown group %q", c.Name, c.Group)
 		}
-		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Target: Span(c.AimMs), Deadline: Span(c.DeadlineMs),
-			LateValue: c.LateWorth, Value: c.Value, Effect: effect, Group: group, KeyTTL: Span(c.KeyTTLMs),
+		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Target: FromMillis(c.AimMs), Deadline: FromMillis(c.DeadlineMs),
+			LateValue: c.LateWorth, Value: c.Value, Effect: effect, Group: group, KeyTTL: FromMillis(c.KeyTTLMs),
 			Stream: c.Stream})
 	}
 	for _, p := range r.Contracts {
@@ -157,8 +157,8 @@
 	return &l
 }
 
-// Span turns the settings' milliseconds into a duration of whole microseconds.
-func Span(ms float64) time.Duration {
+// FromMillis turns the settings' milliseconds into a duration of whole microseconds.
+func FromMillis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// Shape reports the first key, in order of the alphabet, that a file in use has and
+// CheckShape reports the first key, in order of the alphabet, that a file in use has and
 // another one lacks, or whose value is of another kind. Elements of a list need what
 // all of the list in use have. What is new is not its concern.
-func Shape(inUse, other []byte) error {
+func CheckShape(inUse, other []byte) error {
 	var a, b any
 	if err := json.Unmarshal(inUse, &a); err != nil {
 		return err
@@ -76,9 +76,9 @@
 var kinds = map[string]string{"map[string]interface {}": "object", "[]interface {}": "list", "string": "string",
 	"float64": "number", "bool": "bool", "<nil>": "null"}
 
-// Positive reports the first of the numbers that a running gateway takes over and that
+// CheckPositive reports the first of the numbers that a running gateway takes over and that
 // have to be above 0, by its key.
-func (s *Settings) Positive() error {
+func (s *Settings) CheckPositive() error {
 	for i, c := range s.Classes {
 		if c.Deadline <= 0 {
 			return fmt.Errorf("services[%d].deadlineMs must be above 0, got %v", i, c.Deadline)
