--- a/internal/settings/policy_test.go
+++ b/internal/settings/policy_test.go
@@ -14,8 +14,8 @@
  "prices": {"probe": 0.1}
 }`
 
-// A policy takes the place of classes, plans and prices, and of nothing else.
-func TestWith(t *testing.T) {
+// Checks that a policy replaces classes, plans and prices, and nothing else.
+func TestWithPolicy(t *testing.T) {
 	own, err := Decode([]byte(`{"balancers": 3, "selfIndex": 2, "tickMs": 1, "locality": "b",
 		"services": [{"name": "old", "aimMs": 1, "effect": "retryable"}], "contracts": [{"name": "old", "quotaRate": 1, "peakUnits": 1}],
 		"prices": {"crossZone": 0.5, "probe": 0.3}, "familyInfo": {"maxUnits": 7, "countFee": 0.01}}`))
@@ -30,15 +30,15 @@
 		t.Errorf("%+v", s)
 	}
 	if s.Gateways != 3 || s.Index != 2 || s.Zone != "b" || s.MaxUnits != 7 || s.CounterPrice != 0.01 {
-		t.Errorf("what is no policy has changed: %+v", s)
+		t.Errorf("a setting outside the policy has changed: %+v", s)
 	}
 	if len(own.Classes) != 1 || own.Classes[0].Name != "old" {
-		t.Errorf("the gateway's own settings have changed: %+v", own.Classes)
+		t.Errorf("WithPolicy modified its receiver: %+v", own.Classes)
 	}
 }
 
-// What can't be taken is told by line and key.
-func TestWithBad(t *testing.T) {
+// Checks that the error for an invalid policy names the line and the key.
+func TestWithPolicyInvalid(t *testing.T) {
 	own := Settings{}
 	own.Gateways = 1
 	for _, c := range [][3]string{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings decodes the settings object of a deployment, which the
-// simulator sends in its first message and a gateway finds in its
-// configuration. It is the only decoder: both programs use it.
+// Package settings decodes the settings object of a deployment. The simulator sends it in
+// its first message, and a gateway reads it from its configuration. Both programs use this
+// decoder, so that they interpret the object in the same way.
 package settings
 
 import (
@@ -13,14 +13,15 @@
 	"asterwell/choice"
 )
 
-// Settings are those of the module and what only a host of it needs.
+// Settings are the settings of package choice and those that only its host program needs.
 type Settings struct {
 	choice.Settings
-	IdleClose time.Duration // servers close a connection idle for so long, or sooner
-	Reports   bool          // probes bring load reports
+	IdleClose time.Duration // servers close a connection at the latest after this idle time
+	Reports   bool          // responses to probes contain load reports
 }
 
-// wire is the settings object as it is written. Keys not named here are ignored.
+// wire is the JSON form of the settings. Unknown keys are ignored. The names of this type and
+// of rules appear in errors of the JSON decoder, which operators read.
 type wire struct {
 	rules
 	Balancers int `json:"balancers"`
@@ -60,7 +61,7 @@
 	Locality     string  `json:"locality"`
 }
 
-// rules are what a policy holds: classes, plans and prices.
+// rules is the JSON form of a policy: services, contracts and prices.
 type rules struct {
 	Services []struct {
 		AimMs      float64 `json:"aimMs"`
@@ -95,57 +96,57 @@
 
 // Decode reads the settings object.
 func Decode(data []byte) (Settings, error) {
-	var e wire
-	if err := json.Unmarshal(data, &e); err != nil {
+	var object wire
+	if err := json.Unmarshal(data, &object); err != nil {
 		return Settings{}, err
 	}
-	s := Settings{IdleClose: FromMillis(e.Caps.IdleCloseMs), Reports: e.LoadInfo.Source != "" && e.LoadInfo.Source != "off"}
+	s := Settings{IdleClose: FromMillis(object.Caps.IdleCloseMs), Reports: object.LoadInfo.Source != "" && object.LoadInfo.Source != "off"}
 	s.Settings = choice.Settings{
-		Gateways: e.Balancers, Index: e.SelfIndex, Zone: e.Locality, Tick: FromMillis(e.TickMs),
-		MaxAttempts: e.Caps.TryLimit, Hedging: e.Caps.SecondCopies, Cancels: e.Caps.Cancel, Probes: e.Caps.Probes,
-		RetryAfter: e.Caps.RetryAfter, MaxRetryAfter: FromMillis(e.Caps.MaxRetryAfterMs),
-		ConnectTimeout: FromMillis(e.Caps.ConnectTimeoutMs),
-		Subscribe:      e.Discovery == "subscribe", MaxNewsAge: FromMillis(e.Safety.AskWithinMs),
-		Weighted: e.WeightSource != "off" && e.WeightSource != "",
-		Counter:  e.FamilyInfo.SharedCounter, CounterTimeout: FromMillis(e.FamilyInfo.CounterTimeoutMs),
-		MaxUnits: e.FamilyInfo.MaxUnits, PostPaid: e.FamilyInfo.PostPaid,
-		AnswerSlack: FromMillis(e.Safety.AnswerSlackMs), DrainGrace: FromMillis(e.Safety.DrainGraceMs),
-		ColdCapacity: e.Safety.ColdFrom, WarmupTime: FromMillis(e.Safety.ColdMs),
-		OverloadRatio: e.Safety.FallMultiple, OverloadTime: FromMillis(e.Safety.TipAfterMs),
-		CounterPrice: e.FamilyInfo.CountFee,
+		Gateways: object.Balancers, Index: object.SelfIndex, Zone: object.Locality, Tick: FromMillis(object.TickMs),
+		MaxAttempts: object.Caps.TryLimit, Hedging: object.Caps.SecondCopies, Cancels: object.Caps.Cancel, Probes: object.Caps.Probes,
+		RetryAfter: object.Caps.RetryAfter, MaxRetryAfter: FromMillis(object.Caps.MaxRetryAfterMs),
+		ConnectTimeout: FromMillis(object.Caps.ConnectTimeoutMs),
+		Subscribe:      object.Discovery == "subscribe", MaxNewsAge: FromMillis(object.Safety.AskWithinMs),
+		Weighted: object.WeightSource != "off" && object.WeightSource != "",
+		Counter:  object.FamilyInfo.SharedCounter, CounterTimeout: FromMillis(object.FamilyInfo.CounterTimeoutMs),
+		MaxUnits: object.FamilyInfo.MaxUnits, PostPaid: object.FamilyInfo.PostPaid,
+		AnswerSlack: FromMillis(object.Safety.AnswerSlackMs), DrainGrace: FromMillis(object.Safety.DrainGraceMs),
+		ColdCapacity: object.Safety.ColdFrom, WarmupTime: FromMillis(object.Safety.ColdMs),
+		OverloadRatio: object.Safety.FallMultiple, OverloadTime: FromMillis(object.Safety.TipAfterMs),
+		CounterPrice: object.FamilyInfo.CountFee,
 	}
-	return s, e.into(&s)
+	return s, object.applyTo(&s)
 }
 
-// into puts the rules into settings, in the place of any there.
-func (r *rules) into(s *Settings) error {
+// applyTo replaces the classes, plans and prices of the settings by those of the policy.
+func (p *rules) applyTo(s *Settings) error {
 	s.Classes, s.Plans = nil, nil
-	s.CrossZone, s.ProbePrice, s.WastePrice, s.LateFailPrice = r.Prices.CrossZone, r.Prices.Probe, r.Prices.Waste, r.Prices.LateFail
-	for _, c := range r.Services {
+	s.CrossZone, s.ProbePrice, s.WastePrice, s.LateFailPrice = p.Prices.CrossZone, p.Prices.Probe, p.Prices.Waste, p.Prices.LateFail
+	for _, service := range p.Services {
 		effect, ok := map[string]choice.Effect{
-			"retryable": choice.Retryable, "dedup": choice.Keyed, "fragile": choice.NonRetryable}[c.Effect]
+			"retryable": choice.Retryable, "dedup": choice.Keyed, "fragile": choice.NonRetryable}[service.Effect]
 		if !ok {
-			return fmt.Errorf("services: %s: unknown effect %q", c.Name, c.Effect)
+			return fmt.Errorf("services: %s: unknown effect %q", service.Name, service.Effect)
 		}
 		group, ok := map[string]choice.Group{
-			"": choice.AllBackends, "all": choice.AllBackends, "zone": choice.SameZone, "cell": choice.SameCell}[c.Group]
+			"": choice.AllBackends, "all": choice.AllBackends, "zone": choice.SameZone, "cell": choice.SameCell}[service.Group]
 		if !ok {
-			return fmt.Errorf("services: %s: unknown group %q", c.Name, c.Group)
+			return fmt.Errorf("services: %s: unknown group %q", service.Name, service.Group)
 		}
-		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Target: FromMillis(c.AimMs), Deadline: FromMillis(c.DeadlineMs),
-			LateValue: c.LateWorth, Value: c.Value, Effect: effect, Group: group, KeyTTL: FromMillis(c.KeyTTLMs),
-			Stream: c.Stream})
+		s.Classes = append(s.Classes, choice.Class{Name: service.Name, Target: FromMillis(service.AimMs), Deadline: FromMillis(service.DeadlineMs),
+			LateValue: service.LateWorth, Value: service.Value, Effect: effect, Group: group, KeyTTL: FromMillis(service.KeyTTLMs),
+			Stream: service.Stream})
 	}
-	for _, p := range r.Contracts {
-		s.Plans = append(s.Plans, choice.Plan{Name: p.Name, Rate: p.QuotaRate, Burst: p.PeakUnits, MaxOut: p.MaxOut,
-			CeilingRate: p.NeverOverRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.HardSlack,
-			ValueFactor: p.ValueFactor, ExcessWorth: p.ExcessWorth, OverrunCost: p.OverrunCost})
+	for _, contract := range p.Contracts {
+		s.Plans = append(s.Plans, choice.Plan{Name: contract.Name, Rate: contract.QuotaRate, Burst: contract.PeakUnits, MaxOut: contract.MaxOut,
+			CeilingRate: contract.NeverOverRate, CeilingBurst: contract.CeilingBurst, CeilingSlack: contract.HardSlack,
+			ValueFactor: contract.ValueFactor, ExcessWorth: contract.ExcessWorth, OverrunCost: contract.OverrunCost})
 	}
 	return nil
 }
 
-// Load picks the module's figures out of a load report. One that has none of
-// them says nothing of load: taken for a queue of 0 it would hide a crowd.
+// Load converts a load report to the form of package choice. It returns nil if the report has
+// none of the values used there: treating it as a queue of 0 would hide an overloaded server.
 func Load(report map[string]float64) *choice.Load {
 	var l choice.Load
 	l.InFlight, l.HasInFlight = report["busy_reqs"]
@@ -157,20 +158,21 @@
 	return &l
 }
 
-// FromMillis turns the settings' milliseconds into a duration of whole microseconds.
+// FromMillis converts milliseconds to a duration, rounded to whole microseconds.
 func FromMillis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
-// keys maps the names in the module's complaints to the keys an operator wrote.
-var keys = strings.NewReplacer("Index", "selfIndex", "ProbePrice", "prices.probe", "Gateways", "balancers", "Tick", "tickMs", "Classes", "services", "Plans", "contracts",
+// settingKeys replaces the field names in errors of package choice by the keys of the JSON
+// form, which the operator knows.
+var settingKeys = strings.NewReplacer("Index", "selfIndex", "ProbePrice", "prices.probe", "Gateways", "balancers", "Tick", "tickMs", "Classes", "services", "Plans", "contracts",
 	".Name", ".name", ".Target", ".aimMs", ".Effect", ".effect", ".Group", ".group", ".Rate", ".quotaRate",
 	".Burst", ".peakUnits", ".MaxOut", ".maxOut", ".CeilingRate", ".neverOverRate", ".CeilingBurst", ".ceilingBurst")
 
-// Check reports the first setting that makes no sense, by its key.
+// Check validates the settings. Its error names the key of the first invalid one.
 func (s *Settings) Check() error {
 	if err := s.Validate(); err != nil {
-		return fmt.Errorf("%s", keys.Replace(err.Error()))
+		return fmt.Errorf("%s", settingKeys.Replace(err.Error()))
 	}
 	return nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// What makes no sense is told by the key that the operator wrote.
-func TestBadFiguresAreNamed(t *testing.T) {
+// Checks that the error for an invalid setting names the key that the operator wrote.
+func TestErrorsNameKey(t *testing.T) {
 	const rest = `,"services":[{"name":"s","aimMs":800,"effect":"retryable"}]}`
 	for text, key := range map[string]string{
 		`{"balancers":3,"prices":{"probe":-0.1}` + rest:    "prices.probe",
@@ -61,7 +61,22 @@
 			err = s.Check()
 		}
 		if err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v, want %s named", text, err, key)
+			t.Errorf("%s: %v, want an error that names %s", text, err, key)
+		}
+	}
+}
+
+// The JSON decoder puts the names of Go types into its errors, which operators read. Checks that
+// a renamed type doesn't change them.
+func TestDecodeErrorTexts(t *testing.T) {
+	for text, want := range map[string]string{
+		`[]`:                           "json: cannot unmarshal array into Go value of type settings.wire",
+		`{"balancers":"x"}`:            "json: cannot unmarshal string into Go struct field wire.balancers of type int",
+		`{"prices":{"probe":"a"}}`:     "json: cannot unmarshal string into Go struct field .rules.prices.probe of type float64",
+		`{"services":[{"aimMs":"a"}]}`: "json: cannot unmarshal string into Go struct field .rules.services.aimMs of type float64",
+	} {
+		if _, err := Decode([]byte(text)); err == nil || err.Error() != want {
+			t.Errorf("%s: %v, want %s", text, err, want)
 		}
 	}
 }
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -7,46 +7,47 @@
 	"slices"
 )
 
-// CheckShape reports the first key, in order of the alphabet, that a file in use has and
-// another one lacks, or whose value is of another kind. Elements of a list need what
-// all of the list in use have. What is new is not its concern.
+// CheckShape returns an error for the first key, in alphabetical order, that the file in use
+// has and the other lacks, or whose value has another JSON type. Each element of a list needs
+// the keys that all elements of the list in use have. New keys are accepted.
 func CheckShape(inUse, other []byte) error {
-	var a, b any
-	if err := json.Unmarshal(inUse, &a); err != nil {
+	var inUseValue, otherValue any
+	if err := json.Unmarshal(inUse, &inUseValue); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(other, &b); err != nil {
+	if err := json.Unmarshal(other, &otherValue); err != nil {
 		return err
 	}
-	return shape("", a, b)
+	return compareShapes("", inUseValue, otherValue)
 }
 
-func shape(key string, a, b any) error {
-	if fmt.Sprintf("%T", a) != fmt.Sprintf("%T", b) {
-		return fmt.Errorf("%s: a %s does not fit", key, kinds[fmt.Sprintf("%T", b)])
+// compareShapes compares the values at a key; CheckShape has the rules.
+func compareShapes(key string, inUse, other any) error {
+	if fmt.Sprintf("%T", inUse) != fmt.Sprintf("%T", other) {
+		return fmt.Errorf("%s: a %s does not fit", key, jsonTypeNames[fmt.Sprintf("%T", other)])
 	}
-	switch a := a.(type) {
+	switch inUse := inUse.(type) {
 	case map[string]any:
-		b := b.(map[string]any)
-		for _, k := range slices.Sorted(maps.Keys(a)) {
+		other := other.(map[string]any)
+		for _, k := range slices.Sorted(maps.Keys(inUse)) {
 			path := k
 			if key != "" {
 				path = key + "." + k
 			}
-			if _, there := b[k]; !there {
+			if _, ok := other[k]; !ok {
 				return fmt.Errorf("%s is missing", path)
 			}
-			if err := shape(path, a[k], b[k]); err != nil {
+			if err := compareShapes(path, inUse[k], other[k]); err != nil {
 				return err
 			}
 		}
 	case []any:
-		common := shared(a)
-		for i, x := range b.([]any) {
+		common := commonKeys(inUse)
+		for i, x := range other.([]any) {
 			if common == nil {
 				break
 			}
-			if err := shape(fmt.Sprintf("%s[%d]", key, i), common, x); err != nil {
+			if err := compareShapes(fmt.Sprintf("%s[%d]", key, i), common, x); err != nil {
 				return err
 			}
 		}
@@ -54,8 +55,9 @@
 	return nil
 }
 
-// shared is what the objects of a list have in common; nil if they are none.
-func shared(list []any) any {
+// commonKeys returns the first object of a list reduced to the keys that all its objects
+// have, or nil if the list is empty or has an element that is no object.
+func commonKeys(list []any) any {
 	var common map[string]any
 	for i, x := range list {
 		o, ok := x.(map[string]any)
@@ -65,7 +67,7 @@
 		if i == 0 {
 			common = maps.Clone(o)
 		}
-		maps.DeleteFunc(common, func(k string, _ any) bool { _, there := o[k]; return !there })
+		maps.DeleteFunc(common, func(k string, _ any) bool { _, ok := o[k]; return !ok })
 	}
 	if common == nil {
 		return nil
@@ -73,11 +75,12 @@
 	return common
 }
 
-var kinds = map[string]string{"map[string]interface {}": "object", "[]interface {}": "list", "string": "string",
+// jsonTypeNames maps the Go type of a decoded JSON value to the name used in errors.
+var jsonTypeNames = map[string]string{"map[string]interface {}": "object", "[]interface {}": "list", "string": "string",
 	"float64": "number", "bool": "bool", "<nil>": "null"}
 
-// CheckPositive reports the first of the numbers that a running gateway takes over and that
-// have to be above 0, by its key.
+// CheckPositive returns an error with the key of the first setting that isn't above 0, of those
+// that must be when a running gateway reloads its settings.
 func (s *Settings) CheckPositive() error {
 	for i, c := range s.Classes {
 		if c.Deadline <= 0 {
