--- a/internal/sysconfig/settings.go
+++ b/internal/sysconfig/settings.go
@@ -20,7 +20,7 @@
 	IpAddr, Zone, Region         string
 	Zones                        map[string]string // zone → region
 	Bind                         Bind
-	PortRange                    [2]int // first and last port; the process may use both
+	PortRange                    [2]int // first and last port of a range, both free for the process
 	Bootstrap                    []string
 	Genesis, QuorumMember        bool
 	BoundsReq                    Share
