--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -14,7 +14,7 @@
 // Client asks voters what operators want to know, and tells them what operators want
 // done.
 type Client struct {
-	World hostenv.Seam
+	World hostenv.Host
 	Cfg   *Config
 	By    string
 }
@@ -25,7 +25,7 @@
 // Ask puts a question to the leader: to one voter after the other, until one is it
 // or names it.
 func (c *Client) Ask(q Ask, limit time.Duration) (r Reply, err error) {
-	world := hostenv.Or(c.World)
+	world := hostenv.OrReal(c.World)
 	end := world.Now().Add(limit)
 	peers := c.Cfg.seeds()
 	err = ErrNobody
@@ -74,7 +74,7 @@
 }
 
 func (c *Client) one(addr, name string, q Ask, limit time.Duration) (r Reply, err error) {
-	world := hostenv.Or(c.World)
+	world := hostenv.OrReal(c.World)
 	conn, err := world.Dial(addr, min(limit, time.Second))
 	if err != nil {
 		return r, err
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -28,7 +28,7 @@
 // Node is a member: a gateway's side, and where it has a folder a voter's.
 type Node struct {
 	cfg     *Config
-	world   hostenv.Seam
+	world   hostenv.Host
 	now     func() time.Duration
 	log     *slog.Logger
 	gateway Gateway
@@ -75,8 +75,8 @@
 
 // New puts a member together. Name is the gateway's; digest stands for its own
 // file's policy.
-func New(world hostenv.Seam, cfg *Config, name, digest string, now func() time.Duration, log *slog.Logger, g Gateway) (*Node, error) {
-	world = hostenv.Or(world)
+func New(world hostenv.Host, cfg *Config, name, digest string, now func() time.Duration, log *slog.Logger, g Gateway) (*Node, error) {
+	world = hostenv.OrReal(world)
 	if cfg.Name == "" {
 		cfg.Name = name
 	}
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -30,7 +30,7 @@
 
 // Options are what a plane is told.
 type Options struct {
-	Host           hostenv.Seam
+	Host           hostenv.Host
 	Zone           string
 	Now            func() time.Duration // the plane's clock, above 0
 	MaxServerConns int                  // connections to servers
@@ -68,7 +68,7 @@
 
 // New returns a plane without a configuration: it refuses everything.
 func New(o Options) *Plane {
-	o.Host = hostenv.Or(o.Host)
+	o.Host = hostenv.OrReal(o.Host)
 	p := &Plane{opt: o, ids: protocol.NewIDs(), servers: map[string][]Server{}, places: map[string]string{}, gates: 1}
 	p.peers = transport.PeerOptions{World: o.Host, Connect: connectWithin, Sockets: transport.NewSockets(o.MaxServerConns),
 		Keep: transport.NewKeep(keepIdle), Strict: true, Bug: o.Bug}
--- a/internal/dataplane/fault.go
+++ b/internal/dataplane/fault.go
@@ -135,7 +135,7 @@
 	b.p.opt.Host.Go(func() {
 		defer b.leave()
 		b.p.opt.Host.Sleep(left + time.Millisecond)
-		c.Bell().Ring()
+		c.Notifier().Notify()
 	})
 	return c.Await(over)
 }
--- a/internal/dataplane/fault_test.go
+++ b/internal/dataplane/fault_test.go
@@ -85,12 +85,12 @@
 // pause is the machine's world, but for requests that a rule holds: as long as it is locked, their time
 // doesn't end. So what is answered meanwhile has waited for none of them, however busy the machine is.
 type pause struct {
-	hostenv.Seam
+	hostenv.Host
 	sync.RWMutex
 }
 
 func (p *pause) Sleep(d time.Duration) {
-	p.Seam.Sleep(d)
+	p.Host.Sleep(d)
 	p.RLock()
 	defer p.RUnlock()
 }
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	g := &stage{toy: &toy{ran: map[string]int{}, tenant: map[string]string{}}, f: &always{strike: s, told: make(chan string, 1000)},
-		pause: &pause{Seam: hostenv.Real}, quota: func(string) bool { return true }}
+		pause: &pause{Host: hostenv.Real}, quota: func(string) bool { return true }}
 	back := httptest.NewServer(g.toy)
 	t.Cleanup(back.Close)
 	start := time.Now()
--- a/internal/dataplane/idle_test.go
+++ b/internal/dataplane/idle_test.go
@@ -13,20 +13,20 @@
 
 // counting is the real world, and counts who gets up.
 type counting struct {
-	hostenv.Seam
+	hostenv.Host
 	wakes *atomic.Int64
 }
 
 type countedBell struct {
-	hostenv.Bell
+	hostenv.Notifier
 	wakes *atomic.Int64
 }
 
-func (c counting) NewBell() hostenv.Bell { return countedBell{c.Seam.NewBell(), c.wakes} }
+func (c counting) NewNotifier() hostenv.Notifier { return countedBell{c.Host.NewNotifier(), c.wakes} }
 
 func (b countedBell) Wait(d time.Duration) bool {
 	defer b.wakes.Add(1)
-	return b.Bell.Wait(d)
+	return b.Notifier.Wait(d)
 }
 
 // Without requests the lanes of 180 services wake at most 40 times a second together, and
--- a/internal/dns/exchange.go
+++ b/internal/dns/exchange.go
@@ -36,7 +36,7 @@
 
 // exchanger asks one server one question. It repeats nothing by itself.
 type exchanger struct {
-	world  hostenv.Seam
+	world  hostenv.Host
 	limit  time.Duration // for each of UDP and TCP
 	counts *Counters
 }
--- a/internal/dns/resolver.go
+++ b/internal/dns/resolver.go
@@ -29,7 +29,7 @@
 
 // Options are what a resolver is told. Those it runs with can be changed.
 type Options struct {
-	World    hostenv.Seam // nil: the real one
+	World    hostenv.Host // nil: the real one
 	Servers  []string     // name servers, ip:port
 	Names    []string     // of SRV records
 	Families []uint16     // dns.TypeA, dns.TypeAAAA, in order of preference
@@ -69,7 +69,7 @@
 type Resolver struct {
 	opt     Options
 	tell    func(Event)
-	world   hostenv.Seam
+	world   hostenv.Host
 	box     *mailbox.Box[any]
 	rng     *rand.Rand
 	counts  Counters
@@ -149,7 +149,7 @@
 // NewResolver returns a resolver that tells its news through tell, from its own
 // goroutine.
 func NewResolver(opt Options, tell func(Event)) *Resolver {
-	opt.World = hostenv.Or(opt.World)
+	opt.World = hostenv.OrReal(opt.World)
 	r := &Resolver{tell: tell, world: opt.World, box: mailbox.NewBox[any](opt.World), rng: rand.New(rand.NewPCG(opt.Seed, 0x5372)),
 		names: map[string]*service{}, hosts: map[string]*host{}, queries: map[question]*query{}}
 	r.configure(r.world.Now(), opt)
--- a/internal/hostenv/hostenv.go
+++ b/internal/hostenv/hostenv.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Seam is a world. What runs in one must wait nowhere but in it: at a Bell, in
+// Host is a world. What runs in one must wait nowhere but in it: at a Notifier, in
 // Sleep, or in a connection.
-type Seam interface {
+type Host interface {
 	Now() time.Time
 	Go(f func())
 	Sleep(d time.Duration)
-	NewBell() Bell
+	NewNotifier() Notifier
 	Dial(addr string, limit time.Duration) (net.Conn, error) // TCP
 	Listen(addr string) (net.Listener, error)                // TCP
 	ListenUDP() (PacketConn, error)                          // at a free port
@@ -31,19 +31,19 @@
 	Close() error
 }
 
-// Bell is what one goroutine waits at and others ring. It remembers one ring.
-type Bell interface {
-	Ring()
+// Notifier is what one goroutine waits at and others ring. It remembers one ring.
+type Notifier interface {
+	Notify()
 	// Wait returns true once the bell has been rung, or false after d (below 0:
 	// never). Only one goroutine may wait.
 	Wait(d time.Duration) bool
 }
 
 // Real is the machine.
-var Real Seam = machine{}
+var Real Host = machine{}
 
-// Or is s, or Real if there is none.
-func Or(s Seam) Seam {
+// OrReal is s, or Real if there is none.
+func OrReal(s Host) Host {
 	if s == nil {
 		return Real
 	}
@@ -66,14 +66,14 @@
 
 func (machine) Random() uint64 { return rand.Uint64() }
 
-func (machine) NewBell() Bell { return &bell{rung: make(chan struct{}, 1)} }
+func (machine) NewNotifier() Notifier { return &bell{rung: make(chan struct{}, 1)} }
 
 type bell struct {
 	rung  chan struct{}
 	timer *time.Timer
 }
 
-func (b *bell) Ring() {
+func (b *bell) Notify() {
 	select {
 	case b.rung <- struct{}{}:
 	default:
--- a/internal/hostenv/source_test.go
+++ b/internal/hostenv/source_test.go
@@ -23,8 +23,8 @@
 }
 
 // The simulator runs the gateway's own code in a virtual world, so nothing may go
-// round it: no clock, goroutine, connection, channel or random number but by a Seam.
-func TestNothingGoesRoundTheSeam(t *testing.T) {
+// round it: no clock, goroutine, connection, channel or random number but by a Host.
+func TestGatewayUsesOnlyHost(t *testing.T) {
 	for _, dir := range []string{"../mailbox", "../dns", "../serverset", "../policy", "../cluster", "../routing", "../protocol", "../protocol/openapi",
 		"../transport", "../program", "../../choice"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
--- a/internal/mailbox/box.go
+++ b/internal/mailbox/box.go
@@ -15,14 +15,14 @@
 	mu    sync.Mutex
 	in    []T
 	spare []T
-	world hostenv.Seam
-	bell  hostenv.Bell
+	world hostenv.Host
+	bell  hostenv.Notifier
 }
 
 // NewBox returns an empty mailbox in a world (nil: the real one).
-func NewBox[T any](world hostenv.Seam) *Box[T] {
-	world = hostenv.Or(world)
-	return &Box[T]{world: world, bell: world.NewBell()}
+func NewBox[T any](world hostenv.Host) *Box[T] {
+	world = hostenv.OrReal(world)
+	return &Box[T]{world: world, bell: world.NewNotifier()}
 }
 
 // Put adds a message.
@@ -32,7 +32,7 @@
 	first := len(b.in) == 1
 	b.mu.Unlock()
 	if first {
-		b.bell.Ring()
+		b.bell.Notify()
 	}
 }
 
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -30,7 +30,7 @@
 
 // Options of a mesh.
 type Options[F any] struct {
-	Host           hostenv.Seam // nil: the real one
+	Host           hostenv.Host // nil: the real one
 	Codec          Codec[F]
 	Handle         func(p *Conn[F], f F) // on the goroutine of the connection it came by
 	MaxInbound     int                   // connections that come in
@@ -87,7 +87,7 @@
 
 // New returns a mesh without connections.
 func New[F any](o Options[F]) *Mesh[F] {
-	o.Host, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.Or(o.Host), cmp.Or(o.DialTimeout, 500*time.Millisecond), cmp.Or(o.IdleTimeout, 2*idleFor), cmp.Or(o.ReadBufferSize, 8<<10)
+	o.Host, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.OrReal(o.Host), cmp.Or(o.DialTimeout, 500*time.Millisecond), cmp.Or(o.IdleTimeout, 2*idleFor), cmp.Or(o.ReadBufferSize, 8<<10)
 	return &Mesh[F]{Options: o, out: map[string]*Conn[F]{}, in: map[*Conn[F]]bool{}}
 }
 
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -29,7 +29,7 @@
 }
 
 // Listen opens the management address.
-func Listen(world hostenv.Seam, addr string) (*transport.Listener, error) {
+func Listen(world hostenv.Host, addr string) (*transport.Listener, error) {
 	return transport.Listen(world, addr, most)
 }
 
--- a/internal/program/members.go
+++ b/internal/program/members.go
@@ -18,7 +18,7 @@
 // and the core's outcomes, and tells the core what changes. A nil one stands for a
 // gateway that goes by the list alone.
 type members struct {
-	world    hostenv.Seam
+	world    hostenv.Host
 	conf     *SRV
 	seed     uint64
 	now      func() time.Duration
@@ -43,7 +43,7 @@
 	srvConf struct{ *SRV }
 )
 
-func newMembers(world hostenv.Seam, conf *SRV, seed uint64, now func() time.Duration) *members {
+func newMembers(world hostenv.Host, conf *SRV, seed uint64, now func() time.Duration) *members {
 	if !conf.Enabled {
 		return nil
 	}
--- a/internal/program/pair.go
+++ b/internal/program/pair.go
@@ -17,7 +17,7 @@
 // pair is this process beside another of the same gateway, on the platform's socket. The
 // gateway's goroutine alone calls it, but for gives and open. A nil pair is the only process.
 type pair struct {
-	world  hostenv.Seam
+	world  hostenv.Host
 	core   *routing.Core
 	twin   *hotrestart.Twin
 	ln     *transport.Listener // the clients'
--- a/internal/program/pair_test.go
+++ b/internal/program/pair_test.go
@@ -14,7 +14,7 @@
 )
 
 // drawn is the real world, but for its chance.
-type drawn struct{ hostenv.Seam }
+type drawn struct{ hostenv.Host }
 
 func (drawn) Random() uint64 { return 7 }
 
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -79,7 +79,7 @@
 // clock returns the core's clock: the Unix time as it was at the start, and
 // steady from then on. Gateways and discovery agree on it, so that names of the
 // counter's periods and servers' start times mean the same everywhere.
-func clock(world hostenv.Seam) func() time.Duration {
+func clock(world hostenv.Host) func() time.Duration {
 	start := world.Now()
 	unix := time.Duration(start.UnixNano())
 	return func() time.Duration { return unix + world.Now().Sub(start) }
@@ -101,7 +101,7 @@
 
 // Gateway is one, in a world.
 type Gateway struct {
-	world     hostenv.Seam
+	world     hostenv.Host
 	cfg       *Config
 	box       *mailbox.Box[any]
 	reread    func() (*Files, error)
@@ -151,8 +151,8 @@
 
 // New puts a gateway together in a world (nil: the real one). reread reads its files
 // anew, at Hup.
-func New(world hostenv.Seam, files *Files, reread func() (*Files, error)) (*Gateway, error) {
-	world = hostenv.Or(world)
+func New(world hostenv.Host, files *Files, reread func() (*Files, error)) (*Gateway, error) {
+	world = hostenv.OrReal(world)
 	cfg, op := files.Config, files.Operator
 	g := &Gateway{world: world, cfg: cfg, plans: cfg.Settings.Plans, box: mailbox.NewBox[any](world), reread: reread}
 	// Half of the descriptors are for clients, a third for servers; the rest
@@ -272,7 +272,7 @@
 			return nil, fmt.Errorf("openapi: listen: %w", err)
 		}
 		g.serve(ln, transport.NewServer(described.Handle, op.MaxBodyKB<<10))
-		g.parts = append(g.parts, &follower{described, op, text, world.NewBell()})
+		g.parts = append(g.parts, &follower{described, op, text, world.NewNotifier()})
 		log.Printf("event=start openapi=%s description=%s", op.Listen, op.Description)
 	}
 	log.Printf("event=start listen=%s cores=%v memory_mb=%d sockets=%d", cfg.Listen, cfg.Limits.Cores,
@@ -307,11 +307,11 @@
 	front *openapi.Front
 	op    *Operator
 	text  []byte
-	end   hostenv.Bell
+	end   hostenv.Notifier
 }
 
 func (f *follower) Run()  { f.front.Follow(f.op.Description, f.text, f.op.poll(), f.end) }
-func (f *follower) Stop() { f.end.Ring() }
+func (f *follower) Stop() { f.end.Notify() }
 
 // Run serves until it is told to end, and then until all is answered.
 func (g *Gateway) Run() error {
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -51,7 +51,7 @@
 	if c != nil {
 		world = c.World()
 	}
-	return held, &upload{body: body, chunked: length < 0, left: length, world: world, bell: world.NewBell()}, length, nil
+	return held, &upload{body: body, chunked: length < 0, left: length, world: world, bell: world.NewNotifier()}, length, nil
 }
 
 // uncome is the error of a body that did not come whole.
@@ -70,9 +70,9 @@
 	chunked bool
 	left    int // of a length that is known
 	total   int
-	world   hostenv.Seam
-	bell    hostenv.Bell // where the writer waits
-	ring    func()       // for the client's goroutine
+	world   hostenv.Host
+	bell    hostenv.Notifier // where the writer waits
+	ring    func()           // for the client's goroutine
 	limit   time.Duration
 	copied  func(piece []byte, last bool) // nil: nobody copies it
 
@@ -119,7 +119,7 @@
 		u.err = err
 	}
 	u.mu.Unlock()
-	u.bell.Ring()
+	u.bell.Notify()
 	if u.ring != nil {
 		u.ring()
 	}
@@ -200,7 +200,7 @@
 	u.mu.Lock()
 	u.piece, u.last, u.want = piece, last, false
 	u.mu.Unlock()
-	u.bell.Ring()
+	u.bell.Notify()
 }
 
 // framed makes a piece of what has been read into buf at a place.
--- a/internal/protocol/counter.go
+++ b/internal/protocol/counter.go
@@ -22,7 +22,7 @@
 // after another on one connection, and their answers come in the same order.
 // No call is ever written twice, since it may have been added.
 type Counter struct {
-	world hostenv.Seam
+	world hostenv.Host
 	addr  string
 	limit time.Duration // a call without an answer ends as timed out
 	box   *mailbox.Box[any]
@@ -85,8 +85,8 @@
 
 // NewCounter returns an actor in a world (nil: the real one). It calls told once for
 // each Add.
-func NewCounter(world hostenv.Seam, addr string, limit time.Duration, told func(string, choice.Status, float64)) *Counter {
-	world = hostenv.Or(world)
+func NewCounter(world hostenv.Host, addr string, limit time.Duration, told func(string, choice.Status, float64)) *Counter {
+	world = hostenv.OrReal(world)
 	return &Counter{world: world, addr: addr, limit: limit, box: mailbox.NewBox[any](world), told: told}
 }
 
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -64,7 +64,7 @@
 	Grace   time.Duration // how long its answer may take beyond that
 	Connect time.Duration
 	Pace    backoff.Options // of the calls
-	World   hostenv.Seam    // nil: the real one
+	World   hostenv.Host    // nil: the real one
 	Heard   func()          // after each call that went well; nil: nobody asks
 }
 
@@ -107,7 +107,7 @@
 // NewDiscovery returns an actor that tells its news through news. The watch
 // goes on from what is known. It begins at once, or once asked for.
 func NewDiscovery(opt DiscoveryOptions, known List, onDemand bool, news func(routing.DiscoveryUpdate)) *Discovery {
-	opt.World = hostenv.Or(opt.World)
+	opt.World = hostenv.OrReal(opt.World)
 	d := &Discovery{opt: opt, news: news, box: mailbox.NewBox[any](opt.World), on: !onDemand,
 		whole: len(known.Servers) == 0, ids: map[string]uint32{}, pace: backoff.New(opt.Pace)}
 	d.after = opt.World.Now().Add(d.pace.InitialDelay(d.odds()))
--- a/internal/protocol/front.go
+++ b/internal/protocol/front.go
@@ -421,8 +421,8 @@
 	mu    sync.Mutex
 	final Final
 	have  bool
-	left  bool         // nobody is there to take it
-	bell  hostenv.Bell // of whoever waits
+	left  bool             // nobody is there to take it
+	bell  hostenv.Notifier // of whoever waits
 }
 
 func (a *Answers) end(f Final) {
@@ -433,7 +433,7 @@
 		return
 	}
 	a.final, a.have = f, true
-	a.bell.Ring()
+	a.bell.Notify()
 }
 
 // leave gives up the answer, be it there or still to come.
@@ -497,18 +497,18 @@
 	a := r.Reply.(*Answers)
 	c, ok := ctx.Conn().(*transport.ClientConn)
 	if !ok { // no connection that could end
-		a.bell = hostenv.Real.NewBell()
+		a.bell = hostenv.Real.NewNotifier()
 		core.Submit(r)
 		for !a.done() {
 			a.bell.Wait(-1)
 		}
 		return a.final
 	}
-	a.bell = c.Bell()
+	a.bell = c.Notifier()
 	var rest *upload
 	if call, ok := r.Call.(*Call); ok && call.rest != nil {
 		rest = call.rest
-		rest.ring = c.Bell().Ring
+		rest.ring = c.Notifier().Notify
 		defer func() {
 			if !rest.over { // what follows it can't be found: who has sent more must hear that it was not read
 				ctx.SetConnectionClose()
--- a/internal/protocol/openapi/front_test.go
+++ b/internal/protocol/openapi/front_test.go
@@ -355,8 +355,8 @@
 	first := describe("  /a: {get: {x-asterwell-class: status-read, " + operation + "}}\n")
 	g := newGateway(t, server, nil, first)
 	file := filepath.Join(t.TempDir(), "api.yaml")
-	stop := hostenv.Real.NewBell()
-	defer stop.Ring()
+	stop := hostenv.Real.NewNotifier()
+	defer stop.Notify()
 	go g.Follow(file, first, 10*time.Millisecond, stop) // the file is missing at first
 	write := func(text []byte) {
 		t.Helper()
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -111,7 +111,7 @@
 
 // Hands are what the core acts through.
 type Dependencies struct {
-	Env           hostenv.Seam // nil: the real one
+	Env           hostenv.Host // nil: the real one
 	Fleet         Fleet
 	Counter       Counter
 	Watcher       Watcher
@@ -365,7 +365,7 @@
 
 // Stats asks for the totals; it waits for the core's turn.
 func (c *Core) Stats() Stats {
-	ask := &asked{bell: hostenv.Or(c.hands.Env).NewBell()}
+	ask := &asked{bell: hostenv.OrReal(c.hands.Env).NewNotifier()}
 	c.box.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.stats
@@ -380,40 +380,40 @@
 
 // Hand asks for what the module knows; it waits for the core's turn.
 func (c *Core) ExportState() choice.SavedState {
-	ask := &hand{bell: hostenv.Or(c.hands.Env).NewBell()}
+	ask := &hand{bell: hostenv.OrReal(c.hands.Env).NewNotifier()}
 	c.box.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.state
 }
 
 type hand struct {
-	bell  hostenv.Bell
+	bell  hostenv.Notifier
 	state choice.SavedState
 }
 
 func (m *hand) apply(c *Core, now time.Duration) {
 	m.state = c.bal.ExportState(now)
-	m.bell.Ring()
+	m.bell.Notify()
 }
 
 // Take gives the module what another process of this gateway knew. It waits for the core's
 // turn, and reports what is strange about it: then nothing is taken.
 func (c *Core) ImportState(s choice.SavedState) error {
-	ask := &take{bell: hostenv.Or(c.hands.Env).NewBell(), state: s}
+	ask := &take{bell: hostenv.OrReal(c.hands.Env).NewNotifier(), state: s}
 	c.box.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.err
 }
 
 type take struct {
-	bell  hostenv.Bell
+	bell  hostenv.Notifier
 	state choice.SavedState
 	err   error
 }
 
 func (m *take) apply(c *Core, now time.Duration) {
 	m.err = c.bal.ImportState(now, m.state)
-	m.bell.Ring()
+	m.bell.Notify()
 }
 
 type submitted struct{ r *Request }
@@ -543,7 +543,7 @@
 }
 
 type asked struct {
-	bell  hostenv.Bell
+	bell  hostenv.Notifier
 	stats Stats
 }
 
@@ -556,7 +556,7 @@
 		s.InFlight += o.out
 	}
 	m.stats = s
-	m.bell.Ring()
+	m.bell.Notify()
 }
 
 func (c *Core) heard(server uint32, status choice.Status) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -194,7 +194,7 @@
 	w.box.Take(0)
 	w.HandleDiscovery(DiscoveryUpdate{Whole: true, Saved: true, Members: []Member{{Member: choice.Member{ID: 7}}}})
 	for _, want := range []int{0, 1} {
-		ask := &asked{bell: hostenv.Real.NewBell()}
+		ask := &asked{bell: hostenv.Real.NewNotifier()}
 		w.box.Put(ask)
 		w.step(0)
 		if got := ask.stats.Ready; got != want {
@@ -225,7 +225,7 @@
 			w.box.Take(0) // the list that newWorld gave
 		}
 		w.HandleDiscovery(c.news)
-		ask := &asked{bell: hostenv.Real.NewBell()}
+		ask := &asked{bell: hostenv.Real.NewNotifier()}
 		w.box.Put(ask)
 		w.step(0)
 		if got := ask.stats.Ready; got != c.want {
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -37,7 +37,7 @@
 		ports: 20000, least: least, most: most, pieces: pieces}
 }
 
-// Host is a process on a machine: its hostenv.Seam.
+// Host is a process on a machine: its hostenv.Host.
 type Host struct {
 	*Proc
 	net  *Net
@@ -46,7 +46,7 @@
 	most int // descriptors for connections; 0: no limit
 }
 
-var _ hostenv.Seam = (*Host)(nil)
+var _ hostenv.Host = (*Host)(nil)
 
 // Host puts a process on a machine.
 func (n *Net) Host(p *Proc, ip string, seed uint64) *Host {
@@ -59,8 +59,8 @@
 // Sleep waits.
 func (h *Host) Sleep(d time.Duration) { h.s.sleep(d) }
 
-// NewBell returns a bell.
-func (h *Host) NewBell() hostenv.Bell { return &bell{s: h.s} }
+// NewNotifier returns a bell.
+func (h *Host) NewNotifier() hostenv.Notifier { return &bell{s: h.s} }
 
 // Random draws from the host's own seed.
 func (h *Host) Random() uint64 { return h.rng.Uint64() }
@@ -170,7 +170,7 @@
 	for _, c := range l.queue {
 		c.abort()
 	}
-	l.bell.Ring()
+	l.bell.Notify()
 	return nil
 }
 
@@ -203,7 +203,7 @@
 		switch {
 		case h.dead:
 		case ln == nil:
-			n.deliver(to, h.ip, n.latency(), func() { decided, result = true, syscall.ECONNREFUSED; up.Ring() })
+			n.deliver(to, h.ip, n.latency(), func() { decided, result = true, syscall.ECONNREFUSED; up.Notify() })
 		case len(ln.queue) >= ln.most: // the SYN is dropped
 		default:
 			there := &conn{h: ln.h, local: addr, remote: here.local, peer: here}
@@ -211,13 +211,13 @@
 			here.init()
 			there.init()
 			ln.queue = append(ln.queue, there)
-			ln.bell.Ring()
+			ln.bell.Notify()
 			n.deliver(to, h.ip, n.latency(), func() {
 				decided = true
 				if given {
 					here.abort()
 				}
-				up.Ring()
+				up.Notify()
 			})
 		}
 	})
@@ -279,7 +279,7 @@
 				c.in = nil
 			}
 			c.peer.under -= n
-			c.peer.room.Ring()
+			c.peer.room.Notify()
 			return n, nil
 		case c.late(c.until):
 			return 0, fail("read", os.ErrDeadlineExceeded)
@@ -337,14 +337,14 @@
 		c.begun = sent
 	}
 	c.in = append(c.in, b...)
-	c.read.Ring()
+	c.read.Notify()
 }
 
 // broke takes a reset.
 func (c *conn) broke() {
 	c.reset = true
-	c.read.Ring()
-	c.room.Ring()
+	c.read.Notify()
+	c.room.Notify()
 }
 
 // CloseWrite ends the sending.
@@ -355,7 +355,7 @@
 	c.fin = true
 	c.send(func(p *conn) {
 		p.eof = true
-		p.read.Ring()
+		p.read.Notify()
 	})
 	return nil
 }
@@ -386,8 +386,8 @@
 func (c *conn) end() {
 	c.closed = true
 	delete(c.h.conns, c)
-	c.read.Ring()
-	c.room.Ring()
+	c.read.Notify()
+	c.room.Notify()
 }
 
 // Quiet reports whether nothing has come.
@@ -395,13 +395,13 @@
 
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.until = t
-	c.read.Ring()
+	c.read.Notify()
 	return nil
 }
 
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.wuntil = t
-	c.room.Ring()
+	c.room.Notify()
 	return nil
 }
 
--- a/internal/sim/sched.go
+++ b/internal/sim/sched.go
@@ -246,16 +246,16 @@
 	return t
 }
 
-// bell is a hostenv.Bell.
+// bell is a hostenv.Notifier.
 type bell struct {
 	s      *Sched
 	rung   bool
 	waiter *task
 }
 
-var _ hostenv.Bell = (*bell)(nil)
+var _ hostenv.Notifier = (*bell)(nil)
 
-func (b *bell) Ring() {
+func (b *bell) Notify() {
 	b.rung = true
 	if t := b.waiter; t != nil {
 		b.waiter = nil
--- a/internal/sim/standin_node.go
+++ b/internal/sim/standin_node.go
@@ -168,7 +168,7 @@
 	if len(n.waiting) > 0 {
 		next := n.waiting[0]
 		n.waiting = n.waiting[1:]
-		next.Ring()
+		next.Notify()
 	} else {
 		n.free++
 	}
--- a/internal/sim/standin_rest.go
+++ b/internal/sim/standin_rest.go
@@ -40,7 +40,7 @@
 func (c *count) speak() {
 	c.silent = false
 	for _, b := range c.bells {
-		b.Ring()
+		b.Notify()
 	}
 	c.bells = nil
 }
@@ -162,7 +162,7 @@
 
 func (a *agent) ring() {
 	for _, b := range a.bells {
-		b.Ring()
+		b.Notify()
 	}
 	a.bells = nil
 }
--- a/internal/sim/udp.go
+++ b/internal/sim/udp.go
@@ -77,7 +77,7 @@
 	n.s.after(n.latency(), func() {
 		if p := n.udp[to]; p != nil && !p.h.dead && !n.cut[way(c.h.ip, p.h.ip)] && len(p.queue) < 100 {
 			p.queue = append(p.queue, packet{c.addr, data})
-			p.bell.Ring()
+			p.bell.Notify()
 		}
 	})
 	return len(b), nil
@@ -85,7 +85,7 @@
 
 func (c *packetConn) SetDeadline(t time.Time) error {
 	c.until = t
-	c.bell.Ring()
+	c.bell.Notify()
 	return nil
 }
 
@@ -93,7 +93,7 @@
 	if !c.closed {
 		c.closed = true
 		delete(c.h.net.udp, c.addr)
-		c.bell.Ring()
+		c.bell.Notify()
 	}
 	return nil
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -62,7 +62,7 @@
 // Conn is a client's connection that carries one HTTP exchange at a time. It
 // never sends anything twice: what to do about a break is the caller's choice.
 type Conn struct {
-	world hostenv.Seam
+	world hostenv.Host
 	nc    net.Conn
 	br    *bufio.Reader
 	head  atomic.Bool // the exchange under way has no body in its answer
@@ -79,16 +79,16 @@
 }
 
 // Dial connects within the limit.
-func Dial(world hostenv.Seam, addr string, limit time.Duration) (*Conn, error) {
-	nc, err := hostenv.Or(world).Dial(addr, limit)
+func Dial(world hostenv.Host, addr string, limit time.Duration) (*Conn, error) {
+	nc, err := hostenv.OrReal(world).Dial(addr, limit)
 	if err != nil {
 		return nil, err
 	}
 	return newConn(world, nc), nil
 }
 
-func newConn(world hostenv.Seam, nc net.Conn) *Conn {
-	c := &Conn{world: hostenv.Or(world), nc: nc}
+func newConn(world hostenv.Host, nc net.Conn) *Conn {
+	c := &Conn{world: hostenv.OrReal(world), nc: nc}
 	c.br = bufio.NewReaderSize(reader{c}, maxHead)
 	return c
 }
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -21,22 +21,22 @@
 // request that has no answer.
 type Listener struct {
 	net.Listener
-	world hostenv.Seam
+	world hostenv.Host
 	most  int
-	room  hostenv.Bell // rung when there may be some
+	room  hostenv.Notifier // rung when there may be some
 	mu    sync.Mutex
 	open  map[*ClientConn]struct{}
 	count uint64
 	last  bool // idle connections are closed
 
 	paused atomic.Bool
-	again  hostenv.Bell // rung when it is no more
+	again  hostenv.Notifier // rung when it is no more
 }
 
 // Listen listens at addr for at most so many connections, in a world (nil: the
 // real one).
-func Listen(world hostenv.Seam, addr string, most int) (*Listener, error) {
-	world = hostenv.Or(world)
+func Listen(world hostenv.Host, addr string, most int) (*Listener, error) {
+	world = hostenv.OrReal(world)
 	ln, err := world.Listen(addr)
 	if err != nil {
 		return nil, err
@@ -44,8 +44,8 @@
 	return newListener(world, ln, most), nil
 }
 
-func newListener(world hostenv.Seam, ln net.Listener, most int) *Listener {
-	return &Listener{Listener: ln, world: world, most: most, room: world.NewBell(), again: world.NewBell(),
+func newListener(world hostenv.Host, ln net.Listener, most int) *Listener {
+	return &Listener{Listener: ln, world: world, most: most, room: world.NewNotifier(), again: world.NewNotifier(),
 		open: map[*ClientConn]struct{}{}}
 }
 
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &ClientConn{Conn: nc, list: l, bell: l.world.NewBell(), free: l.world.NewBell(), since: l.world.Now()}
+	c := &ClientConn{Conn: nc, list: l, bell: l.world.NewNotifier(), free: l.world.NewNotifier(), since: l.world.Now()}
 	l.mu.Lock()
 	for len(l.open) >= l.most {
 		if !l.makeRoom() { // what is half sent now may be overdue in a moment
@@ -127,7 +127,7 @@
 			until = time.Unix(1, 0)
 		}
 		d.SetDeadline(until)
-		l.again.Ring()
+		l.again.Notify()
 	}
 }
 
@@ -243,9 +243,9 @@
 type ClientConn struct {
 	net.Conn
 	list     *Listener
-	number   uint64       // in order of coming
-	bell     hostenv.Bell // where the goroutine that serves it waits
-	free     hostenv.Bell // where the pump waits for its buffer
+	number   uint64           // in order of coming
+	bell     hostenv.Notifier // where the goroutine that serves it waits
+	free     hostenv.Notifier // where the pump waits for its buffer
 	rest     []byte
 	deadline time.Time
 	paced    bool        // a body is being read: time counts from the last byte
@@ -277,7 +277,7 @@
 			}
 			c.data, c.held = buf[:n], true
 			c.list.mu.Unlock()
-			c.bell.Ring()
+			c.bell.Notify()
 			if !c.taken() {
 				c.linger(buf)
 				return
@@ -336,16 +336,16 @@
 func (c *ClientConn) fail(err error) {
 	if c.err == nil {
 		c.err = err
-		c.bell.Ring()
-		c.free.Ring()
+		c.bell.Notify()
+		c.free.Notify()
 	}
 }
 
 // World is the one that the connection is in.
-func (c *ClientConn) World() hostenv.Seam { return c.list.world }
+func (c *ClientConn) World() hostenv.Host { return c.list.world }
 
-// Bell is where the goroutine that serves the connection waits.
-func (c *ClientConn) Bell() hostenv.Bell { return c.bell }
+// Notifier is where the goroutine that serves the connection waits.
+func (c *ClientConn) Notifier() hostenv.Notifier { return c.bell }
 
 // Await waits until done, which is asked whenever the bell rings, and reports false
 // if the connection ends before.
@@ -408,7 +408,7 @@
 		c.list.mu.Lock()
 		c.held = false
 		c.list.mu.Unlock()
-		c.free.Ring()
+		c.free.Notify()
 	}
 	return n, nil
 }
@@ -487,7 +487,7 @@
 	defer c.list.mu.Unlock()
 	c.serving, c.served = false, true
 	if c.busy, c.since = c.unread, c.list.world.Now(); !c.busy {
-		if c.list.room.Ring(); c.list.last { // it may go to make room
+		if c.list.room.Notify(); c.list.last { // it may go to make room
 			c.drop()
 		}
 	}
@@ -520,7 +520,7 @@
 // remove gives the connection's descriptor back, under the list's lock.
 func (c *ClientConn) remove() {
 	delete(c.list.open, c)
-	c.list.room.Ring()
+	c.list.room.Notify()
 	c.Conn.Close()
 }
 
--- a/internal/transport/name_test.go
+++ b/internal/transport/name_test.go
@@ -62,7 +62,7 @@
 	p, got := names(0)
 	l := openLink(1)
 	p.write(l, &order[int]{key: 3, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: &named{name: "mine"}})
-	resp, b := fasthttp.AcquireResponse(), &body{conn: l.conn, left: 1 << 20, bell: hostenv.Real.NewBell()}
+	resp, b := fasthttp.AcquireResponse(), &body{conn: l.conn, left: 1 << 20, bell: hostenv.Real.NewNotifier()}
 	resp.SetBodyStream(b, 1<<20)
 	p.heard(heard[int]{link: l, resp: resp, stream: true})
 	if len(*got) != 1 || (*got)[0].End != Spoilt || l.open || p.streams != 1 || !b.bell.Wait(0) || b.err == nil {
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -37,7 +37,7 @@
 
 // PeerOptions are the limits of the connections to one server.
 type PeerOptions struct {
-	World   hostenv.Seam  // nil: the real one
+	World   hostenv.Host  // nil: the real one
 	Connect time.Duration // until a connection is given up
 	Keep    *Keep         // an unused connection is closed after this, well before the server does
 	Sockets *Sockets
@@ -122,7 +122,7 @@
 // NewPeer starts the actor of the server at addr. It calls done for each
 // exchange that ends by itself; nothing is heard of a cancelled one.
 func NewPeer[K comparable](addr string, opt PeerOptions, done func(Result[K])) *Peer[K] {
-	opt.World = hostenv.Or(opt.World)
+	opt.World = hostenv.OrReal(opt.World)
 	p := &Peer[K]{addr: addr, opt: opt, box: mailbox.NewBox[any](opt.World), busy: map[K]*link[K]{},
 		done: func(r Result[K]) { opt.Sockets.under.Add(-1); done(r) }}
 	opt.World.Go(p.run)
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -31,7 +31,7 @@
 	total int64
 	first []byte // read already, while it might have been short
 	err   error  // it has ended
-	bell  hostenv.Bell
+	bell  hostenv.Notifier
 }
 
 var errTooLong = errors.New("longer than any answer may be")
@@ -131,7 +131,7 @@
 		b.conn.Close()
 	}
 	if b.bell != nil {
-		b.bell.Ring()
+		b.bell.Notify()
 	}
 }
 
@@ -166,7 +166,7 @@
 		b.total = int64(len(b.first))
 	}
 	c.patience = stuck
-	b.bell = c.world.NewBell()
+	b.bell = c.world.NewNotifier()
 	resp.SetBodyStream(b, length)
 	return nil
 }
