--- a/internal/bench/controlcallers.go
+++ b/internal/bench/controlcallers.go
@@ -91,12 +91,12 @@
 }
 
 var callerMutants = []callerMutant{
-	{"answers are taken whatever their name", transport.BugAnyName, "sent_twice", []faultproxy.Kind{faultproxy.Before, faultproxy.Instead}},
-	{"an answer to another is passed on", transport.BugAnyName, "wrong_caller", []faultproxy.Kind{faultproxy.Before, faultproxy.Edited}},
-	{"a name goes by a connection twice", transport.BugSameWay, "sent_twice", []faultproxy.Kind{faultproxy.AfterIt}},
-	{"a break of a used connection is told as not sent", transport.BugUnsent, "sent_twice", []faultproxy.Kind{faultproxy.SayReset, faultproxy.SayClose}},
-	{"an answer that begins in another is taken", transport.BugNoDoubt, "sent_twice", []faultproxy.Kind{faultproxy.Before}},
-	{"a body without a length is taken", transport.BugNoDoubt, "wrong_caller", []faultproxy.Kind{faultproxy.Ended}},
+	{"answers are taken whatever their name", transport.BugAcceptForeign, "sent_twice", []faultproxy.Kind{faultproxy.Before, faultproxy.Instead}},
+	{"an answer to another is passed on", transport.BugAcceptForeign, "wrong_caller", []faultproxy.Kind{faultproxy.Before, faultproxy.Edited}},
+	{"a name goes by a connection twice", transport.BugReuseConn, "sent_twice", []faultproxy.Kind{faultproxy.AfterIt}},
+	{"a break of a used connection is told as not sent", transport.BugLostIsNotSent, "sent_twice", []faultproxy.Kind{faultproxy.SayReset, faultproxy.SayClose}},
+	{"an answer that begins in another is taken", transport.BugNotStrict, "sent_twice", []faultproxy.Kind{faultproxy.Before}},
+	{"a body without a length is taken", transport.BugNotStrict, "wrong_caller", []faultproxy.Kind{faultproxy.Ended}},
 }
 
 // meet plays the cases of the mutant's faults in a drawn order until its rule breaks.
--- a/internal/bench/srv.go
+++ b/internal/bench/srv.go
@@ -468,8 +468,8 @@
 		listed = append(listed, serverset.ListEntry{Name: fmt.Sprint("n", i), Addr: targets[i].Addrs[0],
 			Member: choice.Member{Weight: 1, Zone: "a"}})
 	}
-	fleet := protocol.NewFleet(transport.PeerOptions{Connect: time.Second, Keep: transport.NewKeep(time.Second),
-		Sockets: transport.NewSockets(100)}, false)
+	fleet := protocol.NewFleet(transport.PeerOptions{ConnectTimeout: time.Second, IdleTimeout: transport.NewIdleTimeout(time.Second),
+		ConnLimit: transport.NewConnLimit(100)}, false)
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
 	core, err := routing.New(coreSettings(), 1, now, routing.Dependencies{Fleet: fleet})
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -70,10 +70,10 @@
 func New(o Options) *Plane {
 	o.Host = hostenv.OrReal(o.Host)
 	p := &Plane{opt: o, ids: protocol.NewIDs(), servers: map[string][]Server{}, places: map[string]string{}, gates: 1}
-	p.peers = transport.PeerOptions{World: o.Host, Connect: connectWithin, Sockets: transport.NewSockets(o.MaxServerConns),
-		Keep: transport.NewKeep(keepIdle), Strict: true, Bug: o.Bug}
+	p.peers = transport.PeerOptions{Host: o.Host, ConnectTimeout: connectWithin, ConnLimit: transport.NewConnLimit(o.MaxServerConns),
+		IdleTimeout: transport.NewIdleTimeout(keepIdle), Strict: true, Bug: o.Bug}
 	if o.OnRequestTimes != nil {
-		p.peers.Wrote = protocol.MarkWritten
+		p.peers.OnSent = protocol.MarkWritten
 	}
 	p.lanes.Store(&map[string]*lane{})
 	return p
--- a/internal/program/pair_test.go
+++ b/internal/program/pair_test.go
@@ -36,7 +36,7 @@
 		Plans:   []choice.Plan{{Name: "basic", Rate: 10, Burst: 10, ValueFactor: 1, OverrunCost: 1}}}
 	start := time.Now()
 	core, err := routing.New(set, 1, func() time.Duration { return time.Hour + time.Since(start) },
-		routing.Dependencies{Fleet: protocol.NewFleet(transport.PeerOptions{Keep: transport.NewKeep(time.Minute), Sockets: transport.NewSockets(9)}, false)})
+		routing.Dependencies{Fleet: protocol.NewFleet(transport.PeerOptions{IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: transport.NewConnLimit(9)}, false)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -110,7 +110,7 @@
 	list      *protocol.Discovery
 	srv       *members
 	gate      *gate // nil: in no cluster
-	sockets   *transport.Sockets
+	sockets   *transport.ConnLimit
 	parts     []part
 	listeners []*transport.Listener
 	figures   *ops.Figures
@@ -170,14 +170,14 @@
 		set.Classes = openapi.Twins(set.Classes)
 	}
 	now := clock(world)
-	g.sockets = transport.NewSockets(servers)
+	g.sockets = transport.NewConnLimit(servers)
 	g.figures = ops.NewFigures(func() int { return g.core.ListedServers() }, func() int { return g.core.EjectedServers() })
 	for _, c := range set.Classes {
 		g.figures.Class(c.Name)
 	}
-	fleet := protocol.NewFleet(transport.PeerOptions{World: world, Connect: orDefault(set.ConnectTimeout, time.Second),
-		Keep: transport.NewKeep(orDefault(set.IdleClose, 10*time.Second) / 2), Sockets: g.sockets,
-		Wrote: func(note any) {
+	fleet := protocol.NewFleet(transport.PeerOptions{Host: world, ConnectTimeout: orDefault(set.ConnectTimeout, time.Second),
+		IdleTimeout: transport.NewIdleTimeout(orDefault(set.IdleClose, 10*time.Second) / 2), ConnLimit: g.sockets,
+		OnSent: func(note any) {
 			if note != nil { // no probe
 				g.figures.Dispatched()
 			}
@@ -429,7 +429,7 @@
 
 // Books asks for them.
 func (g *Gateway) Books() Books {
-	b := Books{Stats: g.core.Stats(), Servers: g.sockets.Used(), Under: g.sockets.Under()}
+	b := Books{Stats: g.core.Stats(), Servers: g.sockets.Used(), Under: g.sockets.InFlight()}
 	for _, ln := range g.listeners {
 		b.Clients += ln.Open()
 	}
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -38,9 +38,9 @@
 		c.Pace(nil)
 	}
 	body := ctx.RequestBodyStream()
-	if length <= transport.Held {
-		held, err = io.ReadAll(io.LimitReader(body, transport.Held+1))
-		if err == nil && len(held) <= transport.Held {
+	if length <= transport.MaxBuffered {
+		held, err = io.ReadAll(io.LimitReader(body, transport.MaxBuffered+1))
+		if err == nil && len(held) <= transport.MaxBuffered {
 			return held, nil, len(held), nil
 		}
 	}
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -129,12 +129,12 @@
 type name struct {
 	header string
 	value  []byte
-	trips  transport.Trips
+	trips  transport.ConnHistory
 }
 
 // Owns reports whether an answer is to this request: it repeats its name, and no other. One
 // to a request without a name has none.
-func (c *Call) Owns(answer *fasthttp.Response) bool {
+func (c *Call) Matches(answer *fasthttp.Response) bool {
 	if c.name == nil {
 		return true
 	}
@@ -150,7 +150,7 @@
 }
 
 // Trips are the connections that it has gone by.
-func (c *Call) Trips() *transport.Trips {
+func (c *Call) UsedConns() *transport.ConnHistory {
 	if c.name == nil {
 		return nil
 	}
--- a/internal/protocol/call_test.go
+++ b/internal/protocol/call_test.go
@@ -37,10 +37,10 @@
 		for i := 0; i < len(c.answer); i += 2 {
 			a.Header.Set(c.answer[i], c.answer[i+1])
 		}
-		if got := call.Owns(a); got != c.want {
+		if got := call.Matches(a); got != c.want {
 			t.Errorf("%q answered with %q: %v", c.mine, c.answer, got)
 		}
-		if k := call.Copied(func(int) bool { return true }).Call(); k.Trips() != call.Trips() || k.Owns(a) != c.want {
+		if k := call.Copied(func(int) bool { return true }).Call(); k.UsedConns() != call.UsedConns() || k.Matches(a) != c.want {
 			t.Errorf("%q: its copy has another name", c.mine)
 		}
 	}
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -129,10 +129,10 @@
 func (f *Fleet) ended(id uint32, r transport.Result[routing.Attempt]) {
 	if r.Key.ID == 0 {
 		status, load := choice.ConnectFailed, (*choice.Load)(nil)
-		if r.End != transport.NotSent {
-			status = f.Dialect.outcome(r.End, r.Answer, &Call{})
+		if r.Outcome != transport.NotSent {
+			status = f.Dialect.outcome(r.Outcome, r.Answer, &Call{})
 		}
-		if r.End == transport.Spoilt {
+		if r.Outcome == transport.Invalid {
 			status = choice.NotExecuted // it tells nothing
 		}
 		if r.Answer != nil {
@@ -149,7 +149,7 @@
 	}
 	call := r.Note.(*Call)
 	call.Times.Mark(Answered)
-	status := f.Dialect.outcome(r.End, r.Answer, call)
+	status := f.Dialect.outcome(r.Outcome, r.Answer, call)
 	var load *choice.Load
 	if r.Answer != nil && f.reports {
 		load = report(r.Answer.Header.Peek(headerLoad))
@@ -163,13 +163,13 @@
 
 // outcome is the protocol's table. A 503 or 504 proves that nothing ran only
 // where the server says so: any proxy on the way may word one.
-func (d *Dialect) outcome(end transport.End, answer *fasthttp.Response, call *Call) choice.Status {
+func (d *Dialect) outcome(end transport.Outcome, answer *fasthttp.Response, call *Call) choice.Status {
 	switch end {
 	case transport.NotSent:
 		return choice.ConnectFailed
-	case transport.Broken:
+	case transport.ConnectionLost:
 		return choice.Reset
-	case transport.Spoilt: // whoever sent that is there; it may be the answer to another request, which proves nothing
+	case transport.Invalid: // whoever sent that is there; it may be the answer to another request, which proves nothing
 		return choice.Error
 	}
 	status := answer.StatusCode()
--- a/internal/protocol/fleet_test.go
+++ b/internal/protocol/fleet_test.go
@@ -26,7 +26,7 @@
 		return r
 	}
 	for name, c := range map[string]struct {
-		end         transport.End
+		end         transport.Outcome
 		answer      *fasthttp.Response
 		transparent bool
 		want        choice.Status
@@ -44,8 +44,8 @@
 		"404, described":             {transport.Answered, answer(404), true, choice.OK},
 		"201, described":             {transport.Answered, answer(201), true, choice.OK},
 		"not sent":                   {transport.NotSent, nil, false, choice.ConnectFailed},
-		"broken":                     {transport.Broken, nil, false, choice.Reset},
-		"spoilt":                     {transport.Spoilt, nil, false, choice.Error},
+		"broken":                     {transport.ConnectionLost, nil, false, choice.Reset},
+		"spoilt":                     {transport.Invalid, nil, false, choice.Error},
 	} {
 		if got := Platform.outcome(c.end, c.answer, &Call{Transparent: c.transparent}); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
@@ -90,7 +90,7 @@
 	}
 	defer ln.Close()
 	got := make(ends, 10)
-	f := NewFleet(transport.PeerOptions{Connect: time.Minute, Keep: transport.NewKeep(time.Minute), Sockets: transport.NewSockets(3)}, true)
+	f := NewFleet(transport.PeerOptions{ConnectTimeout: time.Minute, IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: transport.NewConnLimit(3)}, true)
 	f.Ends = got
 	up := routing.Member{Addr: ln.Addr().String(), Member: choice.Member{ID: 7}}
 	f.Update(routing.DiscoveryUpdate{Whole: true, Members: []routing.Member{up}})
@@ -150,8 +150,8 @@
 	}
 	defer ln.Close()
 	got := make(ends, 10)
-	sockets := transport.NewSockets(2)
-	f := NewFleet(transport.PeerOptions{Connect: time.Minute, Keep: transport.NewKeep(time.Minute), Sockets: sockets}, false)
+	sockets := transport.NewConnLimit(2)
+	f := NewFleet(transport.PeerOptions{ConnectTimeout: time.Minute, IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: sockets}, false)
 	f.Ends = got
 	f.Update(routing.DiscoveryUpdate{Whole: true, Members: []routing.Member{{Addr: ln.Addr().String(), Member: choice.Member{ID: 7}}}})
 	for id := range uint32(3) {
@@ -173,7 +173,7 @@
 	for sockets.Used() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if n := sockets.Under(); n != 0 {
+	if n := sockets.InFlight(); n != 0 {
 		t.Errorf("%d exchanges under way, after all have ended", n)
 	}
 }
@@ -186,7 +186,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	f := NewFleet(transport.PeerOptions{Connect: time.Minute, Keep: transport.NewKeep(time.Minute), Sockets: transport.NewSockets(3)}, false)
+	f := NewFleet(transport.PeerOptions{ConnectTimeout: time.Minute, IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: transport.NewConnLimit(3)}, false)
 	f.Ends = make(ends, 10)
 	list := func(id uint32, addr string, s choice.State) routing.DiscoveryUpdate {
 		return routing.DiscoveryUpdate{Members: []routing.Member{{Addr: addr, Member: choice.Member{ID: id, State: s}}}}
@@ -195,9 +195,9 @@
 	f.Send(7, routing.Attempt{ID: 1}, &Call{head: []byte("GET / HTTP/1.1\r\n")}, time.Minute)
 	under := func(want int) func() {
 		return func() {
-			for end := time.Now().Add(scenario.Patience); f.opt.Sockets.Under() != want; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(scenario.Patience); f.opt.ConnLimit.InFlight() != want; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("%d under way, want %d", f.opt.Sockets.Under(), want)
+					t.Fatalf("%d under way, want %d", f.opt.ConnLimit.InFlight(), want)
 				}
 			}
 		}
--- a/internal/protocol/openapi/front_test.go
+++ b/internal/protocol/openapi/front_test.go
@@ -106,8 +106,8 @@
 	if err := f.Replace(description); err != nil {
 		t.Fatal(err)
 	}
-	fleet := protocol.NewFleet(transport.PeerOptions{Connect: 5 * time.Second, Keep: transport.NewKeep(time.Minute),
-		Sockets: transport.NewSockets(200)}, false)
+	fleet := protocol.NewFleet(transport.PeerOptions{ConnectTimeout: 5 * time.Second, IdleTimeout: transport.NewIdleTimeout(time.Minute),
+		ConnLimit: transport.NewConnLimit(200)}, false)
 	start := time.Now()
 	f.Now = func() time.Duration { return time.Hour + time.Since(start) }
 	set.Classes = Twins(classes)
--- a/internal/transport/name_test.go
+++ b/internal/transport/identity_test.go
@@ -13,44 +13,46 @@
 )
 
 // named is a note whose answers say whose they are in one header.
-type named struct {
+type identifiedNote struct {
 	name  string
-	trips Trips
+	trips ConnHistory
 }
 
-func (n *named) Owns(a *fasthttp.Response) bool { return string(a.Header.Peek("X-Name")) == n.name }
-func (n *named) Trips() *Trips                  { return &n.trips }
+func (n *identifiedNote) Matches(a *fasthttp.Response) bool {
+	return string(a.Header.Peek("X-Name")) == n.name
+}
+func (n *identifiedNote) UsedConns() *ConnHistory { return &n.trips }
 
-func names(bug Bug) (*Peer[int], *[]Result[int]) {
+func newTestPeer(bug Bug) (*Peer[int], *[]Result[int]) {
 	got := new([]Result[int])
-	return &Peer[int]{opt: PeerOptions{World: hostenv.Real, Sockets: NewSockets(9), Keep: NewKeep(time.Hour), Bug: bug}, busy: map[int]*link[int]{},
-		done: func(r Result[int]) { *got = append(*got, r) }}, got
+	return &Peer[int]{opt: PeerOptions{Host: hostenv.Real, ConnLimit: NewConnLimit(9), IdleTimeout: NewIdleTimeout(time.Hour), Bug: bug}, busy: map[int]*peerConn[int]{},
+		onResult: func(r Result[int]) { *got = append(*got, r) }}, got
 }
 
-func openLink(number uint64) *link[int] {
+func openLink(number uint64) *peerConn[int] {
 	here, there := net.Pipe()
 	go io.Copy(io.Discard, there)
-	return &link[int]{conn: newConn(nil, here), open: true, since: time.Now().Add(-time.Second), number: number}
+	return &peerConn[int]{conn: newConn(nil, here), open: true, idleSince: time.Now().Add(-time.Second), number: number}
 }
 
 // An answer that bears another request's name, or none, is nobody's: it proves nothing, and ends
 // its connection. With its own name it is the answer, and the connection goes on.
 func TestForeignAnswer(t *testing.T) {
-	for name, want := range map[string]End{"mine": Answered, "yours": Spoilt, "": Spoilt} {
-		for _, bug := range []Bug{0, BugAnyName} {
-			p, got := names(bug)
+	for name, want := range map[string]Outcome{"mine": Answered, "yours": Invalid, "": Invalid} {
+		for _, bug := range []Bug{0, BugAcceptForeign} {
+			p, got := newTestPeer(bug)
 			l := openLink(1)
-			p.write(l, &order[int]{key: 3, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: &named{name: "mine"}})
+			p.write(l, &exchange[int]{key: 3, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: &identifiedNote{name: "mine"}})
 			resp := fasthttp.AcquireResponse()
 			resp.Header.DisableNormalizing()
 			if name != "" {
 				resp.Header.Set("X-Name", name)
 			}
-			p.heard(heard[int]{link: l, resp: resp})
-			if bug == BugAnyName {
+			p.handleResponse(responseRead[int]{conn: l, resp: resp})
+			if bug == BugAcceptForeign {
 				want = Answered
 			}
-			if len(*got) != 1 || (*got)[0].End != want || l.open != (want == Answered) || len(p.busy) != 0 {
+			if len(*got) != 1 || (*got)[0].Outcome != want || l.open != (want == Answered) || len(p.busy) != 0 {
 				t.Errorf("%q, bug %d: %+v, open %v", name, bug, *got, l.open)
 			}
 		}
@@ -59,13 +61,13 @@
 
 // A stream that is somebody else's is given up with its connection.
 func TestForeignStream(t *testing.T) {
-	p, got := names(0)
+	p, got := newTestPeer(0)
 	l := openLink(1)
-	p.write(l, &order[int]{key: 3, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: &named{name: "mine"}})
-	resp, b := fasthttp.AcquireResponse(), &body{conn: l.conn, left: 1 << 20, bell: hostenv.Real.NewNotifier()}
+	p.write(l, &exchange[int]{key: 3, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: &identifiedNote{name: "mine"}})
+	resp, b := fasthttp.AcquireResponse(), &streamedBody{conn: l.conn, remaining: 1 << 20, done: hostenv.Real.NewNotifier()}
 	resp.SetBodyStream(b, 1<<20)
-	p.heard(heard[int]{link: l, resp: resp, stream: true})
-	if len(*got) != 1 || (*got)[0].End != Spoilt || l.open || p.streams != 1 || !b.bell.Wait(0) || b.err == nil {
+	p.handleResponse(responseRead[int]{conn: l, resp: resp, stream: true})
+	if len(*got) != 1 || (*got)[0].Outcome != Invalid || l.open || p.streams != 1 || !b.done.Wait(0) || b.err == nil {
 		t.Errorf("%+v, open %v, streams %d, body %v", *got, l.open, p.streams, b.err)
 	}
 }
@@ -73,17 +75,17 @@
 // A name goes by a connection once: the next attempt of the request takes another, and the
 // connection stays for others.
 func TestNameGoesOnce(t *testing.T) {
-	for bug, want := range map[Bug]int{0: 0, BugSameWay: 1} {
-		p, _ := names(bug)
+	for bug, want := range map[Bug]int{0: 0, BugReuseConn: 1} {
+		p, _ := newTestPeer(bug)
 		was, other := openLink(7), openLink(8)
-		n := &named{name: "a"}
+		n := &identifiedNote{name: "a"}
 		n.trips.add(was.number)
-		p.idle = []*link[int]{other, was} // the newest last
-		p.send(&order[int]{key: 1, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: n})
-		if took := p.busy[1]; took != []*link[int]{other, was}[want] || len(p.idle) != 1 || !was.open {
+		p.idle = []*peerConn[int]{other, was} // the newest last
+		p.send(&exchange[int]{key: 1, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: n})
+		if took := p.busy[1]; took != []*peerConn[int]{other, was}[want] || len(p.idle) != 1 || !was.open {
 			t.Errorf("bug %d: took %p of %p and %p", bug, took, other, was)
 		}
-		p.send(&order[int]{key: 2, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: &named{name: "b"}})
+		p.send(&exchange[int]{key: 2, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: &identifiedNote{name: "b"}})
 		if len(p.idle) != 0 || p.busy[2] == nil {
 			t.Errorf("bug %d: another's request does not take what is left", bug)
 		}
@@ -99,17 +101,17 @@
 		"HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx": "x",
 		"HTTP/1.1 421 HTTP/1.HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n":                                   "",
 	} {
-		for strict, want := range map[bool]error{false: nil, true: errSpoilt} {
-			c, resp := said(text), fasthttp.AcquireResponse()
-			c.streams, c.strict = true, strict
+		for strict, want := range map[bool]error{false: nil, true: errInvalidResponse} {
+			c, resp := connReading(text), fasthttp.AcquireResponse()
+			c.allowStreams, c.strict = true, strict
 			if _, err := c.Read(resp); !errors.Is(err, want) || want == nil && string(resp.Body()) != body {
 				t.Errorf("%.30q, strict %v: %v %q", text, strict, err, resp.Body())
 			}
 		}
 	}
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nVia: HTTP/1.1 front\r\nUpgrade: HTTP/1.\r\nContent-Length: 0\r\n\r\n"} {
-		c := said(text)
-		c.streams, c.strict = true, true
+		c := connReading(text)
+		c.allowStreams, c.strict = true, true
 		if _, err := c.Read(fasthttp.AcquireResponse()); err != nil {
 			t.Errorf("%q: %v", text, err)
 		}
@@ -117,7 +119,7 @@
 }
 
 // said is a connection whose server says that much, and ends it.
-func said(text string) *Conn {
+func connReading(text string) *Conn {
 	here, there := net.Pipe()
 	go func() {
 		io.WriteString(there, text)
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -21,16 +21,16 @@
 // request that has no answer.
 type Listener struct {
 	net.Listener
-	world hostenv.Host
-	most  int
-	room  hostenv.Notifier // rung when there may be some
-	mu    sync.Mutex
-	open  map[*ClientConn]struct{}
-	count uint64
-	last  bool // idle connections are closed
+	host          hostenv.Host
+	maxConns      int
+	roomAvailable hostenv.Notifier // rung when there may be some
+	mu            sync.Mutex
+	conns         map[*ClientConn]struct{}
+	accepted      uint64
+	draining      bool // idle connections are closed
 
-	paused atomic.Bool
-	again  hostenv.Notifier // rung when it is no more
+	paused  atomic.Bool
+	resumed hostenv.Notifier // rung when it is no more
 }
 
 // Listen listens at addr for at most so many connections, in a world (nil: the
@@ -45,8 +45,8 @@
 }
 
 func newListener(world hostenv.Host, ln net.Listener, most int) *Listener {
-	return &Listener{Listener: ln, world: world, most: most, room: world.NewNotifier(), again: world.NewNotifier(),
-		open: map[*ClientConn]struct{}{}}
+	return &Listener{Listener: ln, host: world, maxConns: most, roomAvailable: world.NewNotifier(), resumed: world.NewNotifier(),
+		conns: map[*ClientConn]struct{}{}}
 }
 
 // Inherit listens on a socket that whoever started the process holds under a
@@ -70,11 +70,11 @@
 		if err != nil {
 			return err
 		}
-		l.world.Go(func() { s.ServeConn(c) })
+		l.host.Go(func() { s.ServeConn(c) })
 	}
 }
 
-const acceptPause = 20 * time.Millisecond
+const acceptRetryInterval = 20 * time.Millisecond
 
 // Accept waits for a connection, and then for room for it.
 func (l *Listener) Accept() (net.Conn, error) {
@@ -87,33 +87,33 @@
 		// Descriptors may be short for a moment. The server would end on an
 		// error, and with it the gateway.
 		log.Printf("event=accept error=%q", err)
-		l.world.Sleep(acceptPause)
+		l.host.Sleep(acceptRetryInterval)
 		nc, err = l.accept()
 	}
 	if err != nil {
 		return nil, err
 	}
-	c := &ClientConn{Conn: nc, list: l, bell: l.world.NewNotifier(), free: l.world.NewNotifier(), since: l.world.Now()}
+	c := &ClientConn{Conn: nc, listener: l, readable: l.host.NewNotifier(), bufferFree: l.host.NewNotifier(), since: l.host.Now()}
 	l.mu.Lock()
-	for len(l.open) >= l.most {
+	for len(l.conns) >= l.maxConns {
 		if !l.makeRoom() { // what is half sent now may be overdue in a moment
 			l.mu.Unlock()
-			l.room.Wait(acceptPause)
+			l.roomAvailable.Wait(acceptRetryInterval)
 			l.mu.Lock()
 		}
 	}
-	l.count++
-	c.number = l.count
-	l.open[c] = struct{}{}
-	l.ease()
+	l.accepted++
+	c.number = l.accepted
+	l.conns[c] = struct{}{}
+	l.closeIdleUnderPressure()
 	l.mu.Unlock()
-	l.world.Go(c.pump)
+	l.host.Go(c.pump)
 	return c, nil
 }
 
 func (l *Listener) accept() (net.Conn, error) {
 	for l.paused.Load() {
-		l.again.Wait(-1)
+		l.resumed.Wait(-1)
 	}
 	return l.Listener.Accept()
 }
@@ -127,60 +127,60 @@
 			until = time.Unix(1, 0)
 		}
 		d.SetDeadline(until)
-		l.again.Notify()
+		l.resumed.Notify()
 	}
 }
 
 // hasten is how long a client that holds a connection without a whole request,
 // or after its last answer, is left alone while others want one.
-const hasten = 200 * time.Millisecond
+const pressureGrace = 200 * time.Millisecond
 
 // makeRoom closes the connection that is missed least, and among such the one
 // that has been so the longest.
 func (l *Listener) makeRoom() bool {
-	var worst *ClientConn
-	rank, now := kept, l.world.Now()
-	for c := range l.open {
-		if r := c.expendable(now); r < rank || r == rank && worst != nil && c.older(worst) {
-			worst, rank = c, r
+	var victim *ClientConn
+	rank, now := rankProtected, l.host.Now()
+	for c := range l.conns {
+		if r := c.expendable(now); r < rank || r == rank && victim != nil && c.idleLonger(victim) {
+			victim, rank = c, r
 		}
 	}
-	if worst == nil {
+	if victim == nil {
 		return false
 	}
-	worst.busy = false // at once, with nothing to linger for
-	worst.drop()
-	worst.remove()
+	victim.busy = false // at once, with nothing to linger for
+	victim.drop()
+	victim.remove()
 	return true
 }
 
 // ease closes the connection idle the longest once half of the cap is taken by
 // clients that have asked for something. Those that ask once and stay would
 // leave no descriptors, at either end, to those that have something to ask.
-func (l *Listener) ease() {
+func (l *Listener) closeIdleUnderPressure() {
 	var oldest *ClientConn
-	asked, now := 0, l.world.Now()
-	for c := range l.open {
+	asked, now := 0, l.host.Now()
+	for c := range l.conns {
 		if c.served || c.busy {
 			asked++
 		}
-		if c.expendable(now) == idle && (oldest == nil || c.older(oldest)) {
+		if c.expendable(now) == rankIdle && (oldest == nil || c.idleLonger(oldest)) {
 			oldest = c
 		}
 	}
-	if asked > l.most/2 && oldest != nil {
+	if asked > l.maxConns/2 && oldest != nil {
 		oldest.drop()
 	}
 }
 
 // What connections are missed least, in this order.
 const (
-	answered int = iota // its last answer has had its time
-	silent              // it has never asked for anything
-	half                // its request does not get finished
-	idle                // it has been served, and may ask again
-	fresh               // it has just come
-	kept
+	rankAnswered   int = iota // its last answer has had its time
+	rankSilent                // it has never asked for anything
+	rankIncomplete            // its request does not get finished
+	rankIdle                  // it has been served, and may ask again
+	rankNew                   // it has just come
+	rankProtected
 )
 
 // expendable ranks a connection, under the list's lock.
@@ -188,20 +188,20 @@
 	waits := now.Sub(c.since)
 	switch {
 	case c.closed:
-		if waits > hasten {
-			return answered
+		if waits > pressureGrace {
+			return rankAnswered
 		}
 	case c.serving:
-	case !c.busy && !c.served && waits <= hasten:
-		return fresh
+	case !c.busy && !c.served && waits <= pressureGrace:
+		return rankNew
 	case !c.busy && !c.served:
-		return silent
+		return rankSilent
 	case !c.busy:
-		return idle
-	case waits > hasten:
-		return half
+		return rankIdle
+	case waits > pressureGrace:
+		return rankIncomplete
 	}
-	return kept
+	return rankProtected
 }
 
 // Drain closes the connections that are idle, and each other once it is, and
@@ -209,20 +209,20 @@
 func (l *Listener) Drain() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last = true
-	for c := range l.open {
+	l.draining = true
+	for c := range l.conns {
 		if !c.busy {
 			c.drop()
 		}
 	}
-	return len(l.open)
+	return len(l.conns)
 }
 
 // Resume ends what Drain began.
 func (l *Listener) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last = false
+	l.draining = false
 }
 
 func (l *Listener) idle(c *ClientConn) bool {
@@ -235,34 +235,34 @@
 func (l *Listener) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.open)
+	return len(l.conns)
 }
 
 // ClientConn is a client's connection. A pump reads it at all times, so that a
 // client that closes it is noticed while its request is open.
 type ClientConn struct {
 	net.Conn
-	list     *Listener
-	number   uint64           // in order of coming
-	bell     hostenv.Notifier // where the goroutine that serves it waits
-	free     hostenv.Notifier // where the pump waits for its buffer
-	rest     []byte
-	deadline time.Time
-	paced    bool        // a body is being read: time counts from the last byte
-	enough   func() bool // reading ends once it is true; nil: never
+	listener    *Listener
+	number      uint64           // in order of coming
+	readable    hostenv.Notifier // where the goroutine that serves it waits
+	bufferFree  hostenv.Notifier // where the pump waits for its buffer
+	unread      []byte
+	deadline    time.Time
+	bodyPaced   bool        // a body is being read: time counts from the last byte
+	stopReading func() bool // reading ends once it is true; nil: never
 
 	// Under list.mu. While busy, a request has begun to come and its answer has
 	// not gone out; while serving, it has come whole. unread says that the pump
 	// holds bytes nobody has asked for. since is when it came to this.
-	busy, unread, serving, served, closed bool
-	since                                 time.Time
-	data                                  []byte // what the pump has read, and nobody has taken
-	held                                  bool   // the pump's buffer is in use
-	err                                   error  // set: the connection has ended
+	busy, pending, serving, served, closed bool
+	since                                  time.Time
+	data                                   []byte // what the pump has read, and nobody has taken
+	bufferInUse                            bool   // the pump's buffer is in use
+	err                                    error  // set: the connection has ended
 }
 
 // older tells which of two has been so longer; of one moment, the one that came first.
-func (c *ClientConn) older(o *ClientConn) bool {
+func (c *ClientConn) idleLonger(o *ClientConn) bool {
 	return c.since.Before(o.since) || c.since.Equal(o.since) && c.number < o.number
 }
 
@@ -271,25 +271,25 @@
 	for {
 		n, err := c.Conn.Read(buf)
 		if n > 0 {
-			c.list.mu.Lock()
-			if c.unread = true; !c.busy {
-				c.busy, c.since = true, c.list.world.Now()
+			c.listener.mu.Lock()
+			if c.pending = true; !c.busy {
+				c.busy, c.since = true, c.listener.host.Now()
 			}
-			c.data, c.held = buf[:n], true
-			c.list.mu.Unlock()
-			c.bell.Notify()
-			if !c.taken() {
+			c.data, c.bufferInUse = buf[:n], true
+			c.listener.mu.Unlock()
+			c.readable.Notify()
+			if !c.awaitBuffer() {
 				c.linger(buf)
 				return
 			}
 		}
 		if err != nil {
-			c.list.mu.Lock()
+			c.listener.mu.Lock()
 			c.fail(err)
 			if c.closed { // or the server closes it, once it has noticed
 				c.remove()
 			}
-			c.list.mu.Unlock()
+			c.listener.mu.Unlock()
 			return
 		}
 	}
@@ -297,23 +297,23 @@
 
 // taken waits until the pump's buffer is free again, or reports that the
 // connection has ended.
-func (c *ClientConn) taken() bool {
+func (c *ClientConn) awaitBuffer() bool {
 	for {
-		c.list.mu.Lock()
-		held, gone := c.held, c.err != nil
-		c.list.mu.Unlock()
+		c.listener.mu.Lock()
+		held, gone := c.bufferInUse, c.err != nil
+		c.listener.mu.Unlock()
 		if gone || !held {
 			return !gone
 		}
-		c.free.Wait(-1)
+		c.bufferFree.Wait(-1)
 	}
 }
 
 // How long a client may go on sending after its last answer, and how much of it
 // is read: the rest would cost time and serve nobody.
 const (
-	lingerFor  = time.Second
-	lingerMost = 2 << 20
+	lingerTimeout  = time.Second
+	lingerMaxBytes = 2 << 20
 )
 
 // linger reads what still comes on a connection that has been answered for the
@@ -321,12 +321,12 @@
 // client might lose the answer that is under way to it: that its request is too
 // large, for one, while it is still sending.
 func (c *ClientConn) linger(buf []byte) {
-	for most := lingerMost; ; {
+	for most := lingerMaxBytes; ; {
 		n, err := c.Conn.Read(buf)
 		if most -= n; err != nil || most < 0 {
-			c.list.mu.Lock()
+			c.listener.mu.Lock()
 			c.remove()
-			c.list.mu.Unlock()
+			c.listener.mu.Unlock()
 			return
 		}
 	}
@@ -336,16 +336,16 @@
 func (c *ClientConn) fail(err error) {
 	if c.err == nil {
 		c.err = err
-		c.bell.Notify()
-		c.free.Notify()
+		c.readable.Notify()
+		c.bufferFree.Notify()
 	}
 }
 
 // World is the one that the connection is in.
-func (c *ClientConn) World() hostenv.Host { return c.list.world }
+func (c *ClientConn) World() hostenv.Host { return c.listener.host }
 
 // Notifier is where the goroutine that serves the connection waits.
-func (c *ClientConn) Notifier() hostenv.Notifier { return c.bell }
+func (c *ClientConn) Notifier() hostenv.Notifier { return c.readable }
 
 // Await waits until done, which is asked whenever the bell rings, and reports false
 // if the connection ends before.
@@ -353,87 +353,87 @@
 
 // AwaitFor is Await for no longer than limit, if that is not below 0.
 func (c *ClientConn) AwaitFor(limit time.Duration, done func() bool) bool {
-	end := c.list.world.Now().Add(limit)
+	end := c.listener.host.Now().Add(limit)
 	for !done() {
-		c.list.mu.Lock()
+		c.listener.mu.Lock()
 		gone := c.err != nil
-		c.list.mu.Unlock()
+		c.listener.mu.Unlock()
 		wait := time.Duration(-1)
 		if limit >= 0 {
-			wait = max(0, end.Sub(c.list.world.Now()))
+			wait = max(0, end.Sub(c.listener.host.Now()))
 		}
 		if gone || wait == 0 {
 			return false
 		}
-		c.bell.Wait(wait)
+		c.readable.Wait(wait)
 	}
 	return true
 }
 
 // Read takes what the pump has read. Only one goroutine reads.
 func (c *ClientConn) Read(p []byte) (int, error) {
-	for len(c.rest) == 0 {
-		c.list.mu.Lock()
+	for len(c.unread) == 0 {
+		c.listener.mu.Lock()
 		got, err := c.data, c.err
 		if got != nil {
-			c.data, c.unread = nil, false
+			c.data, c.pending = nil, false
 		}
-		c.list.mu.Unlock()
+		c.listener.mu.Unlock()
 		if got != nil {
-			c.rest = got
+			c.unread = got
 			break
 		}
 		if err != nil {
 			return 0, err
 		}
-		if c.enough != nil && c.enough() {
+		if c.stopReading != nil && c.stopReading() {
 			return 0, ErrStopped
 		}
 		wait := time.Duration(-1)
 		if !c.deadline.IsZero() {
-			if wait = c.deadline.Sub(c.list.world.Now()); wait <= 0 {
-				if c.list.idle(c) { // no request has begun: there is nobody to tell
+			if wait = c.deadline.Sub(c.listener.host.Now()); wait <= 0 {
+				if c.listener.idle(c) { // no request has begun: there is nobody to tell
 					return 0, io.EOF
 				}
 				return 0, os.ErrDeadlineExceeded
 			}
 		}
-		c.bell.Wait(wait)
+		c.readable.Wait(wait)
 	}
-	if c.paced {
-		c.deadline = c.list.world.Now().Add(requestTime)
+	if c.bodyPaced {
+		c.deadline = c.listener.host.Now().Add(requestTimeout)
 	}
-	n := copy(p, c.rest)
-	if c.rest = c.rest[n:]; len(c.rest) == 0 { // what it reads next may be the client's end
-		c.list.mu.Lock()
-		c.held = false
-		c.list.mu.Unlock()
-		c.free.Notify()
+	n := copy(p, c.unread)
+	if c.unread = c.unread[n:]; len(c.unread) == 0 { // what it reads next may be the client's end
+		c.listener.mu.Lock()
+		c.bufferInUse = false
+		c.listener.mu.Unlock()
+		c.bufferFree.Notify()
 	}
 	return n, nil
 }
 
 // at is a deadline of the library's, which goes by the machine's clock, in the
 // connection's world. They are whole seconds.
-func (c *ClientConn) at(t time.Time) time.Time {
+func (c *ClientConn) toHostTime(t time.Time) time.Time {
 	if t.IsZero() {
 		return t
 	}
-	return c.list.world.Now().Add(time.Until(t).Round(time.Second))
+	return c.listener.host.Now().Add(time.Until(t).Round(time.Second))
 }
 
 // Pace bounds the time between two pieces of a body from now on, in place of the time
 // of the whole request; reading ends once enough is true, which is asked as the bell rings.
 func (c *ClientConn) Pace(enough func() bool) {
-	c.paced, c.enough = true, enough
-	c.deadline = c.list.world.Now().Add(requestTime)
+	c.bodyPaced, c.stopReading = true, enough
+	c.deadline = c.listener.host.Now().Add(requestTimeout)
 }
 
 // Write takes piece by piece what the client has time for: a slow one may take long for all.
 func (c *ClientConn) Write(p []byte) (n int, err error) {
 	for first := true; first || len(p) > 0; first = false {
-		now := p[:min(len(p), piece)]
-		if err := c.Conn.SetWriteDeadline(c.list.world.Now().Add(answerTime)); err != nil {
+		now := p[:min(len(p), pieceSize)]
+		if err := c.Conn.SetWriteDeadline(c.listener.host.Now().Add(writeTimeout)); err != nil {
 			return n, err
 		}
 		k, err := c.Conn.Write(now)
@@ -447,8 +447,8 @@
 
 // ReadFrom passes on each piece as soon as it has come.
 func (c *ClientConn) ReadFrom(r io.Reader) (n int64, err error) {
-	buf := pieces.Get().(*[piece]byte)
-	defer pieces.Put(buf)
+	buf := pieceBuffers.Get().(*[pieceSize]byte)
+	defer pieceBuffers.Put(buf)
 	for {
 		k, err := r.Read(buf[:])
 		if k > 0 {
@@ -466,11 +466,11 @@
 	}
 }
 
-var pieces = sync.Pool{New: func() any { return new([piece]byte) }}
+var pieceBuffers = sync.Pool{New: func() any { return new([pieceSize]byte) }}
 
 // SetReadDeadline bounds Read; the pump reads on.
 func (c *ClientConn) SetReadDeadline(t time.Time) error {
-	c.deadline, c.paced, c.enough = c.at(t), false, nil
+	c.deadline, c.bodyPaced, c.stopReading = c.toHostTime(t), false, nil
 	return nil
 }
 
@@ -483,11 +483,11 @@
 // Idle tells that the answer has gone out. While the listener drains, that
 // ends the connection.
 func (c *ClientConn) Idle() {
-	c.list.mu.Lock()
-	defer c.list.mu.Unlock()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
 	c.serving, c.served = false, true
-	if c.busy, c.since = c.unread, c.list.world.Now(); !c.busy {
-		if c.list.room.Notify(); c.list.last { // it may go to make room
+	if c.busy, c.since = c.pending, c.listener.host.Now(); !c.busy {
+		if c.listener.roomAvailable.Notify(); c.listener.draining { // it may go to make room
 			c.drop()
 		}
 	}
@@ -495,9 +495,9 @@
 
 // serve tells that a whole request has come.
 func (c *ClientConn) serve() {
-	c.list.mu.Lock()
-	defer c.list.mu.Unlock()
-	c.serving, c.since = true, c.list.world.Now()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.serving, c.since = true, c.listener.host.Now()
 }
 
 // drop closes the connection under the list's lock. It counts as open for as
@@ -506,12 +506,12 @@
 	if c.closed {
 		return
 	}
-	c.closed, c.serving, c.since = true, false, c.list.world.Now()
+	c.closed, c.serving, c.since = true, false, c.listener.host.Now()
 	ended := c.err != nil
 	c.fail(net.ErrClosed)
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && c.busy && !ended {
 		half.CloseWrite()
-		c.Conn.SetReadDeadline(c.list.world.Now().Add(lingerFor)) // then the pump closes it
+		c.Conn.SetReadDeadline(c.listener.host.Now().Add(lingerTimeout)) // then the pump closes it
 		return
 	}
 	c.remove()
@@ -519,15 +519,15 @@
 
 // remove gives the connection's descriptor back, under the list's lock.
 func (c *ClientConn) remove() {
-	delete(c.list.open, c)
-	c.list.room.Notify()
+	delete(c.listener.conns, c)
+	c.listener.roomAvailable.Notify()
 	c.Conn.Close()
 }
 
 // Close ends the connection.
 func (c *ClientConn) Close() error {
-	c.list.mu.Lock()
-	defer c.list.mu.Unlock()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
 	c.drop()
 	return nil
 }
@@ -536,40 +536,40 @@
 // counted from its first byte, or from connecting if it is the first. A
 // connection without a request is closed after the second.
 const (
-	requestTime = 3 * time.Second // from then on, between two pieces of a body
-	idleTime    = 2 * time.Second
-	answerTime  = 5 * time.Second // to take an answer
+	requestTimeout = 3 * time.Second // from then on, between two pieces of a body
+	idleTimeout    = 2 * time.Second
+	writeTimeout   = 5 * time.Second // to take an answer
 )
 
 // NewServer returns a listener's HTTP server. It passes on what clients send as
 // they wrote it, and takes bodies up to maxBody.
 func NewServer(handler fasthttp.RequestHandler, maxBody int) *fasthttp.Server {
 	return &fasthttp.Server{
-		Handler:                       guard(handler),
+		Handler:                       rejectAmbiguous(handler),
 		ErrorHandler:                  malformed,
-		Logger:                        quiet{},
+		Logger:                        discardLogger{},
 		MaxRequestBodySize:            maxBody,
 		ReadBufferSize:                8192,
 		StreamRequestBody:             maxBody >= MaxStream,
-		ReadTimeout:                   requestTime,
-		IdleTimeout:                   idleTime,
-		WriteTimeout:                  answerTime,
+		ReadTimeout:                   requestTimeout,
+		IdleTimeout:                   idleTimeout,
+		WriteTimeout:                  writeTimeout,
 		DisableHeaderNamesNormalizing: true,
 		DisablePreParseMultipartForm:  true,
 		NoDefaultServerHeader:         true,
 		NoDefaultContentType:          true,
-		ConnState:                     answeredOne,
+		ConnState:                     connStateChanged,
 	}
 }
 
 // guard turns away what another reader of the same bytes could take for
 // something else, and marks the connection as one that an answer is owed on.
-func guard(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
+func rejectAmbiguous(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if c, ok := ctx.Conn().(*ClientConn); ok {
 			c.serve()
 		}
-		if TwoLengths(ctx.Request.Header.RawHeaders()) {
+		if HasConflictingLengths(ctx.Request.Header.RawHeaders()) {
 			ctx.Error("Content-Length and Transfer-Encoding\n", fasthttp.StatusBadRequest)
 			ctx.SetConnectionClose()
 			return
@@ -578,7 +578,7 @@
 	}
 }
 
-func answeredOne(nc net.Conn, s fasthttp.ConnState) {
+func connStateChanged(nc net.Conn, s fasthttp.ConnState) {
 	if c, ok := nc.(*ClientConn); ok && s == fasthttp.StateIdle {
 		c.Idle()
 	}
@@ -598,6 +598,6 @@
 }
 
 // quiet drops the library's own log: clients that break off are no news.
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -101,7 +101,7 @@
 	for end := time.Now().Add(scenario.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		l.mu.Lock()
 		all := true
-		for c := range l.open {
+		for c := range l.conns {
 			all = all && c.served && !c.serving
 		}
 		if l.mu.Unlock(); all {
@@ -139,7 +139,7 @@
 	}
 	log.SetOutput(io.Discard)
 	defer log.SetOutput(os.Stderr)
-	ln.Listener = &short{Listener: ln.Listener, fails: 3}
+	ln.Listener = &flakyListener{Listener: ln.Listener, fails: 3}
 	go ln.Serve(NewServer(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("fine") }, 1000))
 	defer ln.Close()
 	stage := &scenario.Stage{Dial: map[string]string{"client": ln.Addr().String()}}
@@ -149,12 +149,12 @@
 }
 
 // short is a listener whose first accepts find no descriptor.
-type short struct {
+type flakyListener struct {
 	net.Listener
 	fails int
 }
 
-func (s *short) Accept() (net.Conn, error) {
+func (s *flakyListener) Accept() (net.Conn, error) {
 	if s.fails--; s.fails >= 0 {
 		return nil, syscall.EMFILE
 	}
@@ -215,15 +215,15 @@
 		conn ClientConn
 		want int
 	}{
-		"answered for the last time":  {ClientConn{closed: true, busy: true, since: long}, answered},
-		"the answer is under way":     {ClientConn{closed: true, busy: true, since: short}, kept},
-		"silent":                      {ClientConn{since: long}, silent},
-		"silent for a moment":         {ClientConn{since: short}, fresh},
-		"half a request":              {ClientConn{busy: true, since: long}, half},
-		"half a request, a moment":    {ClientConn{busy: true, since: short}, kept},
-		"half its second request":     {ClientConn{busy: true, served: true, since: long}, half},
-		"served and idle":             {ClientConn{served: true, since: long}, idle},
-		"its request is being served": {ClientConn{busy: true, serving: true, since: long}, kept},
+		"answered for the last time":  {ClientConn{closed: true, busy: true, since: long}, rankAnswered},
+		"the answer is under way":     {ClientConn{closed: true, busy: true, since: short}, rankProtected},
+		"silent":                      {ClientConn{since: long}, rankSilent},
+		"silent for a moment":         {ClientConn{since: short}, rankNew},
+		"half a request":              {ClientConn{busy: true, since: long}, rankIncomplete},
+		"half a request, a moment":    {ClientConn{busy: true, since: short}, rankProtected},
+		"half its second request":     {ClientConn{busy: true, served: true, since: long}, rankIncomplete},
+		"served and idle":             {ClientConn{served: true, since: long}, rankIdle},
+		"its request is being served": {ClientConn{busy: true, serving: true, since: long}, rankProtected},
 	} {
 		if got := tc.conn.expendable(now); got != tc.want {
 			t.Errorf("%s: rank %d, want %d", name, got, tc.want)
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -21,12 +21,12 @@
 			there.Close()
 		}()
 		var got []Result[int]
-		p := &Peer[int]{opt: PeerOptions{World: hostenv.Real, Sockets: NewSockets(1)}, busy: map[int]*link[int]{},
-			done: func(r Result[int]) { got = append(got, r) }}
-		p.opt.Sockets.take()
-		l := &link[int]{conn: newConn(nil, here), open: true}
-		p.write(l, &order[int]{key: 3, wire: []byte("GET / HTTP/1.1\r\n\r\n")})
-		if len(got) != 1 || got[0].Key != 3 || got[0].End != NotSent || l.open || len(p.busy) != 0 || p.opt.Sockets.Used() != 0 {
+		p := &Peer[int]{opt: PeerOptions{Host: hostenv.Real, ConnLimit: NewConnLimit(1)}, busy: map[int]*peerConn[int]{},
+			onResult: func(r Result[int]) { got = append(got, r) }}
+		p.opt.ConnLimit.acquire()
+		l := &peerConn[int]{conn: newConn(nil, here), open: true}
+		p.write(l, &exchange[int]{key: 3, wire: []byte("GET / HTTP/1.1\r\n\r\n")})
+		if len(got) != 1 || got[0].Key != 3 || got[0].Outcome != NotSent || l.open || len(p.busy) != 0 || p.opt.ConnLimit.Used() != 0 {
 			t.Errorf("%d bytes read: %+v, open %v", read, got, l.open)
 		}
 	}
@@ -35,15 +35,15 @@
 // A connection that has just answered may still bring more: the next request
 // takes another one, the newest that has been quiet for a while.
 func TestConnectionsSettle(t *testing.T) {
-	p := &Peer[int]{opt: PeerOptions{World: hostenv.Real, Sockets: NewSockets(9), Keep: NewKeep(time.Hour / 2)}, busy: map[int]*link[int]{}}
-	idle := func(since time.Duration) *link[int] {
+	p := &Peer[int]{opt: PeerOptions{Host: hostenv.Real, ConnLimit: NewConnLimit(9), IdleTimeout: NewIdleTimeout(time.Hour / 2)}, busy: map[int]*peerConn[int]{}}
+	idle := func(since time.Duration) *peerConn[int] {
 		here, there := net.Pipe()
 		go io.Copy(io.Discard, there)
-		return &link[int]{conn: newConn(nil, here), open: true, since: time.Now().Add(since)}
+		return &peerConn[int]{conn: newConn(nil, here), open: true, idleSince: time.Now().Add(since)}
 	}
 	fresh, quiet, old := idle(time.Hour), idle(-time.Minute), idle(-20*time.Minute)
-	p.idle = []*link[int]{old, quiet, fresh}
-	p.send(&order[int]{key: 1, wire: []byte("GET / HTTP/1.1\r\n\r\n")})
+	p.idle = []*peerConn[int]{old, quiet, fresh}
+	p.send(&exchange[int]{key: 1, wire: []byte("GET / HTTP/1.1\r\n\r\n")})
 	if p.busy[1] != quiet || len(p.idle) != 2 || p.idle[0] != old || p.idle[1] != fresh {
 		t.Errorf("sent on %p of old %p, quiet %p, fresh %p; idle %v", p.busy[1], old, quiet, fresh, p.idle)
 	}
@@ -85,7 +85,7 @@
 // under the next request tell: not one by chance, but many after the same time.
 func TestKeep(t *testing.T) {
 	now := time.Now()
-	k := NewKeep(time.Minute)
+	k := NewIdleTimeout(time.Minute)
 	expect := func(want time.Duration) {
 		t.Helper()
 		if got := k.Limit(now); got != want {
@@ -93,43 +93,43 @@
 		}
 	}
 	for i := range 100 { // one in fifty breaks for another reason
-		k.used(20*time.Millisecond, i%50 == 0, now)
-		k.used(100*time.Millisecond, i%50 == 0, now)
+		k.observe(20*time.Millisecond, i%50 == 0, now)
+		k.observe(100*time.Millisecond, i%50 == 0, now)
 	}
 	expect(time.Minute)
 	for i := range 10 {
-		k.used(300*time.Millisecond, i%2 == 0, now)
+		k.observe(300*time.Millisecond, i%2 == 0, now)
 	}
 	expect(256 * time.Millisecond)
 	for range 3 {
-		k.used(time.Second, true, now) // older ones
+		k.observe(time.Second, true, now) // older ones
 	}
 	expect(256 * time.Millisecond)
 	for range 3 {
-		k.used(time.Millisecond, true, now)
+		k.observe(time.Millisecond, true, now)
 	}
-	expect(leastKeep)
-	now = now.Add(relearn + 1)
+	expect(minIdleTimeout)
+	now = now.Add(resetInterval + 1)
 	expect(time.Minute)
 }
 
 // A peer tells of each break, and does not use what has been idle too long.
 func TestIdleTooLong(t *testing.T) {
-	dial := func(idle time.Duration) *link[int] {
+	dial := func(idle time.Duration) *peerConn[int] {
 		here, there := net.Pipe()
 		go io.Copy(io.Discard, there)
-		return &link[int]{conn: newConn(nil, here), open: true, since: time.Now().Add(-idle)}
+		return &peerConn[int]{conn: newConn(nil, here), open: true, idleSince: time.Now().Add(-idle)}
 	}
-	p := &Peer[int]{opt: PeerOptions{World: hostenv.Real, Sockets: NewSockets(9), Keep: NewKeep(time.Minute)}, busy: map[int]*link[int]{},
-		done: func(Result[int]) {}}
+	p := &Peer[int]{opt: PeerOptions{Host: hostenv.Real, ConnLimit: NewConnLimit(9), IdleTimeout: NewIdleTimeout(time.Minute)}, busy: map[int]*peerConn[int]{},
+		onResult: func(Result[int]) {}}
 	for range 5 {
 		l := dial(time.Second)
-		p.write(l, &order[int]{key: 1, wire: []byte("GET / HTTP/1.1\r\n\r\n")})
-		l.wrote = time.Now()
-		p.heard(heard[int]{link: l, resp: fasthttp.AcquireResponse(), err: io.EOF})
+		p.write(l, &exchange[int]{key: 1, wire: []byte("GET / HTTP/1.1\r\n\r\n")})
+		l.sentAt = time.Now()
+		p.handleResponse(responseRead[int]{conn: l, resp: fasthttp.AcquireResponse(), err: io.EOF})
 	}
 	old := dial(2 * time.Second)
-	if p.idle = []*link[int]{old}; p.age() != -1 || old.open {
+	if p.idle = []*peerConn[int]{old}; p.closeExpired() != -1 || old.open {
 		t.Error("a connection is kept for longer than connections last")
 	}
 }
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -16,87 +16,87 @@
 
 // Bounds of what streams.
 const (
-	Held      = 64 << 10 // a message up to this is kept whole before it is passed on
-	MaxStream = 64 << 20 // its body
-	piece     = 16 << 10 // in hand at a time
-	stuck     = 10 * time.Second
+	MaxBuffered        = 64 << 10 // a message up to this is kept whole before it is passed on
+	MaxStream          = 64 << 20 // its body
+	pieceSize          = 16 << 10 // in hand at a time
+	streamStallTimeout = 10 * time.Second
 )
 
 // body is an answer's, read as it comes. Its reader owns the connection until its end.
-type body struct {
-	conn  *Conn
-	left  int64 // of the body, or of the chunk
-	chunk bool
-	close bool // it ends with the connection
-	total int64
-	first []byte // read already, while it might have been short
-	err   error  // it has ended
-	bell  hostenv.Notifier
+type streamedBody struct {
+	conn       *Conn
+	remaining  int64 // of the body, or of the chunk
+	chunked    bool
+	untilClose bool // it ends with the connection
+	received   int64
+	prefix     []byte // read already, while it might have been short
+	err        error  // it has ended
+	done       hostenv.Notifier
 }
 
-var errTooLong = errors.New("longer than any answer may be")
+var errBodyTooLong = errors.New("longer than any answer may be")
 
 // Read takes what has come. A body that is cut short ends with an error other than EOF.
-func (b *body) Read(p []byte) (int, error) {
+func (b *streamedBody) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
 	}
-	if len(b.first) > 0 {
-		n := copy(p, b.first)
-		b.first = b.first[n:]
+	if len(b.prefix) > 0 {
+		n := copy(p, b.prefix)
+		b.prefix = b.prefix[n:]
 		return n, nil
 	}
 	n, err := b.read(p)
-	if b.total += int64(n); b.total > MaxStream {
-		err = errTooLong
+	if b.received += int64(n); b.received > MaxStream {
+		err = errBodyTooLong
 	}
-	if err == nil && !b.chunk && !b.close && b.left == 0 {
+	if err == nil && !b.chunked && !b.untilClose && b.remaining == 0 {
 		err = io.EOF
 	}
 	if err != nil {
-		b.end(err)
+		b.finish(err)
 	}
 	return n, err
 }
 
-func (b *body) read(p []byte) (int, error) {
-	if b.chunk && b.left == 0 {
-		if err := b.next(); err != nil {
+func (b *streamedBody) read(p []byte) (int, error) {
+	if b.chunked && b.remaining == 0 {
+		if err := b.readChunkHeader(); err != nil {
 			return 0, err
 		}
 	}
-	if b.close {
+	if b.untilClose {
 		return b.conn.br.Read(p)
 	}
-	n, err := b.conn.br.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
+	n, err := b.conn.br.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
-	if err == nil && b.chunk && b.left == 0 {
-		err = crlf(b.conn.br)
+	if err == nil && b.chunked && b.remaining == 0 {
+		err = expectCRLF(b.conn.br)
 	}
 	return n, err
 }
 
 // next reads the head of a chunk, and what is behind the last one.
-func (b *body) next() error {
+func (b *streamedBody) readChunkHeader() error {
 	line, err := b.conn.br.ReadSlice('\n')
 	if err != nil {
-		return cut(err)
+		return unexpectedEOF(err)
 	}
 	size, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
 	if err != nil {
-		return errSpoilt
+		return errInvalidResponse
 	}
-	if b.left = int64(n); n > 0 {
+	if b.remaining = int64(n); n > 0 {
 		return nil
 	}
-	for most := maxHead; ; { // trailers end here
+	for most := maxHeaderBytes; ; { // trailers end here
 		line, err := b.conn.br.ReadSlice('\n')
 		if most -= len(line); err != nil || most < 0 {
-			return cut(cmp.Or(err, errSpoilt))
+			return unexpectedEOF(cmp.Or(err, errInvalidResponse))
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return io.EOF
@@ -104,19 +104,19 @@
 	}
 }
 
-func crlf(br *bufio.Reader) error {
+func expectCRLF(br *bufio.Reader) error {
 	for _, want := range []byte("\r\n") {
 		if c, err := br.ReadByte(); err != nil {
-			return cut(err)
+			return unexpectedEOF(err)
 		} else if c != want {
-			return errSpoilt
+			return errInvalidResponse
 		}
 	}
 	return nil
 }
 
 // cut makes sure that an early end is not taken for an end.
-func cut(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -124,49 +124,49 @@
 }
 
 // end gives the connection back, or closes it if the body is not at its end.
-func (b *body) end(err error) {
+func (b *streamedBody) finish(err error) {
 	b.err = err
-	b.conn.begun, b.conn.patience = false, 0
+	b.conn.responseStarted, b.conn.stallTimeout = false, 0
 	if err != io.EOF {
 		b.conn.Close()
 	}
-	if b.bell != nil {
-		b.bell.Notify()
+	if b.done != nil {
+		b.done.Notify()
 	}
 }
 
 // Close gives up what has not been read.
-func (b *body) Close() error {
+func (b *streamedBody) Close() error {
 	if b.err == nil {
-		b.end(io.ErrClosedPipe)
+		b.finish(io.ErrClosedPipe)
 	}
 	return nil
 }
 
 // long reads a body that may stream. One that turns out to be short is kept whole.
-func (c *Conn) long(resp *fasthttp.Response, length int) error {
-	b := &body{conn: c, left: int64(length)}
+func (c *Conn) readLongBody(resp *fasthttp.Response, length int) error {
+	b := &streamedBody{conn: c, remaining: int64(length)}
 	if length > MaxStream {
-		return errSpoilt
+		return errInvalidResponse
 	}
 	if length < 0 {
-		b.left, b.chunk, b.close = 0, length == -1, length < -1
+		b.remaining, b.chunked, b.untilClose = 0, length == -1, length < -1
 		length = -1
-		for buf := make([]byte, 4096); len(b.first) <= Held; {
+		for buf := make([]byte, 4096); len(b.prefix) <= MaxBuffered; {
 			n, err := b.read(buf)
-			b.first = append(b.first, buf[:n]...)
+			b.prefix = append(b.prefix, buf[:n]...)
 			if err == io.EOF {
-				resp.SetBody(b.first)
+				resp.SetBody(b.prefix)
 				return nil
 			}
 			if err != nil {
 				return err
 			}
 		}
-		b.total = int64(len(b.first))
+		b.received = int64(len(b.prefix))
 	}
-	c.patience = stuck
-	b.bell = c.world.NewNotifier()
+	c.stallTimeout = streamStallTimeout
+	b.done = c.host.NewNotifier()
 	resp.SetBodyStream(b, length)
 	return nil
 }
@@ -192,53 +192,53 @@
 }
 
 type uploaded[K comparable] struct {
-	link  *link[K]
-	order *order[K]
-	whole bool
+	conn     *peerConn[K]
+	exchange *exchange[K]
+	complete bool
 }
 
 // upload writes what follows a request's beginning.
-func (p *Peer[K]) upload(l *link[K], o *order[K], up Upload) {
+func (p *Peer[K]) upload(l *peerConn[K], o *exchange[K], up Upload) {
 	p.uploads++
-	l.uploads = up
-	p.opt.World.Go(func() {
+	l.upload = up
+	p.opt.Host.Go(func() {
 		for {
 			piece, last, err := up.Next()
 			if err == nil {
 				if last {
-					o.whole.Store(true) // from here on the server may have it all
+					o.sent.Store(true) // from here on the server may have it all
 				}
-				err = l.conn.Write(piece, stuck)
+				err = l.conn.Write(piece, streamStallTimeout)
 			}
 			if err != nil || last {
 				if err != nil && err != ErrStopped {
 					up.Stop()
 					l.conn.Close() // a server must not take it for whole
 				}
-				p.box.Put(uploaded[K]{l, o, err == nil})
+				p.inbox.Put(uploaded[K]{l, o, err == nil})
 				return
 			}
 		}
 	})
 }
 
-func (p *Peer[K]) uploaded(m uploaded[K]) {
+func (p *Peer[K]) handleUploaded(m uploaded[K]) {
 	p.uploads--
-	if m.link.uploads = nil; m.whole && p.opt.Wrote != nil {
-		p.opt.Wrote(m.order.note)
+	if m.conn.upload = nil; m.complete && p.opt.OnSent != nil {
+		p.opt.OnSent(m.exchange.note)
 	}
 }
 
 // streamed takes a connection back whose answer has been read by whoever it belonged to.
 type streamed[K comparable] struct {
-	link  *link[K]
-	again bool // it can carry another exchange
+	conn     *peerConn[K]
+	reusable bool // it can carry another exchange
 }
 
-func (p *Peer[K]) streamed(m streamed[K]) {
-	if p.streams--; !m.again || m.link.half {
-		p.close(m.link)
-	} else if m.link.open {
-		p.free(m.link)
+func (p *Peer[K]) handleStreamed(m streamed[K]) {
+	if p.streams--; !m.reusable || m.conn.incomplete {
+		p.close(m.conn)
+	} else if m.conn.open {
+		p.release(m.conn)
 	}
 }
