--- a/internal/bench/srv.go
+++ b/internal/bench/srv.go
@@ -476,7 +476,7 @@
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	fleet.Ends = core
+	fleet.Results = core
 	stop := make(chan struct{})
 	defer close(stop)
 	go core.Run()
--- a/internal/bench/stages.go
+++ b/internal/bench/stages.go
@@ -27,7 +27,7 @@
 
 // staged is what the measured gateway writes at its end.
 type staged struct {
-	Requests map[string][protocol.Stages]int64
+	Requests map[string][protocol.StageCount]int64
 	Spans    []stagedSpan
 }
 
@@ -46,8 +46,8 @@
 		return err
 	}
 	var mu sync.Mutex
-	all := staged{Requests: map[string][protocol.Stages]int64{}}
-	p, err := daemon.NewTimed(settings, set, func(id string, t *protocol.Times) {
+	all := staged{Requests: map[string][protocol.StageCount]int64{}}
+	p, err := daemon.NewTimed(settings, set, func(id string, t *protocol.StageTimes) {
 		mu.Lock()
 		defer mu.Unlock()
 		all.Requests[id] = t.At()
@@ -297,15 +297,15 @@
 			spans[12] = append(spans[12], j.direct)
 		}
 		at, ok := all.Requests[id]
-		if j.status != http.StatusOK || !ok || at[protocol.Answered] == 0 || j.in == 0 {
+		if j.status != http.StatusOK || !ok || at[protocol.ResponseRead] == 0 || j.in == 0 {
 			continue
 		}
-		points := []int64{j.sent, at[protocol.Begun], at[protocol.Routed], at[protocol.Metered], at[protocol.Picked], at[protocol.Written], j.in,
-			at[protocol.Answered], at[protocol.Decided], at[protocol.Ended], j.got}
+		points := []int64{j.sent, at[protocol.HeaderRead], at[protocol.Routed], at[protocol.QuotaChecked], at[protocol.ServerSelected], at[protocol.RequestSent], j.in,
+			at[protocol.ResponseRead], at[protocol.ResponseDelivered], at[protocol.ResponseWriting], j.got}
 		for i := range len(points) - 1 {
 			spans[i] = append(spans[i], points[i+1]-points[i])
 		}
-		spans[10] = append(spans[10], at[protocol.Written]-at[protocol.Begun]+at[protocol.Ended]-at[protocol.Answered])
+		spans[10] = append(spans[10], at[protocol.RequestSent]-at[protocol.HeaderRead]+at[protocol.ResponseWriting]-at[protocol.ResponseRead])
 		spans[11] = append(spans[11], j.got-j.due)
 	}
 	figure, stages := map[string]any{}, map[string]any{}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -125,7 +125,7 @@
 func New(path string, set *sysconfig.Settings) (*Process, error) { return NewTimed(path, set, nil) }
 
 // Timed is New, of a process whose requests' stages somebody measures.
-func NewTimed(path string, set *sysconfig.Settings, times func(id string, t *protocol.Times)) (*Process, error) {
+func NewTimed(path string, set *sysconfig.Settings, times func(id string, t *protocol.StageTimes)) (*Process, error) {
 	runtime.GOMAXPROCS(max(1, int(set.BoundsReq.CpuCount)))
 	debug.SetGCPercent(frugal)
 	limit := int64(set.BoundsReq.MemMb) << 20 * 6 / 10
--- a/internal/daemon/shared.go
+++ b/internal/daemon/shared.go
@@ -20,7 +20,7 @@
 
 	ParseCache *controlplane.ParseCache // of texts; nil: each process reads its own
 
-	OnRequestTimes func(id string, t *protocol.Times) // hears of each request's stages; nil: nobody measures
+	OnRequestTimes func(id string, t *protocol.StageTimes) // hears of each request's stages; nil: nobody measures
 }
 
 // NewShared puts a process together like New, and leaves the runtime's bounds alone:
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -44,14 +44,14 @@
 	WarmupTime     time.Duration
 	FaultInjector  FaultInjector // nil: none
 	Bug            transport.Bug
-	OnRequestTimes func(id string, t *protocol.Times) // takes when each request came to each stage; nil: nobody measures
+	OnRequestTimes func(id string, t *protocol.StageTimes) // takes when each request came to each stage; nil: nobody measures
 }
 
 // Plane carries traffic.
 type Plane struct {
 	opt     Options
 	peers   transport.PeerOptions
-	ids     *protocol.IDs
+	ids     *protocol.OpenIDs
 	table   atomic.Pointer[sysconfig.Table]
 	gate    atomic.Pointer[gate] // nil: none
 	lanes   atomic.Pointer[map[string]*lane]
@@ -69,7 +69,7 @@
 // New returns a plane without a configuration: it refuses everything.
 func New(o Options) *Plane {
 	o.Host = hostenv.OrReal(o.Host)
-	p := &Plane{opt: o, ids: protocol.NewIDs(), servers: map[string][]Server{}, places: map[string]string{}, gates: 1}
+	p := &Plane{opt: o, ids: protocol.NewOpenIDs(), servers: map[string][]Server{}, places: map[string]string{}, gates: 1}
 	p.peers = transport.PeerOptions{Host: o.Host, ConnectTimeout: connectWithin, ConnLimit: transport.NewConnLimit(o.MaxServerConns),
 		IdleTimeout: transport.NewIdleTimeout(keepIdle), Strict: true, Bug: o.Bug}
 	if o.OnRequestTimes != nil {
--- a/internal/dataplane/fault.go
+++ b/internal/dataplane/fault.go
@@ -101,19 +101,19 @@
 	return int64(min(mostHeld, max(1, p.opt.MaxServerConns/heldPart)))
 }
 
-func (b *blow) await() protocol.Final { return protocol.Await(b.ctx, b.l.core, b.p.ids, b.id, b.r) }
+func (b *blow) await() protocol.Result { return protocol.Await(b.ctx, b.l.core, b.p.ids, b.id, b.r) }
 
 func (b *blow) record(outcome string) { b.p.opt.FaultInjector.RecordOutcome(b.q, b.s, outcome) }
 
 // ran tells what is known of a request that has ended, whose answer nobody will read.
-func ran(a protocol.Final) string {
+func ran(a protocol.Result) string {
 	if a.Answer != nil {
 		defer fasthttp.ReleaseResponse(a.Answer)
 	}
 	switch {
 	case a.Kind == protocol.Served:
 		return "ran"
-	case a.Kind == protocol.Refused && a.Verdict != routing.MayHaveExecuted, a.Kind == protocol.Twice:
+	case a.Kind == protocol.Refused && a.Verdict != routing.MayHaveExecuted, a.Kind == protocol.DuplicateID:
 		return "never ran"
 	}
 	return "may have run"
@@ -167,14 +167,14 @@
 // double sends a request again once it was served. A refusal is not doubled: the promise
 // that it never ran must stay true. The caller doesn't wait for the second, nor for the record.
 func (b *blow) double() {
-	c := b.r.Call.(*protocol.Call).Copied(b.p.room)
+	c := b.r.Call.(*protocol.Call).StartCopy(b.p.room)
 	a := b.await()
 	served := a.Kind == protocol.Served
 	b.p.answer(b.ctx, a)
 	again := c.Call()
 	b.stay()
 	end := func(unmade string) {
-		b.p.copies.Add(int64(-c.Held()))
+		b.p.copies.Add(int64(-c.Reserved()))
 		b.leave()
 		if unmade != "" {
 			b.p.opt.FaultInjector.RecordUnused(b.q, b.s, unmade)
--- a/internal/dataplane/front.go
+++ b/internal/dataplane/front.go
@@ -28,10 +28,10 @@
 const untilReady = 300 * time.Millisecond
 
 func (p *Plane) handle(ctx *fasthttp.RequestCtx) {
-	var times *protocol.Times
+	var times *protocol.StageTimes
 	if p.opt.OnRequestTimes != nil {
-		times = &protocol.Times{Clock: func() int64 { return time.Now().UnixNano() }}
-		times.Mark(protocol.Begun)
+		times = &protocol.StageTimes{Clock: func() int64 { return time.Now().UnixNano() }}
+		times.Mark(protocol.HeaderRead)
 	}
 	t := p.table.Load()
 	if t == nil || p.opt.Closing != nil && p.opt.Closing() {
@@ -59,8 +59,8 @@
 				id = string(value)
 				names++
 			}
-		case len(speech.Deadline): // as long as Authorization
-			if bytes.EqualFold(name, []byte(speech.Deadline)) {
+		case len(speech.DeadlineHeader): // as long as Authorization
+			if bytes.EqualFold(name, []byte(speech.DeadlineHeader)) {
 				limit = string(value)
 			} else if bytes.EqualFold(name, []byte("Authorization")) {
 				key = string(bytes.TrimPrefix(value, []byte("Bearer ")))
@@ -72,11 +72,11 @@
 		err = errNames
 	}
 	if err != nil {
-		protocol.Bad(ctx, err)
+		protocol.WriteBadRequest(ctx, err)
 		return
 	}
-	call.Transparent, call.Times = true, times
-	r := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: plan, Units: 1, Gateways: 1, ResolveTerms: p.bound(t, route)}
+	call.Transparent, call.StageTimes = true, times
+	r := &routing.Request{Reply: &protocol.ReplyWaiter{}, Call: call, Plan: plan, Units: 1, Gateways: 1, ResolveTerms: p.bound(t, route)}
 	l := (*p.lanes.Load())[route.Pick(xxhash.Sum64String(id))]
 	rank := route.Rank
 	if t.Keyed() && !route.Anonymous {
@@ -104,7 +104,7 @@
 		}
 	}
 	times.Mark(protocol.Routed) // those without a key
-	times.Mark(protocol.Metered)
+	times.Mark(protocol.QuotaChecked)
 	wait := route.Deadline
 	if ms, err := strconv.ParseFloat(limit, 64); err == nil && ms > 0 {
 		wait = min(wait, time.Duration(ms*float64(time.Millisecond)))
@@ -119,34 +119,34 @@
 		return
 	}
 	final := protocol.Await(ctx, l.core, p.ids, id, r)
-	times.Mark(protocol.Decided)
+	times.Mark(protocol.ResponseDelivered)
 	p.answer(ctx, final)
 	if times != nil {
-		times.Mark(protocol.Ended)
+		times.Mark(protocol.ResponseWriting)
 		p.opt.OnRequestTimes(id, times)
 	}
 }
 
 // answer gives the client the one final answer.
-func (p *Plane) answer(ctx *fasthttp.RequestCtx, a protocol.Final) {
+func (p *Plane) answer(ctx *fasthttp.RequestCtx, a protocol.Result) {
 	switch a.Kind {
 	case protocol.Served:
 		ctx.SetStatusCode(a.Answer.StatusCode())
-		protocol.PassOn(ctx, a.Answer)
+		protocol.CopyResponse(ctx, a.Answer)
 	case protocol.Refused:
 		if a.Verdict == routing.MayHaveExecuted { // no promise can be given
 			ctx.SetStatusCode(fasthttp.StatusBadGateway)
 			return
 		}
 		refuse(ctx, fasthttp.StatusServiceUnavailable, a.RetryAfter)
-	case protocol.Unfit:
+	case protocol.Disallowed:
 		refuse(ctx, fasthttp.StatusServiceUnavailable, untilReady)
 	case protocol.TimedOut:
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	case protocol.Failed:
 		ctx.SetStatusCode(fasthttp.StatusBadGateway)
-	case protocol.Twice:
-		ctx.Error(headerID+": "+protocol.SameID+"\n", fasthttp.StatusConflict)
+	case protocol.DuplicateID:
+		ctx.Error(headerID+": "+protocol.DuplicateIDMessage+"\n", fasthttp.StatusConflict)
 	}
 }
 
--- a/internal/dataplane/lane.go
+++ b/internal/dataplane/lane.go
@@ -28,8 +28,9 @@
 }
 
 // The headers of the system's servers.
-var speech = &protocol.Dialect{Deadline: "X-Deadline-Ms", Millis: true, NotRun: "X-Not-Executed", Any: true, Echo: headerID,
-	Target: "X-Target-Instance", Drop: []string{"Authorization", headerTenant}}
+var speech = &protocol.Dialect{DeadlineHeader: "X-Deadline-Ms", DeadlineInMillis: true, NotExecutedHeader: "X-Not-Executed",
+	NotExecutedAnyStatus: true, CorrelationHeader: headerID,
+	TargetHeader: "X-Target-Instance", DropHeaders: []string{"Authorization", headerTenant}}
 
 const (
 	headerID     = "X-Attempt-Id"
@@ -43,11 +44,11 @@
 	l.fleet.Dialect = speech
 	var err error
 	l.core, err = routing.New(set, p.opt.Seed^xxhash.Sum64String(name), p.opt.Now,
-		routing.Dependencies{Env: p.opt.Host, Fleet: l.fleet, Watcher: silent{}, DiscardAnswer: protocol.Drop})
+		routing.Dependencies{Env: p.opt.Host, Fleet: l.fleet, Watcher: silent{}, DiscardAnswer: protocol.Discard})
 	if err != nil {
 		return nil, err
 	}
-	l.fleet.Ends = l.core
+	l.fleet.Results = l.core
 	p.opt.Host.Go(l.core.Run)
 	return l, nil
 }
--- a/internal/dataplane/times_test.go
+++ b/internal/dataplane/times_test.go
@@ -11,10 +11,10 @@
 
 // A request that was served came to each stage, one after the other.
 func TestTimes(t *testing.T) {
-	got := make(chan [protocol.Stages]int64, 1)
+	got := make(chan [protocol.StageCount]int64, 1)
 	g := newStage(t, faultrules.Strike{}, func(o *Options) {
 		o.FaultInjector = nil // what a fault rule strikes goes another way
-		o.OnRequestTimes = func(id string, times *protocol.Times) {
+		o.OnRequestTimes = func(id string, times *protocol.StageTimes) {
 			if id == "one" {
 				got <- times.At()
 			}
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -34,7 +34,7 @@
 
 	Seed     uint64
 	Limits   Limits
-	Known    protocol.List
+	Known    protocol.ServerList
 	Settings settings.Settings
 	Text     []byte // of the file, less what is for a start only
 }
@@ -180,15 +180,15 @@
 
 func parseConfig(text []byte, env func(string) string) (*Config, error) {
 	var f struct {
-		Name      string          `json:"name"`
-		Listen    string          `json:"listen"`
-		Discovery string          `json:"discovery"`
-		Counter   string          `json:"counter"`
-		Manage    string          `json:"management"`
-		Seed      string          `json:"seed"`
-		Limits    Limits          `json:"limits"`
-		Known     protocol.List   `json:"known"`
-		Settings  json.RawMessage `json:"settings"`
+		Name      string              `json:"name"`
+		Listen    string              `json:"listen"`
+		Discovery string              `json:"discovery"`
+		Counter   string              `json:"counter"`
+		Manage    string              `json:"management"`
+		Seed      string              `json:"seed"`
+		Limits    Limits              `json:"limits"`
+		Known     protocol.ServerList `json:"known"`
+		Settings  json.RawMessage     `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, keyed(err)
@@ -229,7 +229,7 @@
 	if err := c.Limits.complete(); err != nil {
 		return nil, err
 	}
-	if err := c.Known.Check(); err != nil {
+	if err := c.Known.Validate(); err != nil {
 		return nil, fmt.Errorf("known.%w", err)
 	}
 	if len(f.Settings) == 0 {
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -82,7 +82,7 @@
 		return nil, fmt.Errorf("default_plan: unknown plan %q", o.DefaultPlan)
 	}
 	for i, r := range o.Routes {
-		if err := r.Check(); err != nil {
+		if err := r.Validate(); err != nil {
 			return nil, fmt.Errorf("routes[%d].%w", i, err)
 		}
 	}
@@ -91,6 +91,6 @@
 
 func (o *Operator) poll() time.Duration { return time.Duration(o.PollMs * float64(time.Millisecond)) }
 
-func (o *Operator) names() openapi.Names {
-	return openapi.Names{CustomerHeader: o.CustomerHeader, PlanHeader: o.PlanHeader, DefaultPlan: o.DefaultPlan}
+func (o *Operator) names() openapi.HeaderNames {
+	return openapi.HeaderNames{CustomerHeader: o.CustomerHeader, PlanHeader: o.PlanHeader, DefaultPlan: o.DefaultPlan}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -167,7 +167,7 @@
 			return nil, fmt.Errorf("description: %s: %w", op.Description, err)
 		}
 		clients /= 2 // for each front
-		set.Classes = openapi.Twins(set.Classes)
+		set.Classes = openapi.AddNonRetryableVariants(set.Classes)
 	}
 	now := clock(world)
 	g.sockets = transport.NewConnLimit(servers)
@@ -183,7 +183,7 @@
 			}
 		}}, set.Reports)
 	watch := &watcher{}
-	hands := routing.Dependencies{Env: world, Fleet: fleet, Watcher: watch, DiscardAnswer: protocol.Drop}
+	hands := routing.Dependencies{Env: world, Fleet: fleet, Watcher: watch, DiscardAnswer: protocol.Discard}
 	if set.Counter {
 		g.counter = protocol.NewCounter(world, cfg.Counter, orDefault(set.CounterTimeout, 50*time.Millisecond),
 			func(name string, s choice.Status, total float64) { g.core.CounterEnded(name, s, total) })
@@ -205,23 +205,23 @@
 		for _, c := range set.Classes {
 			g.figures.Class(c.Name)
 		}
-		front.Adopt(set)
+		front.UpdatePolicy(set)
 	}
 	g.retunes = g.gate == nil && !op.Enabled // a cluster has a policy of its own; the OpenAPI front follows none
 	var err error
 	if g.core, err = routing.New(set.Settings, cfg.Seed, now, hands); err != nil {
 		return nil, err
 	}
-	fleet.Ends = g.core
+	fleet.Results = g.core
 	if g.gate != nil {
 		g.gate.core = g.core
 		g.parts = append(g.parts, node)
 	}
-	list := protocol.DiscoveryOptions{World: world, Addr: cfg.Discovery, Hold: 2 * time.Second, Grace: 500 * time.Millisecond,
-		Connect: 250 * time.Millisecond, Pace: backoff.Options{Shared: set.Subscribe, MaxNewsAge: set.MaxNewsAge, Gateways: set.Gateways}}
+	list := protocol.DiscoveryOptions{Host: world, Addr: cfg.Discovery, LongPoll: 2 * time.Second, ResponseGrace: 500 * time.Millisecond,
+		ConnectTimeout: 250 * time.Millisecond, Backoff: backoff.Options{Shared: set.Subscribe, MaxNewsAge: set.MaxNewsAge, Gateways: set.Gateways}}
 	news := g.core.HandleDiscovery
 	if g.srv != nil {
-		list.Heard, news = g.srv.listHeard, g.srv.list
+		list.OnSuccess, news = g.srv.listHeard, g.srv.list
 		g.srv.wire(g.core.HandleDiscovery)
 	}
 	g.list = protocol.NewDiscovery(list, cfg.Known, set.Subscribe, news)
@@ -240,8 +240,8 @@
 	}
 
 	front = protocol.NewFront(set.Settings)
-	front.Late = g.gate != nil
-	front.Core, front.Now, front.Leaving, front.Tally = g.core, now, g.away, g.figures
+	front.DeferTerms = g.gate != nil
+	front.Core, front.Now, front.Leaving, front.Observer = g.core, now, g.away, g.figures
 	able := func() bool { return g.core.ReadyServers() > 0 && g.srv.trusted() && g.gate.open(now) }
 	front.Ready = func() bool { // of the address: the next process may have it
 		return able() && (g.serves() || g.pair.gives() && !g.draining.Load())
@@ -310,7 +310,7 @@
 	end   hostenv.Notifier
 }
 
-func (f *follower) Run()  { f.front.Follow(f.op.Description, f.text, f.op.poll(), f.end) }
+func (f *follower) Run()  { f.front.WatchFile(f.op.Description, f.text, f.op.poll(), f.end) }
 func (f *follower) Stop() { f.end.Notify() }
 
 // Run serves until it is told to end, and then until all is answered.
@@ -406,9 +406,9 @@
 		g.core.ApplyPolicy(plansVersion(g.plans, set.Plans), set.Settings)
 	}
 	g.srv.reload(next.SRV)
-	g.list.Move(g.cfg.Discovery)
+	g.list.SetAddr(g.cfg.Discovery)
 	if g.counter != nil {
-		g.counter.Move(g.cfg.Counter)
+		g.counter.SetAddr(g.cfg.Counter)
 	}
 	return true
 }
--- a/internal/protocol/answers_test.go
+++ b/internal/protocol/answers_test.go
@@ -11,10 +11,10 @@
 // A request whose body took too long has its answer; what the core says a moment later
 // must not take its place while it is read.
 func TestOneFinal(t *testing.T) {
-	a := &Answers{have: true, left: true, final: Final{Kind: TimedOut}}
+	a := &ReplyWaiter{completed: true, abandoned: true, result: Result{Kind: TimedOut}}
 	a.Refused(0, routing.NotExecuted)
-	if a.final.Kind != TimedOut {
-		t.Errorf("the answer turned into %v", a.final.Kind)
+	if a.result.Kind != TimedOut {
+		t.Errorf("the answer turned into %v", a.result.Kind)
 	}
 }
 
@@ -27,10 +27,10 @@
 
 // Of two requests with one id at a time the second is told so; those without an id are nobody's twins.
 func TestTwins(t *testing.T) {
-	ids := NewIDs()
-	for id, want := range map[string]Kind{"a": Twice, "b": Failed, "": Failed} {
+	ids := NewOpenIDs()
+	for id, want := range map[string]Kind{"a": DuplicateID, "b": Failed, "": Failed} {
 		ids.open = map[string]bool{"a": true, "": true}
-		if f := Await(&fasthttp.RequestCtx{}, failing{}, ids, id, &routing.Request{Reply: &Answers{}}); f.Kind != want {
+		if f := Await(&fasthttp.RequestCtx{}, failing{}, ids, id, &routing.Request{Reply: &ReplyWaiter{}}); f.Kind != want {
 			t.Errorf("%q: kind %d, want %d", id, f.Kind, want)
 		}
 	}
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -18,20 +18,20 @@
 const pieceSize = 16 << 10
 
 // badBody is an error of the client's body, by status.
-type badBody int
+type bodyError int
 
-func (e badBody) Error() string { return "body: " + fasthttp.StatusMessage(int(e)) }
+func (e bodyError) Error() string { return "body: " + fasthttp.StatusMessage(int(e)) }
 
 // take reads a request's body as far as it is kept whole, and leaves the rest to an
 // upload. length is that of the whole; -1: not known yet.
-func take(ctx *fasthttp.RequestCtx) (held []byte, rest *upload, length int, err error) {
+func readBody(ctx *fasthttp.RequestCtx) (held []byte, rest *bodyUpload, length int, err error) {
 	if !ctx.Request.IsBodyStream() {
 		body := append([]byte(nil), ctx.Request.Body()...)
 		return body, nil, len(body), nil
 	}
 	length = ctx.Request.Header.ContentLength()
 	if length > transport.MaxStream {
-		return nil, nil, 0, badBody(fasthttp.StatusRequestEntityTooLarge)
+		return nil, nil, 0, bodyError(fasthttp.StatusRequestEntityTooLarge)
 	}
 	c, _ := ctx.Conn().(*transport.ClientConn)
 	if c != nil {
@@ -45,52 +45,52 @@
 		}
 	}
 	if err != nil {
-		return nil, nil, 0, uncome(err)
+		return nil, nil, 0, incompleteBody(err)
 	}
 	world := hostenv.Real
 	if c != nil {
 		world = c.World()
 	}
-	return held, &upload{body: body, chunked: length < 0, left: length, world: world, bell: world.NewNotifier()}, length, nil
+	return held, &bodyUpload{body: body, chunked: length < 0, remaining: length, host: world, pieceReady: world.NewNotifier()}, length, nil
 }
 
 // uncome is the error of a body that did not come whole.
-func uncome(err error) error {
+func incompleteBody(err error) error {
 	var late interface{ Timeout() bool }
 	if errors.As(err, &late) && late.Timeout() {
-		return badBody(fasthttp.StatusRequestTimeout)
+		return bodyError(fasthttp.StatusRequestTimeout)
 	}
-	return badBody(fasthttp.StatusBadRequest)
+	return bodyError(fasthttp.StatusBadRequest)
 }
 
 // upload is the rest of a body. The client's goroutine reads a piece when the one that
 // writes to the server wants it; one is in hand.
-type upload struct {
-	body    io.Reader
-	chunked bool
-	left    int // of a length that is known
-	total   int
-	world   hostenv.Host
-	bell    hostenv.Notifier // where the writer waits
-	ring    func()           // for the client's goroutine
-	limit   time.Duration
-	copied  func(piece []byte, last bool) // nil: nobody copies it
-
-	over  bool        // the client's goroutine has read all of it
-	begun atomic.Bool // nothing can be sent again
-	mu    sync.Mutex
-	want  bool
-	piece []byte
-	last  bool
-	err   error
+type bodyUpload struct {
+	body       io.Reader
+	chunked    bool
+	remaining  int // of a length that is known
+	total      int
+	host       hostenv.Host
+	pieceReady hostenv.Notifier // where the writer waits
+	wakeClient func()           // for the client's goroutine
+	limit      time.Duration
+	onPiece    func(piece []byte, last bool) // nil: nobody copies it
+
+	complete bool        // the client's goroutine has read all of it
+	started  atomic.Bool // nothing can be sent again
+	mu       sync.Mutex
+	want     bool
+	piece    []byte
+	last     bool
+	err      error
 }
 
 // Next is called by the writer to the server.
-func (u *upload) Next() ([]byte, bool, error) {
+func (u *bodyUpload) Next() ([]byte, bool, error) {
 	u.mu.Lock()
 	u.want, u.piece = true, nil
 	u.mu.Unlock()
-	u.ring()
+	u.wakeClient()
 	for {
 		u.mu.Lock()
 		piece, last, err := u.piece, u.last, u.err
@@ -98,40 +98,40 @@
 		if err != nil || piece != nil {
 			return piece, last, err
 		}
-		u.bell.Wait(-1)
+		u.pieceReady.Wait(-1)
 	}
 }
 
 // claimed is what a second writer gets: the body is on its way elsewhere.
-type claimed struct{}
+type consumedUpload struct{}
 
-var errClaimed = errors.New("the body has gone out to another server")
+var errBodyConsumed = errors.New("the body has gone out to another server")
 
-func (claimed) Next() ([]byte, bool, error) { return nil, false, errClaimed }
-func (claimed) Stop()                       {}
+func (consumedUpload) Next() ([]byte, bool, error) { return nil, false, errBodyConsumed }
+func (consumedUpload) Stop()                       {}
 
 // Stop tells both sides that nothing more is wanted.
-func (u *upload) Stop() { u.fail(transport.ErrStopped) }
+func (u *bodyUpload) Stop() { u.fail(transport.ErrStopped) }
 
-func (u *upload) fail(err error) {
+func (u *bodyUpload) fail(err error) {
 	u.mu.Lock()
 	if u.err == nil {
 		u.err = err
 	}
 	u.mu.Unlock()
-	u.bell.Notify()
-	if u.ring != nil {
-		u.ring()
+	u.pieceReady.Notify()
+	if u.wakeClient != nil {
+		u.wakeClient()
 	}
 }
 
-func (u *upload) wanted() bool {
+func (u *bodyUpload) wanted() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.want || u.err != nil
 }
 
-func (u *upload) stopped() bool {
+func (u *bodyUpload) stopped() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.err != nil
@@ -139,7 +139,7 @@
 
 // feed reads the client's body, on its goroutine, until all has been given or done is
 // true. wrote hears of progress. It reports false if the client's end has come.
-func (u *upload) feed(c *transport.ClientConn, done func() bool, wrote func()) bool {
+func (u *bodyUpload) readFrom(c *transport.ClientConn, done func() bool, wrote func()) bool {
 	const room = 16 // for a chunk's head
 	buf := make([]byte, room+pieceSize+2+5)
 	enough := func() bool { return done() || u.stopped() }
@@ -156,7 +156,7 @@
 		n, err := u.body.Read(buf[room : room+pieceSize])
 		u.total += n
 		if u.total > transport.MaxStream {
-			err = badBody(fasthttp.StatusRequestEntityTooLarge)
+			err = bodyError(fasthttp.StatusRequestEntityTooLarge)
 		}
 		last := err == io.EOF
 		if err != nil && !last {
@@ -167,7 +167,7 @@
 			return false
 		}
 		if !u.chunked {
-			if u.left -= n; u.left == 0 {
+			if u.remaining -= n; u.remaining == 0 {
 				last = true
 			} else if last {
 				u.fail(io.ErrUnexpectedEOF)
@@ -177,13 +177,13 @@
 		if n == 0 && !last {
 			continue
 		}
-		piece := u.framed(buf, room, n, last)
-		u.over = last
-		if u.copied != nil {
-			u.copied(piece, last)
+		piece := u.frame(buf, room, n, last)
+		u.complete = last
+		if u.onPiece != nil {
+			u.onPiece(piece, last)
 		}
-		u.give(piece, last)
-		if now := u.world.Now(); last || now.Sub(told) > progressEvery {
+		u.deliver(piece, last)
+		if now := u.host.Now(); last || now.Sub(told) > progressInterval {
 			told = now
 			wrote()
 		}
@@ -194,17 +194,17 @@
 }
 
 // progressEvery is how often the core hears that a body goes on.
-const progressEvery = 200 * time.Millisecond
+const progressInterval = 200 * time.Millisecond
 
-func (u *upload) give(piece []byte, last bool) {
+func (u *bodyUpload) deliver(piece []byte, last bool) {
 	u.mu.Lock()
 	u.piece, u.last, u.want = piece, last, false
 	u.mu.Unlock()
-	u.bell.Notify()
+	u.pieceReady.Notify()
 }
 
 // framed makes a piece of what has been read into buf at a place.
-func (u *upload) framed(buf []byte, at, n int, last bool) []byte {
+func (u *bodyUpload) frame(buf []byte, at, n int, last bool) []byte {
 	if !u.chunked {
 		return buf[at : at+n]
 	}
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -20,70 +20,70 @@
 type Call struct {
 	head        []byte // the request line and the headers that pass
 	body        []byte
-	rest        *upload // what follows it; nil: nothing
-	err         error   // the body did not come
-	name        *name   // that its answer repeats; nil: the dialect has none
-	Transparent bool    // any whole answer but a fault of the server is the client's
-	Final       bool    // that too: no other server may be asked
-	Times       *Times  // nil: nobody measures
+	upload      *bodyUpload    // what follows it; nil: nothing
+	err         error          // the body did not come
+	correlation *correlationID // that its answer repeats; nil: the dialect has none
+	Transparent bool           // any whole answer but a fault of the server is the client's
+	Final       bool           // that too: no other server may be asked
+	StageTimes  *StageTimes    // nil: nobody measures
 }
 
 // Dialect is what a deployment's servers say in headers.
 type Dialect struct {
-	Deadline string   // the time that a request has left
-	Millis   bool     // it is in milliseconds, else in seconds
-	NotRun   string   // in an answer: the request has not run
-	Any      bool     // whatever the answer's status; else with 503 and 504
-	Echo     string   // an answer repeats the request's; one with another, or without, is somebody else's; "": they don't
-	Target   string   // names the one server that may run the request; "": none does
-	Drop     []string // further headers of clients that end here
+	DeadlineHeader       string   // the time that a request has left
+	DeadlineInMillis     bool     // it is in milliseconds, else in seconds
+	NotExecutedHeader    string   // in an answer: the request has not run
+	NotExecutedAnyStatus bool     // whatever the answer's status; else with 503 and 504
+	CorrelationHeader    string   // an answer repeats the request's; one with another, or without, is somebody else's; "": they don't
+	TargetHeader         string   // names the one server that may run the request; "": none does
+	DropHeaders          []string // further headers of clients that end here
 }
 
 // Platform is the dialect of the platform in service.
-var Platform = &Dialect{Deadline: headerTimeout, NotRun: headerNotRun}
+var Platform = &Dialect{DeadlineHeader: headerTimeout, NotExecutedHeader: headerNotExecuted}
 
 func (d *Dialect) drops(key []byte) bool {
-	return hop(key) || is(key, d.Deadline) || d.Target != "" && is(key, d.Target) ||
-		slices.ContainsFunc(d.Drop, func(name string) bool { return is(key, name) })
+	return hopByHop(key) || equalHeader(key, d.DeadlineHeader) || d.TargetHeader != "" && equalHeader(key, d.TargetHeader) ||
+		slices.ContainsFunc(d.DropHeaders, func(name string) bool { return equalHeader(key, name) })
 }
 
 // The names of headers on the platform.
 const (
-	headerID      = "X-Request-ID"
-	headerClass   = "X-Priority-Class"
-	headerPlan    = "X-Tier"
-	headerTimeout = "X-Timeout"
-	headerTerms   = "X-Call-Terms"
-	headerRetried = "X-Retried"
-	headerNotRun  = "X-Not-Processed"
-	headerLoad    = "X-Server-Load"
+	headerID          = "X-Request-ID"
+	headerClass       = "X-Priority-Class"
+	headerPlan        = "X-Tier"
+	headerTimeout     = "X-Timeout"
+	headerTerms       = "X-Call-Terms"
+	headerRetried     = "X-Retried"
+	headerNotExecuted = "X-Not-Processed"
+	headerLoad        = "X-Server-Load"
 )
 
 // hop tells the headers that end at this gateway: those of the connection, and
 // those that are written anew.
-func hop(key []byte) bool {
+func hopByHop(key []byte) bool {
 	switch len(key) {
 	case 2:
-		return is(key, "TE")
+		return equalHeader(key, "TE")
 	case 6:
-		return is(key, "Expect")
+		return equalHeader(key, "Expect")
 	case 7:
-		return is(key, "Trailer") || is(key, "Upgrade")
+		return equalHeader(key, "Trailer") || equalHeader(key, "Upgrade")
 	case 9:
-		return is(key, headerTimeout)
+		return equalHeader(key, headerTimeout)
 	case 10:
-		return is(key, "Connection") || is(key, "Keep-Alive")
+		return equalHeader(key, "Connection") || equalHeader(key, "Keep-Alive")
 	case 14:
-		return is(key, "Content-Length")
+		return equalHeader(key, "Content-Length")
 	case 16:
-		return is(key, "Proxy-Connection")
+		return equalHeader(key, "Proxy-Connection")
 	case 17:
-		return is(key, "Transfer-Encoding")
+		return equalHeader(key, "Transfer-Encoding")
 	}
 	return false
 }
 
-func is(key []byte, name string) bool {
+func equalHeader(key []byte, name string) bool {
 	return len(key) == len(name) && (string(key) == name || bytes.EqualFold(key, []byte(name)))
 }
 
@@ -96,8 +96,8 @@
 func (d *Dialect) NewCall(ctx *fasthttp.RequestCtx, see func(key, value []byte)) *Call {
 	h := &ctx.Request.Header
 	c := &Call{head: make([]byte, 0, 512)}
-	if d.Echo != "" {
-		c.name = &name{header: d.Echo}
+	if d.CorrelationHeader != "" {
+		c.correlation = &correlationID{header: d.CorrelationHeader}
 	}
 	c.head = append(c.head, h.Method()...)
 	c.head = append(c.head, ' ')
@@ -105,17 +105,17 @@
 	c.head = append(c.head, " HTTP/1.1\r\n"...)
 	for key, value := range h.All() {
 		see(key, value)
-		if c.name != nil && is(key, d.Echo) {
-			c.name.value = append([]byte(nil), value...)
+		if c.correlation != nil && equalHeader(key, d.CorrelationHeader) {
+			c.correlation.value = append([]byte(nil), value...)
 		}
 		if !d.drops(key) {
 			c.head = append(append(append(append(c.head, key...), ": "...), value...), '\r', '\n')
 		}
 	}
 	var length int
-	c.body, c.rest, length, c.err = take(ctx)
+	c.body, c.upload, length, c.err = readBody(ctx)
 	switch {
-	case c.rest != nil && length < 0:
+	case c.upload != nil && length < 0:
 		c.head = append(c.head, "Transfer-Encoding: chunked\r\n"...)
 		c.body = append(append(append(strconv.AppendInt(nil, int64(len(c.body)), 16), '\r', '\n'), c.body...), '\r', '\n')
 	case length > 0 || !h.IsGet() && !h.IsHead():
@@ -126,22 +126,22 @@
 }
 
 // name is what tells a request from all others that are under way.
-type name struct {
-	header string
-	value  []byte
-	trips  transport.ConnHistory
+type correlationID struct {
+	header    string
+	value     []byte
+	usedConns transport.ConnHistory
 }
 
 // Owns reports whether an answer is to this request: it repeats its name, and no other. One
 // to a request without a name has none.
 func (c *Call) Matches(answer *fasthttp.Response) bool {
-	if c.name == nil {
+	if c.correlation == nil {
 		return true
 	}
-	mine := len(c.name.value) == 0
+	mine := len(c.correlation.value) == 0
 	for key, value := range answer.Header.All() {
-		if is(key, c.name.header) {
-			if mine = bytes.Equal(value, c.name.value); !mine {
+		if equalHeader(key, c.correlation.header) {
+			if mine = bytes.Equal(value, c.correlation.value); !mine {
 				return false
 			}
 		}
@@ -151,34 +151,34 @@
 
 // Trips are the connections that it has gone by.
 func (c *Call) UsedConns() *transport.ConnHistory {
-	if c.name == nil {
+	if c.correlation == nil {
 		return nil
 	}
-	return &c.name.trips
+	return &c.correlation.usedConns
 }
 
 // Upload is what follows the beginning that wire returns. Only the first who asks gets it.
 func (c *Call) Upload() transport.Upload {
 	switch {
-	case c.rest == nil:
+	case c.upload == nil:
 		return nil
-	case c.rest.begun.Swap(true):
-		return claimed{}
+	case c.upload.started.Swap(true):
+		return consumedUpload{}
 	}
-	return c.rest
+	return c.upload
 }
 
 // spent tells that the request can't be sent again.
-func (c *Call) spent() bool { return c.rest != nil && c.rest.begun.Load() }
+func (c *Call) bodyConsumed() bool { return c.upload != nil && c.upload.started.Load() }
 
 // Err tells why a request's body did not come.
 func (c *Call) Err() error { return c.err }
 
 // Bind makes a request carry the call, whose client waits so long.
 func (c *Call) Bind(r *routing.Request, limit time.Duration) {
-	r.Call, r.BodyConsumed = c, c.spent
-	if c.rest != nil {
-		c.rest.limit = limit
+	r.Call, r.BodyConsumed = c, c.bodyConsumed
+	if c.upload != nil {
+		c.upload.limit = limit
 	}
 }
 
@@ -188,17 +188,17 @@
 }
 
 // wire is the request as one attempt sends it to a server, with the time it has left.
-func (d *Dialect) wire(c *Call, target string, left time.Duration) []byte {
-	if c.rest != nil {
-		left = c.rest.limit
+func (d *Dialect) encode(c *Call, target string, left time.Duration) []byte {
+	if c.upload != nil {
+		left = c.upload.limit
 	}
-	w := make([]byte, 0, len(c.head)+len(c.body)+len(d.Deadline)+len(d.Target)+len(target)+24)
+	w := make([]byte, 0, len(c.head)+len(c.body)+len(d.DeadlineHeader)+len(d.TargetHeader)+len(target)+24)
 	w = append(w, c.head...)
-	if d.Target != "" {
-		w = append(append(append(append(w, d.Target...), ": "...), target...), '\r', '\n')
+	if d.TargetHeader != "" {
+		w = append(append(append(append(w, d.TargetHeader...), ": "...), target...), '\r', '\n')
 	}
-	w = append(append(w, d.Deadline...), ": "...)
-	if left = max(left, time.Millisecond); d.Millis {
+	w = append(append(w, d.DeadlineHeader...), ": "...)
+	if left = max(left, time.Millisecond); d.DeadlineInMillis {
 		w = strconv.AppendInt(w, left.Milliseconds(), 10)
 	} else {
 		w = strconv.AppendFloat(w, left.Seconds(), 'f', 3, 64)
--- a/internal/protocol/call_test.go
+++ b/internal/protocol/call_test.go
@@ -9,7 +9,7 @@
 // An answer is a request's own if it repeats its name and no other; the spelling of the
 // header's name is the server's.
 func TestOwns(t *testing.T) {
-	d := &Dialect{Deadline: "X-Left", Echo: "X-Name"}
+	d := &Dialect{DeadlineHeader: "X-Left", CorrelationHeader: "X-Name"}
 	for _, c := range []struct {
 		dialect *Dialect
 		mine    string
@@ -40,7 +40,7 @@
 		if got := call.Matches(a); got != c.want {
 			t.Errorf("%q answered with %q: %v", c.mine, c.answer, got)
 		}
-		if k := call.Copied(func(int) bool { return true }).Call(); k.UsedConns() != call.UsedConns() || k.Matches(a) != c.want {
+		if k := call.StartCopy(func(int) bool { return true }).Call(); k.UsedConns() != call.UsedConns() || k.Matches(a) != c.want {
 			t.Errorf("%q: its copy has another name", c.mine)
 		}
 	}
--- a/internal/protocol/counter_test.go
+++ b/internal/protocol/counter_test.go
@@ -143,7 +143,7 @@
 							counter.Add("b", 1e9, 4*time.Second)
 						}
 					},
-					"moved": func() { counter.Move(tally.Addr().String()) },
+					"moved": func() { counter.SetAddr(tally.Addr().String()) },
 					"ends": func() {
 						for len(got) < made {
 							select {
@@ -168,33 +168,33 @@
 // Only what the protocol knows proves anything. Whatever else comes, the amount
 // was added, and the connection is of no further use.
 func TestReplies(t *testing.T) {
-	for text, want := range map[string]answer{
+	for text, want := range map[string]counterReply{
 		"$4\r\n12.5\r\n":               {total: 12.5},
 		"$2\r\n-3\r\n":                 {total: -3},
 		":7\r\n":                       {total: 7},
-		"+PONG\r\n":                    {kind: pong},
-		"-BUSY\r\n":                    {kind: busy},
-		"-BUSY later\r\n":              {kind: busy},
-		"-ERR no such call\r\n":        {kind: refused},
-		"+OK\r\n":                      {kind: spoilt},
-		"-LOADING\r\n":                 {kind: spoilt},
-		"-BUSYBODY\r\n":                {kind: spoilt},
-		"-\r\n":                        {kind: spoilt},
-		":nan\r\n":                     {kind: spoilt},
-		"$3\r\nNaN\r\n":                {kind: spoilt},
-		"$4\r\n+Inf\r\n":               {kind: spoilt},
-		"$5\r\n1e999\r\n":              {kind: spoilt},
-		"$2\r\n12.5\r\n":               {kind: spoilt},
-		"$-1\r\n":                      {kind: spoilt},
-		"$0\r\n\r\n":                   {kind: spoilt},
-		"$99999999\r\n":                {kind: spoilt},
-		"\r\n":                         {kind: spoilt},
-		"what?\r\n":                    {kind: spoilt},
-		strings.Repeat("1", 2*maxLine): {kind: spoilt},
-		":7":                           {kind: broken},
-		"$4\r\n12":                     {kind: broken},
+		"+PONG\r\n":                    {kind: replyPong},
+		"-BUSY\r\n":                    {kind: replyBusy},
+		"-BUSY later\r\n":              {kind: replyBusy},
+		"-ERR no such call\r\n":        {kind: replyRefused},
+		"+OK\r\n":                      {kind: replyInvalid},
+		"-LOADING\r\n":                 {kind: replyInvalid},
+		"-BUSYBODY\r\n":                {kind: replyInvalid},
+		"-\r\n":                        {kind: replyInvalid},
+		":nan\r\n":                     {kind: replyInvalid},
+		"$3\r\nNaN\r\n":                {kind: replyInvalid},
+		"$4\r\n+Inf\r\n":               {kind: replyInvalid},
+		"$5\r\n1e999\r\n":              {kind: replyInvalid},
+		"$2\r\n12.5\r\n":               {kind: replyInvalid},
+		"$-1\r\n":                      {kind: replyInvalid},
+		"$0\r\n\r\n":                   {kind: replyInvalid},
+		"$99999999\r\n":                {kind: replyInvalid},
+		"\r\n":                         {kind: replyInvalid},
+		"what?\r\n":                    {kind: replyInvalid},
+		strings.Repeat("1", 2*maxLine): {kind: replyInvalid},
+		":7":                           {kind: replyConnLost},
+		"$4\r\n12":                     {kind: replyConnLost},
 	} {
-		got := read(bufio.NewReaderSize(strings.NewReader(text), maxLine))
+		got := readReply(bufio.NewReaderSize(strings.NewReader(text), maxLine))
 		if got.err = nil; got != want {
 			t.Errorf("%.20q: %+v, want %+v", text, got, want)
 		}
@@ -223,10 +223,10 @@
 func TestCounterBreaksWhileWriting(t *testing.T) {
 	here, there := net.Pipe()
 	got := map[string]choice.Status{}
-	c := &Counter{world: hostenv.Real, limit: time.Minute, told: func(name string, s choice.Status, _ float64) { got[name] = s }}
-	c.line = &line{nc: here}
+	c := &Counter{host: hostenv.Real, timeout: time.Minute, onResult: func(name string, s choice.Status, _ float64) { got[name] = s }}
+	c.current = &counterConn{nc: here}
 	for _, name := range []string{"a", "b", "c"} {
-		c.add(&count{name: name, wire: []byte(call(name, "1")), until: time.Now().Add(time.Minute)})
+		c.add(&counterCall{name: name, wire: []byte(call(name, "1")), deadline: time.Now().Add(time.Minute)})
 	}
 	go func() {
 		io.ReadFull(there, make([]byte, len(call("a", "1"))+5))
@@ -234,7 +234,7 @@
 	}()
 	c.flush()
 	want := map[string]choice.Status{"a": choice.Timeout, "b": choice.ConnectFailed, "c": choice.ConnectFailed}
-	if d := cmp.Diff(want, got); d != "" || c.line != nil {
+	if d := cmp.Diff(want, got); d != "" || c.current != nil {
 		t.Error(d)
 	}
 }
@@ -244,13 +244,13 @@
 func TestSilentConnectionIsGivenUp(t *testing.T) {
 	here, _ := net.Pipe()
 	now := time.Now()
-	c := &Counter{world: hostenv.Real, limit: 50 * time.Millisecond, told: func(string, choice.Status, float64) {}}
-	c.line = &line{nc: here, heard: now}
-	c.line.calls = []*count{{name: "a", until: now.Add(c.limit)}}
-	if c.expire(now.Add(150 * time.Millisecond)); c.line == nil || !c.line.calls[0].ended {
+	c := &Counter{host: hostenv.Real, timeout: 50 * time.Millisecond, onResult: func(string, choice.Status, float64) {}}
+	c.current = &counterConn{nc: here, lastReply: now}
+	c.current.pending = []*counterCall{{name: "a", deadline: now.Add(c.timeout)}}
+	if c.expire(now.Add(150 * time.Millisecond)); c.current == nil || !c.current.pending[0].finished {
 		t.Error("given up too soon, or the call is still open")
 	}
-	if c.expire(now.Add(250 * time.Millisecond)); c.line != nil {
+	if c.expire(now.Add(250 * time.Millisecond)); c.current != nil {
 		t.Error("still in use")
 	}
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -21,14 +21,14 @@
 )
 
 // List is the list of servers in discovery's form.
-type List struct {
-	Version int64   `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []Entry `json:"servers"`
+type ServerList struct {
+	Version int64         `json:"version"`
+	Full    bool          `json:"full"`
+	Servers []ServerEntry `json:"servers"`
 }
 
 // Entry is a server of the list.
-type Entry struct {
+type ServerEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
@@ -40,7 +40,7 @@
 }
 
 // Check reports the first entry that can't be used.
-func (l *List) Check() error {
+func (l *ServerList) Validate() error {
 	for i, e := range l.Servers {
 		if e.ID == "" {
 			return fmt.Errorf("servers[%d].id is missing", i)
@@ -59,74 +59,74 @@
 
 // DiscoveryOptions are the times of the watch.
 type DiscoveryOptions struct {
-	Addr    string
-	Hold    time.Duration // how long a watch may wait for news
-	Grace   time.Duration // how long its answer may take beyond that
-	Connect time.Duration
-	Pace    backoff.Options // of the calls
-	World   hostenv.Host    // nil: the real one
-	Heard   func()          // after each call that went well; nil: nobody asks
+	Addr           string
+	LongPoll       time.Duration // how long a watch may wait for news
+	ResponseGrace  time.Duration // how long its answer may take beyond that
+	ConnectTimeout time.Duration
+	Backoff        backoff.Options // of the calls
+	Host           hostenv.Host    // nil: the real one
+	OnSuccess      func()          // after each call that went well; nil: nobody asks
 }
 
 // Discovery is the actor that owns the list: it watches for changes and tells
 // the core at once.
 type Discovery struct {
-	opt     DiscoveryOptions
-	news    func(routing.DiscoveryUpdate)
-	box     *mailbox.Box[any]
-	on      bool
-	whole   bool // the next call asks for the whole list
-	heard   bool // a call has gone well since the start
-	version int64
-	ids     map[string]uint32 // the module's numbers for the servers on the list
-	lastID  uint32
-	ask     *ask            // under way
-	conn    *transport.Conn // of the last one, if it may carry another
-	pace    *backoff.Backoff
-	after   time.Time // no call before
+	opt          DiscoveryOptions
+	onUpdate     func(routing.DiscoveryUpdate)
+	inbox        *mailbox.Box[any]
+	watching     bool
+	needFullList bool // the next call asks for the whole list
+	succeeded    bool // a call has gone well since the start
+	version      int64
+	ids          map[string]uint32 // the module's numbers for the servers on the list
+	lastID       uint32
+	current      *listRequest    // under way
+	conn         *transport.Conn // of the last one, if it may carry another
+	backoff      *backoff.Backoff
+	notBefore    time.Time // no call before
 }
 
 // ask is one call. It runs beside the actor, which can break it off.
-type ask struct {
-	path string
-	mu   sync.Mutex
-	conn *transport.Conn
-	off  bool
+type listRequest struct {
+	path    string
+	mu      sync.Mutex
+	conn    *transport.Conn
+	aborted bool
 }
 
 type (
-	watch bool
-	move  string
-	told  struct {
-		ask  *ask
-		list List
-		err  error
+	watchEnabled bool
+	newAddr      string
+	listResult   struct {
+		request *listRequest
+		list    ServerList
+		err     error
 	}
 )
 
 // NewDiscovery returns an actor that tells its news through news. The watch
 // goes on from what is known. It begins at once, or once asked for.
-func NewDiscovery(opt DiscoveryOptions, known List, onDemand bool, news func(routing.DiscoveryUpdate)) *Discovery {
-	opt.World = hostenv.OrReal(opt.World)
-	d := &Discovery{opt: opt, news: news, box: mailbox.NewBox[any](opt.World), on: !onDemand,
-		whole: len(known.Servers) == 0, ids: map[string]uint32{}, pace: backoff.New(opt.Pace)}
-	d.after = opt.World.Now().Add(d.pace.InitialDelay(d.odds()))
-	n := d.take(known, true)
+func NewDiscovery(opt DiscoveryOptions, known ServerList, onDemand bool, news func(routing.DiscoveryUpdate)) *Discovery {
+	opt.Host = hostenv.OrReal(opt.Host)
+	d := &Discovery{opt: opt, onUpdate: news, inbox: mailbox.NewBox[any](opt.Host), watching: !onDemand,
+		needFullList: len(known.Servers) == 0, ids: map[string]uint32{}, backoff: backoff.New(opt.Backoff)}
+	d.notBefore = opt.Host.Now().Add(d.backoff.InitialDelay(d.random()))
+	n := d.toUpdate(known, true)
 	n.Saved = true
 	news(n)
 	return d
 }
 
 // Watch starts or stops the watch.
-func (d *Discovery) Watch(on bool) { d.box.Put(watch(on)) }
+func (d *Discovery) Watch(on bool) { d.inbox.Put(watchEnabled(on)) }
 
 // Move goes on at another address. What the old one still has to say counts no
 // more: the call that waits there is broken off, and the new one is asked for
 // the whole list at once.
-func (d *Discovery) Move(addr string) { d.box.Put(move(addr)) }
+func (d *Discovery) SetAddr(addr string) { d.inbox.Put(newAddr(addr)) }
 
 // firstHold is that of the first watch: whether there is news is told at once.
-const firstHold = 50 * time.Millisecond
+const firstLongPoll = 50 * time.Millisecond
 
 // statusError is an answer other than 200.
 type statusError int
@@ -134,139 +134,139 @@
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
 // Stop ends Run.
-func (d *Discovery) Stop() { d.box.Put(nil) }
+func (d *Discovery) Stop() { d.inbox.Put(nil) }
 
 // Run watches until it is stopped.
 func (d *Discovery) Run() {
-	defer func() { d.breakOff() }()
+	defer func() { d.abort() }()
 	for {
 		wait := time.Duration(-1)
-		if d.on && d.ask == nil {
-			if wait = max(0, d.after.Sub(d.opt.World.Now())); wait == 0 {
-				d.call()
+		if d.watching && d.current == nil {
+			if wait = max(0, d.notBefore.Sub(d.opt.Host.Now())); wait == 0 {
+				d.startRequest()
 				wait = -1
 			}
 		}
-		for _, m := range d.box.Take(wait) {
+		for _, m := range d.inbox.Take(wait) {
 			switch m := m.(type) {
 			case nil:
 				return
-			case watch:
-				d.on = bool(m)
-			case move:
-				d.move(string(m))
-			case told:
-				d.told(m)
+			case watchEnabled:
+				d.watching = bool(m)
+			case newAddr:
+				d.setAddr(string(m))
+			case listResult:
+				d.handleResult(m)
 			}
 		}
 	}
 }
 
-func (d *Discovery) move(addr string) {
+func (d *Discovery) setAddr(addr string) {
 	if addr == d.opt.Addr {
 		return
 	}
-	d.breakOff()
-	d.opt.Addr, d.whole, d.after = addr, true, time.Time{}
-	d.pace.Reset()
+	d.abort()
+	d.opt.Addr, d.needFullList, d.notBefore = addr, true, time.Time{}
+	d.backoff.Reset()
 }
 
 // breakOff ends the call under way and its connection.
-func (d *Discovery) breakOff() {
-	if d.ask != nil {
-		d.ask.mu.Lock()
-		d.ask.off = true
-		if d.ask.conn != nil {
-			d.ask.conn.Close()
+func (d *Discovery) abort() {
+	if d.current != nil {
+		d.current.mu.Lock()
+		d.current.aborted = true
+		if d.current.conn != nil {
+			d.current.conn.Close()
 		}
-		d.ask.mu.Unlock()
+		d.current.mu.Unlock()
 	}
 	if d.conn != nil {
 		d.conn.Close()
 	}
-	d.ask, d.conn = nil, nil
+	d.current, d.conn = nil, nil
 }
 
-func (d *Discovery) call() {
-	a := &ask{path: "/api/targets", conn: d.conn}
-	if !d.whole {
-		hold := d.opt.Hold
-		if !d.heard {
-			hold = min(hold, firstHold)
+func (d *Discovery) startRequest() {
+	a := &listRequest{path: "/api/targets", conn: d.conn}
+	if !d.needFullList {
+		hold := d.opt.LongPoll
+		if !d.succeeded {
+			hold = min(hold, firstLongPoll)
 		}
 		a.path += "?from=" + strconv.FormatInt(d.version, 10) + "&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
 	}
-	d.ask, d.conn = a, nil
+	d.current, d.conn = a, nil
 	opt := d.opt
-	opt.World.Go(func() {
+	opt.Host.Go(func() {
 		list, err := a.get(opt)
-		d.box.Put(told{a, list, err})
+		d.inbox.Put(listResult{a, list, err})
 	})
 }
 
 // told takes the end of a call.
-func (d *Discovery) told(m told) {
-	if m.ask != d.ask {
+func (d *Discovery) handleResult(m listResult) {
+	if m.request != d.current {
 		return // broken off
 	}
-	d.ask, d.conn = nil, m.ask.conn
+	d.current, d.conn = nil, m.request.conn
 	if m.err != nil {
-		log.Printf("event=discovery addr=%s path=%s error=%q", d.opt.Addr, m.ask.path, m.err)
+		log.Printf("event=discovery addr=%s path=%s error=%q", d.opt.Addr, m.request.path, m.err)
 		if d.conn != nil {
 			d.conn.Close()
 			d.conn = nil
 		}
 		var status statusError
 		busy := errors.As(m.err, &status) && status == fasthttp.StatusServiceUnavailable
-		d.after = d.opt.World.Now().Add(d.pace.NextDelay(busy, d.odds()))
-		d.news(routing.DiscoveryUpdate{Broken: true})
+		d.notBefore = d.opt.Host.Now().Add(d.backoff.NextDelay(busy, d.random()))
+		d.onUpdate(routing.DiscoveryUpdate{Broken: true})
 		return
 	}
-	first := !d.heard
-	d.pace.Reset()
-	d.whole, d.heard = false, true
-	if d.opt.Heard != nil {
-		d.opt.Heard()
+	first := !d.succeeded
+	d.backoff.Reset()
+	d.needFullList, d.succeeded = false, true
+	if d.opt.OnSuccess != nil {
+		d.opt.OnSuccess()
 	}
 	if m.list.Full || len(m.list.Servers) > 0 || first { // that nothing is new is news at a start
-		d.news(d.take(m.list, m.list.Full))
+		d.onUpdate(d.toUpdate(m.list, m.list.Full))
 	}
 	d.version = m.list.Version
 }
 
 // odds draws a number from 0 to 1.
-func (d *Discovery) odds() float64 { return float64(d.opt.World.Random()>>11) / (1 << 53) }
+func (d *Discovery) random() float64 { return float64(d.opt.Host.Random()>>11) / (1 << 53) }
 
 // open makes sure of a connection that breakOff can close.
-func (a *ask) open(opt DiscoveryOptions) error {
+func (a *listRequest) connect(opt DiscoveryOptions) error {
 	if a.conn != nil {
 		return nil
 	}
-	conn, err := transport.Dial(opt.World, opt.Addr, opt.Connect)
+	conn, err := transport.Dial(opt.Host, opt.Addr, opt.ConnectTimeout)
 	if err != nil {
 		return err
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.conn = conn; a.off {
+	if a.conn = conn; a.aborted {
 		conn.Close()
 	}
 	return nil
 }
 
-func (a *ask) get(opt DiscoveryOptions) (List, error) {
-	if err := a.open(opt); err != nil {
-		return List{}, err
+func (a *listRequest) get(opt DiscoveryOptions) (ServerList, error) {
+	if err := a.connect(opt); err != nil {
+		return ServerList{}, err
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := a.conn.Write([]byte("GET "+a.path+" HTTP/1.1\r\nHost: "+opt.Addr+"\r\n\r\n"), opt.Connect); err != nil {
-		return List{}, err
+	if err := a.conn.Write([]byte("GET "+a.path+" HTTP/1.1\r\nHost: "+opt.Addr+"\r\n\r\n"), opt.ConnectTimeout); err != nil {
+		return ServerList{}, err
 	}
-	a.conn.SetReadDeadline(opt.World.Now().Add(opt.Hold + opt.Grace))
+	a.conn.SetReadDeadline(opt.Host.Now().Add(opt.LongPoll + opt.ResponseGrace))
 	extra, err := a.conn.Read(resp)
 	if err != nil {
-		return List{}, err
+		return ServerList{}, err
 	}
 	if extra || resp.ConnectionClose() {
 		a.mu.Lock()
@@ -275,18 +275,18 @@
 		a.mu.Unlock()
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return List{}, statusError(resp.StatusCode())
+		return ServerList{}, statusError(resp.StatusCode())
 	}
-	var list List
+	var list ServerList
 	if err := json.Unmarshal(resp.Body(), &list); err != nil {
-		return List{}, err
+		return ServerList{}, err
 	}
-	return list, list.Check()
+	return list, list.Validate()
 }
 
 // take turns a list into news. Its times are on the core's clock, which is the
 // Unix time: one clock is read by all machines.
-func (d *Discovery) take(list List, whole bool) routing.DiscoveryUpdate {
+func (d *Discovery) toUpdate(list ServerList, whole bool) routing.DiscoveryUpdate {
 	d.version = list.Version
 	n := routing.DiscoveryUpdate{Whole: whole}
 	ids := d.ids
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -20,12 +20,12 @@
 // A server keeps its number whatever lists it comes in, and its start is told on
 // the core's clock, the Unix time.
 func TestListBecomesNews(t *testing.T) {
-	list := func(text string) (l List) {
+	list := func(text string) (l ServerList) {
 		t.Helper()
 		if err := json.Unmarshal([]byte(text), &l); err != nil {
 			t.Fatal(err)
 		}
-		if err := l.Check(); err != nil {
+		if err := l.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		return l
@@ -34,7 +34,7 @@
 	tell := func(n routing.DiscoveryUpdate) { got = append(got, n) }
 	d := NewDiscovery(DiscoveryOptions{}, list(`{"version":41,"full":true,"servers":[
 		{"id":"s-b","addr":"10.1.0.18:8443","zone":"a","kind":"m2","cell":3,"state":"up","weight":1.5,"started_ms":0}]}`), false, tell)
-	tell(d.take(list(`{"version":43,"servers":[
+	tell(d.toUpdate(list(`{"version":43,"servers":[
 		{"id":"s-a","addr":"10.1.0.19:8443","state":"up","weight":1,"started_ms":1796126400123},
 		{"id":"s-b","addr":"10.1.0.18:8443","state":"draining"},{"id":"s-c","state":"removed"}]}`), false))
 	want := []routing.DiscoveryUpdate{
@@ -64,8 +64,8 @@
 		accept[kind] = ln
 	}
 	news := make(chan routing.DiscoveryUpdate, 10)
-	d := NewDiscovery(DiscoveryOptions{Addr: accept["old"].Addr().String(), Hold: time.Hour, Grace: time.Hour,
-		Connect: time.Minute}, List{}, false, func(n routing.DiscoveryUpdate) { news <- n })
+	d := NewDiscovery(DiscoveryOptions{Addr: accept["old"].Addr().String(), LongPoll: time.Hour, ResponseGrace: time.Hour,
+		ConnectTimeout: time.Minute}, ServerList{}, false, func(n routing.DiscoveryUpdate) { news <- n })
 	defer d.Stop()
 	go d.Run()
 	list := func(version, id int) string {
@@ -73,7 +73,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	}
 	stage := scenario.Stage{Accept: accept, Vars: map[string]string{"list9": list(9, 1), "list3": list(3, 2)}, Close: map[string]func(){
-		"moved": func() { d.Move(accept["new"].Addr().String()) }}}
+		"moved": func() { d.SetAddr(accept["new"].Addr().String()) }}}
 	stage.Play(t, `
 		old1 expect "GET /api/targets HTTP/1.1\r\n"
 		old1 send "$list9"
@@ -110,16 +110,16 @@
 		waits := map[time.Duration]bool{}
 		for range 20 {
 			began := time.Now()
-			d := NewDiscovery(DiscoveryOptions{Pace: tc.pace}, List{}, false, func(routing.DiscoveryUpdate) {})
-			if late := d.after.Sub(began) > time.Second/2; late && !tc.pace.Shared {
-				t.Errorf("an agent is asked %v after the start", d.after.Sub(began))
+			d := NewDiscovery(DiscoveryOptions{Backoff: tc.pace}, ServerList{}, false, func(routing.DiscoveryUpdate) {})
+			if late := d.notBefore.Sub(began) > time.Second/2; late && !tc.pace.Shared {
+				t.Errorf("an agent is asked %v after the start", d.notBefore.Sub(began))
 			}
 			var wait time.Duration
 			for range 6 {
-				d.ask = &ask{}
-				began := d.opt.World.Now()
-				d.told(told{ask: d.ask, err: tc.err})
-				wait = d.after.Sub(began)
+				d.current = &listRequest{}
+				began := d.opt.Host.Now()
+				d.handleResult(listResult{request: d.current, err: tc.err})
+				wait = d.notBefore.Sub(began)
 			}
 			if wait < tc.least || wait > tc.most+100*time.Millisecond {
 				t.Fatalf("%v at %v: waits %v, want %v to %v", tc.err, tc.pace, wait, tc.least, tc.most)
@@ -140,8 +140,8 @@
 	}
 	defer ln.Close()
 	news := make(chan routing.DiscoveryUpdate, 10)
-	d := NewDiscovery(DiscoveryOptions{Addr: ln.Addr().String(), Hold: time.Hour, Grace: time.Hour, Connect: time.Minute},
-		List{Version: 41, Servers: []Entry{{ID: "s-a", Addr: "127.0.0.1:1", State: "up"}}}, false, func(n routing.DiscoveryUpdate) { news <- n })
+	d := NewDiscovery(DiscoveryOptions{Addr: ln.Addr().String(), LongPoll: time.Hour, ResponseGrace: time.Hour, ConnectTimeout: time.Minute},
+		ServerList{Version: 41, Servers: []ServerEntry{{ID: "s-a", Addr: "127.0.0.1:1", State: "up"}}}, false, func(n routing.DiscoveryUpdate) { news <- n })
 	defer d.Stop()
 	go d.Run()
 	none := `{"version":41,"full":false,"servers":[]}`
@@ -158,15 +158,15 @@
 
 // What has left the list is forgotten: on a long day servers never stop coming.
 func TestNumbersAreForgotten(t *testing.T) {
-	d := NewDiscovery(DiscoveryOptions{}, List{}, false, func(routing.DiscoveryUpdate) {})
+	d := NewDiscovery(DiscoveryOptions{}, ServerList{}, false, func(routing.DiscoveryUpdate) {})
 	for i := range 1000 {
 		up, gone := fmt.Sprint("s-", i), fmt.Sprint("s-", i-2)
-		d.take(List{Servers: []Entry{{ID: up, State: "up"}, {ID: gone, State: "removed"}}}, false)
+		d.toUpdate(ServerList{Servers: []ServerEntry{{ID: up, State: "up"}, {ID: gone, State: "removed"}}}, false)
 	}
 	if len(d.ids) != 2 {
 		t.Errorf("%d numbers for two servers", len(d.ids))
 	}
-	n := d.take(List{Servers: []Entry{{ID: "s-999", State: "up"}, {ID: "s-0", State: "up"}}}, true)
+	n := d.toUpdate(ServerList{Servers: []ServerEntry{{ID: "s-999", State: "up"}, {ID: "s-0", State: "up"}}}, true)
 	if len(d.ids) != 2 || n.Members[0].ID == n.Members[1].ID {
 		t.Errorf("%d numbers for two servers: %+v", len(d.ids), n.Members)
 	}
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -15,7 +15,7 @@
 )
 
 // Ends hears how attempts and probes end.
-type Ends interface {
+type ResultHandler interface {
 	AttemptEnded(server uint32, a routing.Attempt, status choice.Status, answer any, load *choice.Load)
 	ProbeEnded(server uint32, a routing.Attempt, status choice.Status, load *choice.Load)
 }
@@ -23,11 +23,11 @@
 // Fleet carries out attempts by an actor for each server. The core's goroutine
 // alone calls it.
 type Fleet struct {
-	opt     transport.PeerOptions
-	reports bool
-	Ends    Ends // set before the core runs
-	Dialect *Dialect
-	servers map[uint32]*server
+	opt         transport.PeerOptions
+	loadReports bool
+	Results     ResultHandler // set before the core runs
+	Dialect     *Dialect
+	servers     map[uint32]*server
 }
 
 // server is one that the list names, or has named: as long as something is under
@@ -40,7 +40,7 @@
 }
 
 // leave lets the actor end with what it has under way.
-func (s *server) leave() {
+func (s *server) retire() {
 	if s.peer != nil {
 		s.peer.Stop()
 		s.peer = nil
@@ -49,7 +49,7 @@
 
 // NewFleet returns a fleet without servers.
 func NewFleet(opt transport.PeerOptions, reports bool) *Fleet {
-	return &Fleet{opt: opt, reports: reports, Dialect: Platform, servers: map[uint32]*server{}}
+	return &Fleet{opt: opt, loadReports: reports, Dialect: Platform, servers: map[uint32]*server{}}
 }
 
 // Update takes the list's news.
@@ -67,21 +67,21 @@
 		} else if s.peer != nil && s.addr == m.Addr {
 			continue
 		}
-		s.leave()
+		s.retire()
 		id := m.ID
 		s.addr, s.name = m.Addr, m.Name
-		s.peer = transport.NewPeer(m.Addr, f.opt, func(r transport.Result[routing.Attempt]) { f.ended(id, r) })
+		s.peer = transport.NewPeer(m.Addr, f.opt, func(r transport.Result[routing.Attempt]) { f.handleResult(id, r) })
 		s.peers = append(s.peers, s.peer)
 	}
 	for _, m := range news.Members {
 		if s := f.servers[m.ID]; m.State == choice.Down && s != nil && !named[m.ID] {
-			s.leave()
+			s.retire()
 		}
 	}
 	if news.Whole {
 		for _, id := range slices.Sorted(maps.Keys(f.servers)) { // in one order, not the map's
 			if !named[id] {
-				f.servers[id].leave()
+				f.servers[id].retire()
 			}
 		}
 	}
@@ -96,24 +96,24 @@
 // Send begins an attempt.
 func (f *Fleet) Send(id uint32, a routing.Attempt, call any, left time.Duration) {
 	if s := f.servers[id]; s != nil && s.peer != nil {
-		call.(*Call).Times.Mark(Picked)
-		s.peer.Send(a, f.Dialect.wire(call.(*Call), s.name, left), call)
+		call.(*Call).StageTimes.Mark(ServerSelected)
+		s.peer.Send(a, f.Dialect.encode(call.(*Call), s.name, left), call)
 		return
 	}
-	f.Ends.AttemptEnded(id, a, choice.ConnectFailed, nil, nil)
+	f.Results.AttemptEnded(id, a, choice.ConnectFailed, nil, nil)
 }
 
 // Probe asks a server how it is.
 func (f *Fleet) Probe(id uint32, a routing.Attempt, left time.Duration) {
 	path := "/-/healthy"
-	if f.reports {
+	if f.loadReports {
 		path = "/-/load"
 	}
 	if s := f.servers[id]; s != nil && s.peer != nil {
 		s.peer.Send(a, []byte("GET "+path+" HTTP/1.1\r\nHost: "+s.addr+"\r\n\r\n"), nil)
 		return
 	}
-	f.Ends.ProbeEnded(id, a, choice.ConnectFailed, nil)
+	f.Results.ProbeEnded(id, a, choice.ConnectFailed, nil)
 }
 
 // Cancel gives an attempt or a probe up.
@@ -126,7 +126,7 @@
 }
 
 // ended runs on the server's actor.
-func (f *Fleet) ended(id uint32, r transport.Result[routing.Attempt]) {
+func (f *Fleet) handleResult(id uint32, r transport.Result[routing.Attempt]) {
 	if r.Key.ID == 0 {
 		status, load := choice.ConnectFailed, (*choice.Load)(nil)
 		if r.Outcome != transport.NotSent {
@@ -136,29 +136,29 @@
 			status = choice.NotExecuted // it tells nothing
 		}
 		if r.Answer != nil {
-			if status == choice.OK && f.reports {
-				load = report(r.Answer.Body())
+			if status == choice.OK && f.loadReports {
+				load = parseLoad(r.Answer.Body())
 			}
 			if r.Answer.StatusCode() == fasthttp.StatusServiceUnavailable {
 				status = choice.Overloaded
 			}
 			fasthttp.ReleaseResponse(r.Answer)
 		}
-		f.Ends.ProbeEnded(id, r.Key, status, load)
+		f.Results.ProbeEnded(id, r.Key, status, load)
 		return
 	}
 	call := r.Note.(*Call)
-	call.Times.Mark(Answered)
+	call.StageTimes.Mark(ResponseRead)
 	status := f.Dialect.outcome(r.Outcome, r.Answer, call)
 	var load *choice.Load
-	if r.Answer != nil && f.reports {
-		load = report(r.Answer.Header.Peek(headerLoad))
+	if r.Answer != nil && f.loadReports {
+		load = parseLoad(r.Answer.Header.Peek(headerLoad))
 	}
 	if status != choice.OK && r.Answer != nil {
 		fasthttp.ReleaseResponse(r.Answer)
 		r.Answer = nil
 	}
-	f.Ends.AttemptEnded(id, r.Key, status, r.Answer, load)
+	f.Results.AttemptEnded(id, r.Key, status, r.Answer, load)
 }
 
 // outcome is the protocol's table. A 503 or 504 proves that nothing ran only
@@ -174,14 +174,14 @@
 	}
 	status := answer.StatusCode()
 	switch {
-	case d.Target != "" && status == fasthttp.StatusMisdirectedRequest: // another server has the address now
+	case d.TargetHeader != "" && status == fasthttp.StatusMisdirectedRequest: // another server has the address now
 		return choice.ConnectFailed
-	case d.Any && d.says(answer, d.NotRun, "1"):
+	case d.NotExecutedAnyStatus && d.hasHeaderValue(answer, d.NotExecutedHeader, "1"):
 		return choice.Overloaded
 	case status == fasthttp.StatusOK:
 		return choice.OK
 	case status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout:
-		if d.says(answer, d.NotRun, "1") {
+		if d.hasHeaderValue(answer, d.NotExecutedHeader, "1") {
 			return choice.Overloaded
 		}
 	case call.Transparent && status >= 200 && status < 500:
@@ -194,16 +194,16 @@
 }
 
 // says looks for a header however its name is spelt.
-func (d *Dialect) says(answer *fasthttp.Response, name, value string) bool {
+func (d *Dialect) hasHeaderValue(answer *fasthttp.Response, name, value string) bool {
 	for key, v := range answer.Header.All() {
-		if is(key, name) {
+		if equalHeader(key, name) {
 			return string(v) == value
 		}
 	}
 	return false
 }
 
-func report(text []byte) *choice.Load {
+func parseLoad(text []byte) *choice.Load {
 	if len(text) == 0 {
 		return nil
 	}
--- a/internal/protocol/fleet_test.go
+++ b/internal/protocol/fleet_test.go
@@ -36,10 +36,10 @@
 		"500, described":             {transport.Answered, answer(500), true, choice.Error},
 		"503 proves nothing":         {transport.Answered, answer(503), false, choice.Error},
 		"504 proves nothing":         {transport.Answered, answer(504), true, choice.Error},
-		"503 with proof":             {transport.Answered, answer(503, headerNotRun, "1"), false, choice.Overloaded},
+		"503 with proof":             {transport.Answered, answer(503, headerNotExecuted, "1"), false, choice.Overloaded},
 		"504 with proof, other case": {transport.Answered, answer(504, "x-not-processed", "1"), false, choice.Overloaded},
-		"503 with another word":      {transport.Answered, answer(503, headerNotRun, "0"), false, choice.Error},
-		"500 with proof":             {transport.Answered, answer(500, headerNotRun, "1"), false, choice.Error},
+		"503 with another word":      {transport.Answered, answer(503, headerNotExecuted, "0"), false, choice.Error},
+		"500 with proof":             {transport.Answered, answer(500, headerNotExecuted, "1"), false, choice.Error},
 		"404 on the platform":        {transport.Answered, answer(404), false, choice.Error},
 		"404, described":             {transport.Answered, answer(404), true, choice.OK},
 		"201, described":             {transport.Answered, answer(201), true, choice.OK},
@@ -65,7 +65,7 @@
 		`[3]`:                                         nil,
 		``:                                            nil,
 	} {
-		if d := cmp.Diff(want, report([]byte(text))); d != "" {
+		if d := cmp.Diff(want, parseLoad([]byte(text))); d != "" {
 			t.Errorf("%s: %s", text, d)
 		}
 	}
@@ -91,7 +91,7 @@
 	defer ln.Close()
 	got := make(ends, 10)
 	f := NewFleet(transport.PeerOptions{ConnectTimeout: time.Minute, IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: transport.NewConnLimit(3)}, true)
-	f.Ends = got
+	f.Results = got
 	up := routing.Member{Addr: ln.Addr().String(), Member: choice.Member{ID: 7}}
 	f.Update(routing.DiscoveryUpdate{Whole: true, Members: []routing.Member{up}})
 	try := 0
@@ -152,7 +152,7 @@
 	got := make(ends, 10)
 	sockets := transport.NewConnLimit(2)
 	f := NewFleet(transport.PeerOptions{ConnectTimeout: time.Minute, IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: sockets}, false)
-	f.Ends = got
+	f.Results = got
 	f.Update(routing.DiscoveryUpdate{Whole: true, Members: []routing.Member{{Addr: ln.Addr().String(), Member: choice.Member{ID: 7}}}})
 	for id := range uint32(3) {
 		f.Send(7, routing.Attempt{ID: id + 1}, &Call{head: []byte("GET / HTTP/1.1\r\n")}, time.Minute)
@@ -187,7 +187,7 @@
 	}
 	defer ln.Close()
 	f := NewFleet(transport.PeerOptions{ConnectTimeout: time.Minute, IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: transport.NewConnLimit(3)}, false)
-	f.Ends = make(ends, 10)
+	f.Results = make(ends, 10)
 	list := func(id uint32, addr string, s choice.State) routing.DiscoveryUpdate {
 		return routing.DiscoveryUpdate{Members: []routing.Member{{Addr: addr, Member: choice.Member{ID: id, State: s}}}}
 	}
--- a/internal/protocol/front.go
+++ b/internal/protocol/front.go
@@ -30,16 +30,16 @@
 }
 
 // IDs are the ids of the requests that are open, on all fronts together.
-type IDs struct {
+type OpenIDs struct {
 	mu   sync.Mutex
 	open map[string]bool
 }
 
 // NewIDs returns an empty set.
-func NewIDs() *IDs { return &IDs{open: map[string]bool{}} }
+func NewOpenIDs() *OpenIDs { return &OpenIDs{open: map[string]bool{}} }
 
 // take adds an id, unless it is there.
-func (s *IDs) take(id string) bool {
+func (s *OpenIDs) add(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	taken := s.open[id]
@@ -47,14 +47,14 @@
 	return !taken
 }
 
-func (s *IDs) give(id string) {
+func (s *OpenIDs) remove(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, id)
 }
 
 // Tally hears how clients' requests end.
-type Tally interface {
+type RequestObserver interface {
 	Took() // a request is under way
 	Gave() // and no more
 	Ended(class string, how ops.How)
@@ -62,47 +62,47 @@
 
 // Front is the platform's front: it reads a request's terms from its headers.
 type Front struct {
-	Core    Core
-	IDs     *IDs
-	Now     func() time.Duration
-	Ready   func() bool
-	Leaving func() bool // the next request should come in elsewhere
-	Tally   Tally       // nil: nobody counts
-	doors   int
-	policy  atomic.Pointer[terms]
+	Core     Core
+	IDs      *OpenIDs
+	Now      func() time.Duration
+	Ready    func() bool
+	Leaving  func() bool     // the next request should come in elsewhere
+	Observer RequestObserver // nil: nobody counts
+	gateways int
+	policy   atomic.Pointer[policyTerms]
 
 	// Late makes the core fit requests to the policy, once it knows by which it decides.
-	Late bool
+	DeferTerms bool
 }
 
 // terms are what a policy allows requests.
-type terms struct {
-	classes map[string]choice.Class
-	plans   map[string]float64 // the most units that a request can have
+type policyTerms struct {
+	classes      map[string]choice.Class
+	planMaxUnits map[string]float64 // the most units that a request can have
 }
 
 // NewFront returns a front for the classes and plans of the settings.
 func NewFront(set choice.Settings) *Front {
-	f := &Front{IDs: NewIDs(), doors: set.Gateways}
-	f.Adopt(set)
+	f := &Front{IDs: NewOpenIDs(), gateways: set.Gateways}
+	f.UpdatePolicy(set)
 	return f
 }
 
 // Adopt puts another policy's classes and plans in force. A request that is being read
 // goes by one of the two; where the front is Late, the core tells by which.
-func (f *Front) Adopt(set choice.Settings) {
-	t := &terms{map[string]choice.Class{}, map[string]float64{}}
+func (f *Front) UpdatePolicy(set choice.Settings) {
+	t := &policyTerms{map[string]choice.Class{}, map[string]float64{}}
 	for _, c := range set.Classes {
 		t.classes[c.Name] = c
 	}
 	for _, p := range set.Plans {
-		t.plans[p.Name] = MostUnits(&set, &p)
+		t.planMaxUnits[p.Name] = MaxPlanUnits(&set, &p)
 	}
 	f.policy.Store(t)
 }
 
 // MostUnits is what a request can take from a plan at all.
-func MostUnits(set *choice.Settings, p *choice.Plan) float64 {
+func MaxPlanUnits(set *choice.Settings, p *choice.Plan) float64 {
 	most := cmp.Or(set.MaxUnits, math.MaxFloat64)
 	if p.Rate > 0 {
 		most = min(most, p.Burst)
@@ -133,19 +133,19 @@
 	}
 	r, id, err := f.request(ctx)
 	if err != nil {
-		Bad(ctx, err)
+		WriteBadRequest(ctx, err)
 		return
 	}
-	f.took()
+	f.requestStarted()
 	a := Await(ctx, f.Core, f.IDs, id, r)
 	streams := a.Kind == Served && a.Answer.IsBodyStream()
 	if !streams {
-		f.ended(r.Class, figure[a.Kind])
+		f.requestEnded(r.Class, outcomeMetric[a.Kind])
 	}
 	switch a.Kind {
 	case Served:
 		ctx.SetStatusCode(a.Answer.StatusCode())
-		passOn(ctx, a.Answer, func(how ops.How) { f.ended(r.Class, how) })
+		copyResponse(ctx, a.Answer, func(how ops.How) { f.requestEnded(r.Class, how) })
 	case Refused:
 		if a.RetryAfter > 0 {
 			ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
@@ -155,59 +155,59 @@
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	case Failed:
 		ctx.SetStatusCode(fasthttp.StatusBadGateway)
-	case Twice:
-		ctx.Error(headerID+": "+SameID+"\n", fasthttp.StatusConflict)
-	case Unfit:
-		Bad(ctx, a.Err)
+	case DuplicateID:
+		ctx.Error(headerID+": "+DuplicateIDMessage+"\n", fasthttp.StatusConflict)
+	case Disallowed:
+		WriteBadRequest(ctx, a.Err)
 	}
 }
 
-func (f *Front) took() {
-	if f.Tally != nil {
-		f.Tally.Took()
+func (f *Front) requestStarted() {
+	if f.Observer != nil {
+		f.Observer.Took()
 	}
 }
 
-func (f *Front) ended(class string, how ops.How) {
-	if f.Tally != nil {
-		f.Tally.Gave()
+func (f *Front) requestEnded(class string, how ops.How) {
+	if f.Observer != nil {
+		f.Observer.Gave()
 		if how != "" {
-			f.Tally.Ended(class, how)
+			f.Observer.Ended(class, how)
 		}
 	}
 }
 
 // passing is an answer that is being passed on: how it ends is known at its end.
-type passing struct {
+type observedBody struct {
 	io.Reader
-	done  func(how ops.How)
-	whole bool
+	done     func(how ops.How)
+	complete bool
 }
 
-func (b *passing) Read(p []byte) (int, error) {
+func (b *observedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
-	b.whole = b.whole || err == io.EOF
+	b.complete = b.complete || err == io.EOF
 	return n, err
 }
 
 // Close is called once, with the answer written or not.
-func (b *passing) Close() error {
-	if b.done(map[bool]ops.How{true: ops.Success, false: ops.Failure}[b.whole]); b.whole {
+func (b *observedBody) Close() error {
+	if b.done(map[bool]ops.How{true: ops.Success, false: ops.Failure}[b.complete]); b.complete {
 		return nil
 	}
 	return b.Reader.(io.Closer).Close()
 }
 
 // figure is how figures name the kinds; the others are no requests, or nobody is left.
-var figure = map[Kind]ops.How{Served: ops.Success, Refused: ops.Overload, Failed: ops.Failure, TimedOut: ops.Failure}
+var outcomeMetric = map[Kind]ops.How{Served: ops.Success, Refused: ops.Overload, Failed: ops.Failure, TimedOut: ops.Failure}
 
 // longest is how long a body may take at all, at the pace that a client must keep.
-const longest = 20 * time.Minute
+const maxUploadTime = 20 * time.Minute
 
 // Bad answers a request whose terms are wrong.
-func Bad(ctx *fasthttp.RequestCtx, err error) {
+func WriteBadRequest(ctx *fasthttp.RequestCtx, err error) {
 	ctx.Error(err.Error()+"\n", fasthttp.StatusBadRequest)
-	if status, ok := err.(badBody); ok {
+	if status, ok := err.(bodyError); ok {
 		ctx.SetStatusCode(int(status))
 		ctx.SetConnectionClose()
 	}
@@ -226,21 +226,21 @@
 const MaxID = 128
 
 // customers is the number of customers that there can be.
-const customers = 1 << 33
+const customerCount = 1 << 33
 
 // singles are the headers that a request may have once. Which of two counts
 // would be anybody's guess, and another's may differ.
-var singles = [...]string{headerID, headerClass, headerPlan, headerTimeout, headerTerms, "Cookie", headerRetried}
+var singleValueHeaders = [...]string{headerID, headerClass, headerPlan, headerTimeout, headerTerms, "Cookie", headerRetried}
 
 // request reads a request's terms. Whatever is wrong with them is the client's
 // fault, and is told before the core hears of it.
 func (f *Front) request(ctx *fasthttp.RequestCtx) (r *routing.Request, id string, err error) {
-	var got [len(singles)]string
-	var seen [len(singles)]bool
-	r = &routing.Request{Reply: &Answers{}}
+	var got [len(singleValueHeaders)]string
+	var seen [len(singleValueHeaders)]bool
+	r = &routing.Request{Reply: &ReplyWaiter{}}
 	call := NewCall(ctx, func(key, value []byte) {
-		for i, name := range singles {
-			if is(key, name) {
+		for i, name := range singleValueHeaders {
+			if equalHeader(key, name) {
 				if seen[i] {
 					err = fmt.Errorf("%s: more than one", name)
 				}
@@ -254,7 +254,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	r.Call, r.BodyConsumed = call, call.spent
+	r.Call, r.BodyConsumed = call, call.bodyConsumed
 	id, r.Class, r.Plan, r.IsRetry = got[0], got[1], got[2], got[6] == "1"
 	switch {
 	case id == "":
@@ -262,35 +262,35 @@
 	case len(id) > MaxID:
 		return nil, "", fmt.Errorf("%s: longer than %d bytes", headerID, MaxID)
 	}
-	said := said{method: string(ctx.Method()), body: len(call.body) > 0 || call.rest != nil, timeout: got[3], terms: got[4], at: f.Now()}
+	said := requestTerms{method: string(ctx.Method()), body: len(call.body) > 0 || call.upload != nil, timeout: got[3], terms: got[4], at: f.Now()}
 	policy := f.policy.Load()
-	if !f.Late {
-		if err := policy.allows(r, said); err != nil {
+	if !f.DeferTerms {
+		if err := policy.check(r, said); err != nil {
 			return nil, "", err
 		}
 	}
 	var number uint64
 	if r.Customer = Cookie(got[5], "client"); len(r.Customer) != 16 {
 		return nil, "", fmt.Errorf("Cookie: client must be 16 hex digits, got %q", r.Customer)
-	} else if number, err = strconv.ParseUint(r.Customer, 16, 64); err != nil || number >= customers {
+	} else if number, err = strconv.ParseUint(r.Customer, 16, 64); err != nil || number >= customerCount {
 		return nil, "", fmt.Errorf("Cookie: client must be 16 hex digits for a number under 2^33, got %q", r.Customer)
 	}
-	if f.Late {
+	if f.DeferTerms {
 		r.Deadline = said.at + time.Hour // until the policy says
 		r.ResolveTerms = func() error {
 			policy := f.policy.Load()
-			if err := policy.allows(r, said); err != nil {
+			if err := policy.check(r, said); err != nil {
 				return err
 			}
-			return f.limits(policy, r, said)
+			return f.applyTerms(policy, r, said)
 		}
 		return r, id, nil
 	}
-	return r, id, f.limits(policy, r, said)
+	return r, id, f.applyTerms(policy, r, said)
 }
 
 // said is what a request says and the policy must allow.
-type said struct {
+type requestTerms struct {
 	method         string
 	body           bool
 	timeout, terms string
@@ -298,9 +298,9 @@
 }
 
 // allows holds a request against the policy's classes and plans.
-func (t *terms) allows(r *routing.Request, s said) error {
+func (t *policyTerms) check(r *routing.Request, s requestTerms) error {
 	class, known := t.classes[r.Class]
-	_, sold := t.plans[r.Plan]
+	_, sold := t.planMaxUnits[r.Plan]
 	method := "POST"
 	if class.Effect == choice.Retryable {
 		method = "GET"
@@ -319,17 +319,17 @@
 }
 
 // limits gives it its terms by them.
-func (f *Front) limits(t *terms, r *routing.Request, s said) error {
+func (f *Front) applyTerms(t *policyTerms, r *routing.Request, s requestTerms) error {
 	limit, err := Timeout(s.timeout, t.classes[r.Class].Deadline)
 	if err != nil {
 		return fmt.Errorf("%s: %w", headerTimeout, err)
 	}
 	r.Deadline = s.at + limit
-	if call, ok := r.Call.(*Call); ok && call.rest != nil { // time counts from the body's end
-		call.rest.limit = limit
-		r.Deadline += longest
+	if call, ok := r.Call.(*Call); ok && call.upload != nil { // time counts from the body's end
+		call.upload.limit = limit
+		r.Deadline += maxUploadTime
 	}
-	r.Units, r.Gateways, r.FirstGateway, err = f.terms(s.terms, t.plans[r.Plan])
+	r.Units, r.Gateways, r.FirstGateway, err = f.parseCallTerms(s.terms, t.planMaxUnits[r.Plan])
 	return err
 }
 
@@ -351,8 +351,8 @@
 }
 
 // terms reads units=2,spread=3,first=1.
-func (f *Front) terms(text string, most float64) (units float64, width, first int, err error) {
-	units, width = min(1, most), f.doors
+func (f *Front) parseCallTerms(text string, most float64) (units float64, width, first int, err error) {
+	units, width = min(1, most), f.gateways
 	seen := map[string]bool{}
 	for item := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(item), "=")
@@ -363,11 +363,11 @@
 				bad = strconv.ErrRange
 			}
 		case "spread":
-			if width, bad = strconv.Atoi(value); bad == nil && (width < 1 || width > f.doors) {
+			if width, bad = strconv.Atoi(value); bad == nil && (width < 1 || width > f.gateways) {
 				bad = strconv.ErrRange
 			}
 		case "first":
-			if first, bad = strconv.Atoi(value); bad == nil && (first < 0 || first >= f.doors) {
+			if first, bad = strconv.Atoi(value); bad == nil && (first < 0 || first >= f.gateways) {
 				bad = strconv.ErrRange
 			}
 		}
@@ -398,16 +398,16 @@
 	Refused
 	Failed
 	TimedOut
-	Left  // the client went away: nobody is answered
-	Twice // a request with that id is open: this one was not submitted
-	Unfit // the policy in force does not allow what it says
+	ClientLeft  // the client went away: nobody is answered
+	DuplicateID // a request with that id is open: this one was not submitted
+	Disallowed  // the policy in force does not allow what it says
 )
 
 // SameID is what a client hears then.
-const SameID = "a request with this id is open"
+const DuplicateIDMessage = "a request with this id is open"
 
 // Final is the one answer to a request.
-type Final struct {
+type Result struct {
 	Kind       Kind
 	Answer     *fasthttp.Response
 	RetryAfter time.Duration
@@ -417,151 +417,151 @@
 }
 
 // Answers hands a request's one answer from the core to the client's handler.
-type Answers struct {
-	mu    sync.Mutex
-	final Final
-	have  bool
-	left  bool             // nobody is there to take it
-	bell  hostenv.Notifier // of whoever waits
+type ReplyWaiter struct {
+	mu        sync.Mutex
+	result    Result
+	completed bool
+	abandoned bool             // nobody is there to take it
+	ready     hostenv.Notifier // of whoever waits
 }
 
-func (a *Answers) end(f Final) {
+func (a *ReplyWaiter) complete(f Result) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.left { // there is one answer, and it is told by now
-		Drop(f.Answer)
+	if a.abandoned { // there is one answer, and it is told by now
+		Discard(f.Answer)
 		return
 	}
-	a.final, a.have = f, true
-	a.bell.Notify()
+	a.result, a.completed = f, true
+	a.ready.Notify()
 }
 
 // leave gives up the answer, be it there or still to come.
-func (a *Answers) leave() {
+func (a *ReplyWaiter) abandon() {
 	a.mu.Lock()
-	if a.left = true; a.have {
-		Drop(a.final.Answer)
+	if a.abandoned = true; a.completed {
+		Discard(a.result.Answer)
 	}
 	a.mu.Unlock()
 }
 
 // Drop gives up an answer that nobody takes, and with it the connection that it comes on.
-func Drop(answer any) {
+func Discard(answer any) {
 	if resp, _ := answer.(*fasthttp.Response); resp != nil && resp.IsBodyStream() {
 		resp.CloseBodyStream()
 	}
 }
 
-func (a *Answers) done() bool {
+func (a *ReplyWaiter) done() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.have
+	return a.completed
 }
 
 // Served is told by the core.
-func (a *Answers) Served(answer any) {
-	a.end(Final{Kind: Served, Answer: answer.(*fasthttp.Response)})
+func (a *ReplyWaiter) Served(answer any) {
+	a.complete(Result{Kind: Served, Answer: answer.(*fasthttp.Response)})
 }
 
 // Refused is told by the core.
-func (a *Answers) Refused(after time.Duration, verdict routing.Verdict) {
-	f := Final{Kind: Refused, RetryAfter: after, Status: fasthttp.StatusTooManyRequests, Verdict: verdict}
+func (a *ReplyWaiter) Refused(after time.Duration, verdict routing.Verdict) {
+	f := Result{Kind: Refused, RetryAfter: after, Status: fasthttp.StatusTooManyRequests, Verdict: verdict}
 	if verdict != routing.NotAttempted || after == 0 {
 		f.Status = fasthttp.StatusServiceUnavailable
 	}
-	a.end(f)
+	a.complete(f)
 }
 
 // Unfit is told by the core.
-func (a *Answers) Disallowed(err error) { a.end(Final{Kind: Unfit, Err: err}) }
+func (a *ReplyWaiter) Disallowed(err error) { a.complete(Result{Kind: Disallowed, Err: err}) }
 
 // Failed is told by the core.
-func (a *Answers) Failed(timedOut bool) {
+func (a *ReplyWaiter) Failed(timedOut bool) {
 	if timedOut {
-		a.end(Final{Kind: TimedOut})
+		a.complete(Result{Kind: TimedOut})
 		return
 	}
-	a.end(Final{Kind: Failed})
+	a.complete(Result{Kind: Failed})
 }
 
 // Await submits a request whose Reply is an *Answers, and waits for its answer
 // or for the client's end. Servers tell requests by their ids, so that there
 // must not be two with one.
-func Await(ctx *fasthttp.RequestCtx, core Core, ids *IDs, id string, r *routing.Request) Final {
+func Await(ctx *fasthttp.RequestCtx, core Core, ids *OpenIDs, id string, r *routing.Request) Result {
 	if id != "" { // those without one are nobody's twins
-		if !ids.take(id) {
-			return Final{Kind: Twice}
+		if !ids.add(id) {
+			return Result{Kind: DuplicateID}
 		}
-		defer ids.give(id)
+		defer ids.remove(id)
 	}
-	a := r.Reply.(*Answers)
+	a := r.Reply.(*ReplyWaiter)
 	c, ok := ctx.Conn().(*transport.ClientConn)
 	if !ok { // no connection that could end
-		a.bell = hostenv.Real.NewNotifier()
+		a.ready = hostenv.Real.NewNotifier()
 		core.Submit(r)
 		for !a.done() {
-			a.bell.Wait(-1)
+			a.ready.Wait(-1)
 		}
-		return a.final
+		return a.result
 	}
-	a.bell = c.Notifier()
-	var rest *upload
-	if call, ok := r.Call.(*Call); ok && call.rest != nil {
-		rest = call.rest
-		rest.ring = c.Notifier().Notify
+	a.ready = c.Notifier()
+	var rest *bodyUpload
+	if call, ok := r.Call.(*Call); ok && call.upload != nil {
+		rest = call.upload
+		rest.wakeClient = c.Notifier().Notify
 		defer func() {
-			if !rest.over { // what follows it can't be found: who has sent more must hear that it was not read
+			if !rest.complete { // what follows it can't be found: who has sent more must hear that it was not read
 				ctx.SetConnectionClose()
 			}
 		}()
 	}
 	core.Submit(r)
-	if rest != nil && !a.uploads(c, core, r, rest) {
-		return Final{Kind: Left}
+	if rest != nil && !a.sendBody(c, core, r, rest) {
+		return Result{Kind: ClientLeft}
 	}
 	if !c.Await(a.done) {
 		core.ClientGone(r)
-		a.leave()
-		return Final{Kind: Left}
+		a.abandon()
+		return Result{Kind: ClientLeft}
 	}
-	return a.final
+	return a.result
 }
 
 // uploads gives a request's body to whoever sends it, and bounds the wait for what comes
 // after that. It reports false if there is nobody left to answer.
-func (a *Answers) uploads(c *transport.ClientConn, core Core, r *routing.Request, rest *upload) bool {
-	if !rest.feed(c, a.done, func() { core.BodyProgress(r) }) {
+func (a *ReplyWaiter) sendBody(c *transport.ClientConn, core Core, r *routing.Request, rest *bodyUpload) bool {
+	if !rest.readFrom(c, a.done, func() { core.BodyProgress(r) }) {
 		rest.Stop()
 		core.ClientGone(r)
-		a.leave()
+		a.abandon()
 		return false
 	}
 	if !c.AwaitFor(rest.limit, a.done) {
 		core.ClientGone(r)
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if !a.have { // its time is up
-			a.left, a.have, a.final = true, true, Final{Kind: TimedOut}
+		if !a.completed { // its time is up
+			a.abandoned, a.completed, a.result = true, true, Result{Kind: TimedOut}
 		}
 	}
 	return true
 }
 
 // PassOn copies a server's answer to the client, its body unchanged.
-func PassOn(ctx *fasthttp.RequestCtx, answer *fasthttp.Response) {
-	passOn(ctx, answer, func(ops.How) {})
+func CopyResponse(ctx *fasthttp.RequestCtx, answer *fasthttp.Response) {
+	copyResponse(ctx, answer, func(ops.How) {})
 }
 
 // passOn tells done how an answer that streams has ended.
-func passOn(ctx *fasthttp.RequestCtx, answer *fasthttp.Response, done func(how ops.How)) {
+func copyResponse(ctx *fasthttp.RequestCtx, answer *fasthttp.Response, done func(how ops.How)) {
 	for key, value := range answer.Header.All() {
-		if !hop(key) && !is(key, headerLoad) && !is(key, "Date") {
+		if !hopByHop(key) && !equalHeader(key, headerLoad) && !equalHeader(key, "Date") {
 			ctx.Response.Header.AddBytesKV(key, value)
 		}
 	}
 	if stream := answer.BodyStream(); stream != nil { // it belongs to the client's answer from here on
 		ctx.Response.ImmediateHeaderFlush = true
-		ctx.Response.SetBodyStream(&passing{Reader: stream, done: done}, answer.Header.ContentLength())
+		ctx.Response.SetBodyStream(&observedBody{Reader: stream, done: done}, answer.Header.ContentLength())
 		return
 	}
 	ctx.Response.SwapBody(answer.SwapBody(nil))
--- a/internal/protocol/openapi/description.go
+++ b/internal/protocol/openapi/description.go
@@ -37,14 +37,14 @@
 
 // The values of Repeat.
 const (
-	Unsaid Repeat = ""
-	Safe   Repeat = "safe"
-	Never  Repeat = "never"
+	Unspecified Repeat = ""
+	Safe        Repeat = "safe"
+	Never       Repeat = "never"
 )
 
 func (r Repeat) check() error {
 	switch r {
-	case Unsaid, Safe, Never:
+	case Unspecified, Safe, Never:
 		return nil
 	}
 	return fmt.Errorf("must be safe or never, got %q", string(r))
@@ -59,16 +59,16 @@
 }
 
 // once marks the twin of a class that has the same figures and never runs twice.
-const once = "!once"
+const nonRetryableSuffix = "!once"
 
 // Twins returns the classes with a fragile twin for each that may be repeated.
 // Whether a request may run again is the module's decision by its class alone,
 // so a stricter route needs a class of its own.
-func Twins(classes []choice.Class) []choice.Class {
+func AddNonRetryableVariants(classes []choice.Class) []choice.Class {
 	all := slices.Clone(classes)
 	for _, c := range classes {
 		if c.Effect != choice.NonRetryable {
-			c.Name += once
+			c.Name += nonRetryableSuffix
 			c.Effect = choice.NonRetryable
 			all = append(all, c)
 		}
@@ -179,7 +179,7 @@
 	if o.Timeout = class.Deadline; ms > 0 {
 		o.Timeout = min(o.Timeout, time.Duration(ms*float64(time.Millisecond)))
 	}
-	if repeat == Unsaid { // as HTTP has it
+	if repeat == Unspecified { // as HTTP has it
 		if repeat = Never; method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions {
 			repeat = Safe
 		}
@@ -188,7 +188,7 @@
 	// a read sent once costs a retry, a submission sent twice can't be undone.
 	strict := repeat
 	for _, r := range rules.Routes {
-		if r.covers(method, path) && r.Repeat != Unsaid {
+		if r.matches(method, path) && r.Repeat != Unspecified {
 			if r.Repeat != repeat {
 				d.note("%s: the operation says %s, the route says %s: never repeated", o.Name, repeat, r.Repeat)
 			}
@@ -202,7 +202,7 @@
 			d.note("%s: the operation says safe, its class %s never runs twice: never repeated", o.Name, class.Name)
 		}
 	} else if strict == Never {
-		o.Class += once
+		o.Class += nonRetryableSuffix
 	}
 	return o, nil
 }
@@ -215,7 +215,7 @@
 
 // covers compares paths without their parameters' names: renaming one in the
 // description must not switch a rule off.
-func (r *Route) covers(method, path string) bool {
+func (r *Route) matches(method, path string) bool {
 	return parameter.ReplaceAllString(r.Path, "{}") == parameter.ReplaceAllString(path, "{}") &&
 		(len(r.Methods) == 0 || slices.Contains(r.Methods, method))
 }
@@ -245,7 +245,7 @@
 }
 
 // Check reports the first key of a route that makes no sense.
-func (r *Route) Check() error {
+func (r *Route) Validate() error {
 	if !strings.HasPrefix(r.Path, "/") {
 		return fmt.Errorf("path must begin with /, got %q", r.Path)
 	}
@@ -254,7 +254,7 @@
 			return fmt.Errorf("methods[%d] must be in capitals, got %q", i, m)
 		}
 	}
-	if r.Repeat == Unsaid {
+	if r.Repeat == Unspecified {
 		return fmt.Errorf("repeat is missing")
 	}
 	if err := r.Repeat.check(); err != nil {
--- a/internal/protocol/openapi/description_test.go
+++ b/internal/protocol/openapi/description_test.go
@@ -47,13 +47,13 @@
 		"no longer than the class": {paths: get("x-asterwell-class: status-read, x-asterwell-timeout-ms: 99000, "), want: &read},
 		"the path item's class":    {paths: get("") + "    x-asterwell-class: status-read\n", want: &read},
 		"the operation says never": {paths: get("x-asterwell-class: status-read, x-asterwell-repeat: never, "),
-			want: with(func(o *Operation) { o.Class += once })},
+			want: with(func(o *Operation) { o.Class += nonRetryableSuffix })},
 		"safe, but the route says never": {paths: get("x-asterwell-class: status-read, x-asterwell-repeat: safe, "),
-			routes: never, want: with(func(o *Operation) { o.Class += once }), notes: 1},
+			routes: never, want: with(func(o *Operation) { o.Class += nonRetryableSuffix }), notes: 1},
 		"the route is for another method": {paths: get("x-asterwell-class: status-read, x-asterwell-repeat: safe, "),
 			routes: []Route{{Path: "/n/{id}", Methods: []string{"PUT"}, Repeat: Never}}, want: &read},
 		"never, and a route that says safe": {paths: get("x-asterwell-class: status-read, x-asterwell-repeat: never, "),
-			routes: []Route{{Path: "/n/{id}", Repeat: Safe}}, want: with(func(o *Operation) { o.Class += once }), notes: 1},
+			routes: []Route{{Path: "/n/{id}", Repeat: Safe}}, want: with(func(o *Operation) { o.Class += nonRetryableSuffix }), notes: 1},
 		"safe, but the class is fragile": {paths: get("x-asterwell-class: submit-nom, x-asterwell-repeat: safe, "),
 			want: with(func(o *Operation) { o.Class = "submit-nom" }), notes: 1},
 		"no class":         {paths: get(""), err: "paths./n/{id}.get: x-asterwell-class is missing"},
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for method, want := range map[string]string{"GET": "status-read", "POST": "status-read" + once} {
+	for method, want := range map[string]string{"GET": "status-read", "POST": "status-read" + nonRetryableSuffix} {
 		if o, err := d.Find(method, "/v1/n"); err != nil || o.Class != want {
 			t.Errorf("%s: %v, %v, want %s", method, o, err, want)
 		}
@@ -106,8 +106,8 @@
 
 func TestTwins(t *testing.T) {
 	want := append(append([]choice.Class(nil), classes...), classes[0])
-	want[2].Name, want[2].Effect = "status-read"+once, choice.NonRetryable
-	if d := cmp.Diff(want, Twins(classes)); d != "" {
+	want[2].Name, want[2].Effect = "status-read"+nonRetryableSuffix, choice.NonRetryable
+	if d := cmp.Diff(want, AddNonRetryableVariants(classes)); d != "" {
 		t.Error(d)
 	}
 }
--- a/internal/protocol/openapi/front.go
+++ b/internal/protocol/openapi/front.go
@@ -23,7 +23,7 @@
 )
 
 // Names are the headers that tell a request's customer and plan.
-type Names struct {
+type HeaderNames struct {
 	CustomerHeader string
 	PlanHeader     string
 	DefaultPlan    string // where the header is missing; none: it is required
@@ -31,24 +31,24 @@
 
 // Front serves the operations of a description.
 type Front struct {
-	Core    protocol.Core
-	IDs     *protocol.IDs // shared with the other front
-	Now     func() time.Duration
-	Leaving func() bool
-	Random  func() uint64 // for ids that clients leave out
-	names   Names
-	rules   Rules
-	plans   map[string]float64 // the most units that a request can have
-	doors   int
-	current atomic.Pointer[Description]
+	Core         protocol.Core
+	IDs          *protocol.OpenIDs // shared with the other front
+	Now          func() time.Duration
+	Leaving      func() bool
+	Random       func() uint64 // for ids that clients leave out
+	names        HeaderNames
+	rules        Rules
+	planMaxUnits map[string]float64 // the most units that a request can have
+	gateways     int
+	current      atomic.Pointer[Description]
 }
 
 // NewFront returns a front without a description.
-func NewFront(set choice.Settings, routes []Route, names Names) *Front {
-	f := &Front{IDs: protocol.NewIDs(), Random: hostenv.Real.Random, names: names, plans: map[string]float64{}, doors: set.Gateways,
+func NewFront(set choice.Settings, routes []Route, names HeaderNames) *Front {
+	f := &Front{IDs: protocol.NewOpenIDs(), Random: hostenv.Real.Random, names: names, planMaxUnits: map[string]float64{}, gateways: set.Gateways,
 		rules: Rules{Classes: set.Classes, MaxUnits: set.MaxUnits, Routes: routes}}
 	for _, p := range set.Plans {
-		f.plans[p.Name] = protocol.MostUnits(&set, &p)
+		f.planMaxUnits[p.Name] = protocol.MaxPlanUnits(&set, &p)
 	}
 	return f
 }
@@ -84,7 +84,7 @@
 	switch a := protocol.Await(ctx, f.Core, f.IDs, id, r); a.Kind {
 	case protocol.Served:
 		ctx.SetStatusCode(a.Answer.StatusCode())
-		protocol.PassOn(ctx, a.Answer)
+		protocol.CopyResponse(ctx, a.Answer)
 	case protocol.Refused:
 		if a.RetryAfter > 0 { // in whole seconds, as HTTP has it, and no sooner
 			ctx.Response.Header.Set("Retry-After", strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
@@ -94,8 +94,8 @@
 		problem(ctx, fasthttp.StatusGatewayTimeout, "no answer in time: it may have run")
 	case protocol.Failed:
 		problem(ctx, fasthttp.StatusBadGateway, "the server failed: it may have run")
-	case protocol.Twice:
-		problem(ctx, fasthttp.StatusConflict, "X-Request-ID: "+protocol.SameID)
+	case protocol.DuplicateID:
+		problem(ctx, fasthttp.StatusConflict, "X-Request-ID: "+protocol.DuplicateIDMessage)
 	}
 }
 
@@ -123,7 +123,7 @@
 	fail := func(status int, format string, args ...any) (*routing.Request, string, int, error) {
 		return nil, "", status, fmt.Errorf(format, args...)
 	}
-	most, sold := f.plans[plan]
+	most, sold := f.planMaxUnits[plan]
 	d, uri := f.current.Load(), string(ctx.Request.Header.RequestURI())
 	op, err := d.Find(string(ctx.Method()), uri)
 	switch {
@@ -153,8 +153,8 @@
 		call.AddHeader("X-Request-ID", id)
 	}
 	call.Transparent = true
-	return &routing.Request{Reply: &protocol.Answers{}, Call: call, Class: op.Class, Units: op.Units, Plan: plan,
-		Gateways: f.doors, Customer: customerKey(customer), Deadline: f.Now() + limit}, id, 0, nil
+	return &routing.Request{Reply: &protocol.ReplyWaiter{}, Call: call, Class: op.Class, Units: op.Units, Plan: plan,
+		Gateways: f.gateways, Customer: customerKey(customer), Deadline: f.Now() + limit}, id, 0, nil
 }
 
 // customerKey is a customer's key on the counter, the same at all gateways and
--- a/internal/protocol/openapi/front_test.go
+++ b/internal/protocol/openapi/front_test.go
@@ -102,7 +102,7 @@
 		Tick: time.Millisecond, Classes: classes, Plans: []choice.Plan{
 			{Name: "basic", Rate: 1000, Burst: 1000, ValueFactor: 1, OverrunCost: 1},
 			{Name: "tiny", Rate: 0.5, Burst: 1, ValueFactor: 1, OverrunCost: 1}}}
-	f := NewFront(set, routes, Names{CustomerHeader: "X-Api-Key", PlanHeader: "X-Tier", DefaultPlan: "basic"})
+	f := NewFront(set, routes, HeaderNames{CustomerHeader: "X-Api-Key", PlanHeader: "X-Tier", DefaultPlan: "basic"})
 	if err := f.Replace(description); err != nil {
 		t.Fatal(err)
 	}
@@ -110,12 +110,12 @@
 		ConnLimit: transport.NewConnLimit(200)}, false)
 	start := time.Now()
 	f.Now = func() time.Duration { return time.Hour + time.Since(start) }
-	set.Classes = Twins(classes)
+	set.Classes = AddNonRetryableVariants(classes)
 	core, err := routing.New(set, 1, f.Now, routing.Dependencies{Fleet: fleet})
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet.Ends, f.Core, f.Leaving = core, core, func() bool { return false }
+	fleet.Results, f.Core, f.Leaving = core, core, func() bool { return false }
 	var members []routing.Member
 	for i := range 40 { // enough for all requests of a test at once: the module starts with two for each
 		members = append(members, routing.Member{Addr: server.Addr().String(), Member: choice.Member{ID: uint32(i + 1), Weight: 1}})
@@ -357,7 +357,7 @@
 	file := filepath.Join(t.TempDir(), "api.yaml")
 	stop := hostenv.Real.NewNotifier()
 	defer stop.Notify()
-	go g.Follow(file, first, 10*time.Millisecond, stop) // the file is missing at first
+	go g.WatchFile(file, first, 10*time.Millisecond, stop) // the file is missing at first
 	write := func(text []byte) {
 		t.Helper()
 		if err := os.WriteFile(file, text, 0o644); err != nil {
--- a/internal/protocol/openapi/watch.go
+++ b/internal/protocol/openapi/watch.go
@@ -21,7 +21,7 @@
 // Follow takes changes of the description's file until the bell rings. A change
 // that can't be used is logged once, and the description in place stands; so it
 // does while the file is half written or missing.
-func (f *Front) Follow(path string, last []byte, every time.Duration, stop hostenv.Notifier) {
+func (f *Front) WatchFile(path string, last []byte, every time.Duration, stop hostenv.Notifier) {
 	missing := false
 	for !stop.Wait(every) {
 		text, err := os.ReadFile(path)
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -298,7 +298,7 @@
 		panic(err)
 	}
 	// The list as this gateway last had it: what has changed since, its agent tells once it is asked.
-	known := protocol.List{Version: g.agent.hadVersion, Full: true}
+	known := protocol.ServerList{Version: g.agent.hadVersion, Full: true}
 	g.agent.heard = map[string]bool{}
 	for _, n := range w.nodes {
 		e, ok := g.agent.had[n.id]
@@ -309,7 +309,7 @@
 			continue
 		}
 		g.agent.heard[n.id] = true
-		known.Servers = append(known.Servers, protocol.Entry{ID: e.ID, Addr: e.Addr, Zone: e.Zone, State: e.State, Weight: 1, StartedMs: e.StartedMs})
+		known.Servers = append(known.Servers, protocol.ServerEntry{ID: e.ID, Addr: e.Addr, Zone: e.Zone, State: e.State, Weight: 1, StartedMs: e.StartedMs})
 		w.rules.Tells(g.index, n.id, true, w.s.now) // a new life has all of its time
 		w.rules.Tells(g.index, n.id, e.State == "up", w.s.now)
 	}
