--- a/internal/hostenv/hostenv.go
+++ b/internal/hostenv/hostenv.go
@@ -1,6 +1,6 @@
-// Package hostenv is all that the gateway's parts have of the world: time, goroutines,
-// waiting, and connections. Real is a thin shell over the standard library; the
-// simulator puts a virtual world in its place, with the same code above it.
+// Package hostenv abstracts the environment of the gateway's packages: time, goroutines,
+// waiting, and connections. Real is a thin layer over the standard library; the
+// simulator substitutes a virtual host and runs the same code on top of it.
 package hostenv
 
 import (
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Host is a world. What runs in one must wait nowhere but in it: at a Notifier, in
-// Sleep, or in a connection.
+// Host is an environment. Code that runs on one may block only through it: in
+// Notifier.Wait, in Sleep, or in a connection.
 type Host interface {
 	Now() time.Time
 	Go(f func())
@@ -19,7 +19,7 @@
 	NewNotifier() Notifier
 	Dial(addr string, limit time.Duration) (net.Conn, error) // TCP
 	Listen(addr string) (net.Listener, error)                // TCP
-	ListenUDP() (PacketConn, error)                          // at a free port
+	ListenUDP() (PacketConn, error)                          // on a free port
 	Random() uint64
 }
 
@@ -31,23 +31,23 @@
 	Close() error
 }
 
-// Notifier is what one goroutine waits at and others ring. It remembers one ring.
+// Notifier wakes a single waiting goroutine. It remembers at most one notification.
 type Notifier interface {
 	Notify()
-	// Wait returns true once the bell has been rung, or false after d (below 0:
-	// never). Only one goroutine may wait.
+	// Wait returns true once Notify has been called, or false after d (negative:
+	// no timeout). Only one goroutine may wait.
 	Wait(d time.Duration) bool
 }
 
-// Real is the machine.
+// Real is the operating system.
 var Real Host = machine{}
 
-// OrReal is s, or Real if there is none.
-func OrReal(s Host) Host {
-	if s == nil {
+// OrReal returns h, or Real if h is nil.
+func OrReal(h Host) Host {
+	if h == nil {
 		return Real
 	}
-	return s
+	return h
 }
 
 type machine struct{}
--- a/internal/hostenv/source_test.go
+++ b/internal/hostenv/source_test.go
@@ -9,21 +9,21 @@
 	"testing"
 )
 
-// What a gateway's package may not have of the world but through the seam.
+// Functions that the gateway's packages may call only through a Host.
 var forbidden = map[string]string{
 	"time": "Now After Sleep Since Until NewTimer NewTicker AfterFunc Tick",
 	"net":  "Dial DialTimeout DialTCP DialUDP Listen ListenTCP ListenUDP ListenPacket",
 	"rand": "Int IntN Int64 Int64N Uint32 Uint64 Float64 ExpFloat64 NormFloat64 Perm Shuffle N",
 }
 
-// Where it can't be otherwise.
+// Exceptions, each with its reason.
 var allowed = map[string]string{
-	"../transport/listen.go time.Until": "translates the HTTP library's deadlines, which are on the machine's clock",
-	"../program/program.go select":      "Main hears the machine's signals, outside of any world",
+	"../transport/listen.go time.Until": "translates the HTTP library's deadlines, which use the system clock",
+	"../program/program.go select":      "Main receives operating system signals, outside of any Host",
 }
 
-// The simulator runs the gateway's own code in a virtual world, so nothing may go
-// round it: no clock, goroutine, connection, channel or random number but by a Host.
+// The simulator runs the gateway's own code on a virtual host, so nothing may bypass
+// it: clocks, goroutines, connections, channels and random numbers come from a Host.
 func TestGatewayUsesOnlyHost(t *testing.T) {
 	for _, dir := range []string{"../mailbox", "../dns", "../serverset", "../policy", "../cluster", "../routing", "../protocol", "../protocol/openapi",
 		"../transport", "../program", "../../choice"} {
--- a/internal/mailbox/box.go
+++ b/internal/mailbox/box.go
@@ -1,5 +1,5 @@
-// Package mailbox has the mailbox that every actor of the gateway reads: one
-// goroutine takes messages in the order they came, and nobody who sends waits.
+// Package mailbox provides the message queue of the gateway's actors: one goroutine
+// takes messages in order of arrival, and senders never block.
 package mailbox
 
 import (
@@ -9,8 +9,8 @@
 	"asterwell/internal/hostenv"
 )
 
-// Box is an unbounded mailbox. A bounded one could lock two actors that write
-// to each other; the number of messages is bounded by the open requests.
+// Box is an unbounded mailbox. A bounded one could deadlock two actors that send
+// to each other; the number of open requests bounds the number of messages.
 type Box[T any] struct {
 	mu    sync.Mutex
 	in    []T
@@ -19,7 +19,7 @@
 	bell  hostenv.Notifier
 }
 
-// NewBox returns an empty mailbox in a world (nil: the real one).
+// NewBox returns an empty mailbox on a host (nil: hostenv.Real).
 func NewBox[T any](world hostenv.Host) *Box[T] {
 	world = hostenv.OrReal(world)
 	return &Box[T]{world: world, bell: world.NewNotifier()}
@@ -36,16 +36,16 @@
 	}
 }
 
-// Take returns the messages that have come, in order. It waits for the first
-// one for as long as wait says (below 0: for good); with none it returns
-// nothing. The slice is valid until the next call. Only the actor may call it.
+// Take returns the queued messages in order. If there are none it waits up to wait
+// for the first one (negative: no timeout), and returns an empty slice on timeout.
+// The slice is valid until the next call. Only the owning actor may call it.
 func (b *Box[T]) Take(wait time.Duration) []T {
 	got := b.swap()
 	if len(got) > 0 || wait == 0 {
 		return got
 	}
 	if wait < 0 {
-		for len(got) == 0 { // a ring may be left from messages already taken
+		for len(got) == 0 { // a notification may be left from messages already taken
 			b.bell.Wait(-1)
 			got = b.swap()
 		}
@@ -63,7 +63,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	got := b.in
-	clear(b.spare) // what the actor was given last time, and has done with
+	clear(b.spare) // the previous batch, which the actor has processed
 	b.in, b.spare = b.spare[:0], got
 	return got
 }
--- a/internal/mailbox/box_test.go
+++ b/internal/mailbox/box_test.go
@@ -31,7 +31,7 @@
 		if d := cmp.Diff([]int{1, 2}, b.Take(-1)); d != "" {
 			t.Error(d)
 		}
-		// The wake-up of the second message is still there: it must not end the wait.
+		// The notification for the second message is still pending: it must not end the wait.
 		if got := b.Take(time.Second); len(got) != 0 {
 			t.Error(got)
 		}
@@ -47,7 +47,7 @@
 	})
 }
 
-// Each sender's messages come in its order, and none is lost.
+// Messages of each sender arrive in the order sent, and none is lost.
 func TestManySenders(t *testing.T) {
 	b := NewBox[[2]int](nil)
 	const senders, each = 8, 1000
@@ -72,7 +72,7 @@
 	wait.Wait()
 }
 
-// One message there and one back, between two goroutines.
+// Measures a round trip of one message between two goroutines.
 func BenchmarkBox(b *testing.B) {
 	there, back := NewBox[int](nil), NewBox[int](nil)
 	go func() {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,6 +1,6 @@
-// Package transport moves bytes: the listener under the fronts, connections to
-// servers with their reuse and limits, dialing and deadlines. It knows HTTP's
-// framing, and nothing of what the messages mean.
+// Package transport implements the listener for clients and the connections to
+// servers: reuse, limits, dialing and deadlines. It handles HTTP framing and is
+// independent of what the messages mean.
 package transport
 
 import (
@@ -19,14 +19,14 @@
 	"asterwell/internal/hostenv"
 )
 
-// Sockets counts the connections of all peers against a cap.
+// Sockets bounds the number of connections of all peers together.
 type ConnLimit struct {
 	max      int64
 	open     atomic.Int64
-	inFlight atomic.Int64 // exchanges under way, those that wait for a connection included
+	inFlight atomic.Int64 // exchanges in progress, including those that wait for a connection
 }
 
-// NewConnLimit returns a cap of most connections.
+// NewConnLimit returns a limit of most connections.
 func NewConnLimit(most int) *ConnLimit { return &ConnLimit{max: int64(most)} }
 
 func (s *ConnLimit) acquire() bool {
@@ -39,46 +39,46 @@
 
 func (s *ConnLimit) release() { s.open.Add(-1) }
 
-// scarce reports whether an idle connection should rather be closed than kept.
+// nearlyExhausted reports whether idle connections should be closed rather than kept.
 func (s *ConnLimit) nearlyExhausted() bool { return s.open.Load() > s.max*3/4 }
 
-// Used is the number of open connections.
+// Used returns the number of open connections.
 func (s *ConnLimit) Used() int { return int(s.open.Load()) }
 
-// Under is the number of exchanges under way.
+// InFlight returns the number of exchanges in progress.
 func (s *ConnLimit) InFlight() int { return int(s.inFlight.Load()) }
 
-// The bounds of an answer. Beyond them it is spoilt: it may have run, and what
-// else is on its connection can't be told apart from it.
+// Limits of a response. One that exceeds them is invalid: the request may have run,
+// and later responses on the connection can't be delimited.
 const (
-	MaxResponseBody     = 1 << 20                // its body
-	maxHeaderBytes      = 8 << 10                // its head, the interim ones each for themselves
-	maxInterimResponses = 32                     // 1xx answers before it
-	readStallTimeout    = 500 * time.Millisecond // without a byte, once it has begun
+	MaxResponseBody     = 1 << 20                // bytes of the body
+	maxHeaderBytes      = 8 << 10                // bytes of each header, final or interim
+	maxInterimResponses = 32                     // 1xx responses before the final one
+	readStallTimeout    = 500 * time.Millisecond // without a byte, once the response has begun
 )
 
-var errInvalidResponse = errors.New("spoilt answer")
+var errInvalidResponse = errors.New("invalid response")
 
-// Conn is a client's connection that carries one HTTP exchange at a time. It
-// never sends anything twice: what to do about a break is the caller's choice.
+// Conn is a client connection that carries one HTTP exchange at a time. It never
+// resends anything: the caller decides what to do when the connection is lost.
 type Conn struct {
 	host            hostenv.Host
 	nc              net.Conn
 	br              *bufio.Reader
-	headRequest     atomic.Bool // the exchange under way has no body in its answer
-	readDeadline    time.Time   // for the first byte of an answer; 0: no limit
-	responseStarted bool        // it has come, so that the rest should follow
+	headRequest     atomic.Bool // the current request is a HEAD: its response has no body
+	readDeadline    time.Time   // for the first byte of a response; zero: no limit
+	responseStarted bool        // the first byte has arrived
 
-	closeAnnounced bool // the head under way announces the connection's end
-	allowStreams   bool // long answers are read by whoever they are for
-	// A body without a length is no answer: one whose server is killed in its middle ends just so.
-	// Nor is a head that another begins in: a late answer was cut off, and the one behind it would
-	// lend its name to the other's status.
+	closeAnnounced bool // the current header has Connection: close
+	allowStreams   bool // long responses are streamed to their reader
+	// strict rejects a body without a length, since a server killed midway ends it the same way.
+	// It also rejects a header that contains another status line: a late response was cut off,
+	// and its status would be combined with the correlation ID of the response behind it.
 	strict       bool
-	stallTimeout time.Duration // without a byte, once it has begun; 0: as usual
+	stallTimeout time.Duration // without a byte, once begun; the longer of this and readStallTimeout applies
 }
 
-// Dial connects within the limit.
+// Dial connects to addr within the limit.
 func Dial(world hostenv.Host, addr string, limit time.Duration) (*Conn, error) {
 	nc, err := hostenv.OrReal(world).Dial(addr, limit)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return c
 }
 
-// reader bounds each read of a connection.
+// reader sets a deadline for each read of a connection.
 type reader struct{ *Conn }
 
 func (r reader) Read(p []byte) (int, error) {
@@ -108,7 +108,7 @@
 }
 
 // Write sends a whole request. An error means that its last byte was not
-// written, so that the server can't have begun it.
+// written, so the server can't have started to run it.
 func (c *Conn) Write(wire []byte, limit time.Duration) error {
 	if err := c.nc.SetWriteDeadline(c.host.Now().Add(limit)); err != nil {
 		return err
@@ -117,16 +117,16 @@
 	return err
 }
 
-// begin is Write for the beginning of a request.
+// writeRequest writes the first part of a request.
 func (c *Conn) writeRequest(wire []byte, limit time.Duration) error {
 	c.headRequest.Store(len(wire) > 5 && string(wire[:5]) == "HEAD ")
 	return c.Write(wire, limit)
 }
 
-// Read waits for an answer and skips what comes before the final one. An answer
-// that is cut short or has no clear end is an error: nobody could tell it from
-// a whole one. extra reports bytes behind it, after which the connection is of
-// no use, though the answer is good.
+// Read waits for a response and skips interim ones. A response that is truncated or
+// has no definite end is an error, since it can't be told from a complete one. extra
+// reports bytes behind the response: the response is valid, but the connection can't
+// be used again.
 func (c *Conn) Read(resp *fasthttp.Response) (extra bool, err error) {
 	defer func() { c.responseStarted = c.stallTimeout > 0 }()
 	resp.Header.DisableNormalizing()
@@ -138,7 +138,7 @@
 		if err := c.awaitHeader(); err != nil {
 			return false, err
 		}
-		if err := resp.Header.Read(c.br); err != nil { // it has come whole
+		if err := resp.Header.Read(c.br); err != nil { // the header is buffered completely
 			return false, fmt.Errorf("%w: %w", errInvalidResponse, err)
 		}
 		s := resp.StatusCode()
@@ -148,15 +148,15 @@
 		if s < 100 || interim >= maxInterimResponses {
 			return false, errInvalidResponse
 		}
-		c.responseStarted = c.br.Buffered() > 0 // the final one may take its time
+		c.responseStarted = c.br.Buffered() > 0 // no stall timeout while the final response is prepared
 	}
 	if s := resp.StatusCode(); c.headRequest.Load() || s == fasthttp.StatusNoContent || s == fasthttp.StatusNotModified {
 		resp.SkipBody = true
 		return c.br.Buffered() > 0, nil
 	}
 	length := resp.Header.ContentLength()
-	if length == -2 && (!c.allowStreams || !c.closeAnnounced || c.strict) { // one that breaks would look whole
-		return false, fmt.Errorf("%w: a body without a length", errInvalidResponse)
+	if length == -2 && (!c.allowStreams || !c.closeAnnounced || c.strict) { // a truncated one would look complete
+		return false, fmt.Errorf("%w: body without a length", errInvalidResponse)
 	}
 	if c.allowStreams && (length < 0 || length > MaxBuffered) {
 		if err = c.readLongBody(resp, length); err != nil {
@@ -174,7 +174,7 @@
 	return c.br.Buffered() > 0, nil
 }
 
-// spoilt tells what a connection brought from how it ended.
+// asInvalidResponse marks errors in the received data, as opposed to a lost connection.
 func asInvalidResponse(err error) error {
 	var broken net.Error
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &broken) {
@@ -183,8 +183,8 @@
 	return fmt.Errorf("%w: %w", errInvalidResponse, err)
 }
 
-// clear waits for the next head, and reports one that tells two lengths: the
-// library would follow one of them.
+// awaitHeader waits for a complete header, and rejects one with two body lengths:
+// the library would silently follow one of them.
 func (c *Conn) awaitHeader() error {
 	for n := 1; ; n = c.br.Buffered() + 1 {
 		if _, err := c.br.Peek(n); err != nil {
@@ -204,8 +204,8 @@
 	}
 }
 
-// TwoLengths reports whether a head has both Content-Length and
-// Transfer-Encoding: whoever reads by the other one finds another message.
+// HasConflictingLengths reports whether a header has both Content-Length and
+// Transfer-Encoding: recipients that follow different ones see different messages.
 func HasConflictingLengths(head []byte) bool {
 	var length, transfer bool
 	for line := range bytes.SplitSeq(head, []byte("\n")) {
@@ -217,7 +217,7 @@
 	return length && transfer
 }
 
-// twoHeads reports whether a status line stands within a head.
+// containsStatusLine reports whether there is a status line inside a header.
 func containsStatusLine(head []byte) bool {
 	const begins = "HTTP/1."
 	for rest := head[min(1, len(head)):]; ; {
@@ -231,7 +231,7 @@
 	}
 }
 
-// announces reports whether a head says that the connection ends behind the message.
+// announcesClose reports whether a header has Connection: close.
 func announcesClose(head []byte) bool {
 	for line := range bytes.SplitSeq(head, []byte("\n")) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -243,10 +243,10 @@
 	return false
 }
 
-// Quiet reports whether nothing has come since the last answer, not even the
-// connection's end. What has is no answer to a request that is yet to be sent.
+// Quiet reports whether nothing has been received since the last response, not even
+// the end of the connection. Data received before a request can't be its response.
 func (c *Conn) Quiet() bool {
-	if q, ok := c.nc.(interface{ Quiet() bool }); ok { // no descriptor to look at
+	if q, ok := c.nc.(interface{ Quiet() bool }); ok { // simulated connections have no file descriptor
 		return q.Quiet()
 	}
 	sc, ok := c.nc.(syscall.Conn)
@@ -266,8 +266,8 @@
 	return err == nil && quiet
 }
 
-// SetReadDeadline bounds the wait for the next answer.
+// SetReadDeadline bounds the wait for the next response.
 func (c *Conn) SetReadDeadline(t time.Time) { c.readDeadline = t }
 
-// Close ends the connection, and with it an exchange under way.
+// Close closes the connection and aborts the current exchange.
 func (c *Conn) Close() error { return c.nc.Close() }
--- a/internal/transport/identity.go
+++ b/internal/transport/identity.go
@@ -9,26 +9,26 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Named is a note of an exchange that has a name on the wire, which its answer repeats. An
-// answer with another name, or with none, is somebody else's: it came late, or twice. It
-// proves nothing of the request that it meets, not even where it says that it has not run,
-// and what follows it on its connection can't be told apart either.
+// Identified is a note of an exchange whose request has a correlation ID that its response
+// repeats. A response with another ID, or with none, belongs to another request: it is late
+// or duplicated. It proves nothing about the pending request, not even if it says that it has
+// not run, and later responses on the connection can't be attributed either.
 type Identified interface {
 	Matches(answer *fasthttp.Response) bool
 	UsedConns() *ConnHistory
 }
 
-// ConnHistory are the connections that exchanges of one name have gone by. A name tells requests
-// apart, but not the attempts of one: a second copy of the first one's answer would be taken
-// for the next one's. So a name goes by a connection once.
+// ConnHistory holds the connections that attempts with one ID have used. The ID distinguishes
+// requests, but not attempts of the same request: a duplicate of the first attempt's response
+// would be taken for the next one's. So each ID uses a connection at most once.
 type ConnHistory struct {
 	mu      sync.Mutex
-	numbers []uint64 // by their numbers; as many as attempts
+	numbers []uint64 // connection numbers, at most one for each attempt
 }
 
 var lastConnNumber atomic.Uint64
 
-var errForeignResponse = fmt.Errorf("%w: the answer to another request", errInvalidResponse)
+var errForeignResponse = fmt.Errorf("%w: response to another request", errInvalidResponse)
 
 func matches(note any, answer *fasthttp.Response) bool {
 	n, ok := note.(Identified)
--- a/internal/transport/identity_test.go
+++ b/internal/transport/identity_test.go
@@ -12,7 +12,7 @@
 	"asterwell/internal/hostenv"
 )
 
-// named is a note whose answers say whose they are in one header.
+// identifiedNote is a note whose responses repeat its ID in a header.
 type identifiedNote struct {
 	name  string
 	trips ConnHistory
@@ -35,9 +35,9 @@
 	return &peerConn[int]{conn: newConn(nil, here), open: true, idleSince: time.Now().Add(-time.Second), number: number}
 }
 
-// An answer that bears another request's name, or none, is nobody's: it proves nothing, and ends
-// its connection. With its own name it is the answer, and the connection goes on.
-func TestForeignAnswer(t *testing.T) {
+// A response with another request's ID, or without one, is invalid and closes its connection.
+// With the matching ID it is accepted, and the connection stays open.
+func TestForeignResponse(t *testing.T) {
 	for name, want := range map[string]Outcome{"mine": Answered, "yours": Invalid, "": Invalid} {
 		for _, bug := range []Bug{0, BugAcceptForeign} {
 			p, got := newTestPeer(bug)
@@ -59,7 +59,7 @@
 	}
 }
 
-// A stream that is somebody else's is given up with its connection.
+// A streamed response to another request is discarded with its connection.
 func TestForeignStream(t *testing.T) {
 	p, got := newTestPeer(0)
 	l := openLink(1)
@@ -72,9 +72,9 @@
 	}
 }
 
-// A name goes by a connection once: the next attempt of the request takes another, and the
-// connection stays for others.
-func TestNameGoesOnce(t *testing.T) {
+// Attempts with one ID use a connection at most once: the next attempt takes another, and the
+// connection stays available to other requests.
+func TestIDUsesConnectionOnce(t *testing.T) {
 	for bug, want := range map[Bug]int{0: 0, BugReuseConn: 1} {
 		p, _ := newTestPeer(bug)
 		was, other := openLink(7), openLink(8)
@@ -87,13 +87,13 @@
 		}
 		p.send(&exchange[int]{key: 2, wire: []byte("GET / HTTP/1.1\r\n\r\n"), note: &identifiedNote{name: "b"}})
 		if len(p.idle) != 0 || p.busy[2] == nil {
-			t.Errorf("bug %d: another's request does not take what is left", bug)
+			t.Errorf("bug %d: another request does not use the remaining connection", bug)
 		}
 	}
 }
 
-// Where answers must be beyond doubt, a body that ends with its connection is never whole,
-// whatever its head says, and a head that another one begins in is nobody's.
+// In strict mode a body delimited by the end of the connection is rejected even with
+// Connection: close, and so is a header that contains another status line.
 func TestStrict(t *testing.T) {
 	for text, body := range map[string]string{
 		"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nsome":                                                   "some",
@@ -118,7 +118,7 @@
 	}
 }
 
-// said is a connection whose server says that much, and ends it.
+// connReading returns a connection whose server sends text and closes it.
 func connReading(text string) *Conn {
 	here, there := net.Pipe()
 	go func() {
--- a/internal/transport/idle_timeout.go
+++ b/internal/transport/idle_timeout.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Keep learns how long idle connections are worth keeping. Servers, or what is
-// between, may drop them far sooner than they say, without a word, and a request
-// written to one of those is lost: nobody could tell whether it ran. All peers
-// share what one has met.
+// IdleTimeout adapts how long idle connections are reused. Servers or middleboxes
+// may drop them silently and far sooner than announced. A request written to such
+// a connection is lost, and it is unknown whether it ran. All peers share one
+// IdleTimeout and what it has observed.
 type IdleTimeout struct {
 	mu        sync.Mutex
 	max       time.Duration
-	lossRate  [24]float64 // of late, by idle time: the share that broke under the next request
+	lossRate  [24]float64 // recent share of connections lost on the next request, by idle time
 	limit     time.Duration
-	loweredAt time.Time // of limit
+	loweredAt time.Time // when limit was lowered
 }
 
 const (
 	minIdleTimeout = 32 * time.Millisecond
-	maxLossRate    = 0.1              // of requests lost; a new connection costs little more than a round trip
-	lossWindow     = 16               // requests, for what is of late
-	resetInterval  = 30 * time.Second // then longer times are tried again
+	maxLossRate    = 0.1              // share of requests lost; a new connection costs little more than a round trip
+	lossWindow     = 16               // requests in the moving average
+	resetInterval  = 30 * time.Second // after which longer idle times are tried again
 	immediateLoss  = 20 * time.Millisecond
 )
 
-// NewIdleTimeout returns a Keep that trusts idle connections for most, until it knows better.
+// NewIdleTimeout returns an IdleTimeout that starts at most.
 func NewIdleTimeout(most time.Duration) *IdleTimeout { return &IdleTimeout{max: most, limit: most} }
 
-// Limit is how long an idle connection may be used again.
+// Limit returns how long an idle connection may be used again.
 func (k *IdleTimeout) Limit(now time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -40,8 +40,8 @@
 	return k.limit
 }
 
-// used tells whether a connection that had been idle broke right under the next
-// request. Idle times are taken together up to each power of two milliseconds.
+// observe records whether a connection that had been idle was lost on the next
+// request. Idle times are grouped into buckets by powers of two milliseconds.
 func (k *IdleTimeout) observe(idle time.Duration, broke bool, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -15,26 +15,25 @@
 	"asterwell/internal/hostenv"
 )
 
-// Listener accepts clients' connections, at most so many at once. At the cap it
-// closes one that no answer is owed on (expendable tells which first), and with
-// none it waits before it reads the next: a connection must not be ended with a
-// request that has no answer.
+// Listener accepts client connections up to a limit. At the limit it closes one that
+// has no request in progress (see expendable for the order). If there is none, it waits
+// before it serves the next: a connection with an unanswered request must not be closed.
 type Listener struct {
 	net.Listener
 	host          hostenv.Host
 	maxConns      int
-	roomAvailable hostenv.Notifier // rung when there may be some
+	roomAvailable hostenv.Notifier // notified when a connection may be closed or was removed
 	mu            sync.Mutex
 	conns         map[*ClientConn]struct{}
 	accepted      uint64
-	draining      bool // idle connections are closed
+	draining      bool // connections are closed as they become idle
 
 	paused  atomic.Bool
-	resumed hostenv.Notifier // rung when it is no more
+	resumed hostenv.Notifier // notified when paused is cleared
 }
 
-// Listen listens at addr for at most so many connections, in a world (nil: the
-// real one).
+// Listen listens on addr for at most most connections, on a host (nil:
+// hostenv.Real).
 func Listen(world hostenv.Host, addr string, most int) (*Listener, error) {
 	world = hostenv.OrReal(world)
 	ln, err := world.Listen(addr)
@@ -49,8 +48,8 @@
 		conns: map[*ClientConn]struct{}{}}
 }
 
-// Inherit listens on a socket that whoever started the process holds under a
-// descriptor. Closing the listener leaves the socket, and who waits there, to others.
+// Inherit listens on a socket passed by the parent process as a file descriptor.
+// Closing the listener leaves the socket and its accept queue to other processes.
 func Inherit(fd int, most int) (*Listener, error) {
 	file := os.NewFile(uintptr(fd), "inherited")
 	if file == nil {
@@ -60,10 +59,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return newListener(hostenv.Real, ln, most), file.Close() // the listener has a copy
+	return newListener(hostenv.Real, ln, most), file.Close() // the listener has a duplicate
 }
 
-// Serve serves each connection on a goroutine of its own, until the listener is closed.
+// Serve serves each connection on its own goroutine until the listener is closed.
 func (l *Listener) Serve(s *fasthttp.Server) error {
 	for {
 		c, err := l.Accept()
@@ -76,7 +75,7 @@
 
 const acceptRetryInterval = 20 * time.Millisecond
 
-// Accept waits for a connection, and then for room for it.
+// Accept waits for a connection, and then until the limit allows it.
 func (l *Listener) Accept() (net.Conn, error) {
 	nc, err := l.accept()
 	for err != nil && !errors.Is(err, net.ErrClosed) {
@@ -84,8 +83,8 @@
 			nc, err = l.accept()
 			continue
 		}
-		// Descriptors may be short for a moment. The server would end on an
-		// error, and with it the gateway.
+		// File descriptors may be exhausted temporarily. Returning an error would
+		// end the server, and with it the gateway.
 		log.Printf("event=accept error=%q", err)
 		l.host.Sleep(acceptRetryInterval)
 		nc, err = l.accept()
@@ -96,7 +95,7 @@
 	c := &ClientConn{Conn: nc, listener: l, readable: l.host.NewNotifier(), bufferFree: l.host.NewNotifier(), since: l.host.Now()}
 	l.mu.Lock()
 	for len(l.conns) >= l.maxConns {
-		if !l.makeRoom() { // what is half sent now may be overdue in a moment
+		if !l.makeRoom() { // an incomplete request may exceed pressureGrace shortly
 			l.mu.Unlock()
 			l.roomAvailable.Wait(acceptRetryInterval)
 			l.mu.Lock()
@@ -118,8 +117,8 @@
 	return l.Listener.Accept()
 }
 
-// Pause leaves what waits in the socket's queue to others who have the socket, or takes
-// it again. Only sockets of the machine can pause.
+// Pause stops accepting, so that other processes sharing the socket take the queued
+// connections, or resumes. Only operating system sockets support it.
 func (l *Listener) Pause(on bool) {
 	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok && l.paused.Swap(on) != on {
 		until := time.Time{}
@@ -131,12 +130,12 @@
 	}
 }
 
-// hasten is how long a client that holds a connection without a whole request,
-// or after its last answer, is left alone while others want one.
+// pressureGrace is how long a client may hold a connection without a complete request,
+// or after its last response, while others wait for one.
 const pressureGrace = 200 * time.Millisecond
 
-// makeRoom closes the connection that is missed least, and among such the one
-// that has been so the longest.
+// makeRoom closes the most expendable connection, and among equals the one that has
+// been in its state the longest.
 func (l *Listener) makeRoom() bool {
 	var victim *ClientConn
 	rank, now := rankProtected, l.host.Now()
@@ -148,42 +147,42 @@
 	if victim == nil {
 		return false
 	}
-	victim.busy = false // at once, with nothing to linger for
+	victim.busy = false // close immediately, without lingering
 	victim.drop()
 	victim.remove()
 	return true
 }
 
-// ease closes the connection idle the longest once half of the cap is taken by
-// clients that have asked for something. Those that ask once and stay would
-// leave no descriptors, at either end, to those that have something to ask.
+// closeIdleUnderPressure closes the connection idle the longest once more than half of
+// the limit is used by clients that have sent a request. Clients that send one request and
+// stay connected would leave no descriptors, at either end, for those with new requests.
 func (l *Listener) closeIdleUnderPressure() {
-	var oldest *ClientConn
-	asked, now := 0, l.host.Now()
+	var longestIdle *ClientConn
+	active, now := 0, l.host.Now()
 	for c := range l.conns {
 		if c.served || c.busy {
-			asked++
+			active++
 		}
-		if c.expendable(now) == rankIdle && (oldest == nil || c.idleLonger(oldest)) {
-			oldest = c
+		if c.expendable(now) == rankIdle && (longestIdle == nil || c.idleLonger(longestIdle)) {
+			longestIdle = c
 		}
 	}
-	if asked > l.maxConns/2 && oldest != nil {
-		oldest.drop()
+	if active > l.maxConns/2 && longestIdle != nil {
+		longestIdle.drop()
 	}
 }
 
-// What connections are missed least, in this order.
+// Ranks of connections, the most expendable first.
 const (
-	rankAnswered   int = iota // its last answer has had its time
-	rankSilent                // it has never asked for anything
-	rankIncomplete            // its request does not get finished
-	rankIdle                  // it has been served, and may ask again
-	rankNew                   // it has just come
+	rankAnswered   int = iota // its last response has been sent and the grace period is over
+	rankSilent                // it has never sent anything
+	rankIncomplete            // its request stays incomplete
+	rankIdle                  // it has been served and may send another request
+	rankNew                   // it has just connected
 	rankProtected
 )
 
-// expendable ranks a connection, under the list's lock.
+// expendable ranks a connection. The caller holds the listener's lock.
 func (c *ClientConn) expendable(now time.Time) int {
 	waits := now.Sub(c.since)
 	switch {
@@ -204,8 +203,8 @@
 	return rankProtected
 }
 
-// Drain closes the connections that are idle, and each other once it is, and
-// returns how many are open.
+// Drain closes idle connections, and the others as they become idle. It returns the
+// number still open.
 func (l *Listener) Drain() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -218,7 +217,7 @@
 	return len(l.conns)
 }
 
-// Resume ends what Drain began.
+// Resume cancels Drain.
 func (l *Listener) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -231,37 +230,37 @@
 	return !c.busy
 }
 
-// Open is the number of connections.
+// Open returns the number of connections.
 func (l *Listener) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// ClientConn is a client's connection. A pump reads it at all times, so that a
-// client that closes it is noticed while its request is open.
+// ClientConn is a client's connection. A reader goroutine, the pump, always reads from
+// it, so that a disconnect is noticed while a request is in progress.
 type ClientConn struct {
 	net.Conn
 	listener    *Listener
-	number      uint64           // in order of coming
-	readable    hostenv.Notifier // where the goroutine that serves it waits
-	bufferFree  hostenv.Notifier // where the pump waits for its buffer
+	number      uint64           // in order of acceptance
+	readable    hostenv.Notifier // notifies the serving goroutine
+	bufferFree  hostenv.Notifier // notifies the pump that its buffer can be reused
 	unread      []byte
 	deadline    time.Time
-	bodyPaced   bool        // a body is being read: time counts from the last byte
-	stopReading func() bool // reading ends once it is true; nil: never
+	bodyPaced   bool        // a body is being read: the timeout counts from the last byte
+	stopReading func() bool // reading ends once it returns true; nil: never
 
-	// Under list.mu. While busy, a request has begun to come and its answer has
-	// not gone out; while serving, it has come whole. unread says that the pump
-	// holds bytes nobody has asked for. since is when it came to this.
+	// Guarded by listener.mu. While busy, a request has begun to arrive and its response
+	// has not been sent; while serving, it has arrived completely. pending means that the
+	// pump holds bytes not yet read. since is when the current state began.
 	busy, pending, serving, served, closed bool
 	since                                  time.Time
-	data                                   []byte // what the pump has read, and nobody has taken
-	bufferInUse                            bool   // the pump's buffer is in use
-	err                                    error  // set: the connection has ended
+	data                                   []byte // read by the pump, not yet taken by Read
+	bufferInUse                            bool   // Read still uses the pump's buffer
+	err                                    error  // non-nil once the connection has ended
 }
 
-// older tells which of two has been so longer; of one moment, the one that came first.
+// idleLonger orders connections by the time in their state, then by acceptance.
 func (c *ClientConn) idleLonger(o *ClientConn) bool {
 	return c.since.Before(o.since) || c.since.Equal(o.since) && c.number < o.number
 }
@@ -286,7 +285,7 @@
 		if err != nil {
 			c.listener.mu.Lock()
 			c.fail(err)
-			if c.closed { // or the server closes it, once it has noticed
+			if c.closed { // otherwise the server closes it once it notices the error
 				c.remove()
 			}
 			c.listener.mu.Unlock()
@@ -295,7 +294,7 @@
 	}
 }
 
-// taken waits until the pump's buffer is free again, or reports that the
+// awaitBuffer waits until the pump's buffer is free again. It returns false if the
 // connection has ended.
 func (c *ClientConn) awaitBuffer() bool {
 	for {
@@ -309,17 +308,15 @@
 	}
 }
 
-// How long a client may go on sending after its last answer, and how much of it
-// is read: the rest would cost time and serve nobody.
+// Limits on what is read and discarded from a client after its last response.
 const (
 	lingerTimeout  = time.Second
 	lingerMaxBytes = 2 << 20
 )
 
-// linger reads what still comes on a connection that has been answered for the
-// last time, and drops it. Closing at once would reset the connection, and the
-// client might lose the answer that is under way to it: that its request is too
-// large, for one, while it is still sending.
+// linger reads and discards what still arrives after the last response. Closing
+// immediately would reset the connection, and a client that is still sending could lose
+// the response in transit, such as one that says that its request is too large.
 func (c *ClientConn) linger(buf []byte) {
 	for most := lingerMaxBytes; ; {
 		n, err := c.Conn.Read(buf)
@@ -332,7 +329,7 @@
 	}
 }
 
-// fail marks the connection as ended, under the list's lock.
+// fail marks the connection as ended. The caller holds the listener's lock.
 func (c *ClientConn) fail(err error) {
 	if c.err == nil {
 		c.err = err
@@ -341,17 +338,17 @@
 	}
 }
 
-// World is the one that the connection is in.
+// World returns the host of the connection.
 func (c *ClientConn) World() hostenv.Host { return c.listener.host }
 
-// Notifier is where the goroutine that serves the connection waits.
+// Notifier returns the notifier of the goroutine that serves the connection.
 func (c *ClientConn) Notifier() hostenv.Notifier { return c.readable }
 
-// Await waits until done, which is asked whenever the bell rings, and reports false
-// if the connection ends before.
+// Await waits until done returns true, and returns false if the connection ends first.
+// It calls done after each notification.
 func (c *ClientConn) Await(done func() bool) bool { return c.AwaitFor(-1, done) }
 
-// AwaitFor is Await for no longer than limit, if that is not below 0.
+// AwaitFor is Await with a timeout; a negative limit means none.
 func (c *ClientConn) AwaitFor(limit time.Duration, done func() bool) bool {
 	end := c.listener.host.Now().Add(limit)
 	for !done() {
@@ -370,7 +367,7 @@
 	return true
 }
 
-// Read takes what the pump has read. Only one goroutine reads.
+// Read returns what the pump has read. Only one goroutine may call it.
 func (c *ClientConn) Read(p []byte) (int, error) {
 	for len(c.unread) == 0 {
 		c.listener.mu.Lock()
@@ -392,7 +389,7 @@
 		wait := time.Duration(-1)
 		if !c.deadline.IsZero() {
 			if wait = c.deadline.Sub(c.listener.host.Now()); wait <= 0 {
-				if c.listener.idle(c) { // no request has begun: there is nobody to tell
+				if c.listener.idle(c) { // no request has begun, so no timeout response is due
 					return 0, io.EOF
 				}
 				return 0, os.ErrDeadlineExceeded
@@ -404,7 +401,7 @@
 		c.deadline = c.listener.host.Now().Add(requestTimeout)
 	}
 	n := copy(p, c.unread)
-	if c.unread = c.unread[n:]; len(c.unread) == 0 { // what it reads next may be the client's end
+	if c.unread = c.unread[n:]; len(c.unread) == 0 { // the pump reads on, to notice a disconnect
 		c.listener.mu.Lock()
 		c.bufferInUse = false
 		c.listener.mu.Unlock()
@@ -413,8 +410,8 @@
 	return n, nil
 }
 
-// at is a deadline of the library's, which goes by the machine's clock, in the
-// connection's world. They are whole seconds.
+// toHostTime converts a deadline of the HTTP library, which uses the system clock, to
+// the host's clock. The library's timeouts are whole seconds.
 func (c *ClientConn) toHostTime(t time.Time) time.Time {
 	if t.IsZero() {
 		return t
@@ -422,14 +419,14 @@
 	return c.listener.host.Now().Add(time.Until(t).Round(time.Second))
 }
 
-// Pace bounds the time between two pieces of a body from now on, in place of the time
-// of the whole request; reading ends once enough is true, which is asked as the bell rings.
+// Pace replaces the timeout of the whole request by one between two reads of its body.
+// Read ends with ErrStopped once enough returns true; it is called after each notification.
 func (c *ClientConn) Pace(enough func() bool) {
 	c.bodyPaced, c.stopReading = true, enough
 	c.deadline = c.listener.host.Now().Add(requestTimeout)
 }
 
-// Write takes piece by piece what the client has time for: a slow one may take long for all.
+// Write writes in pieces, each with its own timeout: a slow client may take long for the whole.
 func (c *ClientConn) Write(p []byte) (n int, err error) {
 	for first := true; first || len(p) > 0; first = false {
 		now := p[:min(len(p), pieceSize)]
@@ -445,7 +442,7 @@
 	return n, nil
 }
 
-// ReadFrom passes on each piece as soon as it has come.
+// ReadFrom writes each piece as soon as it has been read.
 func (c *ClientConn) ReadFrom(r io.Reader) (n int64, err error) {
 	buf := pieceBuffers.Get().(*[pieceSize]byte)
 	defer pieceBuffers.Put(buf)
@@ -468,40 +465,39 @@
 
 var pieceBuffers = sync.Pool{New: func() any { return new([pieceSize]byte) }}
 
-// SetReadDeadline bounds Read; the pump reads on.
+// SetReadDeadline bounds Read; the pump is not affected.
 func (c *ClientConn) SetReadDeadline(t time.Time) error {
 	c.deadline, c.bodyPaced, c.stopReading = c.toHostTime(t), false, nil
 	return nil
 }
 
-// SetWriteDeadline does nothing: each piece that is written has a time of its own.
+// SetWriteDeadline does nothing: Write sets a deadline for each piece.
 func (c *ClientConn) SetWriteDeadline(time.Time) error { return nil }
 
 // SetDeadline is SetReadDeadline.
 func (c *ClientConn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// Idle tells that the answer has gone out. While the listener drains, that
-// ends the connection.
+// Idle marks the response as sent. It closes the connection if the listener is draining.
 func (c *ClientConn) Idle() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.serving, c.served = false, true
 	if c.busy, c.since = c.pending, c.listener.host.Now(); !c.busy {
-		if c.listener.roomAvailable.Notify(); c.listener.draining { // it may go to make room
+		if c.listener.roomAvailable.Notify(); c.listener.draining { // it may be closed to make room
 			c.drop()
 		}
 	}
 }
 
-// serve tells that a whole request has come.
+// serve marks the request as received completely.
 func (c *ClientConn) serve() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.serving, c.since = true, c.listener.host.Now()
 }
 
-// drop closes the connection under the list's lock. It counts as open for as
-// long as it lingers.
+// drop closes the connection; while it lingers it counts as open. The caller holds the
+// listener's lock.
 func (c *ClientConn) drop() {
 	if c.closed {
 		return
@@ -511,20 +507,21 @@
 	c.fail(net.ErrClosed)
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && c.busy && !ended {
 		half.CloseWrite()
-		c.Conn.SetReadDeadline(c.listener.host.Now().Add(lingerTimeout)) // then the pump closes it
+		c.Conn.SetReadDeadline(c.listener.host.Now().Add(lingerTimeout)) // the pump closes it after that
 		return
 	}
 	c.remove()
 }
 
-// remove gives the connection's descriptor back, under the list's lock.
+// remove closes the socket and forgets the connection. The caller holds the listener's
+// lock.
 func (c *ClientConn) remove() {
 	delete(c.listener.conns, c)
 	c.listener.roomAvailable.Notify()
 	c.Conn.Close()
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *ClientConn) Close() error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -532,17 +529,17 @@
 	return nil
 }
 
-// The time that clients have. A request has to come whole within the first,
-// counted from its first byte, or from connecting if it is the first. A
-// connection without a request is closed after the second.
+// Client timeouts. A request must arrive completely within requestTimeout, counted from
+// its first byte, or from the connect for the first request. A connection without a
+// request is closed after idleTimeout.
 const (
-	requestTimeout = 3 * time.Second // from then on, between two pieces of a body
+	requestTimeout = 3 * time.Second // for a streamed body, between two reads
 	idleTimeout    = 2 * time.Second
-	writeTimeout   = 5 * time.Second // to take an answer
+	writeTimeout   = 5 * time.Second // for each piece of a response
 )
 
-// NewServer returns a listener's HTTP server. It passes on what clients send as
-// they wrote it, and takes bodies up to maxBody.
+// NewServer returns an HTTP server for a listener. It keeps header names and request
+// data unchanged, and accepts bodies up to maxBody bytes.
 func NewServer(handler fasthttp.RequestHandler, maxBody int) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:                       rejectAmbiguous(handler),
@@ -562,8 +559,8 @@
 	}
 }
 
-// guard turns away what another reader of the same bytes could take for
-// something else, and marks the connection as one that an answer is owed on.
+// rejectAmbiguous rejects requests that another recipient could parse differently, and
+// marks the connection as serving.
 func rejectAmbiguous(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if c, ok := ctx.Conn().(*ClientConn); ok {
@@ -584,7 +581,7 @@
 	}
 }
 
-// malformed answers what is no request. The connection ends after it.
+// malformed answers an invalid request. The connection is closed after that.
 func malformed(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
 	if _, ok := err.(*fasthttp.ErrSmallBuffer); ok {
@@ -597,7 +594,7 @@
 	ctx.Error(fasthttp.StatusMessage(status)+"\n", status)
 }
 
-// quiet drops the library's own log: clients that break off are no news.
+// discardLogger drops the library's log, which reports each client that disconnects.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -27,9 +27,9 @@
 	return ln, &scenario.Stage{Dial: map[string]string{"client": ln.Addr().String()}}
 }
 
-// A client that still sends when it is answered for the last time must get that
-// answer: closing at once would reset the connection under it.
-func TestAnswerBeforeTheRequestHasCome(t *testing.T) {
+// A client that is still sending must receive the final response: closing the
+// connection immediately would reset it and discard the response.
+func TestResponseBeforeRequestComplete(t *testing.T) {
 	ln, _ := serve(t, 10, func(ctx *fasthttp.RequestCtx) {})
 	for range 50 {
 		c, err := net.Dial("tcp", ln.Addr().String())
@@ -64,9 +64,9 @@
 	}
 }
 
-// At the cap, connections idle the longest make room; one with a request under
-// way never does, and a client beyond the cap waits.
-func TestCap(t *testing.T) {
+// At the limit, the connection idle the longest is closed; one with a request in
+// progress never is, and a client beyond the limit waits.
+func TestConnectionLimit(t *testing.T) {
 	held, entered := make(chan struct{}), make(chan struct{}, 10)
 	_, stage := serve(t, 2, func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) == "/held" {
@@ -95,7 +95,7 @@
 		client5 expect "fine"`)
 }
 
-// settle waits until the listener has counted all answers as gone out.
+// settle waits until the listener has marked all responses as sent.
 func settle(t *testing.T, l *Listener) {
 	t.Helper()
 	for end := time.Now().Add(scenario.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -108,13 +108,13 @@
 			return
 		}
 	}
-	t.Fatal("answers are still under way")
+	t.Fatal("responses are still in progress")
 }
 
-// Clients that ask once and stay leave room to others long before the cap.
-func TestClientsThatStay(t *testing.T) {
+// Idle connections of clients that stay after one request are closed well before the limit.
+func TestIdleClientsMakeRoom(t *testing.T) {
 	ln, stage := serve(t, 4, func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("fine") })
-	stage.Close = map[string]func(){"answers": func() { settle(t, ln) }} // a client may read its answer before the server counts it
+	stage.Close = map[string]func(){"answers": func() { settle(t, ln) }} // a client may read its response before the server marks it as sent
 	stage.Play(t, `
 		client1 send "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 		client1 expect "fine"
@@ -131,8 +131,8 @@
 		client2 expect nothing`)
 }
 
-// A failing accept must not end the server.
-func TestAcceptFailsForAMoment(t *testing.T) {
+// A temporary accept error must not end the server.
+func TestTemporaryAcceptError(t *testing.T) {
 	ln, err := Listen(nil, "127.0.0.1:0", 2)
 	if err != nil {
 		t.Fatal(err)
@@ -148,7 +148,7 @@
 		client1 expect "fine"`)
 }
 
-// short is a listener whose first accepts find no descriptor.
+// flakyListener fails the first accepts for lack of file descriptors.
 type flakyListener struct {
 	net.Listener
 	fails int
@@ -161,7 +161,7 @@
 	return s.Listener.Accept()
 }
 
-// A client that sends two requests at once gets both answers.
+// Pipelined requests are all answered, in order.
 func TestPipelined(t *testing.T) {
 	_, stage := serve(t, 2, func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("at " + string(ctx.Path())) })
 	stage.Play(t, `
@@ -172,9 +172,9 @@
 		client1 expect "at /c"`)
 }
 
-// Hundreds of clients that say nothing, or never finish what they began, must
-// not keep others out, and none of them keeps its connection.
-func TestClientsThatOnlyHoldConnections(t *testing.T) {
+// Hundreds of clients that send nothing, or never complete a request, must not keep
+// others out, and all of their connections are closed.
+func TestStalledClients(t *testing.T) {
 	for name, sends := range map[string]string{"silent": "", "half a head": "GET / HTTP/1.1\r\nHost:",
 		"half a body": "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf"} {
 		t.Run(name, func(t *testing.T) {
@@ -201,13 +201,13 @@
 			}
 		})
 	}
-	// What they get in the worst case.
+	// The longest that such clients can hold a connection.
 	if s := NewServer(nil, 0); s.ReadTimeout > 3500*time.Millisecond || s.IdleTimeout > 5*time.Second {
 		t.Errorf("%v for a request, %v without one", s.ReadTimeout, s.IdleTimeout)
 	}
 }
 
-// Which connection goes first, where there are too many.
+// The order in which connections are closed at the limit.
 func TestExpendable(t *testing.T) {
 	now := time.Now()
 	long, short := now.Add(-time.Minute), now.Add(-time.Millisecond)
@@ -231,9 +231,9 @@
 	}
 }
 
-// A head with two lengths hides another request from whoever reads by the other
-// one. Neither is served.
-func TestTwoLengths(t *testing.T) {
+// A header with two body lengths can smuggle a second request past recipients that
+// follow the other one. Neither request is served.
+func TestConflictingLengths(t *testing.T) {
 	served := make(chan string, 10)
 	_, stage := serve(t, 2, func(ctx *fasthttp.RequestCtx) { served <- string(ctx.Path()) })
 	stage.Play(t, `
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -15,78 +15,77 @@
 	"asterwell/internal/mailbox"
 )
 
-// End tells how an exchange ended.
+// Outcome is how an exchange ended.
 type Outcome int
 
-// The ends of an exchange.
+// The outcomes of an exchange.
 const (
 	Answered       Outcome = iota
-	NotSent                // the last byte was never written: it can't have run
-	ConnectionLost         // the connection ended after that: it may have run
-	Invalid                // what came is no answer: it may have run
+	NotSent                // the last byte was not written: the request can't have run
+	ConnectionLost         // the connection ended later: the request may have run
+	Invalid                // the received data is not a valid response: the request may have run
 )
 
-// Result is the end of the exchange that Key names. The answer belongs to
-// whoever takes it.
+// Result is the outcome of the exchange identified by Key. The receiver owns Answer.
 type Result[K comparable] struct {
 	Key     K
-	Note    any // as given with Send
+	Note    any // as passed to Send
 	Outcome Outcome
 	Answer  *fasthttp.Response
 }
 
-// PeerOptions are the limits of the connections to one server.
+// PeerOptions configures the connections to one server.
 type PeerOptions struct {
-	Host           hostenv.Host  // nil: the real one
-	ConnectTimeout time.Duration // until a connection is given up
-	IdleTimeout    *IdleTimeout  // an unused connection is closed after this, well before the server does
+	Host           hostenv.Host  // nil: hostenv.Real
+	ConnectTimeout time.Duration // for establishing a connection
+	IdleTimeout    *IdleTimeout  // idle connections are closed after this, well before the server closes them
 	ConnLimit      *ConnLimit
-	OnSent         func(note any) // hears of each exchange whose last byte has been written; nil: nobody does
-	Strict         bool           // an answer whose end or beginning is in doubt is spoilt: see Conn.strict
+	OnSent         func(note any) // called for each exchange whose last byte has been written; may be nil
+	Strict         bool           // reject responses whose start or end is ambiguous: see Conn.strict
 	Bug            Bug
 }
 
-// Bug switches a guard off, to show that the judges miss it.
+// Bug disables a check, to verify that the tests detect its absence.
 type Bug uint8
 
-// The guards.
+// The checks that can be disabled.
 const (
-	BugAcceptForeign Bug = iota + 1 // whatever comes is taken for the answer
-	BugReuseConn                    // a name may go by one connection twice
-	BugLostIsNotSent                // a break of a used connection counts as not sent
-	BugNotStrict                    // where an answer begins and ends is not doubted
+	BugAcceptForeign Bug = iota + 1 // responses are accepted whatever their correlation ID
+	BugReuseConn                    // attempts with one correlation ID may use a connection twice
+	BugLostIsNotSent                // losing a reused connection counts as not sent
+	BugNotStrict                    // Strict has no effect
 )
 
-// Peer is the actor that owns all connections to one server. Each carries one
-// exchange at a time; an idle one is reused newest first, so that the others
-// age and close.
+// Peer is the actor that owns all connections to one server. Each connection carries
+// one exchange at a time. The most recently idle one is reused first, so that the others
+// reach the idle timeout and close.
 type Peer[K comparable] struct {
 	addr     string
 	opt      PeerOptions
 	inbox    *mailbox.Box[any]
 	onResult func(Result[K])
 
-	idle       []*peerConn[K] // the newest last
+	idle       []*peerConn[K] // the most recent last
 	busy       map[K]*peerConn[K]
-	waiting    []*exchange[K] // for a connection, the oldest first
+	waiting    []*exchange[K] // exchanges that wait for a connection, oldest first
 	dialing    int
-	streams    int // answers that are being read
-	uploads    int // bodies that are being written
+	streams    int // responses being streamed
+	uploads    int // request bodies being written
 	stopped    bool
 	terminated atomic.Bool
 }
 
 type peerConn[K comparable] struct {
 	conn       *Conn
-	exchange   *exchange[K]  // the exchange under way
-	idleSince  time.Time     // idle since then
-	idleBefore time.Duration // before the exchange under way
+	exchange   *exchange[K]  // the current exchange
+	idleSince  time.Time     // zero for a new connection
+	idleBefore time.Duration // idle time before the current exchange
 	sentAt     time.Time
 	open       bool
 
-	upload     Upload // under way
-	incomplete bool   // its last request did not go out whole
-	number     uint64 // in this process, that no other connection has had
+	upload     Upload // in progress; nil: none
+	incomplete bool   // its last request was not written completely
+	number     uint64 // unique within the process
 }
 
 type exchange[K comparable] struct {
@@ -94,7 +93,7 @@
 	wire []byte
 	note any
 
-	sent atomic.Bool // its last byte has been written, or may have been
+	sent atomic.Bool // the last byte has been written, or may have been
 }
 
 type (
@@ -106,21 +105,21 @@
 	responseRead[K comparable] struct {
 		conn  *peerConn[K]
 		resp  *fasthttp.Response
-		extra bool // more than the answer has come
+		extra bool // there are bytes behind the response
 		err   error
 
-		stream bool // the body is still to be read
+		stream bool // the body is still being streamed
 	}
 	stop struct{}
 )
 
-// writeLimit bounds the time that a write may hold the actor up. A request
-// fits into an idle socket's buffers; it can't be written where a machine has
-// been silent for longer than that buffer lasts.
+// writeLimit bounds how long a write may block the actor. A request fits into the
+// buffer of an idle socket; a write that blocks means that the server has stopped
+// acknowledging data.
 const writeLimit = 50 * time.Millisecond
 
-// NewPeer starts the actor of the server at addr. It calls done for each
-// exchange that ends by itself; nothing is heard of a cancelled one.
+// NewPeer starts the actor for the server at addr. It calls done for each exchange
+// that ends, except for cancelled ones.
 func NewPeer[K comparable](addr string, opt PeerOptions, done func(Result[K])) *Peer[K] {
 	opt.Host = hostenv.OrReal(opt.Host)
 	p := &Peer[K]{addr: addr, opt: opt, inbox: mailbox.NewBox[any](opt.Host), busy: map[K]*peerConn[K]{},
@@ -131,18 +130,18 @@
 
 func (p *Peer[K]) now() time.Time { return p.opt.Host.Now() }
 
-// Send begins an exchange.
+// Send starts an exchange.
 func (p *Peer[K]) Send(key K, wire []byte, note any) {
 	p.inbox.Put(&exchange[K]{key: key, wire: wire, note: note})
 }
 
-// Cancel gives an exchange up and closes its connection.
+// Cancel aborts an exchange and closes its connection.
 func (p *Peer[K]) Cancel(key K) { p.inbox.Put(cancel[K]{key}) }
 
-// Stop ends the actor once nothing is under way.
+// Stop ends the actor once no exchange is in progress.
 func (p *Peer[K]) Stop() { p.inbox.Put(stop{}) }
 
-// Ended reports whether a stopped actor has ended. Nothing is under way then.
+// Ended reports whether a stopped actor has ended, with no exchange in progress.
 func (p *Peer[K]) Ended() bool { return p.terminated.Load() }
 
 func (p *Peer[K]) run() {
@@ -173,9 +172,9 @@
 	}
 }
 
-// age closes connections that have been idle too long, and tells when the next
-// one will be. A request written to one that the server has closed would be a
-// reset, and nobody could tell whether it ran.
+// closeExpired closes connections that have been idle too long, and returns the time
+// until the next one expires. A request written to a connection that the server has
+// closed would be reset, and it would be unknown whether it ran.
 func (p *Peer[K]) closeExpired() time.Duration {
 	old := 0
 	for _, l := range p.idle {
@@ -191,9 +190,9 @@
 	return -1
 }
 
-// settled is how long a connection has to be quiet after an answer before it
-// carries the next request. Some servers send more than the answer: what comes
-// within this time ends the connection, and is not taken for the next answer.
+// settleTime is how long a connection must be quiet after a response before it carries
+// the next request. Some servers send extra bytes: those received within this time close
+// the connection, and are not taken for the next response.
 const settleTime = 3 * time.Millisecond
 
 func (p *Peer[K]) send(o *exchange[K]) {
@@ -204,7 +203,7 @@
 			continue
 		}
 		if p.opt.Bug != BugReuseConn && historyOf(o.note).contains(l.number) {
-			continue // a late copy of its former answer would bear its name
+			continue // a late duplicate of the previous attempt's response would have the same ID
 		}
 		p.idle = slices.Delete(p.idle, i, i+1)
 		if l.open && now.Sub(l.idleSince) < p.opt.IdleTimeout.Limit(now) && l.conn.Quiet() {
@@ -230,7 +229,7 @@
 	p.dialing--
 	if m.err != nil {
 		p.opt.ConnLimit.release()
-		// Others' dials may serve the rest; one that has none coming has failed.
+		// Pending dials may serve other waiting exchanges; those beyond their number have failed.
 		for len(p.waiting) > p.dialing {
 			o := p.waiting[0]
 			p.waiting = p.waiting[1:]
@@ -246,7 +245,7 @@
 			extra, err := l.conn.Read(resp)
 			last := extra || err != nil || resp.ConnectionClose()
 			long, _ := resp.BodyStream().(*streamedBody)
-			p.inbox.Put(responseRead[K]{l, resp, extra, err, long != nil}) // from here on the answer is somebody else's
+			p.inbox.Put(responseRead[K]{l, resp, extra, err, long != nil}) // the receiver owns resp from here on
 			if long != nil {
 				long.done.Wait(-1)
 				last = last || long.err != io.EOF || l.conn.br.Buffered() > 0
@@ -260,10 +259,10 @@
 	p.release(l)
 }
 
-// free gives a connection to the oldest exchange that waits for one, or keeps it.
+// release assigns a connection to the oldest waiting exchange, or adds it to the idle ones.
 func (p *Peer[K]) release(l *peerConn[K]) {
 	switch {
-	case len(p.waiting) > 0 && l.idleSince.IsZero(): // a new one; a used one has to settle
+	case len(p.waiting) > 0 && l.idleSince.IsZero(): // only a new connection; a used one has to settle
 		o := p.waiting[0]
 		p.waiting = p.waiting[1:]
 		p.write(l, o)
@@ -300,7 +299,7 @@
 func (p *Peer[K]) handleResponse(m responseRead[K]) {
 	l, o := m.conn, m.conn.exchange
 	l.exchange = nil
-	if l.upload != nil { // answered, or broken, before all was sent
+	if l.upload != nil { // answered or lost before the request was sent completely
 		l.upload.Stop()
 		l.incomplete, m.extra = true, true
 	}
@@ -314,10 +313,10 @@
 			p.onResult(Result[K]{o.key, o.note, Answered, m.resp})
 			return
 		}
-		m.err = cmp.Or(m.err, errInvalidResponse) // for a probe, or for nobody
+		m.err = cmp.Or(m.err, errInvalidResponse) // streamed to a probe, or unsolicited
 	}
 	if m.extra || m.err != nil || m.resp.ConnectionClose() || o == nil {
-		p.close(l) // an answer that nobody asked for is no good sign either
+		p.close(l) // an unsolicited response also makes the connection unusable
 	}
 	if o != nil {
 		delete(p.busy, o.key)
@@ -359,7 +358,7 @@
 		return
 	}
 	for i, o := range p.waiting {
-		if o.key == key { // its connection will serve another
+		if o.key == key { // the pending dial will serve another exchange
 			p.opt.ConnLimit.inFlight.Add(-1)
 			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
 			return
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -11,9 +11,9 @@
 	"asterwell/internal/hostenv"
 )
 
-// A write that breaks off has not sent the request's last byte: it never ran,
-// and the connection is done with.
-func TestBreakWhileWriting(t *testing.T) {
+// A failed write has not sent the request's last byte: the request never ran, and
+// the connection is closed.
+func TestConnectionLostWhileWriting(t *testing.T) {
 	for _, read := range []int{0, 10} {
 		here, there := net.Pipe()
 		go func() {
@@ -32,8 +32,8 @@
 	}
 }
 
-// A connection that has just answered may still bring more: the next request
-// takes another one, the newest that has been quiet for a while.
+// A connection may receive extra bytes right after a response: the next request takes
+// another one, the most recent that has been quiet for settleTime.
 func TestConnectionsSettle(t *testing.T) {
 	p := &Peer[int]{opt: PeerOptions{Host: hostenv.Real, ConnLimit: NewConnLimit(9), IdleTimeout: NewIdleTimeout(time.Hour / 2)}, busy: map[int]*peerConn[int]{}}
 	idle := func(since time.Duration) *peerConn[int] {
@@ -49,7 +49,7 @@
 	}
 }
 
-// What has come since the last answer, if only the connection's end, is seen
+// Data received since the last response, or the end of the connection, is detected
 // before the next request is written.
 func TestQuiet(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,9 +81,9 @@
 	}
 }
 
-// Idle connections may be dropped far sooner than servers say. Breaks right
-// under the next request tell: not one by chance, but many after the same time.
-func TestKeep(t *testing.T) {
+// Idle connections may be dropped sooner than servers announce. Repeated losses after
+// similar idle times lower the timeout; a single loss does not.
+func TestIdleTimeout(t *testing.T) {
 	now := time.Now()
 	k := NewIdleTimeout(time.Minute)
 	expect := func(want time.Duration) {
@@ -92,7 +92,7 @@
 			t.Errorf("limit %v, want %v", got, want)
 		}
 	}
-	for i := range 100 { // one in fifty breaks for another reason
+	for i := range 100 { // one in fifty is lost for another reason
 		k.observe(20*time.Millisecond, i%50 == 0, now)
 		k.observe(100*time.Millisecond, i%50 == 0, now)
 	}
@@ -102,7 +102,7 @@
 	}
 	expect(256 * time.Millisecond)
 	for range 3 {
-		k.observe(time.Second, true, now) // older ones
+		k.observe(time.Second, true, now) // longer idle times
 	}
 	expect(256 * time.Millisecond)
 	for range 3 {
@@ -113,8 +113,8 @@
 	expect(time.Minute)
 }
 
-// A peer tells of each break, and does not use what has been idle too long.
-func TestIdleTooLong(t *testing.T) {
+// A peer records each loss, and closes connections that have been idle too long.
+func TestPeerClosesExpired(t *testing.T) {
 	dial := func(idle time.Duration) *peerConn[int] {
 		here, there := net.Pipe()
 		go io.Copy(io.Discard, there)
@@ -130,6 +130,6 @@
 	}
 	old := dial(2 * time.Second)
 	if p.idle = []*peerConn[int]{old}; p.closeExpired() != -1 || old.open {
-		t.Error("a connection is kept for longer than connections last")
+		t.Error("a connection is kept beyond the idle timeout")
 	}
 }
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -14,29 +14,30 @@
 	"asterwell/internal/hostenv"
 )
 
-// Bounds of what streams.
+// Limits of streamed messages.
 const (
-	MaxBuffered        = 64 << 10 // a message up to this is kept whole before it is passed on
-	MaxStream          = 64 << 20 // its body
-	pieceSize          = 16 << 10 // in hand at a time
+	MaxBuffered        = 64 << 10 // bodies up to this size are buffered before they are forwarded
+	MaxStream          = 64 << 20 // bytes of a streamed body
+	pieceSize          = 16 << 10 // bytes read and written at a time
 	streamStallTimeout = 10 * time.Second
 )
 
-// body is an answer's, read as it comes. Its reader owns the connection until its end.
+// streamedBody is a response body read as it arrives. Its reader owns the connection until
+// the body ends.
 type streamedBody struct {
 	conn       *Conn
-	remaining  int64 // of the body, or of the chunk
+	remaining  int64 // bytes of the body, or of the current chunk
 	chunked    bool
-	untilClose bool // it ends with the connection
+	untilClose bool // the end of the connection ends the body
 	received   int64
-	prefix     []byte // read already, while it might have been short
-	err        error  // it has ended
+	prefix     []byte // read ahead, to find out whether the body is short
+	err        error  // non-nil once the body has ended
 	done       hostenv.Notifier
 }
 
-var errBodyTooLong = errors.New("longer than any answer may be")
+var errBodyTooLong = errors.New("response body exceeds the limit")
 
-// Read takes what has come. A body that is cut short ends with an error other than EOF.
+// Read returns what has arrived. A truncated body ends with an error other than io.EOF.
 func (b *streamedBody) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
@@ -79,7 +80,7 @@
 	return n, err
 }
 
-// next reads the head of a chunk, and what is behind the last one.
+// readChunkHeader reads the header of a chunk, and the trailers behind the last one.
 func (b *streamedBody) readChunkHeader() error {
 	line, err := b.conn.br.ReadSlice('\n')
 	if err != nil {
@@ -93,7 +94,7 @@
 	if b.remaining = int64(n); n > 0 {
 		return nil
 	}
-	for most := maxHeaderBytes; ; { // trailers end here
+	for most := maxHeaderBytes; ; { // trailers are discarded
 		line, err := b.conn.br.ReadSlice('\n')
 		if most -= len(line); err != nil || most < 0 {
 			return unexpectedEOF(cmp.Or(err, errInvalidResponse))
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// cut makes sure that an early end is not taken for an end.
+// unexpectedEOF keeps a premature end from being taken for the end of the body.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -123,7 +124,7 @@
 	return err
 }
 
-// end gives the connection back, or closes it if the body is not at its end.
+// finish returns the connection, or closes it if the body is incomplete.
 func (b *streamedBody) finish(err error) {
 	b.err = err
 	b.conn.responseStarted, b.conn.stallTimeout = false, 0
@@ -135,7 +136,7 @@
 	}
 }
 
-// Close gives up what has not been read.
+// Close discards the unread part.
 func (b *streamedBody) Close() error {
 	if b.err == nil {
 		b.finish(io.ErrClosedPipe)
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// long reads a body that may stream. One that turns out to be short is kept whole.
+// readLongBody reads a body that may be streamed. One that turns out to be short is buffered.
 func (c *Conn) readLongBody(resp *fasthttp.Response, length int) error {
 	b := &streamedBody{conn: c, remaining: int64(length)}
 	if length > MaxStream {
@@ -171,18 +172,18 @@
 	return nil
 }
 
-// Upload is the rest of a request's body, framed as it goes on the wire.
+// Upload is the remainder of a request body, in its wire framing.
 type Upload interface {
-	// Next waits for a piece, which is the caller's until the next call.
+	// Next waits for a piece, which is valid until the next call.
 	Next() (piece []byte, last bool, err error)
-	Stop() // nothing more is wanted: Next returns ErrStopped
+	Stop() // cancels the upload: Next returns ErrStopped
 }
 
-// ErrStopped is what an upload ends with that is not wanted any more.
+// ErrStopped is returned by a cancelled upload.
 var ErrStopped = errors.New("stopped")
 
-// Uploader is a note of an exchange whose request may go on behind what Send was given.
-type Uploader interface{ Upload() Upload } // nil: it does not
+// Uploader is a note of an exchange whose request may continue after the bytes given to Send.
+type Uploader interface{ Upload() Upload } // nil: nothing follows
 
 func uploadOf(note any) Upload {
 	if u, ok := note.(Uploader); ok {
@@ -197,7 +198,7 @@
 	complete bool
 }
 
-// upload writes what follows a request's beginning.
+// upload writes the remainder of a request.
 func (p *Peer[K]) upload(l *peerConn[K], o *exchange[K], up Upload) {
 	p.uploads++
 	l.upload = up
@@ -206,14 +207,14 @@
 			piece, last, err := up.Next()
 			if err == nil {
 				if last {
-					o.sent.Store(true) // from here on the server may have it all
+					o.sent.Store(true) // from here on the server may have the complete request
 				}
 				err = l.conn.Write(piece, streamStallTimeout)
 			}
 			if err != nil || last {
 				if err != nil && err != ErrStopped {
 					up.Stop()
-					l.conn.Close() // a server must not take it for whole
+					l.conn.Close() // the server must not take the request for complete
 				}
 				p.inbox.Put(uploaded[K]{l, o, err == nil})
 				return
@@ -229,10 +230,10 @@
 	}
 }
 
-// streamed takes a connection back whose answer has been read by whoever it belonged to.
+// streamed returns a connection whose streamed response has been read.
 type streamed[K comparable] struct {
 	conn     *peerConn[K]
-	reusable bool // it can carry another exchange
+	reusable bool // the connection can carry another exchange
 }
 
 func (p *Peer[K]) handleStreamed(m streamed[K]) {
