--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -14,16 +14,16 @@
 	"asterwell/internal/transport"
 )
 
-// piece is how much of a body is in hand at a time, framing aside.
+// pieceSize is how many bytes of a body are read and sent at a time, without framing.
 const pieceSize = 16 << 10
 
-// badBody is an error of the client's body, by status.
+// bodyError is the status to answer a client's invalid or incomplete body with.
 type bodyError int
 
 func (e bodyError) Error() string { return "body: " + fasthttp.StatusMessage(int(e)) }
 
-// take reads a request's body as far as it is kept whole, and leaves the rest to an
-// upload. length is that of the whole; -1: not known yet.
+// readBody buffers the first part of a request's body, and leaves the remainder to an
+// upload. length is that of the whole body; -1: unknown.
 func readBody(ctx *fasthttp.RequestCtx) (held []byte, rest *bodyUpload, length int, err error) {
 	if !ctx.Request.IsBodyStream() {
 		body := append([]byte(nil), ctx.Request.Body()...)
@@ -54,7 +54,7 @@
 	return held, &bodyUpload{body: body, chunked: length < 0, remaining: length, host: world, pieceReady: world.NewNotifier()}, length, nil
 }
 
-// uncome is the error of a body that did not come whole.
+// incompleteBody returns the error for a body that did not arrive completely.
 func incompleteBody(err error) error {
 	var late interface{ Timeout() bool }
 	if errors.As(err, &late) && late.Timeout() {
@@ -63,21 +63,21 @@
 	return bodyError(fasthttp.StatusBadRequest)
 }
 
-// upload is the rest of a body. The client's goroutine reads a piece when the one that
-// writes to the server wants it; one is in hand.
+// bodyUpload streams the remainder of a body. The client's goroutine reads a piece when the
+// goroutine that writes to the server requests it; at most one piece is buffered.
 type bodyUpload struct {
 	body       io.Reader
 	chunked    bool
-	remaining  int // of a length that is known
+	remaining  int // bytes not yet read, if the length is known
 	total      int
 	host       hostenv.Host
-	pieceReady hostenv.Notifier // where the writer waits
-	wakeClient func()           // for the client's goroutine
+	pieceReady hostenv.Notifier // notifies the writer
+	wakeClient func()           // wakes the client's goroutine
 	limit      time.Duration
-	onPiece    func(piece []byte, last bool) // nil: nobody copies it
+	onPiece    func(piece []byte, last bool) // receives each piece; may be nil
 
-	complete bool        // the client's goroutine has read all of it
-	started  atomic.Bool // nothing can be sent again
+	complete bool        // the client's goroutine has read the whole body
+	started  atomic.Bool // the body is being consumed, so the request can't be sent again
 	mu       sync.Mutex
 	want     bool
 	piece    []byte
@@ -102,15 +102,15 @@
 	}
 }
 
-// claimed is what a second writer gets: the body is on its way elsewhere.
+// consumedUpload is the upload of a second attempt: the first one has consumed the body.
 type consumedUpload struct{}
 
-var errBodyConsumed = errors.New("the body has gone out to another server")
+var errBodyConsumed = errors.New("the body has already been sent to another server")
 
 func (consumedUpload) Next() ([]byte, bool, error) { return nil, false, errBodyConsumed }
 func (consumedUpload) Stop()                       {}
 
-// Stop tells both sides that nothing more is wanted.
+// Stop cancels the upload on both sides.
 func (u *bodyUpload) Stop() { u.fail(transport.ErrStopped) }
 
 func (u *bodyUpload) fail(err error) {
@@ -137,10 +137,11 @@
 	return u.err != nil
 }
 
-// feed reads the client's body, on its goroutine, until all has been given or done is
-// true. wrote hears of progress. It reports false if the client's end has come.
+// readFrom reads the client's body, on the client's goroutine, until it has been delivered
+// completely or done returns true. It calls wrote on progress, and returns false if the
+// client disconnects or the body is invalid.
 func (u *bodyUpload) readFrom(c *transport.ClientConn, done func() bool, wrote func()) bool {
-	const room = 16 // for a chunk's head
+	const room = 16 // bytes reserved for a chunk header
 	buf := make([]byte, room+pieceSize+2+5)
 	enough := func() bool { return done() || u.stopped() }
 	var told time.Time
@@ -193,7 +194,7 @@
 	}
 }
 
-// progressEvery is how often the core hears that a body goes on.
+// progressInterval is how often the core is told about body progress.
 const progressInterval = 200 * time.Millisecond
 
 func (u *bodyUpload) deliver(piece []byte, last bool) {
@@ -203,7 +204,7 @@
 	u.pieceReady.Notify()
 }
 
-// framed makes a piece of what has been read into buf at a place.
+// frame adds the chunk framing to the n bytes read into buf at offset at.
 func (u *bodyUpload) frame(buf []byte, at, n int, last bool) []byte {
 	if !u.chunked {
 		return buf[at : at+n]
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -1,6 +1,6 @@
-// Package protocol speaks the platform's protocol: the front that clients come
-// through, the exchange with servers and what its ends mean, discovery, and the
-// counter.
+// Package protocol implements the platform's protocol: the HTTP front for clients, the
+// exchange with servers and the interpretation of its outcomes, service discovery, and
+// the client of the shared counter.
 package protocol
 
 import (
@@ -15,31 +15,31 @@
 	"asterwell/internal/transport"
 )
 
-// Call is a client's request as it is passed on: method, path, query, body and
-// headers as they came.
+// Call is a client's request as it is forwarded: method, path, query, body and headers
+// unchanged.
 type Call struct {
-	head        []byte // the request line and the headers that pass
+	head        []byte // the request line and the forwarded headers
 	body        []byte
-	upload      *bodyUpload    // what follows it; nil: nothing
-	err         error          // the body did not come
-	correlation *correlationID // that its answer repeats; nil: the dialect has none
-	Transparent bool           // any whole answer but a fault of the server is the client's
-	Final       bool           // that too: no other server may be asked
-	StageTimes  *StageTimes    // nil: nobody measures
+	upload      *bodyUpload    // the remainder of the body; nil: none
+	err         error          // the body could not be read
+	correlation *correlationID // repeated by the response; nil: the dialect has none
+	Transparent bool           // any complete response with a status below 500 goes to the client
+	Final       bool           // any complete response goes to the client: no other server may be asked
+	StageTimes  *StageTimes    // nil: not measured
 }
 
-// Dialect is what a deployment's servers say in headers.
+// Dialect describes the headers that a deployment's servers use.
 type Dialect struct {
-	DeadlineHeader       string   // the time that a request has left
-	DeadlineInMillis     bool     // it is in milliseconds, else in seconds
-	NotExecutedHeader    string   // in an answer: the request has not run
-	NotExecutedAnyStatus bool     // whatever the answer's status; else with 503 and 504
-	CorrelationHeader    string   // an answer repeats the request's; one with another, or without, is somebody else's; "": they don't
-	TargetHeader         string   // names the one server that may run the request; "": none does
-	DropHeaders          []string // further headers of clients that end here
+	DeadlineHeader       string   // remaining time of a request
+	DeadlineInMillis     bool     // the deadline is in milliseconds, otherwise in seconds
+	NotExecutedHeader    string   // in a response: the request has not run
+	NotExecutedAnyStatus bool     // it counts with any status, otherwise only with 503 and 504
+	CorrelationHeader    string   // repeated by the response; one with another value, or without, belongs to another request; "": not used
+	TargetHeader         string   // names the only server that may run the request; "": not used
+	DropHeaders          []string // further client headers that are not forwarded
 }
 
-// Platform is the dialect of the platform in service.
+// Platform is the dialect of the production platform.
 var Platform = &Dialect{DeadlineHeader: headerTimeout, NotExecutedHeader: headerNotExecuted}
 
 func (d *Dialect) drops(key []byte) bool {
@@ -47,7 +47,7 @@
 		slices.ContainsFunc(d.DropHeaders, func(name string) bool { return equalHeader(key, name) })
 }
 
-// The names of headers on the platform.
+// Header names of the platform.
 const (
 	headerID          = "X-Request-ID"
 	headerClass       = "X-Priority-Class"
@@ -59,8 +59,8 @@
 	headerLoad        = "X-Server-Load"
 )
 
-// hop tells the headers that end at this gateway: those of the connection, and
-// those that are written anew.
+// hopByHop reports whether a header is not forwarded: those of the connection, and those
+// that the gateway writes itself.
 func hopByHop(key []byte) bool {
 	switch len(key) {
 	case 2:
@@ -87,12 +87,12 @@
 	return len(key) == len(name) && (string(key) == name || bytes.EqualFold(key, []byte(name)))
 }
 
-// NewCall copies a request, since its memory is used again. see is shown each header.
+// NewCall copies a request, since its memory is reused. It calls see for each header.
 func NewCall(ctx *fasthttp.RequestCtx, see func(key, value []byte)) *Call {
 	return Platform.NewCall(ctx, see)
 }
 
-// NewCall is the same in another dialect.
+// NewCall is like the function NewCall, in this dialect.
 func (d *Dialect) NewCall(ctx *fasthttp.RequestCtx, see func(key, value []byte)) *Call {
 	h := &ctx.Request.Header
 	c := &Call{head: make([]byte, 0, 512)}
@@ -125,15 +125,15 @@
 	return c
 }
 
-// name is what tells a request from all others that are under way.
+// correlationID distinguishes a request from all others in progress.
 type correlationID struct {
 	header    string
 	value     []byte
 	usedConns transport.ConnHistory
 }
 
-// Owns reports whether an answer is to this request: it repeats its name, and no other. One
-// to a request without a name has none.
+// Matches reports whether a response belongs to this request: it repeats its correlation ID
+// and no other. The response to a request without an ID has none.
 func (c *Call) Matches(answer *fasthttp.Response) bool {
 	if c.correlation == nil {
 		return true
@@ -149,7 +149,7 @@
 	return mine
 }
 
-// Trips are the connections that it has gone by.
+// UsedConns returns the connections that attempts of the request have used.
 func (c *Call) UsedConns() *transport.ConnHistory {
 	if c.correlation == nil {
 		return nil
@@ -157,7 +157,7 @@
 	return &c.correlation.usedConns
 }
 
-// Upload is what follows the beginning that wire returns. Only the first who asks gets it.
+// Upload returns the remainder after the bytes that encode returns. Only the first caller gets it.
 func (c *Call) Upload() transport.Upload {
 	switch {
 	case c.upload == nil:
@@ -168,13 +168,13 @@
 	return c.upload
 }
 
-// spent tells that the request can't be sent again.
+// bodyConsumed reports whether the request can't be sent again.
 func (c *Call) bodyConsumed() bool { return c.upload != nil && c.upload.started.Load() }
 
-// Err tells why a request's body did not come.
+// Err returns why a request's body could not be read.
 func (c *Call) Err() error { return c.err }
 
-// Bind makes a request carry the call, whose client waits so long.
+// Bind attaches the call to a request, with the time limit of its client.
 func (c *Call) Bind(r *routing.Request, limit time.Duration) {
 	r.Call, r.BodyConsumed = c, c.bodyConsumed
 	if c.upload != nil {
@@ -187,7 +187,7 @@
 	c.head = append(append(append(append(c.head, key...), ": "...), value...), '\r', '\n')
 }
 
-// wire is the request as one attempt sends it to a server, with the time it has left.
+// encode returns the request as an attempt sends it, with its remaining time.
 func (d *Dialect) encode(c *Call, target string, left time.Duration) []byte {
 	if c.upload != nil {
 		left = c.upload.limit
--- a/internal/protocol/copy.go
+++ b/internal/protocol/copy.go
@@ -1,17 +1,18 @@
 package protocol
 
-// Copy is what a call sends to its server, so that it can be sent once more when it is done. A
-// body that streams is copied as it goes, as far as there is room.
+// Copy records what a call sends to its server, so that it can be sent again afterwards. A
+// streamed body is recorded as it is sent, as long as memory can be reserved.
 type Copy struct {
 	call     *Call
 	reserve  func(n int) bool
 	reserved int
-	upload   []byte // as it was sent, framing and all
+	upload   []byte // as sent, with its framing
 	complete bool
-	overflow bool // there was no room
+	overflow bool // memory could not be reserved
 }
 
-// Copied begins a copy of a call that has not gone out yet. room is asked before anything is held.
+// StartCopy starts recording a call that has not been sent yet. It calls room to reserve n bytes
+// before recording them.
 func (c *Call) StartCopy(room func(n int) bool) *Copy {
 	k := &Copy{call: c, reserve: room, complete: c.upload == nil}
 	if k.tryReserve(len(c.head) + len(c.body)); c.upload == nil {
@@ -31,7 +32,7 @@
 	return !k.overflow
 }
 
-// more takes a piece of a body on its way.
+// append records a piece of a streamed body.
 func (k *Copy) append(piece []byte, last bool) {
 	if k.overflow || k.call.upload.chunked && !k.tryReserve(len(piece)) {
 		k.upload = nil
@@ -40,10 +41,10 @@
 	k.upload, k.complete = append(k.upload, piece...), last
 }
 
-// Held is how much room is to be given back.
+// Reserved returns the number of reserved bytes, which the caller has to release.
 func (k *Copy) Reserved() int { return k.reserved }
 
-// Call is the copy; nil: there was no room, or the body had not come whole.
+// Call returns the recorded call, or nil if memory ran out or the body is incomplete.
 func (k *Copy) Call() *Call {
 	if k.overflow || !k.complete {
 		return nil
--- a/internal/protocol/counter.go
+++ b/internal/protocol/counter.go
@@ -18,35 +18,35 @@
 	"asterwell/internal/mailbox"
 )
 
-// Counter is the actor that speaks RESP2 to the counter: calls are written one
-// after another on one connection, and their answers come in the same order.
-// No call is ever written twice, since it may have been added.
+// Counter is the actor that talks RESP2 to the counter service. Calls are pipelined on one
+// connection, and replies come in the same order. No call is ever written twice, since the
+// first one may have been added.
 type Counter struct {
 	host     hostenv.Host
 	addr     string
-	timeout  time.Duration // a call without an answer ends as timed out
+	timeout  time.Duration // a call without a reply ends as timed out
 	inbox    *mailbox.Box[any]
 	onResult func(name string, status choice.Status, total float64)
 
-	current  *counterConn   // takes calls
-	draining []*counterConn // to addresses left since: their answers are still read
+	current  *counterConn   // takes new calls
+	draining []*counterConn // connections to former addresses: their replies are still read
 	dialing  bool
-	queue    []*counterCall // wait for the connection
+	queue    []*counterCall // calls that wait for the connection
 }
 
 type counterCall struct {
 	name     string
 	wire     []byte
 	deadline time.Time
-	finished bool // told the core; its answer still has to be read
+	finished bool // reported to the core; the reply still has to be read
 	ping     bool
 }
 
 type counterConn struct {
 	nc        net.Conn
-	pending   []*counterCall // written, not answered, in order
+	pending   []*counterCall // calls without a reply, in order, including unflushed ones
 	out       []byte
-	unflushed int // of calls, those at the end that are in out
+	unflushed int // number of calls at the end of pending that are still in out
 	lastReply time.Time
 	closed    bool
 }
@@ -65,46 +65,46 @@
 	}
 )
 
-// kind is what an answer says.
+// replyKind is the meaning of a reply.
 type replyKind int
 
 const (
-	replyTotal    replyKind = iota // added, and the total
-	replyPong                      // to a ping
-	replyBusy                      // turned away: nothing added
-	replyRefused                   // no such call: nothing added
-	replyInvalid                   // it can't be read, nor can what follows it: added, for all that is known
-	replyConnLost                  // the connection has ended
+	replyTotal    replyKind = iota // added; carries the new total
+	replyPong                      // reply to a ping
+	replyBusy                      // overloaded: nothing added
+	replyRefused                   // unknown command: nothing added
+	replyInvalid                   // unreadable, as is everything behind it: the amount may have been added
+	replyConnLost                  // the connection was lost
 )
 
 const (
-	silentTimeouts = 4               // time limits of a call: a connection silent for so long while calls wait is given up
-	pingInterval   = 2 * time.Second // the counter closes idle connections, and a call that crosses that is lost
+	silentTimeouts = 4               // call timeouts without a reply, after which a connection with pending calls is closed
+	pingInterval   = 2 * time.Second // the counter closes idle connections, and a call sent at that moment is lost
 	maxTTL         = time.Minute
 )
 
-// NewCounter returns an actor in a world (nil: the real one). It calls told once for
+// NewCounter returns an actor on a host (nil: hostenv.Real). It calls told once for
 // each Add.
 func NewCounter(world hostenv.Host, addr string, limit time.Duration, told func(string, choice.Status, float64)) *Counter {
 	world = hostenv.OrReal(world)
 	return &Counter{host: world, addr: addr, timeout: limit, inbox: mailbox.NewBox[any](world), onResult: told}
 }
 
-// Stop ends Run. What waits is not answered.
+// Stop ends Run. Pending calls get no result.
 func (c *Counter) Stop() { c.inbox.Put(nil) }
 
-// Add adds an amount to a name, which lives that long if it is new.
+// Add adds an amount to a name; life is its time to live if it is new.
 func (c *Counter) Add(name string, amount float64, life time.Duration) {
 	num := strconv.FormatFloat(amount, 'f', -1, 64)
 	ms := strconv.FormatInt(max(1, min(life, maxTTL).Milliseconds()), 10)
 	c.inbox.Put(&counterCall{name: name, wire: encodeRESP("CNT.ADD", name, num, ms), deadline: c.host.Now().Add(c.timeout)})
 }
 
-// Move calls the counter at another address from now on. What has been written
-// to the old one is not repeated there; its answers are read out.
+// SetAddr switches to another address. Calls already written to the old address are not
+// repeated; their replies are still read.
 func (c *Counter) SetAddr(addr string) { c.inbox.Put(newAddr(addr)) }
 
-// resp is a RESP2 array of bulk strings.
+// encodeRESP returns a RESP2 array of bulk strings.
 func encodeRESP(words ...string) []byte {
 	w := append(strconv.AppendInt([]byte("*"), int64(len(words)), 10), '\r', '\n')
 	for _, s := range words {
@@ -114,7 +114,7 @@
 	return w
 }
 
-// Run calls the counter until it is stopped.
+// Run processes calls until it is stopped.
 func (c *Counter) Run() {
 	c.dial()
 	for {
@@ -141,7 +141,7 @@
 	}
 }
 
-// wait is the time until the next call is overdue, or a ping is due.
+// nextTimeout returns the time until the next call times out, or a ping is due.
 func (c *Counter) nextTimeout() time.Duration {
 	next := c.host.Now().Add(pingInterval)
 	if len(c.queue) > 0 {
@@ -165,7 +165,7 @@
 	return max(0, next.Sub(c.host.Now()))
 }
 
-// lines are the connections that calls may wait on.
+// connections returns all connections that may have pending calls.
 func (c *Counter) connections() []*counterConn {
 	if c.current == nil {
 		return c.draining
@@ -188,7 +188,7 @@
 	c.dial()
 }
 
-// retire ends a connection that takes no more calls and owes no more answers.
+// retire closes a former connection once it has no pending calls.
 func (c *Counter) retire(l *counterConn) {
 	if l != c.current && len(l.pending) == 0 {
 		c.closeConn(l, 0, choice.Timeout)
@@ -202,7 +202,7 @@
 		return
 	}
 	if len(c.current.pending) == 0 {
-		c.current.lastReply = c.host.Now() // silence counts from the first call that waits
+		c.current.lastReply = c.host.Now() // the silence timeout starts with the first pending call
 	}
 	c.current.pending = append(c.current.pending, k)
 	c.current.out = append(c.current.out, k.wire...)
@@ -222,7 +222,7 @@
 }
 
 func (c *Counter) handleDialed(m dialResult) {
-	if m.addr != c.addr || c.current != nil { // moved meanwhile
+	if m.addr != c.addr || c.current != nil { // the address has changed meanwhile
 		if m.err == nil {
 			m.nc.Close()
 		}
@@ -256,14 +256,14 @@
 	c.queue = nil
 }
 
-// maxLine is the longest line taken, and maxBulk the longest total.
+// Limits of a reply in bytes: of a line, and of a bulk string.
 const (
 	maxLine = 512
 	maxBulk = 64
 )
 
-// read takes one reply. Only what the protocol knows proves anything: of any
-// other the amount counts as added, and what follows it can't be trusted.
+// readReply reads one reply. Only known replies prove anything: after any other the
+// amount counts as added, and the rest of the connection can't be trusted.
 func readReply(in *bufio.Reader) counterReply {
 	line, err := in.ReadSlice('\n')
 	if err != nil && err != bufio.ErrBufferFull {
@@ -312,11 +312,11 @@
 	return counterReply{kind: replyTotal, total: total}
 }
 
-// answered takes the reply to the oldest call, be it late.
+// handleReply processes the reply to the oldest pending call, even if it is late.
 func (c *Counter) handleReply(m counterReply) {
 	l := m.conn
 	if l.closed {
-		return // given up
+		return // already closed
 	}
 	owed := len(l.pending) > l.unflushed
 	if m.kind < replyInvalid && (!owed || l.pending[0].ping != (m.kind == replyPong)) {
@@ -326,7 +326,7 @@
 	case replyConnLost:
 		c.closeConn(l, l.unflushed, choice.Timeout)
 		return
-	case replyInvalid: // the counter works: that is no silence
+	case replyInvalid: // the counter responds, so this is not a timeout
 		log.Printf("event=counter what=spoilt calls=%d error=%q", len(l.pending)-l.unflushed, m.err)
 		c.closeConn(l, l.unflushed, choice.Error)
 		return
@@ -346,7 +346,7 @@
 	c.retire(l)
 }
 
-// flush writes the calls that have gathered, in one go.
+// flush writes all buffered calls at once.
 func (c *Counter) flush() {
 	l := c.current
 	if l == nil || len(l.out) == 0 {
@@ -360,7 +360,7 @@
 		l.unflushed = 0
 		return
 	}
-	// Calls whose last byte did not go out are not added; the others may be.
+	// Calls whose last byte was not written are not added; the others may be.
 	unsent := l.unflushed
 	for _, k := range l.pending[len(l.pending)-l.unflushed:] {
 		if n -= len(k.wire); n < 0 {
@@ -371,8 +371,8 @@
 	c.closeConn(l, unsent, choice.Timeout)
 }
 
-// drop gives a connection up. The last unsent of its calls did not go out; the
-// others end with status, and may have been added.
+// closeConn closes a connection. Its last unsent calls were not written; the others end
+// with status, and may have been added.
 func (c *Counter) closeConn(l *counterConn, unsent int, status choice.Status) {
 	l.closed = true
 	if l == c.current {
@@ -396,7 +396,7 @@
 	k.finished = true
 }
 
-// expire ends what is overdue, and keeps an idle connection open.
+// expire ends calls that have timed out, closes silent connections, and pings idle ones.
 func (c *Counter) expire(now time.Time) {
 	for len(c.queue) > 0 && !now.Before(c.queue[0].deadline) {
 		c.finish(c.queue[0], choice.ConnectFailed, 0)
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -20,14 +20,14 @@
 	"asterwell/internal/transport"
 )
 
-// List is the list of servers in discovery's form.
+// ServerList is the list of servers in the format of the discovery service.
 type ServerList struct {
 	Version int64         `json:"version"`
 	Full    bool          `json:"full"`
 	Servers []ServerEntry `json:"servers"`
 }
 
-// Entry is a server of the list.
+// ServerEntry is a server of the list.
 type ServerEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -39,7 +39,7 @@
 	StartedMs int64   `json:"started_ms"`
 }
 
-// Check reports the first entry that can't be used.
+// Validate returns an error for the first invalid entry.
 func (l *ServerList) Validate() error {
 	for i, e := range l.Servers {
 		if e.ID == "" {
@@ -57,36 +57,36 @@
 
 var states = map[string]choice.State{"up": choice.Up, "draining": choice.Draining, "removed": choice.Down}
 
-// DiscoveryOptions are the times of the watch.
+// DiscoveryOptions configures a Discovery.
 type DiscoveryOptions struct {
 	Addr           string
-	LongPoll       time.Duration // how long a watch may wait for news
-	ResponseGrace  time.Duration // how long its answer may take beyond that
+	LongPoll       time.Duration // how long the server may hold a request until there is a change
+	ResponseGrace  time.Duration // how long the response may take beyond LongPoll
 	ConnectTimeout time.Duration
-	Backoff        backoff.Options // of the calls
-	Host           hostenv.Host    // nil: the real one
-	OnSuccess      func()          // after each call that went well; nil: nobody asks
+	Backoff        backoff.Options // between requests
+	Host           hostenv.Host    // nil: hostenv.Real
+	OnSuccess      func()          // called after each successful request; may be nil
 }
 
-// Discovery is the actor that owns the list: it watches for changes and tells
-// the core at once.
+// Discovery is the actor that owns the server list: it watches for changes and reports
+// them to the core immediately.
 type Discovery struct {
 	opt          DiscoveryOptions
 	onUpdate     func(routing.DiscoveryUpdate)
 	inbox        *mailbox.Box[any]
 	watching     bool
-	needFullList bool // the next call asks for the whole list
-	succeeded    bool // a call has gone well since the start
+	needFullList bool // the next request asks for the full list
+	succeeded    bool // a request has succeeded since the start
 	version      int64
-	ids          map[string]uint32 // the module's numbers for the servers on the list
+	ids          map[string]uint32 // numeric IDs of the listed servers in package choice
 	lastID       uint32
-	current      *listRequest    // under way
-	conn         *transport.Conn // of the last one, if it may carry another
+	current      *listRequest    // in progress; nil: none
+	conn         *transport.Conn // kept from the last request, if reusable
 	backoff      *backoff.Backoff
-	notBefore    time.Time // no call before
+	notBefore    time.Time // earliest time of the next request
 }
 
-// ask is one call. It runs beside the actor, which can break it off.
+// listRequest is one request for the list. It runs on its own goroutine; the actor can abort it.
 type listRequest struct {
 	path    string
 	mu      sync.Mutex
@@ -104,8 +104,8 @@
 	}
 )
 
-// NewDiscovery returns an actor that tells its news through news. The watch
-// goes on from what is known. It begins at once, or once asked for.
+// NewDiscovery returns an actor that reports changes through news. The watch continues
+// from the known list. It starts immediately, or on demand with Watch.
 func NewDiscovery(opt DiscoveryOptions, known ServerList, onDemand bool, news func(routing.DiscoveryUpdate)) *Discovery {
 	opt.Host = hostenv.OrReal(opt.Host)
 	d := &Discovery{opt: opt, onUpdate: news, inbox: mailbox.NewBox[any](opt.Host), watching: !onDemand,
@@ -120,15 +120,15 @@
 // Watch starts or stops the watch.
 func (d *Discovery) Watch(on bool) { d.inbox.Put(watchEnabled(on)) }
 
-// Move goes on at another address. What the old one still has to say counts no
-// more: the call that waits there is broken off, and the new one is asked for
-// the whole list at once.
+// SetAddr switches to another address. It aborts the request to the old address, ignores
+// its response, and requests the full list from the new one immediately.
 func (d *Discovery) SetAddr(addr string) { d.inbox.Put(newAddr(addr)) }
 
-// firstHold is that of the first watch: whether there is news is told at once.
+// firstLongPoll is the hold time of the first request, so that a start soon learns
+// whether its list is current.
 const firstLongPoll = 50 * time.Millisecond
 
-// statusError is an answer other than 200.
+// statusError is a response status other than 200.
 type statusError int
 
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
@@ -171,7 +171,7 @@
 	d.backoff.Reset()
 }
 
-// breakOff ends the call under way and its connection.
+// abort cancels the current request and closes the connection.
 func (d *Discovery) abort() {
 	if d.current != nil {
 		d.current.mu.Lock()
@@ -204,10 +204,10 @@
 	})
 }
 
-// told takes the end of a call.
+// handleResult processes the outcome of a request.
 func (d *Discovery) handleResult(m listResult) {
 	if m.request != d.current {
-		return // broken off
+		return // aborted
 	}
 	d.current, d.conn = nil, m.request.conn
 	if m.err != nil {
@@ -228,16 +228,16 @@
 	if d.opt.OnSuccess != nil {
 		d.opt.OnSuccess()
 	}
-	if m.list.Full || len(m.list.Servers) > 0 || first { // that nothing is new is news at a start
+	if m.list.Full || len(m.list.Servers) > 0 || first { // at the start, also report that nothing has changed
 		d.onUpdate(d.toUpdate(m.list, m.list.Full))
 	}
 	d.version = m.list.Version
 }
 
-// odds draws a number from 0 to 1.
+// random returns a random number in [0, 1).
 func (d *Discovery) random() float64 { return float64(d.opt.Host.Random()>>11) / (1 << 53) }
 
-// open makes sure of a connection that breakOff can close.
+// connect establishes a connection that abort can close, unless there is one.
 func (a *listRequest) connect(opt DiscoveryOptions) error {
 	if a.conn != nil {
 		return nil
@@ -284,8 +284,8 @@
 	return list, list.Validate()
 }
 
-// take turns a list into news. Its times are on the core's clock, which is the
-// Unix time: one clock is read by all machines.
+// toUpdate converts a list to an update for the core. Its times are Unix times, which
+// the core's clock uses too, since all machines share that clock.
 func (d *Discovery) toUpdate(list ServerList, whole bool) routing.DiscoveryUpdate {
 	d.version = list.Version
 	n := routing.DiscoveryUpdate{Whole: whole}
@@ -299,7 +299,7 @@
 			d.lastID++
 			id = d.lastID
 		}
-		// What has left is forgotten: on a long day servers never stop coming.
+		// Forget removed servers, so that the map doesn't grow as servers are replaced.
 		if left := e.State == "removed"; !left {
 			ids[e.ID] = id
 		} else {
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -14,14 +14,14 @@
 	"asterwell/internal/transport"
 )
 
-// Ends hears how attempts and probes end.
+// ResultHandler receives the results of attempts and probes.
 type ResultHandler interface {
 	AttemptEnded(server uint32, a routing.Attempt, status choice.Status, answer any, load *choice.Load)
 	ProbeEnded(server uint32, a routing.Attempt, status choice.Status, load *choice.Load)
 }
 
-// Fleet carries out attempts by an actor for each server. The core's goroutine
-// alone calls it.
+// Fleet executes attempts, with one actor for each server. Only the core's goroutine may
+// call it.
 type Fleet struct {
 	opt         transport.PeerOptions
 	loadReports bool
@@ -30,16 +30,16 @@
 	servers     map[uint32]*server
 }
 
-// server is one that the list names, or has named: as long as something is under
-// way there, it can still be cancelled.
+// server is a server that is on the list, or was removed from it and still has exchanges
+// in progress, which can be cancelled.
 type server struct {
 	addr  string
 	name  string
-	peer  *transport.Peer[routing.Attempt]   // takes what is new; nil: off the list
-	peers []*transport.Peer[routing.Attempt] // all that may have something under way
+	peer  *transport.Peer[routing.Attempt]   // receives new exchanges; nil: removed from the list
+	peers []*transport.Peer[routing.Attempt] // all that may have exchanges in progress
 }
 
-// leave lets the actor end with what it has under way.
+// retire lets the actor finish its exchanges and end.
 func (s *server) retire() {
 	if s.peer != nil {
 		s.peer.Stop()
@@ -52,7 +52,7 @@
 	return &Fleet{opt: opt, loadReports: reports, Dialect: Platform, servers: map[uint32]*server{}}
 }
 
-// Update takes the list's news.
+// Update applies a change of the server list.
 func (f *Fleet) Update(news routing.DiscoveryUpdate) {
 	named := map[uint32]bool{}
 	for _, m := range news.Members {
@@ -79,7 +79,7 @@
 		}
 	}
 	if news.Whole {
-		for _, id := range slices.Sorted(maps.Keys(f.servers)) { // in one order, not the map's
+		for _, id := range slices.Sorted(maps.Keys(f.servers)) { // in a deterministic order
 			if !named[id] {
 				f.servers[id].retire()
 			}
@@ -93,7 +93,7 @@
 	}
 }
 
-// Send begins an attempt.
+// Send starts an attempt.
 func (f *Fleet) Send(id uint32, a routing.Attempt, call any, left time.Duration) {
 	if s := f.servers[id]; s != nil && s.peer != nil {
 		call.(*Call).StageTimes.Mark(ServerSelected)
@@ -103,7 +103,7 @@
 	f.Results.AttemptEnded(id, a, choice.ConnectFailed, nil, nil)
 }
 
-// Probe asks a server how it is.
+// Probe starts a health or load check of a server.
 func (f *Fleet) Probe(id uint32, a routing.Attempt, left time.Duration) {
 	path := "/-/healthy"
 	if f.loadReports {
@@ -116,7 +116,7 @@
 	f.Results.ProbeEnded(id, a, choice.ConnectFailed, nil)
 }
 
-// Cancel gives an attempt or a probe up.
+// Cancel aborts an attempt or a probe.
 func (f *Fleet) Cancel(id uint32, a routing.Attempt) {
 	if s := f.servers[id]; s != nil {
 		for _, p := range s.peers {
@@ -125,7 +125,7 @@
 	}
 }
 
-// ended runs on the server's actor.
+// handleResult runs on the server's actor.
 func (f *Fleet) handleResult(id uint32, r transport.Result[routing.Attempt]) {
 	if r.Key.ID == 0 {
 		status, load := choice.ConnectFailed, (*choice.Load)(nil)
@@ -133,7 +133,7 @@
 			status = f.Dialect.outcome(r.Outcome, r.Answer, &Call{})
 		}
 		if r.Outcome == transport.Invalid {
-			status = choice.NotExecuted // it tells nothing
+			status = choice.NotExecuted // it proves nothing about the server's health
 		}
 		if r.Answer != nil {
 			if status == choice.OK && f.loadReports {
@@ -161,20 +161,20 @@
 	f.Results.AttemptEnded(id, r.Key, status, r.Answer, load)
 }
 
-// outcome is the protocol's table. A 503 or 504 proves that nothing ran only
-// where the server says so: any proxy on the way may word one.
+// outcome maps responses to statuses. A 503 or 504 proves that the request did not run
+// only if the server says so in a header: any proxy on the path may generate one.
 func (d *Dialect) outcome(end transport.Outcome, answer *fasthttp.Response, call *Call) choice.Status {
 	switch end {
 	case transport.NotSent:
 		return choice.ConnectFailed
 	case transport.ConnectionLost:
 		return choice.Reset
-	case transport.Invalid: // whoever sent that is there; it may be the answer to another request, which proves nothing
+	case transport.Invalid: // the server is reachable; it may be the response to another request, which proves nothing
 		return choice.Error
 	}
 	status := answer.StatusCode()
 	switch {
-	case d.TargetHeader != "" && status == fasthttp.StatusMisdirectedRequest: // another server has the address now
+	case d.TargetHeader != "" && status == fasthttp.StatusMisdirectedRequest: // the address now belongs to another server
 		return choice.ConnectFailed
 	case d.NotExecutedAnyStatus && d.hasHeaderValue(answer, d.NotExecutedHeader, "1"):
 		return choice.Overloaded
@@ -193,7 +193,7 @@
 	return choice.Error
 }
 
-// says looks for a header however its name is spelt.
+// hasHeaderValue compares the first header of that name, ignoring the case of the name.
 func (d *Dialect) hasHeaderValue(answer *fasthttp.Response, name, value string) bool {
 	for key, v := range answer.Header.All() {
 		if equalHeader(key, name) {
@@ -212,7 +212,7 @@
 		return nil
 	}
 	r := map[string]float64{}
-	for name, v := range fields { // one that can't be read says nothing of the others
+	for name, v := range fields { // an unreadable field doesn't invalidate the others
 		if n := -1.0; json.Unmarshal(v, &n) == nil && n >= 0 {
 			r[name] = n
 		}
--- a/internal/protocol/times.go
+++ b/internal/protocol/times.go
@@ -2,37 +2,37 @@
 
 import "sync/atomic"
 
-// Stage is a point on a request's way through a gateway.
+// Stage is a step in the processing of a request by a gateway.
 type Stage int
 
-// The stages, in the order of the way.
+// The stages, in order.
 const (
-	HeaderRead        Stage = iota // its head has been read
-	Routed                         // route and tenant are known
-	QuotaChecked                   // its tenant's quota has been asked
-	ServerSelected                 // a server has been picked
-	RequestSent                    // the last byte has gone to that server
-	ResponseRead                   // the answer has been read
-	ResponseDelivered              // it has come back to the client's connection
-	ResponseWriting                // it is written there next
+	HeaderRead        Stage = iota // the request header has been read
+	Routed                         // route and tenant have been determined
+	QuotaChecked                   // the tenant's quota has been checked
+	ServerSelected                 // a server has been selected
+	RequestSent                    // the last byte has been written to that server
+	ResponseRead                   // the response has been read
+	ResponseDelivered              // the response has been handed to the client's connection
+	ResponseWriting                // the response is about to be written to the client
 	StageCount
 )
 
-// Times are when a request first came to each stage, by the clock of who measures. A nil one takes nothing down.
+// StageTimes records when a request first reached each stage. A nil *StageTimes records nothing.
 type StageTimes struct {
 	Clock func() int64 // in nanoseconds, never 0
 
 	times [StageCount]atomic.Int64
 }
 
-// Mark notes the present time, unless the stage has one.
+// Mark records the current time, unless the stage already has one.
 func (t *StageTimes) Mark(s Stage) {
 	if t != nil {
 		t.times[s].CompareAndSwap(0, t.Clock())
 	}
 }
 
-// At are the times; 0: it did not come there.
+// At returns the times; 0: the stage was not reached.
 func (t *StageTimes) At() (at [StageCount]int64) {
 	for i := range at {
 		at[i] = t.times[i].Load()
@@ -40,7 +40,7 @@
 	return at
 }
 
-// MarkWritten marks what the note of an exchange stands for.
+// MarkWritten marks the request of an exchange as sent, given the note of the exchange.
 func MarkWritten(note any) {
 	if c, ok := note.(*Call); ok {
 		c.StageTimes.Mark(RequestSent)
