--- a/internal/protocol/call_test.go
+++ b/internal/protocol/call_test.go
@@ -6,9 +6,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// An answer is a request's own if it repeats its name and no other; the spelling of the
-// header's name is the server's.
-func TestOwns(t *testing.T) {
+// A response matches a request if it repeats its correlation ID and no other; the case of the
+// header's name doesn't matter.
+func TestMatches(t *testing.T) {
 	d := &Dialect{DeadlineHeader: "X-Left", CorrelationHeader: "X-Name"}
 	for _, c := range []struct {
 		dialect *Dialect
@@ -20,11 +20,11 @@
 		{d, "a", []string{"x-name", "a"}, true},
 		{d, "a", []string{"X-Name", "b"}, false},
 		{d, "a", nil, false},
-		{d, "a", []string{"X-Name", "a", "x-name", "b"}, false}, // two answers run into each other
+		{d, "a", []string{"X-Name", "a", "x-name", "b"}, false}, // two merged responses
 		{d, "a", []string{"X-Name", "b", "x-name", "a"}, false},
 		{d, "", nil, true},
 		{d, "", []string{"X-Name", "b"}, false},
-		{Platform, "a", []string{"X-Name", "b"}, true}, // answers have no names there
+		{Platform, "a", []string{"X-Name", "b"}, true}, // that dialect has no correlation IDs
 	} {
 		var ctx fasthttp.RequestCtx
 		ctx.Request.Header.SetMethod("GET")
@@ -41,7 +41,7 @@
 			t.Errorf("%q answered with %q: %v", c.mine, c.answer, got)
 		}
 		if k := call.StartCopy(func(int) bool { return true }).Call(); k.UsedConns() != call.UsedConns() || k.Matches(a) != c.want {
-			t.Errorf("%q: its copy has another name", c.mine)
+			t.Errorf("%q: its copy has another ID", c.mine)
 		}
 	}
 }
--- a/internal/protocol/counter.go
+++ b/internal/protocol/counter.go
@@ -270,7 +270,7 @@
 		return counterReply{kind: replyConnLost, err: err}
 	}
 	text, whole := strings.CutSuffix(string(line), "\r\n")
-	unreadable := counterReply{kind: replyInvalid, err: fmt.Errorf("not an answer: %.60q", line)}
+	unreadable := counterReply{kind: replyInvalid, err: fmt.Errorf("invalid reply: %.60q", line)}
 	if !whole || text == "" {
 		return unreadable
 	}
@@ -320,7 +320,7 @@
 	}
 	owed := len(l.pending) > l.unflushed
 	if m.kind < replyInvalid && (!owed || l.pending[0].ping != (m.kind == replyPong)) {
-		m.kind, m.err = replyInvalid, errors.New("nobody asked for that")
+		m.kind, m.err = replyInvalid, errors.New("unsolicited reply")
 	}
 	switch m.kind {
 	case replyConnLost:
--- a/internal/protocol/counter_test.go
+++ b/internal/protocol/counter_test.go
@@ -17,12 +17,12 @@
 	"asterwell/internal/scenario"
 )
 
-func call(name, amount string) string {
+func encodedAdd(name, amount string) string {
 	return fmt.Sprintf("*4\r\n$7\r\nCNT.ADD\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$4\r\n4000\r\n", len(name), name, len(amount), amount)
 }
 
-// Each script plays the counter. Closing add makes a call, closing ends waits
-// until all calls made so far have ended.
+// Each script acts as the counter. "add close" makes a call; "ends close" waits until all
+// calls made so far have ended.
 func TestCounter(t *testing.T) {
 	for name, c := range map[string]struct {
 		limit  time.Duration
@@ -134,7 +134,7 @@
 			var got []string
 			made := 0
 			stage := scenario.Stage{Accept: map[string]net.Listener{"counter": ln, "tally": tally},
-				Vars: map[string]string{"a": call("a", "-2.5"), "b": call("b", "1000000000")},
+				Vars: map[string]string{"a": encodedAdd("a", "-2.5"), "b": encodedAdd("b", "1000000000")},
 				Close: map[string]func(){
 					"add": func() {
 						if made++; made%2 == 1 {
@@ -156,7 +156,7 @@
 					}}}
 			stage.Vars["1"], stage.Vars["4"] = "$1", "$4" // RESP's own
 			stage.Play(t, c.script)
-			slices.Sort(c.want) // of two connections the order is open
+			slices.Sort(c.want) // the order of results across two connections is undefined
 			slices.Sort(got)
 			if d := cmp.Diff(c.want, got); d != "" {
 				t.Error(d)
@@ -165,8 +165,8 @@
 	}
 }
 
-// Only what the protocol knows proves anything. Whatever else comes, the amount
-// was added, and the connection is of no further use.
+// Only known replies prove anything. After any other, the amount counts as added, and the
+// connection is closed.
 func TestReplies(t *testing.T) {
 	for text, want := range map[string]counterReply{
 		"$4\r\n12.5\r\n":               {total: 12.5},
@@ -201,7 +201,7 @@
 	}
 }
 
-// Nothing listens: nothing was added, and the module may count on that.
+// If the connection is refused, nothing was added, and the result says so.
 func TestCounterRefused(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -218,18 +218,18 @@
 	}
 }
 
-// Of the calls under way on a connection that breaks while they are written,
-// those that went out whole may have been added, and the others were not.
-func TestCounterBreaksWhileWriting(t *testing.T) {
+// When a connection is lost during a write, calls written completely may have been added,
+// and the others were not.
+func TestCounterLostWhileWriting(t *testing.T) {
 	here, there := net.Pipe()
 	got := map[string]choice.Status{}
 	c := &Counter{host: hostenv.Real, timeout: time.Minute, onResult: func(name string, s choice.Status, _ float64) { got[name] = s }}
 	c.current = &counterConn{nc: here}
 	for _, name := range []string{"a", "b", "c"} {
-		c.add(&counterCall{name: name, wire: []byte(call(name, "1")), deadline: time.Now().Add(time.Minute)})
+		c.add(&counterCall{name: name, wire: []byte(encodedAdd(name, "1")), deadline: time.Now().Add(time.Minute)})
 	}
 	go func() {
-		io.ReadFull(there, make([]byte, len(call("a", "1"))+5))
+		io.ReadFull(there, make([]byte, len(encodedAdd("a", "1"))+5))
 		there.Close()
 	}()
 	c.flush()
@@ -239,9 +239,9 @@
 	}
 }
 
-// A connection that falls silent holds calls up for a few time limits, not longer:
-// meanwhile customers are let in unmetered. Until then its late answers count.
-func TestSilentConnectionIsGivenUp(t *testing.T) {
+// A silent connection delays calls for a few timeouts at most, since customers are not
+// metered meanwhile. Until then its late replies count.
+func TestSilentConnectionIsClosed(t *testing.T) {
 	here, _ := net.Pipe()
 	now := time.Now()
 	c := &Counter{host: hostenv.Real, timeout: 50 * time.Millisecond, onResult: func(string, choice.Status, float64) {}}
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -17,9 +17,9 @@
 	"asterwell/internal/scenario"
 )
 
-// A server keeps its number whatever lists it comes in, and its start is told on
-// the core's clock, the Unix time.
-func TestListBecomesNews(t *testing.T) {
+// A server keeps its numeric ID across lists, and its start is reported on the core's
+// clock, in Unix time.
+func TestListToUpdate(t *testing.T) {
 	list := func(text string) (l ServerList) {
 		t.Helper()
 		if err := json.Unmarshal([]byte(text), &l); err != nil {
@@ -50,10 +50,9 @@
 	}
 }
 
-// After a move the call that waits at the old address is broken off, the new
-// one is asked for the whole list at once, and nothing that the old one still
-// says counts.
-func TestDiscoveryMoves(t *testing.T) {
+// After a change of address the request to the old one is aborted, the new one is asked
+// for the full list immediately, and late data from the old one is ignored.
+func TestDiscoveryChangesAddress(t *testing.T) {
 	accept := map[string]net.Listener{}
 	for _, kind := range []string{"old", "new"} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,8 +93,8 @@
 	}
 }
 
-// Which failures speak of a crowd, and that gateways which start or fail together do not come back together.
-func TestDiscoveryIsLeftAloneWhereItIsCrowded(t *testing.T) {
+// Failures that indicate overload back off longer, and gateways that start or fail together retry at different times.
+func TestDiscoveryBackoff(t *testing.T) {
 	shared := backoff.Options{Shared: true, MaxNewsAge: 10 * time.Second, Gateways: 80}
 	for _, tc := range []struct {
 		err         error
@@ -132,8 +131,8 @@
 	}
 }
 
-// A start goes on from the list that is known, asks whether there is news at once, and says so if there is none.
-func TestDiscoveryGoesOnFromWhatIsKnown(t *testing.T) {
+// A start continues from the known list, asks for changes immediately, and reports if there are none.
+func TestDiscoveryContinuesFromKnownList(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -156,8 +155,8 @@
 	}
 }
 
-// What has left the list is forgotten: on a long day servers never stop coming.
-func TestNumbersAreForgotten(t *testing.T) {
+// Removed servers are forgotten, so that the map doesn't grow as servers are replaced.
+func TestRemovedIDsAreForgotten(t *testing.T) {
 	d := NewDiscovery(DiscoveryOptions{}, ServerList{}, false, func(routing.DiscoveryUpdate) {})
 	for i := range 1000 {
 		up, gone := fmt.Sprint("s-", i), fmt.Sprint("s-", i-2)
--- a/internal/protocol/fleet_test.go
+++ b/internal/protocol/fleet_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// One field of a load report that can't be read says nothing of the others, and
-// a report that is no object says nothing at all.
+// An unreadable field of a load report doesn't invalidate the others; a report that is
+// not an object is ignored.
 func TestReport(t *testing.T) {
 	for text, want := range map[string]*choice.Load{
 		`{"busy_reqs":3,"svc_ms":"x","pending":null}`: {InFlight: 3, HasInFlight: true},
@@ -71,25 +71,25 @@
 	}
 }
 
-// ends keeps what a fleet tells of its attempts and probes.
-type ends chan string
+// ends records the results of attempts and probes.
+type resultRecorder chan string
 
-func (e ends) AttemptEnded(_ uint32, a routing.Attempt, s choice.Status, _ any, l *choice.Load) {
+func (e resultRecorder) AttemptEnded(_ uint32, a routing.Attempt, s choice.Status, _ any, l *choice.Load) {
 	e <- fmt.Sprint("attempt ", a, " ", int(s), " ", l != nil)
 }
 
-func (e ends) ProbeEnded(_ uint32, a routing.Attempt, s choice.Status, l *choice.Load) {
+func (e resultRecorder) ProbeEnded(_ uint32, a routing.Attempt, s choice.Status, l *choice.Load) {
 	e <- fmt.Sprint("probe ", a, " ", int(s), " ", l != nil)
 }
 
-// A probe is a plain request for the load report, which may come with a 503.
+// A probe requests the load report, which may come with a 503.
 func TestProbe(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	got := make(ends, 10)
+	got := make(resultRecorder, 10)
 	f := NewFleet(transport.PeerOptions{ConnectTimeout: time.Minute, IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: transport.NewConnLimit(3)}, true)
 	f.Results = got
 	up := routing.Member{Addr: ln.Addr().String(), Member: choice.Member{ID: 7}}
@@ -133,7 +133,7 @@
 		server2 expect "GET /-/load HTTP/1.1\r\n"
 		server2 close
 		broken close`)
-	// A server that has left the list gets nothing new.
+	// A server removed from the list gets no new exchanges.
 	f.Update(routing.DiscoveryUpdate{Whole: true})
 	next()
 	expect("probe {0 6} 4 false")()
@@ -141,15 +141,15 @@
 	expect("attempt {1 0} 4 false")()
 }
 
-// Descriptors are few: beyond the cap an attempt ends as not sent, and while
-// they are scarce a connection is not kept.
-func TestSocketsAreCapped(t *testing.T) {
+// Beyond the connection limit an attempt ends as not sent, and close to the limit idle
+// connections are closed.
+func TestConnectionLimit(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	got := make(ends, 10)
+	got := make(resultRecorder, 10)
 	sockets := transport.NewConnLimit(2)
 	f := NewFleet(transport.PeerOptions{ConnectTimeout: time.Minute, IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: sockets}, false)
 	f.Results = got
@@ -167,27 +167,27 @@
 		server1 send "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 		server1 expect closed`)
 	<-got
-	if e := <-got; e != "attempt {1 0} 5 false" && e != "attempt {2 0} 5 false" { // the script's end broke it off
+	if e := <-got; e != "attempt {1 0} 5 false" && e != "attempt {2 0} 5 false" { // aborted by the end of the script
 		t.Error(e)
 	}
 	for sockets.Used() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if n := sockets.InFlight(); n != 0 {
-		t.Errorf("%d exchanges under way, after all have ended", n)
+		t.Errorf("%d exchanges in progress after all have ended", n)
 	}
 }
 
-// What leaves the list is forgotten once nothing is under way there, and until
-// then it can be cancelled, also where the server has moved.
-func TestServersAreForgotten(t *testing.T) {
+// A removed server is forgotten once it has no exchanges in progress. Until then they can
+// be cancelled, even if the server's address has changed.
+func TestRemovedServersAreForgotten(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	f := NewFleet(transport.PeerOptions{ConnectTimeout: time.Minute, IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: transport.NewConnLimit(3)}, false)
-	f.Results = make(ends, 10)
+	f.Results = make(resultRecorder, 10)
 	list := func(id uint32, addr string, s choice.State) routing.DiscoveryUpdate {
 		return routing.DiscoveryUpdate{Members: []routing.Member{{Addr: addr, Member: choice.Member{ID: id, State: s}}}}
 	}
--- a/internal/protocol/front.go
+++ b/internal/protocol/front.go
@@ -22,23 +22,23 @@
 	"asterwell/internal/transport"
 )
 
-// Core is what a front needs of the core.
+// Core is the part of the core that a front uses.
 type Core interface {
 	Submit(r *routing.Request)
-	BodyProgress(r *routing.Request) // more of its body has gone out
+	BodyProgress(r *routing.Request) // more of its body has been sent
 	ClientGone(r *routing.Request)
 }
 
-// IDs are the ids of the requests that are open, on all fronts together.
+// OpenIDs is the set of IDs of the requests in progress, shared by all fronts.
 type OpenIDs struct {
 	mu   sync.Mutex
 	open map[string]bool
 }
 
-// NewIDs returns an empty set.
+// NewOpenIDs returns an empty set.
 func NewOpenIDs() *OpenIDs { return &OpenIDs{open: map[string]bool{}} }
 
-// take adds an id, unless it is there.
+// add adds an ID, and returns false if it is already there.
 func (s *OpenIDs) add(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,32 +53,33 @@
 	delete(s.open, id)
 }
 
-// Tally hears how clients' requests end.
+// RequestObserver is notified of the start and the outcome of client requests.
 type RequestObserver interface {
-	Took() // a request is under way
-	Gave() // and no more
+	Took() // a request has started
+	Gave() // a request has finished
 	Ended(class string, how ops.How)
 }
 
-// Front is the platform's front: it reads a request's terms from its headers.
+// Front is the HTTP front of the platform: it reads class, plan and limits of a request
+// from its headers.
 type Front struct {
 	Core     Core
 	IDs      *OpenIDs
 	Now      func() time.Duration
 	Ready    func() bool
-	Leaving  func() bool     // the next request should come in elsewhere
-	Observer RequestObserver // nil: nobody counts
+	Leaving  func() bool     // clients should send their next request to another gateway
+	Observer RequestObserver // may be nil
 	gateways int
 	policy   atomic.Pointer[policyTerms]
 
-	// Late makes the core fit requests to the policy, once it knows by which it decides.
+	// DeferTerms lets the core check requests against the policy once it knows which version applies.
 	DeferTerms bool
 }
 
-// terms are what a policy allows requests.
+// policyTerms are the classes and plans of a policy.
 type policyTerms struct {
 	classes      map[string]choice.Class
-	planMaxUnits map[string]float64 // the most units that a request can have
+	planMaxUnits map[string]float64 // the most units of a request
 }
 
 // NewFront returns a front for the classes and plans of the settings.
@@ -88,8 +89,8 @@
 	return f
 }
 
-// Adopt puts another policy's classes and plans in force. A request that is being read
-// goes by one of the two; where the front is Late, the core tells by which.
+// UpdatePolicy replaces the classes and plans. A request that is being read uses one of the
+// two versions; with DeferTerms, the core decides which.
 func (f *Front) UpdatePolicy(set choice.Settings) {
 	t := &policyTerms{map[string]choice.Class{}, map[string]float64{}}
 	for _, c := range set.Classes {
@@ -101,7 +102,7 @@
 	f.policy.Store(t)
 }
 
-// MostUnits is what a request can take from a plan at all.
+// MaxPlanUnits returns the most units that one request can take from a plan.
 func MaxPlanUnits(set *choice.Settings, p *choice.Plan) float64 {
 	most := cmp.Or(set.MaxUnits, math.MaxFloat64)
 	if p.Rate > 0 {
@@ -177,7 +178,7 @@
 	}
 }
 
-// passing is an answer that is being passed on: how it ends is known at its end.
+// observedBody is a streamed response body that reports its outcome when it is closed.
 type observedBody struct {
 	io.Reader
 	done     func(how ops.How)
@@ -190,7 +191,7 @@
 	return n, err
 }
 
-// Close is called once, with the answer written or not.
+// Close is called once, whether or not the response has been written.
 func (b *observedBody) Close() error {
 	if b.done(map[bool]ops.How{true: ops.Success, false: ops.Failure}[b.complete]); b.complete {
 		return nil
@@ -198,13 +199,13 @@
 	return b.Reader.(io.Closer).Close()
 }
 
-// figure is how figures name the kinds; the others are no requests, or nobody is left.
+// outcomeMetric maps kinds to outcomes in metrics. The others were not submitted, or the client left.
 var outcomeMetric = map[Kind]ops.How{Served: ops.Success, Refused: ops.Overload, Failed: ops.Failure, TimedOut: ops.Failure}
 
-// longest is how long a body may take at all, at the pace that a client must keep.
+// maxUploadTime bounds the transfer of a whole body, besides the timeout between two reads.
 const maxUploadTime = 20 * time.Minute
 
-// Bad answers a request whose terms are wrong.
+// WriteBadRequest answers an invalid request.
 func WriteBadRequest(ctx *fasthttp.RequestCtx, err error) {
 	ctx.Error(err.Error()+"\n", fasthttp.StatusBadRequest)
 	if status, ok := err.(bodyError); ok {
@@ -217,23 +218,23 @@
 	}
 }
 
-// wrongMethod is an error that tells the right one.
+// wrongMethod is an error that carries the allowed method.
 type wrongMethod string
 
 func (m wrongMethod) Error() string { return "the class has the method " + string(m) }
 
-// MaxID is the longest id taken.
+// MaxID is the longest accepted request ID in bytes.
 const MaxID = 128
 
-// customers is the number of customers that there can be.
+// customerCount is the number of possible customer numbers.
 const customerCount = 1 << 33
 
-// singles are the headers that a request may have once. Which of two counts
-// would be anybody's guess, and another's may differ.
+// singleValueHeaders may occur only once in a request: with two values, recipients could
+// follow different ones.
 var singleValueHeaders = [...]string{headerID, headerClass, headerPlan, headerTimeout, headerTerms, "Cookie", headerRetried}
 
-// request reads a request's terms. Whatever is wrong with them is the client's
-// fault, and is told before the core hears of it.
+// request reads and validates a request. Invalid ones are answered as client errors
+// before they reach the core.
 func (f *Front) request(ctx *fasthttp.RequestCtx) (r *routing.Request, id string, err error) {
 	var got [len(singleValueHeaders)]string
 	var seen [len(singleValueHeaders)]bool
@@ -276,7 +277,7 @@
 		return nil, "", fmt.Errorf("Cookie: client must be 16 hex digits for a number under 2^33, got %q", r.Customer)
 	}
 	if f.DeferTerms {
-		r.Deadline = said.at + time.Hour // until the policy says
+		r.Deadline = said.at + time.Hour // until the policy sets it
 		r.ResolveTerms = func() error {
 			policy := f.policy.Load()
 			if err := policy.check(r, said); err != nil {
@@ -289,7 +290,7 @@
 	return r, id, f.applyTerms(policy, r, said)
 }
 
-// said is what a request says and the policy must allow.
+// requestTerms are the properties of a request that are checked against the policy.
 type requestTerms struct {
 	method         string
 	body           bool
@@ -297,7 +298,7 @@
 	at             time.Duration
 }
 
-// allows holds a request against the policy's classes and plans.
+// check checks a request against the policy's classes and plans.
 func (t *policyTerms) check(r *routing.Request, s requestTerms) error {
 	class, known := t.classes[r.Class]
 	_, sold := t.planMaxUnits[r.Plan]
@@ -318,14 +319,14 @@
 	return nil
 }
 
-// limits gives it its terms by them.
+// applyTerms sets the deadline, units and gateways of a request according to the policy.
 func (f *Front) applyTerms(t *policyTerms, r *routing.Request, s requestTerms) error {
 	limit, err := Timeout(s.timeout, t.classes[r.Class].Deadline)
 	if err != nil {
 		return fmt.Errorf("%s: %w", headerTimeout, err)
 	}
 	r.Deadline = s.at + limit
-	if call, ok := r.Call.(*Call); ok && call.upload != nil { // time counts from the body's end
+	if call, ok := r.Call.(*Call); ok && call.upload != nil { // the limit counts from the end of the body
 		call.upload.limit = limit
 		r.Deadline += maxUploadTime
 	}
@@ -333,8 +334,7 @@
 	return err
 }
 
-// Timeout reads a client's time in seconds. No client waits longer than its
-// class allows, whatever it says.
+// Timeout parses a client's timeout in seconds, and limits it to the one of its class.
 func Timeout(text string, most time.Duration) (time.Duration, error) {
 	if text == "" {
 		return most, nil
@@ -350,7 +350,7 @@
 	return d, nil
 }
 
-// terms reads units=2,spread=3,first=1.
+// parseCallTerms parses a header such as units=2,spread=3,first=1.
 func (f *Front) parseCallTerms(text string, most float64) (units float64, width, first int, err error) {
 	units, width = min(1, most), f.gateways
 	seen := map[string]bool{}
@@ -379,7 +379,7 @@
 	return units, width, first, nil
 }
 
-// Cookie finds a cookie in the header's text.
+// Cookie returns the value of a cookie in a Cookie header.
 func Cookie(text, name string) string {
 	for part := range strings.SplitSeq(text, ";") {
 		if key, value, _ := strings.Cut(strings.TrimSpace(part), "="); key == name {
@@ -389,46 +389,46 @@
 	return ""
 }
 
-// Kind is the sort of a final answer.
+// Kind is the kind of a Result.
 type Kind int
 
-// The kinds of a final answer.
+// The kinds of results.
 const (
 	Served Kind = iota
 	Refused
 	Failed
 	TimedOut
-	ClientLeft  // the client went away: nobody is answered
-	DuplicateID // a request with that id is open: this one was not submitted
-	Disallowed  // the policy in force does not allow what it says
+	ClientLeft  // the client has disconnected: there is no response
+	DuplicateID // a request with this ID is in progress: this one was not submitted
+	Disallowed  // the current policy does not allow the request
 )
 
-// SameID is what a client hears then.
+// DuplicateIDMessage is the error for DuplicateID.
 const DuplicateIDMessage = "a request with this id is open"
 
-// Final is the one answer to a request.
+// Result is the only result of a request.
 type Result struct {
 	Kind       Kind
 	Answer     *fasthttp.Response
 	RetryAfter time.Duration
-	Status     int             // of a refusal: 429, or 503 where the servers are at fault
-	Verdict    routing.Verdict // of a refusal
-	Err        error           // of one that is Unfit
+	Status     int             // if Refused: 429, or 503 if the servers are the cause
+	Verdict    routing.Verdict // if Refused
+	Err        error           // if Disallowed
 }
 
-// Answers hands a request's one answer from the core to the client's handler.
+// ReplyWaiter passes the result of a request from the core to the client's handler.
 type ReplyWaiter struct {
 	mu        sync.Mutex
 	result    Result
 	completed bool
-	abandoned bool             // nobody is there to take it
-	ready     hostenv.Notifier // of whoever waits
+	abandoned bool             // the handler no longer waits
+	ready     hostenv.Notifier // notifies the handler
 }
 
 func (a *ReplyWaiter) complete(f Result) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.abandoned { // there is one answer, and it is told by now
+	if a.abandoned { // the request already has its result
 		Discard(f.Answer)
 		return
 	}
@@ -436,7 +436,7 @@
 	a.ready.Notify()
 }
 
-// leave gives up the answer, be it there or still to come.
+// abandon discards the result, present or future.
 func (a *ReplyWaiter) abandon() {
 	a.mu.Lock()
 	if a.abandoned = true; a.completed {
@@ -445,7 +445,7 @@
 	a.mu.Unlock()
 }
 
-// Drop gives up an answer that nobody takes, and with it the connection that it comes on.
+// Discard drops an unused response; if it is streamed, its connection is closed.
 func Discard(answer any) {
 	if resp, _ := answer.(*fasthttp.Response); resp != nil && resp.IsBodyStream() {
 		resp.CloseBodyStream()
@@ -458,12 +458,12 @@
 	return a.completed
 }
 
-// Served is told by the core.
+// Served is called by the core.
 func (a *ReplyWaiter) Served(answer any) {
 	a.complete(Result{Kind: Served, Answer: answer.(*fasthttp.Response)})
 }
 
-// Refused is told by the core.
+// Refused is called by the core.
 func (a *ReplyWaiter) Refused(after time.Duration, verdict routing.Verdict) {
 	f := Result{Kind: Refused, RetryAfter: after, Status: fasthttp.StatusTooManyRequests, Verdict: verdict}
 	if verdict != routing.NotAttempted || after == 0 {
@@ -472,10 +472,10 @@
 	a.complete(f)
 }
 
-// Unfit is told by the core.
+// Disallowed is called by the core.
 func (a *ReplyWaiter) Disallowed(err error) { a.complete(Result{Kind: Disallowed, Err: err}) }
 
-// Failed is told by the core.
+// Failed is called by the core.
 func (a *ReplyWaiter) Failed(timedOut bool) {
 	if timedOut {
 		a.complete(Result{Kind: TimedOut})
@@ -484,11 +484,11 @@
 	a.complete(Result{Kind: Failed})
 }
 
-// Await submits a request whose Reply is an *Answers, and waits for its answer
-// or for the client's end. Servers tell requests by their ids, so that there
-// must not be two with one.
+// Await submits a request whose Reply is a *ReplyWaiter, and waits for its result or for
+// the client to disconnect. Servers identify requests by their IDs, so no two requests in
+// progress may share one.
 func Await(ctx *fasthttp.RequestCtx, core Core, ids *OpenIDs, id string, r *routing.Request) Result {
-	if id != "" { // those without one are nobody's twins
+	if id != "" { // requests without an ID are never duplicates
 		if !ids.add(id) {
 			return Result{Kind: DuplicateID}
 		}
@@ -496,7 +496,7 @@
 	}
 	a := r.Reply.(*ReplyWaiter)
 	c, ok := ctx.Conn().(*transport.ClientConn)
-	if !ok { // no connection that could end
+	if !ok { // not a connection that can report a disconnect
 		a.ready = hostenv.Real.NewNotifier()
 		core.Submit(r)
 		for !a.done() {
@@ -510,7 +510,7 @@
 		rest = call.upload
 		rest.wakeClient = c.Notifier().Notify
 		defer func() {
-			if !rest.complete { // what follows it can't be found: who has sent more must hear that it was not read
+			if !rest.complete { // the next request can't be located in the stream: tell the client that it was not read
 				ctx.SetConnectionClose()
 			}
 		}()
@@ -527,8 +527,8 @@
 	return a.result
 }
 
-// uploads gives a request's body to whoever sends it, and bounds the wait for what comes
-// after that. It reports false if there is nobody left to answer.
+// sendBody streams a request's body to the server, and then bounds the wait for the result.
+// It returns false if the client has disconnected.
 func (a *ReplyWaiter) sendBody(c *transport.ClientConn, core Core, r *routing.Request, rest *bodyUpload) bool {
 	if !rest.readFrom(c, a.done, func() { core.BodyProgress(r) }) {
 		rest.Stop()
@@ -540,26 +540,26 @@
 		core.ClientGone(r)
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if !a.completed { // its time is up
+		if !a.completed { // timed out
 			a.abandoned, a.completed, a.result = true, true, Result{Kind: TimedOut}
 		}
 	}
 	return true
 }
 
-// PassOn copies a server's answer to the client, its body unchanged.
+// CopyResponse copies a server's response to the client, with its body unchanged.
 func CopyResponse(ctx *fasthttp.RequestCtx, answer *fasthttp.Response) {
 	copyResponse(ctx, answer, func(ops.How) {})
 }
 
-// passOn tells done how an answer that streams has ended.
+// copyResponse calls done with the outcome of a streamed response.
 func copyResponse(ctx *fasthttp.RequestCtx, answer *fasthttp.Response, done func(how ops.How)) {
 	for key, value := range answer.Header.All() {
 		if !hopByHop(key) && !equalHeader(key, headerLoad) && !equalHeader(key, "Date") {
 			ctx.Response.Header.AddBytesKV(key, value)
 		}
 	}
-	if stream := answer.BodyStream(); stream != nil { // it belongs to the client's answer from here on
+	if stream := answer.BodyStream(); stream != nil { // the client's response owns it from here on
 		ctx.Response.ImmediateHeaderFlush = true
 		ctx.Response.SetBodyStream(&observedBody{Reader: stream, done: done}, answer.Header.ContentLength())
 		return
--- a/internal/protocol/openapi/description.go
+++ b/internal/protocol/openapi/description.go
@@ -1,6 +1,6 @@
-// Package openapi is the front that takes its routes, request classes and their
-// cost from an OpenAPI description. It runs on the same core as the platform's
-// front, and keeps the same rules.
+// Package openapi implements a front whose routes, request classes and costs come from
+// an OpenAPI description. It uses the same core as the platform's front, and follows the
+// same rules.
 package openapi
 
 import (
@@ -23,16 +23,16 @@
 	"asterwell/choice"
 )
 
-// The extensions of an operation. Where it has none, its path item's counts,
-// then the description's own.
+// Extensions of an operation. Missing ones are inherited from the path item, then from
+// the description.
 const (
 	extClass   = "x-asterwell-class"      // the request class, as the settings name it
-	extUnits   = "x-asterwell-units"      // what a request takes from the quota; 1 if not given
+	extUnits   = "x-asterwell-units"      // quota units of a request; default 1
 	extRepeat  = "x-asterwell-repeat"     // safe or never
-	extTimeout = "x-asterwell-timeout-ms" // the longest that a client waits; the class's deadline if not given
+	extTimeout = "x-asterwell-timeout-ms" // timeout of a request; default is the class's deadline
 )
 
-// Repeat tells whether a request may be sent again once it may have run.
+// Repeat says whether a request that may have run may be sent again.
 type Repeat string
 
 // The values of Repeat.
@@ -50,20 +50,20 @@
 	return fmt.Errorf("must be safe or never, got %q", string(r))
 }
 
-// Route is an entry of the operator's own table. It can forbid repeats of
-// operations that the description takes for safe; it can't allow more.
+// Route is an entry of the operator's route table. It can forbid repeats of operations
+// that the description marks as safe; it can't allow more.
 type Route struct {
 	Path    string   `json:"path"` // as in the description; the parameters' names don't matter
 	Methods []string `json:"methods"`
 	Repeat  Repeat   `json:"repeat"`
 }
 
-// once marks the twin of a class that has the same figures and never runs twice.
+// nonRetryableSuffix marks the variant of a class with the same settings that never runs twice.
 const nonRetryableSuffix = "!once"
 
-// Twins returns the classes with a fragile twin for each that may be repeated.
-// Whether a request may run again is the module's decision by its class alone,
-// so a stricter route needs a class of its own.
+// AddNonRetryableVariants returns the classes and a non-retryable variant of each retryable
+// one. Package choice decides by the class alone whether a request may run again, so a
+// stricter route needs its own class.
 func AddNonRetryableVariants(classes []choice.Class) []choice.Class {
 	all := slices.Clone(classes)
 	for _, c := range classes {
@@ -76,7 +76,7 @@
 	return all
 }
 
-// Operation is what a request is to the core.
+// Operation holds the properties of a request that the core needs.
 type Operation struct {
 	Name    string // method and path
 	Class   string
@@ -84,23 +84,22 @@
 	Timeout time.Duration
 }
 
-// Description is an OpenAPI description that has been read and checked. It
-// never changes: a new one takes its place.
+// Description is a parsed and validated OpenAPI description. It is immutable.
 type Description struct {
 	router routers.Router
 	ops    map[string]*Operation
-	Notes  []string // where its parts disagree, and what was made of it
+	Notes  []string // contradictions in the description, and how they were resolved
 }
 
-// Rules are what a description is checked against.
+// Rules are the settings that a description is validated against.
 type Rules struct {
-	Classes  []choice.Class // of the settings, without twins
+	Classes  []choice.Class // of the settings, without variants
 	MaxUnits float64
 	Routes   []Route
 }
 
-// Parse reads a description. One that is invalid, or names what the settings
-// don't know, is an error as a whole.
+// Parse parses a description. It returns an error if any part is invalid or refers to
+// something that the settings don't define.
 func Parse(text []byte, rules Rules) (*Description, error) {
 	doc, err := openapi3.NewLoader().LoadFromData(text)
 	if err != nil {
@@ -109,8 +108,7 @@
 	if err := doc.Validate(context.Background()); err != nil {
 		return nil, err
 	}
-	// The gateway stands for the servers, whatever they are called: of their
-	// addresses only the path counts.
+	// The gateway replaces the described servers: only the path of their URLs is used.
 	for i, s := range doc.Servers {
 		u, err := url.Parse(s.URL)
 		if err != nil || strings.Contains(s.URL, "{") {
@@ -142,7 +140,7 @@
 	return d, nil
 }
 
-// operation reads one operation; the first of the levels that has an extension counts.
+// operation parses one operation; the first level that has an extension takes precedence.
 func (d *Description) operation(method, path string, rules Rules, levels ...map[string]any) (*Operation, error) {
 	o := &Operation{Name: method + " " + path, Units: 1}
 	var repeat Repeat
@@ -179,7 +177,7 @@
 	if o.Timeout = class.Deadline; ms > 0 {
 		o.Timeout = min(o.Timeout, time.Duration(ms*float64(time.Millisecond)))
 	}
-	if repeat == Unspecified { // as HTTP has it
+	if repeat == Unspecified { // according to the HTTP method
 		if repeat = Never; method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions {
 			repeat = Safe
 		}
@@ -213,14 +211,14 @@
 
 var parameter = regexp.MustCompile(`\{[^}]*\}`)
 
-// covers compares paths without their parameters' names: renaming one in the
-// description must not switch a rule off.
+// matches ignores the names of path parameters: renaming one in the description must not
+// disable a route.
 func (r *Route) matches(method, path string) bool {
 	return parameter.ReplaceAllString(r.Path, "{}") == parameter.ReplaceAllString(path, "{}") &&
 		(len(r.Methods) == 0 || slices.Contains(r.Methods, method))
 }
 
-// Find returns the operation of a request.
+// Find returns the operation that matches a request.
 func (d *Description) Find(method, rawPath string) (*Operation, error) {
 	u, err := url.ParseRequestURI(rawPath)
 	if err != nil {
@@ -233,7 +231,7 @@
 	return d.ops[route.Method+" "+route.Path], nil
 }
 
-// Allowed lists the methods that a path has.
+// Allowed returns the methods of a path.
 func (d *Description) Allowed(rawPath string) []string {
 	var all []string
 	for _, m := range []string{"DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT", "TRACE"} {
@@ -244,7 +242,7 @@
 	return all
 }
 
-// Check reports the first key of a route that makes no sense.
+// Validate returns an error for the first invalid key of a route.
 func (r *Route) Validate() error {
 	if !strings.HasPrefix(r.Path, "/") {
 		return fmt.Errorf("path must begin with /, got %q", r.Path)
--- a/internal/protocol/openapi/description_test.go
+++ b/internal/protocol/openapi/description_test.go
@@ -15,7 +15,7 @@
 	{Name: "submit-nom", Target: 4 * time.Second, Deadline: 5 * time.Second, Value: 3, Effect: choice.NonRetryable},
 }
 
-// describe wraps paths into a description.
+// describe returns a description with the given paths.
 func describe(paths string) []byte {
 	return []byte("openapi: 3.0.3\ninfo: {title: t, version: '1'}\nservers: [{url: 'https://nominations.example/v1'}]\npaths:\n" + paths)
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestTwins(t *testing.T) {
+func TestAddNonRetryableVariants(t *testing.T) {
 	want := append(append([]choice.Class(nil), classes...), classes[0])
 	want[2].Name, want[2].Effect = "status-read"+nonRetryableSuffix, choice.NonRetryable
 	if d := cmp.Diff(want, AddNonRetryableVariants(classes)); d != "" {
--- a/internal/protocol/openapi/front.go
+++ b/internal/protocol/openapi/front.go
@@ -22,23 +22,23 @@
 	"asterwell/internal/routing"
 )
 
-// Names are the headers that tell a request's customer and plan.
+// HeaderNames are the names of the headers with a request's customer and plan.
 type HeaderNames struct {
 	CustomerHeader string
 	PlanHeader     string
-	DefaultPlan    string // where the header is missing; none: it is required
+	DefaultPlan    string // used if the header is missing; "": the header is required
 }
 
 // Front serves the operations of a description.
 type Front struct {
 	Core         protocol.Core
-	IDs          *protocol.OpenIDs // shared with the other front
+	IDs          *protocol.OpenIDs // shared with the platform's front
 	Now          func() time.Duration
 	Leaving      func() bool
-	Random       func() uint64 // for ids that clients leave out
+	Random       func() uint64 // for generating missing request IDs
 	names        HeaderNames
 	rules        Rules
-	planMaxUnits map[string]float64 // the most units that a request can have
+	planMaxUnits map[string]float64 // the most units of a request
 	gateways     int
 	current      atomic.Pointer[Description]
 }
@@ -53,9 +53,8 @@
 	return f
 }
 
-// Replace puts a description in place of the present one, in one step. One that
-// can't be used changes nothing. A request keeps the operation that it came in
-// under, since the core has its class from then on.
+// Replace atomically replaces the description. An invalid one changes nothing. A request
+// keeps the operation it was matched with, since the core already has its class.
 func (f *Front) Replace(text []byte) error {
 	d, err := Parse(text, f.rules)
 	if err != nil {
@@ -72,7 +71,7 @@
 // Handle serves one request.
 func (f *Front) Handle(ctx *fasthttp.RequestCtx) {
 	defer func() {
-		if f.Leaving() { // the next request should come in elsewhere
+		if f.Leaving() { // clients should send their next request to another gateway
 			ctx.SetConnectionClose()
 		}
 	}()
@@ -86,7 +85,7 @@
 		ctx.SetStatusCode(a.Answer.StatusCode())
 		protocol.CopyResponse(ctx, a.Answer)
 	case protocol.Refused:
-		if a.RetryAfter > 0 { // in whole seconds, as HTTP has it, and no sooner
+		if a.RetryAfter > 0 { // HTTP requires whole seconds; round up
 			ctx.Response.Header.Set("Retry-After", strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
 		}
 		problem(ctx, a.Status, "not served: it may be sent again without harm")
@@ -99,8 +98,8 @@
 	}
 }
 
-// request finds a request's operation and terms, or the status that says what
-// is wrong with it.
+// request finds the operation of a request and validates it. If it is invalid, it returns
+// the status to answer with.
 func (f *Front) request(ctx *fasthttp.RequestCtx) (r *routing.Request, id string, status int, err error) {
 	singles := [...]string{f.names.CustomerHeader, f.names.PlanHeader, "X-Request-ID", "X-Timeout"}
 	var got [len(singles)]string
@@ -157,9 +156,9 @@
 		Gateways: f.gateways, Customer: customerKey(customer), Deadline: f.Now() + limit}, id, 0, nil
 }
 
-// customerKey is a customer's key on the counter, the same at all gateways and
-// both fronts: the platform's 16 hex digits as they are, anything else hashed,
-// since the counter's names are short and may be seen by others.
+// customerKey returns a customer's key on the counter, which is the same for all gateways
+// and both fronts. The platform's 16 hex digits are unchanged; anything else is hashed,
+// since the counter's names are short and may be visible to others.
 func customerKey(name string) string {
 	if len(name) == 16 {
 		if _, err := strconv.ParseUint(name, 16, 64); err == nil {
@@ -170,7 +169,7 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// problem answers with RFC 9457's problem details.
+// problem answers with RFC 9457 problem details.
 func problem(ctx *fasthttp.RequestCtx, status int, detail string) {
 	body, _ := json.Marshal(map[string]any{"status": status, "title": fasthttp.StatusMessage(status), "detail": detail})
 	ctx.SetStatusCode(status)
--- a/internal/protocol/openapi/front_test.go
+++ b/internal/protocol/openapi/front_test.go
@@ -28,15 +28,14 @@
 	"asterwell/internal/transport"
 )
 
-// standIn is the server behind the gateway. It counts each request by its id as
-// soon as it has come whole, and then does what its query says: answer, break
-// the connection, wait, or turn it away.
+// standIn is the server behind the gateway. It counts requests by ID once they are
+// complete, and then acts as their query says: answer, close the connection, wait, or reject.
 type standIn struct {
 	net.Listener
 	mu      sync.Mutex
 	ran     map[string]int
 	lines   []string
-	release chan struct{} // ends all waits
+	release chan struct{} // closed to end all waits
 	came    chan string
 }
 
@@ -58,7 +57,7 @@
 	do := string(ctx.QueryArgs().Peek("do"))
 	s.mu.Lock()
 	s.lines = append(s.lines, fmt.Sprintf("%s %s %s", ctx.Method(), ctx.Request.Header.RequestURI(), ctx.Request.Body()))
-	if do == "away" && s.ran[id] == 0 { // the first time only; it does not run
+	if do == "away" && s.ran[id] == 0 { // only the first time; the request does not run
 		s.ran[id] = 0
 		s.mu.Unlock()
 		ctx.Response.Header.Set("X-Not-Processed", "1")
@@ -95,7 +94,7 @@
 	url string
 }
 
-// newGateway runs the front, the core and the server's actor on real sockets.
+// newGateway runs the front, the core and the connections to the server on real sockets.
 func newGateway(t *testing.T, server *standIn, routes []Route, description []byte) *gateway {
 	t.Helper()
 	set := choice.Settings{Gateways: 1, MaxAttempts: 5, Cancels: true, Hedging: true, RetryAfter: true, MaxUnits: 3,
@@ -160,8 +159,8 @@
 	return text
 }
 
-// The shipped description serves what users' own records hold: a HAR file of a
-// session, and an access log.
+// The shipped description serves requests recorded from users: a HAR file of a session,
+// and an access log.
 func TestRecordedRequests(t *testing.T) {
 	server := newStandIn(t)
 	g := newGateway(t, server, nil, nominations(t))
@@ -270,9 +269,9 @@
 	}
 }
 
-// An operation is marked safe, but the operator's route says never; and the
-// description that says so comes while submissions are in flight. No submission
-// may run twice, whatever becomes of its connection.
+// An operation is marked safe, but the operator's route forbids repeats, and the
+// description is replaced while submissions are in flight. No submission may run twice,
+// even if its connection is lost.
 func TestNoSubmissionRunsTwice(t *testing.T) {
 	before := describe(`
   /submit: {post: {x-asterwell-class: submit-nom, ` + operation + `}}
@@ -309,7 +308,7 @@
 	if status, _, _ := g.do(t, "GET", "/v1/new", "", "X-Api-Key", "k"); status != 404 {
 		t.Errorf("/new before the change: status %d", status)
 	}
-	// What can't be used is rejected, and the description in place stands.
+	// An invalid description is rejected, and the current one stays in use.
 	for _, bad := range [][]byte{[]byte("{"), bytes.ReplaceAll(after, []byte("status-read"), []byte("odd"))} {
 		if err := g.Replace(bad); err == nil {
 			t.Errorf("taken: %s", bad)
@@ -343,14 +342,14 @@
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	// The same break without the route's word: the stand-in does count repeats.
+	// Control: the same lost connection without the route does produce a counted repeat.
 	g.do(t, "POST", "/v1/control?do=break", "", "X-Request-ID", "control", "X-Api-Key", "k")
 	if n := server.times("control"); n < 2 {
 		t.Errorf("the control ran %d times: this test would not notice a repeat", n)
 	}
 }
 
-func TestFollowTakesChanges(t *testing.T) {
+func TestWatchFile(t *testing.T) {
 	server := newStandIn(t)
 	first := describe("  /a: {get: {x-asterwell-class: status-read, " + operation + "}}\n")
 	g := newGateway(t, server, nil, first)
@@ -382,9 +381,8 @@
 	until("/v1/a", 404)
 }
 
-// scene plays a script between a client of this front and a server of the
-// script's own.
-func scene(t *testing.T, script string) {
+// scene plays a script between a client of this front and a scripted server.
+func playScript(t *testing.T, script string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -399,10 +397,10 @@
 	stage.Play(t, script)
 }
 
-// What servers spoil is no answer on this front either, and a submission is not
-// sent again for it. An answer with more behind it is good.
-func TestSpoiltAnswers(t *testing.T) {
-	scene(t, `
+// Invalid responses are not passed on by this front either, and the submission is not sent
+// again. A response followed by extra bytes is valid.
+func TestInvalidResponses(t *testing.T) {
+	playScript(t, `
 		client1 send "$submit"
 		server1 expect "\r\n\r\nbody"
 		server1 send "HTTP/1.1 201 Created\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
@@ -416,10 +414,9 @@
 		server3 expect nothing`)
 }
 
-// What the platform's front turns away before the core hears of it, this front
-// does too.
-func TestBadClients(t *testing.T) {
-	scene(t, `
+// Requests that the platform's front rejects before they reach the core are rejected here too.
+func TestInvalidRequests(t *testing.T) {
+	playScript(t, `
 		client1 send "POST /v1/nominations HTTP/1.1\r\n${headers}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n$submit"
 		client1 expect "HTTP/1.1 400 "
 		client1 expect closed
--- a/internal/protocol/openapi/watch.go
+++ b/internal/protocol/openapi/watch.go
@@ -9,7 +9,7 @@
 	"asterwell/internal/hostenv"
 )
 
-// Load reads the description's file for the first time.
+// Load reads the initial description from a file.
 func (f *Front) Load(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -18,9 +18,9 @@
 	return text, f.Replace(text)
 }
 
-// Follow takes changes of the description's file until the bell rings. A change
-// that can't be used is logged once, and the description in place stands; so it
-// does while the file is half written or missing.
+// WatchFile applies changes of the description's file until stop is notified. An invalid
+// change is logged once and the current description stays in use, as it does while the
+// file is incomplete or missing.
 func (f *Front) WatchFile(path string, last []byte, every time.Duration, stop hostenv.Notifier) {
 	missing := false
 	for !stop.Wait(every) {
