--- a/internal/hostenv/hostenv.go
+++ b/internal/hostenv/hostenv.go
@@ -66,29 +66,29 @@
 
 func (machine) Random() uint64 { return rand.Uint64() }
 
-func (machine) NewNotifier() Notifier { return &bell{rung: make(chan struct{}, 1)} }
+func (machine) NewNotifier() Notifier { return &notifier{pending: make(chan struct{}, 1)} }
 
-type bell struct {
-	rung  chan struct{}
-	timer *time.Timer
+type notifier struct {
+	pending chan struct{}
+	timer   *time.Timer
 }
 
-func (b *bell) Notify() {
+func (b *notifier) Notify() {
 	select {
-	case b.rung <- struct{}{}:
+	case b.pending <- struct{}{}:
 	default:
 	}
 }
 
-func (b *bell) Wait(d time.Duration) bool {
+func (b *notifier) Wait(d time.Duration) bool {
 	select {
-	case <-b.rung:
+	case <-b.pending:
 		return true
 	default:
 	}
 	switch {
 	case d < 0:
-		<-b.rung
+		<-b.pending
 		return true
 	case d == 0:
 		return false
@@ -99,7 +99,7 @@
 	}
 	defer b.timer.Stop()
 	select {
-	case <-b.rung:
+	case <-b.pending:
 		return true
 	case <-b.timer.C:
 		return false
--- a/internal/mailbox/box.go
+++ b/internal/mailbox/box.go
@@ -12,27 +12,27 @@
 // Box is an unbounded mailbox. A bounded one could deadlock two actors that send
 // to each other; the number of open requests bounds the number of messages.
 type Box[T any] struct {
-	mu    sync.Mutex
-	in    []T
-	spare []T
-	world hostenv.Host
-	bell  hostenv.Notifier
+	mu       sync.Mutex
+	queued   []T
+	spare    []T
+	host     hostenv.Host
+	notifier hostenv.Notifier
 }
 
 // NewBox returns an empty mailbox on a host (nil: hostenv.Real).
-func NewBox[T any](world hostenv.Host) *Box[T] {
-	world = hostenv.OrReal(world)
-	return &Box[T]{world: world, bell: world.NewNotifier()}
+func NewBox[T any](host hostenv.Host) *Box[T] {
+	host = hostenv.OrReal(host)
+	return &Box[T]{host: host, notifier: host.NewNotifier()}
 }
 
 // Put adds a message.
 func (b *Box[T]) Put(m T) {
 	b.mu.Lock()
-	b.in = append(b.in, m)
-	first := len(b.in) == 1
+	b.queued = append(b.queued, m)
+	first := len(b.queued) == 1
 	b.mu.Unlock()
 	if first {
-		b.bell.Notify()
+		b.notifier.Notify()
 	}
 }
 
@@ -46,13 +46,13 @@
 	}
 	if wait < 0 {
 		for len(got) == 0 { // a notification may be left from messages already taken
-			b.bell.Wait(-1)
+			b.notifier.Wait(-1)
 			got = b.swap()
 		}
 		return got
 	}
-	for end := b.world.Now().Add(wait); ; wait = end.Sub(b.world.Now()) {
-		rung := wait > 0 && b.bell.Wait(wait)
+	for end := b.host.Now().Add(wait); ; wait = end.Sub(b.host.Now()) {
+		rung := wait > 0 && b.notifier.Wait(wait)
 		if got = b.swap(); len(got) > 0 || !rung {
 			return got
 		}
@@ -62,8 +62,8 @@
 func (b *Box[T]) swap() []T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	got := b.in
+	got := b.queued
 	clear(b.spare) // the previous batch, which the actor has processed
-	b.in, b.spare = b.spare[:0], got
+	b.queued, b.spare = b.spare[:0], got
 	return got
 }
--- a/internal/mailbox/box_test.go
+++ b/internal/mailbox/box_test.go
@@ -51,9 +51,9 @@
 func TestManySenders(t *testing.T) {
 	b := NewBox[[2]int](nil)
 	const senders, each = 8, 1000
-	var wait sync.WaitGroup
+	var senderGroup sync.WaitGroup
 	for s := range senders {
-		wait.Go(func() {
+		senderGroup.Go(func() {
 			for i := range each {
 				b.Put([2]int{s, i})
 			}
@@ -69,7 +69,7 @@
 			n++
 		}
 	}
-	wait.Wait()
+	senderGroup.Wait()
 }
 
 // Measures a round trip of one message between two goroutines.
--- a/internal/ops/figures.go
+++ b/internal/ops/figures.go
@@ -58,11 +58,11 @@
 	f.replies[name] = of
 }
 
-// Took counts a request as under way.
-func (f *Figures) Took() { f.concurrent.Add(1) }
+// RequestStarted counts a request as under way.
+func (f *Figures) RequestStarted() { f.concurrent.Add(1) }
 
-// Gave ends what Took began.
-func (f *Figures) Gave() { f.concurrent.Add(-1) }
+// RequestFinished ends what RequestStarted began.
+func (f *Figures) RequestFinished() { f.concurrent.Add(-1) }
 
 // Ended counts how a request of a class ended. Classes nobody has named are not counted:
 // clients could make up any number.
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -24,7 +24,7 @@
 
 // readBody buffers the first part of a request's body, and leaves the remainder to an
 // upload. length is that of the whole body; -1: unknown.
-func readBody(ctx *fasthttp.RequestCtx) (held []byte, rest *bodyUpload, length int, err error) {
+func readBody(ctx *fasthttp.RequestCtx) (buffered []byte, remainder *bodyUpload, length int, err error) {
 	if !ctx.Request.IsBodyStream() {
 		body := append([]byte(nil), ctx.Request.Body()...)
 		return body, nil, len(body), nil
@@ -39,25 +39,25 @@
 	}
 	body := ctx.RequestBodyStream()
 	if length <= transport.MaxBuffered {
-		held, err = io.ReadAll(io.LimitReader(body, transport.MaxBuffered+1))
-		if err == nil && len(held) <= transport.MaxBuffered {
-			return held, nil, len(held), nil
+		buffered, err = io.ReadAll(io.LimitReader(body, transport.MaxBuffered+1))
+		if err == nil && len(buffered) <= transport.MaxBuffered {
+			return buffered, nil, len(buffered), nil
 		}
 	}
 	if err != nil {
 		return nil, nil, 0, incompleteBody(err)
 	}
-	world := hostenv.Real
+	host := hostenv.Real
 	if c != nil {
-		world = c.World()
+		host = c.Host()
 	}
-	return held, &bodyUpload{body: body, chunked: length < 0, remaining: length, host: world, pieceReady: world.NewNotifier()}, length, nil
+	return buffered, &bodyUpload{body: body, chunked: length < 0, remaining: length, host: host, pieceReady: host.NewNotifier()}, length, nil
 }
 
 // incompleteBody returns the error for a body that did not arrive completely.
 func incompleteBody(err error) error {
-	var late interface{ Timeout() bool }
-	if errors.As(err, &late) && late.Timeout() {
+	var timeout interface{ Timeout() bool }
+	if errors.As(err, &timeout) && timeout.Timeout() {
 		return bodyError(fasthttp.StatusRequestTimeout)
 	}
 	return bodyError(fasthttp.StatusBadRequest)
@@ -138,30 +138,30 @@
 }
 
 // readFrom reads the client's body, on the client's goroutine, until it has been delivered
-// completely or done returns true. It calls wrote on progress, and returns false if the
+// completely or done returns true. It reports progress through onProgress, and returns false if the
 // client disconnects or the body is invalid.
-func (u *bodyUpload) readFrom(c *transport.ClientConn, done func() bool, wrote func()) bool {
-	const room = 16 // bytes reserved for a chunk header
-	buf := make([]byte, room+pieceSize+2+5)
-	enough := func() bool { return done() || u.stopped() }
-	var told time.Time
+func (u *bodyUpload) readFrom(c *transport.ClientConn, done func() bool, onProgress func()) bool {
+	const headerSpace = 16 // bytes reserved for a chunk header
+	buf := make([]byte, headerSpace+pieceSize+2+5)
+	stop := func() bool { return done() || u.stopped() }
+	var lastProgress time.Time
 	for {
 		if !c.Await(func() bool { return u.wanted() || done() }) {
 			u.fail(io.ErrUnexpectedEOF)
 			return false
 		}
-		if enough() {
+		if stop() {
 			return true
 		}
-		c.Pace(enough)
-		n, err := u.body.Read(buf[room : room+pieceSize])
+		c.Pace(stop)
+		n, err := u.body.Read(buf[headerSpace : headerSpace+pieceSize])
 		u.total += n
 		if u.total > transport.MaxStream {
 			err = bodyError(fasthttp.StatusRequestEntityTooLarge)
 		}
 		last := err == io.EOF
 		if err != nil && !last {
-			if enough() {
+			if stop() {
 				return true
 			}
 			u.fail(err)
@@ -178,15 +178,15 @@
 		if n == 0 && !last {
 			continue
 		}
-		piece := u.frame(buf, room, n, last)
+		piece := u.frame(buf, headerSpace, n, last)
 		u.complete = last
 		if u.onPiece != nil {
 			u.onPiece(piece, last)
 		}
 		u.deliver(piece, last)
-		if now := u.host.Now(); last || now.Sub(told) > progressInterval {
-			told = now
-			wrote()
+		if now := u.host.Now(); last || now.Sub(lastProgress) > progressInterval {
+			lastProgress = now
+			onProgress()
 		}
 		if last {
 			return true
@@ -205,19 +205,19 @@
 }
 
 // frame adds the chunk framing to the n bytes read into buf at offset at.
-func (u *bodyUpload) frame(buf []byte, at, n int, last bool) []byte {
+func (u *bodyUpload) frame(buf []byte, start, n int, last bool) []byte {
 	if !u.chunked {
-		return buf[at : at+n]
+		return buf[start : start+n]
 	}
-	end := at + n
+	end := start + n
 	if n > 0 {
 		head := strconv.AppendInt(nil, int64(n), 16)
 		head = append(head, '\r', '\n')
-		at -= copy(buf[at-len(head):], head)
+		start -= copy(buf[start-len(head):], head)
 		end += copy(buf[end:], "\r\n")
 	}
 	if last {
 		end += copy(buf[end:], "0\r\n\r\n")
 	}
-	return buf[at:end]
+	return buf[start:end]
 }
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -138,15 +138,15 @@
 	if c.correlation == nil {
 		return true
 	}
-	mine := len(c.correlation.value) == 0
+	matched := len(c.correlation.value) == 0
 	for key, value := range answer.Header.All() {
 		if equalHeader(key, c.correlation.header) {
-			if mine = bytes.Equal(value, c.correlation.value); !mine {
+			if matched = bytes.Equal(value, c.correlation.value); !matched {
 				return false
 			}
 		}
 	}
-	return mine
+	return matched
 }
 
 // UsedConns returns the connections that attempts of the request have used.
--- a/internal/protocol/copy.go
+++ b/internal/protocol/copy.go
@@ -11,18 +11,18 @@
 	overflow bool // memory could not be reserved
 }
 
-// StartCopy starts recording a call that has not been sent yet. It calls room to reserve n bytes
+// StartCopy starts recording a call that has not been sent yet. It calls reserve
 // before recording them.
-func (c *Call) StartCopy(room func(n int) bool) *Copy {
-	k := &Copy{call: c, reserve: room, complete: c.upload == nil}
-	if k.tryReserve(len(c.head) + len(c.body)); c.upload == nil {
-		return k
+func (c *Call) StartCopy(reserve func(n int) bool) *Copy {
+	cp := &Copy{call: c, reserve: reserve, complete: c.upload == nil}
+	if cp.tryReserve(len(c.head) + len(c.body)); c.upload == nil {
+		return cp
 	}
-	if !c.upload.chunked && k.tryReserve(c.upload.remaining) {
-		k.upload = make([]byte, 0, c.upload.remaining)
+	if !c.upload.chunked && cp.tryReserve(c.upload.remaining) {
+		cp.upload = make([]byte, 0, c.upload.remaining)
 	}
-	c.upload.onPiece = k.append
-	return k
+	c.upload.onPiece = cp.append
+	return cp
 }
 
 func (k *Copy) tryReserve(n int) bool {
--- a/internal/protocol/counter.go
+++ b/internal/protocol/counter.go
@@ -83,11 +83,11 @@
 	maxTTL         = time.Minute
 )
 
-// NewCounter returns an actor on a host (nil: hostenv.Real). It calls told once for
+// NewCounter returns an actor on a host (nil: hostenv.Real). It calls onResult once for
 // each Add.
-func NewCounter(world hostenv.Host, addr string, limit time.Duration, told func(string, choice.Status, float64)) *Counter {
-	world = hostenv.OrReal(world)
-	return &Counter{host: world, addr: addr, timeout: limit, inbox: mailbox.NewBox[any](world), onResult: told}
+func NewCounter(host hostenv.Host, addr string, limit time.Duration, onResult func(string, choice.Status, float64)) *Counter {
+	host = hostenv.OrReal(host)
+	return &Counter{host: host, addr: addr, timeout: limit, inbox: mailbox.NewBox[any](host), onResult: onResult}
 }
 
 // Stop ends Run. Pending calls get no result.
@@ -149,8 +149,8 @@
 	}
 	for _, l := range c.connections() {
 		if len(l.pending) > 0 {
-			if dead := l.lastReply.Add(silentTimeouts * c.timeout); dead.Before(next) {
-				next = dead
+			if silentAt := l.lastReply.Add(silentTimeouts * c.timeout); silentAt.Before(next) {
+				next = silentAt
 			}
 		}
 		for _, k := range l.pending {
@@ -318,8 +318,8 @@
 	if l.closed {
 		return // already closed
 	}
-	owed := len(l.pending) > l.unflushed
-	if m.kind < replyInvalid && (!owed || l.pending[0].ping != (m.kind == replyPong)) {
+	expected := len(l.pending) > l.unflushed
+	if m.kind < replyInvalid && (!expected || l.pending[0].ping != (m.kind == replyPong)) {
 		m.kind, m.err = replyInvalid, errors.New("unsolicited reply")
 	}
 	switch m.kind {
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -104,16 +104,16 @@
 	}
 )
 
-// NewDiscovery returns an actor that reports changes through news. The watch continues
+// NewDiscovery returns an actor that reports changes through onUpdate. The watch continues
 // from the known list. It starts immediately, or on demand with Watch.
-func NewDiscovery(opt DiscoveryOptions, known ServerList, onDemand bool, news func(routing.DiscoveryUpdate)) *Discovery {
+func NewDiscovery(opt DiscoveryOptions, known ServerList, onDemand bool, onUpdate func(routing.DiscoveryUpdate)) *Discovery {
 	opt.Host = hostenv.OrReal(opt.Host)
-	d := &Discovery{opt: opt, onUpdate: news, inbox: mailbox.NewBox[any](opt.Host), watching: !onDemand,
+	d := &Discovery{opt: opt, onUpdate: onUpdate, inbox: mailbox.NewBox[any](opt.Host), watching: !onDemand,
 		needFullList: len(known.Servers) == 0, ids: map[string]uint32{}, backoff: backoff.New(opt.Backoff)}
 	d.notBefore = opt.Host.Now().Add(d.backoff.InitialDelay(d.random()))
 	n := d.toUpdate(known, true)
 	n.Saved = true
-	news(n)
+	onUpdate(n)
 	return d
 }
 
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -53,14 +53,14 @@
 }
 
 // Update applies a change of the server list.
-func (f *Fleet) Update(news routing.DiscoveryUpdate) {
-	named := map[uint32]bool{}
-	for _, m := range news.Members {
+func (f *Fleet) Update(update routing.DiscoveryUpdate) {
+	listed := map[uint32]bool{}
+	for _, m := range update.Members {
 		s := f.servers[m.ID]
 		if m.State == choice.Down {
 			continue
 		}
-		named[m.ID] = true
+		listed[m.ID] = true
 		if s == nil {
 			s = &server{}
 			f.servers[m.ID] = s
@@ -73,14 +73,14 @@
 		s.peer = transport.NewPeer(m.Addr, f.opt, func(r transport.Result[routing.Attempt]) { f.handleResult(id, r) })
 		s.peers = append(s.peers, s.peer)
 	}
-	for _, m := range news.Members {
-		if s := f.servers[m.ID]; m.State == choice.Down && s != nil && !named[m.ID] {
+	for _, m := range update.Members {
+		if s := f.servers[m.ID]; m.State == choice.Down && s != nil && !listed[m.ID] {
 			s.retire()
 		}
 	}
-	if news.Whole {
+	if update.Whole {
 		for _, id := range slices.Sorted(maps.Keys(f.servers)) { // in a deterministic order
-			if !named[id] {
+			if !listed[id] {
 				f.servers[id].retire()
 			}
 		}
--- a/internal/protocol/fleet_test.go
+++ b/internal/protocol/fleet_test.go
@@ -45,7 +45,7 @@
 		"201, described":             {transport.Answered, answer(201), true, choice.OK},
 		"not sent":                   {transport.NotSent, nil, false, choice.ConnectFailed},
 		"broken":                     {transport.ConnectionLost, nil, false, choice.Reset},
-		"spoilt":                     {transport.Invalid, nil, false, choice.Error},
+		"invalid":                    {transport.Invalid, nil, false, choice.Error},
 	} {
 		if got := Platform.outcome(c.end, c.answer, &Call{Transparent: c.transparent}); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
--- a/internal/protocol/front.go
+++ b/internal/protocol/front.go
@@ -55,8 +55,8 @@
 
 // RequestObserver is notified of the start and the outcome of client requests.
 type RequestObserver interface {
-	Took() // a request has started
-	Gave() // a request has finished
+	RequestStarted()  // a request has started
+	RequestFinished() // a request has finished
 	Ended(class string, how ops.How)
 }
 
@@ -104,14 +104,14 @@
 
 // MaxPlanUnits returns the most units that one request can take from a plan.
 func MaxPlanUnits(set *choice.Settings, p *choice.Plan) float64 {
-	most := cmp.Or(set.MaxUnits, math.MaxFloat64)
+	units := cmp.Or(set.MaxUnits, math.MaxFloat64)
 	if p.Rate > 0 {
-		most = min(most, p.Burst)
+		units = min(units, p.Burst)
 	}
 	if p.CeilingRate > 0 {
-		most = min(most, p.CeilingBurst)
+		units = min(units, p.CeilingBurst)
 	}
-	return most
+	return units
 }
 
 // Handle serves one request.
@@ -165,13 +165,13 @@
 
 func (f *Front) requestStarted() {
 	if f.Observer != nil {
-		f.Observer.Took()
+		f.Observer.RequestStarted()
 	}
 }
 
 func (f *Front) requestEnded(class string, how ops.How) {
 	if f.Observer != nil {
-		f.Observer.Gave()
+		f.Observer.RequestFinished()
 		if how != "" {
 			f.Observer.Ended(class, how)
 		}
@@ -263,10 +263,10 @@
 	case len(id) > MaxID:
 		return nil, "", fmt.Errorf("%s: longer than %d bytes", headerID, MaxID)
 	}
-	said := requestTerms{method: string(ctx.Method()), body: len(call.body) > 0 || call.upload != nil, timeout: got[3], terms: got[4], at: f.Now()}
+	terms := requestTerms{method: string(ctx.Method()), body: len(call.body) > 0 || call.upload != nil, timeout: got[3], terms: got[4], at: f.Now()}
 	policy := f.policy.Load()
 	if !f.DeferTerms {
-		if err := policy.check(r, said); err != nil {
+		if err := policy.check(r, terms); err != nil {
 			return nil, "", err
 		}
 	}
@@ -277,17 +277,17 @@
 		return nil, "", fmt.Errorf("Cookie: client must be 16 hex digits for a number under 2^33, got %q", r.Customer)
 	}
 	if f.DeferTerms {
-		r.Deadline = said.at + time.Hour // until the policy sets it
+		r.Deadline = terms.at + time.Hour // until the policy sets it
 		r.ResolveTerms = func() error {
 			policy := f.policy.Load()
-			if err := policy.check(r, said); err != nil {
+			if err := policy.check(r, terms); err != nil {
 				return err
 			}
-			return f.applyTerms(policy, r, said)
+			return f.applyTerms(policy, r, terms)
 		}
 		return r, id, nil
 	}
-	return r, id, f.applyTerms(policy, r, said)
+	return r, id, f.applyTerms(policy, r, terms)
 }
 
 // requestTerms are the properties of a request that are checked against the policy.
@@ -300,16 +300,16 @@
 
 // check checks a request against the policy's classes and plans.
 func (t *policyTerms) check(r *routing.Request, s requestTerms) error {
-	class, known := t.classes[r.Class]
-	_, sold := t.planMaxUnits[r.Plan]
+	class, knownClass := t.classes[r.Class]
+	_, knownPlan := t.planMaxUnits[r.Plan]
 	method := "POST"
 	if class.Effect == choice.Retryable {
 		method = "GET"
 	}
 	switch {
-	case !known:
+	case !knownClass:
 		return fmt.Errorf("%s: unknown class %q", headerClass, r.Class)
-	case !sold:
+	case !knownPlan:
 		return fmt.Errorf("%s: unknown plan %q", headerPlan, r.Plan)
 	case s.method != method:
 		return wrongMethod(method)
@@ -335,31 +335,31 @@
 }
 
 // Timeout parses a client's timeout in seconds, and limits it to the one of its class.
-func Timeout(text string, most time.Duration) (time.Duration, error) {
+func Timeout(text string, limit time.Duration) (time.Duration, error) {
 	if text == "" {
-		return most, nil
+		return limit, nil
 	}
 	s, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(s > 0) || s > 3600 {
 		return 0, fmt.Errorf("not a time in seconds: %q", text)
 	}
 	d := time.Duration(s * float64(time.Second))
-	if most > 0 {
-		d = min(d, most)
+	if limit > 0 {
+		d = min(d, limit)
 	}
 	return d, nil
 }
 
 // parseCallTerms parses a header such as units=2,spread=3,first=1.
-func (f *Front) parseCallTerms(text string, most float64) (units float64, width, first int, err error) {
-	units, width = min(1, most), f.gateways
+func (f *Front) parseCallTerms(text string, maxUnits float64) (units float64, width, first int, err error) {
+	units, width = min(1, maxUnits), f.gateways
 	seen := map[string]bool{}
 	for item := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(item), "=")
 		var bad error
 		switch key {
 		case "units":
-			if units, bad = strconv.ParseFloat(value, 64); bad == nil && !(units > 0 && units <= most) {
+			if units, bad = strconv.ParseFloat(value, 64); bad == nil && !(units > 0 && units <= maxUnits) {
 				bad = strconv.ErrRange
 			}
 		case "spread":
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -26,8 +26,8 @@
 	inFlight atomic.Int64 // exchanges in progress, including those that wait for a connection
 }
 
-// NewConnLimit returns a limit of most connections.
-func NewConnLimit(most int) *ConnLimit { return &ConnLimit{max: int64(most)} }
+// NewConnLimit returns a limit on the number of connections.
+func NewConnLimit(limit int) *ConnLimit { return &ConnLimit{max: int64(limit)} }
 
 func (s *ConnLimit) acquire() bool {
 	if s.open.Add(1) > s.max {
@@ -79,16 +79,16 @@
 }
 
 // Dial connects to addr within the limit.
-func Dial(world hostenv.Host, addr string, limit time.Duration) (*Conn, error) {
-	nc, err := hostenv.OrReal(world).Dial(addr, limit)
+func Dial(host hostenv.Host, addr string, limit time.Duration) (*Conn, error) {
+	nc, err := hostenv.OrReal(host).Dial(addr, limit)
 	if err != nil {
 		return nil, err
 	}
-	return newConn(world, nc), nil
+	return newConn(host, nc), nil
 }
 
-func newConn(world hostenv.Host, nc net.Conn) *Conn {
-	c := &Conn{host: hostenv.OrReal(world), nc: nc}
+func newConn(host hostenv.Host, nc net.Conn) *Conn {
+	c := &Conn{host: hostenv.OrReal(host), nc: nc}
 	c.br = bufio.NewReaderSize(reader{c}, maxHeaderBytes)
 	return c
 }
@@ -206,21 +206,21 @@
 
 // HasConflictingLengths reports whether a header has both Content-Length and
 // Transfer-Encoding: recipients that follow different ones see different messages.
-func HasConflictingLengths(head []byte) bool {
-	var length, transfer bool
-	for line := range bytes.SplitSeq(head, []byte("\n")) {
+func HasConflictingLengths(header []byte) bool {
+	var hasLength, hasTransfer bool
+	for line := range bytes.SplitSeq(header, []byte("\n")) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
 		name = bytes.TrimSpace(name)
-		length = length || bytes.EqualFold(name, []byte("Content-Length"))
-		transfer = transfer || bytes.EqualFold(name, []byte("Transfer-Encoding"))
+		hasLength = hasLength || bytes.EqualFold(name, []byte("Content-Length"))
+		hasTransfer = hasTransfer || bytes.EqualFold(name, []byte("Transfer-Encoding"))
 	}
-	return length && transfer
+	return hasLength && hasTransfer
 }
 
 // containsStatusLine reports whether there is a status line inside a header.
-func containsStatusLine(head []byte) bool {
+func containsStatusLine(header []byte) bool {
 	const begins = "HTTP/1."
-	for rest := head[min(1, len(head)):]; ; {
+	for rest := header[min(1, len(header)):]; ; {
 		i := bytes.Index(rest, []byte(begins))
 		if i < 0 {
 			return false
@@ -232,8 +232,8 @@
 }
 
 // announcesClose reports whether a header has Connection: close.
-func announcesClose(head []byte) bool {
-	for line := range bytes.SplitSeq(head, []byte("\n")) {
+func announcesClose(header []byte) bool {
+	for line := range bytes.SplitSeq(header, []byte("\n")) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		if bytes.EqualFold(bytes.TrimSpace(name), []byte("Connection")) &&
 			bytes.EqualFold(bytes.TrimSpace(value), []byte("close")) {
--- a/internal/transport/idle_timeout.go
+++ b/internal/transport/idle_timeout.go
@@ -26,8 +26,8 @@
 	immediateLoss  = 20 * time.Millisecond
 )
 
-// NewIdleTimeout returns an IdleTimeout that starts at most.
-func NewIdleTimeout(most time.Duration) *IdleTimeout { return &IdleTimeout{max: most, limit: most} }
+// NewIdleTimeout returns an IdleTimeout that starts at the given limit.
+func NewIdleTimeout(limit time.Duration) *IdleTimeout { return &IdleTimeout{max: limit, limit: limit} }
 
 // Limit returns how long an idle connection may be used again.
 func (k *IdleTimeout) Limit(now time.Time) time.Duration {
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -32,25 +32,25 @@
 	resumed hostenv.Notifier // notified when paused is cleared
 }
 
-// Listen listens on addr for at most most connections, on a host (nil:
+// Listen listens on addr for at most maxConns connections, on a host (nil:
 // hostenv.Real).
-func Listen(world hostenv.Host, addr string, most int) (*Listener, error) {
-	world = hostenv.OrReal(world)
-	ln, err := world.Listen(addr)
+func Listen(host hostenv.Host, addr string, maxConns int) (*Listener, error) {
+	host = hostenv.OrReal(host)
+	ln, err := host.Listen(addr)
 	if err != nil {
 		return nil, err
 	}
-	return newListener(world, ln, most), nil
+	return newListener(host, ln, maxConns), nil
 }
 
-func newListener(world hostenv.Host, ln net.Listener, most int) *Listener {
-	return &Listener{Listener: ln, host: world, maxConns: most, roomAvailable: world.NewNotifier(), resumed: world.NewNotifier(),
+func newListener(host hostenv.Host, ln net.Listener, maxConns int) *Listener {
+	return &Listener{Listener: ln, host: host, maxConns: maxConns, roomAvailable: host.NewNotifier(), resumed: host.NewNotifier(),
 		conns: map[*ClientConn]struct{}{}}
 }
 
 // Inherit listens on a socket passed by the parent process as a file descriptor.
 // Closing the listener leaves the socket and its accept queue to other processes.
-func Inherit(fd int, most int) (*Listener, error) {
+func Inherit(fd int, maxConns int) (*Listener, error) {
 	file := os.NewFile(uintptr(fd), "inherited")
 	if file == nil {
 		return nil, os.ErrInvalid
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return newListener(hostenv.Real, ln, most), file.Close() // the listener has a duplicate
+	return newListener(hostenv.Real, ln, maxConns), file.Close() // the listener has a duplicate
 }
 
 // Serve serves each connection on its own goroutine until the listener is closed.
@@ -184,20 +184,20 @@
 
 // expendable ranks a connection. The caller holds the listener's lock.
 func (c *ClientConn) expendable(now time.Time) int {
-	waits := now.Sub(c.since)
+	elapsed := now.Sub(c.since)
 	switch {
 	case c.closed:
-		if waits > pressureGrace {
+		if elapsed > pressureGrace {
 			return rankAnswered
 		}
 	case c.serving:
-	case !c.busy && !c.served && waits <= pressureGrace:
+	case !c.busy && !c.served && elapsed <= pressureGrace:
 		return rankNew
 	case !c.busy && !c.served:
 		return rankSilent
 	case !c.busy:
 		return rankIdle
-	case waits > pressureGrace:
+	case elapsed > pressureGrace:
 		return rankIncomplete
 	}
 	return rankProtected
@@ -318,9 +318,9 @@
 // immediately would reset the connection, and a client that is still sending could lose
 // the response in transit, such as one that says that its request is too large.
 func (c *ClientConn) linger(buf []byte) {
-	for most := lingerMaxBytes; ; {
+	for limit := lingerMaxBytes; ; {
 		n, err := c.Conn.Read(buf)
-		if most -= n; err != nil || most < 0 {
+		if limit -= n; err != nil || limit < 0 {
 			c.listener.mu.Lock()
 			c.remove()
 			c.listener.mu.Unlock()
@@ -339,7 +339,7 @@
 }
 
 // World returns the host of the connection.
-func (c *ClientConn) World() hostenv.Host { return c.listener.host }
+func (c *ClientConn) Host() hostenv.Host { return c.listener.host }
 
 // Notifier returns the notifier of the goroutine that serves the connection.
 func (c *ClientConn) Notifier() hostenv.Notifier { return c.readable }
@@ -412,11 +412,11 @@
 
 // toHostTime converts a deadline of the HTTP library, which uses the system clock, to
 // the host's clock. The library's timeouts are whole seconds.
-func (c *ClientConn) toHostTime(t time.Time) time.Time {
-	if t.IsZero() {
-		return t
+func (c *ClientConn) toHostTime(deadline time.Time) time.Time {
+	if deadline.IsZero() {
+		return deadline
 	}
-	return c.listener.host.Now().Add(time.Until(t).Round(time.Second))
+	return c.listener.host.Now().Add(time.Until(deadline).Round(time.Second))
 }
 
 // Pace replaces the timeout of the whole request by one between two reads of its body.
@@ -563,8 +563,8 @@
 // marks the connection as serving.
 func rejectAmbiguous(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		if c, ok := ctx.Conn().(*ClientConn); ok {
-			c.serve()
+		if conn, ok := ctx.Conn().(*ClientConn); ok {
+			conn.serve()
 		}
 		if HasConflictingLengths(ctx.Request.Header.RawHeaders()) {
 			ctx.Error("Content-Length and Transfer-Encoding\n", fasthttp.StatusBadRequest)
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -167,8 +167,8 @@
 			}
 		}
 	}
-	for _, l := range p.idle {
-		p.close(l)
+	for _, pc := range p.idle {
+		p.close(pc)
 	}
 }
 
@@ -176,15 +176,15 @@
 // until the next one expires. A request written to a connection that the server has
 // closed would be reset, and it would be unknown whether it ran.
 func (p *Peer[K]) closeExpired() time.Duration {
-	old := 0
-	for _, l := range p.idle {
-		left := p.opt.IdleTimeout.Limit(p.now()) - p.now().Sub(l.idleSince)
+	expired := 0
+	for _, pc := range p.idle {
+		left := p.opt.IdleTimeout.Limit(p.now()) - p.now().Sub(pc.idleSince)
 		if left > 0 && !p.stopped {
-			p.idle = append(p.idle[:0], p.idle[old:]...)
+			p.idle = append(p.idle[:0], p.idle[expired:]...)
 			return left
 		}
-		p.close(l)
-		old++
+		p.close(pc)
+		expired++
 	}
 	p.idle = p.idle[:0]
 	return -1
@@ -195,29 +195,29 @@
 // the connection, and are not taken for the next response.
 const settleTime = 3 * time.Millisecond
 
-func (p *Peer[K]) send(o *exchange[K]) {
+func (p *Peer[K]) send(ex *exchange[K]) {
 	now := p.now()
 	for i := len(p.idle) - 1; i >= 0; i-- {
-		l := p.idle[i]
-		if l.open && now.Sub(l.idleSince) < settleTime {
+		pc := p.idle[i]
+		if pc.open && now.Sub(pc.idleSince) < settleTime {
 			continue
 		}
-		if p.opt.Bug != BugReuseConn && historyOf(o.note).contains(l.number) {
+		if p.opt.Bug != BugReuseConn && historyOf(ex.note).contains(pc.number) {
 			continue // a late duplicate of the previous attempt's response would have the same ID
 		}
 		p.idle = slices.Delete(p.idle, i, i+1)
-		if l.open && now.Sub(l.idleSince) < p.opt.IdleTimeout.Limit(now) && l.conn.Quiet() {
-			p.write(l, o)
+		if pc.open && now.Sub(pc.idleSince) < p.opt.IdleTimeout.Limit(now) && pc.conn.Quiet() {
+			p.write(pc, ex)
 			return
 		}
-		p.close(l)
+		p.close(pc)
 	}
 	if !p.opt.ConnLimit.acquire() {
 		log.Printf("event=sockets server=%s used=%d what=%q", p.addr, p.opt.ConnLimit.Used(), "none left, attempt not sent")
-		p.onResult(Result[K]{o.key, o.note, NotSent, nil})
+		p.onResult(Result[K]{ex.key, ex.note, NotSent, nil})
 		return
 	}
-	p.waiting = append(p.waiting, o)
+	p.waiting = append(p.waiting, ex)
 	p.dialing++
 	p.opt.Host.Go(func() {
 		conn, err := Dial(p.opt.Host, p.addr, p.opt.ConnectTimeout)
@@ -231,134 +231,134 @@
 		p.opt.ConnLimit.release()
 		// Pending dials may serve other waiting exchanges; those beyond their number have failed.
 		for len(p.waiting) > p.dialing {
-			o := p.waiting[0]
+			ex := p.waiting[0]
 			p.waiting = p.waiting[1:]
-			p.onResult(Result[K]{o.key, o.note, NotSent, nil})
+			p.onResult(Result[K]{ex.key, ex.note, NotSent, nil})
 		}
 		return
 	}
-	l := &peerConn[K]{conn: m.conn, open: true, number: lastConnNumber.Add(1)}
-	l.conn.allowStreams, l.conn.strict = true, p.opt.Strict && p.opt.Bug != BugNotStrict
+	pc := &peerConn[K]{conn: m.conn, open: true, number: lastConnNumber.Add(1)}
+	pc.conn.allowStreams, pc.conn.strict = true, p.opt.Strict && p.opt.Bug != BugNotStrict
 	p.opt.Host.Go(func() {
 		for {
 			resp := fasthttp.AcquireResponse()
-			extra, err := l.conn.Read(resp)
+			extra, err := pc.conn.Read(resp)
 			last := extra || err != nil || resp.ConnectionClose()
 			long, _ := resp.BodyStream().(*streamedBody)
-			p.inbox.Put(responseRead[K]{l, resp, extra, err, long != nil}) // the receiver owns resp from here on
+			p.inbox.Put(responseRead[K]{pc, resp, extra, err, long != nil}) // the receiver owns resp from here on
 			if long != nil {
 				long.done.Wait(-1)
-				last = last || long.err != io.EOF || l.conn.br.Buffered() > 0
-				p.inbox.Put(streamed[K]{l, !last})
+				last = last || long.err != io.EOF || pc.conn.br.Buffered() > 0
+				p.inbox.Put(streamed[K]{pc, !last})
 			}
 			if last {
 				return
 			}
 		}
 	})
-	p.release(l)
+	p.release(pc)
 }
 
 // release assigns a connection to the oldest waiting exchange, or adds it to the idle ones.
-func (p *Peer[K]) release(l *peerConn[K]) {
+func (p *Peer[K]) release(pc *peerConn[K]) {
 	switch {
-	case len(p.waiting) > 0 && l.idleSince.IsZero(): // only a new connection; a used one has to settle
+	case len(p.waiting) > 0 && pc.idleSince.IsZero(): // only a new connection; a used one has to settle
 		o := p.waiting[0]
 		p.waiting = p.waiting[1:]
-		p.write(l, o)
+		p.write(pc, o)
 	case p.opt.ConnLimit.nearlyExhausted():
-		p.close(l)
+		p.close(pc)
 	default:
-		l.idleSince = p.now()
-		p.idle = append(p.idle, l)
+		pc.idleSince = p.now()
+		p.idle = append(p.idle, pc)
 	}
 }
 
-func (p *Peer[K]) write(l *peerConn[K], o *exchange[K]) {
-	if err := l.conn.writeRequest(o.wire, writeLimit); err != nil {
-		p.close(l)
-		p.onResult(Result[K]{o.key, o.note, NotSent, nil})
+func (p *Peer[K]) write(pc *peerConn[K], ex *exchange[K]) {
+	if err := pc.conn.writeRequest(ex.wire, writeLimit); err != nil {
+		p.close(pc)
+		p.onResult(Result[K]{ex.key, ex.note, NotSent, nil})
 		return
 	}
-	historyOf(o.note).add(l.number)
-	l.exchange, l.sentAt, l.idleBefore = o, p.now(), 0
-	if !l.idleSince.IsZero() {
-		l.idleBefore = l.sentAt.Sub(l.idleSince)
+	historyOf(ex.note).add(pc.number)
+	pc.exchange, pc.sentAt, pc.idleBefore = ex, p.now(), 0
+	if !pc.idleSince.IsZero() {
+		pc.idleBefore = pc.sentAt.Sub(pc.idleSince)
 	}
-	p.busy[o.key] = l
-	if up := uploadOf(o.note); up != nil {
-		p.upload(l, o, up)
+	p.busy[ex.key] = pc
+	if up := uploadOf(ex.note); up != nil {
+		p.upload(pc, ex, up)
 		return
 	}
-	o.sent.Store(true)
+	ex.sent.Store(true)
 	if p.opt.OnSent != nil {
-		p.opt.OnSent(o.note)
+		p.opt.OnSent(ex.note)
 	}
 }
 
 func (p *Peer[K]) handleResponse(m responseRead[K]) {
-	l, o := m.conn, m.conn.exchange
-	l.exchange = nil
-	if l.upload != nil { // answered or lost before the request was sent completely
-		l.upload.Stop()
-		l.incomplete, m.extra = true, true
+	pc, ex := m.conn, m.conn.exchange
+	pc.exchange = nil
+	if pc.upload != nil { // answered or lost before the request was sent completely
+		pc.upload.Stop()
+		pc.incomplete, m.extra = true, true
 	}
-	if o != nil && m.err == nil && p.opt.Bug != BugAcceptForeign && !matches(o.note, m.resp) {
+	if ex != nil && m.err == nil && p.opt.Bug != BugAcceptForeign && !matches(ex.note, m.resp) {
 		m.err = errForeignResponse
 	}
 	if m.stream {
 		p.streams++
-		if o != nil && o.note != nil && m.err == nil {
-			delete(p.busy, o.key)
-			p.onResult(Result[K]{o.key, o.note, Answered, m.resp})
+		if ex != nil && ex.note != nil && m.err == nil {
+			delete(p.busy, ex.key)
+			p.onResult(Result[K]{ex.key, ex.note, Answered, m.resp})
 			return
 		}
 		m.err = cmp.Or(m.err, errInvalidResponse) // streamed to a probe, or unsolicited
 	}
-	if m.extra || m.err != nil || m.resp.ConnectionClose() || o == nil {
-		p.close(l) // an unsolicited response also makes the connection unusable
+	if m.extra || m.err != nil || m.resp.ConnectionClose() || ex == nil {
+		p.close(pc) // an unsolicited response also makes the connection unusable
 	}
-	if o != nil {
-		delete(p.busy, o.key)
+	if ex != nil {
+		delete(p.busy, ex.key)
 	}
-	if m.err != nil || o == nil {
+	if m.err != nil || ex == nil {
 		fasthttp.ReleaseResponse(m.resp)
 	}
-	if o != nil && l.idleBefore > 0 {
+	if ex != nil && pc.idleBefore > 0 {
 		now := p.now()
-		broke := m.err != nil && !errors.Is(m.err, errInvalidResponse) && now.Sub(l.sentAt) < immediateLoss
-		p.opt.IdleTimeout.observe(l.idleBefore, broke, now)
+		broke := m.err != nil && !errors.Is(m.err, errInvalidResponse) && now.Sub(pc.sentAt) < immediateLoss
+		p.opt.IdleTimeout.observe(pc.idleBefore, broke, now)
 	}
 	switch {
-	case o == nil:
+	case ex == nil:
 	case errors.Is(m.err, errInvalidResponse):
 		log.Printf("event=spoilt server=%s error=%q", p.addr, m.err)
-		p.onResult(Result[K]{o.key, o.note, Invalid, nil})
-	case m.err != nil && (!o.sent.Load() || p.opt.Bug == BugLostIsNotSent && l.idleBefore > 0):
-		p.onResult(Result[K]{o.key, o.note, NotSent, nil})
+		p.onResult(Result[K]{ex.key, ex.note, Invalid, nil})
+	case m.err != nil && (!ex.sent.Load() || p.opt.Bug == BugLostIsNotSent && pc.idleBefore > 0):
+		p.onResult(Result[K]{ex.key, ex.note, NotSent, nil})
 	case m.err != nil:
-		p.onResult(Result[K]{o.key, o.note, ConnectionLost, nil})
+		p.onResult(Result[K]{ex.key, ex.note, ConnectionLost, nil})
 	default:
-		p.onResult(Result[K]{o.key, o.note, Answered, m.resp})
-		if l.open {
-			p.release(l)
+		p.onResult(Result[K]{ex.key, ex.note, Answered, m.resp})
+		if pc.open {
+			p.release(pc)
 		}
 	}
 }
 
 func (p *Peer[K]) cancel(key K) {
-	if l := p.busy[key]; l != nil {
+	if pc := p.busy[key]; pc != nil {
 		p.opt.ConnLimit.inFlight.Add(-1)
 		delete(p.busy, key)
-		l.exchange = nil
-		if l.upload != nil {
-			l.upload.Stop()
+		pc.exchange = nil
+		if pc.upload != nil {
+			pc.upload.Stop()
 		}
-		p.close(l)
+		p.close(pc)
 		return
 	}
-	for i, o := range p.waiting {
-		if o.key == key { // the pending dial will serve another exchange
+	for i, ex := range p.waiting {
+		if ex.key == key { // the pending dial will serve another exchange
 			p.opt.ConnLimit.inFlight.Add(-1)
 			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
 			return
@@ -366,10 +366,10 @@
 	}
 }
 
-func (p *Peer[K]) close(l *peerConn[K]) {
-	if l.open {
-		l.open = false
-		l.conn.Close()
+func (p *Peer[K]) close(pc *peerConn[K]) {
+	if pc.open {
+		pc.open = false
+		pc.conn.Close()
 		p.opt.ConnLimit.release()
 	}
 }
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -94,9 +94,9 @@
 	if b.remaining = int64(n); n > 0 {
 		return nil
 	}
-	for most := maxHeaderBytes; ; { // trailers are discarded
+	for limit := maxHeaderBytes; ; { // trailers are discarded
 		line, err := b.conn.br.ReadSlice('\n')
-		if most -= len(line); err != nil || most < 0 {
+		if limit -= len(line); err != nil || limit < 0 {
 			return unexpectedEOF(cmp.Or(err, errInvalidResponse))
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
@@ -199,24 +199,24 @@
 }
 
 // upload writes the remainder of a request.
-func (p *Peer[K]) upload(l *peerConn[K], o *exchange[K], up Upload) {
+func (p *Peer[K]) upload(pc *peerConn[K], ex *exchange[K], up Upload) {
 	p.uploads++
-	l.upload = up
+	pc.upload = up
 	p.opt.Host.Go(func() {
 		for {
 			piece, last, err := up.Next()
 			if err == nil {
 				if last {
-					o.sent.Store(true) // from here on the server may have the complete request
+					ex.sent.Store(true) // from here on the server may have the complete request
 				}
-				err = l.conn.Write(piece, streamStallTimeout)
+				err = pc.conn.Write(piece, streamStallTimeout)
 			}
 			if err != nil || last {
 				if err != nil && err != ErrStopped {
 					up.Stop()
-					l.conn.Close() // the server must not take the request for complete
+					pc.conn.Close() // the server must not take the request for complete
 				}
-				p.inbox.Put(uploaded[K]{l, o, err == nil})
+				p.inbox.Put(uploaded[K]{pc, ex, err == nil})
 				return
 			}
 		}
