--- a/internal/protocol/copy.go
+++ b/internal/protocol/copy.go
@@ -11,8 +11,8 @@
 	overflow bool // memory could not be reserved
 }
 
-// StartCopy starts recording a call that has not been sent yet. It calls reserve
-// before recording them.
+// StartCopy starts recording a call that has not been sent yet. It calls reserve for n bytes
+// before it records them.
 func (c *Call) StartCopy(reserve func(n int) bool) *Copy {
 	cp := &Copy{call: c, reserve: reserve, complete: c.upload == nil}
 	if cp.tryReserve(len(c.head) + len(c.body)); c.upload == nil {
