--- a/internal/dataplane/handler.go
+++ b/internal/dataplane/handler.go
@@ -28,10 +28,10 @@
 const notReadyRetryAfter = 300 * time.Millisecond
 
 func (p *Plane) handle(ctx *fasthttp.RequestCtx) {
-	var times *protocol.Times
+	var times *protocol.StageTimes
 	if p.options.OnRequestTimes != nil {
-		times = &protocol.Times{Clock: func() int64 { return time.Now().UnixNano() }}
-		times.Mark(protocol.Begun)
+		times = &protocol.StageTimes{Clock: func() int64 { return time.Now().UnixNano() }}
+		times.Mark(protocol.HeaderRead)
 	}
 	t := p.table.Load()
 	if t == nil || p.options.Closing != nil && p.options.Closing() {
@@ -59,8 +59,8 @@
 				id = string(value)
 				idCount++
 			}
-		case len(serverDialect.Deadline): // Authorization has the same length
-			if bytes.EqualFold(name, []byte(serverDialect.Deadline)) {
+		case len(serverDialect.DeadlineHeader): // Authorization has the same length
+			if bytes.EqualFold(name, []byte(serverDialect.DeadlineHeader)) {
 				deadlineHeader = string(value)
 			} else if bytes.EqualFold(name, []byte("Authorization")) {
 				credential = string(bytes.TrimPrefix(value, []byte("Bearer ")))
@@ -72,11 +72,11 @@
 		err = errRepeatedID
 	}
 	if err != nil {
-		protocol.Bad(ctx, err)
+		protocol.WriteBadRequest(ctx, err)
 		return
 	}
-	call.Transparent, call.Times = true, times
-	request := &routing.Request{Reply: &protocol.Answers{}, Call: call, Plan: quotaPlan, Units: 1, Gateways: 1, ResolveTerms: p.leaseCheck(t, route)}
+	call.Transparent, call.StageTimes = true, times
+	request := &routing.Request{Reply: &protocol.ReplyWaiter{}, Call: call, Plan: quotaPlan, Units: 1, Gateways: 1, ResolveTerms: p.leaseCheck(t, route)}
 	lane := (*p.lanes.Load())[route.Pick(xxhash.Sum64String(id))]
 	rank := route.Rank
 	if t.Keyed() && !route.Anonymous {
@@ -104,7 +104,7 @@
 		}
 	}
 	times.Mark(protocol.Routed) // for requests without a key
-	times.Mark(protocol.Metered)
+	times.Mark(protocol.QuotaChecked)
 	wait := route.Deadline
 	if ms, err := strconv.ParseFloat(deadlineHeader, 64); err == nil && ms > 0 {
 		wait = min(wait, time.Duration(ms*float64(time.Millisecond)))
@@ -119,34 +119,34 @@
 		return
 	}
 	final := protocol.Await(ctx, lane.core, p.requestIDs, id, request)
-	times.Mark(protocol.Decided)
+	times.Mark(protocol.ResponseDelivered)
 	p.answer(ctx, final)
 	if times != nil {
-		times.Mark(protocol.Ended)
+		times.Mark(protocol.ResponseWriting)
 		p.options.OnRequestTimes(id, times)
 	}
 }
 
 // answer writes the response to the client.
-func (p *Plane) answer(ctx *fasthttp.RequestCtx, final protocol.Final) {
+func (p *Plane) answer(ctx *fasthttp.RequestCtx, final protocol.Result) {
 	switch final.Kind {
 	case protocol.Served:
 		ctx.SetStatusCode(final.Answer.StatusCode())
-		protocol.PassOn(ctx, final.Answer)
+		protocol.CopyResponse(ctx, final.Answer)
 	case protocol.Refused:
 		if final.Verdict == routing.MayHaveExecuted { // no promise that it didn't run
 			ctx.SetStatusCode(fasthttp.StatusBadGateway)
 			return
 		}
 		refuse(ctx, fasthttp.StatusServiceUnavailable, final.RetryAfter)
-	case protocol.Unfit:
+	case protocol.Disallowed:
 		refuse(ctx, fasthttp.StatusServiceUnavailable, notReadyRetryAfter)
 	case protocol.TimedOut:
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	case protocol.Failed:
 		ctx.SetStatusCode(fasthttp.StatusBadGateway)
-	case protocol.Twice:
-		ctx.Error(headerID+": "+protocol.SameID+"\n", fasthttp.StatusConflict)
+	case protocol.DuplicateID:
+		ctx.Error(headerID+": "+protocol.DuplicateIDMessage+"\n", fasthttp.StatusConflict)
 	}
 }
 
--- a/internal/dataplane/lane.go
+++ b/internal/dataplane/lane.go
@@ -29,8 +29,9 @@
 }
 
 // serverDialect names the headers that the system's servers use.
-var serverDialect = &protocol.Dialect{Deadline: "X-Deadline-Ms", Millis: true, NotRun: "X-Not-Executed", Any: true, Echo: headerID,
-	Target: "X-Target-Instance", Drop: []string{"Authorization", headerTenant}}
+var serverDialect = &protocol.Dialect{DeadlineHeader: "X-Deadline-Ms", DeadlineInMillis: true, NotExecutedHeader: "X-Not-Executed",
+	NotExecutedAnyStatus: true, CorrelationHeader: headerID,
+	TargetHeader: "X-Target-Instance", DropHeaders: []string{"Authorization", headerTenant}}
 
 const (
 	headerID     = "X-Attempt-Id"
@@ -44,11 +45,11 @@
 	l.fleet.Dialect = serverDialect
 	var err error
 	l.core, err = routing.New(settings, p.options.Seed^xxhash.Sum64String(name), p.options.Now,
-		routing.Dependencies{Env: p.options.Env, Fleet: l.fleet, Watcher: noWatcher{}, DiscardAnswer: protocol.Drop})
+		routing.Dependencies{Env: p.options.Env, Fleet: l.fleet, Watcher: noWatcher{}, DiscardAnswer: protocol.Discard})
 	if err != nil {
 		return nil, err
 	}
-	l.fleet.Ends = l.core
+	l.fleet.Results = l.core
 	p.options.Env.Go(l.core.Run)
 	return l, nil
 }
--- a/internal/dataplane/times_test.go
+++ b/internal/dataplane/times_test.go
@@ -11,10 +11,10 @@
 
 // TestRequestTimes: a request that was served passes all stages in order.
 func TestRequestTimes(t *testing.T) {
-	got := make(chan [protocol.Stages]int64, 1)
+	got := make(chan [protocol.StageCount]int64, 1)
 	g := newTestGateway(t, faultrules.Strike{}, func(o *Options) {
 		o.FaultInjector = nil // struck requests take another path
-		o.OnRequestTimes = func(id string, times *protocol.Times) {
+		o.OnRequestTimes = func(id string, times *protocol.StageTimes) {
 			if id == "one" {
 				got <- times.At()
 			}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -79,7 +79,7 @@
 // clock returns the core's clock: the Unix time as it was at the start, and
 // steady from then on. Gateways and discovery agree on it, so that names of the
 // counter's periods and servers' start times mean the same everywhere.
-func clock(world hostenv.Seam) func() time.Duration {
+func clock(world hostenv.Host) func() time.Duration {
 	start := world.Now()
 	unix := time.Duration(start.UnixNano())
 	return func() time.Duration { return unix + world.Now().Sub(start) }
@@ -101,7 +101,7 @@
 
 // Gateway is one, in a world.
 type Gateway struct {
-	world     hostenv.Seam
+	world     hostenv.Host
 	cfg       *Config
 	box       *mailbox.Box[any]
 	reread    func() (*Files, error)
@@ -110,7 +110,7 @@
 	list      *protocol.Discovery
 	srv       *members
 	gate      *gate // nil: in no cluster
-	sockets   *transport.Sockets
+	sockets   *transport.ConnLimit
 	parts     []part
 	listeners []*transport.Listener
 	figures   *ops.Figures
@@ -151,8 +151,8 @@
 
 // New puts a gateway together in a world (nil: the real one). reread reads its files
 // anew, at Hup.
-func New(world hostenv.Seam, files *Files, reread func() (*Files, error)) (*Gateway, error) {
-	world = hostenv.Or(world)
+func New(world hostenv.Host, files *Files, reread func() (*Files, error)) (*Gateway, error) {
+	world = hostenv.OrReal(world)
 	cfg, op := files.Config, files.Operator
 	g := &Gateway{world: world, cfg: cfg, plans: cfg.Settings.Plans, box: mailbox.NewBox[any](world), reread: reread}
 	// Half of the descriptors are for clients, a third for servers; the rest
@@ -167,23 +167,23 @@
 			return nil, fmt.Errorf("description: %s: %w", op.Description, err)
 		}
 		clients /= 2 // for each front
-		set.Classes = openapi.Twins(set.Classes)
+		set.Classes = openapi.AddNonRetryableVariants(set.Classes)
 	}
 	now := clock(world)
-	g.sockets = transport.NewSockets(servers)
+	g.sockets = transport.NewConnLimit(servers)
 	g.figures = ops.NewFigures(func() int { return g.core.ListedServers() }, func() int { return g.core.EjectedServers() })
 	for _, c := range set.Classes {
 		g.figures.Class(c.Name)
 	}
-	fleet := protocol.NewFleet(transport.PeerOptions{World: world, Connect: orDefault(set.ConnectTimeout, time.Second),
-		Keep: transport.NewKeep(orDefault(set.IdleClose, 10*time.Second) / 2), Sockets: g.sockets,
-		Wrote: func(note any) {
+	fleet := protocol.NewFleet(transport.PeerOptions{Host: world, ConnectTimeout: orDefault(set.ConnectTimeout, time.Second),
+		IdleTimeout: transport.NewIdleTimeout(orDefault(set.IdleClose, 10*time.Second) / 2), ConnLimit: g.sockets,
+		OnSent: func(note any) {
 			if note != nil { // no probe
 				g.figures.Dispatched()
 			}
 		}}, set.Reports)
 	watch := &watcher{}
-	hands := routing.Dependencies{Env: world, Fleet: fleet, Watcher: watch, DiscardAnswer: protocol.Drop}
+	hands := routing.Dependencies{Env: world, Fleet: fleet, Watcher: watch, DiscardAnswer: protocol.Discard}
 	if set.Counter {
 		g.counter = protocol.NewCounter(world, cfg.Counter, orDefault(set.CounterTimeout, 50*time.Millisecond),
 			func(name string, s choice.Status, total float64) { g.core.CounterEnded(name, s, total) })
@@ -205,23 +205,23 @@
 		for _, c := range set.Classes {
 			g.figures.Class(c.Name)
 		}
-		front.Adopt(set)
+		front.UpdatePolicy(set)
 	}
 	g.retunes = g.gate == nil && !op.Enabled // a cluster has a policy of its own; the OpenAPI front follows none
 	var err error
 	if g.core, err = routing.New(set.Settings, cfg.Seed, now, hands); err != nil {
 		return nil, err
 	}
-	fleet.Ends = g.core
+	fleet.Results = g.core
 	if g.gate != nil {
 		g.gate.core = g.core
 		g.parts = append(g.parts, node)
 	}
-	list := protocol.DiscoveryOptions{World: world, Addr: cfg.Discovery, Hold: 2 * time.Second, Grace: 500 * time.Millisecond,
-		Connect: 250 * time.Millisecond, Pace: backoff.Options{Shared: set.Subscribe, MaxNewsAge: set.MaxNewsAge, Gateways: set.Gateways}}
+	list := protocol.DiscoveryOptions{Host: world, Addr: cfg.Discovery, LongPoll: 2 * time.Second, ResponseGrace: 500 * time.Millisecond,
+		ConnectTimeout: 250 * time.Millisecond, Backoff: backoff.Options{Shared: set.Subscribe, MaxNewsAge: set.MaxNewsAge, Gateways: set.Gateways}}
 	news := g.core.HandleDiscovery
 	if g.srv != nil {
-		list.Heard, news = g.srv.listHeard, g.srv.list
+		list.OnSuccess, news = g.srv.listHeard, g.srv.list
 		g.srv.wire(g.core.HandleDiscovery)
 	}
 	g.list = protocol.NewDiscovery(list, cfg.Known, set.Subscribe, news)
@@ -240,8 +240,8 @@
 	}
 
 	front = protocol.NewFront(set.Settings)
-	front.Late = g.gate != nil
-	front.Core, front.Now, front.Leaving, front.Tally = g.core, now, g.away, g.figures
+	front.DeferTerms = g.gate != nil
+	front.Core, front.Now, front.Leaving, front.Observer = g.core, now, g.away, g.figures
 	able := func() bool { return g.core.ReadyServers() > 0 && g.srv.trusted() && g.gate.open(now) }
 	front.Ready = func() bool { // of the address: the next process may have it
 		return able() && (g.serves() || g.pair.gives() && !g.draining.Load())
@@ -272,7 +272,7 @@
 			return nil, fmt.Errorf("openapi: listen: %w", err)
 		}
 		g.serve(ln, transport.NewServer(described.Handle, op.MaxBodyKB<<10))
-		g.parts = append(g.parts, &follower{described, op, text, world.NewBell()})
+		g.parts = append(g.parts, &follower{described, op, text, world.NewNotifier()})
 		log.Printf("event=start openapi=%s description=%s", op.Listen, op.Description)
 	}
 	log.Printf("event=start listen=%s cores=%v memory_mb=%d sockets=%d", cfg.Listen, cfg.Limits.Cores,
@@ -307,11 +307,11 @@
 	front *openapi.Front
 	op    *Operator
 	text  []byte
-	end   hostenv.Bell
+	end   hostenv.Notifier
 }
 
-func (f *follower) Run()  { f.front.Follow(f.op.Description, f.text, f.op.poll(), f.end) }
-func (f *follower) Stop() { f.end.Ring() }
+func (f *follower) Run()  { f.front.WatchFile(f.op.Description, f.text, f.op.poll(), f.end) }
+func (f *follower) Stop() { f.end.Notify() }
 
 // Run serves until it is told to end, and then until all is answered.
 func (g *Gateway) Run() error {
@@ -406,9 +406,9 @@
 		g.core.ApplyPolicy(plansVersion(g.plans, set.Plans), set.Settings)
 	}
 	g.srv.reload(next.SRV)
-	g.list.Move(g.cfg.Discovery)
+	g.list.SetAddr(g.cfg.Discovery)
 	if g.counter != nil {
-		g.counter.Move(g.cfg.Counter)
+		g.counter.SetAddr(g.cfg.Counter)
 	}
 	return true
 }
@@ -429,7 +429,7 @@
 
 // Books asks for them.
 func (g *Gateway) Books() Books {
-	b := Books{Stats: g.core.Stats(), Servers: g.sockets.Used(), Under: g.sockets.Under()}
+	b := Books{Stats: g.core.Stats(), Servers: g.sockets.Used(), Under: g.sockets.InFlight()}
 	for _, ln := range g.listeners {
 		b.Clients += ln.Open()
 	}
--- a/internal/protocol/counter_test.go
+++ b/internal/protocol/counter_test.go
@@ -17,12 +17,12 @@
 	"asterwell/internal/scenario"
 )
 
-func call(name, amount string) string {
+func encodedAdd(name, amount string) string {
 	return fmt.Sprintf("*4\r\n$7\r\nCNT.ADD\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$4\r\n4000\r\n", len(name), name, len(amount), amount)
 }
 
-// Each script plays the counter. Closing add makes a call, closing ends waits
-// until all calls made so far have ended.
+// Each script acts as the counter. "add close" makes a call; "ends close" waits until all
+// calls made so far have ended.
 func TestCounter(t *testing.T) {
 	for name, c := range map[string]struct {
 		limit  time.Duration
@@ -134,7 +134,7 @@
 			var got []string
 			made := 0
 			stage := scenario.Stage{Accept: map[string]net.Listener{"counter": ln, "tally": tally},
-				Vars: map[string]string{"a": call("a", "-2.5"), "b": call("b", "1000000000")},
+				Vars: map[string]string{"a": encodedAdd("a", "-2.5"), "b": encodedAdd("b", "1000000000")},
 				Close: map[string]func(){
 					"add": func() {
 						if made++; made%2 == 1 {
@@ -143,7 +143,7 @@
 							counter.Add("b", 1e9, 4*time.Second)
 						}
 					},
-					"moved": func() { counter.Move(tally.Addr().String()) },
+					"moved": func() { counter.SetAddr(tally.Addr().String()) },
 					"ends": func() {
 						for len(got) < made {
 							select {
@@ -156,7 +156,7 @@
 					}}}
 			stage.Vars["1"], stage.Vars["4"] = "$1", "$4" // RESP's own
 			stage.Play(t, c.script)
-			slices.Sort(c.want) // of two connections the order is open
+			slices.Sort(c.want) // the order of results across two connections is undefined
 			slices.Sort(got)
 			if d := cmp.Diff(c.want, got); d != "" {
 				t.Error(d)
@@ -165,43 +165,43 @@
 	}
 }
 
-// Only what the protocol knows proves anything. Whatever else comes, the amount
-// was added, and the connection is of no further use.
+// Only known replies prove anything. After any other, the amount counts as added, and the
+// connection is closed.
 func TestReplies(t *testing.T) {
-	for text, want := range map[string]answer{
+	for text, want := range map[string]counterReply{
 		"$4\r\n12.5\r\n":               {total: 12.5},
 		"$2\r\n-3\r\n":                 {total: -3},
 		":7\r\n":                       {total: 7},
-		"+PONG\r\n":                    {kind: pong},
-		"-BUSY\r\n":                    {kind: busy},
-		"-BUSY later\r\n":              {kind: busy},
-		"-ERR no such call\r\n":        {kind: refused},
-		"+OK\r\n":                      {kind: spoilt},
-		"-LOADING\r\n":                 {kind: spoilt},
-		"-BUSYBODY\r\n":                {kind: spoilt},
-		"-\r\n":                        {kind: spoilt},
-		":nan\r\n":                     {kind: spoilt},
-		"$3\r\nNaN\r\n":                {kind: spoilt},
-		"$4\r\n+Inf\r\n":               {kind: spoilt},
-		"$5\r\n1e999\r\n":              {kind: spoilt},
-		"$2\r\n12.5\r\n":               {kind: spoilt},
-		"$-1\r\n":                      {kind: spoilt},
-		"$0\r\n\r\n":                   {kind: spoilt},
-		"$99999999\r\n":                {kind: spoilt},
-		"\r\n":                         {kind: spoilt},
-		"what?\r\n":                    {kind: spoilt},
-		strings.Repeat("1", 2*maxLine): {kind: spoilt},
-		":7":                           {kind: broken},
-		"$4\r\n12":                     {kind: broken},
+		"+PONG\r\n":                    {kind: replyPong},
+		"-BUSY\r\n":                    {kind: replyBusy},
+		"-BUSY later\r\n":              {kind: replyBusy},
+		"-ERR no such call\r\n":        {kind: replyRefused},
+		"+OK\r\n":                      {kind: replyInvalid},
+		"-LOADING\r\n":                 {kind: replyInvalid},
+		"-BUSYBODY\r\n":                {kind: replyInvalid},
+		"-\r\n":                        {kind: replyInvalid},
+		":nan\r\n":                     {kind: replyInvalid},
+		"$3\r\nNaN\r\n":                {kind: replyInvalid},
+		"$4\r\n+Inf\r\n":               {kind: replyInvalid},
+		"$5\r\n1e999\r\n":              {kind: replyInvalid},
+		"$2\r\n12.5\r\n":               {kind: replyInvalid},
+		"$-1\r\n":                      {kind: replyInvalid},
+		"$0\r\n\r\n":                   {kind: replyInvalid},
+		"$99999999\r\n":                {kind: replyInvalid},
+		"\r\n":                         {kind: replyInvalid},
+		"what?\r\n":                    {kind: replyInvalid},
+		strings.Repeat("1", 2*maxLine): {kind: replyInvalid},
+		":7":                           {kind: replyConnLost},
+		"$4\r\n12":                     {kind: replyConnLost},
 	} {
-		got := read(bufio.NewReaderSize(strings.NewReader(text), maxLine))
+		got := readReply(bufio.NewReaderSize(strings.NewReader(text), maxLine))
 		if got.err = nil; got != want {
 			t.Errorf("%.20q: %+v, want %+v", text, got, want)
 		}
 	}
 }
 
-// Nothing listens: nothing was added, and the module may count on that.
+// If the connection is refused, nothing was added, and the result says so.
 func TestCounterRefused(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -218,39 +218,39 @@
 	}
 }
 
-// Of the calls under way on a connection that breaks while they are written,
-// those that went out whole may have been added, and the others were not.
-func TestCounterBreaksWhileWriting(t *testing.T) {
+// When a connection is lost during a write, calls written completely may have been added,
+// and the others were not.
+func TestCounterLostWhileWriting(t *testing.T) {
 	here, there := net.Pipe()
 	got := map[string]choice.Status{}
-	c := &Counter{world: hostenv.Real, limit: time.Minute, told: func(name string, s choice.Status, _ float64) { got[name] = s }}
-	c.line = &line{nc: here}
+	c := &Counter{host: hostenv.Real, timeout: time.Minute, onResult: func(name string, s choice.Status, _ float64) { got[name] = s }}
+	c.current = &counterConn{nc: here}
 	for _, name := range []string{"a", "b", "c"} {
-		c.add(&count{name: name, wire: []byte(call(name, "1")), until: time.Now().Add(time.Minute)})
+		c.add(&counterCall{name: name, wire: []byte(encodedAdd(name, "1")), deadline: time.Now().Add(time.Minute)})
 	}
 	go func() {
-		io.ReadFull(there, make([]byte, len(call("a", "1"))+5))
+		io.ReadFull(there, make([]byte, len(encodedAdd("a", "1"))+5))
 		there.Close()
 	}()
 	c.flush()
 	want := map[string]choice.Status{"a": choice.Timeout, "b": choice.ConnectFailed, "c": choice.ConnectFailed}
-	if d := cmp.Diff(want, got); d != "" || c.line != nil {
+	if d := cmp.Diff(want, got); d != "" || c.current != nil {
 		t.Error(d)
 	}
 }
 
-// A connection that falls silent holds calls up for a few time limits, not longer:
-// meanwhile customers are let in unmetered. Until then its late answers count.
-func TestSilentConnectionIsGivenUp(t *testing.T) {
+// A silent connection delays calls for a few timeouts at most, since customers are not
+// metered meanwhile. Until then its late replies count.
+func TestSilentConnectionIsClosed(t *testing.T) {
 	here, _ := net.Pipe()
 	now := time.Now()
-	c := &Counter{world: hostenv.Real, limit: 50 * time.Millisecond, told: func(string, choice.Status, float64) {}}
-	c.line = &line{nc: here, heard: now}
-	c.line.calls = []*count{{name: "a", until: now.Add(c.limit)}}
-	if c.expire(now.Add(150 * time.Millisecond)); c.line == nil || !c.line.calls[0].ended {
+	c := &Counter{host: hostenv.Real, timeout: 50 * time.Millisecond, onResult: func(string, choice.Status, float64) {}}
+	c.current = &counterConn{nc: here, lastReply: now}
+	c.current.pending = []*counterCall{{name: "a", deadline: now.Add(c.timeout)}}
+	if c.expire(now.Add(150 * time.Millisecond)); c.current == nil || !c.current.pending[0].finished {
 		t.Error("given up too soon, or the call is still open")
 	}
-	if c.expire(now.Add(250 * time.Millisecond)); c.line != nil {
+	if c.expire(now.Add(250 * time.Millisecond)); c.current != nil {
 		t.Error("still in use")
 	}
 }
--- a/internal/protocol/openapi/front.go
+++ b/internal/protocol/openapi/front.go
@@ -22,40 +22,39 @@
 	"asterwell/internal/routing"
 )
 
-// Names are the headers that tell a request's customer and plan.
-type Names struct {
+// HeaderNames are the names of the headers with a request's customer and plan.
+type HeaderNames struct {
 	CustomerHeader string
 	PlanHeader     string
-	DefaultPlan    string // where the header is missing; none: it is required
+	DefaultPlan    string // used if the header is missing; "": the header is required
 }
 
 // Front serves the operations of a description.
 type Front struct {
-	Core    protocol.Core
-	IDs     *protocol.IDs // shared with the other front
-	Now     func() time.Duration
-	Leaving func() bool
-	Random  func() uint64 // for ids that clients leave out
-	names   Names
-	rules   Rules
-	plans   map[string]float64 // the most units that a request can have
-	doors   int
-	current atomic.Pointer[Description]
+	Core         protocol.Core
+	IDs          *protocol.OpenIDs // shared with the platform's front
+	Now          func() time.Duration
+	Leaving      func() bool
+	Random       func() uint64 // for generating missing request IDs
+	names        HeaderNames
+	rules        Rules
+	planMaxUnits map[string]float64 // the most units of a request
+	gateways     int
+	current      atomic.Pointer[Description]
 }
 
 // NewFront returns a front without a description.
-func NewFront(set choice.Settings, routes []Route, names Names) *Front {
-	f := &Front{IDs: protocol.NewIDs(), Random: hostenv.Real.Random, names: names, plans: map[string]float64{}, doors: set.Gateways,
+func NewFront(set choice.Settings, routes []Route, names HeaderNames) *Front {
+	f := &Front{IDs: protocol.NewOpenIDs(), Random: hostenv.Real.Random, names: names, planMaxUnits: map[string]float64{}, gateways: set.Gateways,
 		rules: Rules{Classes: set.Classes, MaxUnits: set.MaxUnits, Routes: routes}}
 	for _, p := range set.Plans {
-		f.plans[p.Name] = protocol.MostUnits(&set, &p)
+		f.planMaxUnits[p.Name] = protocol.MaxPlanUnits(&set, &p)
 	}
 	return f
 }
 
-// Replace puts a description in place of the present one, in one step. One that
-// can't be used changes nothing. A request keeps the operation that it came in
-// under, since the core has its class from then on.
+// Replace atomically replaces the description. An invalid one changes nothing. A request
+// keeps the operation it was matched with, since the core already has its class.
 func (f *Front) Replace(text []byte) error {
 	d, err := Parse(text, f.rules)
 	if err != nil {
@@ -72,7 +71,7 @@
 // Handle serves one request.
 func (f *Front) Handle(ctx *fasthttp.RequestCtx) {
 	defer func() {
-		if f.Leaving() { // the next request should come in elsewhere
+		if f.Leaving() { // clients should send their next request to another gateway
 			ctx.SetConnectionClose()
 		}
 	}()
@@ -84,9 +83,9 @@
 	switch a := protocol.Await(ctx, f.Core, f.IDs, id, r); a.Kind {
 	case protocol.Served:
 		ctx.SetStatusCode(a.Answer.StatusCode())
-		protocol.PassOn(ctx, a.Answer)
+		protocol.CopyResponse(ctx, a.Answer)
 	case protocol.Refused:
-		if a.RetryAfter > 0 { // in whole seconds, as HTTP has it, and no sooner
+		if a.RetryAfter > 0 { // HTTP requires whole seconds; round up
 			ctx.Response.Header.Set("Retry-After", strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
 		}
 		problem(ctx, a.Status, "not served: it may be sent again without harm")
@@ -94,13 +93,13 @@
 		problem(ctx, fasthttp.StatusGatewayTimeout, "no answer in time: it may have run")
 	case protocol.Failed:
 		problem(ctx, fasthttp.StatusBadGateway, "the server failed: it may have run")
-	case protocol.Twice:
-		problem(ctx, fasthttp.StatusConflict, "X-Request-ID: "+protocol.SameID)
+	case protocol.DuplicateID:
+		problem(ctx, fasthttp.StatusConflict, "X-Request-ID: "+protocol.DuplicateIDMessage)
 	}
 }
 
-// request finds a request's operation and terms, or the status that says what
-// is wrong with it.
+// request finds the operation of a request and validates it. If it is invalid, it returns
+// the status to answer with.
 func (f *Front) request(ctx *fasthttp.RequestCtx) (r *routing.Request, id string, status int, err error) {
 	singles := [...]string{f.names.CustomerHeader, f.names.PlanHeader, "X-Request-ID", "X-Timeout"}
 	var got [len(singles)]string
@@ -123,7 +122,7 @@
 	fail := func(status int, format string, args ...any) (*routing.Request, string, int, error) {
 		return nil, "", status, fmt.Errorf(format, args...)
 	}
-	most, sold := f.plans[plan]
+	most, sold := f.planMaxUnits[plan]
 	d, uri := f.current.Load(), string(ctx.Request.Header.RequestURI())
 	op, err := d.Find(string(ctx.Method()), uri)
 	switch {
@@ -153,13 +152,13 @@
 		call.AddHeader("X-Request-ID", id)
 	}
 	call.Transparent = true
-	return &routing.Request{Reply: &protocol.Answers{}, Call: call, Class: op.Class, Units: op.Units, Plan: plan,
-		Gateways: f.doors, Customer: customerKey(customer), Deadline: f.Now() + limit}, id, 0, nil
+	return &routing.Request{Reply: &protocol.ReplyWaiter{}, Call: call, Class: op.Class, Units: op.Units, Plan: plan,
+		Gateways: f.gateways, Customer: customerKey(customer), Deadline: f.Now() + limit}, id, 0, nil
 }
 
-// customerKey is a customer's key on the counter, the same at all gateways and
-// both fronts: the platform's 16 hex digits as they are, anything else hashed,
-// since the counter's names are short and may be seen by others.
+// customerKey returns a customer's key on the counter, which is the same for all gateways
+// and both fronts. The platform's 16 hex digits are unchanged; anything else is hashed,
+// since the counter's names are short and may be visible to others.
 func customerKey(name string) string {
 	if len(name) == 16 {
 		if _, err := strconv.ParseUint(name, 16, 64); err == nil {
@@ -170,7 +169,7 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// problem answers with RFC 9457's problem details.
+// problem answers with RFC 9457 problem details.
 func problem(ctx *fasthttp.RequestCtx, status int, detail string) {
 	body, _ := json.Marshal(map[string]any{"status": status, "title": fasthttp.StatusMessage(status), "detail": detail})
 	ctx.SetStatusCode(status)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -110,7 +110,7 @@
 
 // Dependencies are what the core acts through.
 type Dependencies struct {
-	Env           hostenv.Seam // nil: the real environment
+	Env           hostenv.Host // nil: the real environment
 	Fleet         Fleet
 	Counter       Counter
 	Watcher       Watcher
@@ -365,7 +365,7 @@
 
 // Stats returns the totals. It waits for the core's goroutine.
 func (c *Core) Stats() Stats {
-	ask := &statsRequest{bell: hostenv.Or(c.deps.Env).NewBell()}
+	ask := &statsRequest{bell: hostenv.OrReal(c.deps.Env).NewNotifier()}
 	c.inbox.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.stats
@@ -380,40 +380,40 @@
 
 // ExportState returns the balancer's state. It waits for the core's goroutine.
 func (c *Core) ExportState() choice.SavedState {
-	ask := &exportRequest{bell: hostenv.Or(c.deps.Env).NewBell()}
+	ask := &exportRequest{bell: hostenv.OrReal(c.deps.Env).NewNotifier()}
 	c.inbox.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.state
 }
 
 type exportRequest struct {
-	bell  hostenv.Bell
+	bell  hostenv.Notifier
 	state choice.SavedState
 }
 
 func (m *exportRequest) apply(c *Core, now time.Duration) {
 	m.state = c.balancer.ExportState(now)
-	m.bell.Ring()
+	m.bell.Notify()
 }
 
 // ImportState gives the balancer the state of another process of this gateway, or returns
 // an error if the state is invalid. It waits for the core's goroutine.
 func (c *Core) ImportState(s choice.SavedState) error {
-	ask := &importRequest{bell: hostenv.Or(c.deps.Env).NewBell(), state: s}
+	ask := &importRequest{bell: hostenv.OrReal(c.deps.Env).NewNotifier(), state: s}
 	c.inbox.Put(ask)
 	ask.bell.Wait(-1)
 	return ask.err
 }
 
 type importRequest struct {
-	bell  hostenv.Bell
+	bell  hostenv.Notifier
 	state choice.SavedState
 	err   error
 }
 
 func (m *importRequest) apply(c *Core, now time.Duration) {
 	m.err = c.balancer.ImportState(now, m.state)
-	m.bell.Ring()
+	m.bell.Notify()
 }
 
 type submitted struct{ r *Request }
@@ -543,7 +543,7 @@
 }
 
 type statsRequest struct {
-	bell  hostenv.Bell
+	bell  hostenv.Notifier
 	stats Stats
 }
 
@@ -556,7 +556,7 @@
 		s.InFlight += o.inFlight
 	}
 	m.stats = s
-	m.bell.Ring()
+	m.bell.Notify()
 }
 
 func (c *Core) observe(server uint32, status choice.Status) {
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -15,43 +15,42 @@
 	"asterwell/internal/hostenv"
 )
 
-// Listener accepts clients' connections, at most so many at once. At the cap it
-// closes one that no answer is owed on (expendable tells which first), and with
-// none it waits before it reads the next: a connection must not be ended with a
-// request that has no answer.
+// Listener accepts client connections up to a limit. At the limit it closes one that
+// has no request in progress (see expendable for the order). If there is none, it waits
+// before it serves the next: a connection with an unanswered request must not be closed.
 type Listener struct {
 	net.Listener
-	world hostenv.Seam
-	most  int
-	room  hostenv.Bell // rung when there may be some
-	mu    sync.Mutex
-	open  map[*ClientConn]struct{}
-	count uint64
-	last  bool // idle connections are closed
-
-	paused atomic.Bool
-	again  hostenv.Bell // rung when it is no more
-}
-
-// Listen listens at addr for at most so many connections, in a world (nil: the
-// real one).
-func Listen(world hostenv.Seam, addr string, most int) (*Listener, error) {
-	world = hostenv.Or(world)
-	ln, err := world.Listen(addr)
+	host          hostenv.Host
+	maxConns      int
+	roomAvailable hostenv.Notifier // notified when a connection may be closed or was removed
+	mu            sync.Mutex
+	conns         map[*ClientConn]struct{}
+	accepted      uint64
+	draining      bool // connections are closed as they become idle
+
+	paused  atomic.Bool
+	resumed hostenv.Notifier // notified when paused is cleared
+}
+
+// Listen listens on addr for at most maxConns connections, on a host (nil:
+// hostenv.Real).
+func Listen(host hostenv.Host, addr string, maxConns int) (*Listener, error) {
+	host = hostenv.OrReal(host)
+	ln, err := host.Listen(addr)
 	if err != nil {
 		return nil, err
 	}
-	return newListener(world, ln, most), nil
+	return newListener(host, ln, maxConns), nil
 }
 
-func newListener(world hostenv.Seam, ln net.Listener, most int) *Listener {
-	return &Listener{Listener: ln, world: world, most: most, room: world.NewBell(), again: world.NewBell(),
-		open: map[*ClientConn]struct{}{}}
+func newListener(host hostenv.Host, ln net.Listener, maxConns int) *Listener {
+	return &Listener{Listener: ln, host: host, maxConns: maxConns, roomAvailable: host.NewNotifier(), resumed: host.NewNotifier(),
+		conns: map[*ClientConn]struct{}{}}
 }
 
-// Inherit listens on a socket that whoever started the process holds under a
-// descriptor. Closing the listener leaves the socket, and who waits there, to others.
-func Inherit(fd int, most int) (*Listener, error) {
+// Inherit listens on a socket passed by the parent process as a file descriptor.
+// Closing the listener leaves the socket and its accept queue to other processes.
+func Inherit(fd int, maxConns int) (*Listener, error) {
 	file := os.NewFile(uintptr(fd), "inherited")
 	if file == nil {
 		return nil, os.ErrInvalid
@@ -60,23 +59,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return newListener(hostenv.Real, ln, most), file.Close() // the listener has a copy
+	return newListener(hostenv.Real, ln, maxConns), file.Close() // the listener has a duplicate
 }
 
-// Serve serves each connection on a goroutine of its own, until the listener is closed.
+// Serve serves each connection on its own goroutine until the listener is closed.
 func (l *Listener) Serve(s *fasthttp.Server) error {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return err
 		}
-		l.world.Go(func() { s.ServeConn(c) })
+		l.host.Go(func() { s.ServeConn(c) })
 	}
 }
 
-const acceptPause = 20 * time.Millisecond
+const acceptRetryInterval = 20 * time.Millisecond
 
-// Accept waits for a connection, and then for room for it.
+// Accept waits for a connection, and then until the limit allows it.
 func (l *Listener) Accept() (net.Conn, error) {
 	nc, err := l.accept()
 	for err != nil && !errors.Is(err, net.ErrClosed) {
@@ -84,42 +83,42 @@
 			nc, err = l.accept()
 			continue
 		}
-		// Descriptors may be short for a moment. The server would end on an
-		// error, and with it the gateway.
+		// File descriptors may be exhausted temporarily. Returning an error would
+		// end the server, and with it the gateway.
 		log.Printf("event=accept error=%q", err)
-		l.world.Sleep(acceptPause)
+		l.host.Sleep(acceptRetryInterval)
 		nc, err = l.accept()
 	}
 	if err != nil {
 		return nil, err
 	}
-	c := &ClientConn{Conn: nc, list: l, bell: l.world.NewBell(), free: l.world.NewBell(), since: l.world.Now()}
+	c := &ClientConn{Conn: nc, listener: l, readable: l.host.NewNotifier(), bufferFree: l.host.NewNotifier(), since: l.host.Now()}
 	l.mu.Lock()
-	for len(l.open) >= l.most {
-		if !l.makeRoom() { // what is half sent now may be overdue in a moment
+	for len(l.conns) >= l.maxConns {
+		if !l.makeRoom() { // an incomplete request may exceed pressureGrace shortly
 			l.mu.Unlock()
-			l.room.Wait(acceptPause)
+			l.roomAvailable.Wait(acceptRetryInterval)
 			l.mu.Lock()
 		}
 	}
-	l.count++
-	c.number = l.count
-	l.open[c] = struct{}{}
-	l.ease()
+	l.accepted++
+	c.number = l.accepted
+	l.conns[c] = struct{}{}
+	l.closeIdleUnderPressure()
 	l.mu.Unlock()
-	l.world.Go(c.pump)
+	l.host.Go(c.pump)
 	return c, nil
 }
 
 func (l *Listener) accept() (net.Conn, error) {
 	for l.paused.Load() {
-		l.again.Wait(-1)
+		l.resumed.Wait(-1)
 	}
 	return l.Listener.Accept()
 }
 
-// Pause leaves what waits in the socket's queue to others who have the socket, or takes
-// it again. Only sockets of the machine can pause.
+// Pause stops accepting, so that other processes sharing the socket take the queued
+// connections, or resumes. Only operating system sockets support it.
 func (l *Listener) Pause(on bool) {
 	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok && l.paused.Swap(on) != on {
 		until := time.Time{}
@@ -127,102 +126,102 @@
 			until = time.Unix(1, 0)
 		}
 		d.SetDeadline(until)
-		l.again.Ring()
+		l.resumed.Notify()
 	}
 }
 
-// hasten is how long a client that holds a connection without a whole request,
-// or after its last answer, is left alone while others want one.
-const hasten = 200 * time.Millisecond
+// pressureGrace is how long a client may hold a connection without a complete request,
+// or after its last response, while others wait for one.
+const pressureGrace = 200 * time.Millisecond
 
-// makeRoom closes the connection that is missed least, and among such the one
-// that has been so the longest.
+// makeRoom closes the most expendable connection, and among equals the one that has
+// been in its state the longest.
 func (l *Listener) makeRoom() bool {
-	var worst *ClientConn
-	rank, now := kept, l.world.Now()
-	for c := range l.open {
-		if r := c.expendable(now); r < rank || r == rank && worst != nil && c.older(worst) {
-			worst, rank = c, r
+	var victim *ClientConn
+	rank, now := rankProtected, l.host.Now()
+	for c := range l.conns {
+		if r := c.expendable(now); r < rank || r == rank && victim != nil && c.idleLonger(victim) {
+			victim, rank = c, r
 		}
 	}
-	if worst == nil {
+	if victim == nil {
 		return false
 	}
-	worst.busy = false // at once, with nothing to linger for
-	worst.drop()
-	worst.remove()
+	victim.busy = false // close immediately, without lingering
+	victim.drop()
+	victim.remove()
 	return true
 }
 
-// ease closes the connection idle the longest once half of the cap is taken by
-// clients that have asked for something. Those that ask once and stay would
-// leave no descriptors, at either end, to those that have something to ask.
-func (l *Listener) ease() {
-	var oldest *ClientConn
-	asked, now := 0, l.world.Now()
-	for c := range l.open {
+// closeIdleUnderPressure closes the connection idle the longest once more than half of
+// the limit is used by clients that have sent a request. Clients that send one request and
+// stay connected would leave no descriptors, at either end, for those with new requests.
+func (l *Listener) closeIdleUnderPressure() {
+	var longestIdle *ClientConn
+	active, now := 0, l.host.Now()
+	for c := range l.conns {
 		if c.served || c.busy {
-			asked++
+			active++
 		}
-		if c.expendable(now) == idle && (oldest == nil || c.older(oldest)) {
-			oldest = c
+		if c.expendable(now) == rankIdle && (longestIdle == nil || c.idleLonger(longestIdle)) {
+			longestIdle = c
 		}
 	}
-	if asked > l.most/2 && oldest != nil {
-		oldest.drop()
+	if active > l.maxConns/2 && longestIdle != nil {
+		longestIdle.drop()
 	}
 }
 
-// What connections are missed least, in this order.
+// Ranks of connections, the most expendable first.
 const (
-	answered int = iota // its last answer has had its time
-	silent              // it has never asked for anything
-	half                // its request does not get finished
-	idle                // it has been served, and may ask again
-	fresh               // it has just come
-	kept
+	rankAnswered   int = iota // its last response has been sent and the grace period is over
+	rankSilent                // it has never sent anything
+	rankIncomplete            // its request stays incomplete
+	rankIdle                  // it has been served and may send another request
+	rankNew                   // it has just connected
+	rankProtected
 )
 
-// expendable ranks a connection, under the list's lock.
+// expendable ranks a connection. The caller holds the listener's lock.
 func (c *ClientConn) expendable(now time.Time) int {
-	waits := now.Sub(c.since)
+	elapsed := now.Sub(c.since)
 	switch {
 	case c.closed:
-		if waits > hasten {
-			return answered
+		if elapsed > pressureGrace {
+			return rankAnswered
 		}
 	case c.serving:
-	case !c.busy && !c.served && waits <= hasten:
-		return fresh
+	case !c.busy && !c.served && elapsed <= pressureGrace:
+		return rankNew
 	case !c.busy && !c.served:
-		return silent
+		return rankSilent
 	case !c.busy:
-		return idle
-	case waits > hasten:
-		return half
+		return rankIdle
+	case elapsed > pressureGrace:
+		return rankIncomplete
 	}
-	return kept
+	return rankProtected
 }
 
-// Drain closes the connections that are idle, and each other once it is, and
-// returns how many are open.
+// Drain closes idle connections, and the others as they become idle. It returns the
+// number still open.
 func (l *Listener) Drain() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last = true
-	for c := range l.open {
+	l.draining = true
+	for c := range l.conns {
 		if !c.busy {
 			c.drop()
 		}
 	}
-	return len(l.open)
+	return len(l.conns)
 }
 
-// Resume ends what Drain began.
+// Resume cancels Drain.
 func (l *Listener) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last = false
+	l.draining = false
 }
 
 func (l *Listener) idle(c *ClientConn) bool {
@@ -231,38 +230,38 @@
 	return !c.busy
 }
 
-// Open is the number of connections.
+// Open returns the number of connections.
 func (l *Listener) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.open)
+	return len(l.conns)
 }
 
-// ClientConn is a client's connection. A pump reads it at all times, so that a
-// client that closes it is noticed while its request is open.
+// ClientConn is a client's connection. A reader goroutine, the pump, always reads from
+// it, so that a disconnect is noticed while a request is in progress.
 type ClientConn struct {
 	net.Conn
-	list     *Listener
-	number   uint64       // in order of coming
-	bell     hostenv.Bell // where the goroutine that serves it waits
-	free     hostenv.Bell // where the pump waits for its buffer
-	rest     []byte
-	deadline time.Time
-	paced    bool        // a body is being read: time counts from the last byte
-	enough   func() bool // reading ends once it is true; nil: never
-
-	// Under list.mu. While busy, a request has begun to come and its answer has
-	// not gone out; while serving, it has come whole. unread says that the pump
-	// holds bytes nobody has asked for. since is when it came to this.
-	busy, unread, serving, served, closed bool
-	since                                 time.Time
-	data                                  []byte // what the pump has read, and nobody has taken
-	held                                  bool   // the pump's buffer is in use
-	err                                   error  // set: the connection has ended
-}
-
-// older tells which of two has been so longer; of one moment, the one that came first.
-func (c *ClientConn) older(o *ClientConn) bool {
+	listener    *Listener
+	number      uint64           // in order of acceptance
+	readable    hostenv.Notifier // notifies the serving goroutine
+	bufferFree  hostenv.Notifier // notifies the pump that its buffer can be reused
+	unread      []byte
+	deadline    time.Time
+	bodyPaced   bool        // a body is being read: the timeout counts from the last byte
+	stopReading func() bool // reading ends once it returns true; nil: never
+
+	// Guarded by listener.mu. While busy, a request has begun to arrive and its response
+	// has not been sent; while serving, it has arrived completely. pending means that the
+	// pump holds bytes not yet read. since is when the current state began.
+	busy, pending, serving, served, closed bool
+	since                                  time.Time
+	data                                   []byte // read by the pump, not yet taken by Read
+	bufferInUse                            bool   // Read still uses the pump's buffer
+	err                                    error  // non-nil once the connection has ended
+}
+
+// idleLonger orders connections by the time in their state, then by acceptance.
+func (c *ClientConn) idleLonger(o *ClientConn) bool {
 	return c.since.Before(o.since) || c.since.Equal(o.since) && c.number < o.number
 }
 
@@ -271,169 +270,167 @@
 	for {
 		n, err := c.Conn.Read(buf)
 		if n > 0 {
-			c.list.mu.Lock()
-			if c.unread = true; !c.busy {
-				c.busy, c.since = true, c.list.world.Now()
+			c.listener.mu.Lock()
+			if c.pending = true; !c.busy {
+				c.busy, c.since = true, c.listener.host.Now()
 			}
-			c.data, c.held = buf[:n], true
-			c.list.mu.Unlock()
-			c.bell.Ring()
-			if !c.taken() {
+			c.data, c.bufferInUse = buf[:n], true
+			c.listener.mu.Unlock()
+			c.readable.Notify()
+			if !c.awaitBuffer() {
 				c.linger(buf)
 				return
 			}
 		}
 		if err != nil {
-			c.list.mu.Lock()
+			c.listener.mu.Lock()
 			c.fail(err)
-			if c.closed { // or the server closes it, once it has noticed
+			if c.closed { // otherwise the server closes it once it notices the error
 				c.remove()
 			}
-			c.list.mu.Unlock()
+			c.listener.mu.Unlock()
 			return
 		}
 	}
 }
 
-// taken waits until the pump's buffer is free again, or reports that the
+// awaitBuffer waits until the pump's buffer is free again. It returns false if the
 // connection has ended.
-func (c *ClientConn) taken() bool {
+func (c *ClientConn) awaitBuffer() bool {
 	for {
-		c.list.mu.Lock()
-		held, gone := c.held, c.err != nil
-		c.list.mu.Unlock()
+		c.listener.mu.Lock()
+		held, gone := c.bufferInUse, c.err != nil
+		c.listener.mu.Unlock()
 		if gone || !held {
 			return !gone
 		}
-		c.free.Wait(-1)
+		c.bufferFree.Wait(-1)
 	}
 }
 
-// How long a client may go on sending after its last answer, and how much of it
-// is read: the rest would cost time and serve nobody.
+// Limits on what is read and discarded from a client after its last response.
 const (
-	lingerFor  = time.Second
-	lingerMost = 2 << 20
+	lingerTimeout  = time.Second
+	lingerMaxBytes = 2 << 20
 )
 
-// linger reads what still comes on a connection that has been answered for the
-// last time, and drops it. Closing at once would reset the connection, and the
-// client might lose the answer that is under way to it: that its request is too
-// large, for one, while it is still sending.
+// linger reads and discards what still arrives after the last response. Closing
+// immediately would reset the connection, and a client that is still sending could lose
+// the response in transit, such as one that says that its request is too large.
 func (c *ClientConn) linger(buf []byte) {
-	for most := lingerMost; ; {
+	for limit := lingerMaxBytes; ; {
 		n, err := c.Conn.Read(buf)
-		if most -= n; err != nil || most < 0 {
-			c.list.mu.Lock()
+		if limit -= n; err != nil || limit < 0 {
+			c.listener.mu.Lock()
 			c.remove()
-			c.list.mu.Unlock()
+			c.listener.mu.Unlock()
 			return
 		}
 	}
 }
 
-// fail marks the connection as ended, under the list's lock.
+// fail marks the connection as ended. The caller holds the listener's lock.
 func (c *ClientConn) fail(err error) {
 	if c.err == nil {
 		c.err = err
-		c.bell.Ring()
-		c.free.Ring()
+		c.readable.Notify()
+		c.bufferFree.Notify()
 	}
 }
 
-// World is the one that the connection is in.
-func (c *ClientConn) World() hostenv.Seam { return c.list.world }
+// World returns the host of the connection.
+func (c *ClientConn) Host() hostenv.Host { return c.listener.host }
 
-// Bell is where the goroutine that serves the connection waits.
-func (c *ClientConn) Bell() hostenv.Bell { return c.bell }
+// Notifier returns the notifier of the goroutine that serves the connection.
+func (c *ClientConn) Notifier() hostenv.Notifier { return c.readable }
 
-// Await waits until done, which is asked whenever the bell rings, and reports false
-// if the connection ends before.
+// Await waits until done returns true, and returns false if the connection ends first.
+// It calls done after each notification.
 func (c *ClientConn) Await(done func() bool) bool { return c.AwaitFor(-1, done) }
 
-// AwaitFor is Await for no longer than limit, if that is not below 0.
+// AwaitFor is Await with a timeout; a negative limit means none.
 func (c *ClientConn) AwaitFor(limit time.Duration, done func() bool) bool {
-	end := c.list.world.Now().Add(limit)
+	end := c.listener.host.Now().Add(limit)
 	for !done() {
-		c.list.mu.Lock()
+		c.listener.mu.Lock()
 		gone := c.err != nil
-		c.list.mu.Unlock()
+		c.listener.mu.Unlock()
 		wait := time.Duration(-1)
 		if limit >= 0 {
-			wait = max(0, end.Sub(c.list.world.Now()))
+			wait = max(0, end.Sub(c.listener.host.Now()))
 		}
 		if gone || wait == 0 {
 			return false
 		}
-		c.bell.Wait(wait)
+		c.readable.Wait(wait)
 	}
 	return true
 }
 
-// Read takes what the pump has read. Only one goroutine reads.
+// Read returns what the pump has read. Only one goroutine may call it.
 func (c *ClientConn) Read(p []byte) (int, error) {
-	for len(c.rest) == 0 {
-		c.list.mu.Lock()
+	for len(c.unread) == 0 {
+		c.listener.mu.Lock()
 		got, err := c.data, c.err
 		if got != nil {
-			c.data, c.unread = nil, false
+			c.data, c.pending = nil, false
 		}
-		c.list.mu.Unlock()
+		c.listener.mu.Unlock()
 		if got != nil {
-			c.rest = got
+			c.unread = got
 			break
 		}
 		if err != nil {
 			return 0, err
 		}
-		if c.enough != nil && c.enough() {
+		if c.stopReading != nil && c.stopReading() {
 			return 0, ErrStopped
 		}
 		wait := time.Duration(-1)
 		if !c.deadline.IsZero() {
-			if wait = c.deadline.Sub(c.list.world.Now()); wait <= 0 {
-				if c.list.idle(c) { // no request has begun: there is nobody to tell
+			if wait = c.deadline.Sub(c.listener.host.Now()); wait <= 0 {
+				if c.listener.idle(c) { // no request has begun, so no timeout response is due
 					return 0, io.EOF
 				}
 				return 0, os.ErrDeadlineExceeded
 			}
 		}
-		c.bell.Wait(wait)
+		c.readable.Wait(wait)
 	}
-	if c.paced {
-		c.deadline = c.list.world.Now().Add(requestTime)
+	if c.bodyPaced {
+		c.deadline = c.listener.host.Now().Add(requestTimeout)
 	}
-	n := copy(p, c.rest)
-	if c.rest = c.rest[n:]; len(c.rest) == 0 { // what it reads next may be the client's end
-		c.list.mu.Lock()
-		c.held = false
-		c.list.mu.Unlock()
-		c.free.Ring()
+	n := copy(p, c.unread)
+	if c.unread = c.unread[n:]; len(c.unread) == 0 { // the pump reads on, to notice a disconnect
+		c.listener.mu.Lock()
+		c.bufferInUse = false
+		c.listener.mu.Unlock()
+		c.bufferFree.Notify()
 	}
 	return n, nil
 }
 
-// at is a deadline of the library's, which goes by the machine's clock, in the
-// connection's world. They are whole seconds.
-func (c *ClientConn) at(t time.Time) time.Time {
-	if t.IsZero() {
-		return t
+// toHostTime converts a deadline of the HTTP library, which uses the system clock, to
+// the host's clock. The library's timeouts are whole seconds.
+func (c *ClientConn) toHostTime(deadline time.Time) time.Time {
+	if deadline.IsZero() {
+		return deadline
 	}
-	return c.list.world.Now().Add(time.Until(t).Round(time.Second))
+	return c.listener.host.Now().Add(time.Until(deadline).Round(time.Second))
 }
 
-// Pace bounds the time between two pieces of a body from now on, in place of the time
-// of the whole request; reading ends once enough is true, which is asked as the bell rings.
+// Pace replaces the timeout of the whole request by one between two reads of its body.
+// Read ends with ErrStopped once enough returns true; it is called after each notification.
 func (c *ClientConn) Pace(enough func() bool) {
-	c.paced, c.enough = true, enough
-	c.deadline = c.list.world.Now().Add(requestTime)
+	c.bodyPaced, c.stopReading = true, enough
+	c.deadline = c.listener.host.Now().Add(requestTimeout)
 }
 
-// Write takes piece by piece what the client has time for: a slow one may take long for all.
+// Write writes in pieces, each with its own timeout: a slow client may take long for the whole.
 func (c *ClientConn) Write(p []byte) (n int, err error) {
 	for first := true; first || len(p) > 0; first = false {
-		now := p[:min(len(p), piece)]
-		if err := c.Conn.SetWriteDeadline(c.list.world.Now().Add(answerTime)); err != nil {
+		now := p[:min(len(p), pieceSize)]
+		if err := c.Conn.SetWriteDeadline(c.listener.host.Now().Add(writeTimeout)); err != nil {
 			return n, err
 		}
 		k, err := c.Conn.Write(now)
@@ -445,10 +442,10 @@
 	return n, nil
 }
 
-// ReadFrom passes on each piece as soon as it has come.
+// ReadFrom writes each piece as soon as it has been read.
 func (c *ClientConn) ReadFrom(r io.Reader) (n int64, err error) {
-	buf := pieces.Get().(*[piece]byte)
-	defer pieces.Put(buf)
+	buf := pieceBuffers.Get().(*[pieceSize]byte)
+	defer pieceBuffers.Put(buf)
 	for {
 		k, err := r.Read(buf[:])
 		if k > 0 {
@@ -466,110 +463,110 @@
 	}
 }
 
-var pieces = sync.Pool{New: func() any { return new([piece]byte) }}
+var pieceBuffers = sync.Pool{New: func() any { return new([pieceSize]byte) }}
 
-// SetReadDeadline bounds Read; the pump reads on.
+// SetReadDeadline bounds Read; the pump is not affected.
 func (c *ClientConn) SetReadDeadline(t time.Time) error {
-	c.deadline, c.paced, c.enough = c.at(t), false, nil
+	c.deadline, c.bodyPaced, c.stopReading = c.toHostTime(t), false, nil
 	return nil
 }
 
-// SetWriteDeadline does nothing: each piece that is written has a time of its own.
+// SetWriteDeadline does nothing: Write sets a deadline for each piece.
 func (c *ClientConn) SetWriteDeadline(time.Time) error { return nil }
 
 // SetDeadline is SetReadDeadline.
 func (c *ClientConn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// Idle tells that the answer has gone out. While the listener drains, that
-// ends the connection.
+// Idle marks the response as sent. It closes the connection if the listener is draining.
 func (c *ClientConn) Idle() {
-	c.list.mu.Lock()
-	defer c.list.mu.Unlock()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
 	c.serving, c.served = false, true
-	if c.busy, c.since = c.unread, c.list.world.Now(); !c.busy {
-		if c.list.room.Ring(); c.list.last { // it may go to make room
+	if c.busy, c.since = c.pending, c.listener.host.Now(); !c.busy {
+		if c.listener.roomAvailable.Notify(); c.listener.draining { // it may be closed to make room
 			c.drop()
 		}
 	}
 }
 
-// serve tells that a whole request has come.
+// serve marks the request as received completely.
 func (c *ClientConn) serve() {
-	c.list.mu.Lock()
-	defer c.list.mu.Unlock()
-	c.serving, c.since = true, c.list.world.Now()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.serving, c.since = true, c.listener.host.Now()
 }
 
-// drop closes the connection under the list's lock. It counts as open for as
-// long as it lingers.
+// drop closes the connection; while it lingers it counts as open. The caller holds the
+// listener's lock.
 func (c *ClientConn) drop() {
 	if c.closed {
 		return
 	}
-	c.closed, c.serving, c.since = true, false, c.list.world.Now()
+	c.closed, c.serving, c.since = true, false, c.listener.host.Now()
 	ended := c.err != nil
 	c.fail(net.ErrClosed)
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && c.busy && !ended {
 		half.CloseWrite()
-		c.Conn.SetReadDeadline(c.list.world.Now().Add(lingerFor)) // then the pump closes it
+		c.Conn.SetReadDeadline(c.listener.host.Now().Add(lingerTimeout)) // the pump closes it after that
 		return
 	}
 	c.remove()
 }
 
-// remove gives the connection's descriptor back, under the list's lock.
+// remove closes the socket and forgets the connection. The caller holds the listener's
+// lock.
 func (c *ClientConn) remove() {
-	delete(c.list.open, c)
-	c.list.room.Ring()
+	delete(c.listener.conns, c)
+	c.listener.roomAvailable.Notify()
 	c.Conn.Close()
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *ClientConn) Close() error {
-	c.list.mu.Lock()
-	defer c.list.mu.Unlock()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
 	c.drop()
 	return nil
 }
 
-// The time that clients have. A request has to come whole within the first,
-// counted from its first byte, or from connecting if it is the first. A
-// connection without a request is closed after the second.
+// Client timeouts. A request must arrive completely within requestTimeout, counted from
+// its first byte, or from the connect for the first request. A connection without a
+// request is closed after idleTimeout.
 const (
-	requestTime = 3 * time.Second // from then on, between two pieces of a body
-	idleTime    = 2 * time.Second
-	answerTime  = 5 * time.Second // to take an answer
+	requestTimeout = 3 * time.Second // for a streamed body, between two reads
+	idleTimeout    = 2 * time.Second
+	writeTimeout   = 5 * time.Second // for each piece of a response
 )
 
-// NewServer returns a listener's HTTP server. It passes on what clients send as
-// they wrote it, and takes bodies up to maxBody.
+// NewServer returns an HTTP server for a listener. It keeps header names and request
+// data unchanged, and accepts bodies up to maxBody bytes.
 func NewServer(handler fasthttp.RequestHandler, maxBody int) *fasthttp.Server {
 	return &fasthttp.Server{
-		Handler:                       guard(handler),
+		Handler:                       rejectAmbiguous(handler),
 		ErrorHandler:                  malformed,
-		Logger:                        quiet{},
+		Logger:                        discardLogger{},
 		MaxRequestBodySize:            maxBody,
 		ReadBufferSize:                8192,
 		StreamRequestBody:             maxBody >= MaxStream,
-		ReadTimeout:                   requestTime,
-		IdleTimeout:                   idleTime,
-		WriteTimeout:                  answerTime,
+		ReadTimeout:                   requestTimeout,
+		IdleTimeout:                   idleTimeout,
+		WriteTimeout:                  writeTimeout,
 		DisableHeaderNamesNormalizing: true,
 		DisablePreParseMultipartForm:  true,
 		NoDefaultServerHeader:         true,
 		NoDefaultContentType:          true,
-		ConnState:                     answeredOne,
+		ConnState:                     connStateChanged,
 	}
 }
 
-// guard turns away what another reader of the same bytes could take for
-// something else, and marks the connection as one that an answer is owed on.
-func guard(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
+// rejectAmbiguous rejects requests that another recipient could parse differently, and
+// marks the connection as serving.
+func rejectAmbiguous(handler fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		if c, ok := ctx.Conn().(*ClientConn); ok {
-			c.serve()
+		if conn, ok := ctx.Conn().(*ClientConn); ok {
+			conn.serve()
 		}
-		if TwoLengths(ctx.Request.Header.RawHeaders()) {
+		if HasConflictingLengths(ctx.Request.Header.RawHeaders()) {
 			ctx.Error("Content-Length and Transfer-Encoding\n", fasthttp.StatusBadRequest)
 			ctx.SetConnectionClose()
 			return
@@ -578,13 +575,13 @@
 	}
 }
 
-func answeredOne(nc net.Conn, s fasthttp.ConnState) {
+func connStateChanged(nc net.Conn, s fasthttp.ConnState) {
 	if c, ok := nc.(*ClientConn); ok && s == fasthttp.StateIdle {
 		c.Idle()
 	}
 }
 
-// malformed answers what is no request. The connection ends after it.
+// malformed answers an invalid request. The connection is closed after that.
 func malformed(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
 	if _, ok := err.(*fasthttp.ErrSmallBuffer); ok {
@@ -597,7 +594,7 @@
 	ctx.Error(fasthttp.StatusMessage(status)+"\n", status)
 }
 
-// quiet drops the library's own log: clients that break off are no news.
-type quiet struct{}
+// discardLogger drops the library's log, which reports each client that disconnects.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -15,86 +15,85 @@
 	"asterwell/internal/mailbox"
 )
 
-// End tells how an exchange ended.
-type End int
+// Outcome is how an exchange ended.
+type Outcome int
 
-// The ends of an exchange.
+// The outcomes of an exchange.
 const (
-	Answered End = iota
-	NotSent      // the last byte was never written: it can't have run
-	Broken       // the connection ended after that: it may have run
-	Spoilt       // what came is no answer: it may have run
+	Answered       Outcome = iota
+	NotSent                // the last byte was not written: the request can't have run
+	ConnectionLost         // the connection ended later: the request may have run
+	Invalid                // the received data is not a valid response: the request may have run
 )
 
-// Result is the end of the exchange that Key names. The answer belongs to
-// whoever takes it.
+// Result is the outcome of the exchange identified by Key. The receiver owns Answer.
 type Result[K comparable] struct {
-	Key    K
-	Note   any // as given with Send
-	End    End
-	Answer *fasthttp.Response
+	Key     K
+	Note    any // as passed to Send
+	Outcome Outcome
+	Answer  *fasthttp.Response
 }
 
-// PeerOptions are the limits of the connections to one server.
+// PeerOptions configures the connections to one server.
 type PeerOptions struct {
-	World   hostenv.Seam  // nil: the real one
-	Connect time.Duration // until a connection is given up
-	Keep    *Keep         // an unused connection is closed after this, well before the server does
-	Sockets *Sockets
-	Wrote   func(note any) // hears of each exchange whose last byte has been written; nil: nobody does
-	Strict  bool           // an answer whose end or beginning is in doubt is spoilt: see Conn.strict
-	Bug     Bug
+	Host           hostenv.Host  // nil: hostenv.Real
+	ConnectTimeout time.Duration // for establishing a connection
+	IdleTimeout    *IdleTimeout  // idle connections are closed after this, well before the server closes them
+	ConnLimit      *ConnLimit
+	OnSent         func(note any) // called for each exchange whose last byte has been written; may be nil
+	Strict         bool           // reject responses whose start or end is ambiguous: see Conn.strict
+	Bug            Bug
 }
 
-// Bug switches a guard off, to show that the judges miss it.
+// Bug disables a check, to verify that the tests detect its absence.
 type Bug uint8
 
-// The guards.
+// The checks that can be disabled.
 const (
-	BugAnyName Bug = iota + 1 // whatever comes is taken for the answer
-	BugSameWay                // a name may go by one connection twice
-	BugUnsent                 // a break of a used connection counts as not sent
-	BugNoDoubt                // where an answer begins and ends is not doubted
+	BugAcceptForeign Bug = iota + 1 // responses are accepted whatever their correlation ID
+	BugReuseConn                    // attempts with one correlation ID may use a connection twice
+	BugLostIsNotSent                // losing a reused connection counts as not sent
+	BugNotStrict                    // Strict has no effect
 )
 
-// Peer is the actor that owns all connections to one server. Each carries one
-// exchange at a time; an idle one is reused newest first, so that the others
-// age and close.
+// Peer is the actor that owns all connections to one server. Each connection carries
+// one exchange at a time. The most recently idle one is reused first, so that the others
+// reach the idle timeout and close.
 type Peer[K comparable] struct {
-	addr string
-	opt  PeerOptions
-	box  *mailbox.Box[any]
-	done func(Result[K])
-
-	idle    []*link[K] // the newest last
-	busy    map[K]*link[K]
-	waiting []*order[K] // for a connection, the oldest first
-	dialing int
-	streams int // answers that are being read
-	uploads int // bodies that are being written
-	stopped bool
-	ended   atomic.Bool
+	addr     string
+	opt      PeerOptions
+	inbox    *mailbox.Box[any]
+	onResult func(Result[K])
+
+	idle       []*peerConn[K] // the most recent last
+	busy       map[K]*peerConn[K]
+	waiting    []*exchange[K] // exchanges that wait for a connection, oldest first
+	dialing    int
+	streams    int // responses being streamed
+	uploads    int // request bodies being written
+	stopped    bool
+	terminated atomic.Bool
 }
 
-type link[K comparable] struct {
-	conn  *Conn
-	under *order[K]     // the exchange under way
-	since time.Time     // idle since then
-	idled time.Duration // before the exchange under way
-	wrote time.Time
-	open  bool
-
-	uploads Upload // under way
-	half    bool   // its last request did not go out whole
-	number  uint64 // in this process, that no other connection has had
+type peerConn[K comparable] struct {
+	conn       *Conn
+	exchange   *exchange[K]  // the current exchange
+	idleSince  time.Time     // zero for a new connection
+	idleBefore time.Duration // idle time before the current exchange
+	sentAt     time.Time
+	open       bool
+
+	upload     Upload // in progress; nil: none
+	incomplete bool   // its last request was not written completely
+	number     uint64 // unique within the process
 }
 
-type order[K comparable] struct {
+type exchange[K comparable] struct {
 	key  K
 	wire []byte
 	note any
 
-	whole atomic.Bool // its last byte has been written, or may have been
+	sent atomic.Bool // the last byte has been written, or may have been
 }
 
 type (
@@ -103,274 +102,274 @@
 		conn *Conn
 		err  error
 	}
-	heard[K comparable] struct {
-		link  *link[K]
+	responseRead[K comparable] struct {
+		conn  *peerConn[K]
 		resp  *fasthttp.Response
-		extra bool // more than the answer has come
+		extra bool // there are bytes behind the response
 		err   error
 
-		stream bool // the body is still to be read
+		stream bool // the body is still being streamed
 	}
 	stop struct{}
 )
 
-// writeLimit bounds the time that a write may hold the actor up. A request
-// fits into an idle socket's buffers; it can't be written where a machine has
-// been silent for longer than that buffer lasts.
+// writeLimit bounds how long a write may block the actor. A request fits into the
+// buffer of an idle socket; a write that blocks means that the server has stopped
+// acknowledging data.
 const writeLimit = 50 * time.Millisecond
 
-// NewPeer starts the actor of the server at addr. It calls done for each
-// exchange that ends by itself; nothing is heard of a cancelled one.
+// NewPeer starts the actor for the server at addr. It calls done for each exchange
+// that ends, except for cancelled ones.
 func NewPeer[K comparable](addr string, opt PeerOptions, done func(Result[K])) *Peer[K] {
-	opt.World = hostenv.Or(opt.World)
-	p := &Peer[K]{addr: addr, opt: opt, box: mailbox.NewBox[any](opt.World), busy: map[K]*link[K]{},
-		done: func(r Result[K]) { opt.Sockets.under.Add(-1); done(r) }}
-	opt.World.Go(p.run)
+	opt.Host = hostenv.OrReal(opt.Host)
+	p := &Peer[K]{addr: addr, opt: opt, inbox: mailbox.NewBox[any](opt.Host), busy: map[K]*peerConn[K]{},
+		onResult: func(r Result[K]) { opt.ConnLimit.inFlight.Add(-1); done(r) }}
+	opt.Host.Go(p.run)
 	return p
 }
 
-func (p *Peer[K]) now() time.Time { return p.opt.World.Now() }
+func (p *Peer[K]) now() time.Time { return p.opt.Host.Now() }
 
-// Send begins an exchange.
+// Send starts an exchange.
 func (p *Peer[K]) Send(key K, wire []byte, note any) {
-	p.box.Put(&order[K]{key: key, wire: wire, note: note})
+	p.inbox.Put(&exchange[K]{key: key, wire: wire, note: note})
 }
 
-// Cancel gives an exchange up and closes its connection.
-func (p *Peer[K]) Cancel(key K) { p.box.Put(cancel[K]{key}) }
+// Cancel aborts an exchange and closes its connection.
+func (p *Peer[K]) Cancel(key K) { p.inbox.Put(cancel[K]{key}) }
 
-// Stop ends the actor once nothing is under way.
-func (p *Peer[K]) Stop() { p.box.Put(stop{}) }
+// Stop ends the actor once no exchange is in progress.
+func (p *Peer[K]) Stop() { p.inbox.Put(stop{}) }
 
-// Ended reports whether a stopped actor has ended. Nothing is under way then.
-func (p *Peer[K]) Ended() bool { return p.ended.Load() }
+// Ended reports whether a stopped actor has ended, with no exchange in progress.
+func (p *Peer[K]) Ended() bool { return p.terminated.Load() }
 
 func (p *Peer[K]) run() {
-	defer p.ended.Store(true)
+	defer p.terminated.Store(true)
 	for !p.stopped || len(p.busy) > 0 || len(p.waiting) > 0 || p.dialing > 0 || p.streams > 0 || p.uploads > 0 {
-		for _, m := range p.box.Take(p.age()) {
+		for _, m := range p.inbox.Take(p.closeExpired()) {
 			switch m := m.(type) {
-			case *order[K]:
-				p.opt.Sockets.under.Add(1)
+			case *exchange[K]:
+				p.opt.ConnLimit.inFlight.Add(1)
 				p.send(m)
 			case cancel[K]:
 				p.cancel(m.key)
 			case dialed:
-				p.dialed(m)
-			case heard[K]:
-				p.heard(m)
+				p.handleDialed(m)
+			case responseRead[K]:
+				p.handleResponse(m)
 			case streamed[K]:
-				p.streamed(m)
+				p.handleStreamed(m)
 			case uploaded[K]:
-				p.uploaded(m)
+				p.handleUploaded(m)
 			case stop:
 				p.stopped = true
 			}
 		}
 	}
-	for _, l := range p.idle {
-		p.close(l)
+	for _, pc := range p.idle {
+		p.close(pc)
 	}
 }
 
-// age closes connections that have been idle too long, and tells when the next
-// one will be. A request written to one that the server has closed would be a
-// reset, and nobody could tell whether it ran.
-func (p *Peer[K]) age() time.Duration {
-	old := 0
-	for _, l := range p.idle {
-		left := p.opt.Keep.Limit(p.now()) - p.now().Sub(l.since)
+// closeExpired closes connections that have been idle too long, and returns the time
+// until the next one expires. A request written to a connection that the server has
+// closed would be reset, and it would be unknown whether it ran.
+func (p *Peer[K]) closeExpired() time.Duration {
+	expired := 0
+	for _, pc := range p.idle {
+		left := p.opt.IdleTimeout.Limit(p.now()) - p.now().Sub(pc.idleSince)
 		if left > 0 && !p.stopped {
-			p.idle = append(p.idle[:0], p.idle[old:]...)
+			p.idle = append(p.idle[:0], p.idle[expired:]...)
 			return left
 		}
-		p.close(l)
-		old++
+		p.close(pc)
+		expired++
 	}
 	p.idle = p.idle[:0]
 	return -1
 }
 
-// settled is how long a connection has to be quiet after an answer before it
-// carries the next request. Some servers send more than the answer: what comes
-// within this time ends the connection, and is not taken for the next answer.
-const settled = 3 * time.Millisecond
+// settleTime is how long a connection must be quiet after a response before it carries
+// the next request. Some servers send extra bytes: those received within this time close
+// the connection, and are not taken for the next response.
+const settleTime = 3 * time.Millisecond
 
-func (p *Peer[K]) send(o *order[K]) {
+func (p *Peer[K]) send(ex *exchange[K]) {
 	now := p.now()
 	for i := len(p.idle) - 1; i >= 0; i-- {
-		l := p.idle[i]
-		if l.open && now.Sub(l.since) < settled {
+		pc := p.idle[i]
+		if pc.open && now.Sub(pc.idleSince) < settleTime {
 			continue
 		}
-		if p.opt.Bug != BugSameWay && tripsOf(o.note).has(l.number) {
-			continue // a late copy of its former answer would bear its name
+		if p.opt.Bug != BugReuseConn && historyOf(ex.note).contains(pc.number) {
+			continue // a late duplicate of the previous attempt's response would have the same ID
 		}
 		p.idle = slices.Delete(p.idle, i, i+1)
-		if l.open && now.Sub(l.since) < p.opt.Keep.Limit(now) && l.conn.Quiet() {
-			p.write(l, o)
+		if pc.open && now.Sub(pc.idleSince) < p.opt.IdleTimeout.Limit(now) && pc.conn.Quiet() {
+			p.write(pc, ex)
 			return
 		}
-		p.close(l)
+		p.close(pc)
 	}
-	if !p.opt.Sockets.take() {
-		log.Printf("event=sockets server=%s used=%d what=%q", p.addr, p.opt.Sockets.Used(), "none left, attempt not sent")
-		p.done(Result[K]{o.key, o.note, NotSent, nil})
+	if !p.opt.ConnLimit.acquire() {
+		log.Printf("event=sockets server=%s used=%d what=%q", p.addr, p.opt.ConnLimit.Used(), "none left, attempt not sent")
+		p.onResult(Result[K]{ex.key, ex.note, NotSent, nil})
 		return
 	}
-	p.waiting = append(p.waiting, o)
+	p.waiting = append(p.waiting, ex)
 	p.dialing++
-	p.opt.World.Go(func() {
-		conn, err := Dial(p.opt.World, p.addr, p.opt.Connect)
-		p.box.Put(dialed{conn, err})
+	p.opt.Host.Go(func() {
+		conn, err := Dial(p.opt.Host, p.addr, p.opt.ConnectTimeout)
+		p.inbox.Put(dialed{conn, err})
 	})
 }
 
-func (p *Peer[K]) dialed(m dialed) {
+func (p *Peer[K]) handleDialed(m dialed) {
 	p.dialing--
 	if m.err != nil {
-		p.opt.Sockets.give()
-		// Others' dials may serve the rest; one that has none coming has failed.
+		p.opt.ConnLimit.release()
+		// Pending dials may serve other waiting exchanges; those beyond their number have failed.
 		for len(p.waiting) > p.dialing {
-			o := p.waiting[0]
+			ex := p.waiting[0]
 			p.waiting = p.waiting[1:]
-			p.done(Result[K]{o.key, o.note, NotSent, nil})
+			p.onResult(Result[K]{ex.key, ex.note, NotSent, nil})
 		}
 		return
 	}
-	l := &link[K]{conn: m.conn, open: true, number: lastConn.Add(1)}
-	l.conn.streams, l.conn.strict = true, p.opt.Strict && p.opt.Bug != BugNoDoubt
-	p.opt.World.Go(func() {
+	pc := &peerConn[K]{conn: m.conn, open: true, number: lastConnNumber.Add(1)}
+	pc.conn.allowStreams, pc.conn.strict = true, p.opt.Strict && p.opt.Bug != BugNotStrict
+	p.opt.Host.Go(func() {
 		for {
 			resp := fasthttp.AcquireResponse()
-			extra, err := l.conn.Read(resp)
+			extra, err := pc.conn.Read(resp)
 			last := extra || err != nil || resp.ConnectionClose()
-			long, _ := resp.BodyStream().(*body)
-			p.box.Put(heard[K]{l, resp, extra, err, long != nil}) // from here on the answer is somebody else's
+			long, _ := resp.BodyStream().(*streamedBody)
+			p.inbox.Put(responseRead[K]{pc, resp, extra, err, long != nil}) // the receiver owns resp from here on
 			if long != nil {
-				long.bell.Wait(-1)
-				last = last || long.err != io.EOF || l.conn.br.Buffered() > 0
-				p.box.Put(streamed[K]{l, !last})
+				long.done.Wait(-1)
+				last = last || long.err != io.EOF || pc.conn.br.Buffered() > 0
+				p.inbox.Put(streamed[K]{pc, !last})
 			}
 			if last {
 				return
 			}
 		}
 	})
-	p.free(l)
+	p.release(pc)
 }
 
-// free gives a connection to the oldest exchange that waits for one, or keeps it.
-func (p *Peer[K]) free(l *link[K]) {
+// release assigns a connection to the oldest waiting exchange, or adds it to the idle ones.
+func (p *Peer[K]) release(pc *peerConn[K]) {
 	switch {
-	case len(p.waiting) > 0 && l.since.IsZero(): // a new one; a used one has to settle
+	case len(p.waiting) > 0 && pc.idleSince.IsZero(): // only a new connection; a used one has to settle
 		o := p.waiting[0]
 		p.waiting = p.waiting[1:]
-		p.write(l, o)
-	case p.opt.Sockets.scarce():
-		p.close(l)
+		p.write(pc, o)
+	case p.opt.ConnLimit.nearlyExhausted():
+		p.close(pc)
 	default:
-		l.since = p.now()
-		p.idle = append(p.idle, l)
+		pc.idleSince = p.now()
+		p.idle = append(p.idle, pc)
 	}
 }
 
-func (p *Peer[K]) write(l *link[K], o *order[K]) {
-	if err := l.conn.begin(o.wire, writeLimit); err != nil {
-		p.close(l)
-		p.done(Result[K]{o.key, o.note, NotSent, nil})
+func (p *Peer[K]) write(pc *peerConn[K], ex *exchange[K]) {
+	if err := pc.conn.writeRequest(ex.wire, writeLimit); err != nil {
+		p.close(pc)
+		p.onResult(Result[K]{ex.key, ex.note, NotSent, nil})
 		return
 	}
-	tripsOf(o.note).add(l.number)
-	l.under, l.wrote, l.idled = o, p.now(), 0
-	if !l.since.IsZero() {
-		l.idled = l.wrote.Sub(l.since)
+	historyOf(ex.note).add(pc.number)
+	pc.exchange, pc.sentAt, pc.idleBefore = ex, p.now(), 0
+	if !pc.idleSince.IsZero() {
+		pc.idleBefore = pc.sentAt.Sub(pc.idleSince)
 	}
-	p.busy[o.key] = l
-	if up := uploadOf(o.note); up != nil {
-		p.upload(l, o, up)
+	p.busy[ex.key] = pc
+	if up := uploadOf(ex.note); up != nil {
+		p.upload(pc, ex, up)
 		return
 	}
-	o.whole.Store(true)
-	if p.opt.Wrote != nil {
-		p.opt.Wrote(o.note)
+	ex.sent.Store(true)
+	if p.opt.OnSent != nil {
+		p.opt.OnSent(ex.note)
 	}
 }
 
-func (p *Peer[K]) heard(m heard[K]) {
-	l, o := m.link, m.link.under
-	l.under = nil
-	if l.uploads != nil { // answered, or broken, before all was sent
-		l.uploads.Stop()
-		l.half, m.extra = true, true
+func (p *Peer[K]) handleResponse(m responseRead[K]) {
+	pc, ex := m.conn, m.conn.exchange
+	pc.exchange = nil
+	if pc.upload != nil { // answered or lost before the request was sent completely
+		pc.upload.Stop()
+		pc.incomplete, m.extra = true, true
 	}
-	if o != nil && m.err == nil && p.opt.Bug != BugAnyName && !owns(o.note, m.resp) {
-		m.err = errForeign
+	if ex != nil && m.err == nil && p.opt.Bug != BugAcceptForeign && !matches(ex.note, m.resp) {
+		m.err = errForeignResponse
 	}
 	if m.stream {
 		p.streams++
-		if o != nil && o.note != nil && m.err == nil {
-			delete(p.busy, o.key)
-			p.done(Result[K]{o.key, o.note, Answered, m.resp})
+		if ex != nil && ex.note != nil && m.err == nil {
+			delete(p.busy, ex.key)
+			p.onResult(Result[K]{ex.key, ex.note, Answered, m.resp})
 			return
 		}
-		m.err = cmp.Or(m.err, errSpoilt) // for a probe, or for nobody
+		m.err = cmp.Or(m.err, errInvalidResponse) // streamed to a probe, or unsolicited
 	}
-	if m.extra || m.err != nil || m.resp.ConnectionClose() || o == nil {
-		p.close(l) // an answer that nobody asked for is no good sign either
+	if m.extra || m.err != nil || m.resp.ConnectionClose() || ex == nil {
+		p.close(pc) // an unsolicited response also makes the connection unusable
 	}
-	if o != nil {
-		delete(p.busy, o.key)
+	if ex != nil {
+		delete(p.busy, ex.key)
 	}
-	if m.err != nil || o == nil {
+	if m.err != nil || ex == nil {
 		fasthttp.ReleaseResponse(m.resp)
 	}
-	if o != nil && l.idled > 0 {
+	if ex != nil && pc.idleBefore > 0 {
 		now := p.now()
-		broke := m.err != nil && !errors.Is(m.err, errSpoilt) && now.Sub(l.wrote) < atOnce
-		p.opt.Keep.used(l.idled, broke, now)
+		broke := m.err != nil && !errors.Is(m.err, errInvalidResponse) && now.Sub(pc.sentAt) < immediateLoss
+		p.opt.IdleTimeout.observe(pc.idleBefore, broke, now)
 	}
 	switch {
-	case o == nil:
-	case errors.Is(m.err, errSpoilt):
+	case ex == nil:
+	case errors.Is(m.err, errInvalidResponse):
 		log.Printf("event=spoilt server=%s error=%q", p.addr, m.err)
-		p.done(Result[K]{o.key, o.note, Spoilt, nil})
-	case m.err != nil && (!o.whole.Load() || p.opt.Bug == BugUnsent && l.idled > 0):
-		p.done(Result[K]{o.key, o.note, NotSent, nil})
+		p.onResult(Result[K]{ex.key, ex.note, Invalid, nil})
+	case m.err != nil && (!ex.sent.Load() || p.opt.Bug == BugLostIsNotSent && pc.idleBefore > 0):
+		p.onResult(Result[K]{ex.key, ex.note, NotSent, nil})
 	case m.err != nil:
-		p.done(Result[K]{o.key, o.note, Broken, nil})
+		p.onResult(Result[K]{ex.key, ex.note, ConnectionLost, nil})
 	default:
-		p.done(Result[K]{o.key, o.note, Answered, m.resp})
-		if l.open {
-			p.free(l)
+		p.onResult(Result[K]{ex.key, ex.note, Answered, m.resp})
+		if pc.open {
+			p.release(pc)
 		}
 	}
 }
 
 func (p *Peer[K]) cancel(key K) {
-	if l := p.busy[key]; l != nil {
-		p.opt.Sockets.under.Add(-1)
+	if pc := p.busy[key]; pc != nil {
+		p.opt.ConnLimit.inFlight.Add(-1)
 		delete(p.busy, key)
-		l.under = nil
-		if l.uploads != nil {
-			l.uploads.Stop()
+		pc.exchange = nil
+		if pc.upload != nil {
+			pc.upload.Stop()
 		}
-		p.close(l)
+		p.close(pc)
 		return
 	}
-	for i, o := range p.waiting {
-		if o.key == key { // its connection will serve another
-			p.opt.Sockets.under.Add(-1)
+	for i, ex := range p.waiting {
+		if ex.key == key { // the pending dial will serve another exchange
+			p.opt.ConnLimit.inFlight.Add(-1)
 			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
 			return
 		}
 	}
 }
 
-func (p *Peer[K]) close(l *link[K]) {
-	if l.open {
-		l.open = false
-		l.conn.Close()
-		p.opt.Sockets.give()
+func (p *Peer[K]) close(pc *peerConn[K]) {
+	if pc.open {
+		pc.open = false
+		pc.conn.Close()
+		p.opt.ConnLimit.release()
 	}
 }
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -14,89 +14,90 @@
 	"asterwell/internal/hostenv"
 )
 
-// Bounds of what streams.
+// Limits of streamed messages.
 const (
-	Held      = 64 << 10 // a message up to this is kept whole before it is passed on
-	MaxStream = 64 << 20 // its body
-	piece     = 16 << 10 // in hand at a time
-	stuck     = 10 * time.Second
+	MaxBuffered        = 64 << 10 // bodies up to this size are buffered before they are forwarded
+	MaxStream          = 64 << 20 // bytes of a streamed body
+	pieceSize          = 16 << 10 // bytes read and written at a time
+	streamStallTimeout = 10 * time.Second
 )
 
-// body is an answer's, read as it comes. Its reader owns the connection until its end.
-type body struct {
-	conn  *Conn
-	left  int64 // of the body, or of the chunk
-	chunk bool
-	close bool // it ends with the connection
-	total int64
-	first []byte // read already, while it might have been short
-	err   error  // it has ended
-	bell  hostenv.Bell
+// streamedBody is a response body read as it arrives. Its reader owns the connection until
+// the body ends.
+type streamedBody struct {
+	conn       *Conn
+	remaining  int64 // bytes of the body, or of the current chunk
+	chunked    bool
+	untilClose bool // the end of the connection ends the body
+	received   int64
+	prefix     []byte // read ahead, to find out whether the body is short
+	err        error  // non-nil once the body has ended
+	done       hostenv.Notifier
 }
 
-var errTooLong = errors.New("longer than any answer may be")
+var errBodyTooLong = errors.New("response body exceeds the limit")
 
-// Read takes what has come. A body that is cut short ends with an error other than EOF.
-func (b *body) Read(p []byte) (int, error) {
+// Read returns what has arrived. A truncated body ends with an error other than io.EOF.
+func (b *streamedBody) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
 	}
-	if len(b.first) > 0 {
-		n := copy(p, b.first)
-		b.first = b.first[n:]
+	if len(b.prefix) > 0 {
+		n := copy(p, b.prefix)
+		b.prefix = b.prefix[n:]
 		return n, nil
 	}
 	n, err := b.read(p)
-	if b.total += int64(n); b.total > MaxStream {
-		err = errTooLong
+	if b.received += int64(n); b.received > MaxStream {
+		err = errBodyTooLong
 	}
-	if err == nil && !b.chunk && !b.close && b.left == 0 {
+	if err == nil && !b.chunked && !b.untilClose && b.remaining == 0 {
 		err = io.EOF
 	}
 	if err != nil {
-		b.end(err)
+		b.finish(err)
 	}
 	return n, err
 }
 
-func (b *body) read(p []byte) (int, error) {
-	if b.chunk && b.left == 0 {
-		if err := b.next(); err != nil {
+func (b *streamedBody) read(p []byte) (int, error) {
+	if b.chunked && b.remaining == 0 {
+		if err := b.readChunkHeader(); err != nil {
 			return 0, err
 		}
 	}
-	if b.close {
+	if b.untilClose {
 		return b.conn.br.Read(p)
 	}
-	n, err := b.conn.br.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
+	n, err := b.conn.br.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
-	if err == nil && b.chunk && b.left == 0 {
-		err = crlf(b.conn.br)
+	if err == nil && b.chunked && b.remaining == 0 {
+		err = expectCRLF(b.conn.br)
 	}
 	return n, err
 }
 
-// next reads the head of a chunk, and what is behind the last one.
-func (b *body) next() error {
+// readChunkHeader reads the header of a chunk, and the trailers behind the last one.
+func (b *streamedBody) readChunkHeader() error {
 	line, err := b.conn.br.ReadSlice('\n')
 	if err != nil {
-		return cut(err)
+		return unexpectedEOF(err)
 	}
 	size, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
 	if err != nil {
-		return errSpoilt
+		return errInvalidResponse
 	}
-	if b.left = int64(n); n > 0 {
+	if b.remaining = int64(n); n > 0 {
 		return nil
 	}
-	for most := maxHead; ; { // trailers end here
+	for limit := maxHeaderBytes; ; { // trailers are discarded
 		line, err := b.conn.br.ReadSlice('\n')
-		if most -= len(line); err != nil || most < 0 {
-			return cut(cmp.Or(err, errSpoilt))
+		if limit -= len(line); err != nil || limit < 0 {
+			return unexpectedEOF(cmp.Or(err, errInvalidResponse))
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return io.EOF
@@ -104,85 +105,85 @@
 	}
 }
 
-func crlf(br *bufio.Reader) error {
+func expectCRLF(br *bufio.Reader) error {
 	for _, want := range []byte("\r\n") {
 		if c, err := br.ReadByte(); err != nil {
-			return cut(err)
+			return unexpectedEOF(err)
 		} else if c != want {
-			return errSpoilt
+			return errInvalidResponse
 		}
 	}
 	return nil
 }
 
-// cut makes sure that an early end is not taken for an end.
-func cut(err error) error {
+// unexpectedEOF keeps a premature end from being taken for the end of the body.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// end gives the connection back, or closes it if the body is not at its end.
-func (b *body) end(err error) {
+// finish returns the connection, or closes it if the body is incomplete.
+func (b *streamedBody) finish(err error) {
 	b.err = err
-	b.conn.begun, b.conn.patience = false, 0
+	b.conn.responseStarted, b.conn.stallTimeout = false, 0
 	if err != io.EOF {
 		b.conn.Close()
 	}
-	if b.bell != nil {
-		b.bell.Ring()
+	if b.done != nil {
+		b.done.Notify()
 	}
 }
 
-// Close gives up what has not been read.
-func (b *body) Close() error {
+// Close discards the unread part.
+func (b *streamedBody) Close() error {
 	if b.err == nil {
-		b.end(io.ErrClosedPipe)
+		b.finish(io.ErrClosedPipe)
 	}
 	return nil
 }
 
-// long reads a body that may stream. One that turns out to be short is kept whole.
-func (c *Conn) long(resp *fasthttp.Response, length int) error {
-	b := &body{conn: c, left: int64(length)}
+// readLongBody reads a body that may be streamed. One that turns out to be short is buffered.
+func (c *Conn) readLongBody(resp *fasthttp.Response, length int) error {
+	b := &streamedBody{conn: c, remaining: int64(length)}
 	if length > MaxStream {
-		return errSpoilt
+		return errInvalidResponse
 	}
 	if length < 0 {
-		b.left, b.chunk, b.close = 0, length == -1, length < -1
+		b.remaining, b.chunked, b.untilClose = 0, length == -1, length < -1
 		length = -1
-		for buf := make([]byte, 4096); len(b.first) <= Held; {
+		for buf := make([]byte, 4096); len(b.prefix) <= MaxBuffered; {
 			n, err := b.read(buf)
-			b.first = append(b.first, buf[:n]...)
+			b.prefix = append(b.prefix, buf[:n]...)
 			if err == io.EOF {
-				resp.SetBody(b.first)
+				resp.SetBody(b.prefix)
 				return nil
 			}
 			if err != nil {
 				return err
 			}
 		}
-		b.total = int64(len(b.first))
+		b.received = int64(len(b.prefix))
 	}
-	c.patience = stuck
-	b.bell = c.world.NewBell()
+	c.stallTimeout = streamStallTimeout
+	b.done = c.host.NewNotifier()
 	resp.SetBodyStream(b, length)
 	return nil
 }
 
-// Upload is the rest of a request's body, framed as it goes on the wire.
+// Upload is the remainder of a request body, in its wire framing.
 type Upload interface {
-	// Next waits for a piece, which is the caller's until the next call.
+	// Next waits for a piece, which is valid until the next call.
 	Next() (piece []byte, last bool, err error)
-	Stop() // nothing more is wanted: Next returns ErrStopped
+	Stop() // cancels the upload: Next returns ErrStopped
 }
 
-// ErrStopped is what an upload ends with that is not wanted any more.
+// ErrStopped is returned by a cancelled upload.
 var ErrStopped = errors.New("stopped")
 
-// Uploader is a note of an exchange whose request may go on behind what Send was given.
-type Uploader interface{ Upload() Upload } // nil: it does not
+// Uploader is a note of an exchange whose request may continue after the bytes given to Send.
+type Uploader interface{ Upload() Upload } // nil: nothing follows
 
 func uploadOf(note any) Upload {
 	if u, ok := note.(Uploader); ok {
@@ -192,53 +193,53 @@
 }
 
 type uploaded[K comparable] struct {
-	link  *link[K]
-	order *order[K]
-	whole bool
+	conn     *peerConn[K]
+	exchange *exchange[K]
+	complete bool
 }
 
-// upload writes what follows a request's beginning.
-func (p *Peer[K]) upload(l *link[K], o *order[K], up Upload) {
+// upload writes the remainder of a request.
+func (p *Peer[K]) upload(pc *peerConn[K], ex *exchange[K], up Upload) {
 	p.uploads++
-	l.uploads = up
-	p.opt.World.Go(func() {
+	pc.upload = up
+	p.opt.Host.Go(func() {
 		for {
 			piece, last, err := up.Next()
 			if err == nil {
 				if last {
-					o.whole.Store(true) // from here on the server may have it all
+					ex.sent.Store(true) // from here on the server may have the complete request
 				}
-				err = l.conn.Write(piece, stuck)
+				err = pc.conn.Write(piece, streamStallTimeout)
 			}
 			if err != nil || last {
 				if err != nil && err != ErrStopped {
 					up.Stop()
-					l.conn.Close() // a server must not take it for whole
+					pc.conn.Close() // the server must not take the request for complete
 				}
-				p.box.Put(uploaded[K]{l, o, err == nil})
+				p.inbox.Put(uploaded[K]{pc, ex, err == nil})
 				return
 			}
 		}
 	})
 }
 
-func (p *Peer[K]) uploaded(m uploaded[K]) {
+func (p *Peer[K]) handleUploaded(m uploaded[K]) {
 	p.uploads--
-	if m.link.uploads = nil; m.whole && p.opt.Wrote != nil {
-		p.opt.Wrote(m.order.note)
+	if m.conn.upload = nil; m.complete && p.opt.OnSent != nil {
+		p.opt.OnSent(m.exchange.note)
 	}
 }
 
-// streamed takes a connection back whose answer has been read by whoever it belonged to.
+// streamed returns a connection whose streamed response has been read.
 type streamed[K comparable] struct {
-	link  *link[K]
-	again bool // it can carry another exchange
+	conn     *peerConn[K]
+	reusable bool // the connection can carry another exchange
 }
 
-func (p *Peer[K]) streamed(m streamed[K]) {
-	if p.streams--; !m.again || m.link.half {
-		p.close(m.link)
-	} else if m.link.open {
-		p.free(m.link)
+func (p *Peer[K]) handleStreamed(m streamed[K]) {
+	if p.streams--; !m.reusable || m.conn.incomplete {
+		p.close(m.conn)
+	} else if m.conn.open {
+		p.release(m.conn)
 	}
 }
