--- a/internal/storage/crashfs/crashfs.go
+++ b/internal/storage/crashfs/crashfs.go
@@ -46,8 +46,7 @@
 }
 
 func (c Change) String() string {
-	kinds := [...]string{"create", "write", "truncate", "sync", "delete", "syncdir"}
-	return fmt.Sprintf("%s %s %d %d", kinds[c.Kind], c.File, c.At, len(c.Data))
+	return fmt.Sprintf("%s %s %d %d", [...]string{"create", "write", "truncate", "sync", "delete", "syncdir"}[c.Kind], c.File, c.At, len(c.Data))
 }
 
 var recorder struct {
@@ -92,8 +91,8 @@
 	}
 }
 
-//export crashfsOpen
-func crashfsOpen(name *C.char, created, journal C.int) C.int {
+//export brittleOpen
+func brittleOpen(name *C.char, created, journal C.int) C.int {
 	recorder.Lock()
 	defer recorder.Unlock()
 	f := openFile{name: filepath.Base(C.GoString(name)), syncDirPending: journal != 0 && created != 0}
@@ -104,22 +103,22 @@
 	return C.int(len(recorder.files) - 1)
 }
 
-//export crashfsWrite
-func crashfsWrite(id C.int, offset C.longlong, data unsafe.Pointer, n C.int) {
+//export brittleWrite
+func brittleWrite(id C.int, offset C.longlong, data unsafe.Pointer, n C.int) {
 	recorder.Lock()
 	defer recorder.Unlock()
 	record(Change{Write, recorder.files[id].name, int64(offset), C.GoBytes(data, n)})
 }
 
-//export crashfsTruncate
-func crashfsTruncate(id C.int, size C.longlong) {
+//export brittleTruncate
+func brittleTruncate(id C.int, size C.longlong) {
 	recorder.Lock()
 	defer recorder.Unlock()
 	record(Change{Kind: Truncate, File: recorder.files[id].name, At: int64(size)})
 }
 
-//export crashfsSync
-func crashfsSync(id C.int) {
+//export brittleSync
+func brittleSync(id C.int) {
 	recorder.Lock()
 	defer recorder.Unlock()
 	record(Change{Kind: Sync, File: recorder.files[id].name})
@@ -129,8 +128,8 @@
 	}
 }
 
-//export crashfsDelete
-func crashfsDelete(name *C.char, dirSynced C.int) {
+//export brittleDelete
+func brittleDelete(name *C.char, dirSynced C.int) {
 	recorder.Lock()
 	defer recorder.Unlock()
 	record(Change{Kind: Delete, File: filepath.Base(C.GoString(name))})
--- a/internal/storage/crashfs/shim.c
+++ b/internal/storage/crashfs/shim.c
@@ -28,19 +28,19 @@
 
 static int fWrite(sqlite3_file *f, const void *from, int n, sqlite3_int64 at) {
 	int rc = REAL(f)->pMethods->xWrite(REAL(f), from, n, at);
-	if (rc == SQLITE_OK) crashfsWrite(ID(f), at, (void *)from, n);
+	if (rc == SQLITE_OK) brittleWrite(ID(f), at, (void *)from, n);
 	return rc;
 }
 
 static int fTruncate(sqlite3_file *f, sqlite3_int64 size) {
 	int rc = REAL(f)->pMethods->xTruncate(REAL(f), size);
-	if (rc == SQLITE_OK) crashfsTruncate(ID(f), size);
+	if (rc == SQLITE_OK) brittleTruncate(ID(f), size);
 	return rc;
 }
 
 static int fSync(sqlite3_file *f, int flags) {
 	int rc = REAL(f)->pMethods->xSync(REAL(f), flags);
-	if (rc == SQLITE_OK) crashfsSync(ID(f));
+	if (rc == SQLITE_OK) brittleSync(ID(f));
 	return rc;
 }
 
@@ -73,14 +73,14 @@
 	}
 	f->pMethods = &methods;
 	((File *)f)->real = real;
-	((File *)f)->id = crashfsOpen((char *)(name ? name : ""), name && !exists,
+	((File *)f)->id = brittleOpen((char *)(name ? name : ""), name && !exists,
 		(flags & (SQLITE_OPEN_MAIN_JOURNAL | SQLITE_OPEN_SUPER_JOURNAL | SQLITE_OPEN_WAL)) != 0);
 	return SQLITE_OK;
 }
 
 static int vDelete(sqlite3_vfs *v, const char *name, int sync_dir) {
 	int rc = base->xDelete(base, name, sync_dir);
-	if (rc == SQLITE_OK) crashfsDelete((char *)name, sync_dir);
+	if (rc == SQLITE_OK) brittleDelete((char *)name, sync_dir);
 	return rc;
 }
 
