--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,5 +1,6 @@
-// Package hotrestart lets the processes of one gateway know of each other, by files in a
-// folder that they share: who lives, who serves, and what one hands to the next.
+// Package hotrestart coordinates the processes of one gateway during a hot restart through
+// files in a shared directory: which processes are alive, which of them serve clients, and
+// the state that one process hands over to the next.
 package hotrestart
 
 import (
@@ -16,117 +17,123 @@
 	"golang.org/x/sys/unix"
 )
 
-// Card is what a process tells of itself.
-type Card struct {
+// ProcessInfo is what a process publishes about itself.
+type ProcessInfo struct {
 	ID      string
 	Started int64 // Unix nanoseconds
-	Serves  bool  // it takes clients
+	Serves  bool  // whether it accepts clients
 }
 
-// Strange is a file that is torn, of another version, or none of ours.
-type Strange struct {
-	File string
-	Why  string
+// InvalidFileError reports a file that is incomplete, corrupt, of another version, or not
+// written by this package.
+type InvalidFileError struct {
+	File   string
+	Reason string
 }
 
-func (e *Strange) Error() string { return fmt.Sprintf("%s: %s", e.File, e.Why) }
+func (e *InvalidFileError) Error() string { return fmt.Sprintf("%s: %s", e.File, e.Reason) }
 
-// Twin is this process among those of its gateway.
-type Twin struct {
-	stem string // of all files
-	lock *os.File
-	card Card
+// Process is the calling process as one of the processes of its gateway.
+type Process struct {
+	pathPrefix string   // common to all files of the gateway
+	lock       *os.File // locked exclusively while the process is alive
+	info       ProcessInfo
 }
 
-// version is that of the files' form and of what is in them.
-const version = 1
+// formatVersion covers the header of the files and the JSON after it.
+const formatVersion = 1
 
-// Join makes this process known. id is unlike that of any other.
-func Join(dir, gateway, id string, started int64) (*Twin, error) {
-	t := &Twin{stem: filepath.Join(dir, "asterwell-"+gateway+"."), card: Card{ID: id, Started: started}}
-	path := t.stem + id + ".lock"
+// Join registers this process. The id must be unique among the gateway's processes.
+func Join(dir, gateway, id string, started int64) (*Process, error) {
+	p := &Process{pathPrefix: filepath.Join(dir, "asterwell-"+gateway+"."), info: ProcessInfo{ID: id, Started: started}}
+	path := p.pathPrefix + id + ".lock"
 	for {
 		var err error
-		if t.lock, err = os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+		if p.lock, err = os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 			return nil, err
 		}
-		if err := unix.Flock(int(t.lock.Fd()), unix.LOCK_EX); err != nil {
+		if err := unix.Flock(int(p.lock.Fd()), unix.LOCK_EX); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		mine, _ := t.lock.Stat()
-		there, err := os.Stat(path)
-		if err == nil && os.SameFile(mine, there) {
-			return t, t.Say(false)
+		opened, _ := p.lock.Stat()
+		current, err := os.Stat(path)
+		if err == nil && os.SameFile(opened, current) {
+			return p, p.Announce(false)
 		}
-		t.lock.Close() // one that looked before the lock was held has taken it for a dead one's
+		p.lock.Close() // another process checked the file before it was locked and removed it as that of a dead process
 	}
 }
 
-// Say tells whether this process takes clients.
-func (t *Twin) Say(serves bool) error {
-	t.card.Serves = serves
-	return write(t.stem+t.card.ID+".card", t.card)
+// Announce publishes whether this process accepts clients.
+func (p *Process) Announce(serves bool) error {
+	p.info.Serves = serves
+	return write(p.pathPrefix+p.info.ID+".card", p.info)
 }
 
-// Leave takes this process's files away.
-func (t *Twin) Leave() {
+// Leave removes this process's files and releases its lock.
+func (p *Process) Leave() {
 	for _, kind := range []string{".card", ".state", ".lock"} {
-		os.Remove(t.stem + t.card.ID + kind)
+		os.Remove(p.pathPrefix + p.info.ID + kind)
 	}
-	t.lock.Close()
+	p.lock.Close()
 }
 
-// Others are those that live, the oldest first, and what is strange about files. Those of
-// the dead are taken away.
-func (t *Twin) Others() (all []Card, strange []error) {
-	locks, _ := filepath.Glob(t.stem + "*.lock")
+// Others returns the other live processes, the oldest first, and an error for each invalid
+// file. It removes the files of dead processes.
+func (p *Process) Others() (others []ProcessInfo, fileErrors []error) {
+	locks, _ := filepath.Glob(p.pathPrefix + "*.lock")
 	for _, lock := range locks {
-		id := strings.TrimSuffix(strings.TrimPrefix(lock, t.stem), ".lock")
-		if id == t.card.ID || strings.Contains(id, ".") {
+		id := strings.TrimSuffix(strings.TrimPrefix(lock, p.pathPrefix), ".lock")
+		if id == p.info.ID || strings.Contains(id, ".") {
 			continue
 		}
-		if !lives(lock, func() {
+		if !isAlive(lock, func() {
 			for _, kind := range []string{".card", ".state", ".lock"} {
-				os.Remove(t.stem + id + kind)
+				os.Remove(p.pathPrefix + id + kind)
 			}
 		}) {
 			continue
 		}
-		card := Card{ID: id}
-		if err := read(t.stem+id+".card", &card); err != nil && !errors.Is(err, os.ErrNotExist) {
-			strange = append(strange, err)
+		info := ProcessInfo{ID: id}
+		if err := read(p.pathPrefix+id+".card", &info); err != nil && !errors.Is(err, os.ErrNotExist) {
+			fileErrors = append(fileErrors, err)
 		}
-		if card.ID != id { // whoever that is, it lives
-			strange = append(strange, &Strange{t.stem + id + ".card", "names " + card.ID})
-			card = Card{ID: id}
+		if info.ID != id { // the lock shows that the process is alive, whatever its card says
+			fileErrors = append(fileErrors, &InvalidFileError{p.pathPrefix + id + ".card", "names " + info.ID})
+			info = ProcessInfo{ID: id}
 		}
-		all = append(all, card)
+		others = append(others, info)
 	}
-	slices.SortFunc(all, func(a, b Card) int { return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.ID, b.ID)) })
-	return all, strange
+	slices.SortFunc(others, func(a, b ProcessInfo) int { return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.ID, b.ID)) })
+	return others, fileErrors
 }
 
-// Younger reports whether a process started after this one.
-func (t *Twin) Younger(c Card) bool {
-	return c.Started > t.card.Started || c.Started == t.card.Started && c.ID > t.card.ID
+// IsNewer reports whether a process started after this one. The ID breaks ties.
+func (p *Process) IsNewer(other ProcessInfo) bool {
+	return other.Started > p.info.Started || other.Started == p.info.Started && other.ID > p.info.ID
 }
 
-// Hand gives a state to another process.
-func (t *Twin) Hand(to Card, state any) error { return write(t.stem+to.ID+".state", state) }
+// HandOver writes state to a file for another process.
+func (p *Process) HandOver(to ProcessInfo, state any) error {
+	return write(p.pathPrefix+to.ID+".state", state)
+}
 
-// Take reads what was handed to this one. With false nothing has been yet.
-func (t *Twin) Take(state any) (bool, error) {
-	err := read(t.stem+t.card.ID+".state", state)
+// ReadHandover reads the state handed over to this process. It returns false if there is
+// none yet.
+func (p *Process) ReadHandover(state any) (bool, error) {
+	err := read(p.pathPrefix+p.info.ID+".state", state)
 	if errors.Is(err, os.ErrNotExist) {
 		return false, nil
 	}
 	return true, err
 }
 
-// lives tries the lock, which the kernel gives up with the process that holds it. A dead one's files are taken away
-// while the lock is held: one that is just about to take it would else be left without them, and nobody would
-// know of it. It finds that the file has gone, and makes another.
-func lives(lock string, bury func()) bool {
+// isAlive reports whether a process holds the lock, which the kernel releases when the
+// process ends. The files of a dead process are removed while the lock is held: otherwise a
+// process about to lock the file would keep a lock on a removed file, and no other process
+// would see it. With the lock held here first, Join finds that the file is gone and creates
+// another.
+func isAlive(lock string, removeFiles func()) bool {
 	f, err := os.Open(lock)
 	if err != nil {
 		return false
@@ -135,24 +142,25 @@
 	if unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB) == unix.EWOULDBLOCK {
 		return true
 	}
-	if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil { // else somebody joins, or looks too: the next look tells
-		mine, _ := f.Stat()
-		if there, err := os.Stat(lock); err == nil && os.SameFile(mine, there) {
-			bury()
+	if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil { // otherwise another process is joining or checking, and the next call decides
+		opened, _ := f.Stat()
+		if current, err := os.Stat(lock); err == nil && os.SameFile(opened, current) {
+			removeFiles()
 		}
 	}
 	return false
 }
 
-const head = "asterwell %d %016x %d\n"
+// headerFormat has the format version, the checksum of the body, and its length in bytes.
+const headerFormat = "asterwell %d %016x %d\n"
 
-// write puts a file in place in one step.
+// write replaces a file atomically.
 func write(path string, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	text := append(fmt.Appendf(nil, head, version, xxhash.Sum64(body), len(body)), body...)
+	text := append(fmt.Appendf(nil, headerFormat, formatVersion, xxhash.Sum64(body), len(body)), body...)
 	tmp := path + ".new"
 	if err := os.WriteFile(tmp, text, 0o600); err != nil {
 		return err
@@ -160,26 +168,26 @@
 	return os.Rename(tmp, path)
 }
 
-// read takes a file only as a whole.
+// read decodes a file after checking its version, length and checksum.
 func read(path string, v any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	line, body, _ := strings.Cut(string(text), "\n")
-	var of, length int
+	var version, length int
 	var sum uint64
-	if _, err := fmt.Sscanf(line+"\n", head, &of, &sum, &length); err != nil {
-		return &Strange{path, "no file of ours"}
+	if _, err := fmt.Sscanf(line+"\n", headerFormat, &version, &sum, &length); err != nil {
+		return &InvalidFileError{path, "no file of ours"}
 	}
 	switch {
-	case of != version:
-		return &Strange{path, fmt.Sprintf("of version %d, not %d", of, version)}
+	case version != formatVersion:
+		return &InvalidFileError{path, fmt.Sprintf("of version %d, not %d", version, formatVersion)}
 	case len(body) != length || xxhash.Sum64String(body) != sum:
-		return &Strange{path, "torn"}
+		return &InvalidFileError{path, "torn"}
 	}
 	if err := json.Unmarshal([]byte(body), v); err != nil {
-		return &Strange{path, err.Error()}
+		return &InvalidFileError{path, err.Error()}
 	}
 	return nil
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// What is torn, of another version or another's is told and not believed.
-func TestStrangeFiles(t *testing.T) {
+// Files that are incomplete, corrupt, of another version or in another format are reported
+// and not used. Files of dead processes are removed.
+func TestInvalidFiles(t *testing.T) {
 	dir := t.TempDir()
 	old, err := Join(dir, "n0", "aa", 1)
 	if err != nil {
@@ -21,86 +22,86 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	others, strange := old.Others()
-	if len(others) != 1 || len(strange) != 0 || others[0] != (Card{"bb", 2, false}) || !old.Younger(others[0]) {
-		t.Fatal(others, strange)
+	others, fileErrors := old.Others()
+	if len(others) != 1 || len(fileErrors) != 0 || others[0] != (ProcessInfo{"bb", 2, false}) || !old.IsNewer(others[0]) {
+		t.Fatal(others, fileErrors)
 	}
-	if got, err := next.Take(new(int)); got || err != nil {
-		t.Fatal("nothing has been handed on: ", got, err)
+	if got, err := next.ReadHandover(new(int)); got || err != nil {
+		t.Fatal("state read before any was handed done: ", got, err)
 	}
-	if err := old.Hand(others[0], 42); err != nil {
+	if err := old.HandOver(others[0], 42); err != nil {
 		t.Fatal(err)
 	}
-	path := next.stem + "bb.state"
+	path := next.pathPrefix + "bb.state"
 	good, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var n int
-	if got, err := next.Take(&n); !got || err != nil || n != 42 {
+	if got, err := next.ReadHandover(&n); !got || err != nil || n != 42 {
 		t.Fatal(got, err, n)
 	}
 	for name, text := range map[string]string{
 		"empty": "", "cut": string(good[:len(good)-1]), "longer": string(good) + "0", "changed": strings.Replace(string(good), "42", "43", 1),
-		"of the next version": strings.Replace(string(good), "asterwell 1", "asterwell 2", 1), "another's": "{}\n42",
+		"of the next version": strings.Replace(string(good), "asterwell 1", "asterwell 2", 1), "in another format": "{}\n42",
 	} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		n = 0
-		var strange *Strange
-		if got, err := next.Take(&n); !got || !errors.As(err, &strange) || n != 0 {
+		var invalid *InvalidFileError
+		if got, err := next.ReadHandover(&n); !got || !errors.As(err, &invalid) || n != 0 {
 			t.Errorf("%s: %v %v %v", name, got, err, n)
 		}
 	}
-	if err := os.WriteFile(next.stem+"aa.card", good, 0o600); err != nil {
+	if err := os.WriteFile(next.pathPrefix+"aa.card", good, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if others, strange := next.Others(); len(others) != 1 || others[0].Serves || len(strange) == 0 {
-		t.Error("a strange card of a process that lives: ", others, strange)
+	if others, fileErrors := next.Others(); len(others) != 1 || others[0].Serves || len(fileErrors) == 0 {
+		t.Error("invalid card of a live process: ", others, fileErrors)
 	}
-	old.lock.Close() // as the kernel does
+	old.lock.Close() // as the kernel does when the process ends
 	if others, _ := next.Others(); len(others) != 0 {
-		t.Error("the dead: ", others)
+		t.Error("dead process listed: ", others)
 	}
 	if files, _ := os.ReadDir(dir); len(files) != 3 {
-		t.Error("files of the dead are left: ", files)
+		t.Error("files of dead processes are left: ", files)
 	}
 }
 
-// TestJoinsBesideLooks: a process that joins while others look is known to them from then on, however the two fall together:
-// who looks may not take its files away for a dead one's.
-func TestJoinsBesideLooks(t *testing.T) {
+// A process that joins while others list the processes stays visible to them: a listing process
+// must not take the new lock file for that of a dead process and remove it.
+func TestJoinDuringListing(t *testing.T) {
 	dir := t.TempDir()
 	old, err := Join(dir, "n0", "aa", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer old.Leave()
-	var over atomic.Bool
+	var done atomic.Bool
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() {
-			for !over.Load() {
+			for !done.Load() {
 				old.Others()
 			}
 		})
 	}
-	unknown := 0
+	invisible := 0
 	for i := range 3000 {
 		next, err := Join(dir, "n0", fmt.Sprintf("b%04d", i), int64(2+i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		mine, _ := next.lock.Stat()
-		if there, err := os.Stat(next.stem + next.card.ID + ".lock"); err != nil || !os.SameFile(mine, there) {
-			unknown++
+		opened, _ := next.lock.Stat()
+		if current, err := os.Stat(next.pathPrefix + next.info.ID + ".lock"); err != nil || !os.SameFile(opened, current) {
+			invisible++
 		}
 		next.Leave()
 	}
-	over.Store(true)
+	done.Store(true)
 	wg.Wait()
-	if unknown > 0 {
-		t.Errorf("%d of 3000 processes that joined are known to nobody", unknown)
+	if invisible > 0 {
+		t.Errorf("%d of 3000 processes that joined have no lock file that others see", invisible)
 	}
 }
--- a/internal/program/pair.go
+++ b/internal/program/pair.go
@@ -19,7 +19,7 @@
 type pair struct {
 	world  hostenv.Seam
 	core   *routing.Core
-	twin   *hotrestart.Twin
+	twin   *hotrestart.Process
 	ln     *transport.Listener // the clients'
 	able   func() bool         // requests would be served
 	at     time.Time           // of the next look
@@ -88,14 +88,14 @@
 	}
 	older, gives := false, false
 	for _, c := range others {
-		if !p.twin.Younger(c) {
+		if !p.twin.IsNewer(c) {
 			older = true
 			continue
 		}
 		gives = gives || c.Serves
 		if p.opened.Load() && !p.handed[c.ID] {
 			p.handed[c.ID] = true
-			if err := p.twin.Hand(c, p.core.ExportState()); err != nil {
+			if err := p.twin.HandOver(c, p.core.ExportState()); err != nil {
 				log.Printf("event=twin what=%q error=%q", "handed nothing on", err)
 			}
 		}
@@ -119,7 +119,7 @@
 func (p *pair) take(now time.Time, older bool) {
 	if !p.taken {
 		var s choice.SavedState
-		got, err := p.twin.Take(&s)
+		got, err := p.twin.ReadHandover(&s)
 		if got && err == nil {
 			err = p.core.ImportState(s)
 		}
@@ -138,7 +138,7 @@
 }
 
 func (p *pair) say() {
-	if err := p.twin.Say(true); err != nil {
+	if err := p.twin.Announce(true); err != nil {
 		p.strange(err)
 	}
 	p.said = true
--- a/internal/program/pair_test.go
+++ b/internal/program/pair_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	defer older.Leave()
-	if err := older.Hand(hotrestart.Card{ID: "0000000000000007"}, choice.SavedState{}); err != nil {
+	if err := older.HandOver(hotrestart.ProcessInfo{ID: "0000000000000007"}, choice.SavedState{}); err != nil {
 		t.Fatal(err)
 	}
 	set := choice.Settings{Gateways: 1, MaxAttempts: 2, MaxUnits: 1, Tick: time.Millisecond,
