--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(others, fileErrors)
 	}
 	if got, err := next.ReadHandover(new(int)); got || err != nil {
-		t.Fatal("state read before any was handed done: ", got, err)
+		t.Fatal("state read before any was handed over: ", got, err)
 	}
 	if err := old.HandOver(others[0], 42); err != nil {
 		t.Fatal(err)
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -9,52 +9,53 @@
 	"asterwell/internal/transport"
 )
 
-// Desk is what the management address can do. Its functions must not wait.
-type Desk struct {
+// Server answers calls at the management address. Ready and Drain must not block.
+type Server struct {
 	Ready func() bool
 	Drain func(on bool)
-	*Figures
+	*Metrics
 }
 
 const (
-	most     = 48              // connections; beyond them those without a whole call make room
-	patience = 6 * time.Second // for a whole call
+	maxConnections = 48              // beyond it, connections without a complete request are closed to make room
+	requestTimeout = 6 * time.Second // until a request has been read in full
 )
 
-// Serve answers at a listener until that is closed: one call a connection.
-func (d *Desk) Serve(ln *transport.Listener) error {
-	s := transport.NewServer(d.handle, 1<<10)
-	s.ReadTimeout, s.DisableKeepalive = patience, true
-	return ln.Serve(s)
+// Serve answers requests at a listener until it is closed, one request per connection.
+func (s *Server) Serve(ln *transport.Listener) error {
+	server := transport.NewServer(s.handle, 1<<10)
+	server.ReadTimeout, server.DisableKeepalive = requestTimeout, true
+	return ln.Serve(server)
 }
 
 // Listen opens the management address.
 func Listen(world hostenv.Seam, addr string) (*transport.Listener, error) {
-	return transport.Listen(world, addr, most)
+	return transport.Listen(world, addr, maxConnections)
 }
 
-func (d *Desk) handle(ctx *fasthttp.RequestCtx) {
+// handle routes a request and checks its method.
+func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	method := fasthttp.MethodGet
-	var act func()
+	var respond func()
 	switch string(ctx.Path()) {
 	case "/ops/readiness":
-		act = func() {
-			if !d.Ready() {
+		respond = func() {
+			if !s.Ready() {
 				ctx.Error("not ready\n", fasthttp.StatusServiceUnavailable)
 				return
 			}
 			ctx.SetBodyString("ready\n")
 		}
 	case "/ops/stats":
-		act = func() {
+		respond = func() {
 			ctx.SetContentType("text/plain; version=0.0.4")
-			d.Write(ctx)
+			s.Write(ctx)
 		}
 	case "/ops/drain/start", "/ops/drain/stop":
 		method = fasthttp.MethodPost
-		act = func() {
+		respond = func() {
 			on := string(ctx.Path()) == "/ops/drain/start"
-			d.Drain(on)
+			s.Drain(on)
 			ctx.SetBodyString(map[bool]string{true: "draining\n", false: "taking clients\n"}[on])
 		}
 	default:
@@ -66,5 +67,5 @@
 		ctx.Response.Header.Set("Allow", method)
 		return
 	}
-	act()
+	respond()
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -113,7 +113,7 @@
 	sockets   *transport.Sockets
 	parts     []part
 	listeners []*transport.Listener
-	figures   *ops.Figures
+	figures   *ops.Metrics
 	retunes   bool // settings can change at SIGHUP
 	plans     []choice.Plan
 	pair      *pair // nil: it is the only process
@@ -171,9 +171,9 @@
 	}
 	now := clock(world)
 	g.sockets = transport.NewSockets(servers)
-	g.figures = ops.NewFigures(func() int { return g.core.ListedServers() }, func() int { return g.core.EjectedServers() })
+	g.figures = ops.NewMetrics(func() int { return g.core.ListedServers() }, func() int { return g.core.EjectedServers() })
 	for _, c := range set.Classes {
-		g.figures.Class(c.Name)
+		g.figures.RegisterClass(c.Name)
 	}
 	fleet := protocol.NewFleet(transport.PeerOptions{World: world, Connect: orDefault(set.ConnectTimeout, time.Second),
 		Keep: transport.NewKeep(orDefault(set.IdleClose, 10*time.Second) / 2), Sockets: g.sockets,
@@ -203,7 +203,7 @@
 	}
 	hands.PolicyApplied = func(set choice.Settings) {
 		for _, c := range set.Classes {
-			g.figures.Class(c.Name)
+			g.figures.RegisterClass(c.Name)
 		}
 		front.Adopt(set)
 	}
@@ -261,7 +261,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("management: %w", err)
 		}
-		desk := &ops.Desk{Ready: func() bool { return able() && g.serves() }, Drain: g.Drain, Figures: g.figures}
+		desk := &ops.Server{Ready: func() bool { return able() && g.serves() }, Drain: g.Drain, Metrics: g.figures}
 		g.world.Go(func() { g.box.Put(failed{desk.Serve(ln)}) })
 	}
 	if op.Enabled {
