--- a/cmd/asterwell/main.go
+++ b/cmd/asterwell/main.go
@@ -1,6 +1,6 @@
-// Command asterwell is a gateway that meters its customers' use of the servers
-// behind it. The environment variable LB_CONFIG names its configuration. With a
-// command it is an operator's tool for a cluster of gateways.
+// Command asterwell runs a gateway that meters its customers' use of the servers
+// behind it. The environment variable LB_CONFIG names its configuration file. With
+// arguments it is the command-line tool for operators of a cluster of gateways.
 package main
 
 import (
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost puts many Balancers on the simulator's wire: batches of
-// events on standard input, one reply each on standard output. It decides
-// nothing.
+// Command simhost connects many Balancers to the simulator. It reads batches of
+// events from standard input, one JSON object per line, and writes one reply per
+// batch to standard output. All decisions are the Balancers'.
 package main
 
 import (
@@ -27,10 +27,10 @@
 	}
 }
 
-// run answers every batch on r until the input ends.
+// run reads batches from r until the input ends and writes a reply to each to w.
 func run(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, 1<<20), bufio.NewWriterSize(w, 1<<16)
-	h := &host{doors: map[string]*door{}, rosters: map[int][]choice.Member{}}
+	h := &host{gateways: map[string]*gateway{}, rosters: map[int][]choice.Member{}}
 	for line := 1; ; line++ {
 		text, err := in.ReadBytes('\n')
 		if err != nil && err != io.EOF {
@@ -50,66 +50,69 @@
 	}
 }
 
-// host holds the instances of one process.
+// host holds the gateways of this process and the state of the current batch.
 type host struct {
-	doors   map[string]*door
-	rosters map[int][]choice.Member
-	now     time.Duration
-	out     []action
+	gateways map[string]*gateway
+	rosters  map[int][]choice.Member
+	now      time.Duration
+	out      []action
 }
 
-// door is one instance. It carries out the actions of its Balancer.
-type door struct {
+// gateway is one simulated instance. It turns the actions of its Balancer into messages.
+type gateway struct {
 	name string
 	host *host
 	b    *choice.Balancer
 }
 
+// batch is one line of input: the events that arrive at one moment of virtual time.
 type batch struct {
 	TsMs     *float64 `json:"tsMs"`
 	Arrivals []event  `json:"arrivals"`
 }
 
+// event is any incoming message. Each type uses only some of the fields.
 type event struct {
-	Type       string             `json:"event_type"`
-	I          string             `json:"i"`
-	InitSeed   json.Number        `json:"initSeed"`
-	Env        json.RawMessage    `json:"env"`
-	RosterID   int                `json:"rosterId"`
-	Members    []entry            `json:"members"`
-	How        string             `json:"how"`
-	RID        uint32             `json:"rid"`
-	Service    string             `json:"service"`
-	Tier       string             `json:"tier"`
-	APIKey     string             `json:"apiKey"`
-	NotAfterMs float64            `json:"notAfterMs"`
-	QuotaUnits float64            `json:"quotaUnits"`
-	Width      int                `json:"width"`
-	FirstDoor  int                `json:"firstDoor"`
-	Again      bool               `json:"againByClient"`
-	Try        int                `json:"try"`
-	Backend    uint32             `json:"backend"`
-	Status     int                `json:"status"`
-	SpentMs    float64            `json:"spentMs"`
-	Final      bool               `json:"final"`
-	Actual     float64            `json:"actual"`
-	Telemetry  map[string]float64 `json:"telemetry"`
-	Tag        string             `json:"tag"`
-	Counter    string             `json:"counter"`
-	Sum        float64            `json:"sum"`
+	Type         string             `json:"event_type"`
+	I            string             `json:"i"`
+	InitSeed     json.Number        `json:"initSeed"`
+	Env          json.RawMessage    `json:"env"`
+	RosterID     int                `json:"rosterId"`
+	Members      []directoryEntry   `json:"members"`
+	How          string             `json:"how"`
+	RID          uint32             `json:"rid"`
+	Service      string             `json:"service"`
+	Tier         string             `json:"tier"`
+	APIKey       string             `json:"apiKey"`
+	NotAfterMs   float64            `json:"notAfterMs"`
+	QuotaUnits   float64            `json:"quotaUnits"`
+	Width        int                `json:"width"`
+	FirstGateway int                `json:"firstDoor"`
+	Again        bool               `json:"againByClient"`
+	Try          int                `json:"try"`
+	Backend      uint32             `json:"backend"`
+	Status       int                `json:"status"`
+	SpentMs      float64            `json:"spentMs"`
+	Final        bool               `json:"final"`
+	Actual       float64            `json:"actual"`
+	Telemetry    map[string]float64 `json:"telemetry"`
+	Tag          string             `json:"tag"`
+	Counter      string             `json:"counter"`
+	Sum          float64            `json:"sum"`
 }
 
-type entry struct {
+// directoryEntry is a backend in a DIRECTORY event.
+type directoryEntry struct {
 	Backend      uint32  `json:"backend"`
 	DC           string  `json:"dc"`
 	GenerationHw string  `json:"generationHw"`
 	Cohort       int     `json:"cohort"`
 	State        string  `json:"state"`
-	Heft         float64 `json:"heft"`
+	Weight       float64 `json:"heft"`
 	CameUpMs     float64 `json:"cameUpMs"`
 }
 
-// action is any message out; absent fields are not written.
+// action is any outgoing message. Fields that its type does not use are left out.
 type action struct {
 	Type      string   `json:"event_type"`
 	I         string   `json:"i"`
@@ -127,6 +130,7 @@
 	Reason    string   `json:"reasonText,omitempty"`
 }
 
+// batch delivers the events of one line and writes the actions that follow from them.
 func (h *host) batch(text []byte, w io.Writer) error {
 	var b batch
 	if err := json.Unmarshal(text, &b); err != nil {
@@ -151,21 +155,22 @@
 	return err
 }
 
+// event handles an event of the whole host, or passes it to its gateway.
 func (h *host) event(e *event) error {
 	if e.Type == "" {
 		return fmt.Errorf("event_type is missing")
 	}
 	if e.Type == "DIRECTORY" {
-		ms := make([]choice.Member, len(e.Members))
+		members := make([]choice.Member, len(e.Members))
 		for i, m := range e.Members {
 			s, ok := map[string]choice.State{"U": choice.Up, "L": choice.Draining, "D": choice.Down}[m.State]
 			if !ok {
 				return fmt.Errorf("DIRECTORY: members[%d]: unknown state %q", i, m.State)
 			}
-			ms[i] = choice.Member{ID: m.Backend, Zone: m.DC, Kind: m.GenerationHw, Cell: m.Cohort,
-				State: s, Weight: m.Heft, Started: settings.Span(m.CameUpMs)}
+			members[i] = choice.Member{ID: m.Backend, Zone: m.DC, Kind: m.GenerationHw, Cell: m.Cohort,
+				State: s, Weight: m.Weight, Started: settings.Span(m.CameUpMs)}
 		}
-		h.rosters[e.RosterID] = ms
+		h.rosters[e.RosterID] = members
 		return nil
 	}
 	if e.I == "" {
@@ -174,18 +179,19 @@
 	if e.Type == "ATTACH" {
 		return h.attach(e)
 	}
-	d := h.doors[e.I]
-	if d == nil {
+	g := h.gateways[e.I]
+	if g == nil {
 		return fmt.Errorf("%s: %s was never attached", e.Type, e.I)
 	}
-	return d.event(e)
+	return g.event(e)
 }
 
+// attach creates a gateway with the settings in env.
 func (h *host) attach(e *event) error {
 	if e.Env == nil {
 		return fmt.Errorf("ATTACH: env is missing")
 	}
-	seed, err := seedOf(string(e.InitSeed))
+	seed, err := parseSeed(string(e.InitSeed))
 	if err != nil {
 		return fmt.Errorf("ATTACH: initSeed: %w", err)
 	}
@@ -193,114 +199,117 @@
 	if err != nil {
 		return fmt.Errorf("ATTACH: env: %w", err)
 	}
-	d := &door{name: e.I, host: h}
-	h.doors[e.I] = d
-	defer d.rescue()
-	if d.b, err = choice.New(set.Settings, seed, d); err != nil {
+	g := &gateway{name: e.I, host: h}
+	h.gateways[e.I] = g
+	defer g.recoverPanic()
+	if g.b, err = choice.New(set.Settings, seed, g); err != nil {
 		return fmt.Errorf("ATTACH: env: %w", err)
 	}
 	return nil
 }
 
-// rescue turns a panic of the module into BAIL_OUT.
-func (d *door) rescue() {
+// recoverPanic reports a panic of the Balancer as BAIL_OUT. It must be deferred directly.
+func (g *gateway) recoverPanic() {
 	if p := recover(); p != nil {
-		fmt.Fprintf(os.Stderr, "simhost: %s: panic: %v\n%s", d.name, p, debug.Stack())
-		d.put(action{Type: "BAIL_OUT", Reason: fmt.Sprint("panic: ", p)})
+		fmt.Fprintf(os.Stderr, "simhost: %s: panic: %v\n%s", g.name, p, debug.Stack())
+		g.emit(action{Type: "BAIL_OUT", Reason: fmt.Sprint("panic: ", p)})
 	}
 }
 
-func (d *door) event(e *event) error {
-	defer d.rescue()
-	now := d.host.now
+// event translates an event into a call of the Balancer.
+func (g *gateway) event(e *event) error {
+	defer g.recoverPanic()
+	now := g.host.now
 	switch e.Type {
 	case "SHUTDOWN":
-		delete(d.host.doors, e.I)
+		delete(g.host.gateways, e.I)
 	case "DISCOVERY":
-		r := choice.RosterUpdate{Broken: e.How == "broken"}
+		update := choice.RosterUpdate{Broken: e.How == "broken"}
 		switch e.How {
 		case "broken":
-			d.b.HandleRoster(now, r)
+			g.b.HandleRoster(now, update)
 			return nil
 		case "whole":
-			r.Whole = true
+			update.Whole = true
 		case "stale_copy":
-			r.Whole, r.Saved = true, true
+			update.Whole, update.Saved = true, true
 		case "patch":
 		default:
 			return fmt.Errorf("DISCOVERY: unknown how %q", e.How)
 		}
-		ms, ok := d.host.rosters[e.RosterID]
+		members, ok := g.host.rosters[e.RosterID]
 		if !ok {
 			return fmt.Errorf("DISCOVERY: no DIRECTORY numbered %d", e.RosterID)
 		}
-		r.Members = ms
-		d.b.HandleRoster(now, r)
+		update.Members = members
+		g.b.HandleRoster(now, update)
 	case "WORK_ITEM":
-		d.b.HandleRequest(now, choice.Request{ID: e.RID, Class: e.Service, Plan: e.Tier, Customer: e.APIKey,
-			Deadline: settings.Span(e.NotAfterMs), Units: e.QuotaUnits, Gateways: e.Width, FirstGateway: e.FirstDoor, IsRetry: e.Again})
+		g.b.HandleRequest(now, choice.Request{ID: e.RID, Class: e.Service, Plan: e.Tier, Customer: e.APIKey,
+			Deadline: settings.Span(e.NotAfterMs), Units: e.QuotaUnits, Gateways: e.Width, FirstGateway: e.FirstGateway, IsRetry: e.Again})
 	case "ACCEPTED":
-		d.b.HandleStreamStart(now, e.RID, e.Try)
+		g.b.HandleStreamStart(now, e.RID, e.Try)
 	case "RESULT":
 		if e.Status < 0 || e.Status > int(choice.NotExecuted) {
 			return fmt.Errorf("RESULT: unknown status %d", e.Status)
 		}
-		d.b.HandleOutcome(now, choice.Outcome{ID: e.RID, Attempt: e.Try, Backend: e.Backend, Status: choice.Status(e.Status),
+		g.b.HandleOutcome(now, choice.Outcome{ID: e.RID, Attempt: e.Try, Backend: e.Backend, Status: choice.Status(e.Status),
 			Elapsed: settings.Span(e.SpentMs), Final: e.Final, ActualUnits: e.Actual, Load: settings.Load(e.Telemetry)})
 	case "LEFT":
-		d.b.HandleClientGone(now, e.RID)
+		g.b.HandleClientGone(now, e.RID)
 	case "REMINDER":
-		d.b.HandleTimer(now, e.Tag)
+		g.b.HandleTimer(now, e.Tag)
 	case "PONG":
-		d.b.HandleProbe(now, choice.ProbeResult{Backend: e.Backend, Status: choice.Status(e.Status),
+		g.b.HandleProbe(now, choice.ProbeResult{Backend: e.Backend, Status: choice.Status(e.Status),
 			Elapsed: settings.Span(e.SpentMs), Load: settings.Load(e.Telemetry)})
 	case "LEDGER_REPLY":
-		d.b.HandleCounter(now, choice.CounterResult{Name: e.Counter, Status: choice.Status(e.Status), Total: e.Sum,
+		g.b.HandleCounter(now, choice.CounterResult{Name: e.Counter, Status: choice.Status(e.Status), Total: e.Sum,
 			Elapsed: settings.Span(e.SpentMs)})
-	case "NOTE_FROM": // the module has no use for peers
+	case "NOTE_FROM": // the Balancer does not use messages from peers
 	default:
 		return fmt.Errorf("unknown event_type %q", e.Type)
 	}
 	return nil
 }
 
-func (d *door) put(a action) {
-	a.I = d.name
-	d.host.out = append(d.host.out, a)
+// emit adds an action to the reply to the current batch.
+func (g *gateway) emit(a action) {
+	a.I = g.name
+	g.host.out = append(g.host.out, a)
 }
 
-func (d *door) Send(id, backend uint32, limit time.Duration) {
-	d.put(action{Type: "ASSIGN", RID: &id, Backend: &backend, LimitMs: ms(limit)})
+func (g *gateway) Send(id, backend uint32, limit time.Duration) {
+	g.emit(action{Type: "ASSIGN", RID: &id, Backend: &backend, LimitMs: milliseconds(limit)})
 }
 
-func (d *door) Refuse(id uint32, retryAfter time.Duration) {
-	d.put(action{Type: "REJECT", RID: &id, BackoffMs: ms(retryAfter)})
+func (g *gateway) Refuse(id uint32, retryAfter time.Duration) {
+	g.emit(action{Type: "REJECT", RID: &id, BackoffMs: milliseconds(retryAfter)})
 }
 
-func (d *door) Fail(id uint32) { d.put(action{Type: "REPORT_FAILURE", RID: &id}) }
+func (g *gateway) Fail(id uint32) { g.emit(action{Type: "REPORT_FAILURE", RID: &id}) }
 
-func (d *door) Cancel(id uint32, try int) {
-	d.put(action{Type: "STOP_ATTEMPT", RID: &id, Try: &try})
+func (g *gateway) Cancel(id uint32, try int) {
+	g.emit(action{Type: "STOP_ATTEMPT", RID: &id, Try: &try})
 }
 
-func (d *door) Probe(backend uint32) { d.put(action{Type: "CHECK", Backend: &backend}) }
+func (g *gateway) Probe(backend uint32) { g.emit(action{Type: "CHECK", Backend: &backend}) }
 
-func (d *door) AddToCounter(name string, add float64, life time.Duration) {
-	d.put(action{Type: "ENTER", Counter: name, Step: &add, ExpireMs: ms(life)})
+func (g *gateway) AddToCounter(name string, add float64, life time.Duration) {
+	g.emit(action{Type: "ENTER", Counter: name, Step: &add, ExpireMs: milliseconds(life)})
 }
 
-func (d *door) SetTimer(after time.Duration, token string) {
-	t := ms(after)
-	d.put(action{Type: "SET_ALARM", SleepMs: &t, Tag: token})
+func (g *gateway) SetTimer(after time.Duration, token string) {
+	t := milliseconds(after)
+	g.emit(action{Type: "SET_ALARM", SleepMs: &t, Tag: token})
 }
 
-func (d *door) Watch(on bool) { d.put(action{Type: "OBSERVE", On: &on}) }
+func (g *gateway) Watch(on bool) { g.emit(action{Type: "OBSERVE", On: &on}) }
 
-func (d *door) Log(text string) {
-	d.put(action{Type: "REMARK", Reason: strings.ToValidUTF8(text, "?")})
+func (g *gateway) Log(text string) {
+	g.emit(action{Type: "REMARK", Reason: strings.ToValidUTF8(text, "?")})
 }
 
-func seedOf(text string) (uint64, error) {
+// parseSeed accepts unsigned and negative seeds of 64 bits.
+func parseSeed(text string) (uint64, error) {
 	if n, err := strconv.ParseUint(text, 10, 64); err == nil {
 		return n, nil
 	}
@@ -308,4 +317,5 @@
 	return uint64(n), err
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+// milliseconds converts to the unit of the wire, with microsecond precision.
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -17,13 +17,13 @@
 {"backend":8,"dc":"a","state":"U","heft":1}]},
 {"event_type":"DISCOVERY","i":"door/0","rosterId":3,"how":"stale_copy","version":1}]}`
 
-func work(id string) string {
+func workItem(id string) string {
 	return `{"event_type":"WORK_ITEM","i":"door/0","rid":` + id + `,"service":"read","tier":"rated","apiKey":"k",` +
 		`"notAfterMs":4000,"quotaUnits":1,"width":2,"firstDoor":0}`
 }
 
-// talk runs the adapter over the given batches and returns its replies.
-func talk(t *testing.T, batches ...string) ([][]map[string]any, error) {
+// exchange runs the adapter over the given batches and returns its replies.
+func exchange(t *testing.T, batches ...string) ([][]map[string]any, error) {
 	t.Helper()
 	var in, out strings.Builder
 	for _, b := range batches {
@@ -42,8 +42,8 @@
 }
 
 func TestEveryEventIsAnswered(t *testing.T) {
-	replies, err := talk(t, `{"tsMs":8412.25,"arrivals":[]}`, attach,
-		`{"tsMs":1010,"arrivals":[`+work("5")+`]}`,
+	replies, err := exchange(t, `{"tsMs":8412.25,"arrivals":[]}`, attach,
+		`{"tsMs":1010,"arrivals":[`+workItem("5")+`]}`,
 		`{"tsMs":1012,"arrivals":[{"event_type":"LEDGER_REPLY","i":"door/0","counter":"k.0","status":0,"sum":1,"spentMs":2}]}`,
 		`{"tsMs":1020,"arrivals":[{"event_type":"RESULT","i":"door/0","rid":5,"try":0,"backend":7,"status":0,"spentMs":10,`+
 			`"final":true,"actual":3,"telemetry":{"pending":2}}]}`,
@@ -71,16 +71,16 @@
 
 func TestActionsOnTheWire(t *testing.T) {
 	h := &host{}
-	d := &door{name: "door/1", host: h}
-	d.Send(0, 7, 80*time.Millisecond)
-	d.Refuse(1, 250*time.Millisecond)
-	d.Fail(2)
-	d.Cancel(3, 0)
-	d.Probe(7)
-	d.AddToCounter("n", 0, time.Minute)
-	d.SetTimer(0, "x")
-	d.Watch(false)
-	d.Log("text")
+	g := &gateway{name: "door/1", host: h}
+	g.Send(0, 7, 80*time.Millisecond)
+	g.Refuse(1, 250*time.Millisecond)
+	g.Fail(2)
+	g.Cancel(3, 0)
+	g.Probe(7)
+	g.AddToCounter("n", 0, time.Minute)
+	g.SetTimer(0, "x")
+	g.Watch(false)
+	g.Log("text")
 	want := []string{
 		`{"event_type":"ASSIGN","i":"door/1","rid":0,"backend":7,"limitMs":80}`,
 		`{"event_type":"REJECT","i":"door/1","rid":1,"backoffMs":250}`,
@@ -114,7 +114,7 @@
 		"unknown how":      strings.Replace(attach, `stale_copy`, `odd`, 1),
 		"line 1: arrivals": `{"tsMs":1,"arrivals":[{"event_type":"LEFT","i":"door/9","rid":1}]}`,
 	} {
-		if _, err := talk(t, in); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := exchange(t, in); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
@@ -124,9 +124,9 @@
 	stderr := os.Stderr
 	os.Stderr, _ = os.Open(os.DevNull)
 	defer func() { os.Stderr = stderr }()
-	h := &host{doors: map[string]*door{}}
-	d := &door{name: "door/0", host: h} // no Balancer: the first event panics
-	if err := d.event(&event{Type: "LEFT", I: "door/0"}); err != nil {
+	h := &host{gateways: map[string]*gateway{}}
+	g := &gateway{name: "door/0", host: h} // no Balancer: the first event panics
+	if err := g.event(&event{Type: "LEFT", I: "door/0"}); err != nil {
 		t.Fatal(err)
 	}
 	if len(h.out) != 1 || h.out[0].Type != "BAIL_OUT" {
