--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -1,7 +1,8 @@
-// Package invariants checks the rules that gateways must keep by what crosses the
-// wires between them and all others, not by what they believe. The virtual world
-// and the field of real processes have one judge. No I/O, no clock: times are the
-// caller's, on one clock. A Judge is not safe for concurrent use.
+// Package invariants checks the rules that gateways must keep. It relies on the
+// observed traffic between them and their clients and servers, not on what the
+// gateways report. The simulator and the tests with real processes share this
+// checker. It does no I/O and reads no clock: the caller passes all times, from one
+// clock. A Checker is not safe for concurrent use.
 package invariants
 
 import (
@@ -11,185 +12,190 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Terms are the rules' figures, with what a world allows for its own lateness.
-type Terms struct {
-	DrainGrace time.Duration // nothing new is sent to a server so long after a gateway was told that it drains or is gone
-	AnswerLate time.Duration // an answer may come so long after its client's time
-	MostTries  int           // attempts of a request
-	FallTimes  float64       // a cold server may be sent so many times its capacity
-	TipAfter   time.Duration // within this
+// Limits are the bounds of the rules. The durations include what the test environment
+// itself may add to a delay.
+type Limits struct {
+	DrainGrace     time.Duration // after it, a gateway told that a server drains or is gone sends it no new attempts
+	MaxAnswerDelay time.Duration // how long after its client's timeout an answer may arrive
+	MaxAttempts    int           // per request
+	OverloadFactor float64       // a cold server may be sent this many times its capacity
+	OverloadWindow time.Duration // over this window
 }
 
-// Judge has seen what has happened so far.
-type Judge struct {
-	terms  Terms
-	broke  func(rule, detail string)
-	tries  map[string]*Try
-	told   map[toldKey]time.Duration
-	stores map[string]*store
-	cold   map[string][]arrived
+// Checker records what has been observed so far and reports violations.
+type Checker struct {
+	limits   Limits
+	report   func(rule, detail string)
+	requests map[string]*Request
+	drains   map[gatewayServer]time.Duration // since when a gateway has known that a server drains or is gone
+	buckets  map[string]*bucket              // by customer
+	coldWork map[string][]arrival            // by server, the work within the overload window
 }
 
-// toldKey is a server's id, at a gateway.
-type toldKey struct {
+// gatewayServer identifies a server as one gateway sees it.
+type gatewayServer struct {
 	gateway int
 	server  string
 }
 
-// Try is what is known of a client's try.
-type Try struct {
-	Once     bool // it must not run twice
-	Arrivals int  // attempts that came whole to a server
-	MayRun   int  // of these, the ones without proof that they did not run
-	Runs     int
-	Answers  int
-	bodies   []uint64
+// Request is what has been observed of a client's request.
+type Request struct {
+	Once          bool // it must not run twice
+	Arrivals      int  // attempts that reached a server in full
+	PossibleRuns  int  // of these, the attempts not proven to have been refused
+	Runs          int
+	Answers       int      // complete answers to the client
+	serverAnswers []uint64 // hashes of the bodies that servers sent
 }
 
-// store is a customer's ceiling, filled as the rule allows at the most.
-type store struct {
-	room float64
-	at   time.Duration
+// bucket is a customer's token bucket, refilled at the highest rate that the rule allows.
+type bucket struct {
+	available  float64
+	refilledAt time.Duration
 }
 
-type arrived struct {
+// arrival is work that reached a cold server.
+type arrival struct {
 	at   time.Duration
-	work float64
+	work float64 // seconds of a core
 }
 
-// New returns a judge that tells of each broken rule.
-func New(t Terms, broke func(rule, detail string)) *Judge {
-	return &Judge{terms: t, broke: broke, tries: map[string]*Try{}, told: map[toldKey]time.Duration{},
-		stores: map[string]*store{}, cold: map[string][]arrived{}}
+// New returns a checker that calls report for each violation.
+func New(limits Limits, report func(rule, detail string)) *Checker {
+	return &Checker{limits: limits, report: report, requests: map[string]*Request{}, drains: map[gatewayServer]time.Duration{},
+		buckets: map[string]*bucket{}, coldWork: map[string][]arrival{}}
 }
 
-// Breaks tells that a rule is broken.
-func (j *Judge) Breaks(rule, format string, args ...any) { j.broke(rule, fmt.Sprintf(format, args...)) }
+// Violation reports that a rule is broken.
+func (c *Checker) Violation(rule, format string, args ...any) {
+	c.report(rule, fmt.Sprintf(format, args...))
+}
 
-// Try is the one with this id.
-func (j *Judge) Try(id string) *Try {
-	t := j.tries[id]
-	if t == nil {
-		t = &Try{}
-		j.tries[id] = t
+// Request returns the record of the request with this id, and creates it if needed.
+func (c *Checker) Request(id string) *Request {
+	r := c.requests[id]
+	if r == nil {
+		r = &Request{}
+		c.requests[id] = r
 	}
-	return t
+	return r
 }
 
-// Tells: a gateway counts as told that a server drains or is gone, or that it is up.
-func (j *Judge) Tells(gateway int, server string, up bool, now time.Duration) {
-	k := toldKey{gateway, server}
+// ServerState records that a gateway has been told that a server is up, or that it drains
+// or is gone. Repeated news of a drain keep the time of the first.
+func (c *Checker) ServerState(gateway int, server string, up bool, now time.Duration) {
+	k := gatewayServer{gateway, server}
 	if up {
-		delete(j.told, k)
-	} else if _, ok := j.told[k]; !ok {
-		j.told[k] = now
+		delete(c.drains, k)
+	} else if _, ok := c.drains[k]; !ok {
+		c.drains[k] = now
 	}
 }
 
-// Held reports whether a gateway counts as told that a server wants nothing new.
-func (j *Judge) Held(gateway int, server string) bool {
-	_, ok := j.told[toldKey{gateway, server}]
+// KnowsDrain reports whether a gateway has been told that a server drains or is gone.
+func (c *Checker) KnowsDrain(gateway int, server string) bool {
+	_, ok := c.drains[gatewayServer{gateway, server}]
 	return ok
 }
 
-// Arrives: the last byte of an attempt has come to a server. begun is when its
-// first one was sent.
-func (j *Judge) Arrives(id string, gateway int, server string, begun time.Duration) *Try {
-	t := j.Try(id)
-	if t.Arrivals++; t.Arrivals > j.terms.MostTries {
-		j.Breaks("attempts", "%s came to a server %d times", id, t.Arrivals)
+// AttemptArrived records that the last byte of an attempt has reached a server. begun is
+// when its first byte was sent.
+func (c *Checker) AttemptArrived(id string, gateway int, server string, begun time.Duration) *Request {
+	r := c.Request(id)
+	if r.Arrivals++; r.Arrivals > c.limits.MaxAttempts {
+		c.Violation("attempts", "%s came to a server %d times", id, r.Arrivals)
 	}
-	if at, ok := j.told[toldKey{gateway, server}]; ok && begun > at+j.terms.DrainGrace {
-		j.Breaks("drain", "g%d sent %s to %s %v after it was told that it drains or is gone", gateway, id, server, begun-at)
+	if at, ok := c.drains[gatewayServer{gateway, server}]; ok && begun > at+c.limits.DrainGrace {
+		c.Violation("drain", "g%d sent %s to %s %v after it was told that it drains or is gone", gateway, id, server, begun-at)
 	}
-	return t
+	return r
 }
 
-// Units: a customer's try was sent on for the first time. most is the most that
-// its ceiling's store can hold, the slack included, rate what fills it. It
-// returns what is left.
-func (j *Judge) Units(customer string, units, most, rate float64, now time.Duration) float64 {
-	s := j.stores[customer]
-	if s == nil {
-		s = &store{room: most, at: now}
-		j.stores[customer] = s
+// UnitsUsed records the first attempt of a customer's request. capacity is the size of the
+// customer's token bucket, with the slack, and rate its refill per second. It returns the
+// tokens that are left.
+func (c *Checker) UnitsUsed(customer string, units, capacity, rate float64, now time.Duration) float64 {
+	b := c.buckets[customer]
+	if b == nil {
+		b = &bucket{available: capacity, refilledAt: now}
+		c.buckets[customer] = b
 	}
-	s.room = min(most, s.room+(now-s.at).Seconds()*rate)
-	s.at = now
-	if s.room -= units; s.room < 0 {
-		j.Breaks("ceiling", "customer %s: %.2f units over its ceiling", customer, -s.room)
+	b.available = min(capacity, b.available+(now-b.refilledAt).Seconds()*rate)
+	b.refilledAt = now
+	if b.available -= units; b.available < 0 {
+		c.Violation("ceiling", "customer %s: %.2f units over its ceiling", customer, -b.available)
 	}
-	return s.room
+	return b.available
 }
 
-// MayRun: an attempt was not turned away with proof.
-func (j *Judge) MayRun(id string) {
-	t := j.Try(id)
-	if t.MayRun++; t.Once && t.MayRun > 1 {
-		j.Breaks("twice", "submission %s may have run %d times", id, t.MayRun)
+// AttemptMayRun records an attempt that was not provably refused.
+func (c *Checker) AttemptMayRun(id string) {
+	r := c.Request(id)
+	if r.PossibleRuns++; r.Once && r.PossibleRuns > 1 {
+		c.Violation("twice", "submission %s may have run %d times", id, r.PossibleRuns)
 	}
 }
 
-// Runs: an attempt has begun to run.
-func (j *Judge) Runs(id string) {
-	t := j.Try(id)
-	if t.Runs++; t.Once && t.Runs > 1 {
-		j.Breaks("twice", "submission %s ran %d times", id, t.Runs)
+// AttemptRuns records that a server has begun to run an attempt.
+func (c *Checker) AttemptRuns(id string) {
+	r := c.Request(id)
+	if r.Runs++; r.Once && r.Runs > 1 {
+		c.Violation("twice", "submission %s ran %d times", id, r.Runs)
 	}
 }
 
-// Cold: work, in seconds of a core, has come to a server that has just started
-// and that all gateways know of. capacity is what it can do now, in cores. It
-// returns what came within the time that counts, over the most that the server bears.
-func (j *Judge) Cold(server string, work, capacity float64, now time.Duration) float64 {
-	window := append(j.cold[server], arrived{now, work})
-	for window[0].at <= now-j.terms.TipAfter {
+// ColdWork records work, in seconds of a core, that reached a server that has just started
+// and that all gateways know of. capacity is what the server can do now, in cores. It
+// returns the earlier work within the overload window as a share of what the server bears.
+func (c *Checker) ColdWork(server string, work, capacity float64, now time.Duration) float64 {
+	window := append(c.coldWork[server], arrival{now, work})
+	for window[0].at <= now-c.limits.OverloadWindow {
 		window = window[1:]
 	}
-	j.cold[server] = window
+	c.coldWork[server] = window
 	sum := 0.0
 	for _, a := range window {
 		sum += a.work
 	}
-	// A single request more than fits is no push: work comes in whole requests.
-	most := j.terms.FallTimes * capacity * j.terms.TipAfter.Seconds()
+	// Work comes in whole requests, so the last one may exceed the limit.
+	most := c.limits.OverloadFactor * capacity * c.limits.OverloadWindow.Seconds()
 	if sum-work > most {
-		j.Breaks("cold", "%s got %.2f s of work within %v, and falls over at %.2f", server, sum, j.terms.TipAfter, most)
+		c.Violation("cold", "%s got %.2f s of work within %v, and falls over at %.2f", server, sum, c.limits.OverloadWindow, most)
 	}
 	return (sum - work) / most
 }
 
-// Warm forgets what came to a server: it is warm, or a new process.
-func (j *Judge) Warm(server string) { delete(j.cold, server) }
+// ServerWarm forgets the work sent to a server that is warm or has restarted.
+func (c *Checker) ServerWarm(server string) { delete(c.coldWork, server) }
 
-// Made: a server has made this answer for a try.
-func (j *Judge) Made(id string, body []byte) {
-	t := j.Try(id)
-	t.bodies = append(t.bodies, xxhash.Sum64(body))
+// ServerAnswered records the body of an answer that a server sent for a request.
+func (c *Checker) ServerAnswered(id string, body []byte) {
+	r := c.Request(id)
+	r.serverAnswers = append(r.serverAnswers, xxhash.Sum64(body))
 }
 
-// Answered: a client has a whole answer, so late after its time.
-func (j *Judge) Answered(id string, status int, body []byte, late time.Duration) {
-	t := j.Try(id)
-	if t.Answers++; t.Answers > 1 {
-		j.Breaks("answers", "%s was answered %d times", id, t.Answers)
+// ClientAnswered records a complete answer to a client, late after the client's timeout.
+func (c *Checker) ClientAnswered(id string, status int, body []byte, late time.Duration) {
+	r := c.Request(id)
+	if r.Answers++; r.Answers > 1 {
+		c.Violation("answers", "%s was answered %d times", id, r.Answers)
 	}
-	if late > j.terms.AnswerLate {
-		j.Breaks("late", "%s was answered %v after its client had given up", id, late)
+	if late > c.limits.MaxAnswerDelay {
+		c.Violation("late", "%s was answered %v after its client had given up", id, late)
 	}
 	if status != 200 {
 		return
 	}
 	sum := xxhash.Sum64(body)
-	for _, b := range t.bodies {
+	for _, b := range r.serverAnswers {
 		if b == sum {
 			return
 		}
 	}
-	j.Breaks("bytes", "%s was answered with %d bytes that no server made for it", id, len(body))
+	c.Violation("bytes", "%s was answered with %d bytes that no server made for it", id, len(body))
 }
 
-// Lost: a request was taken, and its connection ended without a whole answer.
-func (j *Judge) Lost(id string, gateway int, how string) {
-	j.Breaks("lost", "%s was taken by g%d and %s", id, gateway, how)
+// RequestLost reports a request that a gateway accepted but never answered in full.
+func (c *Checker) RequestLost(id string, gateway int, how string) {
+	c.Violation("lost", "%s was taken by g%d and %s", id, gateway, how)
 }
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -8,7 +8,7 @@
 
 // rules are the judge of this world. The first that breaks ends the run.
 type rules struct {
-	*invariants.Judge
+	*invariants.Checker
 	w      *World
 	broken string
 	at     time.Duration
@@ -24,7 +24,7 @@
 
 func newRules(w *World) *rules {
 	r := &rules{w: w}
-	r.Judge = invariants.New(invariants.Terms{DrainGrace: drainGrace, AnswerLate: answerLate, MostTries: 5, FallTimes: 2.5, TipAfter: time.Second},
+	r.Checker = invariants.New(invariants.Limits{DrainGrace: drainGrace, MaxAnswerDelay: answerLate, MaxAttempts: 5, OverloadFactor: 2.5, OverloadWindow: time.Second},
 		func(rule, detail string) {
 			if r.broken == "" {
 				r.broken, r.at = rule, w.s.now
@@ -39,16 +39,16 @@
 
 // arrives: the last byte of an attempt has come to a node. begun is when its
 // first one was sent.
-func (r *rules) arrives(n *node, gateway int, id string, begun time.Duration) *invariants.Try {
-	if r.Held(gateway, n.id) {
+func (r *rules) arrives(n *node, gateway int, id string, begun time.Duration) *invariants.Request {
+	if r.KnowsDrain(gateway, n.id) {
 		r.w.seen("work within the hold of a drain")
 	}
-	t := r.Arrives(id, gateway, n.id, begun)
+	t := r.AttemptArrived(id, gateway, n.id, begun)
 	if c := r.w.customers[id]; c != nil && c.pro && t.Arrivals == 1 {
 		times := r.w.plan.ceiling()
 		rate := times * proQuota
 		most := times*proBurst + proSlack + rate*proWider
-		if r.Units(c.key, 1, most, rate, r.w.s.now) < most/3 {
+		if r.UnitsUsed(c.key, 1, most, rate, r.w.s.now) < most/3 {
 			r.w.seen("a customer of pro near its ceiling")
 		}
 	}
@@ -56,11 +56,11 @@
 }
 
 // mayRun: an attempt was not turned away with proof.
-func (r *rules) mayRun(id string, t *invariants.Try) {
+func (r *rules) mayRun(id string, t *invariants.Request) {
 	if t.Arrivals > 1 {
 		r.w.seen("attempt after another")
 	}
-	r.MayRun(id)
+	r.AttemptMayRun(id)
 }
 
 // cold: work has come to a node that has just started, and that all gateways know of.
@@ -69,16 +69,16 @@
 	switch {
 	case n.knownAt == 0 || now < n.knownAt+drainGrace:
 	case n.warmth() >= 1:
-		r.Warm(n.id)
+		r.ServerWarm(n.id)
 	default:
 		r.w.seen("work for a cold node")
-		r.Cold(n.id, work, nodeCores*n.warmth(), now)
+		r.ColdWork(n.id, work, nodeCores*n.warmth(), now)
 	}
 }
 
 // answered: a client has a whole answer.
 func (r *rules) answered(t *try, status int, body []byte) {
-	r.Answered(t.id, status, body, r.w.s.now-t.sent-t.timeout)
+	r.ClientAnswered(t.id, status, body, r.w.s.now-t.sent-t.timeout)
 }
 
 // idle: long after the last fault, a node that is well gets work again.
@@ -89,7 +89,7 @@
 	}
 	for _, n := range r.w.nodes {
 		if since := r.w.s.now - n.last; since > long && !n.proc.dead {
-			r.Breaks("liveness", "%s is well and has got no work for %v", n.id, since)
+			r.Violation("liveness", "%s is well and has got no work for %v", n.id, since)
 		}
 	}
 }
@@ -107,12 +107,12 @@
 	}
 	switch {
 	case b.Open != 0:
-		r.Breaks("books", "g%d has %d requests open at rest", g.index, b.Open)
+		r.Violation("books", "g%d has %d requests open at rest", g.index, b.Open)
 	case b.Under != b.InFlight:
-		r.Breaks("books", "g%d takes %d attempts to be out, its connections carry %d", g.index, b.InFlight, b.Under)
+		r.Violation("books", "g%d takes %d attempts to be out, its connections carry %d", g.index, b.InFlight, b.Under)
 	case b.Clients != clients:
-		r.Breaks("books", "g%d counts %d clients' connections, and has %d", g.index, b.Clients, clients)
+		r.Violation("books", "g%d counts %d clients' connections, and has %d", g.index, b.Clients, clients)
 	case b.Servers != servers:
-		r.Breaks("books", "g%d counts %d connections to servers, and has %d", g.index, b.Servers, servers)
+		r.Violation("books", "g%d counts %d connections to servers, and has %d", g.index, b.Servers, servers)
 	}
 }
--- a/internal/sim/standin_client.go
+++ b/internal/sim/standin_client.go
@@ -79,7 +79,7 @@
 	}
 	t.timeout = (most/2 + time.Duration(w.rng.Int64N(int64(most/2)))).Truncate(time.Millisecond)
 	w.customers[t.id] = cu
-	w.rules.Try(t.id).Once = submit
+	w.rules.Request(t.id).Once = submit
 	c.host.Go(func() {
 		if status, after := c.send(t); status != 200 && again < 2 && w.s.now < w.plan.Load {
 			c.host.Sleep(max(after, time.Duration(100+w.rng.IntN(400))*time.Millisecond))
@@ -101,7 +101,7 @@
 			return k, nil
 		}
 		if len(k.in) > 0 {
-			c.w.rules.Breaks("answers", "g%d sent %d bytes that nobody had asked for", gateway, len(k.in))
+			c.w.rules.Violation("answers", "g%d sent %d bytes that nobody had asked for", gateway, len(k.in))
 		}
 		k.Close()
 		return c.conn(gateway, fresh)
@@ -155,13 +155,13 @@
 					continue
 				}
 				if k.taken() {
-					w.rules.Lost(t.id, t.gateway, fmt.Sprintf("its connection ended: %v", err))
+					w.rules.RequestLost(t.id, t.gateway, fmt.Sprintf("its connection ended: %v", err))
 				}
 				w.seen("client: connection ended")
 			case w.heldUp(t):
 				w.seen("client: no answer, gateway held up")
 			default:
-				w.rules.Lost(t.id, t.gateway, "not answered in time")
+				w.rules.RequestLost(t.id, t.gateway, "not answered in time")
 			}
 			w.end(t, 0)
 			return 0, 0
@@ -173,7 +173,7 @@
 		w.note("answer %s %d", t.id, status)
 		k.used = true
 		if k.SetReadDeadline(time.Time{}); k.br.Buffered() > 0 {
-			w.rules.Breaks("answers", "%s was answered with more than one answer", t.id)
+			w.rules.Violation("answers", "%s was answered with more than one answer", t.id)
 		}
 		if strings.EqualFold(m.headers["connection"], "close") {
 			k.Close()
--- a/internal/sim/standin_node.go
+++ b/internal/sim/standin_node.go
@@ -88,7 +88,7 @@
 	n.proc = n.w.s.NewProc(n.id)
 	n.host = n.w.net.Host(n.proc, fmt.Sprintf("10.1.0.%d", n.index+1), uint64(n.index))
 	n.free, n.waiting = nodeCores, nil
-	n.w.rules.Warm(n.id)
+	n.w.rules.ServerWarm(n.id)
 	n.host.accept(n.addr, n.serve)
 }
 
@@ -161,7 +161,7 @@
 	} else {
 		n.free--
 	}
-	n.w.rules.Runs(id)
+	n.w.rules.AttemptRuns(id)
 	left := time.Duration(work / n.warmth() * n.slow * float64(time.Second))
 	n.host.Sleep(left)
 	n.hold()
@@ -177,7 +177,7 @@
 	if n.spoil > 0 && n.rng.Float64() < n.spoil {
 		return n.spoilt(c, id, body)
 	}
-	n.w.rules.Made(id, body)
+	n.w.rules.ServerAnswered(id, body)
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
@@ -218,7 +218,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", text)
 	case 9: // it says how it ends, and does: a good one
 		n.w.seen("answer that ends with its connection")
-		n.w.rules.Made(id, body)
+		n.w.rules.ServerAnswered(id, body)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n%s", text)
 	case 10:
 		n.w.seen("answer without a length, reset half way")
@@ -235,7 +235,7 @@
 		c.abort()
 	case 8:
 		n.w.seen("answer with another behind it")
-		n.w.rules.Made(id, nil) // the first is the answer
+		n.w.rules.ServerAnswered(id, nil) // the first is the answer
 		c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		n.host.Sleep(time.Duration(n.rng.IntN(1500)) * time.Microsecond) // a gateway waits 3 ms for that
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
--- a/internal/sim/standin_rest.go
+++ b/internal/sim/standin_rest.go
@@ -131,7 +131,7 @@
 	}
 	for _, n := range a.w.nodes {
 		if e, ok := a.entries[n.id]; ok && e.State != "up" && a.heard[n.id] {
-			a.w.rules.Tells(a.index, n.id, false, a.w.s.now)
+			a.w.rules.ServerState(a.index, n.id, false, a.w.s.now)
 		}
 	}
 }
@@ -209,14 +209,14 @@
 		e, ok := a.entries[n.id]
 		if ok && from == 0 && e.State == "removed" {
 			if a.heard[n.id] { // else this life of the gateway has never heard of it
-				a.w.rules.Tells(a.index, n.id, false, a.w.s.now)
+				a.w.rules.ServerState(a.index, n.id, false, a.w.s.now)
 			}
 			continue
 		}
 		if ok && a.changed[n.id] > from {
 			out.Servers = append(out.Servers, e)
 			a.heard[n.id], a.had[n.id] = true, e
-			a.w.rules.Tells(a.index, n.id, e.State == "up", a.w.s.now)
+			a.w.rules.ServerState(a.index, n.id, e.State == "up", a.w.s.now)
 			a.wrote[n.id] = e.started
 			a.w.known(n)
 		}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -215,7 +215,7 @@
 	}
 	w.s.Run(w.plan.Load + 6100*time.Millisecond)
 	if all, served := w.calm[0], w.calm[1]; all >= 20 && w.spare() && float64(served) < 0.9*float64(all) {
-		w.rules.Breaks("liveness", "%d of %d tries inside quotas served, long after the last fault", served, all)
+		w.rules.Violation("liveness", "%d of %d tries inside quotas served, long after the last fault", served, all)
 	}
 	for _, g := range w.gateways {
 		if g.up() {
@@ -225,7 +225,7 @@
 	w.s.Run(w.plan.Load + 9*time.Second)
 	for _, g := range w.gateways {
 		if !g.ended && !g.proc.dead {
-			w.rules.Breaks("end", "g%d has not ended 3 s after SIGTERM without load", g.index)
+			w.rules.Violation("end", "g%d has not ended 3 s after SIGTERM without load", g.index)
 		}
 	}
 }
@@ -304,14 +304,14 @@
 		e, ok := g.agent.had[n.id]
 		if !ok || e.State == "removed" { // DNS may go on naming it, and a new life can't know better
 			if w.plan.SRV {
-				w.rules.Tells(g.index, n.id, true, w.s.now)
+				w.rules.ServerState(g.index, n.id, true, w.s.now)
 			}
 			continue
 		}
 		g.agent.heard[n.id] = true
 		known.Servers = append(known.Servers, protocol.Entry{ID: e.ID, Addr: e.Addr, Zone: e.Zone, State: e.State, Weight: 1, StartedMs: e.StartedMs})
-		w.rules.Tells(g.index, n.id, true, w.s.now) // a new life has all of its time
-		w.rules.Tells(g.index, n.id, e.State == "up", w.s.now)
+		w.rules.ServerState(g.index, n.id, true, w.s.now) // a new life has all of its time
+		w.rules.ServerState(g.index, n.id, e.State == "up", w.s.now)
 	}
 	g.agent.tell()
 	cfg := &program.Config{Name: g.proc.Name, Listen: g.addr, Discovery: g.agent.addr, Counter: counterAddr,
@@ -331,7 +331,7 @@
 		}
 		g.program = p
 		if err := p.Run(); err != nil {
-			w.rules.Breaks("end", "g%d ended: %v", g.index, err)
+			w.rules.Violation("end", "g%d ended: %v", g.index, err)
 		}
 		if g.life == life {
 			g.ended = true
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -298,7 +298,7 @@
 	}
 	id := fmt.Sprintf("m%x-%d", f.plan.Seed, i)
 	f.mu.Lock()
-	f.judge.Try(id)
+	f.judge.Request(id)
 	f.mu.Unlock()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -316,7 +316,7 @@
 	}
 	status := resp.StatusCode()
 	f.mu.Lock()
-	f.judge.Answered(id, status, resp.Body(), 0)
+	f.judge.ClientAnswered(id, status, resp.Body(), 0)
 	f.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -142,7 +142,7 @@
 			// What it is told while it stands still, it hears now.
 			f.mu.Lock()
 			for _, s := range f.servers {
-				f.judge.Tells(g.index, s.ID, true, 0)
+				f.judge.ServerState(g.index, s.ID, true, 0)
 			}
 			f.mu.Unlock()
 			g.stopped.Store(false)
@@ -282,7 +282,7 @@
 func (f *Field) again(s *server, half bool, pause time.Duration) error {
 	s.end(half)
 	f.mu.Lock()
-	f.judge.Warm(s.ID)
+	f.judge.ServerWarm(s.ID)
 	f.mu.Unlock()
 	f.after(pause, func() {
 		if err := s.begin(true); err != nil {
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -66,7 +66,7 @@
 	defer f.mu.Unlock()
 	now := f.net.Now()
 	for _, e := range entries {
-		f.judge.Tells(g.index, e.ID, e.State == "up", now)
+		f.judge.ServerState(g.index, e.ID, e.State == "up", now)
 		f.history.add(Record{Kind: "told", Who: g.Name, To: e.ID, What: e.State})
 		if key := e.ID + " " + e.State; !f.told[key] {
 			f.told[key] = true
@@ -95,7 +95,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.Tells(g.index, s.ID, false, f.net.Now())
+	f.judge.ServerState(g.index, s.ID, false, f.net.Now())
 }
 
 // known: a gateway has been told of a server's start. Once all that run have, work
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -149,7 +149,7 @@
 	id := fmt.Sprintf("%x-%d", l.f.plan.Seed, l.last.Add(1))
 	f := l.f
 	f.mu.Lock()
-	f.judge.Try(id).Once = submit
+	f.judge.Request(id).Once = submit
 	if c.pro {
 		most := f.plan.Ceiling * f.plan.Quota * 2
 		rate := f.plan.Ceiling * f.plan.Quota
@@ -220,7 +220,7 @@
 	if err != nil {
 		f.history.add(Record{Kind: "answer", Who: id, From: g.Name, Detail: err.Error()})
 		if !excused && !errors.Is(err, fasthttp.ErrNoFreeConns) && !errors.Is(err, net.ErrClosed) && !refused(err) {
-			f.judge.Lost(id, t.gateway, err.Error())
+			f.judge.RequestLost(id, t.gateway, err.Error())
 		}
 		return 0
 	}
@@ -230,7 +230,7 @@
 	if excused {
 		late = 0
 	}
-	f.judge.Answered(id, t.status, resp.Body(), late)
+	f.judge.ClientAnswered(id, t.status, resp.Body(), late)
 	f.answered(t.gateway)
 	if s, err := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64); err == nil {
 		after = seconds(s)
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -54,7 +54,7 @@
 	marking  *marking // nil: no cluster
 
 	mu      sync.Mutex
-	judge   *invariants.Judge
+	judge   *invariants.Checker
 	broken  []Broken
 	ceiling map[string]ceilingOf // pro customers, by try
 	void    []string
@@ -137,8 +137,8 @@
 	}
 	f = &Field{plan: plan, opt: opt, rng: rand.New(rand.NewPCG(plan.Seed, 0xf1)), ceiling: map[string]ceilingOf{},
 		answers: map[int]int{}, told: map[string]bool{}}
-	f.judge = invariants.New(invariants.Terms{DrainGrace: 550*time.Millisecond + slack, AnswerLate: 50*time.Millisecond + slack, MostTries: 5,
-		FallTimes: 2.5, TipAfter: time.Second}, func(rule, detail string) {
+	f.judge = invariants.New(invariants.Limits{DrainGrace: 550*time.Millisecond + slack, MaxAnswerDelay: 50*time.Millisecond + slack, MaxAttempts: 5,
+		OverloadFactor: 2.5, OverloadWindow: time.Second}, func(rule, detail string) {
 		f.broken = append(f.broken, Broken{rule, detail, f.net.Now()})
 		f.history.add(Record{Kind: "broken", Who: rule, Detail: detail})
 	})
@@ -270,7 +270,7 @@
 	// A new life has all of its time, from now on.
 	g.f.mu.Lock()
 	for _, e := range had {
-		g.f.judge.Tells(g.index, e.ID, true, 0)
+		g.f.judge.ServerState(g.index, e.ID, true, 0)
 	}
 	g.f.mu.Unlock()
 	g.f.history.add(Record{Kind: "process", Who: g.Name, What: "start"})
@@ -433,7 +433,7 @@
 func (f *Field) breaks(rule, format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.Breaks(rule, format, args...)
+	f.judge.Violation(rule, format, args...)
 }
 
 // Close ends what is left, and removes the run's folder, or keeps its logs.
@@ -491,16 +491,16 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.net.Now()
-	t := f.judge.Arrives(id, gateway, s.ID, begun)
+	t := f.judge.AttemptArrived(id, gateway, s.ID, begun)
 	work := f.work(id, t.Once)
 	if c, ok := f.ceiling[id]; ok && t.Arrivals == 1 {
-		f.judge.Units(c.customer, 1, c.most, c.rate, now)
+		f.judge.UnitsUsed(c.customer, 1, c.most, c.rate, now)
 	}
 	s.mu.Lock()
 	warmth, known := s.warmth(now), s.knownAt > 0 && now > s.knownAt+550*time.Millisecond
 	s.mu.Unlock()
 	if warmth < 1 && known {
-		f.coldOver = max(f.coldOver, f.judge.Cold(s.ID, work.Seconds(), float64(s.cores)*warmth, now))
+		f.coldOver = max(f.coldOver, f.judge.ColdWork(s.ID, work.Seconds(), float64(s.cores)*warmth, now))
 	}
 	f.arrive = append(f.arrive, Arrival{now, s.index, gateway, work})
 	f.history.add(Record{Kind: "attempt", Who: id, From: f.gateways[gateway].Name, To: s.ID, Begun: begun})
@@ -519,21 +519,21 @@
 func (f *Field) runs(id string, s *server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.MayRun(id)
-	f.judge.Runs(id)
+	f.judge.AttemptMayRun(id)
+	f.judge.AttemptRuns(id)
 }
 
 // mayRun: it was not turned away with proof, and did not run here: its sender can't know.
 func (f *Field) mayRun(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.MayRun(id)
+	f.judge.AttemptMayRun(id)
 }
 
 func (f *Field) made(id string, body []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge.Made(id, body)
+	f.judge.ServerAnswered(id, body)
 }
 
 // lateness is how much later than asked for this process is woken: on an overloaded
