--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -58,7 +58,7 @@
 	controlOnly               bool            // the data plane gets no configuration and no servers
 	version                   atomic.Uint32
 	processCount, serverCount atomic.Int64   // copies for frequent readers outside the control loop
-	store                     *storage.Vault // nil: no disk
+	store                     *storage.Store // nil: no disk
 	stateWrites               *mailbox.Box[*consensus.Write]
 	parseRequests             *mailbox.Box[*controlplane.ConfigText] // one at a time
 	parseCache                *controlplane.ParseCache               // nil: not shared with other processes
@@ -127,7 +127,7 @@
 }
 
 // NewTimed is New for a process whose request stages are measured; times is called after each request.
-func NewTimed(path string, settings *sysconfig.Settings, times func(id string, t *protocol.Times)) (*Process, error) {
+func NewTimed(path string, settings *sysconfig.Settings, times func(id string, t *protocol.StageTimes)) (*Process, error) {
 	runtime.GOMAXPROCS(max(1, int(settings.BoundsReq.CpuCount)))
 	debug.SetGCPercent(minHeapPercent)
 	limit := int64(settings.BoundsReq.MemMb) << 20 * 6 / 10
--- a/internal/daemon/shared.go
+++ b/internal/daemon/shared.go
@@ -20,7 +20,7 @@
 
 	ParseCache *controlplane.ParseCache // nil: each process parses for itself
 
-	OnRequestTimes func(id string, t *protocol.Times) // called with the stages of each request; nil: they aren't measured
+	OnRequestTimes func(id string, t *protocol.StageTimes) // called with the stages of each request; nil: they aren't measured
 }
 
 // NewShared assembles a process like New, but leaves the limits of the Go runtime alone, since they apply
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -29,7 +29,7 @@
 
 // Options are the dependencies and settings of a Plane.
 type Options struct {
-	Env            hostenv.Seam
+	Env            hostenv.Host
 	Zone           string
 	Now            func() time.Duration // monotonic clock, always above 0
 	MaxServerConns int                  // limit for all servers together; 0: none
@@ -44,14 +44,14 @@
 	WarmupTime     time.Duration
 	FaultInjector  FaultInjector // nil: none
 	Bug            transport.Bug
-	OnRequestTimes func(id string, t *protocol.Times) // called with the stages of each request; nil: they aren't measured
+	OnRequestTimes func(id string, t *protocol.StageTimes) // called with the stages of each request; nil: they aren't measured
 }
 
 // Plane routes clients' requests to servers.
 type Plane struct {
 	options        Options
 	peerOptions    transport.PeerOptions
-	requestIDs     *protocol.IDs
+	requestIDs     *protocol.OpenIDs
 	table          atomic.Pointer[sysconfig.Table]
 	gate           atomic.Pointer[gate] // nil: none
 	lanes          atomic.Pointer[map[string]*lane]
@@ -68,12 +68,12 @@
 
 // New returns a plane without a configuration: it refuses all requests.
 func New(o Options) *Plane {
-	o.Env = hostenv.Or(o.Env)
-	p := &Plane{options: o, requestIDs: protocol.NewIDs(), servers: map[string][]Server{}, serviceOf: map[string]string{}, gatewayCount: 1}
-	p.peerOptions = transport.PeerOptions{World: o.Env, Connect: connectTimeout, Sockets: transport.NewSockets(o.MaxServerConns),
-		Keep: transport.NewKeep(idleConnTimeout), Strict: true, Bug: o.Bug}
+	o.Env = hostenv.OrReal(o.Env)
+	p := &Plane{options: o, requestIDs: protocol.NewOpenIDs(), servers: map[string][]Server{}, serviceOf: map[string]string{}, gatewayCount: 1}
+	p.peerOptions = transport.PeerOptions{Host: o.Env, ConnectTimeout: connectTimeout, ConnLimit: transport.NewConnLimit(o.MaxServerConns),
+		IdleTimeout: transport.NewIdleTimeout(idleConnTimeout), Strict: true, Bug: o.Bug}
 	if o.OnRequestTimes != nil {
-		p.peerOptions.Wrote = protocol.MarkWritten
+		p.peerOptions.OnSent = protocol.MarkWritten
 	}
 	p.lanes.Store(&map[string]*lane{})
 	return p
--- a/internal/dataplane/faultinjection.go
+++ b/internal/dataplane/faultinjection.go
@@ -102,7 +102,7 @@
 	return int64(min(maxStruckRequests, max(1, p.options.MaxServerConns/struckDivisor)))
 }
 
-func (i *injection) await() protocol.Final {
+func (i *injection) await() protocol.Result {
 	return protocol.Await(i.ctx, i.lane.core, i.plane.requestIDs, i.id, i.request)
 }
 
@@ -112,14 +112,14 @@
 
 // executionOutcome returns what is known about the execution of a request that has ended and whose answer
 // is discarded.
-func executionOutcome(a protocol.Final) string {
+func executionOutcome(a protocol.Result) string {
 	if a.Answer != nil {
 		defer fasthttp.ReleaseResponse(a.Answer)
 	}
 	switch {
 	case a.Kind == protocol.Served:
 		return "ran"
-	case a.Kind == protocol.Refused && a.Verdict != routing.MayHaveExecuted, a.Kind == protocol.Twice:
+	case a.Kind == protocol.Refused && a.Verdict != routing.MayHaveExecuted, a.Kind == protocol.DuplicateID:
 		return "never ran"
 	}
 	return "may have run"
@@ -141,7 +141,7 @@
 	i.plane.options.Env.Go(func() {
 		defer i.release()
 		i.plane.options.Env.Sleep(remaining + time.Millisecond)
-		conn.Bell().Ring()
+		conn.Notifier().Notify()
 	})
 	return conn.Await(over)
 }
@@ -173,14 +173,14 @@
 // repeat sends a request a second time once it was served. A refused request isn't repeated: the promise
 // that it never ran must stay true. The caller waits neither for the second execution nor for the record.
 func (i *injection) repeat() {
-	copied := i.request.Call.(*protocol.Call).Copied(i.plane.reserveCopy)
+	copied := i.request.Call.(*protocol.Call).StartCopy(i.plane.reserveCopy)
 	final := i.await()
 	served := final.Kind == protocol.Served
 	i.plane.answer(i.ctx, final)
 	second := copied.Call()
 	i.retain()
 	finish := func(reason string) {
-		i.plane.copiedBytes.Add(int64(-copied.Held()))
+		i.plane.copiedBytes.Add(int64(-copied.Reserved()))
 		i.release()
 		if reason != "" {
 			i.plane.options.FaultInjector.RecordUnused(i.query, i.strike, reason)
--- a/internal/dataplane/faultinjection_test.go
+++ b/internal/dataplane/faultinjection_test.go
@@ -88,12 +88,12 @@
 // rule holds sleep. So a request that is answered meanwhile has waited for none of them, however busy the
 // machine is.
 type pausableHost struct {
-	hostenv.Seam
+	hostenv.Host
 	sync.RWMutex
 }
 
 func (p *pausableHost) Sleep(d time.Duration) {
-	p.Seam.Sleep(d)
+	p.Host.Sleep(d)
 	p.RLock()
 	defer p.RUnlock()
 }
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	gateway := &testGateway{server: &testServer{runs: map[string]int{}, tenants: map[string]string{}}, injector: &fixedInjector{strike: s, outcomes: make(chan string, 1000)},
-		pause: &pausableHost{Seam: hostenv.Real}, quota: func(string) bool { return true }}
+		pause: &pausableHost{Host: hostenv.Real}, quota: func(string) bool { return true }}
 	httpServer := httptest.NewServer(gateway.server)
 	t.Cleanup(httpServer.Close)
 	start := time.Now()
--- a/internal/dataplane/idle_test.go
+++ b/internal/dataplane/idle_test.go
@@ -13,20 +13,22 @@
 
 // countingHost is the real host, and counts wakeups of goroutines that wait for a bell.
 type countingHost struct {
-	hostenv.Seam
+	hostenv.Host
 	wakes *atomic.Int64
 }
 
 type countingBell struct {
-	hostenv.Bell
+	hostenv.Notifier
 	wakes *atomic.Int64
 }
 
-func (c countingHost) NewBell() hostenv.Bell { return countingBell{c.Seam.NewBell(), c.wakes} }
+func (c countingHost) NewNotifier() hostenv.Notifier {
+	return countingBell{c.Host.NewNotifier(), c.wakes}
+}
 
 func (b countingBell) Wait(d time.Duration) bool {
 	defer b.wakes.Add(1)
-	return b.Bell.Wait(d)
+	return b.Notifier.Wait(d)
 }
 
 // TestIdleLaneWakeups: without requests the lanes of 180 services together wake at most 40 times a second,
--- a/internal/hostenv/hostenv.go
+++ b/internal/hostenv/hostenv.go
@@ -1,6 +1,6 @@
-// Package hostenv is all that the gateway's parts have of the world: time, goroutines,
-// waiting, and connections. Real is a thin shell over the standard library; the
-// simulator puts a virtual world in its place, with the same code above it.
+// Package hostenv abstracts the environment of the gateway's packages: time, goroutines,
+// waiting, and connections. Real is a thin layer over the standard library; the
+// simulator substitutes a virtual host and runs the same code on top of it.
 package hostenv
 
 import (
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Seam is a world. What runs in one must wait nowhere but in it: at a Bell, in
-// Sleep, or in a connection.
-type Seam interface {
+// Host is an environment. Code that runs on one may block only through it: in
+// Notifier.Wait, in Sleep, or in a connection.
+type Host interface {
 	Now() time.Time
 	Go(f func())
 	Sleep(d time.Duration)
-	NewBell() Bell
+	NewNotifier() Notifier
 	Dial(addr string, limit time.Duration) (net.Conn, error) // TCP
 	Listen(addr string) (net.Listener, error)                // TCP
-	ListenUDP() (PacketConn, error)                          // at a free port
+	ListenUDP() (PacketConn, error)                          // on a free port
 	Random() uint64
 }
 
@@ -31,23 +31,23 @@
 	Close() error
 }
 
-// Bell is what one goroutine waits at and others ring. It remembers one ring.
-type Bell interface {
-	Ring()
-	// Wait returns true once the bell has been rung, or false after d (below 0:
-	// never). Only one goroutine may wait.
+// Notifier wakes a single waiting goroutine. It remembers at most one notification.
+type Notifier interface {
+	Notify()
+	// Wait returns true once Notify has been called, or false after d (negative:
+	// no timeout). Only one goroutine may wait.
 	Wait(d time.Duration) bool
 }
 
-// Real is the machine.
-var Real Seam = machine{}
+// Real is the operating system.
+var Real Host = machine{}
 
-// Or is s, or Real if there is none.
-func Or(s Seam) Seam {
-	if s == nil {
+// OrReal returns h, or Real if h is nil.
+func OrReal(h Host) Host {
+	if h == nil {
 		return Real
 	}
-	return s
+	return h
 }
 
 type machine struct{}
@@ -66,29 +66,29 @@
 
 func (machine) Random() uint64 { return rand.Uint64() }
 
-func (machine) NewBell() Bell { return &bell{rung: make(chan struct{}, 1)} }
+func (machine) NewNotifier() Notifier { return &notifier{pending: make(chan struct{}, 1)} }
 
-type bell struct {
-	rung  chan struct{}
-	timer *time.Timer
+type notifier struct {
+	pending chan struct{}
+	timer   *time.Timer
 }
 
-func (b *bell) Ring() {
+func (b *notifier) Notify() {
 	select {
-	case b.rung <- struct{}{}:
+	case b.pending <- struct{}{}:
 	default:
 	}
 }
 
-func (b *bell) Wait(d time.Duration) bool {
+func (b *notifier) Wait(d time.Duration) bool {
 	select {
-	case <-b.rung:
+	case <-b.pending:
 		return true
 	default:
 	}
 	switch {
 	case d < 0:
-		<-b.rung
+		<-b.pending
 		return true
 	case d == 0:
 		return false
@@ -99,7 +99,7 @@
 	}
 	defer b.timer.Stop()
 	select {
-	case <-b.rung:
+	case <-b.pending:
 		return true
 	case <-b.timer.C:
 		return false
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -30,7 +30,7 @@
 
 // Options are the settings of a Mesh.
 type Options[F any] struct {
-	Env            hostenv.Seam // nil: the real host
+	Env            hostenv.Host // nil: the real host
 	Codec          Codec[F]
 	Handle         func(p *Conn[F], f F) // called on the goroutine of the connection
 	MaxInbound     int
@@ -86,7 +86,7 @@
 
 // New returns a mesh without connections.
 func New[F any](o Options[F]) *Mesh[F] {
-	o.Env, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.Or(o.Env), cmp.Or(o.DialTimeout, 500*time.Millisecond),
+	o.Env, o.DialTimeout, o.IdleTimeout, o.ReadBufferSize = hostenv.OrReal(o.Env), cmp.Or(o.DialTimeout, 500*time.Millisecond),
 		cmp.Or(o.IdleTimeout, 2*idleTimeout), cmp.Or(o.ReadBufferSize, 8<<10)
 	return &Mesh[F]{Options: o, outbound: map[string]*Conn[F]{}, inbound: map[*Conn[F]]bool{}}
 }
--- a/internal/program/pair_test.go
+++ b/internal/program/pair_test.go
@@ -14,7 +14,7 @@
 )
 
 // drawn is the real world, but for its chance.
-type drawn struct{ hostenv.Seam }
+type drawn struct{ hostenv.Host }
 
 func (drawn) Random() uint64 { return 7 }
 
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	defer older.Leave()
-	if err := older.Hand(hotrestart.Card{ID: "0000000000000007"}, choice.SavedState{}); err != nil {
+	if err := older.HandOver(hotrestart.ProcessInfo{ID: "0000000000000007"}, choice.SavedState{}); err != nil {
 		t.Fatal(err)
 	}
 	set := choice.Settings{Gateways: 1, MaxAttempts: 2, MaxUnits: 1, Tick: time.Millisecond,
@@ -36,7 +36,7 @@
 		Plans:   []choice.Plan{{Name: "basic", Rate: 10, Burst: 10, ValueFactor: 1, OverrunCost: 1}}}
 	start := time.Now()
 	core, err := routing.New(set, 1, func() time.Duration { return time.Hour + time.Since(start) },
-		routing.Dependencies{Fleet: protocol.NewFleet(transport.PeerOptions{Keep: transport.NewKeep(time.Minute), Sockets: transport.NewSockets(9)}, false)})
+		routing.Dependencies{Fleet: protocol.NewFleet(transport.PeerOptions{IdleTimeout: transport.NewIdleTimeout(time.Minute), ConnLimit: transport.NewConnLimit(9)}, false)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -14,83 +14,83 @@
 	"asterwell/internal/transport"
 )
 
-// piece is how much of a body is in hand at a time, framing aside.
+// pieceSize is how many bytes of a body are read and sent at a time, without framing.
 const pieceSize = 16 << 10
 
-// badBody is an error of the client's body, by status.
-type badBody int
+// bodyError is the status to answer a client's invalid or incomplete body with.
+type bodyError int
 
-func (e badBody) Error() string { return "body: " + fasthttp.StatusMessage(int(e)) }
+func (e bodyError) Error() string { return "body: " + fasthttp.StatusMessage(int(e)) }
 
-// take reads a request's body as far as it is kept whole, and leaves the rest to an
-// upload. length is that of the whole; -1: not known yet.
-func take(ctx *fasthttp.RequestCtx) (held []byte, rest *upload, length int, err error) {
+// readBody buffers the first part of a request's body, and leaves the remainder to an
+// upload. length is that of the whole body; -1: unknown.
+func readBody(ctx *fasthttp.RequestCtx) (buffered []byte, remainder *bodyUpload, length int, err error) {
 	if !ctx.Request.IsBodyStream() {
 		body := append([]byte(nil), ctx.Request.Body()...)
 		return body, nil, len(body), nil
 	}
 	length = ctx.Request.Header.ContentLength()
 	if length > transport.MaxStream {
-		return nil, nil, 0, badBody(fasthttp.StatusRequestEntityTooLarge)
+		return nil, nil, 0, bodyError(fasthttp.StatusRequestEntityTooLarge)
 	}
 	c, _ := ctx.Conn().(*transport.ClientConn)
 	if c != nil {
 		c.Pace(nil)
 	}
 	body := ctx.RequestBodyStream()
-	if length <= transport.Held {
-		held, err = io.ReadAll(io.LimitReader(body, transport.Held+1))
-		if err == nil && len(held) <= transport.Held {
-			return held, nil, len(held), nil
+	if length <= transport.MaxBuffered {
+		buffered, err = io.ReadAll(io.LimitReader(body, transport.MaxBuffered+1))
+		if err == nil && len(buffered) <= transport.MaxBuffered {
+			return buffered, nil, len(buffered), nil
 		}
 	}
 	if err != nil {
-		return nil, nil, 0, uncome(err)
+		return nil, nil, 0, incompleteBody(err)
 	}
-	world := hostenv.Real
+	host := hostenv.Real
 	if c != nil {
-		world = c.World()
+		host = c.Host()
 	}
-	return held, &upload{body: body, chunked: length < 0, left: length, world: world, bell: world.NewBell()}, length, nil
+	return buffered, &bodyUpload{body: body, chunked: length < 0, remaining: length, host: host, pieceReady: host.NewNotifier()}, length, nil
 }
 
-// uncome is the error of a body that did not come whole.
-func uncome(err error) error {
-	var late interface{ Timeout() bool }
-	if errors.As(err, &late) && late.Timeout() {
-		return badBody(fasthttp.StatusRequestTimeout)
+// incompleteBody returns the error for a body that did not arrive completely.
+func incompleteBody(err error) error {
+	var timeout interface{ Timeout() bool }
+	if errors.As(err, &timeout) && timeout.Timeout() {
+		return bodyError(fasthttp.StatusRequestTimeout)
 	}
-	return badBody(fasthttp.StatusBadRequest)
+	return bodyError(fasthttp.StatusBadRequest)
 }
 
-// upload is the rest of a body. The client's goroutine reads a piece when the one that
-// writes to the server wants it; one is in hand.
-type upload struct {
-	body    io.Reader
-	chunked bool
-	left    int // of a length that is known
-	total   int
-	world   hostenv.Seam
-	bell    hostenv.Bell // where the writer waits
-	ring    func()       // for the client's goroutine
-	limit   time.Duration
-	copied  func(piece []byte, last bool) // nil: nobody copies it
-
-	over  bool        // the client's goroutine has read all of it
-	begun atomic.Bool // nothing can be sent again
-	mu    sync.Mutex
-	want  bool
-	piece []byte
-	last  bool
-	err   error
+// bodyUpload streams the remainder of a body. The client's goroutine reads a piece when the
+// goroutine that writes to the server requests it; at most one piece is buffered.
+type bodyUpload struct {
+	body       io.Reader
+	chunked    bool
+	remaining  int // bytes not yet read, if the length is known
+	total      int
+	host       hostenv.Host
+	pieceReady hostenv.Notifier // notifies the writer
+	wakeClient func()           // wakes the client's goroutine
+	limit      time.Duration
+	onPiece    func(piece []byte, last bool) // receives each piece; may be nil
+
+	complete bool        // the client's goroutine has read the whole body
+	started  atomic.Bool // the body is being consumed, so the request can't be sent again
+	mu       sync.Mutex
+	want     bool
+	piece    []byte
+	last     bool
+	err      error
 }
 
 // Next is called by the writer to the server.
-func (u *upload) Next() ([]byte, bool, error) {
+func (u *bodyUpload) Next() ([]byte, bool, error) {
 	u.mu.Lock()
 	u.want, u.piece = true, nil
 	u.mu.Unlock()
-	u.ring()
+	u.wakeClient()
 	for {
 		u.mu.Lock()
 		piece, last, err := u.piece, u.last, u.err
@@ -98,76 +98,77 @@
 		if err != nil || piece != nil {
 			return piece, last, err
 		}
-		u.bell.Wait(-1)
+		u.pieceReady.Wait(-1)
 	}
 }
 
-// claimed is what a second writer gets: the body is on its way elsewhere.
-type claimed struct{}
+// consumedUpload is the upload of a second attempt: the first one has consumed the body.
+type consumedUpload struct{}
 
-var errClaimed = errors.New("the body has gone out to another server")
+var errBodyConsumed = errors.New("the body has already been sent to another server")
 
-func (claimed) Next() ([]byte, bool, error) { return nil, false, errClaimed }
-func (claimed) Stop()                       {}
+func (consumedUpload) Next() ([]byte, bool, error) { return nil, false, errBodyConsumed }
+func (consumedUpload) Stop()                       {}
 
-// Stop tells both sides that nothing more is wanted.
-func (u *upload) Stop() { u.fail(transport.ErrStopped) }
+// Stop cancels the upload on both sides.
+func (u *bodyUpload) Stop() { u.fail(transport.ErrStopped) }
 
-func (u *upload) fail(err error) {
+func (u *bodyUpload) fail(err error) {
 	u.mu.Lock()
 	if u.err == nil {
 		u.err = err
 	}
 	u.mu.Unlock()
-	u.bell.Ring()
-	if u.ring != nil {
-		u.ring()
+	u.pieceReady.Notify()
+	if u.wakeClient != nil {
+		u.wakeClient()
 	}
 }
 
-func (u *upload) wanted() bool {
+func (u *bodyUpload) wanted() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.want || u.err != nil
 }
 
-func (u *upload) stopped() bool {
+func (u *bodyUpload) stopped() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.err != nil
 }
 
-// feed reads the client's body, on its goroutine, until all has been given or done is
-// true. wrote hears of progress. It reports false if the client's end has come.
-func (u *upload) feed(c *transport.ClientConn, done func() bool, wrote func()) bool {
-	const room = 16 // for a chunk's head
-	buf := make([]byte, room+pieceSize+2+5)
-	enough := func() bool { return done() || u.stopped() }
-	var told time.Time
+// readFrom reads the client's body, on the client's goroutine, until it has been delivered
+// completely or done returns true. It reports progress through onProgress, and returns false if the
+// client disconnects or the body is invalid.
+func (u *bodyUpload) readFrom(c *transport.ClientConn, done func() bool, onProgress func()) bool {
+	const headerSpace = 16 // bytes reserved for a chunk header
+	buf := make([]byte, headerSpace+pieceSize+2+5)
+	stop := func() bool { return done() || u.stopped() }
+	var lastProgress time.Time
 	for {
 		if !c.Await(func() bool { return u.wanted() || done() }) {
 			u.fail(io.ErrUnexpectedEOF)
 			return false
 		}
-		if enough() {
+		if stop() {
 			return true
 		}
-		c.Pace(enough)
-		n, err := u.body.Read(buf[room : room+pieceSize])
+		c.Pace(stop)
+		n, err := u.body.Read(buf[headerSpace : headerSpace+pieceSize])
 		u.total += n
 		if u.total > transport.MaxStream {
-			err = badBody(fasthttp.StatusRequestEntityTooLarge)
+			err = bodyError(fasthttp.StatusRequestEntityTooLarge)
 		}
 		last := err == io.EOF
 		if err != nil && !last {
-			if enough() {
+			if stop() {
 				return true
 			}
 			u.fail(err)
 			return false
 		}
 		if !u.chunked {
-			if u.left -= n; u.left == 0 {
+			if u.remaining -= n; u.remaining == 0 {
 				last = true
 			} else if last {
 				u.fail(io.ErrUnexpectedEOF)
@@ -177,15 +178,15 @@
 		if n == 0 && !last {
 			continue
 		}
-		piece := u.framed(buf, room, n, last)
-		u.over = last
-		if u.copied != nil {
-			u.copied(piece, last)
+		piece := u.frame(buf, headerSpace, n, last)
+		u.complete = last
+		if u.onPiece != nil {
+			u.onPiece(piece, last)
 		}
-		u.give(piece, last)
-		if now := u.world.Now(); last || now.Sub(told) > progressEvery {
-			told = now
-			wrote()
+		u.deliver(piece, last)
+		if now := u.host.Now(); last || now.Sub(lastProgress) > progressInterval {
+			lastProgress = now
+			onProgress()
 		}
 		if last {
 			return true
@@ -193,30 +194,30 @@
 	}
 }
 
-// progressEvery is how often the core hears that a body goes on.
-const progressEvery = 200 * time.Millisecond
+// progressInterval is how often the core is told about body progress.
+const progressInterval = 200 * time.Millisecond
 
-func (u *upload) give(piece []byte, last bool) {
+func (u *bodyUpload) deliver(piece []byte, last bool) {
 	u.mu.Lock()
 	u.piece, u.last, u.want = piece, last, false
 	u.mu.Unlock()
-	u.bell.Ring()
+	u.pieceReady.Notify()
 }
 
-// framed makes a piece of what has been read into buf at a place.
-func (u *upload) framed(buf []byte, at, n int, last bool) []byte {
+// frame adds the chunk framing to the n bytes read into buf at offset at.
+func (u *bodyUpload) frame(buf []byte, start, n int, last bool) []byte {
 	if !u.chunked {
-		return buf[at : at+n]
+		return buf[start : start+n]
 	}
-	end := at + n
+	end := start + n
 	if n > 0 {
 		head := strconv.AppendInt(nil, int64(n), 16)
 		head = append(head, '\r', '\n')
-		at -= copy(buf[at-len(head):], head)
+		start -= copy(buf[start-len(head):], head)
 		end += copy(buf[end:], "\r\n")
 	}
 	if last {
 		end += copy(buf[end:], "0\r\n\r\n")
 	}
-	return buf[at:end]
+	return buf[start:end]
 }
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -14,33 +14,33 @@
 	"asterwell/internal/transport"
 )
 
-// Ends hears how attempts and probes end.
-type Ends interface {
+// ResultHandler receives the results of attempts and probes.
+type ResultHandler interface {
 	AttemptEnded(server uint32, a routing.Attempt, status choice.Status, answer any, load *choice.Load)
 	ProbeEnded(server uint32, a routing.Attempt, status choice.Status, load *choice.Load)
 }
 
-// Fleet carries out attempts by an actor for each server. The core's goroutine
-// alone calls it.
+// Fleet executes attempts, with one actor for each server. Only the core's goroutine may
+// call it.
 type Fleet struct {
-	opt     transport.PeerOptions
-	reports bool
-	Ends    Ends // set before the core runs
-	Dialect *Dialect
-	servers map[uint32]*server
+	opt         transport.PeerOptions
+	loadReports bool
+	Results     ResultHandler // set before the core runs
+	Dialect     *Dialect
+	servers     map[uint32]*server
 }
 
-// server is one that the list names, or has named: as long as something is under
-// way there, it can still be cancelled.
+// server is a server that is on the list, or was removed from it and still has exchanges
+// in progress, which can be cancelled.
 type server struct {
 	addr  string
 	name  string
-	peer  *transport.Peer[routing.Attempt]   // takes what is new; nil: off the list
-	peers []*transport.Peer[routing.Attempt] // all that may have something under way
+	peer  *transport.Peer[routing.Attempt]   // receives new exchanges; nil: removed from the list
+	peers []*transport.Peer[routing.Attempt] // all that may have exchanges in progress
 }
 
-// leave lets the actor end with what it has under way.
-func (s *server) leave() {
+// retire lets the actor finish its exchanges and end.
+func (s *server) retire() {
 	if s.peer != nil {
 		s.peer.Stop()
 		s.peer = nil
@@ -49,39 +49,39 @@
 
 // NewFleet returns a fleet without servers.
 func NewFleet(opt transport.PeerOptions, reports bool) *Fleet {
-	return &Fleet{opt: opt, reports: reports, Dialect: Platform, servers: map[uint32]*server{}}
+	return &Fleet{opt: opt, loadReports: reports, Dialect: Platform, servers: map[uint32]*server{}}
 }
 
-// Update takes the list's news.
-func (f *Fleet) Update(news routing.DiscoveryUpdate) {
-	named := map[uint32]bool{}
-	for _, m := range news.Members {
+// Update applies a change of the server list.
+func (f *Fleet) Update(update routing.DiscoveryUpdate) {
+	listed := map[uint32]bool{}
+	for _, m := range update.Members {
 		s := f.servers[m.ID]
 		if m.State == choice.Down {
 			continue
 		}
-		named[m.ID] = true
+		listed[m.ID] = true
 		if s == nil {
 			s = &server{}
 			f.servers[m.ID] = s
 		} else if s.peer != nil && s.addr == m.Addr {
 			continue
 		}
-		s.leave()
+		s.retire()
 		id := m.ID
 		s.addr, s.name = m.Addr, m.Name
-		s.peer = transport.NewPeer(m.Addr, f.opt, func(r transport.Result[routing.Attempt]) { f.ended(id, r) })
+		s.peer = transport.NewPeer(m.Addr, f.opt, func(r transport.Result[routing.Attempt]) { f.handleResult(id, r) })
 		s.peers = append(s.peers, s.peer)
 	}
-	for _, m := range news.Members {
-		if s := f.servers[m.ID]; m.State == choice.Down && s != nil && !named[m.ID] {
-			s.leave()
+	for _, m := range update.Members {
+		if s := f.servers[m.ID]; m.State == choice.Down && s != nil && !listed[m.ID] {
+			s.retire()
 		}
 	}
-	if news.Whole {
-		for _, id := range slices.Sorted(maps.Keys(f.servers)) { // in one order, not the map's
-			if !named[id] {
-				f.servers[id].leave()
+	if update.Whole {
+		for _, id := range slices.Sorted(maps.Keys(f.servers)) { // in a deterministic order
+			if !listed[id] {
+				f.servers[id].retire()
 			}
 		}
 	}
@@ -93,30 +93,30 @@
 	}
 }
 
-// Send begins an attempt.
+// Send starts an attempt.
 func (f *Fleet) Send(id uint32, a routing.Attempt, call any, left time.Duration) {
 	if s := f.servers[id]; s != nil && s.peer != nil {
-		call.(*Call).Times.Mark(Picked)
-		s.peer.Send(a, f.Dialect.wire(call.(*Call), s.name, left), call)
+		call.(*Call).StageTimes.Mark(ServerSelected)
+		s.peer.Send(a, f.Dialect.encode(call.(*Call), s.name, left), call)
 		return
 	}
-	f.Ends.AttemptEnded(id, a, choice.ConnectFailed, nil, nil)
+	f.Results.AttemptEnded(id, a, choice.ConnectFailed, nil, nil)
 }
 
-// Probe asks a server how it is.
+// Probe starts a health or load check of a server.
 func (f *Fleet) Probe(id uint32, a routing.Attempt, left time.Duration) {
 	path := "/-/healthy"
-	if f.reports {
+	if f.loadReports {
 		path = "/-/load"
 	}
 	if s := f.servers[id]; s != nil && s.peer != nil {
 		s.peer.Send(a, []byte("GET "+path+" HTTP/1.1\r\nHost: "+s.addr+"\r\n\r\n"), nil)
 		return
 	}
-	f.Ends.ProbeEnded(id, a, choice.ConnectFailed, nil)
+	f.Results.ProbeEnded(id, a, choice.ConnectFailed, nil)
 }
 
-// Cancel gives an attempt or a probe up.
+// Cancel aborts an attempt or a probe.
 func (f *Fleet) Cancel(id uint32, a routing.Attempt) {
 	if s := f.servers[id]; s != nil {
 		for _, p := range s.peers {
@@ -125,63 +125,63 @@
 	}
 }
 
-// ended runs on the server's actor.
-func (f *Fleet) ended(id uint32, r transport.Result[routing.Attempt]) {
+// handleResult runs on the server's actor.
+func (f *Fleet) handleResult(id uint32, r transport.Result[routing.Attempt]) {
 	if r.Key.ID == 0 {
 		status, load := choice.ConnectFailed, (*choice.Load)(nil)
-		if r.End != transport.NotSent {
-			status = f.Dialect.outcome(r.End, r.Answer, &Call{})
+		if r.Outcome != transport.NotSent {
+			status = f.Dialect.outcome(r.Outcome, r.Answer, &Call{})
 		}
-		if r.End == transport.Spoilt {
-			status = choice.NotExecuted // it tells nothing
+		if r.Outcome == transport.Invalid {
+			status = choice.NotExecuted // it proves nothing about the server's health
 		}
 		if r.Answer != nil {
-			if status == choice.OK && f.reports {
-				load = report(r.Answer.Body())
+			if status == choice.OK && f.loadReports {
+				load = parseLoad(r.Answer.Body())
 			}
 			if r.Answer.StatusCode() == fasthttp.StatusServiceUnavailable {
 				status = choice.Overloaded
 			}
 			fasthttp.ReleaseResponse(r.Answer)
 		}
-		f.Ends.ProbeEnded(id, r.Key, status, load)
+		f.Results.ProbeEnded(id, r.Key, status, load)
 		return
 	}
 	call := r.Note.(*Call)
-	call.Times.Mark(Answered)
-	status := f.Dialect.outcome(r.End, r.Answer, call)
+	call.StageTimes.Mark(ResponseRead)
+	status := f.Dialect.outcome(r.Outcome, r.Answer, call)
 	var load *choice.Load
-	if r.Answer != nil && f.reports {
-		load = report(r.Answer.Header.Peek(headerLoad))
+	if r.Answer != nil && f.loadReports {
+		load = parseLoad(r.Answer.Header.Peek(headerLoad))
 	}
 	if status != choice.OK && r.Answer != nil {
 		fasthttp.ReleaseResponse(r.Answer)
 		r.Answer = nil
 	}
-	f.Ends.AttemptEnded(id, r.Key, status, r.Answer, load)
+	f.Results.AttemptEnded(id, r.Key, status, r.Answer, load)
 }
 
-// outcome is the protocol's table. A 503 or 504 proves that nothing ran only
-// where the server says so: any proxy on the way may word one.
-func (d *Dialect) outcome(end transport.End, answer *fasthttp.Response, call *Call) choice.Status {
+// outcome maps responses to statuses. A 503 or 504 proves that the request did not run
+// only if the server says so in a header: any proxy on the path may generate one.
+func (d *Dialect) outcome(end transport.Outcome, answer *fasthttp.Response, call *Call) choice.Status {
 	switch end {
 	case transport.NotSent:
 		return choice.ConnectFailed
-	case transport.Broken:
+	case transport.ConnectionLost:
 		return choice.Reset
-	case transport.Spoilt: // whoever sent that is there; it may be the answer to another request, which proves nothing
+	case transport.Invalid: // the server is reachable; it may be the response to another request, which proves nothing
 		return choice.Error
 	}
 	status := answer.StatusCode()
 	switch {
-	case d.Target != "" && status == fasthttp.StatusMisdirectedRequest: // another server has the address now
+	case d.TargetHeader != "" && status == fasthttp.StatusMisdirectedRequest: // the address now belongs to another server
 		return choice.ConnectFailed
-	case d.Any && d.says(answer, d.NotRun, "1"):
+	case d.NotExecutedAnyStatus && d.hasHeaderValue(answer, d.NotExecutedHeader, "1"):
 		return choice.Overloaded
 	case status == fasthttp.StatusOK:
 		return choice.OK
 	case status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout:
-		if d.says(answer, d.NotRun, "1") {
+		if d.hasHeaderValue(answer, d.NotExecutedHeader, "1") {
 			return choice.Overloaded
 		}
 	case call.Transparent && status >= 200 && status < 500:
@@ -193,17 +193,17 @@
 	return choice.Error
 }
 
-// says looks for a header however its name is spelt.
-func (d *Dialect) says(answer *fasthttp.Response, name, value string) bool {
+// hasHeaderValue compares the first header of that name, ignoring the case of the name.
+func (d *Dialect) hasHeaderValue(answer *fasthttp.Response, name, value string) bool {
 	for key, v := range answer.Header.All() {
-		if is(key, name) {
+		if equalHeader(key, name) {
 			return string(v) == value
 		}
 	}
 	return false
 }
 
-func report(text []byte) *choice.Load {
+func parseLoad(text []byte) *choice.Load {
 	if len(text) == 0 {
 		return nil
 	}
@@ -212,7 +212,7 @@
 		return nil
 	}
 	r := map[string]float64{}
-	for name, v := range fields { // one that can't be read says nothing of the others
+	for name, v := range fields { // an unreadable field doesn't invalidate the others
 		if n := -1.0; json.Unmarshal(v, &n) == nil && n >= 0 {
 			r[name] = n
 		}
--- a/internal/protocol/front.go
+++ b/internal/protocol/front.go
@@ -22,24 +22,24 @@
 	"asterwell/internal/transport"
 )
 
-// Core is what a front needs of the core.
+// Core is the part of the core that a front uses.
 type Core interface {
 	Submit(r *routing.Request)
-	BodyProgress(r *routing.Request) // more of its body has gone out
+	BodyProgress(r *routing.Request) // more of its body has been sent
 	ClientGone(r *routing.Request)
 }
 
-// IDs are the ids of the requests that are open, on all fronts together.
-type IDs struct {
+// OpenIDs is the set of IDs of the requests in progress, shared by all fronts.
+type OpenIDs struct {
 	mu   sync.Mutex
 	open map[string]bool
 }
 
-// NewIDs returns an empty set.
-func NewIDs() *IDs { return &IDs{open: map[string]bool{}} }
+// NewOpenIDs returns an empty set.
+func NewOpenIDs() *OpenIDs { return &OpenIDs{open: map[string]bool{}} }
 
-// take adds an id, unless it is there.
-func (s *IDs) take(id string) bool {
+// add adds an ID, and returns false if it is already there.
+func (s *OpenIDs) add(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	taken := s.open[id]
@@ -47,70 +47,71 @@
 	return !taken
 }
 
-func (s *IDs) give(id string) {
+func (s *OpenIDs) remove(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, id)
 }
 
-// Tally hears how clients' requests end.
-type Tally interface {
-	Took() // a request is under way
-	Gave() // and no more
+// RequestObserver is notified of the start and the outcome of client requests.
+type RequestObserver interface {
+	RequestStarted()  // a request has started
+	RequestFinished() // a request has finished
 	Ended(class string, how ops.How)
 }
 
-// Front is the platform's front: it reads a request's terms from its headers.
+// Front is the HTTP front of the platform: it reads class, plan and limits of a request
+// from its headers.
 type Front struct {
-	Core    Core
-	IDs     *IDs
-	Now     func() time.Duration
-	Ready   func() bool
-	Leaving func() bool // the next request should come in elsewhere
-	Tally   Tally       // nil: nobody counts
-	doors   int
-	policy  atomic.Pointer[terms]
+	Core     Core
+	IDs      *OpenIDs
+	Now      func() time.Duration
+	Ready    func() bool
+	Leaving  func() bool     // clients should send their next request to another gateway
+	Observer RequestObserver // may be nil
+	gateways int
+	policy   atomic.Pointer[policyTerms]
 
-	// Late makes the core fit requests to the policy, once it knows by which it decides.
-	Late bool
+	// DeferTerms lets the core check requests against the policy once it knows which version applies.
+	DeferTerms bool
 }
 
-// terms are what a policy allows requests.
-type terms struct {
-	classes map[string]choice.Class
-	plans   map[string]float64 // the most units that a request can have
+// policyTerms are the classes and plans of a policy.
+type policyTerms struct {
+	classes      map[string]choice.Class
+	planMaxUnits map[string]float64 // the most units of a request
 }
 
 // NewFront returns a front for the classes and plans of the settings.
 func NewFront(set choice.Settings) *Front {
-	f := &Front{IDs: NewIDs(), doors: set.Gateways}
-	f.Adopt(set)
+	f := &Front{IDs: NewOpenIDs(), gateways: set.Gateways}
+	f.UpdatePolicy(set)
 	return f
 }
 
-// Adopt puts another policy's classes and plans in force. A request that is being read
-// goes by one of the two; where the front is Late, the core tells by which.
-func (f *Front) Adopt(set choice.Settings) {
-	t := &terms{map[string]choice.Class{}, map[string]float64{}}
+// UpdatePolicy replaces the classes and plans. A request that is being read uses one of the
+// two versions; with DeferTerms, the core decides which.
+func (f *Front) UpdatePolicy(set choice.Settings) {
+	t := &policyTerms{map[string]choice.Class{}, map[string]float64{}}
 	for _, c := range set.Classes {
 		t.classes[c.Name] = c
 	}
 	for _, p := range set.Plans {
-		t.plans[p.Name] = MostUnits(&set, &p)
+		t.planMaxUnits[p.Name] = MaxPlanUnits(&set, &p)
 	}
 	f.policy.Store(t)
 }
 
-// MostUnits is what a request can take from a plan at all.
-func MostUnits(set *choice.Settings, p *choice.Plan) float64 {
-	most := cmp.Or(set.MaxUnits, math.MaxFloat64)
+// MaxPlanUnits returns the most units that one request can take from a plan.
+func MaxPlanUnits(set *choice.Settings, p *choice.Plan) float64 {
+	units := cmp.Or(set.MaxUnits, math.MaxFloat64)
 	if p.Rate > 0 {
-		most = min(most, p.Burst)
+		units = min(units, p.Burst)
 	}
 	if p.CeilingRate > 0 {
-		most = min(most, p.CeilingBurst)
+		units = min(units, p.CeilingBurst)
 	}
-	return most
+	return units
 }
 
 // Handle serves one request.
@@ -133,19 +134,19 @@
 	}
 	r, id, err := f.request(ctx)
 	if err != nil {
-		Bad(ctx, err)
+		WriteBadRequest(ctx, err)
 		return
 	}
-	f.took()
+	f.requestStarted()
 	a := Await(ctx, f.Core, f.IDs, id, r)
 	streams := a.Kind == Served && a.Answer.IsBodyStream()
 	if !streams {
-		f.ended(r.Class, figure[a.Kind])
+		f.requestEnded(r.Class, outcomeMetric[a.Kind])
 	}
 	switch a.Kind {
 	case Served:
 		ctx.SetStatusCode(a.Answer.StatusCode())
-		passOn(ctx, a.Answer, func(how ops.How) { f.ended(r.Class, how) })
+		copyResponse(ctx, a.Answer, func(how ops.How) { f.requestEnded(r.Class, how) })
 	case Refused:
 		if a.RetryAfter > 0 {
 			ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
@@ -155,59 +156,59 @@
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	case Failed:
 		ctx.SetStatusCode(fasthttp.StatusBadGateway)
-	case Twice:
-		ctx.Error(headerID+": "+SameID+"\n", fasthttp.StatusConflict)
-	case Unfit:
-		Bad(ctx, a.Err)
+	case DuplicateID:
+		ctx.Error(headerID+": "+DuplicateIDMessage+"\n", fasthttp.StatusConflict)
+	case Disallowed:
+		WriteBadRequest(ctx, a.Err)
 	}
 }
 
-func (f *Front) took() {
-	if f.Tally != nil {
-		f.Tally.Took()
+func (f *Front) requestStarted() {
+	if f.Observer != nil {
+		f.Observer.RequestStarted()
 	}
 }
 
-func (f *Front) ended(class string, how ops.How) {
-	if f.Tally != nil {
-		f.Tally.Gave()
+func (f *Front) requestEnded(class string, how ops.How) {
+	if f.Observer != nil {
+		f.Observer.RequestFinished()
 		if how != "" {
-			f.Tally.Ended(class, how)
+			f.Observer.Ended(class, how)
 		}
 	}
 }
 
-// passing is an answer that is being passed on: how it ends is known at its end.
-type passing struct {
+// observedBody is a streamed response body that reports its outcome when it is closed.
+type observedBody struct {
 	io.Reader
-	done  func(how ops.How)
-	whole bool
+	done     func(how ops.How)
+	complete bool
 }
 
-func (b *passing) Read(p []byte) (int, error) {
+func (b *observedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
-	b.whole = b.whole || err == io.EOF
+	b.complete = b.complete || err == io.EOF
 	return n, err
 }
 
-// Close is called once, with the answer written or not.
-func (b *passing) Close() error {
-	if b.done(map[bool]ops.How{true: ops.Success, false: ops.Failure}[b.whole]); b.whole {
+// Close is called once, whether or not the response has been written.
+func (b *observedBody) Close() error {
+	if b.done(map[bool]ops.How{true: ops.Success, false: ops.Failure}[b.complete]); b.complete {
 		return nil
 	}
 	return b.Reader.(io.Closer).Close()
 }
 
-// figure is how figures name the kinds; the others are no requests, or nobody is left.
-var figure = map[Kind]ops.How{Served: ops.Success, Refused: ops.Overload, Failed: ops.Failure, TimedOut: ops.Failure}
+// outcomeMetric maps kinds to outcomes in metrics. The others were not submitted, or the client left.
+var outcomeMetric = map[Kind]ops.How{Served: ops.Success, Refused: ops.Overload, Failed: ops.Failure, TimedOut: ops.Failure}
 
-// longest is how long a body may take at all, at the pace that a client must keep.
-const longest = 20 * time.Minute
+// maxUploadTime bounds the transfer of a whole body, besides the timeout between two reads.
+const maxUploadTime = 20 * time.Minute
 
-// Bad answers a request whose terms are wrong.
-func Bad(ctx *fasthttp.RequestCtx, err error) {
+// WriteBadRequest answers an invalid request.
+func WriteBadRequest(ctx *fasthttp.RequestCtx, err error) {
 	ctx.Error(err.Error()+"\n", fasthttp.StatusBadRequest)
-	if status, ok := err.(badBody); ok {
+	if status, ok := err.(bodyError); ok {
 		ctx.SetStatusCode(int(status))
 		ctx.SetConnectionClose()
 	}
@@ -217,30 +218,30 @@
 	}
 }
 
-// wrongMethod is an error that tells the right one.
+// wrongMethod is an error that carries the allowed method.
 type wrongMethod string
 
 func (m wrongMethod) Error() string { return "the class has the method " + string(m) }
 
-// MaxID is the longest id taken.
+// MaxID is the longest accepted request ID in bytes.
 const MaxID = 128
 
-// customers is the number of customers that there can be.
-const customers = 1 << 33
+// customerCount is the number of possible customer numbers.
+const customerCount = 1 << 33
 
-// singles are the headers that a request may have once. Which of two counts
-// would be anybody's guess, and another's may differ.
-var singles = [...]string{headerID, headerClass, headerPlan, headerTimeout, headerTerms, "Cookie", headerRetried}
+// singleValueHeaders may occur only once in a request: with two values, recipients could
+// follow different ones.
+var singleValueHeaders = [...]string{headerID, headerClass, headerPlan, headerTimeout, headerTerms, "Cookie", headerRetried}
 
-// request reads a request's terms. Whatever is wrong with them is the client's
-// fault, and is told before the core hears of it.
+// request reads and validates a request. Invalid ones are answered as client errors
+// before they reach the core.
 func (f *Front) request(ctx *fasthttp.RequestCtx) (r *routing.Request, id string, err error) {
-	var got [len(singles)]string
-	var seen [len(singles)]bool
-	r = &routing.Request{Reply: &Answers{}}
+	var got [len(singleValueHeaders)]string
+	var seen [len(singleValueHeaders)]bool
+	r = &routing.Request{Reply: &ReplyWaiter{}}
 	call := NewCall(ctx, func(key, value []byte) {
-		for i, name := range singles {
-			if is(key, name) {
+		for i, name := range singleValueHeaders {
+			if equalHeader(key, name) {
 				if seen[i] {
 					err = fmt.Errorf("%s: more than one", name)
 				}
@@ -254,7 +255,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	r.Call, r.BodyConsumed = call, call.spent
+	r.Call, r.BodyConsumed = call, call.bodyConsumed
 	id, r.Class, r.Plan, r.IsRetry = got[0], got[1], got[2], got[6] == "1"
 	switch {
 	case id == "":
@@ -262,53 +263,53 @@
 	case len(id) > MaxID:
 		return nil, "", fmt.Errorf("%s: longer than %d bytes", headerID, MaxID)
 	}
-	said := said{method: string(ctx.Method()), body: len(call.body) > 0 || call.rest != nil, timeout: got[3], terms: got[4], at: f.Now()}
+	terms := requestTerms{method: string(ctx.Method()), body: len(call.body) > 0 || call.upload != nil, timeout: got[3], terms: got[4], at: f.Now()}
 	policy := f.policy.Load()
-	if !f.Late {
-		if err := policy.allows(r, said); err != nil {
+	if !f.DeferTerms {
+		if err := policy.check(r, terms); err != nil {
 			return nil, "", err
 		}
 	}
 	var number uint64
 	if r.Customer = Cookie(got[5], "client"); len(r.Customer) != 16 {
 		return nil, "", fmt.Errorf("Cookie: client must be 16 hex digits, got %q", r.Customer)
-	} else if number, err = strconv.ParseUint(r.Customer, 16, 64); err != nil || number >= customers {
+	} else if number, err = strconv.ParseUint(r.Customer, 16, 64); err != nil || number >= customerCount {
 		return nil, "", fmt.Errorf("Cookie: client must be 16 hex digits for a number under 2^33, got %q", r.Customer)
 	}
-	if f.Late {
-		r.Deadline = said.at + time.Hour // until the policy says
+	if f.DeferTerms {
+		r.Deadline = terms.at + time.Hour // until the policy sets it
 		r.ResolveTerms = func() error {
 			policy := f.policy.Load()
-			if err := policy.allows(r, said); err != nil {
+			if err := policy.check(r, terms); err != nil {
 				return err
 			}
-			return f.limits(policy, r, said)
+			return f.applyTerms(policy, r, terms)
 		}
 		return r, id, nil
 	}
-	return r, id, f.limits(policy, r, said)
+	return r, id, f.applyTerms(policy, r, terms)
 }
 
-// said is what a request says and the policy must allow.
-type said struct {
+// requestTerms are the properties of a request that are checked against the policy.
+type requestTerms struct {
 	method         string
 	body           bool
 	timeout, terms string
 	at             time.Duration
 }
 
-// allows holds a request against the policy's classes and plans.
-func (t *terms) allows(r *routing.Request, s said) error {
-	class, known := t.classes[r.Class]
-	_, sold := t.plans[r.Plan]
+// check checks a request against the policy's classes and plans.
+func (t *policyTerms) check(r *routing.Request, s requestTerms) error {
+	class, knownClass := t.classes[r.Class]
+	_, knownPlan := t.planMaxUnits[r.Plan]
 	method := "POST"
 	if class.Effect == choice.Retryable {
 		method = "GET"
 	}
 	switch {
-	case !known:
+	case !knownClass:
 		return fmt.Errorf("%s: unknown class %q", headerClass, r.Class)
-	case !sold:
+	case !knownPlan:
 		return fmt.Errorf("%s: unknown plan %q", headerPlan, r.Plan)
 	case s.method != method:
 		return wrongMethod(method)
@@ -318,56 +319,55 @@
 	return nil
 }
 
-// limits gives it its terms by them.
-func (f *Front) limits(t *terms, r *routing.Request, s said) error {
+// applyTerms sets the deadline, units and gateways of a request according to the policy.
+func (f *Front) applyTerms(t *policyTerms, r *routing.Request, s requestTerms) error {
 	limit, err := Timeout(s.timeout, t.classes[r.Class].Deadline)
 	if err != nil {
 		return fmt.Errorf("%s: %w", headerTimeout, err)
 	}
 	r.Deadline = s.at + limit
-	if call, ok := r.Call.(*Call); ok && call.rest != nil { // time counts from the body's end
-		call.rest.limit = limit
-		r.Deadline += longest
+	if call, ok := r.Call.(*Call); ok && call.upload != nil { // the limit counts from the end of the body
+		call.upload.limit = limit
+		r.Deadline += maxUploadTime
 	}
-	r.Units, r.Gateways, r.FirstGateway, err = f.terms(s.terms, t.plans[r.Plan])
+	r.Units, r.Gateways, r.FirstGateway, err = f.parseCallTerms(s.terms, t.planMaxUnits[r.Plan])
 	return err
 }
 
-// Timeout reads a client's time in seconds. No client waits longer than its
-// class allows, whatever it says.
-func Timeout(text string, most time.Duration) (time.Duration, error) {
+// Timeout parses a client's timeout in seconds, and limits it to the one of its class.
+func Timeout(text string, limit time.Duration) (time.Duration, error) {
 	if text == "" {
-		return most, nil
+		return limit, nil
 	}
 	s, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(s > 0) || s > 3600 {
 		return 0, fmt.Errorf("not a time in seconds: %q", text)
 	}
 	d := time.Duration(s * float64(time.Second))
-	if most > 0 {
-		d = min(d, most)
+	if limit > 0 {
+		d = min(d, limit)
 	}
 	return d, nil
 }
 
-// terms reads units=2,spread=3,first=1.
-func (f *Front) terms(text string, most float64) (units float64, width, first int, err error) {
-	units, width = min(1, most), f.doors
+// parseCallTerms parses a header such as units=2,spread=3,first=1.
+func (f *Front) parseCallTerms(text string, maxUnits float64) (units float64, width, first int, err error) {
+	units, width = min(1, maxUnits), f.gateways
 	seen := map[string]bool{}
 	for item := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(item), "=")
 		var bad error
 		switch key {
 		case "units":
-			if units, bad = strconv.ParseFloat(value, 64); bad == nil && !(units > 0 && units <= most) {
+			if units, bad = strconv.ParseFloat(value, 64); bad == nil && !(units > 0 && units <= maxUnits) {
 				bad = strconv.ErrRange
 			}
 		case "spread":
-			if width, bad = strconv.Atoi(value); bad == nil && (width < 1 || width > f.doors) {
+			if width, bad = strconv.Atoi(value); bad == nil && (width < 1 || width > f.gateways) {
 				bad = strconv.ErrRange
 			}
 		case "first":
-			if first, bad = strconv.Atoi(value); bad == nil && (first < 0 || first >= f.doors) {
+			if first, bad = strconv.Atoi(value); bad == nil && (first < 0 || first >= f.gateways) {
 				bad = strconv.ErrRange
 			}
 		}
@@ -379,7 +379,7 @@
 	return units, width, first, nil
 }
 
-// Cookie finds a cookie in the header's text.
+// Cookie returns the value of a cookie in a Cookie header.
 func Cookie(text, name string) string {
 	for part := range strings.SplitSeq(text, ";") {
 		if key, value, _ := strings.Cut(strings.TrimSpace(part), "="); key == name {
@@ -389,179 +389,179 @@
 	return ""
 }
 
-// Kind is the sort of a final answer.
+// Kind is the kind of a Result.
 type Kind int
 
-// The kinds of a final answer.
+// The kinds of results.
 const (
 	Served Kind = iota
 	Refused
 	Failed
 	TimedOut
-	Left  // the client went away: nobody is answered
-	Twice // a request with that id is open: this one was not submitted
-	Unfit // the policy in force does not allow what it says
+	ClientLeft  // the client has disconnected: there is no response
+	DuplicateID // a request with this ID is in progress: this one was not submitted
+	Disallowed  // the current policy does not allow the request
 )
 
-// SameID is what a client hears then.
-const SameID = "a request with this id is open"
+// DuplicateIDMessage is the error for DuplicateID.
+const DuplicateIDMessage = "a request with this id is open"
 
-// Final is the one answer to a request.
-type Final struct {
+// Result is the only result of a request.
+type Result struct {
 	Kind       Kind
 	Answer     *fasthttp.Response
 	RetryAfter time.Duration
-	Status     int             // of a refusal: 429, or 503 where the servers are at fault
-	Verdict    routing.Verdict // of a refusal
-	Err        error           // of one that is Unfit
+	Status     int             // if Refused: 429, or 503 if the servers are the cause
+	Verdict    routing.Verdict // if Refused
+	Err        error           // if Disallowed
 }
 
-// Answers hands a request's one answer from the core to the client's handler.
-type Answers struct {
-	mu    sync.Mutex
-	final Final
-	have  bool
-	left  bool         // nobody is there to take it
-	bell  hostenv.Bell // of whoever waits
+// ReplyWaiter passes the result of a request from the core to the client's handler.
+type ReplyWaiter struct {
+	mu        sync.Mutex
+	result    Result
+	completed bool
+	abandoned bool             // the handler no longer waits
+	ready     hostenv.Notifier // notifies the handler
 }
 
-func (a *Answers) end(f Final) {
+func (a *ReplyWaiter) complete(f Result) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.left { // there is one answer, and it is told by now
-		Drop(f.Answer)
+	if a.abandoned { // the request already has its result
+		Discard(f.Answer)
 		return
 	}
-	a.final, a.have = f, true
-	a.bell.Ring()
+	a.result, a.completed = f, true
+	a.ready.Notify()
 }
 
-// leave gives up the answer, be it there or still to come.
-func (a *Answers) leave() {
+// abandon discards the result, present or future.
+func (a *ReplyWaiter) abandon() {
 	a.mu.Lock()
-	if a.left = true; a.have {
-		Drop(a.final.Answer)
+	if a.abandoned = true; a.completed {
+		Discard(a.result.Answer)
 	}
 	a.mu.Unlock()
 }
 
-// Drop gives up an answer that nobody takes, and with it the connection that it comes on.
-func Drop(answer any) {
+// Discard drops an unused response; if it is streamed, its connection is closed.
+func Discard(answer any) {
 	if resp, _ := answer.(*fasthttp.Response); resp != nil && resp.IsBodyStream() {
 		resp.CloseBodyStream()
 	}
 }
 
-func (a *Answers) done() bool {
+func (a *ReplyWaiter) done() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.have
+	return a.completed
 }
 
-// Served is told by the core.
-func (a *Answers) Served(answer any) {
-	a.end(Final{Kind: Served, Answer: answer.(*fasthttp.Response)})
+// Served is called by the core.
+func (a *ReplyWaiter) Served(answer any) {
+	a.complete(Result{Kind: Served, Answer: answer.(*fasthttp.Response)})
 }
 
-// Refused is told by the core.
-func (a *Answers) Refused(after time.Duration, verdict routing.Verdict) {
-	f := Final{Kind: Refused, RetryAfter: after, Status: fasthttp.StatusTooManyRequests, Verdict: verdict}
+// Refused is called by the core.
+func (a *ReplyWaiter) Refused(after time.Duration, verdict routing.Verdict) {
+	f := Result{Kind: Refused, RetryAfter: after, Status: fasthttp.StatusTooManyRequests, Verdict: verdict}
 	if verdict != routing.NotAttempted || after == 0 {
 		f.Status = fasthttp.StatusServiceUnavailable
 	}
-	a.end(f)
+	a.complete(f)
 }
 
-// Unfit is told by the core.
-func (a *Answers) Disallowed(err error) { a.end(Final{Kind: Unfit, Err: err}) }
+// Disallowed is called by the core.
+func (a *ReplyWaiter) Disallowed(err error) { a.complete(Result{Kind: Disallowed, Err: err}) }
 
-// Failed is told by the core.
-func (a *Answers) Failed(timedOut bool) {
+// Failed is called by the core.
+func (a *ReplyWaiter) Failed(timedOut bool) {
 	if timedOut {
-		a.end(Final{Kind: TimedOut})
+		a.complete(Result{Kind: TimedOut})
 		return
 	}
-	a.end(Final{Kind: Failed})
+	a.complete(Result{Kind: Failed})
 }
 
-// Await submits a request whose Reply is an *Answers, and waits for its answer
-// or for the client's end. Servers tell requests by their ids, so that there
-// must not be two with one.
-func Await(ctx *fasthttp.RequestCtx, core Core, ids *IDs, id string, r *routing.Request) Final {
-	if id != "" { // those without one are nobody's twins
-		if !ids.take(id) {
-			return Final{Kind: Twice}
+// Await submits a request whose Reply is a *ReplyWaiter, and waits for its result or for
+// the client to disconnect. Servers identify requests by their IDs, so no two requests in
+// progress may share one.
+func Await(ctx *fasthttp.RequestCtx, core Core, ids *OpenIDs, id string, r *routing.Request) Result {
+	if id != "" { // requests without an ID are never duplicates
+		if !ids.add(id) {
+			return Result{Kind: DuplicateID}
 		}
-		defer ids.give(id)
+		defer ids.remove(id)
 	}
-	a := r.Reply.(*Answers)
+	a := r.Reply.(*ReplyWaiter)
 	c, ok := ctx.Conn().(*transport.ClientConn)
-	if !ok { // no connection that could end
-		a.bell = hostenv.Real.NewBell()
+	if !ok { // not a connection that can report a disconnect
+		a.ready = hostenv.Real.NewNotifier()
 		core.Submit(r)
 		for !a.done() {
-			a.bell.Wait(-1)
+			a.ready.Wait(-1)
 		}
-		return a.final
+		return a.result
 	}
-	a.bell = c.Bell()
-	var rest *upload
-	if call, ok := r.Call.(*Call); ok && call.rest != nil {
-		rest = call.rest
-		rest.ring = c.Bell().Ring
+	a.ready = c.Notifier()
+	var rest *bodyUpload
+	if call, ok := r.Call.(*Call); ok && call.upload != nil {
+		rest = call.upload
+		rest.wakeClient = c.Notifier().Notify
 		defer func() {
-			if !rest.over { // what follows it can't be found: who has sent more must hear that it was not read
+			if !rest.complete { // the next request can't be located in the stream: tell the client that it was not read
 				ctx.SetConnectionClose()
 			}
 		}()
 	}
 	core.Submit(r)
-	if rest != nil && !a.uploads(c, core, r, rest) {
-		return Final{Kind: Left}
+	if rest != nil && !a.sendBody(c, core, r, rest) {
+		return Result{Kind: ClientLeft}
 	}
 	if !c.Await(a.done) {
 		core.ClientGone(r)
-		a.leave()
-		return Final{Kind: Left}
+		a.abandon()
+		return Result{Kind: ClientLeft}
 	}
-	return a.final
+	return a.result
 }
 
-// uploads gives a request's body to whoever sends it, and bounds the wait for what comes
-// after that. It reports false if there is nobody left to answer.
-func (a *Answers) uploads(c *transport.ClientConn, core Core, r *routing.Request, rest *upload) bool {
-	if !rest.feed(c, a.done, func() { core.BodyProgress(r) }) {
+// sendBody streams a request's body to the server, and then bounds the wait for the result.
+// It returns false if the client has disconnected.
+func (a *ReplyWaiter) sendBody(c *transport.ClientConn, core Core, r *routing.Request, rest *bodyUpload) bool {
+	if !rest.readFrom(c, a.done, func() { core.BodyProgress(r) }) {
 		rest.Stop()
 		core.ClientGone(r)
-		a.leave()
+		a.abandon()
 		return false
 	}
 	if !c.AwaitFor(rest.limit, a.done) {
 		core.ClientGone(r)
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if !a.have { // its time is up
-			a.left, a.have, a.final = true, true, Final{Kind: TimedOut}
+		if !a.completed { // timed out
+			a.abandoned, a.completed, a.result = true, true, Result{Kind: TimedOut}
 		}
 	}
 	return true
 }
 
-// PassOn copies a server's answer to the client, its body unchanged.
-func PassOn(ctx *fasthttp.RequestCtx, answer *fasthttp.Response) {
-	passOn(ctx, answer, func(ops.How) {})
+// CopyResponse copies a server's response to the client, with its body unchanged.
+func CopyResponse(ctx *fasthttp.RequestCtx, answer *fasthttp.Response) {
+	copyResponse(ctx, answer, func(ops.How) {})
 }
 
-// passOn tells done how an answer that streams has ended.
-func passOn(ctx *fasthttp.RequestCtx, answer *fasthttp.Response, done func(how ops.How)) {
+// copyResponse calls done with the outcome of a streamed response.
+func copyResponse(ctx *fasthttp.RequestCtx, answer *fasthttp.Response, done func(how ops.How)) {
 	for key, value := range answer.Header.All() {
-		if !hop(key) && !is(key, headerLoad) && !is(key, "Date") {
+		if !hopByHop(key) && !equalHeader(key, headerLoad) && !equalHeader(key, "Date") {
 			ctx.Response.Header.AddBytesKV(key, value)
 		}
 	}
-	if stream := answer.BodyStream(); stream != nil { // it belongs to the client's answer from here on
+	if stream := answer.BodyStream(); stream != nil { // the client's response owns it from here on
 		ctx.Response.ImmediateHeaderFlush = true
-		ctx.Response.SetBodyStream(&passing{Reader: stream, done: done}, answer.Header.ContentLength())
+		ctx.Response.SetBodyStream(&observedBody{Reader: stream, done: done}, answer.Header.ContentLength())
 		return
 	}
 	ctx.Response.SwapBody(answer.SwapBody(nil))
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -196,7 +196,7 @@
 	w.inbox.Take(0)
 	w.HandleDiscovery(DiscoveryUpdate{Whole: true, Saved: true, Members: []Member{{Member: choice.Member{ID: 7}}}})
 	for _, want := range []int{0, 1} {
-		ask := &statsRequest{bell: hostenv.Real.NewBell()}
+		ask := &statsRequest{bell: hostenv.Real.NewNotifier()}
 		w.inbox.Put(ask)
 		w.step(0)
 		if got := ask.stats.Ready; got != want {
@@ -227,7 +227,7 @@
 			w.inbox.Take(0) // the list of newTestCore
 		}
 		w.HandleDiscovery(c.news)
-		ask := &statsRequest{bell: hostenv.Real.NewBell()}
+		ask := &statsRequest{bell: hostenv.Real.NewNotifier()}
 		w.inbox.Put(ask)
 		w.step(0)
 		if got := ask.stats.Ready; got != c.want {
--- a/internal/sim/standin_rest.go
+++ b/internal/sim/standin_rest.go
@@ -40,7 +40,7 @@
 func (c *count) speak() {
 	c.silent = false
 	for _, b := range c.bells {
-		b.Ring()
+		b.Notify()
 	}
 	c.bells = nil
 }
@@ -131,7 +131,7 @@
 	}
 	for _, n := range a.w.nodes {
 		if e, ok := a.entries[n.id]; ok && e.State != "up" && a.heard[n.id] {
-			a.w.rules.Tells(a.index, n.id, false, a.w.s.now)
+			a.w.rules.ServerState(a.index, n.id, false, a.w.s.now)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 
 func (a *agent) ring() {
 	for _, b := range a.bells {
-		b.Ring()
+		b.Notify()
 	}
 	a.bells = nil
 }
@@ -209,14 +209,14 @@
 		e, ok := a.entries[n.id]
 		if ok && from == 0 && e.State == "removed" {
 			if a.heard[n.id] { // else this life of the gateway has never heard of it
-				a.w.rules.Tells(a.index, n.id, false, a.w.s.now)
+				a.w.rules.ServerState(a.index, n.id, false, a.w.s.now)
 			}
 			continue
 		}
 		if ok && a.changed[n.id] > from {
 			out.Servers = append(out.Servers, e)
 			a.heard[n.id], a.had[n.id] = true, e
-			a.w.rules.Tells(a.index, n.id, e.State == "up", a.w.s.now)
+			a.w.rules.ServerState(a.index, n.id, e.State == "up", a.w.s.now)
 			a.wrote[n.id] = e.started
 			a.w.known(n)
 		}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,6 +1,6 @@
-// Package transport moves bytes: the listener under the fronts, connections to
-// servers with their reuse and limits, dialing and deadlines. It knows HTTP's
-// framing, and nothing of what the messages mean.
+// Package transport implements the listener for clients and the connections to
+// servers: reuse, limits, dialing and deadlines. It handles HTTP framing and is
+// independent of what the messages mean.
 package transport
 
 import (
@@ -19,87 +19,87 @@
 	"asterwell/internal/hostenv"
 )
 
-// Sockets counts the connections of all peers against a cap.
-type Sockets struct {
-	most  int64
-	used  atomic.Int64
-	under atomic.Int64 // exchanges under way, those that wait for a connection included
+// Sockets bounds the number of connections of all peers together.
+type ConnLimit struct {
+	max      int64
+	open     atomic.Int64
+	inFlight atomic.Int64 // exchanges in progress, including those that wait for a connection
 }
 
-// NewSockets returns a cap of most connections.
-func NewSockets(most int) *Sockets { return &Sockets{most: int64(most)} }
+// NewConnLimit returns a limit on the number of connections.
+func NewConnLimit(limit int) *ConnLimit { return &ConnLimit{max: int64(limit)} }
 
-func (s *Sockets) take() bool {
-	if s.used.Add(1) > s.most {
-		s.used.Add(-1)
+func (s *ConnLimit) acquire() bool {
+	if s.open.Add(1) > s.max {
+		s.open.Add(-1)
 		return false
 	}
 	return true
 }
 
-func (s *Sockets) give() { s.used.Add(-1) }
+func (s *ConnLimit) release() { s.open.Add(-1) }
 
-// scarce reports whether an idle connection should rather be closed than kept.
-func (s *Sockets) scarce() bool { return s.used.Load() > s.most*3/4 }
+// nearlyExhausted reports whether idle connections should be closed rather than kept.
+func (s *ConnLimit) nearlyExhausted() bool { return s.open.Load() > s.max*3/4 }
 
-// Used is the number of open connections.
-func (s *Sockets) Used() int { return int(s.used.Load()) }
+// Used returns the number of open connections.
+func (s *ConnLimit) Used() int { return int(s.open.Load()) }
 
-// Under is the number of exchanges under way.
-func (s *Sockets) Under() int { return int(s.under.Load()) }
+// InFlight returns the number of exchanges in progress.
+func (s *ConnLimit) InFlight() int { return int(s.inFlight.Load()) }
 
-// The bounds of an answer. Beyond them it is spoilt: it may have run, and what
-// else is on its connection can't be told apart from it.
+// Limits of a response. One that exceeds them is invalid: the request may have run,
+// and later responses on the connection can't be delimited.
 const (
-	MaxAnswer  = 1 << 20                // its body
-	maxHead    = 8 << 10                // its head, the interim ones each for themselves
-	maxInterim = 32                     // 1xx answers before it
-	stalled    = 500 * time.Millisecond // without a byte, once it has begun
+	MaxResponseBody     = 1 << 20                // bytes of the body
+	maxHeaderBytes      = 8 << 10                // bytes of each header, final or interim
+	maxInterimResponses = 32                     // 1xx responses before the final one
+	readStallTimeout    = 500 * time.Millisecond // without a byte, once the response has begun
 )
 
-var errSpoilt = errors.New("spoilt answer")
+var errInvalidResponse = errors.New("invalid response")
 
-// Conn is a client's connection that carries one HTTP exchange at a time. It
-// never sends anything twice: what to do about a break is the caller's choice.
+// Conn is a client connection that carries one HTTP exchange at a time. It never
+// resends anything: the caller decides what to do when the connection is lost.
 type Conn struct {
-	world hostenv.Seam
-	nc    net.Conn
-	br    *bufio.Reader
-	head  atomic.Bool // the exchange under way has no body in its answer
-	until time.Time   // for the first byte of an answer; 0: no limit
-	begun bool        // it has come, so that the rest should follow
+	host            hostenv.Host
+	nc              net.Conn
+	br              *bufio.Reader
+	headRequest     atomic.Bool // the current request is a HEAD: its response has no body
+	readDeadline    time.Time   // for the first byte of a response; zero: no limit
+	responseStarted bool        // the first byte has arrived
 
-	last    bool // the head under way announces the connection's end
-	streams bool // long answers are read by whoever they are for
-	// A body without a length is no answer: one whose server is killed in its middle ends just so.
-	// Nor is a head that another begins in: a late answer was cut off, and the one behind it would
-	// lend its name to the other's status.
-	strict   bool
-	patience time.Duration // without a byte, once it has begun; 0: as usual
+	closeAnnounced bool // the current header has Connection: close
+	allowStreams   bool // long responses are streamed to their reader
+	// strict rejects a body without a length, since a server killed midway ends it the same way.
+	// It also rejects a header that contains another status line: a late response was cut off,
+	// and its status would be combined with the correlation ID of the response behind it.
+	strict       bool
+	stallTimeout time.Duration // without a byte, once begun; the longer of this and readStallTimeout applies
 }
 
-// Dial connects within the limit.
-func Dial(world hostenv.Seam, addr string, limit time.Duration) (*Conn, error) {
-	nc, err := hostenv.Or(world).Dial(addr, limit)
+// Dial connects to addr within the limit.
+func Dial(host hostenv.Host, addr string, limit time.Duration) (*Conn, error) {
+	nc, err := hostenv.OrReal(host).Dial(addr, limit)
 	if err != nil {
 		return nil, err
 	}
-	return newConn(world, nc), nil
+	return newConn(host, nc), nil
 }
 
-func newConn(world hostenv.Seam, nc net.Conn) *Conn {
-	c := &Conn{world: hostenv.Or(world), nc: nc}
-	c.br = bufio.NewReaderSize(reader{c}, maxHead)
+func newConn(host hostenv.Host, nc net.Conn) *Conn {
+	c := &Conn{host: hostenv.OrReal(host), nc: nc}
+	c.br = bufio.NewReaderSize(reader{c}, maxHeaderBytes)
 	return c
 }
 
-// reader bounds each read of a connection.
+// reader sets a deadline for each read of a connection.
 type reader struct{ *Conn }
 
 func (r reader) Read(p []byte) (int, error) {
-	until := r.until
-	if r.begun {
-		until = r.world.Now().Add(max(stalled, r.patience))
+	until := r.readDeadline
+	if r.responseStarted {
+		until = r.host.Now().Add(max(readStallTimeout, r.stallTimeout))
 	}
 	if err := r.nc.SetReadDeadline(until); err != nil {
 		return 0, err
@@ -108,119 +108,119 @@
 }
 
 // Write sends a whole request. An error means that its last byte was not
-// written, so that the server can't have begun it.
+// written, so the server can't have started to run it.
 func (c *Conn) Write(wire []byte, limit time.Duration) error {
-	if err := c.nc.SetWriteDeadline(c.world.Now().Add(limit)); err != nil {
+	if err := c.nc.SetWriteDeadline(c.host.Now().Add(limit)); err != nil {
 		return err
 	}
 	_, err := c.nc.Write(wire)
 	return err
 }
 
-// begin is Write for the beginning of a request.
-func (c *Conn) begin(wire []byte, limit time.Duration) error {
-	c.head.Store(len(wire) > 5 && string(wire[:5]) == "HEAD ")
+// writeRequest writes the first part of a request.
+func (c *Conn) writeRequest(wire []byte, limit time.Duration) error {
+	c.headRequest.Store(len(wire) > 5 && string(wire[:5]) == "HEAD ")
 	return c.Write(wire, limit)
 }
 
-// Read waits for an answer and skips what comes before the final one. An answer
-// that is cut short or has no clear end is an error: nobody could tell it from
-// a whole one. extra reports bytes behind it, after which the connection is of
-// no use, though the answer is good.
+// Read waits for a response and skips interim ones. A response that is truncated or
+// has no definite end is an error, since it can't be told from a complete one. extra
+// reports bytes behind the response: the response is valid, but the connection can't
+// be used again.
 func (c *Conn) Read(resp *fasthttp.Response) (extra bool, err error) {
-	defer func() { c.begun = c.patience > 0 }()
+	defer func() { c.responseStarted = c.stallTimeout > 0 }()
 	resp.Header.DisableNormalizing()
 	for interim := 0; ; interim++ {
 		if _, err := c.br.Peek(1); err != nil {
 			return false, err
 		}
-		c.begun = true
-		if err := c.clear(); err != nil {
+		c.responseStarted = true
+		if err := c.awaitHeader(); err != nil {
 			return false, err
 		}
-		if err := resp.Header.Read(c.br); err != nil { // it has come whole
-			return false, fmt.Errorf("%w: %w", errSpoilt, err)
+		if err := resp.Header.Read(c.br); err != nil { // the header is buffered completely
+			return false, fmt.Errorf("%w: %w", errInvalidResponse, err)
 		}
 		s := resp.StatusCode()
 		if s >= 200 {
 			break
 		}
-		if s < 100 || interim >= maxInterim {
-			return false, errSpoilt
+		if s < 100 || interim >= maxInterimResponses {
+			return false, errInvalidResponse
 		}
-		c.begun = c.br.Buffered() > 0 // the final one may take its time
+		c.responseStarted = c.br.Buffered() > 0 // no stall timeout while the final response is prepared
 	}
-	if s := resp.StatusCode(); c.head.Load() || s == fasthttp.StatusNoContent || s == fasthttp.StatusNotModified {
+	if s := resp.StatusCode(); c.headRequest.Load() || s == fasthttp.StatusNoContent || s == fasthttp.StatusNotModified {
 		resp.SkipBody = true
 		return c.br.Buffered() > 0, nil
 	}
 	length := resp.Header.ContentLength()
-	if length == -2 && (!c.streams || !c.last || c.strict) { // one that breaks would look whole
-		return false, fmt.Errorf("%w: a body without a length", errSpoilt)
+	if length == -2 && (!c.allowStreams || !c.closeAnnounced || c.strict) { // a truncated one would look complete
+		return false, fmt.Errorf("%w: body without a length", errInvalidResponse)
 	}
-	if c.streams && (length < 0 || length > Held) {
-		if err = c.long(resp, length); err != nil {
-			return false, spoilt(err)
+	if c.allowStreams && (length < 0 || length > MaxBuffered) {
+		if err = c.readLongBody(resp, length); err != nil {
+			return false, asInvalidResponse(err)
 		}
 		return !resp.IsBodyStream() && c.br.Buffered() > 0, nil
 	}
-	err = resp.ReadBody(c.br, MaxAnswer)
+	err = resp.ReadBody(c.br, MaxResponseBody)
 	if err == nil && length == -1 {
 		err = resp.Header.ReadTrailer(c.br)
 	}
 	if err != nil {
-		return false, spoilt(err)
+		return false, asInvalidResponse(err)
 	}
 	return c.br.Buffered() > 0, nil
 }
 
-// spoilt tells what a connection brought from how it ended.
-func spoilt(err error) error {
+// asInvalidResponse marks errors in the received data, as opposed to a lost connection.
+func asInvalidResponse(err error) error {
 	var broken net.Error
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &broken) {
 		return err
 	}
-	return fmt.Errorf("%w: %w", errSpoilt, err)
+	return fmt.Errorf("%w: %w", errInvalidResponse, err)
 }
 
-// clear waits for the next head, and reports one that tells two lengths: the
-// library would follow one of them.
-func (c *Conn) clear() error {
+// awaitHeader waits for a complete header, and rejects one with two body lengths:
+// the library would silently follow one of them.
+func (c *Conn) awaitHeader() error {
 	for n := 1; ; n = c.br.Buffered() + 1 {
 		if _, err := c.br.Peek(n); err != nil {
-			return spoilt(err)
+			return asInvalidResponse(err)
 		}
 		seen, _ := c.br.Peek(c.br.Buffered())
 		if end := bytes.Index(seen, []byte("\r\n\r\n")); end >= 0 {
-			if TwoLengths(seen[:end]) || c.strict && twoHeads(seen[:end]) {
-				return errSpoilt
+			if HasConflictingLengths(seen[:end]) || c.strict && containsStatusLine(seen[:end]) {
+				return errInvalidResponse
 			}
-			c.last = announces(seen[:end])
+			c.closeAnnounced = announcesClose(seen[:end])
 			return nil
 		}
 		if bytes.Contains(seen, []byte("\n\n")) {
-			return errSpoilt
+			return errInvalidResponse
 		}
 	}
 }
 
-// TwoLengths reports whether a head has both Content-Length and
-// Transfer-Encoding: whoever reads by the other one finds another message.
-func TwoLengths(head []byte) bool {
-	var length, transfer bool
-	for line := range bytes.SplitSeq(head, []byte("\n")) {
+// HasConflictingLengths reports whether a header has both Content-Length and
+// Transfer-Encoding: recipients that follow different ones see different messages.
+func HasConflictingLengths(header []byte) bool {
+	var hasLength, hasTransfer bool
+	for line := range bytes.SplitSeq(header, []byte("\n")) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
 		name = bytes.TrimSpace(name)
-		length = length || bytes.EqualFold(name, []byte("Content-Length"))
-		transfer = transfer || bytes.EqualFold(name, []byte("Transfer-Encoding"))
+		hasLength = hasLength || bytes.EqualFold(name, []byte("Content-Length"))
+		hasTransfer = hasTransfer || bytes.EqualFold(name, []byte("Transfer-Encoding"))
 	}
-	return length && transfer
+	return hasLength && hasTransfer
 }
 
-// twoHeads reports whether a status line stands within a head.
-func twoHeads(head []byte) bool {
+// containsStatusLine reports whether there is a status line inside a header.
+func containsStatusLine(header []byte) bool {
 	const begins = "HTTP/1."
-	for rest := head[min(1, len(head)):]; ; {
+	for rest := header[min(1, len(header)):]; ; {
 		i := bytes.Index(rest, []byte(begins))
 		if i < 0 {
 			return false
@@ -231,9 +231,9 @@
 	}
 }
 
-// announces reports whether a head says that the connection ends behind the message.
-func announces(head []byte) bool {
-	for line := range bytes.SplitSeq(head, []byte("\n")) {
+// announcesClose reports whether a header has Connection: close.
+func announcesClose(header []byte) bool {
+	for line := range bytes.SplitSeq(header, []byte("\n")) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		if bytes.EqualFold(bytes.TrimSpace(name), []byte("Connection")) &&
 			bytes.EqualFold(bytes.TrimSpace(value), []byte("close")) {
@@ -243,10 +243,10 @@
 	return false
 }
 
-// Quiet reports whether nothing has come since the last answer, not even the
-// connection's end. What has is no answer to a request that is yet to be sent.
+// Quiet reports whether nothing has been received since the last response, not even
+// the end of the connection. Data received before a request can't be its response.
 func (c *Conn) Quiet() bool {
-	if q, ok := c.nc.(interface{ Quiet() bool }); ok { // no descriptor to look at
+	if q, ok := c.nc.(interface{ Quiet() bool }); ok { // simulated connections have no file descriptor
 		return q.Quiet()
 	}
 	sc, ok := c.nc.(syscall.Conn)
@@ -266,8 +266,8 @@
 	return err == nil && quiet
 }
 
-// SetReadDeadline bounds the wait for the next answer.
-func (c *Conn) SetReadDeadline(t time.Time) { c.until = t }
+// SetReadDeadline bounds the wait for the next response.
+func (c *Conn) SetReadDeadline(t time.Time) { c.readDeadline = t }
 
-// Close ends the connection, and with it an exchange under way.
+// Close closes the connection and aborts the current exchange.
 func (c *Conn) Close() error { return c.nc.Close() }
