--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -269,18 +269,18 @@
 
 // Reply answers it.
 type Reply struct {
-	Error   string           `json:"error,omitempty"`
-	Leader  *Peer            `json:"leader,omitempty"` // ask this one
-	Ask     bool             `json:"ask,omitempty"`    // this one has no vote: ask another
-	Version int64            `json:"version"`
-	Change  *policy.Change   `json:"change,omitempty"`
-	Changes []policy.Change  `json:"changes,omitempty"`
-	Stage   string           `json:"stage,omitempty"`
-	Members []policy.Seen    `json:"members,omitempty"`
-	Voters  []Peer           `json:"voters,omitempty"`
-	Votes   []string         `json:"votes,omitempty"`
-	Term    uint64           `json:"term,omitempty"`
-	Counts  map[string]int64 `json:"counts,omitempty"`
+	Error   string                `json:"error,omitempty"`
+	Leader  *Peer                 `json:"leader,omitempty"` // ask this one
+	Ask     bool                  `json:"ask,omitempty"`    // this one has no vote: ask another
+	Version int64                 `json:"version"`
+	Change  *policy.Change        `json:"change,omitempty"`
+	Changes []policy.Change       `json:"changes,omitempty"`
+	Stage   string                `json:"stage,omitempty"`
+	Members []policy.MemberStatus `json:"members,omitempty"`
+	Voters  []Peer                `json:"voters,omitempty"`
+	Votes   []string              `json:"votes,omitempty"`
+	Term    uint64                `json:"term,omitempty"`
+	Counts  map[string]int64      `json:"counts,omitempty"`
 }
 
 // waiter is a proposal whose entry is not yet applied.
@@ -416,7 +416,7 @@
 		}
 	case "status":
 		var stage policy.Stage
-		stage, r.Members = v.Conduct().Status(now)
+		stage, r.Members = v.Coordinator().Status(now)
 		r.Stage = stage.String()
 		if p := v.Register().Pending(); p != nil {
 			c := *p
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -87,17 +87,17 @@
 	vote    uint64
 	leader  uint64
 
-	beatAt    time.Duration
-	heardAt   time.Duration // of a leader
-	electAt   time.Duration
-	conduct   *policy.Conduct
-	token     uint64
-	reading   bool
-	readIndex uint64 // confirmed once that is applied; 0: not yet confirmed
-	wants     bool   // a read
-	readAt    time.Duration
-	replace   *replacement
-	snaps     map[uint64]time.Duration // sent, and not yet known to have come
+	beatAt      time.Duration
+	heardAt     time.Duration // of a leader
+	electAt     time.Duration
+	coordinator *policy.Coordinator
+	token       uint64
+	reading     bool
+	readIndex   uint64 // confirmed once that is applied; 0: not yet confirmed
+	wants       bool   // a read
+	readAt      time.Duration
+	replace     *replacement
+	snaps       map[uint64]time.Duration // sent, and not yet known to have come
 
 	err  error
 	out  []*raftpb.Message
@@ -183,7 +183,7 @@
 	if v.err == nil {
 		v.err = err
 	}
-	v.conduct, v.out, v.give, v.leader = nil, nil, nil, 0
+	v.coordinator, v.out, v.give, v.leader = nil, nil, nil, 0
 }
 
 func (v *Voter) putOff(now time.Duration) {
@@ -197,7 +197,7 @@
 }
 
 // Leads reports whether this one is the leader, as far as it knows.
-func (v *Voter) Leads() bool { return v.conduct != nil }
+func (v *Voter) Leads() bool { return v.coordinator != nil }
 
 // Describe is the engine's state, for traces.
 func (v *Voter) Describe() string {
@@ -226,8 +226,8 @@
 // Register is the state; it must not be changed.
 func (v *Voter) Register() *policy.Register { return v.state.Register }
 
-// Conduct is the leader's part; nil: this one does not lead.
-func (v *Voter) Conduct() *policy.Conduct { return v.conduct }
+// Coordinator is the leader's part; nil: this one does not lead.
+func (v *Voter) Coordinator() *policy.Coordinator { return v.coordinator }
 
 // Term is the one that this replica is in.
 func (v *Voter) Term() uint64 { return v.term }
@@ -264,12 +264,12 @@
 // Renew takes a gateway's call. It reports whether this one leads; if not, the
 // gateway has to call another.
 func (v *Voter) Renew(now time.Duration, member uint64, r policy.Renew) bool {
-	if v.conduct == nil {
+	if v.coordinator == nil {
 		return false
 	}
-	v.conduct.Renew(now, member, r)
+	v.coordinator.Renew(now, member, r)
 	v.ready(now)
-	return v.conduct != nil
+	return v.coordinator != nil
 }
 
 // ErrNotLeader is that only the leader takes proposals.
@@ -278,7 +278,7 @@
 // Propose puts a command into the log. Whether it comes to hold shows in the
 // register.
 func (v *Voter) Propose(now time.Duration, c policy.Command) error {
-	if v.conduct == nil {
+	if v.coordinator == nil {
 		return ErrNotLeader
 	}
 	var err error
@@ -290,7 +290,7 @@
 // it learns the log, then the two change places in one step. One at a time.
 func (v *Voter) Replace(now time.Duration, old uint64, new Peer) error {
 	switch {
-	case v.conduct == nil:
+	case v.coordinator == nil:
 		return ErrNotLeader
 	case v.replace != nil:
 		return fmt.Errorf("%s is being made a voter", v.replace.new.Name)
@@ -321,7 +321,7 @@
 // follow goes on with a replacement once the new one has the log.
 func (v *Voter) follow(now time.Duration) {
 	r := v.replace
-	if r == nil || v.conduct == nil {
+	if r == nil || v.coordinator == nil {
 		return
 	}
 	if v.Votes(r.new.ID) {
@@ -357,20 +357,20 @@
 	if v.err != nil {
 		return
 	}
-	if v.conduct != nil {
+	if v.coordinator != nil {
 		for ; v.beatAt <= now; v.beatAt += beat {
 			if now-v.beatAt > electAfter { // this process stood still; so many beats at once would say nothing
 				v.beatAt = now
 			}
 			v.do(now, func() error { v.rn.Tick(); return nil })
-			if v.conduct == nil {
+			if v.coordinator == nil {
 				return
 			}
 			v.follow(now)
 			v.resend(now)
 		}
-		if v.conduct != nil {
-			v.conduct.Tick(now)
+		if v.coordinator != nil {
+			v.coordinator.Tick(now)
 		}
 		v.ready(now)
 		return
@@ -387,8 +387,8 @@
 
 // Wait is the time until Tick has something to do.
 func (v *Voter) Wait(now time.Duration) time.Duration {
-	if v.conduct != nil {
-		if v.conduct.Busy() {
+	if v.coordinator != nil {
+		if v.coordinator.Busy() {
 			return 2 * time.Millisecond
 		}
 		return 12 * time.Millisecond
@@ -444,7 +444,7 @@
 					if err := v.mem.SetHardState(hard); err != nil {
 						return err
 					}
-					if v.term, v.vote = hard.GetTerm(), hard.GetVote(); v.vote != 0 && v.conduct == nil {
+					if v.term, v.vote = hard.GetTerm(), hard.GetVote(); v.vote != 0 && v.coordinator == nil {
 						v.putOff(now)
 					}
 				}
@@ -473,9 +473,9 @@
 			}
 			v.rn.Advance(rd)
 		}
-		if v.reading && v.readIndex != 0 && v.applied >= v.readIndex && v.conduct != nil {
+		if v.reading && v.readIndex != 0 && v.applied >= v.readIndex && v.coordinator != nil {
 			v.reading, v.readIndex = false, 0
-			v.conduct.Confirmed(now)
+			v.coordinator.Confirmed(now)
 		}
 		var err error
 		if again, err = v.lead(now); err != nil {
@@ -489,11 +489,11 @@
 func (v *Voter) roles(now time.Duration, s *raft.SoftState) {
 	v.leader = s.Lead
 	switch leads := s.RaftState == raft.StateLeader; {
-	case leads && v.conduct == nil:
-		v.conduct = policy.Lead(v.terms, v.state.Register, v.term, now)
+	case leads && v.coordinator == nil:
+		v.coordinator = policy.NewCoordinator(v.terms, v.state.Register, v.term, now)
 		v.reading, v.readIndex, v.wants, v.replace, v.beatAt, v.snaps = false, 0, false, nil, now, map[uint64]time.Duration{}
-	case !leads && v.conduct != nil:
-		v.conduct = nil
+	case !leads && v.coordinator != nil:
+		v.coordinator = nil
 		v.heardAt = now
 		v.putOff(now)
 	}
@@ -502,23 +502,23 @@
 // lead does what the leader's part wants. It reports whether the engine has more
 // to do after that.
 func (v *Voter) lead(now time.Duration) (again bool, err error) {
-	if v.conduct == nil {
+	if v.coordinator == nil {
 		return false, nil
 	}
-	o := v.conduct.Out()
+	o := v.coordinator.Out()
 	v.give = append(v.give, o.Grants...)
 	v.wants = v.wants || o.Read
 	for _, c := range o.Propose {
 		switch err := v.rn.Propose(c.Encode()); {
 		case errors.Is(err, raft.ErrProposalDropped):
-			v.conduct.Dropped(now)
+			v.coordinator.Dropped(now)
 		case err != nil:
 			return false, err
 		}
 		again = true
 	}
 	every := readEvery
-	if v.conduct.Busy() {
+	if v.coordinator.Busy() {
 		every = readBusy
 	}
 	if v.wants && !v.reading && (now-v.readAt >= every || now < v.readAt) {
@@ -553,8 +553,8 @@
 				return err
 			}
 			v.state.Register.Apply(c)
-			if v.conduct != nil {
-				v.conduct.Applied(now)
+			if v.coordinator != nil {
+				v.coordinator.Applied(now)
 			}
 		}
 	case raftpb.EntryConfChangeV2:
--- a/internal/cluster/world/world.go
+++ b/internal/cluster/world/world.go
@@ -403,7 +403,7 @@
 		} else if was != n.index {
 			w.breaks("leaders", "%s and %s lead in term %d", n.name, w.nodes[was].name, v.Term())
 		}
-		if c := v.Conduct(); c.Held > 0 {
+		if c := v.Coordinator(); c.Held > 0 {
 			w.res.HeldMost, c.Held = max(w.res.HeldMost, c.Held), 0
 		}
 	}
@@ -799,7 +799,7 @@
 	}
 	for _, n := range w.nodes {
 		if n.voter != nil && n.voter.Leads() {
-			stage, seen := n.voter.Conduct().Status(w.clock(n))
+			stage, seen := n.voter.Coordinator().Status(w.clock(n))
 			w.note("%s leads, %v, %+v", n.name, stage, seen)
 		}
 		w.note("%s calls g-%d, %d missed", n.name, n.target, n.holder.Missed())
--- a/internal/policy/conduct.go
+++ b/internal/policy/coordinator.go
@@ -22,7 +22,7 @@
 
 // past is the leader's time after which a lease granted now has run out at any
 // gateway.
-func (t Terms) past(now time.Duration) time.Duration {
+func (t Terms) leaseExpiry(now time.Duration) time.Duration {
 	return now + time.Duration(float64(t.Lease)*(1+t.Drift)) + time.Millisecond
 }
 
@@ -80,25 +80,25 @@
 
 func (s Stage) String() string { return [...]string{"idle", "checking", "holding", "turning"}[s] }
 
-// Conduct is the leader's part. Members are named by the incarnation of their
+// Coordinator is the leader's part. Members are named by the incarnation of their
 // process: one that starts anew is another member.
-type Conduct struct {
-	terms   Terms
-	reg     *Register
-	term    uint64
-	since   time.Duration // leads since
-	stage   Stage
-	change  uint64
-	at      time.Duration // of the stage
-	round   uint64
-	tried   int
-	after   time.Duration // no new round before
-	members map[uint64]*member
-	order   []uint64 // their ids, sorted: a replay is the same
-	reading []read   // the calls that the read under way confirms
-	waiting []uint64 // those that came since
-	hurry   bool     // a turn is over: gateways wait for their leases
-	out     Out
+type Coordinator struct {
+	terms        Terms
+	reg          *Register
+	term         uint64
+	leadingSince time.Duration // leads since
+	stage        Stage
+	change       uint64
+	stageSince   time.Duration // of the stage
+	round        uint64
+	holdAttempts int
+	retryAfter   time.Duration // no new round before
+	members      map[uint64]*member
+	order        []uint64        // their ids, sorted: a replay is the same
+	confirming   []confirmedCall // the calls that the read under way confirms
+	unconfirmed  []uint64        // those that came since
+	turnEnded    bool            // a turn is over: gateways wait for their leases
+	out          Out
 
 	// Enough says whether as many have checked the change as it needs; until then nobody
 	// is fenced for it and nothing turns. Nil: all that hold a lease are.
@@ -111,36 +111,36 @@
 	Held time.Duration
 }
 
-// read is a call that was there before the voters were asked whether this still is the
-// leader: one that came after that needs another read, though they answer later.
-type read struct{ id, seq uint64 }
+// confirmedCall is a call that was there before the voters were asked whether this still is the
+// leader: one that came after that needs another confirmedCall, though they answer later.
+type confirmedCall struct{ id, seq uint64 }
 
 type member struct {
 	Renew
-	seen, until time.Duration // last call; end of its lease, by this clock
-	asks        bool          // its last call has no answer yet
-	asked       time.Duration // told of the change, for the first time
-	fenced      bool          // gets no lease before it has checked the change
-	told        uint64        // round of the hold it has been told of
+	lastSeen, leaseUntil time.Duration // last call; end of its lease, by this clock
+	awaitsAnswer         bool          // its last call has no answer yet
+	notifiedAt           time.Duration // told of the change, for the first time
+	fenced               bool          // gets no lease before it has checked the change
+	holdSentRound        uint64        // round of the hold it has been told of
 }
 
-// Lead begins a leader's part. Leases that a leader before it has granted may
+// NewCoordinator begins a leader's part. Leases that a leader before it has granted may
 // still run.
-func Lead(terms Terms, reg *Register, term uint64, now time.Duration) *Conduct {
-	c := &Conduct{terms: terms, reg: reg, term: term, since: now, members: map[uint64]*member{}, round: term << 24}
+func NewCoordinator(terms Terms, reg *Register, term uint64, now time.Duration) *Coordinator {
+	c := &Coordinator{terms: terms, reg: reg, term: term, leadingSince: now, members: map[uint64]*member{}, round: term << 24}
 	c.Applied(now)
 	return c
 }
 
 // Out takes what is to be done.
-func (c *Conduct) Out() Out {
+func (c *Coordinator) Out() Out {
 	o := c.out
 	c.out = Out{}
 	return o
 }
 
 // Renew takes a gateway's call.
-func (c *Conduct) Renew(now time.Duration, id uint64, r Renew) {
+func (c *Coordinator) Renew(now time.Duration, id uint64, r Renew) {
 	m := c.members[id]
 	if m == nil {
 		m = &member{}
@@ -151,19 +151,19 @@
 	if r.Seq <= m.Seq { // late, or twice
 		return
 	}
-	if m.Renew, m.seen, m.asks = r, now, true; !slices.Contains(c.waiting, id) {
-		c.waiting = append(c.waiting, id)
+	if m.Renew, m.lastSeen, m.awaitsAnswer = r, now, true; !slices.Contains(c.unconfirmed, id) {
+		c.unconfirmed = append(c.unconfirmed, id)
 	}
-	c.read() // what it says of a change counts at the next Tick: hundreds may come together
+	c.requestConfirmation() // what it says of a change counts at the next Tick: hundreds may come together
 }
 
 // Confirmed tells that after the last Out with Read the voters still took this
 // one for the leader, and that all of the log until then is applied.
-func (c *Conduct) Confirmed(now time.Duration) {
-	ready := c.reading
-	c.reading, c.hurry = nil, false
+func (c *Coordinator) Confirmed(now time.Duration) {
+	ready := c.confirming
+	c.confirming, c.turnEnded = nil, false
 	for _, r := range ready {
-		if m := c.members[r.id]; m != nil && m.asks {
+		if m := c.members[r.id]; m != nil && m.awaitsAnswer {
 			c.answer(now, r, m)
 		}
 	}
@@ -171,18 +171,18 @@
 }
 
 // Unconfirmed gives a read up: those that wait are asked for with the next.
-func (c *Conduct) Unconfirmed() {
-	for _, r := range c.reading {
-		if !slices.Contains(c.waiting, r.id) {
-			c.waiting = append(c.waiting, r.id)
+func (c *Coordinator) Unconfirmed() {
+	for _, r := range c.confirming {
+		if !slices.Contains(c.unconfirmed, r.id) {
+			c.unconfirmed = append(c.unconfirmed, r.id)
 		}
 	}
-	c.reading = nil
+	c.confirming = nil
 }
 
 // answer gives a member what it may have now, from the call that has been confirmed: a
 // later one of it waits for its own.
-func (c *Conduct) answer(now time.Duration, r read, m *member) {
+func (c *Coordinator) answer(now time.Duration, r confirmedCall, m *member) {
 	id := r.id
 	g := Grant{Seq: r.seq, Term: c.term, Version: c.reg.Version}
 	if p := c.reg.Pending(); p != nil && m.Checked != p.ID {
@@ -198,27 +198,27 @@
 	switch {
 	case c.stage == Holding || c.stage == Turning:
 		if m.Held == c.round {
-			if !slices.Contains(c.waiting, id) {
-				c.waiting = append(c.waiting, id) // it has its answer once the hold is over
+			if !slices.Contains(c.unconfirmed, id) {
+				c.unconfirmed = append(c.unconfirmed, id) // it has its answer once the hold is over
 			}
 			return
 		}
-		g.Hold, m.told = c.round, c.round
+		g.Hold, m.holdSentRound = c.round, c.round
 	case m.fenced && m.Checked != c.change:
 		g.Fenced = fmt.Sprintf("said nothing on change %x for %v", c.change, c.terms.CheckWithin)
 	default:
 		m.fenced = false
-		g.Lease, m.until = c.terms.Lease, c.terms.past(now)
+		g.Lease, m.leaseUntil = c.terms.Lease, c.terms.leaseExpiry(now)
 	}
-	m.asks = m.Seq != r.seq
+	m.awaitsAnswer = m.Seq != r.seq
 	c.out.Grants = append(c.out.Grants, Directed{id, g})
 }
 
 // Tick lets time pass.
-func (c *Conduct) Tick(now time.Duration) {
+func (c *Coordinator) Tick(now time.Duration) {
 	c.order = slices.DeleteFunc(c.order, func(id uint64) bool {
 		m := c.members[id]
-		gone := m.until < now && now-m.seen > 20*c.terms.Lease
+		gone := m.leaseUntil < now && now-m.lastSeen > 20*c.terms.Lease
 		if gone {
 			delete(c.members, id)
 		}
@@ -228,48 +228,48 @@
 }
 
 // Applied tells that the register has changed.
-func (c *Conduct) Applied(now time.Duration) {
+func (c *Coordinator) Applied(now time.Duration) {
 	p := c.reg.Pending()
 	switch {
 	case p == nil && c.stage != Idle:
 		if c.stage == Turning {
-			c.Held = now - c.at
+			c.Held = now - c.stageSince
 		}
 		c.enter(Idle, now)
-		c.change, c.hurry = 0, true
+		c.change, c.turnEnded = 0, true
 		for _, m := range c.members {
 			m.fenced = false
 		}
-		c.call()
+		c.requestRenewals()
 	case p != nil && (c.stage == Idle || c.change != p.ID):
 		c.enter(Checking, now)
-		c.change, c.tried, c.after = p.ID, 0, 0
+		c.change, c.holdAttempts, c.retryAfter = p.ID, 0, 0
 		for _, m := range c.members {
-			m.asked, m.fenced = 0, false
+			m.notifiedAt, m.fenced = 0, false
 		}
-		c.call()
+		c.requestRenewals()
 	}
 	c.step(now)
 }
 
-func (c *Conduct) enter(s Stage, now time.Duration) { c.stage, c.at = s, now }
+func (c *Coordinator) enter(s Stage, now time.Duration) { c.stage, c.stageSince = s, now }
 
-// each calls do for the members in order of their ids.
-func (c *Conduct) each(do func(id uint64, m *member)) {
+// forEachMember calls do for the members in order of their ids.
+func (c *Coordinator) forEachMember(do func(id uint64, m *member)) {
 	for _, id := range c.order {
 		do(id, c.members[id])
 	}
 }
 
 // Stage of the change under way.
-func (c *Conduct) Stage() Stage { return c.stage }
+func (c *Coordinator) Stage() Stage { return c.stage }
 
 // Busy reports whether a change is under way, so that every moment counts.
-func (c *Conduct) Busy() bool { return c.stage != Idle || c.hurry }
+func (c *Coordinator) Busy() bool { return c.stage != Idle || c.turnEnded }
 
-// call asks all members to renew at once.
-func (c *Conduct) call() {
-	c.each(func(id uint64, m *member) {
+// requestRenewals asks all members to renew at once.
+func (c *Coordinator) requestRenewals() {
+	c.forEachMember(func(id uint64, m *member) {
 		g := Grant{Term: c.term, Version: c.reg.Version}
 		if p := c.reg.Pending(); p != nil && m.Checked != p.ID {
 			g.Change, g.Next = p.ID, p.Text
@@ -279,65 +279,65 @@
 }
 
 // step goes on as far as it can.
-func (c *Conduct) step(now time.Duration) {
+func (c *Coordinator) step(now time.Duration) {
 	switch c.stage {
 	case Checking:
 		c.check(now)
 	case Holding:
 		c.hold(now)
 	}
-	c.read()
+	c.requestConfirmation()
 }
 
-// read asks for a confirmation, if any call waits for one.
-func (c *Conduct) read() {
-	if len(c.reading) == 0 && !c.out.Read && slices.ContainsFunc(c.waiting, c.due) {
-		for _, id := range c.waiting {
+// requestConfirmation asks for a confirmation, if any call waits for one.
+func (c *Coordinator) requestConfirmation() {
+	if len(c.confirming) == 0 && !c.out.Read && slices.ContainsFunc(c.unconfirmed, c.answerable) {
+		for _, id := range c.unconfirmed {
 			if m := c.members[id]; m != nil {
-				c.reading = append(c.reading, read{id, m.Seq})
+				c.confirming = append(c.confirming, confirmedCall{id, m.Seq})
 			}
 		}
-		c.waiting, c.out.Read = nil, true
+		c.unconfirmed, c.out.Read = nil, true
 	}
 }
 
-// due reports whether a call that waits can be answered now.
-func (c *Conduct) due(id uint64) bool {
+// answerable reports whether a call that waits can be answered now.
+func (c *Coordinator) answerable(id uint64) bool {
 	m := c.members[id]
-	return m != nil && m.asks && (c.stage != Holding && c.stage != Turning || m.Held != c.round)
+	return m != nil && m.awaitsAnswer && (c.stage != Holding && c.stage != Turning || m.Held != c.round)
 }
 
 // check waits until all that hold a lease have checked the change. Those that say
 // nothing get no more leases; the rest goes on meanwhile.
-func (c *Conduct) check(now time.Duration) {
+func (c *Coordinator) check(now time.Duration) {
 	enough := c.Enough == nil || c.Enough()
-	done := enough && now >= c.terms.past(c.since) // what a leader before this one has granted has run out
-	c.each(func(id uint64, m *member) {
+	done := enough && now >= c.terms.leaseExpiry(c.leadingSince) // what a leader before this one has granted has run out
+	c.forEachMember(func(id uint64, m *member) {
 		switch {
 		case m.Checked == c.change && m.Refusal != "":
-			if done = false; now >= c.after {
-				c.after = now + c.terms.CheckWithin // until it is applied; or again
+			if done = false; now >= c.retryAfter {
+				c.retryAfter = now + c.terms.CheckWithin // until it is applied; or again
 				c.out.Propose = append(c.out.Propose, Command{Kind: Withdraw, ID: c.change, By: m.Name,
 					Why: m.Name + " can't take it: " + m.Refusal})
 			}
 		case m.Checked == c.change:
-		case m.until <= now && m.fenced:
-		case m.until <= now && m.asked == 0 && now-m.seen > c.terms.Lease: // gone long ago
+		case m.leaseUntil <= now && m.fenced:
+		case m.leaseUntil <= now && m.notifiedAt == 0 && now-m.lastSeen > c.terms.Lease: // gone long ago
 		default:
 			done = false
-			if m.asked == 0 {
-				m.asked = now
+			if m.notifiedAt == 0 {
+				m.notifiedAt = now
 			}
-			m.fenced = m.fenced || enough && now-m.asked > c.terms.CheckWithin
+			m.fenced = m.fenced || enough && now-m.notifiedAt > c.terms.CheckWithin
 		}
 	})
-	if done && now >= c.after {
+	if done && now >= c.retryAfter {
 		c.round++
-		c.tried++
+		c.holdAttempts++
 		c.enter(Holding, now)
-		c.each(func(id uint64, m *member) {
-			if m.until > now {
-				m.told = c.round
+		c.forEachMember(func(id uint64, m *member) {
+			if m.leaseUntil > now {
+				m.holdSentRound = c.round
 				c.out.Grants = append(c.out.Grants, Directed{id, Grant{Term: c.term, Version: c.reg.Version, Hold: c.round}})
 			}
 		})
@@ -346,20 +346,20 @@
 }
 
 // Dropped tells that what Out proposed has not come into the log, and never will.
-func (c *Conduct) Dropped(now time.Duration) {
+func (c *Coordinator) Dropped(now time.Duration) {
 	if c.stage == Turning {
 		c.enter(Checking, now)
-		c.after = now + c.terms.HoldWithin
-		c.call()
+		c.retryAfter = now + c.terms.HoldWithin
+		c.requestRenewals()
 	}
 }
 
 // hold waits for all that hold a lease to say that they decide nothing. A leader that stood
 // still finds that nobody has one any more: nobody is missing then, and nobody has said a word.
-func (c *Conduct) hold(now time.Duration) {
-	missing, late := false, now-c.at > c.terms.HoldWithin
-	c.each(func(id uint64, m *member) {
-		missing = missing || m.until > now && m.Held != c.round
+func (c *Coordinator) hold(now time.Duration) {
+	missing, late := false, now-c.stageSince > c.terms.HoldWithin
+	c.forEachMember(func(id uint64, m *member) {
+		missing = missing || m.leaseUntil > now && m.Held != c.round
 	})
 	switch {
 	case !missing && (c.Still == nil || !late && c.Still()):
@@ -367,19 +367,19 @@
 		c.out.Propose = append(c.out.Propose, Command{Kind: Turn, ID: c.change})
 	case !missing || late:
 		// Serving goes on by the old version. Who said nothing has to say anew that it is there.
-		c.each(func(id uint64, m *member) {
-			if m.until > now && m.Held != c.round {
-				m.Checked, m.asked = 0, now-c.terms.CheckWithin/2
+		c.forEachMember(func(id uint64, m *member) {
+			if m.leaseUntil > now && m.Held != c.round {
+				m.Checked, m.notifiedAt = 0, now-c.terms.CheckWithin/2
 			}
 		})
 		c.enter(Checking, now)
-		c.after = now + min(100*time.Millisecond<<min(c.tried, 5), c.terms.Lease)
-		c.call()
+		c.retryAfter = now + min(100*time.Millisecond<<min(c.holdAttempts, 5), c.terms.Lease)
+		c.requestRenewals()
 	}
 }
 
-// Seen is a member as operators see it.
-type Seen struct {
+// MemberStatus is a member as operators see it.
+type MemberStatus struct {
 	Name    string        `json:"name"`
 	Zone    string        `json:"zone,omitempty"`
 	ID      uint64        `json:"incarnation"`
@@ -393,9 +393,9 @@
 }
 
 // Status tells who has what.
-func (c *Conduct) Status(now time.Duration) (stage Stage, all []Seen) {
-	c.each(func(id uint64, m *member) {
-		s := Seen{Name: m.Name, Zone: m.Zone, ID: id, Version: m.Version, Checked: m.Checked, Refusal: m.Refusal, Ago: now - m.seen, Leased: m.until > now, Digest: m.Digest}
+func (c *Coordinator) Status(now time.Duration) (stage Stage, all []MemberStatus) {
+	c.forEachMember(func(id uint64, m *member) {
+		s := MemberStatus{Name: m.Name, Zone: m.Zone, ID: id, Version: m.Version, Checked: m.Checked, Refusal: m.Refusal, Ago: now - m.lastSeen, Leased: m.leaseUntil > now, Digest: m.Digest}
 		switch {
 		case m.Refusal != "" && m.Checked == c.change:
 			s.Fenced = m.Refusal
@@ -406,6 +406,6 @@
 		}
 		all = append(all, s)
 	})
-	slices.SortFunc(all, func(x, y Seen) int { return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.ID, y.ID)) })
+	slices.SortFunc(all, func(x, y MemberStatus) int { return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.ID, y.ID)) })
 	return c.stage, all
 }
--- a/internal/policy/explore.go
+++ b/internal/policy/explore.go
@@ -28,7 +28,7 @@
 
 const step = 10 * time.Millisecond
 
-var smallTerms = Terms{Lease: 3 * step, Renew: step, CheckWithin: step, HoldWithin: step}
+var modelTerms = Terms{Lease: 3 * step, Renew: step, CheckWithin: step, HoldWithin: step}
 
 // Explore visits every state that the leader's conduct and the gateways' holders can
 // come to within bounds, with messages that come in any order, late, twice or never,
@@ -37,90 +37,90 @@
 // which a gateway may decide by a version that is not in force, "" if there is none.
 func Explore(b Bounds) (states int, all bool, broken string) {
 	e := &explorer{b: b, seen: map[uint64]struct{}{}, seed: maphash.MakeSeed()}
-	s := &small{reg: NewRegister(), b: b}
-	s.c = Lead(smallTerms, s.reg, 1, 0)
-	s.now = smallTerms.past(0) // no leader before this one
+	s := &modelState{reg: NewRegister(), b: b}
+	s.c = NewCoordinator(modelTerms, s.reg, 1, 0)
+	s.now = modelTerms.leaseExpiry(0) // no leader before this one
 	for i := range b.Members {
 		s.join(i)
 	}
 	s.settle()
-	e.meet(s)
-	for len(e.todo) > 0 && e.broken == "" && (b.States == 0 || len(e.seen) < b.States) {
+	e.addIfNew(s)
+	for len(e.todo) > 0 && e.violation == "" && (b.States == 0 || len(e.seen) < b.States) {
 		n := len(e.todo) - 1
 		next := e.todo[n]
 		e.todo[n] = nil
 		e.todo = e.todo[:n]
-		e.visit(next)
+		e.expand(next)
 	}
-	return len(e.seen), len(e.todo) == 0, e.broken
+	return len(e.seen), len(e.todo) == 0, e.violation
 }
 
 type explorer struct {
-	b      Bounds
-	seen   map[uint64]struct{}
-	seed   maphash.Seed
-	broken string
-	todo   []*small
+	b         Bounds
+	seen      map[uint64]struct{}
+	seed      maphash.Seed
+	violation string
+	todo      []*modelState
 
-	text    []byte // of the last hash, to be used again
-	letters [][8]int64
+	text        []byte // of the last hash, to be used again
+	messageKeys [][8]int64
 }
 
-// small is a state.
-type small struct {
-	b       Bounds
-	now     time.Duration
-	steps   int
-	reg     *Register
-	c       *Conduct
-	holders []*Holder
-	ids     []uint64
-	lives   uint64
-	under   []letter
-	entries []Command // proposed, not yet committed
-	read    bool      // a confirmation is under way
-	old     *Conduct  // a leader that stood still, with a confirmation that it has not read
+// modelState is a state.
+type modelState struct {
+	b                   Bounds
+	now                 time.Duration
+	steps               int
+	reg                 *Register
+	c                   *Coordinator
+	holders             []*Holder
+	ids                 []uint64
+	incarnations        uint64
+	inFlight            []message
+	entries             []Command    // proposed, not yet committed
+	confirmationPending bool         // a confirmation is under way
+	stalled             *Coordinator // a leader that stood still, with a confirmation that it has not read
 }
 
-// letter is a message under way.
-type letter struct {
+// message is a message under way.
+type message struct {
 	member int
 	id     uint64
 	renew  *Renew // to the leader
 	grant  *Grant // from it
 }
 
-func (s *small) join(i int) {
-	s.lives++
-	h := NewHolder(smallTerms, string(rune('a'+i)), "", "")
+func (s *modelState) join(i int) {
+	s.incarnations++
+	h := NewHolder(modelTerms, string(rune('a'+i)), "", "")
 	if i == len(s.holders) {
-		s.holders, s.ids = append(s.holders, h), append(s.ids, s.lives)
+		s.holders, s.ids = append(s.holders, h), append(s.ids, s.incarnations)
 	} else {
-		s.holders[i], s.ids[i] = h, s.lives
+		s.holders[i], s.ids[i] = h, s.incarnations
 	}
 }
 
-func (s *small) clone() *small {
+func (s *modelState) clone() *modelState {
 	n := *s
 	reg := *s.reg
 	reg.Changes = slices.Clone(s.reg.Changes)
 	n.reg = &reg
 	n.c = s.c.clone(n.reg)
-	if s.old != nil {
-		n.old = s.old.clone(s.old.reg) // its register stands still too
+	if s.stalled != nil {
+		n.stalled = s.stalled.clone(s.stalled.reg) // its register stands still too
 	}
 	n.holders = nil
 	for _, h := range s.holders {
 		x := *h
 		n.holders = append(n.holders, &x)
 	}
-	n.ids, n.under, n.entries = slices.Clone(s.ids), slices.Clone(s.under), slices.Clone(s.entries)
+	n.ids, n.inFlight, n.entries = slices.Clone(s.ids), slices.Clone(s.inFlight), slices.Clone(s.entries)
 	return &n
 }
 
-func (c *Conduct) clone(reg *Register) *Conduct {
+func (c *Coordinator) clone(reg *Register) *Coordinator {
 	n := *c
-	n.reg, n.members, n.reading, n.waiting, n.order = reg, map[uint64]*member{}, slices.Clone(c.reading), slices.Clone(c.waiting), slices.Clone(c.order)
+	n.reg, n.members, n.confirming, n.unconfirmed, n.order = reg, map[uint64]*member{}, slices.Clone(c.confirming), slices.Clone(c.unconfirmed), slices.Clone(c.order)
 	for id, m := range c.members {
 		x := *m
 		n.members[id] = &x
@@ -129,32 +129,32 @@
 }
 
 // stall lets the leader stand still, and another lead.
-func (s *small) stall() {
+func (s *modelState) stall() {
 	s.b.Stalls--
 	reg := *s.reg
 	reg.Changes = slices.Clone(s.reg.Changes)
-	s.old, s.read = s.c.clone(&reg), false
+	s.stalled, s.confirmationPending = s.c.clone(&reg), false
 	s.entries = nil
-	s.c = Lead(smallTerms, s.reg, s.c.term+1, s.now)
+	s.c = NewCoordinator(modelTerms, s.reg, s.c.term+1, s.now)
 }
 
 // wake lets it read what the voters had confirmed. What it proposes comes into no log.
-func (s *small) wake() {
-	s.old.Confirmed(s.now)
-	s.post(s.old.Out())
-	s.old = nil
+func (s *modelState) wake() {
+	s.stalled.Confirmed(s.now)
+	s.enqueueGrants(s.stalled.Out())
+	s.stalled = nil
 }
 
-func (s *small) post(o Out) {
+func (s *modelState) enqueueGrants(o Out) {
 	for _, g := range o.Grants {
 		if i := slices.Index(s.ids, g.To); i >= 0 {
-			s.under = append(s.under, letter{member: i, id: g.To, grant: &g.Grant})
+			s.inFlight = append(s.inFlight, message{member: i, id: g.To, grant: &g.Grant})
 		}
 	}
 }
 
 // settle carries out what the leader wants, and proposes the next change.
-func (s *small) settle() {
+func (s *modelState) settle() {
 	for again := true; again; {
 		if s.steps > 0 && s.reg.Pending() == nil && len(s.reg.Changes) < s.b.Changes && len(s.entries) == 0 {
 			s.reg.Apply(Command{Kind: Propose, ID: uint64(len(s.reg.Changes) + 1), Base: s.reg.Version, Text: []byte("{}")})
@@ -162,24 +162,24 @@
 		}
 		o := s.c.Out()
 		s.entries = append(s.entries, o.Propose...)
-		if s.read = s.read || o.Read && s.b.Reads; o.Read && !s.b.Reads {
+		if s.confirmationPending = s.confirmationPending || o.Read && s.b.Reads; o.Read && !s.b.Reads {
 			again = true
 			s.c.Confirmed(s.now)
 		} else {
 			again = false
 		}
-		s.post(o)
+		s.enqueueGrants(o)
 	}
 }
 
-// call lets a gateway say what it has to say.
-func (s *small) call(i int) {
+// sendRenewal lets a gateway say what it has to say.
+func (s *modelState) sendRenewal(i int) {
 	if r := s.holders[i].Tick(s.now); r != nil {
-		s.under = append(s.under, letter{member: i, id: s.ids[i], renew: r})
+		s.inFlight = append(s.inFlight, message{member: i, id: s.ids[i], renew: r})
 	}
 }
 
-func (s *small) deliver(l letter) {
+func (s *modelState) deliver(l message) {
 	if l.id != s.ids[l.member] && l.renew == nil {
 		return // to a process that is gone
 	}
@@ -191,13 +191,13 @@
 	if w := h.Grant(s.now, *l.grant); w.Check {
 		h.Checked(l.grant.Change, l.grant.Next, "")
 	}
-	s.call(l.member)
+	s.sendRenewal(l.member)
 }
 
 // hash tells states apart by what can matter to what follows: times as they lie from
 // now, calls and rounds as they lie from the last, so that the same situation later
 // is the same state.
-func (e *explorer) hash(s *small) uint64 {
+func (e *explorer) hash(s *modelState) uint64 {
 	h := e.text[:0]
 	num := func(all ...int64) {
 		for _, x := range all {
@@ -212,7 +212,7 @@
 	}
 	since := func(t time.Duration, most int64) int64 { return min(int64((s.now-t)/step), most) } // no later than that does it matter
 	left := func(t time.Duration) int64 { return max(int64((t-s.now+step-1)/step), 0) }
-	who := func(id uint64) int64 { // gateways by their place, and those that are gone after them
+	memberKey := func(id uint64) int64 { // gateways by their place, and those that are gone after them
 		if i := slices.Index(s.ids, id); i >= 0 {
 			return int64(i)
 		}
@@ -228,22 +228,22 @@
 	// Of a gateway's calls only those matter that something is still known of, and their order.
 	ranks := make([][]uint64, len(s.holders))
 	for i, x := range s.holders {
-		ranks[i] = append(ranks[i], x.seq, x.least)
-		for _, c := range []*Conduct{c, s.old} {
+		ranks[i] = append(ranks[i], x.seq, x.minSeq)
+		for _, c := range []*Coordinator{c, s.stalled} {
 			if c == nil {
 				continue
 			}
 			if m := c.members[s.ids[i]]; m != nil {
 				ranks[i] = append(ranks[i], m.Seq)
 			}
-			for _, r := range c.reading {
+			for _, r := range c.confirming {
 				if r.id == s.ids[i] {
 					ranks[i] = append(ranks[i], r.seq)
 				}
 			}
 		}
 	}
-	for _, l := range s.under {
+	for _, l := range s.inFlight {
 		if i := slices.Index(s.ids, l.id); i >= 0 && l.renew != nil {
 			ranks[i] = append(ranks[i], l.renew.Seq)
 		} else if i >= 0 {
@@ -256,37 +256,37 @@
 	}
 	rank := func(i int, seq uint64) int64 { return int64(slices.Index(ranks[i], seq)) }
 	num(int64(s.b.Lost), int64(s.b.Doubled), int64(s.b.Deaths), s.reg.Version, int64(s.reg.Under), int64(len(s.reg.Changes)), int64(len(s.entries)), flag(s.steps > 0))
-	conduct := func(c *Conduct) {
-		num(int64(c.term), left(c.terms.past(c.since)), int64(c.stage), int64(c.change), since(c.at, 2)*flag(c.stage == Holding), left(c.after), int64(min(c.tried, 1)))
-		c.each(func(id uint64, m *member) {
+	hashCoordinator := func(c *Coordinator) {
+		num(int64(c.term), left(c.terms.leaseExpiry(c.leadingSince)), int64(c.stage), int64(c.change), since(c.stageSince, 2)*flag(c.stage == Holding), left(c.retryAfter), int64(min(c.holdAttempts, 1)))
+		c.forEachMember(func(id uint64, m *member) {
 			i := slices.Index(s.ids, id)
-			if i < 0 && m.until <= s.now {
+			if i < 0 && m.leaseUntil <= s.now {
 				return // gone, and nothing hangs on it
 			}
 			seq, sent, reads := int64(0), int64(0), int64(-9)
 			if i >= 0 {
-				seq, sent = rank(i, m.Seq), since(s.holders[i].sent[m.Seq%16], 3)*flag(m.asks)
-				for _, r := range c.reading {
+				seq, sent = rank(i, m.Seq), since(s.holders[i].sentAt[m.Seq%16], 3)*flag(m.awaitsAnswer)
+				for _, r := range c.confirming {
 					if r.id == id {
 						reads = rank(i, r.seq)
 					}
 				}
 			}
-			num(who(id), seq, sent, reads, m.Version, int64(m.Checked), round(m.Held), left(m.until), flag(m.asks), flag(m.asked == 0), since(m.asked, 2)*flag(m.Checked != c.change), flag(m.fenced), flag(slices.Contains(c.waiting, id)))
+			num(memberKey(id), seq, sent, reads, m.Version, int64(m.Checked), round(m.Held), left(m.leaseUntil), flag(m.awaitsAnswer), flag(m.notifiedAt == 0), since(m.notifiedAt, 2)*flag(m.Checked != c.change), flag(m.fenced), flag(slices.Contains(c.unconfirmed, id)))
 		})
 	}
-	num(flag(s.read), flag(s.old != nil), int64(s.b.Stalls))
-	if conduct(c); s.old != nil {
-		conduct(s.old)
+	num(flag(s.confirmationPending), flag(s.stalled != nil), int64(s.b.Stalls))
+	if hashCoordinator(c); s.stalled != nil {
+		hashCoordinator(s.stalled)
 	}
 	for i, x := range s.holders {
-		num(x.version, since(x.asked, 1), rank(i, x.seq), rank(i, x.least), flag(x.open), flag(x.urgent), int64(x.checked), round(x.held), x.lease.Version*flag(x.lease.Until > s.now), left(x.lease.Until))
+		num(x.version, since(x.lastCallAt, 1), rank(i, x.seq), rank(i, x.minSeq), flag(x.awaitsAnswer), flag(x.urgent), int64(x.checked), round(x.heldRound), x.lease.Version*flag(x.lease.Until > s.now), left(x.lease.Until))
 	}
-	letters := e.letters[:0]
-	for _, l := range s.under {
+	messageKeys := e.messageKeys[:0]
+	for _, l := range s.inFlight {
 		var t [8]int64
 		i := slices.Index(s.ids, l.id)
-		t[0] = who(l.id)
+		t[0] = memberKey(l.id)
 		rel := func(seq uint64) int64 {
 			if seq == 0 || i < 0 {
 				return -9
@@ -296,27 +296,27 @@
 		if r := l.renew; r != nil {
 			t[1], t[2], t[3], t[4] = rel(r.Seq), int64(r.Checked), round(r.Held), r.Version
 			if i >= 0 {
-				t[5] = since(s.holders[i].sent[r.Seq%16], 3)
+				t[5] = since(s.holders[i].sentAt[r.Seq%16], 3)
 			}
 		} else if g := l.grant; g != nil {
 			t[7] = 1
 			t[1], t[2], t[3], t[4], t[5] = rel(g.Seq), int64(g.Change), round(g.Hold), g.Version, flag(g.Text != nil)+2*flag(g.Made != 0)
 			if t[6] = -9; g.Lease > 0 && i >= 0 {
-				t[6] = left(s.holders[i].sent[g.Seq%16] + g.Lease)
+				t[6] = left(s.holders[i].sentAt[g.Seq%16] + g.Lease)
 			}
 		}
-		letters = append(letters, t)
+		messageKeys = append(messageKeys, t)
 	}
-	slices.SortFunc(letters, func(x, y [8]int64) int { return slices.Compare(x[:], y[:]) })
-	for _, l := range letters {
+	slices.SortFunc(messageKeys, func(x, y [8]int64) int { return slices.Compare(x[:], y[:]) })
+	for _, l := range messageKeys {
 		num(l[:]...)
 	}
-	e.text, e.letters = h, letters
+	e.text, e.messageKeys = h, messageKeys
 	return maphash.Bytes(e.seed, h)
 }
 
-// meet keeps a state that is new.
-func (e *explorer) meet(s *small) {
+// addIfNew keeps a state that is new.
+func (e *explorer) addIfNew(s *modelState) {
 	key := e.hash(s)
 	if _, ok := e.seen[key]; ok {
 		return
@@ -324,70 +324,73 @@
 	e.seen[key] = struct{}{}
 	for i, h := range s.holders {
 		if h.lease.Until > s.now && h.lease.Version != s.reg.Version {
-			e.broken = fmt.Sprintf("after %v %c may decide by version %d, %d is in force", s.now, 'a'+i, h.lease.Version, s.reg.Version)
+			e.violation = fmt.Sprintf("after %v %c may decide by version %d, %d is in force", s.now, 'a'+i, h.lease.Version, s.reg.Version)
 			return
 		}
 	}
 	e.todo = append(e.todo, s)
 }
 
-// visit goes all ways on from a state.
-func (e *explorer) visit(s *small) {
-	then := func(do func(n *small)) {
+// expand goes all ways on from a state.
+func (e *explorer) expand(s *modelState) {
+	try := func(do func(n *modelState)) {
 		n := s.clone()
 		do(n)
 		n.settle()
-		e.meet(n)
+		e.addIfNew(n)
 	}
-	for i, l := range s.under {
-		if slices.IndexFunc(s.under, func(x letter) bool { return x == l }) < i {
+	for i, l := range s.inFlight {
+		if slices.IndexFunc(s.inFlight, func(x message) bool { return x == l }) < i {
 			continue
 		}
-		then(func(n *small) { n.under = slices.Delete(n.under, i, i+1); n.deliver(l) })
-		if s.old != nil && l.renew != nil { // it may come to the one that stands still, and is read there first
-			then(func(n *small) { n.under = slices.Delete(n.under, i, i+1); n.old.Renew(n.now, l.id, *l.renew) })
+		try(func(n *modelState) { n.inFlight = slices.Delete(n.inFlight, i, i+1); n.deliver(l) })
+		if s.stalled != nil && l.renew != nil { // it may come to the one that stands still, and is read there first
+			try(func(n *modelState) {
+				n.inFlight = slices.Delete(n.inFlight, i, i+1)
+				n.stalled.Renew(n.now, l.id, *l.renew)
+			})
 		}
 		if s.b.Lost > 0 {
-			then(func(n *small) { n.b.Lost--; n.under = slices.Delete(n.under, i, i+1) })
+			try(func(n *modelState) { n.b.Lost--; n.inFlight = slices.Delete(n.inFlight, i, i+1) })
 		}
 		if s.b.Doubled > 0 {
-			then(func(n *small) { n.b.Doubled--; n.deliver(l) })
+			try(func(n *modelState) { n.b.Doubled--; n.deliver(l) })
 		}
 	}
-	if s.read {
-		then(func(n *small) { n.read = false; n.c.Confirmed(n.now) })
+	if s.confirmationPending {
+		try(func(n *modelState) { n.confirmationPending = false; n.c.Confirmed(n.now) })
 	}
-	if s.read && s.b.Stalls > 0 && s.old == nil {
-		then((*small).stall)
+	if s.confirmationPending && s.b.Stalls > 0 && s.stalled == nil {
+		try((*modelState).stall)
 	}
-	if s.old != nil {
-		then((*small).wake)
+	if s.stalled != nil {
+		try((*modelState).wake)
 	}
 	if len(s.entries) > 0 {
-		then(func(n *small) {
+		try(func(n *modelState) {
 			n.reg.Apply(n.entries[0])
 			n.entries = n.entries[1:]
 			n.c.Applied(n.now)
 		})
 	}
-	if len(s.under) <= e.b.Most {
-		then(func(n *small) {
+	if len(s.inFlight) <= e.b.Most {
+		try(func(n *modelState) {
 			n.now += step
 			n.steps++
 			for i := range n.holders {
-				n.call(i)
+				n.sendRenewal(i)
 			}
 			n.c.Tick(n.now)
 		})
 	}
 	if s.b.Deaths > 0 {
 		for i := range s.holders {
-			then(func(n *small) { n.b.Deaths--; n.join(i); n.call(i) })
+			try(func(n *modelState) { n.b.Deaths--; n.join(i); n.sendRenewal(i) })
 		}
-		then(func(n *small) {
+		try(func(n *modelState) {
 			n.b.Deaths--
 			n.entries = nil // not in the log of the next one
-			n.c, n.read = Lead(smallTerms, n.reg, n.c.term+1, n.now), false
+			n.c, n.confirmationPending = NewCoordinator(modelTerms, n.reg, n.c.term+1, n.now), false
 		})
 	}
 }
--- a/internal/policy/holder.go
+++ b/internal/policy/holder.go
@@ -13,37 +13,37 @@
 
 // Holder is a gateway's side.
 type Holder struct {
-	terms   Terms
-	name    string
-	zone    string
-	digest  string
-	format  int
-	version int64 // that it has; -1: none
-	seq     uint64
-	asked   time.Duration     // when its last call went out
-	sent    [16]time.Duration // when each of the last calls did, by seq
-	least   uint64            // answers to calls before that are void
-	open    bool              // that has no answer yet
-	urgent  bool
-	missed  int // calls in a row without an answer
-	checked uint64
-	refusal string
-	next    []byte // what was checked
-	held    uint64
-	heldAt  time.Duration
-	fenced  string
-	lease   Lease
+	terms        Terms
+	name         string
+	zone         string
+	digest       string
+	format       int
+	version      int64 // that it has; -1: none
+	seq          uint64
+	lastCallAt   time.Duration     // when its last call went out
+	sentAt       [16]time.Duration // when each of the last calls did, by seq
+	minSeq       uint64            // answers to calls before that are void
+	awaitsAnswer bool              // that has no answer yet
+	urgent       bool
+	missed       int // calls in a row without an answer
+	checked      uint64
+	refusal      string
+	checkedText  []byte // what was checked
+	heldRound    uint64
+	heldAt       time.Duration
+	fenced       string
+	lease        Lease
 }
 
 // NewHolder returns the side of a gateway that has no version yet, not even that
 // of its own file: which is in force only the voters can tell. Digest is of its
 // own file.
 func NewHolder(terms Terms, name, zone, digest string) *Holder {
-	return &Holder{terms: terms, name: name, zone: zone, digest: digest, format: Format, version: -1, urgent: true, asked: -terms.Renew}
+	return &Holder{terms: terms, name: name, zone: zone, digest: digest, format: Format, version: -1, urgent: true, lastCallAt: -terms.Renew}
 }
 
 // What a grant asks of the gateway.
-type What struct {
+type GrantResult struct {
 	Adopt  bool // Text is the policy of Version, and in force: take it over before the lease is used
 	Check  bool // say by Checked whether Next can be taken
 	Grant  Grant
@@ -53,20 +53,20 @@
 // Tick returns the call that is due; nil: none.
 func (h *Holder) Tick(now time.Duration) *Renew {
 	wait := h.terms.Renew
-	if h.open {
+	if h.awaitsAnswer {
 		wait = h.terms.Renew / 2 // lost, or the leader is gone
 	}
-	if !h.urgent && now-h.asked < wait {
+	if !h.urgent && now-h.lastCallAt < wait {
 		return nil
 	}
-	if h.open && now-h.asked >= h.terms.Renew/2 {
+	if h.awaitsAnswer && now-h.lastCallAt >= h.terms.Renew/2 {
 		h.missed++
 	}
 	h.seq++
-	h.asked, h.open, h.urgent = now, true, false
-	h.sent[h.seq%uint64(len(h.sent))] = now
+	h.lastCallAt, h.awaitsAnswer, h.urgent = now, true, false
+	h.sentAt[h.seq%uint64(len(h.sentAt))] = now
 	return &Renew{Seq: h.seq, Name: h.name, Zone: h.zone, Version: h.version, Checked: h.checked, Refusal: h.refusal,
-		Held: h.held, Digest: h.digest, Format: h.format}
+		Held: h.heldRound, Digest: h.digest, Format: h.format}
 }
 
 // Wait is the time until Tick has something to say.
@@ -74,10 +74,10 @@
 	switch {
 	case h.urgent:
 		return 0
-	case h.open:
-		return max(0, h.asked+h.terms.Renew/2-now)
+	case h.awaitsAnswer:
+		return max(0, h.lastCallAt+h.terms.Renew/2-now)
 	}
-	return max(0, h.asked+h.terms.Renew-now)
+	return max(0, h.lastCallAt+h.terms.Renew-now)
 }
 
 // Again wants the last call sent anew, to another voter.
@@ -88,36 +88,36 @@
 func (h *Holder) Missed() int { return h.missed }
 
 // Grant takes what the leader says.
-func (h *Holder) Grant(now time.Duration, g Grant) (w What) {
+func (h *Holder) Grant(now time.Duration, g Grant) (w GrantResult) {
 	w.Grant = g
-	if g.Seq != 0 && (g.Seq < h.least || g.Seq > h.seq || g.Seq+uint64(len(h.sent)) <= h.seq) { // late, or none of this life's
-		return What{Leased: h.lease}
+	if g.Seq != 0 && (g.Seq < h.minSeq || g.Seq > h.seq || g.Seq+uint64(len(h.sentAt)) <= h.seq) { // late, or none of this life's
+		return GrantResult{Leased: h.lease}
 	}
 	h.missed = 0
 	if g.Change != 0 && g.Change != h.checked {
 		w.Check = true
 	}
 	if g.Made != 0 && g.Made == h.checked && g.Text == nil {
-		g.Text = h.next
-		w.Grant.Text = h.next
+		g.Text = h.checkedText
+		w.Grant.Text = h.checkedText
 	}
-	if g.Hold != 0 && g.Hold != h.held {
+	if g.Hold != 0 && g.Hold != h.heldRound {
 		// What was asked before must not give a lease any more: the leader will count on this word.
-		h.lease, h.held, h.heldAt, h.urgent, h.least = Lease{}, g.Hold, now, true, h.seq+1
+		h.lease, h.heldRound, h.heldAt, h.urgent, h.minSeq = Lease{}, g.Hold, now, true, h.seq+1
 	}
 	if g.Seq == 0 {
 		h.urgent = true
 		w.Leased = h.lease
 		return w
 	}
-	h.open, h.fenced, h.least = h.open && g.Seq < h.seq, g.Fenced, max(h.least, g.Seq+1)
+	h.awaitsAnswer, h.fenced, h.minSeq = h.awaitsAnswer && g.Seq < h.seq, g.Fenced, max(h.minSeq, g.Seq+1)
 	if g.Version != h.version && (g.Text != nil || g.Version == 0) {
 		w.Adopt = true
 		h.version = g.Version
 	}
 	if g.Lease > 0 && g.Version == h.version {
-		h.held = 0
-		h.lease = Lease{Version: g.Version, Until: h.sent[g.Seq%uint64(len(h.sent))] + g.Lease}
+		h.heldRound = 0
+		h.lease = Lease{Version: g.Version, Until: h.sentAt[g.Seq%uint64(len(h.sentAt))] + g.Lease}
 	} else if g.Version != h.version || g.Hold != 0 || g.Fenced != "" {
 		h.lease = Lease{}
 	}
@@ -128,7 +128,7 @@
 // Checked tells what the gateway makes of the text of a change: refusal "" is that it
 // can take it.
 func (h *Holder) Checked(change uint64, text []byte, refusal string) {
-	h.checked, h.next, h.refusal, h.urgent = change, text, refusal, true
+	h.checked, h.checkedText, h.refusal, h.urgent = change, text, refusal, true
 }
 
 // Unable tells that it can't take over a version that is in force: it has none
@@ -140,7 +140,7 @@
 	switch {
 	case h.lease.Until > now:
 		return h.version, "serves"
-	case h.held != 0:
+	case h.heldRound != 0:
 		return h.version, "holds"
 	case h.fenced != "":
 		return h.version, "fenced: " + h.fenced
@@ -150,4 +150,4 @@
 
 // Lease is what may be decided by now, and whether that is nothing for the moment
 // of a turn.
-func (h *Holder) Lease() (l Lease, holds bool) { return h.lease, h.held != 0 }
+func (h *Holder) Lease() (l Lease, holds bool) { return h.lease, h.heldRound != 0 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -79,7 +79,7 @@
 	t       *testing.T
 	now     time.Duration
 	reg     *Register
-	c       *Conduct
+	c       *Coordinator
 	holders map[uint64]*Holder
 	silent  map[uint64]bool
 	checks  map[uint64]string // refusals
@@ -88,7 +88,7 @@
 
 func newFleet(t *testing.T, n int) *fleet {
 	f := &fleet{t: t, reg: NewRegister(), holders: map[uint64]*Holder{}, silent: map[uint64]bool{}, checks: map[uint64]string{}, leases: map[uint64]Lease{}}
-	f.c = Lead(DefaultTerms, f.reg, 2, 0)
+	f.c = NewCoordinator(DefaultTerms, f.reg, 2, 0)
 	for i := range n {
 		f.holders[uint64(i+1)] = NewHolder(DefaultTerms, string(rune('a'+i)), "", "")
 	}
@@ -212,7 +212,7 @@
 		enough := func() (all bool) {
 			n := 0
 			for _, m := range f.c.members {
-				if m.until > f.now && m.Checked == 7 {
+				if m.leaseUntil > f.now && m.Checked == 7 {
 					n++
 				}
 			}
--- a/internal/policy/register.go
+++ b/internal/policy/register.go
@@ -3,7 +3,7 @@
 // time. No I/O and no clock.
 //
 // Three parts work on it. Register is the state that the voters' log builds,
-// the same at each of them: versions, what has become of each change. Conduct is
+// the same at each of them: versions, what has become of each change. Coordinator is
 // what the leader of the voters does besides: it grants leases, has a change
 // checked by all that hold one, waits for the leases of those that say nothing,
 // holds all others for a moment and turns. Holder is a gateway's side: it decides
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -5,7 +5,7 @@
 //   - State is stored beside a document that is not live yet, above all with the text of the live one. A
 //     version becomes live, or is withdrawn, by an amendment of the document, so this happens once and is
 //     as durable as the document.
-//   - The primary's part (lead.go) is a policy.Conduct. It grants leases, waits until enough nodes have
+//   - The primary's part (lead.go) is a policy.Coordinator. It grants leases, waits until enough nodes have
 //     confirmed that they hold the version, stops all decisions for a moment (the hold), and amends.
 //   - A node's part (node.go) is a policy.Holder, and the Gate at which each effectful request is decided.
 //
--- a/internal/rollout/lead.go
+++ b/internal/rollout/lead.go
@@ -13,7 +13,7 @@
 // document whether a version is live, and asks the nodes again for the rest.
 type leadership struct {
 	epoch         consensus.Ballot
-	conduct       *policy.Conduct // nil: each node puts what is live in force by itself
+	conduct       *policy.Coordinator // nil: each node puts what is live in force by itself
 	register      policy.Register
 	addrs         map[uint64]string // by incarnation of the node
 	confirmWanted bool              // the conduct needs a confirmation of the writers that has not been started yet
@@ -47,7 +47,7 @@
 		if m.bug == BugSuccessorSkipsWait {
 			since -= 2 * Terms.Lease
 		}
-		lead.conduct = policy.Lead(m.terms(), &lead.register, lead.epoch.N, since)
+		lead.conduct = policy.NewCoordinator(m.terms(), &lead.register, lead.epoch.N, since)
 		lead.conduct.Enough = func() bool { return m.enoughConfirmed(m.leadSeenAt) }
 		if m.bug != BugEmptyHoldCounts {
 			lead.conduct.Still = lead.conduct.Enough
