--- a/internal/policy/carry.go
+++ b/internal/policy/carry.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// Quota is what a plan allows over all gateways.
-type Quota struct{ Rate, Burst float64 } // units a second, and at once
+// Quota is the rate limit of a plan, summed over all gateways.
+type Quota struct{ Rate, Burst float64 } // units per second; bucket size in units
 
-// Carry is how much of a new quota is free to a customer that had room units of its
-// old one left (below 0: it owes; infinite: it had no quota). None gains by a
-// change: no more is free than was, and no more than the new burst. What is owed
-// stays owed, in units. A larger burst fills up at the new rate. Who had no quota
-// begins with an even part of the burst at each of width gateways, since nobody
-// knows what the others let pass.
+// Carry converts a customer's remaining units when its quota changes. room is what
+// was left of the old quota: negative if the customer is in debt, infinite if it had
+// no quota. A change never adds units: the result is at most room and at most the new
+// burst, and a debt is kept in full. A larger burst fills up at the new rate. A
+// customer without an earlier quota starts with burst/width at each of width gateways,
+// because no gateway knows what the others have admitted.
 func Carry(room float64, to Quota, width float64) float64 {
 	if math.IsInf(room, 1) {
 		return min(to.Burst, max(1, to.Burst/max(1, width)))
--- a/internal/policy/coordinator.go
+++ b/internal/policy/coordinator.go
@@ -7,139 +7,139 @@
 	"time"
 )
 
-// Terms are the times that all members go by.
+// Terms are the timing parameters, the same at all members.
 type Terms struct {
-	Lease       time.Duration // for which a gateway may decide by a version, from when it asked
-	Drift       float64       // most that one clock runs faster than another, as a share
-	Renew       time.Duration // between a gateway's calls
-	CheckWithin time.Duration // for a gateway's word on a change; then it is fenced
-	HoldWithin  time.Duration // for all to say that they hold; then serving goes on, and it is tried again
+	Lease       time.Duration // validity, counted from when the gateway sent its renewal
+	Drift       float64       // largest relative difference between two clocks' rates
+	Renew       time.Duration // interval between a gateway's renewals
+	CheckWithin time.Duration // for a gateway to check a change; after that it is fenced
+	HoldWithin  time.Duration // for all gateways to acknowledge a hold; after that serving resumes, and the hold is retried
 }
 
-// DefaultTerms are those where the operator's file names none.
+// DefaultTerms apply where the operator's file sets none.
 var DefaultTerms = Terms{Lease: 1500 * time.Millisecond, Drift: 0.05, Renew: 400 * time.Millisecond,
 	CheckWithin: 500 * time.Millisecond, HoldWithin: 40 * time.Millisecond}
 
-// past is the leader's time after which a lease granted now has run out at any
-// gateway.
+// leaseExpiry returns the time on the leader's clock at which a lease granted now has
+// expired at every gateway, clock drift included.
 func (t Terms) leaseExpiry(now time.Duration) time.Duration {
 	return now + time.Duration(float64(t.Lease)*(1+t.Drift)) + time.Millisecond
 }
 
-// Renew is what a gateway says to the leader: it asks for a lease from the moment
-// in which it sends this.
+// Renew is a gateway's request to the leader for a lease that starts when the request
+// is sent. It also reports the gateway's progress with a change.
 type Renew struct {
 	Seq     uint64 `json:"seq"`
 	Name    string `json:"name"`
 	Zone    string `json:"zone,omitempty"`
-	Version int64  `json:"version"`           // that it has; -1: none
-	Checked uint64 `json:"checked,omitempty"` // the change that it has checked
-	Refusal string `json:"refusal,omitempty"` // why it can't take that one
-	Held    uint64 `json:"held,omitempty"`    // the round in which it decides nothing
-	Digest  string `json:"digest,omitempty"`  // of its own file, which is version 0
-	Format  int    `json:"format"`            // that this member knows
+	Version int64  `json:"version"`           // adopted by the gateway; -1: none
+	Checked uint64 `json:"checked,omitempty"` // ID of the last change that the gateway checked
+	Refusal string `json:"refusal,omitempty"` // why the gateway rejects that change
+	Held    uint64 `json:"held,omitempty"`    // round of the hold that the gateway acknowledges
+	Digest  string `json:"digest,omitempty"`  // of the gateway's own file, which is version 0
+	Format  int    `json:"format"`            // the highest format that this member knows
 }
 
-// Grant is the answer, and with Seq 0 a call to renew at once.
+// Grant answers a Renew. With Seq 0 it is unsolicited and asks the gateway to renew at once.
 type Grant struct {
 	Seq     uint64        `json:"seq,omitempty"`
 	Term    uint64        `json:"term"`
 	Version int64         `json:"version"`
-	Lease   time.Duration `json:"lease,omitempty"` // from when the gateway asked; 0: none
-	Made    uint64        `json:"made,omitempty"`  // the change that has become the version: the gateway has its text from the check
-	Text    []byte        `json:"text,omitempty"`  // of the version, if it has neither
+	Lease   time.Duration `json:"lease,omitempty"` // counted from when the gateway sent its renewal; 0: none
+	Made    uint64        `json:"made,omitempty"`  // the change that became Version, if the gateway still has its text from the check
+	Text    []byte        `json:"text,omitempty"`  // the policy of Version, if the gateway lacks it
 	Change  uint64        `json:"change,omitempty"`
-	Next    []byte        `json:"next,omitempty"` // the change to check
-	Hold    uint64        `json:"hold,omitempty"` // decide nothing, and say so with this round
+	Next    []byte        `json:"next,omitempty"` // text of Change, to be checked
+	Hold    uint64        `json:"hold,omitempty"` // stop deciding requests, and acknowledge this round
 	Fenced  string        `json:"fenced,omitempty"`
 }
 
-// Out is what the leader wants done.
+// Out lists the actions that the caller has to carry out for the coordinator.
 type Out struct {
 	Grants  []Directed
 	Propose []Command
-	Read    bool // confirm that this is still the leader, then call Confirmed
+	Read    bool // confirm with the voters that this is still the leader, then call Confirmed
 }
 
-// Directed is a grant and the member it is for.
+// Directed is a grant with its recipient.
 type Directed struct {
 	To uint64
 	Grant
 }
 
-// Stage of a change.
+// Stage is the progress of the pending change.
 type Stage int
 
-// The stages.
+// Stages of a change.
 const (
 	Idle     Stage = iota
-	Checking       // by all that hold leases; those that say nothing are fenced
-	Holding        // all have been told to decide nothing
-	Turning        // the turn is proposed: until it is applied there are no leases
+	Checking       // all lease holders check the change; those that don't answer are fenced
+	Holding        // all lease holders have been told to stop deciding
+	Turning        // the turn is proposed: no leases are granted until it is applied
 )
 
 func (s Stage) String() string { return [...]string{"idle", "checking", "holding", "turning"}[s] }
 
-// Coordinator is the leader's part. Members are named by the incarnation of their
-// process: one that starts anew is another member.
+// Coordinator is the leader's side of the protocol. Members are identified by the
+// incarnation of their process: a restarted gateway is a new member.
 type Coordinator struct {
 	terms        Terms
 	reg          *Register
 	term         uint64
-	leadingSince time.Duration // leads since
+	leadingSince time.Duration // when this leader's term began
 	stage        Stage
 	change       uint64
-	stageSince   time.Duration // of the stage
+	stageSince   time.Duration // when the stage began
 	round        uint64
 	holdAttempts int
-	retryAfter   time.Duration // no new round before
+	retryAfter   time.Duration // no new attempt before this time
 	members      map[uint64]*member
-	order        []uint64        // their ids, sorted: a replay is the same
-	confirming   []confirmedCall // the calls that the read under way confirms
-	unconfirmed  []uint64        // those that came since
-	turnEnded    bool            // a turn is over: gateways wait for their leases
+	order        []uint64        // sorted ids of members, so that replays are deterministic
+	confirming   []confirmedCall // renewals covered by the confirmation under way
+	unconfirmed  []uint64        // members whose renewals arrived since
+	turnEnded    bool            // a change has just ended: gateways wait for their leases
 	out          Out
 
-	// Enough says whether as many have checked the change as it needs; until then nobody
-	// is fenced for it and nothing turns. Nil: all that hold a lease are.
+	// Enough reports whether enough members have checked the change. Until then no member
+	// is fenced and the change is not put in force. Nil: the lease holders suffice.
 	Enough func() bool
-	// Still says the same at the end of a hold: leases may have run out meanwhile, and who has
-	// none is not waited for. Nil: it is not asked.
+	// Still reports the same at the end of a hold. Leases may have expired meanwhile, and
+	// members without a lease are not waited for. Nil: not checked.
 	Still func() bool
 
-	// What the last turn took, for those that measure.
+	// Held is how long the last successful turn held decisions, for measurements.
 	Held time.Duration
 }
 
-// confirmedCall is a call that was there before the voters were asked whether this still is the
-// leader: one that came after that needs another confirmedCall, though they answer later.
+// confirmedCall is a renewal that arrived before the voters were asked to confirm the
+// leader. A later renewal needs another confirmation, even if it arrives before the answer.
 type confirmedCall struct{ id, seq uint64 }
 
 type member struct {
 	Renew
-	lastSeen, leaseUntil time.Duration // last call; end of its lease, by this clock
-	awaitsAnswer         bool          // its last call has no answer yet
-	notifiedAt           time.Duration // told of the change, for the first time
-	fenced               bool          // gets no lease before it has checked the change
-	holdSentRound        uint64        // round of the hold it has been told of
+	lastSeen, leaseUntil time.Duration // last renewal; end of its lease; both on the leader's clock
+	awaitsAnswer         bool          // its last renewal is unanswered
+	notifiedAt           time.Duration // when it was first told of the change; 0: not yet
+	fenced               bool          // gets no lease until it has checked the change
+	holdSentRound        uint64        // last hold round that was sent to it
 }
 
-// NewCoordinator begins a leader's part. Leases that a leader before it has granted may
-// still run.
+// NewCoordinator returns the coordinator of a leader elected at now. Leases granted by
+// an earlier leader may still be valid.
 func NewCoordinator(terms Terms, reg *Register, term uint64, now time.Duration) *Coordinator {
 	c := &Coordinator{terms: terms, reg: reg, term: term, leadingSince: now, members: map[uint64]*member{}, round: term << 24}
 	c.Applied(now)
 	return c
 }
 
-// Out takes what is to be done.
+// Out returns the pending actions and clears them.
 func (c *Coordinator) Out() Out {
 	o := c.out
 	c.out = Out{}
 	return o
 }
 
-// Renew takes a gateway's call.
+// Renew processes a gateway's renewal.
 func (c *Coordinator) Renew(now time.Duration, id uint64, r Renew) {
 	m := c.members[id]
 	if m == nil {
@@ -148,17 +148,17 @@
 		i, _ := slices.BinarySearch(c.order, id)
 		c.order = slices.Insert(c.order, i, id)
 	}
-	if r.Seq <= m.Seq { // late, or twice
+	if r.Seq <= m.Seq { // delayed or duplicated
 		return
 	}
 	if m.Renew, m.lastSeen, m.awaitsAnswer = r, now, true; !slices.Contains(c.unconfirmed, id) {
 		c.unconfirmed = append(c.unconfirmed, id)
 	}
-	c.requestConfirmation() // what it says of a change counts at the next Tick: hundreds may come together
+	c.requestConfirmation() // the change itself advances at the next Tick, since hundreds of renewals may arrive together
 }
 
-// Confirmed tells that after the last Out with Read the voters still took this
-// one for the leader, and that all of the log until then is applied.
+// Confirmed reports that, after the last Out with Read, the voters confirmed this
+// leader and that the log up to that point is applied.
 func (c *Coordinator) Confirmed(now time.Duration) {
 	ready := c.confirming
 	c.confirming, c.turnEnded = nil, false
@@ -170,7 +170,7 @@
 	c.step(now)
 }
 
-// Unconfirmed gives a read up: those that wait are asked for with the next.
+// Unconfirmed abandons a confirmation. Its renewals wait for the next one.
 func (c *Coordinator) Unconfirmed() {
 	for _, r := range c.confirming {
 		if !slices.Contains(c.unconfirmed, r.id) {
@@ -180,8 +180,8 @@
 	c.confirming = nil
 }
 
-// answer gives a member what it may have now, from the call that has been confirmed: a
-// later one of it waits for its own.
+// answer sends a member the grant for its confirmed renewal r. A later renewal of that
+// member waits for its own confirmation.
 func (c *Coordinator) answer(now time.Duration, r confirmedCall, m *member) {
 	id := r.id
 	g := Grant{Seq: r.seq, Term: c.term, Version: c.reg.Version}
@@ -199,7 +199,7 @@
 	case c.stage == Holding || c.stage == Turning:
 		if m.Held == c.round {
 			if !slices.Contains(c.unconfirmed, id) {
-				c.unconfirmed = append(c.unconfirmed, id) // it has its answer once the hold is over
+				c.unconfirmed = append(c.unconfirmed, id) // answered once the hold is over
 			}
 			return
 		}
@@ -214,7 +214,7 @@
 	c.out.Grants = append(c.out.Grants, Directed{id, g})
 }
 
-// Tick lets time pass.
+// Tick forgets members that are long gone and advances the change.
 func (c *Coordinator) Tick(now time.Duration) {
 	c.order = slices.DeleteFunc(c.order, func(id uint64) bool {
 		m := c.members[id]
@@ -227,7 +227,7 @@
 	c.step(now)
 }
 
-// Applied tells that the register has changed.
+// Applied reports that the register has changed.
 func (c *Coordinator) Applied(now time.Duration) {
 	p := c.reg.Pending()
 	switch {
@@ -254,20 +254,20 @@
 
 func (c *Coordinator) enter(s Stage, now time.Duration) { c.stage, c.stageSince = s, now }
 
-// forEachMember calls do for the members in order of their ids.
+// forEachMember calls do for each member, ordered by id.
 func (c *Coordinator) forEachMember(do func(id uint64, m *member)) {
 	for _, id := range c.order {
 		do(id, c.members[id])
 	}
 }
 
-// Stage of the change under way.
+// Stage returns the stage of the pending change.
 func (c *Coordinator) Stage() Stage { return c.stage }
 
-// Busy reports whether a change is under way, so that every moment counts.
+// Busy reports whether a change is pending or has just ended, so that the caller polls more often.
 func (c *Coordinator) Busy() bool { return c.stage != Idle || c.turnEnded }
 
-// requestRenewals asks all members to renew at once.
+// requestRenewals asks all members to renew at once, and sends them the pending change.
 func (c *Coordinator) requestRenewals() {
 	c.forEachMember(func(id uint64, m *member) {
 		g := Grant{Term: c.term, Version: c.reg.Version}
@@ -278,7 +278,7 @@
 	})
 }
 
-// step goes on as far as it can.
+// step advances the pending change as far as possible.
 func (c *Coordinator) step(now time.Duration) {
 	switch c.stage {
 	case Checking:
@@ -289,7 +289,7 @@
 	c.requestConfirmation()
 }
 
-// requestConfirmation asks for a confirmation, if any call waits for one.
+// requestConfirmation asks for a confirmation of the leader if any renewal waits for one.
 func (c *Coordinator) requestConfirmation() {
 	if len(c.confirming) == 0 && !c.out.Read && slices.ContainsFunc(c.unconfirmed, c.answerable) {
 		for _, id := range c.unconfirmed {
@@ -301,28 +301,29 @@
 	}
 }
 
-// answerable reports whether a call that waits can be answered now.
+// answerable reports whether a waiting renewal can be answered now.
 func (c *Coordinator) answerable(id uint64) bool {
 	m := c.members[id]
 	return m != nil && m.awaitsAnswer && (c.stage != Holding && c.stage != Turning || m.Held != c.round)
 }
 
-// check waits until all that hold a lease have checked the change. Those that say
-// nothing get no more leases; the rest goes on meanwhile.
+// check waits until all lease holders have checked the change, then starts a hold.
+// Members that don't answer in time are fenced: they get no new lease. The others keep
+// serving meanwhile.
 func (c *Coordinator) check(now time.Duration) {
 	enough := c.Enough == nil || c.Enough()
-	done := enough && now >= c.terms.leaseExpiry(c.leadingSince) // what a leader before this one has granted has run out
+	done := enough && now >= c.terms.leaseExpiry(c.leadingSince) // leases of an earlier leader have expired
 	c.forEachMember(func(id uint64, m *member) {
 		switch {
 		case m.Checked == c.change && m.Refusal != "":
 			if done = false; now >= c.retryAfter {
-				c.retryAfter = now + c.terms.CheckWithin // until it is applied; or again
+				c.retryAfter = now + c.terms.CheckWithin // propose again if this is not applied by then
 				c.out.Propose = append(c.out.Propose, Command{Kind: Withdraw, ID: c.change, By: m.Name,
 					Why: m.Name + " can't take it: " + m.Refusal})
 			}
 		case m.Checked == c.change:
 		case m.leaseUntil <= now && m.fenced:
-		case m.leaseUntil <= now && m.notifiedAt == 0 && now-m.lastSeen > c.terms.Lease: // gone long ago
+		case m.leaseUntil <= now && m.notifiedAt == 0 && now-m.lastSeen > c.terms.Lease: // gone before the change was proposed
 		default:
 			done = false
 			if m.notifiedAt == 0 {
@@ -345,7 +346,7 @@
 	}
 }
 
-// Dropped tells that what Out proposed has not come into the log, and never will.
+// Dropped reports that a proposal of Out did not enter the log and never will.
 func (c *Coordinator) Dropped(now time.Duration) {
 	if c.stage == Turning {
 		c.enter(Checking, now)
@@ -354,8 +355,9 @@
 	}
 }
 
-// hold waits for all that hold a lease to say that they decide nothing. A leader that stood
-// still finds that nobody has one any more: nobody is missing then, and nobody has said a word.
+// hold waits for all lease holders to acknowledge that they decide no requests. After a
+// pause of the leader's process all leases may have expired: no acknowledgement is missing
+// then, though none was given, so Still is asked too.
 func (c *Coordinator) hold(now time.Duration) {
 	missing, late := false, now-c.stageSince > c.terms.HoldWithin
 	c.forEachMember(func(id uint64, m *member) {
@@ -363,10 +365,10 @@
 	})
 	switch {
 	case !missing && (c.Still == nil || !late && c.Still()):
-		c.stage = Turning // at stays: all of it is held
+		c.stage = Turning // stageSince stays: Held covers the hold and the turn
 		c.out.Propose = append(c.out.Propose, Command{Kind: Turn, ID: c.change})
 	case !missing || late:
-		// Serving goes on by the old version. Who said nothing has to say anew that it is there.
+		// Serving continues by the old version. Members that didn't acknowledge have to check the change again.
 		c.forEachMember(func(id uint64, m *member) {
 			if m.leaseUntil > now && m.Held != c.round {
 				m.Checked, m.notifiedAt = 0, now-c.terms.CheckWithin/2
@@ -378,7 +380,7 @@
 	}
 }
 
-// MemberStatus is a member as operators see it.
+// MemberStatus is the state of a member as shown to operators.
 type MemberStatus struct {
 	Name    string        `json:"name"`
 	Zone    string        `json:"zone,omitempty"`
@@ -392,7 +394,7 @@
 	Digest  string        `json:"digest,omitempty"`
 }
 
-// Status tells who has what.
+// Status returns the stage of the change and the state of all members, sorted by name.
 func (c *Coordinator) Status(now time.Duration) (stage Stage, all []MemberStatus) {
 	c.forEachMember(func(id uint64, m *member) {
 		s := MemberStatus{Name: m.Name, Zone: m.Zone, ID: id, Version: m.Version, Checked: m.Checked, Refusal: m.Refusal, Ago: now - m.lastSeen, Leased: m.leaseUntil > now, Digest: m.Digest}
--- a/internal/policy/explore.go
+++ b/internal/policy/explore.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Bounds of an exploration: what may go wrong, and how long it goes on.
+// Bounds limits an exploration: the size of the model and the number of faults.
 type Bounds struct {
 	Members int // gateways
-	Changes int // proposed one after the other
-	States  int // give up after so many; 0: never
-	Lost    int // messages, in all
-	Doubled int
-	Deaths  int // of gateways, each at most once; and of the leader as many
-	Most    int // messages under way; beyond that the oldest has to come or get lost
+	Changes int // proposed one after another
+	States  int // stop after this many states; 0: no limit
+	Lost    int // messages lost, in total
+	Doubled int // messages delivered twice, in total
+	Deaths  int // restarts of gateways and replacements of the leader, in total
+	Most    int // messages in flight; beyond that, time advances only after one is delivered or lost
 
-	// Reads is that the voters' confirmation of a leader takes time. Stalls are leaders that
-	// stand still with one that they have not yet read, while another comes to lead.
+	// Reads makes the voters' confirmation of a leader take time. Stalls is the number of
+	// leaders that pause with an unread confirmation while another leader is elected.
 	Reads  bool
 	Stalls int
 }
 
-// Small are bounds for three members, two changes, and each process dying once.
+// Small has three members, two changes and one process restart.
 var Small = Bounds{Members: 3, Changes: 2, Lost: 1, Doubled: 1, Deaths: 1, Most: 4}
 
 const step = 10 * time.Millisecond
 
 var modelTerms = Terms{Lease: 3 * step, Renew: step, CheckWithin: step, HoldWithin: step}
 
-// Explore visits every state that the leader's conduct and the gateways' holders can
-// come to within bounds, with messages that come in any order, late, twice or never,
-// time that passes whenever it likes, and the log's entries that commit late or go
-// with their leader. It returns their number, whether those are all, and the first in
-// which a gateway may decide by a version that is not in force, "" if there is none.
+// Explore visits every state that the coordinator and the holders can reach within
+// bounds. Messages may be reordered, delayed, duplicated or lost, time may pass at any
+// point, and log entries may commit late or be lost with their leader. It returns the
+// number of states, whether the search was exhaustive, and a description of the first
+// state in which a gateway may decide by a version that is not in force ("": none).
 func Explore(b Bounds) (states int, all bool, broken string) {
 	e := &explorer{b: b, seen: map[uint64]struct{}{}, seed: maphash.MakeSeed()}
 	s := &modelState{reg: NewRegister(), b: b}
 	s.c = NewCoordinator(modelTerms, s.reg, 1, 0)
-	s.now = modelTerms.leaseExpiry(0) // no leader before this one
+	s.now = modelTerms.leaseExpiry(0) // leases of an earlier leader have expired
 	for i := range b.Members {
 		s.join(i)
 	}
@@ -55,6 +55,7 @@
 	return len(e.seen), len(e.todo) == 0, e.violation
 }
 
+// explorer is a depth-first search over model states.
 type explorer struct {
 	b         Bounds
 	seen      map[uint64]struct{}
@@ -62,11 +63,11 @@
 	violation string
 	todo      []*modelState
 
-	text        []byte // of the last hash, to be used again
+	text        []byte // buffer of hash, reused
 	messageKeys [][8]int64
 }
 
-// modelState is a state.
+// modelState is one state of the model.
 type modelState struct {
 	b                   Bounds
 	now                 time.Duration
@@ -77,12 +78,12 @@
 	ids                 []uint64
 	incarnations        uint64
 	inFlight            []message
-	entries             []Command    // proposed, not yet committed
-	confirmationPending bool         // a confirmation is under way
-	stalled             *Coordinator // a leader that stood still, with a confirmation that it has not read
+	entries             []Command    // proposed but not yet committed
+	confirmationPending bool         // the voters have not yet confirmed the leader
+	stalled             *Coordinator // a replaced leader that is paused with an unread confirmation
 }
 
-// message is a message under way.
+// message is a message in flight.
 type message struct {
 	member int
 	id     uint64
@@ -107,7 +108,7 @@
 	n.reg = &reg
 	n.c = s.c.clone(n.reg)
 	if s.stalled != nil {
-		n.stalled = s.stalled.clone(s.stalled.reg) // its register stands still too
+		n.stalled = s.stalled.clone(s.stalled.reg) // a paused leader's register doesn't advance
 	}
 	n.holders = nil
 	for _, h := range s.holders {
@@ -128,7 +129,7 @@
 	return &n
 }
 
-// stall lets the leader stand still, and another lead.
+// stall pauses the leader and elects another.
 func (s *modelState) stall() {
 	s.b.Stalls--
 	reg := *s.reg
@@ -138,7 +139,7 @@
 	s.c = NewCoordinator(modelTerms, s.reg, s.c.term+1, s.now)
 }
 
-// wake lets it read what the voters had confirmed. What it proposes comes into no log.
+// wake lets the paused leader read its confirmation. Its proposals are dropped.
 func (s *modelState) wake() {
 	s.stalled.Confirmed(s.now)
 	s.enqueueGrants(s.stalled.Out())
@@ -153,7 +154,7 @@
 	}
 }
 
-// settle carries out what the leader wants, and proposes the next change.
+// settle carries out the coordinator's actions and proposes the next change.
 func (s *modelState) settle() {
 	for again := true; again; {
 		if s.steps > 0 && s.reg.Pending() == nil && len(s.reg.Changes) < s.b.Changes && len(s.entries) == 0 {
@@ -172,7 +173,7 @@
 	}
 }
 
-// sendRenewal lets a gateway say what it has to say.
+// sendRenewal sends a gateway's renewal if one is due.
 func (s *modelState) sendRenewal(i int) {
 	if r := s.holders[i].Tick(s.now); r != nil {
 		s.inFlight = append(s.inFlight, message{member: i, id: s.ids[i], renew: r})
@@ -181,7 +182,7 @@
 
 func (s *modelState) deliver(l message) {
 	if l.id != s.ids[l.member] && l.renew == nil {
-		return // to a process that is gone
+		return // the addressed process has been replaced
 	}
 	if l.renew != nil {
 		s.c.Renew(s.now, l.id, *l.renew)
@@ -194,9 +195,9 @@
 	s.sendRenewal(l.member)
 }
 
-// hash tells states apart by what can matter to what follows: times as they lie from
-// now, calls and rounds as they lie from the last, so that the same situation later
-// is the same state.
+// hash covers only what can affect later behaviour. Times are relative to now, and
+// sequence numbers and rounds relative to the latest, so that the same situation at a
+// later time is the same state.
 func (e *explorer) hash(s *modelState) uint64 {
 	h := e.text[:0]
 	num := func(all ...int64) {
@@ -210,9 +211,9 @@
 		}
 		return 0
 	}
-	since := func(t time.Duration, most int64) int64 { return min(int64((s.now-t)/step), most) } // no later than that does it matter
+	since := func(t time.Duration, most int64) int64 { return min(int64((s.now-t)/step), most) } // older times make no difference
 	left := func(t time.Duration) int64 { return max(int64((t-s.now+step-1)/step), 0) }
-	memberKey := func(id uint64) int64 { // gateways by their place, and those that are gone after them
+	memberKey := func(id uint64) int64 { // live gateways by their index, replaced ones above
 		if i := slices.Index(s.ids, id); i >= 0 {
 			return int64(i)
 		}
@@ -225,7 +226,7 @@
 		}
 		return int64(c.round - r)
 	}
-	// Of a gateway's calls only those matter that something is still known of, and their order.
+	// Of a gateway's sequence numbers, only the order of those still referenced matters.
 	ranks := make([][]uint64, len(s.holders))
 	for i, x := range s.holders {
 		ranks[i] = append(ranks[i], x.seq, x.minSeq)
@@ -261,7 +262,7 @@
 		c.forEachMember(func(id uint64, m *member) {
 			i := slices.Index(s.ids, id)
 			if i < 0 && m.leaseUntil <= s.now {
-				return // gone, and nothing hangs on it
+				return // replaced and without a lease: has no effect
 			}
 			seq, sent, reads := int64(0), int64(0), int64(-9)
 			if i >= 0 {
@@ -315,7 +316,7 @@
 	return maphash.Bytes(e.seed, h)
 }
 
-// addIfNew keeps a state that is new.
+// addIfNew checks a state that has not been seen and queues it.
 func (e *explorer) addIfNew(s *modelState) {
 	key := e.hash(s)
 	if _, ok := e.seen[key]; ok {
@@ -331,7 +332,7 @@
 	e.todo = append(e.todo, s)
 }
 
-// expand goes all ways on from a state.
+// expand queues all successors of a state.
 func (e *explorer) expand(s *modelState) {
 	try := func(do func(n *modelState)) {
 		n := s.clone()
@@ -344,7 +345,7 @@
 			continue
 		}
 		try(func(n *modelState) { n.inFlight = slices.Delete(n.inFlight, i, i+1); n.deliver(l) })
-		if s.stalled != nil && l.renew != nil { // it may come to the one that stands still, and is read there first
+		if s.stalled != nil && l.renew != nil { // it may reach the paused leader, which reads it before the confirmation
 			try(func(n *modelState) {
 				n.inFlight = slices.Delete(n.inFlight, i, i+1)
 				n.stalled.Renew(n.now, l.id, *l.renew)
@@ -389,7 +390,7 @@
 		}
 		try(func(n *modelState) {
 			n.b.Deaths--
-			n.entries = nil // not in the log of the next one
+			n.entries = nil // lost with the replaced leader
 			n.c, n.confirmationPending = NewCoordinator(modelTerms, n.reg, n.c.term+1, n.now), false
 		})
 	}
--- a/internal/policy/holder.go
+++ b/internal/policy/holder.go
@@ -2,59 +2,58 @@
 
 import "time"
 
-// Lease is what a gateway may decide by: a version, until a time on its own
-// clock. Both are read before that clock is, and the clock after the request has
-// come; so one that was stopped for however long decides nothing by a lease that
-// has run out.
+// Lease allows a gateway to decide requests by Version until Until on its own clock.
+// A gateway reads the lease first and its clock afterwards, once the request has
+// arrived, so a process that was paused never decides by an expired lease.
 type Lease struct {
 	Version int64
 	Until   time.Duration
 }
 
-// Holder is a gateway's side.
+// Holder is the gateway's side of the protocol: it requests leases and tracks the one it has.
 type Holder struct {
 	terms        Terms
 	name         string
 	zone         string
 	digest       string
 	format       int
-	version      int64 // that it has; -1: none
+	version      int64 // the version this gateway has; -1: none
 	seq          uint64
-	lastCallAt   time.Duration     // when its last call went out
-	sentAt       [16]time.Duration // when each of the last calls did, by seq
-	minSeq       uint64            // answers to calls before that are void
-	awaitsAnswer bool              // that has no answer yet
+	lastCallAt   time.Duration     // when the last renewal was sent
+	sentAt       [16]time.Duration // send times of the latest renewals, indexed by sequence number modulo the length
+	minSeq       uint64            // grants for earlier sequence numbers are ignored
+	awaitsAnswer bool              // the last renewal is unanswered
 	urgent       bool
-	missed       int // calls in a row without an answer
+	missed       int // consecutive renewals without an answer
 	checked      uint64
 	refusal      string
-	checkedText  []byte // what was checked
+	checkedText  []byte // the change's text that was checked last
 	heldRound    uint64
 	heldAt       time.Duration
 	fenced       string
 	lease        Lease
 }
 
-// NewHolder returns the side of a gateway that has no version yet, not even that
-// of its own file: which is in force only the voters can tell. Digest is of its
-// own file.
+// NewHolder returns a holder without a version. The gateway's own file doesn't count
+// as one, since only the voters know which version is in force. digest is the digest of
+// that file.
 func NewHolder(terms Terms, name, zone, digest string) *Holder {
 	return &Holder{terms: terms, name: name, zone: zone, digest: digest, format: Format, version: -1, urgent: true, lastCallAt: -terms.Renew}
 }
 
-// What a grant asks of the gateway.
+// GrantResult is what the gateway has to do after a grant.
 type GrantResult struct {
-	Adopt  bool // Text is the policy of Version, and in force: take it over before the lease is used
-	Check  bool // say by Checked whether Next can be taken
+	Adopt  bool // Grant.Text is the policy in force: adopt it before using the lease
+	Check  bool // report through Checked whether Grant.Next is acceptable
 	Grant  Grant
-	Leased Lease // from now on; the zero Lease is none
+	Leased Lease // the lease from now on; zero: none
 }
 
-// Tick returns the call that is due; nil: none.
+// Tick returns the renewal to send now, or nil if none is due.
 func (h *Holder) Tick(now time.Duration) *Renew {
 	wait := h.terms.Renew
 	if h.awaitsAnswer {
-		wait = h.terms.Renew / 2 // lost, or the leader is gone
+		wait = h.terms.Renew / 2 // the renewal may be lost, or the leader down
 	}
 	if !h.urgent && now-h.lastCallAt < wait {
 		return nil
@@ -69,7 +68,7 @@
 		Held: h.heldRound, Digest: h.digest, Format: h.format}
 }
 
-// Wait is the time until Tick has something to say.
+// Wait returns the time until the next renewal is due.
 func (h *Holder) Wait(now time.Duration) time.Duration {
 	switch {
 	case h.urgent:
@@ -80,17 +79,17 @@
 	return max(0, h.lastCallAt+h.terms.Renew-now)
 }
 
-// Again wants the last call sent anew, to another voter.
+// Again makes a renewal due at once, for another voter.
 func (h *Holder) Again() { h.urgent = true }
 
-// Missed is the number of calls in a row that had no answer: after some it is time
-// to call another voter.
+// Missed returns the number of consecutive unanswered renewals. After a few of them the
+// caller should try another voter.
 func (h *Holder) Missed() int { return h.missed }
 
-// Grant takes what the leader says.
+// Grant processes a grant from the leader.
 func (h *Holder) Grant(now time.Duration, g Grant) (w GrantResult) {
 	w.Grant = g
-	if g.Seq != 0 && (g.Seq < h.minSeq || g.Seq > h.seq || g.Seq+uint64(len(h.sentAt)) <= h.seq) { // late, or none of this life's
+	if g.Seq != 0 && (g.Seq < h.minSeq || g.Seq > h.seq || g.Seq+uint64(len(h.sentAt)) <= h.seq) { // late, or meant for an earlier incarnation
 		return GrantResult{Leased: h.lease}
 	}
 	h.missed = 0
@@ -102,7 +101,7 @@
 		w.Grant.Text = h.checkedText
 	}
 	if g.Hold != 0 && g.Hold != h.heldRound {
-		// What was asked before must not give a lease any more: the leader will count on this word.
+		// Answers to earlier renewals must not yield a lease any more: the leader relies on this acknowledgement of the hold.
 		h.lease, h.heldRound, h.heldAt, h.urgent, h.minSeq = Lease{}, g.Hold, now, true, h.seq+1
 	}
 	if g.Seq == 0 {
@@ -125,17 +124,17 @@
 	return w
 }
 
-// Checked tells what the gateway makes of the text of a change: refusal "" is that it
-// can take it.
+// Checked records the result of checking a change's text. An empty refusal means that
+// the gateway accepts it.
 func (h *Holder) Checked(change uint64, text []byte, refusal string) {
 	h.checked, h.checkedText, h.refusal, h.urgent = change, text, refusal, true
 }
 
-// Unable tells that it can't take over a version that is in force: it has none
-// then, and decides nothing.
+// Unable records that the gateway failed to adopt the version in force. It then has no
+// version and decides no requests.
 func (h *Holder) Unable() { h.version, h.lease = -1, Lease{} }
 
-// State tells operators how it stands.
+// State returns the version and a status text for operators.
 func (h *Holder) State(now time.Duration) (version int64, state string) {
 	switch {
 	case h.lease.Until > now:
@@ -148,6 +147,6 @@
 	return h.version, "no lease"
 }
 
-// Lease is what may be decided by now, and whether that is nothing for the moment
-// of a turn.
+// Lease returns the present lease, and whether decisions are held while a new version
+// is put in force.
 func (h *Holder) Lease() (l Lease, holds bool) { return h.lease, h.heldRound != 0 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// What a change comes to, by the commands of the log alone.
+// The fate of a change follows from the log's commands alone.
 func TestRegister(t *testing.T) {
 	for name, c := range map[string]struct {
 		log  []Command
@@ -43,7 +43,7 @@
 	}
 }
 
-// What a later program writes is an error, and changes nothing.
+// Data in a later format is rejected.
 func TestLaterFormat(t *testing.T) {
 	if _, err := Decode([]byte(`{"format":99,"kind":"propose","id":1}`)); err == nil {
 		t.Error("a command of a later format is taken")
@@ -53,7 +53,7 @@
 	}
 }
 
-// None gains by a change of quotas, however often it changes.
+// No customer gains units by quota changes, however many there are.
 func TestCarry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		room := rapid.Float64Range(-50, 100).Draw(t, "room")
@@ -74,7 +74,7 @@
 	}
 }
 
-// fleet is a leader and gateways with perfect links, on one clock.
+// fleet is a coordinator and its gateways, with perfect links and one clock.
 type fleet struct {
 	t       *testing.T
 	now     time.Duration
@@ -96,7 +96,7 @@
 	return f
 }
 
-// run lets time pass in steps of 5 ms.
+// run advances time in steps of 5 ms.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += 5 * time.Millisecond {
 		for id := uint64(1); id <= uint64(len(f.holders)); id++ {
@@ -148,7 +148,7 @@
 	return n
 }
 
-// All there: the change is through in a moment, and all serve by it.
+// With all gateways present, a change is in force at all of them within 100 ms.
 func TestTurn(t *testing.T) {
 	f := newFleet(t, 5)
 	f.propose(7)
@@ -158,8 +158,8 @@
 	}
 }
 
-// One says nothing: the others wait for its lease to run out, and not longer; it
-// decides nothing by the old version then.
+// A silent gateway delays a change until its lease has expired, and no longer. It then
+// decides nothing by the old version.
 func TestFence(t *testing.T) {
 	f := newFleet(t, 5)
 	f.silent[3] = true
@@ -179,7 +179,7 @@
 	}
 }
 
-// One refuses: withdrawn, with its word, and all go on by the old one.
+// A change that one gateway rejects is withdrawn with that reason; all keep the old version.
 func TestRefusal(t *testing.T) {
 	f := newFleet(t, 5)
 	f.checks[2] = "unknown key"
@@ -190,11 +190,11 @@
 	}
 }
 
-// One agrees and dies: it is waited for no longer than its lease.
+// A gateway that checked the change and then stops delays it by no more than its lease.
 func TestDiesAfterItAgreed(t *testing.T) {
 	f := newFleet(t, 5)
 	f.propose(7)
-	// It has checked the change, and says nothing to the hold.
+	// It has checked the change but doesn't acknowledge the hold.
 	m := f.c.members[4]
 	m.Checked = 7
 	f.silent[4] = true
@@ -204,8 +204,8 @@
 	}
 }
 
-// A leader that stands still in a hold finds no lease running any more: that nobody is missing is
-// no agreement. With Still unasked it turns.
+// A leader that pauses during a hold finds all leases expired. That no acknowledgement is
+// missing then is no agreement; without Still it would propose the turn.
 func TestHoldWithoutLeases(t *testing.T) {
 	for _, asked := range []bool{true, false} {
 		f := newFleet(t, 5)
@@ -241,7 +241,7 @@
 	}
 }
 
-// An answer to what was asked before a hold gives no lease after it.
+// A late answer to a renewal from before a hold gives no lease.
 func TestLateGrant(t *testing.T) {
 	h := NewHolder(DefaultTerms, "a", "", "")
 	first := h.Tick(0)
@@ -257,9 +257,9 @@
 	}
 }
 
-// A leader asks the voters whether it still is one, stands still with their answer unread, and
-// meets a later call first: another may lead by then, so only the call that was there before
-// it asked gets a lease.
+// A leader asks the voters for a confirmation, pauses with the answer unread, and then reads
+// a later renewal first. Another leader may have been elected meanwhile, so only the renewal
+// from before the confirmation was requested gets a lease.
 func TestCallWhileRead(t *testing.T) {
 	f := newFleet(t, 1)
 	h := f.holders[1]
@@ -269,7 +269,7 @@
 	if !f.c.Out().Read {
 		t.Fatal("the voters are not asked")
 	}
-	f.now += 3 * time.Second // stands still
+	f.now += 3 * time.Second // the leader's process is paused
 	late := h.Tick(f.now)
 	f.c.Renew(f.now, 1, *late)
 	f.c.Confirmed(f.now)
@@ -287,7 +287,7 @@
 	if l, _ := h.Lease(); l.Until != f.now+DefaultTerms.Lease {
 		t.Errorf("a lease until %v at %v once the voters were asked again", l.Until, f.now)
 	}
-	// One whose answers are slow, so that a gateway calls again meanwhile, serves all the same.
+	// A gateway that renews again because confirmations are slow still gets its lease.
 	first := h.Tick(f.now + DefaultTerms.Renew)
 	f.c.Renew(f.now+DefaultTerms.Renew, 1, *first)
 	f.c.Out()
@@ -302,9 +302,10 @@
 	}
 }
 
-// Every state of small models: messages late, lost or twice. And as many of a larger
-// one, in which processes die, as fit into a second; measure policy visits more. A leader that stands
-// still with the voters' answer unread: a lease by it for a later call shows within 92,799 states.
+// Visits every state of small models with late, lost and duplicated messages, and part of
+// a larger one with process restarts, limited to about a second; the policy benchmark visits
+// more. The last model has a leader that pauses with an unread confirmation: a lease wrongly
+// granted for a later renewal shows within 92,799 states.
 func TestExplore(t *testing.T) {
 	for _, b := range []Bounds{{Members: 2, Changes: 1}, {Members: 2, Changes: 1, Lost: 1}, {Members: 3, Changes: 2, Lost: 1, Doubled: 1, Deaths: 1, Most: 1, States: 10000},
 		{Members: 1, Changes: 1, Reads: true, Stalls: 1}, {Members: 1, Changes: 2, Reads: true, Stalls: 1, States: 100000}} {
--- a/internal/policy/register.go
+++ b/internal/policy/register.go
@@ -1,22 +1,22 @@
-// Package policy decides how one policy takes the place of another at many
-// gateways at once: everywhere or nowhere, and never two of them at the same
-// time. No I/O and no clock.
+// Package policy replaces one policy by another atomically at many gateways: at all
+// of them or none, and with never more than one version in use at a time. It does no
+// I/O and reads no clock.
 //
-// Three parts work on it. Register is the state that the voters' log builds,
-// the same at each of them: versions, what has become of each change. Coordinator is
-// what the leader of the voters does besides: it grants leases, has a change
-// checked by all that hold one, waits for the leases of those that say nothing,
-// holds all others for a moment and turns. Holder is a gateway's side: it decides
-// by a version only within a lease for it.
+// It has three parts. Register is the replicated state that every voter builds from
+// the log: the versions and the outcome of each change. Coordinator runs at the
+// voters' leader: it grants leases, has each change checked by all lease holders,
+// waits until the leases of silent members have expired, makes the others hold
+// decisions for a moment, and proposes the turn, the log entry that puts the new
+// version in force. Holder runs at each gateway, which decides requests by a version
+// only while it has a lease for it.
 //
-// Why no request is decided by an old version once any has been by the new:
-// the turn is an entry of the log that a leader proposes only while no lease can
-// still run, by its own clock, and it grants none from then on until the entry
-// is applied. A lease runs from before a gateway asked for it, and is granted
-// only if the voters have confirmed the leader after it was asked; so a leader
-// that has been replaced since grants nothing that its successor would have to
-// know of, except what was asked before the successor's election, and for that
-// the successor waits out one lease.
+// No request is decided by an old version after one was decided by the new version:
+// a leader proposes the turn only while no lease can be in use by its own clock, and
+// grants none until that entry is applied. A lease starts when the gateway sends its
+// renewal, and is granted only if the voters confirmed the leader after the renewal
+// arrived. A replaced leader can therefore grant only leases that were requested
+// before its successor's election, and the successor waits for one lease to expire
+// before its first turn.
 package policy
 
 import (
@@ -24,49 +24,49 @@
 	"fmt"
 )
 
-// Format numbers what the log and its snapshots hold. A voter that meets a
-// higher one steps back: it can't tell what the others make of it.
+// Format is the version of the encoding of log entries and snapshots. A voter that
+// reads a higher one stops voting, since it can't apply the entry as the others do.
 const Format = 1
 
-// Command is an entry of the log.
+// Command is a log entry.
 type Command struct {
 	Format int    `json:"format"`
 	Kind   Kind   `json:"kind"`
-	ID     uint64 `json:"id"`             // of the change; its proposer draws it, so that a repeat is the same change
-	Base   int64  `json:"base,omitempty"` // the version that a proposal is to take the place of
+	ID     uint64 `json:"id"`             // of the change; drawn by the proposer, so that a retry is the same change
+	Base   int64  `json:"base,omitempty"` // the version that a proposal replaces
 	Text   []byte `json:"text,omitempty"`
-	By     string `json:"by,omitempty"`    // who proposes or withdraws it
-	Why    string `json:"why,omitempty"`   // of a withdrawal
-	AtMs   int64  `json:"at_ms,omitempty"` // the proposer's clock, Unix ms; shown, never decided by
+	By     string `json:"by,omitempty"`    // who proposes or withdraws the change
+	Why    string `json:"why,omitempty"`   // reason for a withdrawal
+	AtMs   int64  `json:"at_ms,omitempty"` // the proposer's clock, Unix ms; informational only
 }
 
-// Kind of a command.
+// Kind is the kind of a command.
 type Kind string
 
-// The kinds.
+// Kinds of commands.
 const (
 	Propose  Kind = "propose"
 	Turn     Kind = "turn"
 	Withdraw Kind = "withdraw"
 )
 
-// Fate is what has become of a change.
+// Fate is the state or outcome of a change.
 type Fate string
 
-// The fates. Each change ends with one of the last three, once.
+// Fates of a change. Each change reaches exactly one of the last three, once.
 const (
 	UnderWay  Fate = "under way"
 	Committed Fate = "committed"
 	Withdrawn Fate = "withdrawn"
-	Refused   Fate = "refused" // at its proposal: another base, or another change under way
+	Refused   Fate = "refused" // when proposed: the base was outdated, or another change was pending
 )
 
-// Change is one in the register's history.
+// Change is an entry of the register's history.
 type Change struct {
 	ID      uint64 `json:"id"`
 	Base    int64  `json:"base"`
-	Version int64  `json:"version,omitempty"` // that it has become
-	Text    []byte `json:"text,omitempty"`    // of the last keep versions
+	Version int64  `json:"version,omitempty"` // assigned when it is committed
+	Text    []byte `json:"text,omitempty"`    // kept for the last keepTexts committed versions
 	By      string `json:"by,omitempty"`
 	Why     string `json:"why,omitempty"`
 	AtMs    int64  `json:"at_ms,omitempty"`
@@ -77,7 +77,7 @@
 type Register struct {
 	Format  int      `json:"format"`
 	Version int64    `json:"version"`         // 0: each gateway's own file
-	Under   uint64   `json:"under,omitempty"` // the change under way; 0: none
+	Under   uint64   `json:"under,omitempty"` // the pending change; 0: none
 	Changes []Change `json:"changes"`         // the last keepChanges, oldest first
 }
 
@@ -89,7 +89,7 @@
 // NewRegister returns the register before any change.
 func NewRegister() *Register { return &Register{Format: Format} }
 
-// Restore reads what Snapshot wrote.
+// Restore decodes a register that Snapshot encoded.
 func Restore(data []byte) (*Register, error) {
 	r := NewRegister()
 	if err := json.Unmarshal(data, r); err != nil {
@@ -101,16 +101,16 @@
 	return r, nil
 }
 
-// Snapshot is the state in a form that Restore reads.
+// Snapshot encodes the register for Restore.
 func (r *Register) Snapshot() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // nothing in it can fail to be written
+		panic(err) // every field can be marshaled
 	}
 	return data
 }
 
-// Encode is a command as the log holds it.
+// Encode returns the command as stored in the log.
 func (c Command) Encode() []byte {
 	c.Format = Format
 	data, err := json.Marshal(c)
@@ -120,7 +120,7 @@
 	return data
 }
 
-// Decode reads a command. One of a later format is an error.
+// Decode decodes a log entry. A later format is an error.
 func Decode(data []byte) (Command, error) {
 	var c Command
 	if err := json.Unmarshal(data, &c); err != nil {
@@ -132,7 +132,7 @@
 	return c, nil
 }
 
-// Pending is the change under way; nil: none.
+// Pending returns the pending change, or nil.
 func (r *Register) Pending() *Change {
 	if r.Under == 0 {
 		return nil
@@ -140,7 +140,7 @@
 	return r.Find(r.Under)
 }
 
-// Find is a change by its id; nil: unknown, or long ago.
+// Find returns the change with an id, or nil if it is unknown or no longer kept.
 func (r *Register) Find(id uint64) *Change {
 	for i := len(r.Changes) - 1; i >= 0; i-- {
 		if r.Changes[i].ID == id {
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// Text is the policy of a version; false: it is no longer kept, or never was.
-// That of version 0 is empty.
+// Text returns the policy of a version, or false if it is unknown or no longer kept.
+// Version 0 has an empty text.
 func (r *Register) Text(version int64) ([]byte, bool) {
 	if version == 0 {
 		return nil, true
@@ -164,7 +164,7 @@
 	return nil, false
 }
 
-// Made is the change that has become a version; 0: it is not kept.
+// Made returns the ID of the change that became a version, or 0 if it is not kept.
 func (r *Register) Made(version int64) uint64 {
 	for i := len(r.Changes) - 1; i >= 0 && version > 0; i-- {
 		if c := &r.Changes[i]; c.Version == version && c.Fate == Committed {
@@ -174,12 +174,12 @@
 	return 0
 }
 
-// Apply takes the next command of the log. It is the same at all voters: what
-// does not fit the state changes nothing.
+// Apply applies the next command of the log. It is deterministic; a command that
+// doesn't fit the state has no effect.
 func (r *Register) Apply(c Command) {
 	switch pending := r.Pending(); c.Kind {
 	case Propose:
-		if r.Find(c.ID) != nil { // a repeat
+		if r.Find(c.ID) != nil { // a retried proposal
 			return
 		}
 		n := Change{ID: c.ID, Base: c.Base, Text: c.Text, By: c.By, AtMs: c.AtMs, Fate: UnderWay}
@@ -218,7 +218,7 @@
 	if over := len(r.Changes) - keepChanges; over > 0 {
 		for i := 0; i < over; i++ {
 			if r.Changes[i].Fate == UnderWay || r.Changes[i].Version == r.Version {
-				return // not these, however many came after
+				return // the pending and the current change are always kept
 			}
 		}
 		r.Changes = append([]Change(nil), r.Changes[over:]...)
