--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -31,7 +31,7 @@
 	err = ErrNobody
 	for first := true; first || world.Now().Before(end); first = false {
 		for i := 0; i < len(peers) && i < 20; i++ {
-			got, e := c.one(c.Cfg.Reach(peers[i].Name, peers[i].Address), peers[i].Name, q, min(limit, 7*time.Second))
+			got, e := c.askMember(c.Cfg.Reach(peers[i].Name, peers[i].Address), peers[i].Name, q, min(limit, 7*time.Second))
 			switch {
 			case e != nil:
 				err = fmt.Errorf("%w: %s: %w", ErrNobody, peers[i].Name, e)
@@ -61,7 +61,7 @@
 
 // Self asks the member of this file, which must run and have a folder, who it is.
 func (c *Client) Self(limit time.Duration) (Peer, error) {
-	r, err := c.one(c.Cfg.Address, c.Cfg.Name, Ask{Do: "identity"}, limit)
+	r, err := c.askMember(c.Cfg.Address, c.Cfg.Name, Ask{Do: "identity"}, limit)
 	switch {
 	case err != nil:
 		return Peer{}, fmt.Errorf("this member does not answer: %w", err)
@@ -73,7 +73,7 @@
 	return r.Voters[0], nil
 }
 
-func (c *Client) one(addr, name string, q Ask, limit time.Duration) (r Reply, err error) {
+func (c *Client) askMember(addr, name string, q Ask, limit time.Duration) (r Reply, err error) {
 	world := hostenv.Or(c.World)
 	conn, err := world.Dial(addr, min(limit, time.Second))
 	if err != nil {
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -77,7 +77,7 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func (c *Config) check() error {
 	if c.Cluster == "" {
@@ -149,7 +149,7 @@
 
 // Terms are the times that the cluster goes by. They must be the same at all members.
 func (c *Config) Terms() policy.Terms {
-	return policy.Terms{Lease: span(c.LeaseMs), Drift: c.DriftShare, Renew: span(c.RenewMs), CheckWithin: span(c.CheckWithinMs), HoldWithin: span(c.HoldWithinMs)}
+	return policy.Terms{Lease: milliseconds(c.LeaseMs), Drift: c.DriftShare, Renew: milliseconds(c.RenewMs), CheckWithin: milliseconds(c.CheckWithinMs), HoldWithin: milliseconds(c.HoldWithinMs)}
 }
 
 // seeds are the members to ask first: the first voters, and all whose address is
--- a/internal/cluster/frame.go
+++ b/internal/cluster/frame.go
@@ -20,7 +20,7 @@
 const (
 	KindRaft  Kind = 1 + iota // voter to voter: raftpb.Message
 	KindRenew                 // gateway to leader: policy.Renew as JSON
-	KindGrant                 // and back: Heard as JSON
+	KindGrant                 // and back: GrantMessage as JSON
 	KindAsk                   // an operator's question: Ask as JSON
 	KindReply                 // and back: Reply as JSON
 )
@@ -40,13 +40,13 @@
 const (
 	frameVersion = 1
 	headerSize   = 4 + 1 + 1 + 2 + 4 + 8 + 8 + 8 + 4
-	mostFrame    = 8 << 20
+	maxFrameSize = 8 << 20
 )
 
 // Connections that a frame came by.
-type pipe = mesh.Conn[*Frame]
+type conn = mesh.Conn[*Frame]
 
-var errStrange, errSpoilt = mesh.ErrForeignFrame, mesh.ErrDamagedFrame
+var errForeignFrame, errDamagedFrame = mesh.ErrForeignFrame, mesh.ErrDamagedFrame
 
 // codec is a cluster's.
 func codec(cluster uint64) mesh.Codec[*Frame] {
@@ -93,11 +93,11 @@
 	rest := binary.BigEndian.Uint32(head[8:])
 	switch {
 	case string(head[:4]) != "AWCL" || binary.BigEndian.Uint64(head[12:]) != cluster:
-		return nil, errStrange
+		return nil, errForeignFrame
 	case head[4] > frameVersion:
-		return nil, fmt.Errorf("%w: version %d, this program knows %d", errStrange, head[4], frameVersion)
-	case rest < 2 || rest > mostFrame:
-		return nil, fmt.Errorf("%w: %d bytes", errSpoilt, rest)
+		return nil, fmt.Errorf("%w: version %d, this program knows %d", errForeignFrame, head[4], frameVersion)
+	case rest < 2 || rest > maxFrameSize:
+		return nil, fmt.Errorf("%w: %d bytes", errDamagedFrame, rest)
 	}
 	body := make([]byte, rest)
 	if _, err := io.ReadFull(in, body); err != nil {
@@ -106,7 +106,7 @@
 	want := binary.BigEndian.Uint32(head[headerSize-4:])
 	clear(head[headerSize-4:])
 	if crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, body) != want {
-		return nil, errSpoilt
+		return nil, errDamagedFrame
 	}
 	f := &Frame{Kind: Kind(head[5]), From: binary.BigEndian.Uint64(head[20:]), To: binary.BigEndian.Uint64(head[28:])}
 	for _, to := range []*string{&f.FromName, &f.ToName} {
@@ -115,7 +115,7 @@
 			n = int(body[0])
 		}
 		if len(body) < 1+n {
-			return nil, errSpoilt
+			return nil, errDamagedFrame
 		}
 		*to, body = string(body[1:1+n]), body[1+n:]
 	}
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -27,47 +27,47 @@
 
 // Node is a member: a gateway's side, and where it has a folder a voter's.
 type Node struct {
-	cfg     *Config
-	world   hostenv.Seam
-	now     func() time.Duration
-	log     *slog.Logger
-	gateway Gateway
-	id      uint64 // of this process
-	mesh    *mesh.Mesh[*Frame]
-	holder  *policy.Holder
-	hbox    *mailbox.Box[any]
-	store   *Store
-	voter   *Voter
-	vbox    *mailbox.Box[any]
-	voterID uint64
-	bad     string // why there is no voter, though there is a folder
+	cfg          *Config
+	world        hostenv.Seam
+	now          func() time.Duration
+	log          *slog.Logger
+	gateway      Gateway
+	id           uint64 // of this process
+	mesh         *mesh.Mesh[*Frame]
+	holder       *policy.Holder
+	holderInbox  *mailbox.Box[any]
+	store        *Store
+	voter        *Voter
+	voterInbox   *mailbox.Box[any]
+	voterID      uint64
+	noVoteReason string // why there is no voter, though there is a folder
 
-	halt atomic.Bool
+	stopping atomic.Bool
 
 	// The holder's own.
-	peers  []Peer // voters as last heard of
-	target string
-	turn   int
-	told   policy.Lease
-	holds  bool
-	heldAt time.Duration
+	peers          []Peer // voters as last heard of
+	target         string
+	peerIndex      int
+	publishedLease policy.Lease
+	holds          bool
+	heldAt         time.Duration
 
 	// The voter's own.
-	members map[uint64]*reached
-	met     map[uint64]*pipe // voters that have said something, by the way it came
-	waits   []*waiter
-	was     error
-	saw     string // the leader last told of in the log
+	members          map[uint64]*memberConn
+	voterConns       map[uint64]*conn // voters that have said something, by the way it came
+	pendingProposals []*pendingProposal
+	loggedErr        error
+	loggedLeader     string // the leader last told of in the log
 }
 
-// reached is the way to a gateway, and which voters it has been told of.
-type reached struct {
-	p    *pipe // nil: it is this process's own
-	told uint64
+// memberConn is the way to a gateway, and which voters it has been told of.
+type memberConn struct {
+	p             *conn // nil: it is this process's own
+	sentConfIndex uint64
 }
 
-// Heard is what a voter says to a gateway.
-type Heard struct {
+// GrantMessage is what a voter says to a gateway.
+type GrantMessage struct {
 	policy.Grant
 	Leader *Peer  `json:"leader,omitempty"` // call this one
 	Voters []Peer `json:"voters,omitempty"`
@@ -80,8 +80,8 @@
 	if cfg.Name == "" {
 		cfg.Name = name
 	}
-	n := &Node{cfg: cfg, world: world, now: now, log: log, gateway: g, id: world.Random() | 1, hbox: mailbox.NewBox[any](world),
-		vbox: mailbox.NewBox[any](world), members: map[uint64]*reached{}, met: map[uint64]*pipe{}}
+	n := &Node{cfg: cfg, world: world, now: now, log: log, gateway: g, id: world.Random() | 1, holderInbox: mailbox.NewBox[any](world),
+		voterInbox: mailbox.NewBox[any](world), members: map[uint64]*memberConn{}, voterConns: map[uint64]*conn{}}
 	n.holder = policy.NewHolder(cfg.Terms(), cfg.Name, cfg.Zone, digest)
 	n.mesh = mesh.New(mesh.Options[*Frame]{Env: world, Codec: codec(clusterNumber(cfg.Cluster)), Handle: n.handle, MaxInbound: cfg.Connections})
 	for _, v := range cfg.seeds() {
@@ -90,7 +90,7 @@
 	if cfg.Folder != "" {
 		if err := n.open(); err != nil {
 			// The gateway can go on by the others' word. Nothing is made of a folder that can't be trusted.
-			n.bad = err.Error()
+			n.noVoteReason = err.Error()
 			log.Error("no vote", "folder", cfg.Folder, "error", err)
 		}
 	}
@@ -117,30 +117,30 @@
 // Run is the gateway's side, until Stop.
 func (n *Node) Run() {
 	if n.voter != nil {
-		n.world.Go(n.vote)
+		n.world.Go(n.runVoter)
 	}
-	for !n.halt.Load() {
+	for !n.stopping.Load() {
 		now := n.now()
-		for _, m := range n.hbox.Take(max(time.Millisecond, min(n.holder.Wait(now), 100*time.Millisecond))) {
-			if h, ok := m.(*Heard); ok {
-				n.heard(h)
+		for _, m := range n.holderInbox.Take(max(time.Millisecond, min(n.holder.Wait(now), 100*time.Millisecond))) {
+			if h, ok := m.(*GrantMessage); ok {
+				n.handleGrant(h)
 			}
 		}
 		n.publish()
-		n.call()
+		n.sendRenewal()
 	}
 }
 
 // Stop ends it.
 func (n *Node) Stop() {
-	n.halt.Store(true)
+	n.stopping.Store(true)
 	n.mesh.Close()
-	n.hbox.Put(nil)
-	n.vbox.Put(nil)
+	n.holderInbox.Put(nil)
+	n.voterInbox.Put(nil)
 }
 
 // handle takes a frame, on its connection's goroutine.
-func (n *Node) handle(p *pipe, f *Frame) {
+func (n *Node) handle(p *conn, f *Frame) {
 	if f.To != 0 && f.To != n.id && f.To != n.voterID {
 		n.mesh.Counts.Stale.Add(1)
 		return
@@ -148,28 +148,28 @@
 	switch f.Kind {
 	case KindRaft, KindRenew, KindAsk:
 		if n.voter != nil {
-			n.vbox.Put(arrived{p, f})
+			n.voterInbox.Put(receivedFrame{p, f})
 		} else if f.Kind == KindAsk {
-			n.reply(p, f, Reply{Ask: true, Error: "this member has no vote" + map[bool]string{true: ": " + n.bad}[n.bad != ""]})
+			n.reply(p, f, Reply{Ask: true, Error: "this member has no vote" + map[bool]string{true: ": " + n.noVoteReason}[n.noVoteReason != ""]})
 		}
 	case KindGrant:
-		var h Heard
+		var h GrantMessage
 		if err := json.Unmarshal(f.Body, &h); err != nil {
 			n.mesh.Counts.Damaged.Add(1)
 			return
 		}
-		n.hbox.Put(&h)
+		n.holderInbox.Put(&h)
 	}
 }
 
-type arrived struct {
-	p *pipe // nil: this process's own gateway
+type receivedFrame struct {
+	p *conn // nil: this process's own gateway
 	f *Frame
 }
 
 // The gateway's side.
 
-func (n *Node) heard(h *Heard) {
+func (n *Node) handleGrant(h *GrantMessage) {
 	if len(h.Voters) > 0 {
 		n.peers = h.Voters
 	}
@@ -178,10 +178,10 @@
 		return
 	}
 	if h.Leader != nil {
-		was := n.target
+		previous := n.target
 		n.target = h.Leader.Name
 		if h.Term == 0 { // no grant: only where to call
-			if n.target != was {
+			if n.target != previous {
 				n.holder.Again()
 			}
 			return
@@ -208,30 +208,30 @@
 // publish tells the core what it may decide by.
 func (n *Node) publish() {
 	l, holds := n.holder.Lease()
-	if l != n.told || holds != n.holds {
+	if l != n.publishedLease || holds != n.holds {
 		if now := n.now(); holds && !n.holds {
 			n.heldAt = now
 		} else if !holds && n.holds && l.Until > now {
 			n.log.Info("held", "ms", float64(now-n.heldAt)/1e6, "version", l.Version)
 		}
-		n.told, n.holds = l, holds
+		n.publishedLease, n.holds = l, holds
 		n.gateway.Lease(l, holds)
 	}
 }
 
-// call sends what the gateway has to say, to the leader as it knows it, or from one
+// sendRenewal sends what the gateway has to say, to the leader as it knows it, or from one
 // voter to the next.
-func (n *Node) call() {
+func (n *Node) sendRenewal() {
 	r := n.holder.Tick(n.now())
 	if r == nil || len(n.peers) == 0 {
 		return
 	}
 	if n.holder.Missed() > 1 || n.target == "" {
-		n.turn++
-		if n.turn == 1 { // not all at the same one
-			n.turn += int(n.world.Random() % uint64(len(n.peers)))
+		n.peerIndex++
+		if n.peerIndex == 1 { // not all at the same one
+			n.peerIndex += int(n.world.Random() % uint64(len(n.peers)))
 		}
-		n.target = n.peers[n.turn%len(n.peers)].Name
+		n.target = n.peers[n.peerIndex%len(n.peers)].Name
 	}
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -240,7 +240,7 @@
 	f := &Frame{Kind: KindRenew, From: n.id, FromName: n.cfg.Name, ToName: n.target, Body: body}
 	if n.target == n.cfg.Name {
 		if n.voter != nil {
-			n.vbox.Put(arrived{nil, f})
+			n.voterInbox.Put(receivedFrame{nil, f})
 		}
 		return
 	}
@@ -283,15 +283,15 @@
 	Counts  map[string]int64      `json:"counts,omitempty"`
 }
 
-// waiter is a proposal whose entry is not yet applied.
-type waiter struct {
-	p     *pipe
+// pendingProposal is a proposal whose entry is not yet applied.
+type pendingProposal struct {
+	p     *conn
 	f     *Frame
 	id    uint64
 	until time.Duration
 }
 
-func (n *Node) reply(p *pipe, f *Frame, r Reply) {
+func (n *Node) reply(p *conn, f *Frame, r Reply) {
 	body, err := json.Marshal(r)
 	if err != nil {
 		panic(err)
@@ -299,21 +299,21 @@
 	p.Send(&Frame{Kind: KindReply, From: n.voterID, To: f.From, FromName: n.cfg.Name, ToName: f.FromName, Body: body})
 }
 
-func (n *Node) vote() {
-	for !n.halt.Load() {
-		got := n.vbox.Take(max(time.Millisecond, n.voter.Wait(n.now())))
+func (n *Node) runVoter() {
+	for !n.stopping.Load() {
+		got := n.voterInbox.Take(max(time.Millisecond, n.voter.Wait(n.now())))
 		for _, m := range got {
-			if a, ok := m.(arrived); ok {
-				n.take(a)
+			if a, ok := m.(receivedFrame); ok {
+				n.handleVoterFrame(a)
 			}
 		}
 		n.voter.Tick(n.now())
-		n.say()
+		n.flushVoter()
 	}
 	n.store.Close()
 }
 
-func (n *Node) take(a arrived) {
+func (n *Node) handleVoterFrame(a receivedFrame) {
 	now := n.now()
 	switch f := a.f; f.Kind {
 	case KindRaft:
@@ -322,7 +322,7 @@
 			n.mesh.Counts.Damaged.Add(1)
 			return
 		}
-		n.met[f.From] = a.p
+		n.voterConns[f.From] = a.p
 		n.voter.Step(now, m)
 	case KindRenew:
 		var r policy.Renew
@@ -331,17 +331,17 @@
 			return
 		}
 		if m := n.members[f.From]; m == nil {
-			n.members[f.From] = &reached{p: a.p}
+			n.members[f.From] = &memberConn{p: a.p}
 		} else {
 			m.p = a.p
 		}
 		if !n.voter.Renew(now, f.From, r) {
-			h := Heard{Voters: n.voter.Peers()}
+			h := GrantMessage{Voters: n.voter.Peers()}
 			if p, ok := n.voter.Leader(); ok {
 				h.Leader = &p
 			}
 			if h.Leader != nil || len(h.Voters) > 0 {
-				n.tell(f.From, a.p, &h)
+				n.sendGrant(f.From, a.p, &h)
 			}
 		}
 	case KindAsk:
@@ -354,7 +354,7 @@
 	}
 }
 
-func (n *Node) answer(now time.Duration, a arrived, q Ask) {
+func (n *Node) answer(now time.Duration, a receivedFrame, q Ask) {
 	v := n.voter
 	r := Reply{Version: v.Register().Version, Term: v.Term()}
 	if p, ok := v.Leader(); ok && !v.Leads() {
@@ -396,7 +396,7 @@
 			n.reply(a.p, a.f, r)
 			return
 		}
-		n.waits = append(n.waits, &waiter{a.p, a.f, c.ID, now + 5*time.Second})
+		n.pendingProposals = append(n.pendingProposals, &pendingProposal{a.p, a.f, c.ID, now + 5*time.Second})
 		n.settle(now)
 		return
 	case "fate":
@@ -449,7 +449,7 @@
 
 // settle answers proposals whose entry has come to hold, or may never.
 func (n *Node) settle(now time.Duration) {
-	n.waits = slices.DeleteFunc(n.waits, func(w *waiter) bool {
+	n.pendingProposals = slices.DeleteFunc(n.pendingProposals, func(w *pendingProposal) bool {
 		r := Reply{Version: n.voter.Register().Version, Term: n.voter.Term(), Change: n.voter.Register().Find(w.id)}
 		switch {
 		case r.Change != nil && n.voter.Err() == nil:
@@ -465,14 +465,14 @@
 	})
 }
 
-// say sends what the voter has to say.
-func (n *Node) say() {
-	if err := n.voter.Err(); err != nil && n.was == nil {
-		n.was = err
+// flushVoter sends what the voter has to say.
+func (n *Node) flushVoter() {
+	if err := n.voter.Err(); err != nil && n.loggedErr == nil {
+		n.loggedErr = err
 		n.log.Error("stepped back", "error", err, "damaged", errors.Is(err, ErrDamaged))
 	}
-	if p, _ := n.voter.Leader(); p.Name != n.saw {
-		n.saw = p.Name
+	if p, _ := n.voter.Leader(); p.Name != n.loggedLeader {
+		n.loggedLeader = p.Name
 		n.log.Info("leader", "name", p.Name, "term", n.voter.Term())
 	}
 	messages, grants := n.voter.Out()
@@ -487,7 +487,7 @@
 		if i := slices.IndexFunc(peers, func(p Peer) bool { return p.ID == m.GetTo() }); i >= 0 {
 			f.ToName = peers[i].Name
 			n.mesh.ConnTo(n.cfg.Reach(peers[i].Name, peers[i].Address)).Send(f)
-		} else if p := n.met[m.GetTo()]; p != nil { // one that is made a voter has no list of them yet
+		} else if p := n.voterConns[m.GetTo()]; p != nil { // one that is made a voter has no list of them yet
 			p.Send(f)
 		}
 	}
@@ -496,13 +496,13 @@
 		if !ok {
 			continue
 		}
-		h := &Heard{Grant: g.Grant}
-		if m.told != n.voter.changed {
-			h.Voters, m.told = peers, n.voter.changed
+		h := &GrantMessage{Grant: g.Grant}
+		if m.sentConfIndex != n.voter.confIndex {
+			h.Voters, m.sentConfIndex = peers, n.voter.confIndex
 		}
-		n.tell(g.To, m.p, h)
+		n.sendGrant(g.To, m.p, h)
 	}
-	if len(n.waits) > 0 {
+	if len(n.pendingProposals) > 0 {
 		n.settle(n.now())
 	}
 	if len(n.members) > 4*n.cfg.Connections { // those that are long gone
@@ -510,10 +510,10 @@
 	}
 }
 
-// tell says something to a gateway; its own is in this process.
-func (n *Node) tell(member uint64, p *pipe, h *Heard) {
+// sendGrant says something to a gateway; its own is in this process.
+func (n *Node) sendGrant(member uint64, p *conn, h *GrantMessage) {
 	if p == nil {
-		n.hbox.Put(h)
+		n.holderInbox.Put(h)
 		return
 	}
 	body, err := json.Marshal(h)
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -50,8 +50,8 @@
 // ErrCopy is that a folder was copied, or put back from a copy.
 var ErrCopy = errors.New("it is a copy: what its voter has said since is not in it")
 
-// birth is what tells a file from a copy of it.
-func birth(file string) (inode uint64, born int64, err error) {
+// fileOrigin returns what tells a file from a copy of it.
+func fileOrigin(file string) (inode uint64, born int64, err error) {
 	var s unix.Statx_t
 	if err := unix.Statx(unix.AT_FDCWD, file, 0, unix.STATX_INO|unix.STATX_BTIME, &s); err != nil {
 		return 0, 0, err
@@ -72,13 +72,13 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, err
 	}
-	defer caught(&err)
+	defer recoverDamage(&err)
 	db, err := bbolt.Open(filepath.Join(folder, storeFile), 0o600, &bbolt.Options{Timeout: 2 * time.Second, FreelistType: bbolt.FreelistMapType})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", folder, err)
 	}
 	s = &Store{db}
-	inode, born, err := birth(filepath.Join(folder, storeFile))
+	inode, born, err := fileOrigin(filepath.Join(folder, storeFile))
 	if err != nil {
 		db.Close()
 		return nil, fmt.Errorf("%s: %w", folder, err)
@@ -125,8 +125,8 @@
 	return s, nil
 }
 
-// caught makes an error of a panic: bbolt panics on pages that make no sense.
-func caught(err *error) {
+// recoverDamage makes an error of a panic: bbolt panics on pages that make no sense.
+func recoverDamage(err *error) {
 	if p := recover(); p != nil {
 		*err = fmt.Errorf("%w: %v", ErrDamaged, p)
 	}
@@ -135,25 +135,25 @@
 // Close lets go of the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-func sum(key, value []byte) uint32 {
+func recordChecksum(key, value []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
 
 func put(b *bbolt.Bucket, key, value []byte) error {
-	return b.Put(key, binary.BigEndian.AppendUint32(append([]byte(nil), value...), sum(key, value)))
+	return b.Put(key, binary.BigEndian.AppendUint32(append([]byte(nil), value...), recordChecksum(key, value)))
 }
 
 func get(b *bbolt.Bucket, key string) ([]byte, error) {
-	return checked([]byte(key), b.Get([]byte(key)))
+	return verifyRecord([]byte(key), b.Get([]byte(key)))
 }
 
-// checked is a record's value; nil: there is none.
-func checked(key, record []byte) ([]byte, error) {
+// verifyRecord returns a record's value; nil: there is none.
+func verifyRecord(key, record []byte) ([]byte, error) {
 	if record == nil {
 		return nil, nil
 	}
 	n := len(record) - 4
-	if n < 0 || sum(key, record[:n]) != binary.BigEndian.Uint32(record[n:]) {
+	if n < 0 || recordChecksum(key, record[:n]) != binary.BigEndian.Uint32(record[n:]) {
 		return nil, fmt.Errorf("%w: record %q", ErrDamaged, key)
 	}
 	return append([]byte(nil), record[:n]...), nil
@@ -161,7 +161,7 @@
 
 // Load reads all that is kept.
 func (s *Store) Load() (saved *Saved, err error) {
-	defer caught(&err)
+	defer recoverDamage(&err)
 	saved = &Saved{}
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
@@ -197,7 +197,7 @@
 			next = saved.Snapshot.GetMetadata().GetIndex() + 1
 		}
 		return tx.Bucket(logBucket).ForEach(func(k, v []byte) error {
-			data, err := checked(k, v)
+			data, err := verifyRecord(k, v)
 			if err != nil {
 				return err
 			}
@@ -227,11 +227,11 @@
 	return saved, nil
 }
 
-func number(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
 // Save keeps all of it, or fails.
 func (s *Store) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) (err error) {
-	defer caught(&err)
+	defer recoverDamage(&err)
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 		if snapshot != nil {
@@ -251,7 +251,7 @@
 		for _, e := range entries {
 			data, err := proto.Marshal(e)
 			if err == nil {
-				err = put(log, number(e.GetIndex()), data)
+				err = put(log, indexKey(e.GetIndex()), data)
 			}
 			if err != nil {
 				return err
@@ -270,7 +270,7 @@
 
 // Compact keeps a snapshot in the place of entries.
 func (s *Store) Compact(snapshot *raftpb.Snapshot) (err error) {
-	defer caught(&err)
+	defer recoverDamage(&err)
 	return s.db.Update(func(tx *bbolt.Tx) error { return compact(tx, snapshot, snapshot.GetMetadata().GetIndex()) })
 }
 
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -35,7 +35,7 @@
 	return s
 }
 
-func span10(t *testing.T, s *Store) (first, last uint64) {
+func entryRange(t *testing.T, s *Store) (first, last uint64) {
 	t.Helper()
 	saved, err := s.Load()
 	if err != nil {
@@ -75,13 +75,13 @@
 	if err := s.Compact(snap); err != nil {
 		t.Fatal(err)
 	}
-	if first, last := span10(t, s); first != 5 || last != 7 {
+	if first, last := entryRange(t, s); first != 5 || last != 7 {
 		t.Errorf("entries %d to %d after its own snapshot at 4", first, last)
 	}
 	if err := s.Save(nil, nil, snap); err != nil {
 		t.Fatal(err)
 	}
-	if first, last := span10(t, s); last != 0 {
+	if first, last := entryRange(t, s); last != 0 {
 		t.Errorf("entries %d to %d after another's snapshot", first, last)
 	}
 	s.Close()
@@ -93,13 +93,13 @@
 	for name, harm := range map[string]func(tx *bbolt.Tx) error{
 		"a bit": func(tx *bbolt.Tx) error {
 			b := tx.Bucket(logBucket)
-			v := append([]byte(nil), b.Get(number(4))...)
+			v := append([]byte(nil), b.Get(indexKey(4))...)
 			v[2] ^= 1
-			return b.Put(number(4), v)
+			return b.Put(indexKey(4), v)
 		},
-		"a hole":       func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Delete(number(4)) },
-		"a lost end":   func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Delete(number(5)) },
-		"another's":    func(tx *bbolt.Tx) error { b := tx.Bucket(logBucket); return b.Put(number(5), b.Get(number(4))) },
+		"a hole":       func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Delete(indexKey(4)) },
+		"a lost end":   func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Delete(indexKey(5)) },
+		"another's":    func(tx *bbolt.Tx) error { b := tx.Bucket(logBucket); return b.Put(indexKey(5), b.Get(indexKey(4))) },
 		"a short vote": func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put([]byte("hard"), []byte{1}) },
 	} {
 		s := formed(t, t.TempDir())
@@ -192,7 +192,7 @@
 	if err != nil || got.FromName != "gw-1" || got.ToName != "gw-2" || string(got.Body) != "body" || got.From != 1 || got.To != 2 || got.Kind != KindAsk {
 		t.Fatalf("%v %+v", err, got)
 	}
-	if _, err := read(text, 8); !errors.Is(err, errStrange) {
+	if _, err := read(text, 8); !errors.Is(err, errForeignFrame) {
 		t.Errorf("another cluster's: %v", err)
 	}
 	for i := range text { // any one bit that is turned is seen
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -54,13 +54,13 @@
 // up and stands for election is drawn here, by the seam's random numbers, since
 // Raft's own are of the process and could not be replayed.
 const (
-	beat        = 40 * time.Millisecond // a tick of a leader
-	beatsToLead = 10                    // without a quorum's word: it steps down
-	electAfter  = beatsToLead * beat    // and up to twice that: without a leader's word
-	readEvery   = 25 * time.Millisecond // between confirmations of a leader, for all calls that came since
-	readBusy    = time.Millisecond      // while a change is under way
-	snapEvery   = 500                   // entries
-	keepBehind  = 100                   // entries that a snapshot stands for, kept all the same
+	heartbeatInterval = 40 * time.Millisecond             // a tick of a leader
+	electionTicks     = 10                                // without a quorum's word: it steps down
+	electionTimeout   = electionTicks * heartbeatInterval // and up to twice that: without a leader's word
+	readInterval      = 25 * time.Millisecond             // between confirmations of a leader, for all calls that came since
+	readIntervalBusy  = time.Millisecond                  // while a change is under way
+	snapshotInterval  = 500                               // entries
+	keptEntries       = 100                               // entries that a snapshot stands for, kept all the same
 )
 
 // state is what the log builds, and snapshots hold.
@@ -76,32 +76,32 @@
 	disk   Disk
 	random func() uint64
 
-	rn      *raft.RawNode
-	mem     *raft.MemoryStorage
-	state   state
-	conf    *raftpb.ConfState
-	applied uint64
-	changed uint64 // index of the last change of voters
-	snapped uint64
-	term    uint64
-	vote    uint64
-	leader  uint64
-
-	beatAt      time.Duration
-	heardAt     time.Duration // of a leader
-	electAt     time.Duration
-	coordinator *policy.Coordinator
-	token       uint64
-	reading     bool
-	readIndex   uint64 // confirmed once that is applied; 0: not yet confirmed
-	wants       bool   // a read
-	readAt      time.Duration
-	replace     *replacement
-	snaps       map[uint64]time.Duration // sent, and not yet known to have come
-
-	err  error
-	out  []*raftpb.Message
-	give []policy.Directed
+	rn            *raft.RawNode
+	mem           *raft.MemoryStorage
+	state         state
+	conf          *raftpb.ConfState
+	applied       uint64
+	confIndex     uint64 // index of the last change of voters
+	snapshotIndex uint64
+	term          uint64
+	vote          uint64
+	leader        uint64
+
+	nextTick      time.Duration
+	leaderHeardAt time.Duration // of a leader
+	campaignAt    time.Duration
+	coordinator   *policy.Coordinator
+	token         uint64
+	reading       bool
+	readIndex     uint64 // confirmed once that is applied; 0: not yet confirmed
+	readWanted    bool   // a read
+	readAt        time.Duration
+	replace       *replacement
+	snapshotsSent map[uint64]time.Duration // sent, and not yet known to have come
+
+	err    error
+	out    []*raftpb.Message
+	grants []policy.Directed
 }
 
 type replacement struct {
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &Voter{Self: saved.Self, terms: terms, disk: disk, random: random, snaps: map[uint64]time.Duration{}, mem: raft.NewMemoryStorage(), heardAt: now, beatAt: now,
+	v := &Voter{Self: saved.Self, terms: terms, disk: disk, random: random, snapshotsSent: map[uint64]time.Duration{}, mem: raft.NewMemoryStorage(), leaderHeardAt: now, nextTick: now,
 		state: state{Register: policy.NewRegister(), Peers: map[uint64]Peer{}}, conf: &raftpb.ConfState{}}
 	if s := saved.Snapshot; s != nil {
 		if err := v.mem.ApplySnapshot(s); err != nil {
@@ -151,22 +151,22 @@
 	if err := v.mem.Append(saved.Entries); err != nil {
 		return nil, err
 	}
-	if err := v.guard(func() error {
-		v.rn, err = raft.NewRawNode(&raft.Config{ID: v.Self.ID, ElectionTick: beatsToLead, HeartbeatTick: 2, Storage: v.mem, Applied: v.applied,
+	if err := v.recoverPanic(func() error {
+		v.rn, err = raft.NewRawNode(&raft.Config{ID: v.Self.ID, ElectionTick: electionTicks, HeartbeatTick: 2, Storage: v.mem, Applied: v.applied,
 			MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 16 << 20, CheckQuorum: true, PreVote: true, StepDownOnRemoval: true,
-			DisableProposalForwarding: true, Logger: quiet{}})
+			DisableProposalForwarding: true, Logger: discardLogger{}})
 		return err
 	}); err != nil {
 		return nil, err
 	}
-	v.putOff(now)
-	v.ready(now)
+	v.resetElectionTimer(now)
+	v.processReady(now)
 	return v, v.err
 }
 
-// guard turns a panic of the engine, which a disk that lost what it had sworn to
+// recoverPanic turns a panic of the engine, which a disk that lost what it had sworn to
 // keep can cause, into an error: this replica steps back, the gateway goes on.
-func (v *Voter) guard(do func() error) (err error) {
+func (v *Voter) recoverPanic(do func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("raft: %v", p)
@@ -183,11 +183,11 @@
 	if v.err == nil {
 		v.err = err
 	}
-	v.coordinator, v.out, v.give, v.leader = nil, nil, nil, 0
+	v.coordinator, v.out, v.grants, v.leader = nil, nil, nil, 0
 }
 
-func (v *Voter) putOff(now time.Duration) {
-	v.electAt = now + electAfter + time.Duration(v.random()%uint64(electAfter))
+func (v *Voter) resetElectionTimer(now time.Duration) {
+	v.campaignAt = now + electionTimeout + time.Duration(v.random()%uint64(electionTimeout))
 }
 
 // Leader is the leader as known here.
@@ -234,8 +234,8 @@
 
 // Out takes messages to voters and grants to gateways.
 func (v *Voter) Out() (messages []*raftpb.Message, grants []policy.Directed) {
-	messages, grants = v.out, v.give
-	v.out, v.give = nil, nil
+	messages, grants = v.out, v.grants
+	v.out, v.grants = nil, nil
 	return messages, grants
 }
 
@@ -247,13 +247,13 @@
 	switch m.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if m.GetTerm() >= v.term {
-			v.heardAt = now
-			v.putOff(now)
+			v.leaderHeardAt = now
+			v.resetElectionTimer(now)
 		}
 	case raftpb.MsgProp, raftpb.MsgTimeoutNow:
 		return // nobody here sends such
 	}
-	v.do(now, func() error {
+	v.run(now, func() error {
 		if err := v.rn.Step(m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
 			return err
 		}
@@ -268,7 +268,7 @@
 		return false
 	}
 	v.coordinator.Renew(now, member, r)
-	v.ready(now)
+	v.processReady(now)
 	return v.coordinator != nil
 }
 
@@ -282,7 +282,7 @@
 		return ErrNotLeader
 	}
 	var err error
-	v.do(now, func() error { err = v.rn.Propose(c.Encode()); return nil })
+	v.run(now, func() error { err = v.rn.Propose(c.Encode()); return nil })
 	return err
 }
 
@@ -299,27 +299,27 @@
 	case v.Votes(new.ID):
 		return fmt.Errorf("%s is a voter already", new.Name)
 	}
-	if err := v.change(now, new, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: &new.ID}); err != nil {
+	if err := v.proposeConfChange(now, new, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: &new.ID}); err != nil {
 		return err
 	}
 	v.replace = &replacement{old, new}
 	return nil
 }
 
-func (v *Voter) change(now time.Duration, p Peer, changes ...*raftpb.ConfChangeSingle) error {
+func (v *Voter) proposeConfChange(now time.Duration, p Peer, changes ...*raftpb.ConfChangeSingle) error {
 	about, err := json.Marshal(p)
 	if err != nil {
 		return err
 	}
-	v.do(now, func() error {
+	v.run(now, func() error {
 		err = v.rn.ProposeConfChange(&raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionAuto.Enum(), Changes: changes, Context: about})
 		return nil
 	})
 	return err
 }
 
-// follow goes on with a replacement once the new one has the log.
-func (v *Voter) follow(now time.Duration) {
+// continueReplacement goes on with a replacement once the new one has the log.
+func (v *Voter) continueReplacement(now time.Duration) {
 	r := v.replace
 	if r == nil || v.coordinator == nil {
 		return
@@ -328,26 +328,26 @@
 		v.replace = nil
 		return
 	}
-	caught := false
+	caughtUp := false
 	for id, p := range v.rn.Status().Progress {
-		caught = caught || id == r.new.ID && p.Match+5 >= v.applied
+		caughtUp = caughtUp || id == r.new.ID && p.Match+5 >= v.applied
 	}
-	if caught && len(v.conf.VotersOutgoing) == 0 {
-		v.change(now, r.new, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: &r.new.ID},
+	if caughtUp && len(v.conf.VotersOutgoing) == 0 {
+		v.proposeConfChange(now, r.new, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: &r.new.ID},
 			&raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: &r.old})
 	}
 }
 
-// resend lets the engine try again where a snapshot may be lost, or an older one
+// retrySnapshots lets the engine try again where a snapshot may be lost, or an older one
 // than the log goes back to by now: by itself it would wait for good.
-func (v *Voter) resend(now time.Duration) {
-	for _, id := range slices.Sorted(maps.Keys(v.snaps)) {
-		if now-v.snaps[id] < 2*electAfter {
+func (v *Voter) retrySnapshots(now time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(v.snapshotsSent)) {
+		if now-v.snapshotsSent[id] < 2*electionTimeout {
 			continue
 		}
-		delete(v.snaps, id)
+		delete(v.snapshotsSent, id)
 		if v.rn.Status().Progress[id].State == tracker.StateSnapshot {
-			v.do(now, func() error { v.rn.ReportSnapshot(id, raft.SnapshotFailure); return nil })
+			v.run(now, func() error { v.rn.ReportSnapshot(id, raft.SnapshotFailure); return nil })
 		}
 	}
 }
@@ -358,30 +358,30 @@
 		return
 	}
 	if v.coordinator != nil {
-		for ; v.beatAt <= now; v.beatAt += beat {
-			if now-v.beatAt > electAfter { // this process stood still; so many beats at once would say nothing
-				v.beatAt = now
+		for ; v.nextTick <= now; v.nextTick += heartbeatInterval {
+			if now-v.nextTick > electionTimeout { // this process stood still; so many beats at once would say nothing
+				v.nextTick = now
 			}
-			v.do(now, func() error { v.rn.Tick(); return nil })
+			v.run(now, func() error { v.rn.Tick(); return nil })
 			if v.coordinator == nil {
 				return
 			}
-			v.follow(now)
-			v.resend(now)
+			v.continueReplacement(now)
+			v.retrySnapshots(now)
 		}
 		if v.coordinator != nil {
 			v.coordinator.Tick(now)
 		}
-		v.ready(now)
+		v.processReady(now)
 		return
 	}
-	v.beatAt = now
-	if v.leader != 0 && now-v.heardAt >= electAfter {
-		v.do(now, v.rn.ForgetLeader) // from now on it would vote for another
+	v.nextTick = now
+	if v.leader != 0 && now-v.leaderHeardAt >= electionTimeout {
+		v.run(now, v.rn.ForgetLeader) // from now on it would vote for another
 	}
-	if now >= v.electAt && v.Votes(v.Self.ID) {
-		v.putOff(now)
-		v.do(now, v.rn.Campaign)
+	if now >= v.campaignAt && v.Votes(v.Self.ID) {
+		v.resetElectionTimer(now)
+		v.run(now, v.rn.Campaign)
 	}
 }
 
@@ -393,30 +393,30 @@
 		}
 		return 12 * time.Millisecond
 	}
-	return beat / 2
+	return heartbeatInterval / 2
 }
 
-func (v *Voter) do(now time.Duration, what func() error) {
+func (v *Voter) run(now time.Duration, what func() error) {
 	if v.err != nil {
 		return
 	}
-	if err := v.guard(what); err != nil {
+	if err := v.recoverPanic(what); err != nil {
 		v.fail(err)
 		return
 	}
-	v.ready(now)
+	v.processReady(now)
 }
 
-// ready carries out what the engine wants: first it is kept, then said.
-func (v *Voter) ready(now time.Duration) {
+// processReady carries out what the engine wants: first it is kept, then said.
+func (v *Voter) processReady(now time.Duration) {
 	if v.err == nil && v.rn != nil {
-		if err := v.guard(func() error { return v.drain(now) }); err != nil {
+		if err := v.recoverPanic(func() error { return v.drainReady(now) }); err != nil {
 			v.fail(err)
 		}
 	}
 }
 
-func (v *Voter) drain(now time.Duration) error {
+func (v *Voter) drainReady(now time.Duration) error {
 	for again := true; again; {
 		for v.rn.HasReady() {
 			rd := v.rn.Ready()
@@ -445,7 +445,7 @@
 						return err
 					}
 					if v.term, v.vote = hard.GetTerm(), hard.GetVote(); v.vote != 0 && v.coordinator == nil {
-						v.putOff(now)
+						v.resetElectionTimer(now)
 					}
 				}
 				if err := v.mem.Append(rd.Entries); err != nil {
@@ -454,7 +454,7 @@
 			}
 			for _, m := range rd.Messages {
 				if m.GetType() == raftpb.MsgSnap {
-					v.snaps[m.GetTo()] = now
+					v.snapshotsSent[m.GetTo()] = now
 				}
 			}
 			v.out = append(v.out, rd.Messages...)
@@ -464,7 +464,7 @@
 				}
 			}
 			if rd.SoftState != nil {
-				v.roles(now, rd.SoftState)
+				v.updateRole(now, rd.SoftState)
 			}
 			for _, r := range rd.ReadStates {
 				if v.reading && len(r.RequestCtx) == 8 && binary.BigEndian.Uint64(r.RequestCtx) == v.token {
@@ -478,36 +478,36 @@
 			v.coordinator.Confirmed(now)
 		}
 		var err error
-		if again, err = v.lead(now); err != nil {
+		if again, err = v.runCoordinator(now); err != nil {
 			return err
 		}
 	}
-	return v.snap()
+	return v.takeSnapshot()
 }
 
-// roles takes note of who leads.
-func (v *Voter) roles(now time.Duration, s *raft.SoftState) {
+// updateRole takes note of who leads.
+func (v *Voter) updateRole(now time.Duration, s *raft.SoftState) {
 	v.leader = s.Lead
 	switch leads := s.RaftState == raft.StateLeader; {
 	case leads && v.coordinator == nil:
 		v.coordinator = policy.NewCoordinator(v.terms, v.state.Register, v.term, now)
-		v.reading, v.readIndex, v.wants, v.replace, v.beatAt, v.snaps = false, 0, false, nil, now, map[uint64]time.Duration{}
+		v.reading, v.readIndex, v.readWanted, v.replace, v.nextTick, v.snapshotsSent = false, 0, false, nil, now, map[uint64]time.Duration{}
 	case !leads && v.coordinator != nil:
 		v.coordinator = nil
-		v.heardAt = now
-		v.putOff(now)
+		v.leaderHeardAt = now
+		v.resetElectionTimer(now)
 	}
 }
 
-// lead does what the leader's part wants. It reports whether the engine has more
+// runCoordinator does what the leader's part wants. It reports whether the engine has more
 // to do after that.
-func (v *Voter) lead(now time.Duration) (again bool, err error) {
+func (v *Voter) runCoordinator(now time.Duration) (again bool, err error) {
 	if v.coordinator == nil {
 		return false, nil
 	}
 	o := v.coordinator.Out()
-	v.give = append(v.give, o.Grants...)
-	v.wants = v.wants || o.Read
+	v.grants = append(v.grants, o.Grants...)
+	v.readWanted = v.readWanted || o.Read
 	for _, c := range o.Propose {
 		switch err := v.rn.Propose(c.Encode()); {
 		case errors.Is(err, raft.ErrProposalDropped):
@@ -517,13 +517,13 @@
 		}
 		again = true
 	}
-	every := readEvery
+	every := readInterval
 	if v.coordinator.Busy() {
-		every = readBusy
+		every = readIntervalBusy
 	}
-	if v.wants && !v.reading && (now-v.readAt >= every || now < v.readAt) {
+	if v.readWanted && !v.reading && (now-v.readAt >= every || now < v.readAt) {
 		v.token++
-		v.reading, v.readIndex, v.wants, v.readAt = true, 0, false, now
+		v.reading, v.readIndex, v.readWanted, v.readAt = true, 0, false, now
 		v.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, v.token))
 		again = true
 	}
@@ -540,7 +540,7 @@
 	}
 	v.state, v.conf = st, s.GetMetadata().GetConfState()
 	v.applied = s.GetMetadata().GetIndex()
-	v.snapped, v.changed = v.applied, v.applied
+	v.snapshotIndex, v.confIndex = v.applied, v.applied
 	return nil
 }
 
@@ -569,16 +569,16 @@
 		}
 		known := slices.Concat(v.conf.Voters, v.conf.VotersOutgoing, v.conf.Learners, v.conf.LearnersNext)
 		maps.DeleteFunc(v.state.Peers, func(id uint64, _ Peer) bool { return !slices.Contains(known, id) })
-		v.changed = e.GetIndex()
-		v.snapped = 0 // a new one takes only a snapshot that knows it
+		v.confIndex = e.GetIndex()
+		v.snapshotIndex = 0 // a new one takes only a snapshot that knows it
 	}
 	v.applied = e.GetIndex()
 	return nil
 }
 
-// snap writes the state down once the log is long, and lets go of what it stands for.
-func (v *Voter) snap() error {
-	if v.snapped != 0 && v.applied < v.snapped+snapEvery || v.applied == 0 {
+// takeSnapshot writes the state down once the log is long, and lets go of what it stands for.
+func (v *Voter) takeSnapshot() error {
+	if v.snapshotIndex != 0 && v.applied < v.snapshotIndex+snapshotInterval || v.applied == 0 {
 		return nil
 	}
 	data, err := json.Marshal(v.state)
@@ -592,31 +592,31 @@
 	if err := v.disk.Compact(s); err != nil {
 		return fmt.Errorf("disk: %w", err)
 	}
-	v.snapped = v.applied
+	v.snapshotIndex = v.applied
 	// A follower that is a little behind needs no snapshot.
-	if first, err := v.mem.FirstIndex(); err != nil || v.applied <= first+keepBehind {
+	if first, err := v.mem.FirstIndex(); err != nil || v.applied <= first+keptEntries {
 		return err
 	}
-	return v.mem.Compact(v.applied - keepBehind)
+	return v.mem.Compact(v.applied - keptEntries)
 }
 
-// quiet is a logger for the engine: what matters shows in the state. Its panics
-// are caught.
-type quiet struct{}
+// discardLogger is a logger for the engine: what matters shows in the state. Its panics
+// are caughtUp.
+type discardLogger struct{}
 
-func (quiet) Debug(...any)            {}
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Error(...any)            {}
-func (quiet) Errorf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warning(...any)          {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(f string, v ...any) {
+func (discardLogger) Debug(...any)            {}
+func (discardLogger) Debugf(string, ...any)   {}
+func (discardLogger) Error(...any)            {}
+func (discardLogger) Errorf(string, ...any)   {}
+func (discardLogger) Info(...any)             {}
+func (discardLogger) Infof(string, ...any)    {}
+func (discardLogger) Warning(...any)          {}
+func (discardLogger) Warningf(string, ...any) {}
+func (discardLogger) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (quiet) Panic(v ...any) { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(f string, v ...any) {
+func (discardLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
