--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -11,19 +11,18 @@
 	"asterwell/internal/hostenv"
 )
 
-// Client asks voters what operators want to know, and tells them what operators want
-// done.
+// Client sends operators' queries and commands to the voters.
 type Client struct {
 	World hostenv.Seam
 	Cfg   *Config
 	By    string
 }
 
-// ErrNobody is that no voter that leads was reached: none may, without a majority.
+// ErrNobody means that no leader was reached. There is none without a majority.
 var ErrNobody = errors.New("no leader was reached")
 
-// Ask puts a question to the leader: to one voter after the other, until one is it
-// or names it.
+// Ask sends a request to the leader. It tries one voter after another until it reaches
+// the leader or one that knows its address.
 func (c *Client) Ask(q Ask, limit time.Duration) (r Reply, err error) {
 	world := hostenv.Or(c.World)
 	end := world.Now().Add(limit)
@@ -40,7 +39,7 @@
 				if p := got.Leader; p != nil && i < 10 {
 					peers = append(peers[:i+1:i+1], append([]Named{{p.Name, p.Address}}, peers[i+1:]...)...)
 				}
-				for _, p := range got.Voters { // they may be others than the file knows
+				for _, p := range got.Voters { // the voters may have changed since the file was written
 					if !slices.ContainsFunc(peers, func(x Named) bool { return x.Name == p.Name }) {
 						peers = append(peers, Named{p.Name, p.Address})
 					}
@@ -59,7 +58,7 @@
 	return r, err
 }
 
-// Self asks the member of this file, which must run and have a folder, who it is.
+// Self returns the identity of this file's member, which must be running and have a folder.
 func (c *Client) Self(limit time.Duration) (Peer, error) {
 	r, err := c.askMember(c.Cfg.Address, c.Cfg.Name, Ask{Do: "identity"}, limit)
 	switch {
@@ -73,6 +72,7 @@
 	return r.Voters[0], nil
 }
 
+// askMember sends one request to one member and waits for its reply.
 func (c *Client) askMember(addr, name string, q Ask, limit time.Duration) (r Reply, err error) {
 	world := hostenv.Or(c.World)
 	conn, err := world.Dial(addr, min(limit, time.Second))
@@ -102,9 +102,9 @@
 	}
 }
 
-// FormFolder gives an empty folder the first state of a cluster: this member's vote
-// among those of the file. It is done once for each of the first voters, all with the
-// same list.
+// FormFolder initializes an empty folder with the first state of a cluster, in which
+// the voters are those of the file. It runs once at each initial voter, with the same
+// list at all of them.
 func FormFolder(c *Config) error {
 	if c.Folder == "" {
 		return errors.New("folder is missing: a voter needs one")
@@ -129,5 +129,6 @@
 	return s.Form(voters)
 }
 
-// firstID is a first voter's, known to all before any has started.
+// firstID returns the ID of an initial voter. It is derived from names, so that all voters
+// know it before any has started.
 func firstID(cluster, name string) uint64 { return clusterNumber(cluster+"\x00"+name) | 1 }
--- a/internal/cluster/client_test.go
+++ b/internal/cluster/client_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// member answers each question with r.
+// member starts a server that answers every request with r.
 func member(t *testing.T, r Reply) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,8 +33,8 @@
 	return ln.Addr().String()
 }
 
-// A member without a vote, and one that does not lead, are passed over for those they
-// or the file name; an answer of the leader that is an error is the answer.
+// The client skips members without a vote and followers, and goes on to the members that
+// they or the file name. An error from the leader is final.
 func TestClientAsksOn(t *testing.T) {
 	leads := member(t, Reply{Version: 7})
 	novote := member(t, Reply{Ask: true, Error: "this member has stepped back: disk"})
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -16,47 +16,47 @@
 	"asterwell/internal/settings"
 )
 
-// Config is the operator's file for a cluster of gateways that may talk to each
-// other. ASTERWELL_CLUSTER names it; without that it is deploy/cluster.json, if
-// there is one. Times are in milliseconds. deploy/cluster.schema.json is its
-// schema, docs/policy.md its page.
+// Config is the operator's file for a cluster of gateways that may communicate.
+// ASTERWELL_CLUSTER names the file; the default is deploy/cluster.json, if it exists.
+// Times are in milliseconds. Its schema is deploy/cluster.schema.json, its
+// documentation docs/policy.md.
 type Config struct {
 	Enabled bool   `json:"enabled"`
-	Cluster string `json:"cluster"` // its name: members of another are strangers
-	Name    string `json:"name"`    // of this member; "": the gateway's
+	Cluster string `json:"cluster"` // the cluster's name: frames of other clusters are rejected
+	Name    string `json:"name"`    // this member's name; default: the gateway's
 	Zone    string `json:"zone"`
-	Listen  string `json:"listen"`  // the members' port
-	Address string `json:"address"` // where others reach it; "": listen
-	Folder  string `json:"folder"`  // of the log: only members that vote, or may come to, need one
+	Listen  string `json:"listen"`  // address of the port for other members
+	Address string `json:"address"` // address at which others reach it; default: listen
+	Folder  string `json:"folder"`  // for the log; needed only by voters and members that may become voters
 
-	Voters    []Named           `json:"voters"`    // to begin with; later ones are learnt
-	Addresses map[string]string `json:"addresses"` // where members are reached from here, if not where they say
+	Voters    []Named           `json:"voters"`    // initial voters; later changes are learned from the cluster
+	Addresses map[string]string `json:"addresses"` // overrides of members' addresses, by name
 
 	LeaseMs       float64 `json:"lease_ms"`
 	DriftShare    float64 `json:"drift_share"`
 	RenewMs       float64 `json:"renew_ms"`
 	CheckWithinMs float64 `json:"check_within_ms"`
 	HoldWithinMs  float64 `json:"hold_within_ms"`
-	WaitMs        float64 `json:"wait_ms"` // that a request waits for a turn to be over
+	WaitMs        float64 `json:"wait_ms"` // how long a request waits for a change to be put in force
 
 	WithoutMajority string `json:"without_majority"`
 	Connections     int    `json:"connections"`
 }
 
-// Named is a voter in the file.
+// Named is a member's name and address in the file.
 type Named struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// What without_majority may say.
+// Values of without_majority.
 const (
-	Refuse = "refuse" // a gateway without a lease refuses at once
-	Serve  = "serve"  // it goes on by the last version that it had
+	Refuse = "refuse" // a gateway without a lease refuses requests at once
+	Serve  = "serve"  // it keeps using its last version
 )
 
-// ParseConfig reads the text of an operator's file. An error names the key, or the
-// line where the text is no JSON.
+// ParseConfig parses and validates an operator's file. An error names the key, or the
+// line of a syntax error.
 func ParseConfig(text []byte) (*Config, error) {
 	d := policy.DefaultTerms
 	c := &Config{LeaseMs: ms(d.Lease), DriftShare: d.Drift, RenewMs: ms(d.Renew), CheckWithinMs: ms(d.CheckWithin),
@@ -69,7 +69,7 @@
 	if _, err := in.Token(); err != io.EOF {
 		return nil, errors.New("more behind the object")
 	}
-	if !c.Enabled { // what is off is not checked
+	if !c.Enabled { // a disabled cluster is not validated
 		return c, nil
 	}
 	return c, c.check()
@@ -147,13 +147,13 @@
 	return nil
 }
 
-// Terms are the times that the cluster goes by. They must be the same at all members.
+// Terms returns the timing parameters. They must be the same at all members.
 func (c *Config) Terms() policy.Terms {
 	return policy.Terms{Lease: milliseconds(c.LeaseMs), Drift: c.DriftShare, Renew: milliseconds(c.RenewMs), CheckWithin: milliseconds(c.CheckWithinMs), HoldWithin: milliseconds(c.HoldWithinMs)}
 }
 
-// seeds are the members to ask first: the first voters, and all whose address is
-// known.
+// seeds returns the members to contact first: the initial voters and all members in
+// Addresses.
 func (c *Config) seeds() []Named {
 	all := slices.Clone(c.Voters)
 	for _, name := range slices.Sorted(maps.Keys(c.Addresses)) {
@@ -164,7 +164,7 @@
 	return all
 }
 
-// Reach is where a member is reached from here.
+// Reach returns the address at which a member is reached from here.
 func (c *Config) Reach(name, address string) string {
 	if a := c.Addresses[name]; a != "" {
 		return a
--- a/internal/cluster/frame.go
+++ b/internal/cluster/frame.go
@@ -12,26 +12,26 @@
 	"asterwell/internal/mesh"
 )
 
-// Kind of a frame.
+// Kind is the kind of a frame.
 type Kind byte
 
-// The kinds. Members of an earlier version drop, and count, those that they don't
-// know.
+// Kinds of frames. Members drop and count frames of a kind that they don't know, as an
+// earlier version does.
 const (
 	KindRaft  Kind = 1 + iota // voter to voter: raftpb.Message
 	KindRenew                 // gateway to leader: policy.Renew as JSON
-	KindGrant                 // and back: GrantMessage as JSON
-	KindAsk                   // an operator's question: Ask as JSON
-	KindReply                 // and back: Reply as JSON
+	KindGrant                 // leader to gateway: GrantMessage as JSON
+	KindAsk                   // operator to member: Ask as JSON
+	KindReply                 // member to operator: Reply as JSON
 )
 
-// Frame is what members send each other. On the wire: the four bytes "AWCL", the
-// version, the kind, two bytes 0, the length of the rest, cluster, from and to, a
-// CRC-32C over all of that with a zero in its place, and then both names, each with
-// its length in a byte before it, and the body. Numbers are big-endian.
+// Frame is a message between members. On the wire it is the four bytes "AWCL", the
+// version, the kind, two zero bytes, the length of the part after the header, cluster,
+// from, to, a CRC-32C over the whole frame computed with zero in its place, then both
+// names, each preceded by its length in one byte, and the body. Numbers are big-endian.
 type Frame struct {
 	Kind     Kind
-	From, To uint64 // incarnations: a voter's is its disk's, a gateway's its process's; To 0: whoever it is
+	From, To uint64 // a voter's ID belongs to its disk, a gateway's to its process; To 0: any recipient
 	FromName string
 	ToName   string
 	Body     []byte
@@ -43,12 +43,12 @@
 	maxFrameSize = 8 << 20
 )
 
-// Connections that a frame came by.
+// conn is a connection that carries frames.
 type conn = mesh.Conn[*Frame]
 
 var errForeignFrame, errDamagedFrame = mesh.ErrForeignFrame, mesh.ErrDamagedFrame
 
-// codec is a cluster's.
+// codec returns the codec for the frames of a cluster.
 func codec(cluster uint64) mesh.Codec[*Frame] {
 	return mesh.Codec[*Frame]{
 		Encode: func(f *Frame) []byte { return f.encode(cluster) },
@@ -62,10 +62,10 @@
 	}
 }
 
-// clusterNumber stands for a cluster's name in frames.
+// clusterNumber returns the hash that represents a cluster's name in frames.
 func clusterNumber(name string) uint64 { return xxhash.Sum64String(name) }
 
-// encode is the frame on the wire.
+// encode returns the frame's wire format.
 func (f *Frame) encode(cluster uint64) []byte {
 	rest := 2 + len(f.FromName) + len(f.ToName) + len(f.Body)
 	b := make([]byte, 0, headerSize+rest)
@@ -83,8 +83,8 @@
 	return b
 }
 
-// readFrame reads the next frame. After an error the connection can't be used any
-// more: where the next one begins is not known.
+// readFrame reads the next frame. After an error the connection must be closed, since
+// the start of the next frame is unknown.
 func readFrame(in *bufio.Reader, cluster uint64) (*Frame, error) {
 	head := make([]byte, headerSize)
 	if _, err := io.ReadFull(in, head); err != nil {
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -18,21 +18,21 @@
 	"asterwell/internal/policy"
 )
 
-// Gateway is what a member does with policies.
+// Gateway holds the callbacks through which a member applies policies.
 type Gateway struct {
-	Check func(text []byte) error                // whether it could take this one over
-	Adopt func(version int64, text []byte) error // from now on this one is in force; no text: its own file
-	Lease func(l policy.Lease, holds bool)       // what may be decided by; holds: for a moment nothing, it will be over soon
+	Check func(text []byte) error                // returns an error if the gateway could not adopt this policy
+	Adopt func(version int64, text []byte) error // puts a version in force; no text: the gateway's own file
+	Lease func(l policy.Lease, holds bool)       // sets the lease to decide by; holds: decisions pause briefly
 }
 
-// Node is a member: a gateway's side, and where it has a folder a voter's.
+// Node is a cluster member: a gateway's lease holder and, if it has a folder, a voter.
 type Node struct {
 	cfg          *Config
 	world        hostenv.Seam
 	now          func() time.Duration
 	log          *slog.Logger
 	gateway      Gateway
-	id           uint64 // of this process
+	id           uint64 // incarnation of this process
 	mesh         *mesh.Mesh[*Frame]
 	holder       *policy.Holder
 	holderInbox  *mailbox.Box[any]
@@ -40,41 +40,41 @@
 	voter        *Voter
 	voterInbox   *mailbox.Box[any]
 	voterID      uint64
-	noVoteReason string // why there is no voter, though there is a folder
+	noVoteReason string // why there is no voter although a folder is configured
 
 	stopping atomic.Bool
 
-	// The holder's own.
-	peers          []Peer // voters as last heard of
+	// Used only by Run's goroutine.
+	peers          []Peer // latest known voters
 	target         string
 	peerIndex      int
 	publishedLease policy.Lease
 	holds          bool
 	heldAt         time.Duration
 
-	// The voter's own.
+	// Used only by the voter's goroutine.
 	members          map[uint64]*memberConn
-	voterConns       map[uint64]*conn // voters that have said something, by the way it came
+	voterConns       map[uint64]*conn // connections by which voters have sent messages, by voter ID
 	pendingProposals []*pendingProposal
 	loggedErr        error
-	loggedLeader     string // the leader last told of in the log
+	loggedLeader     string // the leader last logged
 }
 
-// memberConn is the way to a gateway, and which voters it has been told of.
+// memberConn is the connection to a gateway, and the membership change last sent to it.
 type memberConn struct {
-	p             *conn // nil: it is this process's own
+	p             *conn // nil: this process's own gateway
 	sentConfIndex uint64
 }
 
-// GrantMessage is what a voter says to a gateway.
+// GrantMessage is a voter's message to a gateway.
 type GrantMessage struct {
 	policy.Grant
-	Leader *Peer  `json:"leader,omitempty"` // call this one
+	Leader *Peer  `json:"leader,omitempty"` // send renewals to this voter
 	Voters []Peer `json:"voters,omitempty"`
 }
 
-// New puts a member together. Name is the gateway's; digest stands for its own
-// file's policy.
+// New creates a member and starts listening. name is the gateway's name, digest the
+// digest of the policy in its own file.
 func New(world hostenv.Seam, cfg *Config, name, digest string, now func() time.Duration, log *slog.Logger, g Gateway) (*Node, error) {
 	world = hostenv.Or(world)
 	if cfg.Name == "" {
@@ -89,7 +89,8 @@
 	}
 	if cfg.Folder != "" {
 		if err := n.open(); err != nil {
-			// The gateway can go on by the others' word. Nothing is made of a folder that can't be trusted.
+			// The gateway works without a vote, by leases from the other voters. The damaged
+			// folder is left as it is.
 			n.noVoteReason = err.Error()
 			log.Error("no vote", "folder", cfg.Folder, "error", err)
 		}
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// Run is the gateway's side, until Stop.
+// Run runs the lease holder, and starts the voter, until Stop.
 func (n *Node) Run() {
 	if n.voter != nil {
 		n.world.Go(n.runVoter)
@@ -131,7 +132,7 @@
 	}
 }
 
-// Stop ends it.
+// Stop ends the member.
 func (n *Node) Stop() {
 	n.stopping.Store(true)
 	n.mesh.Close()
@@ -139,7 +140,7 @@
 	n.voterInbox.Put(nil)
 }
 
-// handle takes a frame, on its connection's goroutine.
+// handle dispatches a received frame. It runs on the connection's goroutine.
 func (n *Node) handle(p *conn, f *Frame) {
 	if f.To != 0 && f.To != n.id && f.To != n.voterID {
 		n.mesh.Counts.Stale.Add(1)
@@ -162,25 +163,25 @@
 	}
 }
 
+// receivedFrame is a frame for the voter with its connection.
 type receivedFrame struct {
 	p *conn // nil: this process's own gateway
 	f *Frame
 }
 
-// The gateway's side.
-
+// handleGrant processes a voter's message.
 func (n *Node) handleGrant(h *GrantMessage) {
 	if len(h.Voters) > 0 {
 		n.peers = h.Voters
 	}
 	if h.Leader == nil && h.Term == 0 {
-		n.target = "" // it knows no leader either
+		n.target = "" // that voter knows no leader
 		return
 	}
 	if h.Leader != nil {
 		previous := n.target
 		n.target = h.Leader.Name
-		if h.Term == 0 { // no grant: only where to call
+		if h.Term == 0 { // no grant, only the leader's address
 			if n.target != previous {
 				n.holder.Again()
 			}
@@ -205,7 +206,7 @@
 	}
 }
 
-// publish tells the core what it may decide by.
+// publish passes a changed lease to the gateway.
 func (n *Node) publish() {
 	l, holds := n.holder.Lease()
 	if l != n.publishedLease || holds != n.holds {
@@ -219,8 +220,8 @@
 	}
 }
 
-// sendRenewal sends what the gateway has to say, to the leader as it knows it, or from one
-// voter to the next.
+// sendRenewal sends a due renewal to the known leader, or to the voters in turn if the
+// leader is unknown or doesn't answer.
 func (n *Node) sendRenewal() {
 	r := n.holder.Tick(n.now())
 	if r == nil || len(n.peers) == 0 {
@@ -228,7 +229,7 @@
 	}
 	if n.holder.Missed() > 1 || n.target == "" {
 		n.peerIndex++
-		if n.peerIndex == 1 { // not all at the same one
+		if n.peerIndex == 1 { // start at a random voter to spread the load
 			n.peerIndex += int(n.world.Random() % uint64(len(n.peers)))
 		}
 		n.target = n.peers[n.peerIndex%len(n.peers)].Name
@@ -252,9 +253,7 @@
 	n.mesh.ConnTo(n.cfg.Reach(n.target, n.peers[i].Address)).Send(f)
 }
 
-// The voter's side.
-
-// Ask is an operator's question.
+// Ask is an operator's request.
 type Ask struct {
 	Do      string          `json:"do"` // propose, withdraw, status, history, show, replace, fate
 	ID      uint64          `json:"id,omitempty"`
@@ -267,11 +266,11 @@
 	New     Peer            `json:"new,omitzero"`
 }
 
-// Reply answers it.
+// Reply is the answer to an Ask.
 type Reply struct {
 	Error   string                `json:"error,omitempty"`
-	Leader  *Peer                 `json:"leader,omitempty"` // ask this one
-	Ask     bool                  `json:"ask,omitempty"`    // this one has no vote: ask another
+	Leader  *Peer                 `json:"leader,omitempty"` // send the request to this voter
+	Ask     bool                  `json:"ask,omitempty"`    // this member has no vote: try another
 	Version int64                 `json:"version"`
 	Change  *policy.Change        `json:"change,omitempty"`
 	Changes []policy.Change       `json:"changes,omitempty"`
@@ -283,7 +282,7 @@
 	Counts  map[string]int64      `json:"counts,omitempty"`
 }
 
-// pendingProposal is a proposal whose entry is not yet applied.
+// pendingProposal is an operator's proposal whose entry is not yet applied.
 type pendingProposal struct {
 	p     *conn
 	f     *Frame
@@ -299,6 +298,7 @@
 	p.Send(&Frame{Kind: KindReply, From: n.voterID, To: f.From, FromName: n.cfg.Name, ToName: f.FromName, Body: body})
 }
 
+// runVoter runs the voter until Stop.
 func (n *Node) runVoter() {
 	for !n.stopping.Load() {
 		got := n.voterInbox.Take(max(time.Millisecond, n.voter.Wait(n.now())))
@@ -447,7 +447,7 @@
 	n.reply(a.p, a.f, r)
 }
 
-// settle answers proposals whose entry has come to hold, or may never.
+// settle answers proposals whose entry is applied, or whose outcome can't be learned here.
 func (n *Node) settle(now time.Duration) {
 	n.pendingProposals = slices.DeleteFunc(n.pendingProposals, func(w *pendingProposal) bool {
 		r := Reply{Version: n.voter.Register().Version, Term: n.voter.Term(), Change: n.voter.Register().Find(w.id)}
@@ -465,7 +465,7 @@
 	})
 }
 
-// flushVoter sends what the voter has to say.
+// flushVoter logs the voter's state changes and sends its messages and grants.
 func (n *Node) flushVoter() {
 	if err := n.voter.Err(); err != nil && n.loggedErr == nil {
 		n.loggedErr = err
@@ -487,7 +487,7 @@
 		if i := slices.IndexFunc(peers, func(p Peer) bool { return p.ID == m.GetTo() }); i >= 0 {
 			f.ToName = peers[i].Name
 			n.mesh.ConnTo(n.cfg.Reach(peers[i].Name, peers[i].Address)).Send(f)
-		} else if p := n.voterConns[m.GetTo()]; p != nil { // one that is made a voter has no list of them yet
+		} else if p := n.voterConns[m.GetTo()]; p != nil { // a new voter doesn't have the list of voters yet
 			p.Send(f)
 		}
 	}
@@ -505,12 +505,12 @@
 	if len(n.pendingProposals) > 0 {
 		n.settle(n.now())
 	}
-	if len(n.members) > 4*n.cfg.Connections { // those that are long gone
+	if len(n.members) > 4*n.cfg.Connections { // mostly members that are gone; live ones return with their next renewal
 		clear(n.members)
 	}
 }
 
-// sendGrant says something to a gateway; its own is in this process.
+// sendGrant sends a message to a gateway, directly if it is in this process.
 func (n *Node) sendGrant(member uint64, p *conn, h *GrantMessage) {
 	if p == nil {
 		n.holderInbox.Put(h)
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -19,9 +19,9 @@
 
 func unmarshal(data []byte, m proto.Message) error { return proto.Unmarshal(data, m) }
 
-// Store is the Disk of a folder: one file of bbolt, which syncs it before a Save
-// returns. Each record has a checksum over its key and value, since bbolt has none
-// over its pages.
+// Store is a Disk in a folder. It uses one bbolt file, which is synced before Save
+// returns. Each record has a checksum over its key and value, since bbolt has no
+// checksums for data pages.
 type Store struct{ db *bbolt.DB }
 
 const (
@@ -35,22 +35,22 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// identity is made with the folder.
+// identity is the record of the folder's owner, written when the folder is created.
 type identity struct {
 	Format  int    `json:"format"`
 	Cluster string `json:"cluster"`
 	Self    Peer   `json:"self"`
 
-	// Of the file when it was made. A copy of it, which may be older than what this
-	// voter has sworn to since, has others.
+	// Inode and birth time of the file when it was created. A copy has different ones, and
+	// may lack votes and entries that this voter has acknowledged since.
 	Inode uint64 `json:"inode"`
-	Born  int64  `json:"born"` // ns of Unix time; 0: the file system does not tell
+	Born  int64  `json:"born"` // Unix time in ns; 0: not supported by the file system
 }
 
-// ErrCopy is that a folder was copied, or put back from a copy.
+// ErrCopy means that a folder is a copy or was restored from one.
 var ErrCopy = errors.New("it is a copy: what its voter has said since is not in it")
 
-// fileOrigin returns what tells a file from a copy of it.
+// fileOrigin returns the inode and birth time, which distinguish a file from its copies.
 func fileOrigin(file string) (inode uint64, born int64, err error) {
 	var s unix.Statx_t
 	if err := unix.Statx(unix.AT_FDCWD, file, 0, unix.STATX_INO|unix.STATX_BTIME, &s); err != nil {
@@ -62,12 +62,12 @@
 	return s.Ino, born, nil
 }
 
-// ErrDamaged is that a folder can't be trusted any more. Its voter steps back:
-// give it an empty folder and make it a voter anew.
+// ErrDamaged means that a folder's content is corrupt. Its voter stops voting. To
+// recover, give the member an empty folder and make it a voter again.
 var ErrDamaged = errors.New("damaged")
 
-// Open opens a folder, and makes it if it is empty; self and cluster are for that
-// case. The folder remembers who it is.
+// Open opens a folder and initializes it if it is empty. The identity is stored in the
+// folder; self.ID is used only for a new one.
 func Open(folder, cluster string, self Peer) (s *Store, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, err
@@ -125,14 +125,14 @@
 	return s, nil
 }
 
-// recoverDamage makes an error of a panic: bbolt panics on pages that make no sense.
+// recoverDamage turns a panic into ErrDamaged: bbolt panics on corrupt pages.
 func recoverDamage(err *error) {
 	if p := recover(); p != nil {
 		*err = fmt.Errorf("%w: %v", ErrDamaged, p)
 	}
 }
 
-// Close lets go of the file.
+// Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
 func recordChecksum(key, value []byte) uint32 {
@@ -147,7 +147,7 @@
 	return verifyRecord([]byte(key), b.Get([]byte(key)))
 }
 
-// verifyRecord returns a record's value; nil: there is none.
+// verifyRecord checks a record's checksum and returns its value; nil: no record.
 func verifyRecord(key, record []byte) ([]byte, error) {
 	if record == nil {
 		return nil, nil
@@ -159,7 +159,7 @@
 	return append([]byte(nil), record[:n]...), nil
 }
 
-// Load reads all that is kept.
+// Load reads the stored state and verifies that the log is complete.
 func (s *Store) Load() (saved *Saved, err error) {
 	defer recoverDamage(&err)
 	saved = &Saved{}
@@ -205,7 +205,7 @@
 			if err := proto.Unmarshal(data, e); err != nil {
 				return fmt.Errorf("%w: entry: %v", ErrDamaged, err)
 			}
-			if e.GetIndex() < next && len(saved.Entries) == 0 { // a snapshot stands for it
+			if e.GetIndex() < next && len(saved.Entries) == 0 { // covered by the snapshot
 				return nil
 			}
 			if e.GetIndex() != next {
@@ -229,7 +229,7 @@
 
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
-// Save keeps all of it, or fails.
+// Save stores all arguments in one transaction.
 func (s *Store) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) (err error) {
 	defer recoverDamage(&err)
 	return s.db.Update(func(tx *bbolt.Tx) error {
@@ -239,7 +239,7 @@
 				return err
 			}
 		}
-		if len(entries) > 0 { // what follows the first of them is void
+		if len(entries) > 0 { // entries after the new ones are obsolete
 			c := log.Cursor()
 			last := entries[len(entries)-1].GetIndex()
 			for k, _ := c.Last(); k != nil && binary.BigEndian.Uint64(k) > last; k, _ = c.Last() {
@@ -268,13 +268,13 @@
 	})
 }
 
-// Compact keeps a snapshot in the place of entries.
+// Compact stores a snapshot and deletes the entries that it covers.
 func (s *Store) Compact(snapshot *raftpb.Snapshot) (err error) {
 	defer recoverDamage(&err)
 	return s.db.Update(func(tx *bbolt.Tx) error { return compact(tx, snapshot, snapshot.GetMetadata().GetIndex()) })
 }
 
-// compact keeps a snapshot, and lets go of the entries up to an index.
+// compact stores a snapshot and deletes the entries up to an index.
 func compact(tx *bbolt.Tx, snapshot *raftpb.Snapshot, upTo uint64) error {
 	data, err := proto.Marshal(snapshot)
 	if err == nil {
@@ -293,7 +293,7 @@
 	return nil
 }
 
-// Form gives an empty folder the first state of a cluster.
+// Form initializes an empty folder with the first state of a cluster.
 func (s *Store) Form(voters []Peer) error {
 	saved, err := s.Load()
 	if err != nil {
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -47,8 +47,8 @@
 	return 0, 0
 }
 
-// What was saved is there after the folder is opened anew; a later leader's entries
-// end those behind them; a snapshot of another's takes the place of all.
+// Saved state survives reopening the folder. Entries of a later leader truncate the log
+// behind them, and a snapshot received from another voter replaces all entries.
 func TestStore(t *testing.T) {
 	folder := t.TempDir()
 	s := formed(t, folder)
@@ -87,8 +87,8 @@
 	s.Close()
 }
 
-// A record that is damaged, a log with a hole, and one that ends before what was
-// committed are told, and nothing is made of them.
+// A damaged record, a gap in the log, and a log that ends before the commit index are
+// reported as ErrDamaged, and no voter starts from them.
 func TestDamage(t *testing.T) {
 	for name, harm := range map[string]func(tx *bbolt.Tx) error{
 		"a bit": func(tx *bbolt.Tx) error {
@@ -119,7 +119,7 @@
 	}
 }
 
-// A copy, another's folder and one of another cluster are refused; garbage too.
+// Open rejects a copied folder, one of another member or cluster, and garbage.
 func TestFolders(t *testing.T) {
 	folder, copied := t.TempDir(), filepath.Join(t.TempDir(), "copy")
 	formed(t, folder).Close()
@@ -144,7 +144,7 @@
 	}
 }
 
-// failing is a disk whose writes fail from a time on.
+// failing is a disk whose writes fail while fails is set.
 type failing struct {
 	*Store
 	fails bool
@@ -157,8 +157,8 @@
 	return f.Store.Save(h, e, s)
 }
 
-// A voter whose write fails gives no word any more, not even the one that it was
-// about to give.
+// A voter whose write fails sends nothing any more, not even the messages that were
+// waiting for that write.
 func TestWriteFails(t *testing.T) {
 	s := formed(t, t.TempDir())
 	defer s.Close()
@@ -195,7 +195,7 @@
 	if _, err := read(text, 8); !errors.Is(err, errForeignFrame) {
 		t.Errorf("another cluster's: %v", err)
 	}
-	for i := range text { // any one bit that is turned is seen
+	for i := range text { // every single-bit error is detected
 		for bit := range 8 {
 			spoilt := bytes.Clone(text)
 			spoilt[i] ^= 1 << bit
--- a/internal/cluster/voter.go
+++ b/internal/cluster/voter.go
@@ -1,9 +1,9 @@
-// Package cluster is how gateways that may talk to each other agree on a policy:
-// a few of them vote (Raft, by go.etcd.io/raft), the others follow by leases.
+// Package cluster lets gateways that communicate agree on a policy. A few of them are
+// voters of a Raft group (go.etcd.io/raft); all of them follow the leader by leases.
 //
-// Voter is one replica with its log, free of sockets, goroutines and clocks, so
-// that the virtual world plays it; what it keeps goes through a Disk. Node puts
-// voter and follower on the wire.
+// Voter is one replica with its log. It uses no sockets, goroutines or clocks, so that
+// package world can simulate it, and stores its state through a Disk. Node connects the
+// voter and the gateway's lease holder to the network.
 package cluster
 
 import (
@@ -22,16 +22,16 @@
 	"asterwell/internal/policy"
 )
 
-// Peer is a voter, or one that may become one. ID is its disk's: made with the
-// folder, so that a name with an empty disk is another peer.
+// Peer is a voter or a candidate for one. ID is created with the folder, so a member that
+// restarts under the same name with an empty disk is another peer.
 type Peer struct {
 	ID      uint64 `json:"id"`
 	Name    string `json:"name"`
-	Address string `json:"address"` // where its members' port is
+	Address string `json:"address"` // address of its port for other members
 	Zone    string `json:"zone,omitempty"`
 }
 
-// Saved is what a disk holds.
+// Saved is the state that a disk holds.
 type Saved struct {
 	Self     Peer
 	Cluster  string
@@ -40,36 +40,36 @@
 	Entries  []*raftpb.Entry
 }
 
-// Disk keeps a voter's log. Save returns once all of it is safe: a word that rests
-// on it may be given then. After an error nothing is known of what was kept.
+// Disk stores a voter's log. Save returns once everything is durable; only then may
+// messages that depend on it be sent. After an error, what was stored is unknown.
 type Disk interface {
 	Load() (*Saved, error)
-	// A snapshot here is another's and takes the place of all entries kept so far.
+	// Save's snapshot comes from another voter and replaces all stored entries.
 	Save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error
-	// Compact keeps a snapshot in the place of the entries that it stands for.
+	// Compact stores an own snapshot and deletes the entries that it covers.
 	Compact(snapshot *raftpb.Snapshot) error
 }
 
-// Raft's times. Its own ticks drive leaders only: when a follower gives a leader
-// up and stands for election is drawn here, by the seam's random numbers, since
-// Raft's own are of the process and could not be replayed.
+// Raft timing. Only leaders use Raft's own ticks. Election timeouts of followers are
+// drawn here from the injected random numbers, since Raft's own source is global to the
+// process and a simulation could not replay it.
 const (
-	heartbeatInterval = 40 * time.Millisecond             // a tick of a leader
-	electionTicks     = 10                                // without a quorum's word: it steps down
-	electionTimeout   = electionTicks * heartbeatInterval // and up to twice that: without a leader's word
-	readInterval      = 25 * time.Millisecond             // between confirmations of a leader, for all calls that came since
-	readIntervalBusy  = time.Millisecond                  // while a change is under way
+	heartbeatInterval = 40 * time.Millisecond             // between a leader's Raft ticks
+	electionTicks     = 10                                // a leader without contact to a quorum for so many ticks steps down
+	electionTimeout   = electionTicks * heartbeatInterval // minimum; the actual timeout is up to twice that
+	readInterval      = 25 * time.Millisecond             // between confirmations of the leader, each for all renewals received since the last
+	readIntervalBusy  = time.Millisecond                  // while a change is pending
 	snapshotInterval  = 500                               // entries
-	keptEntries       = 100                               // entries that a snapshot stands for, kept all the same
+	keptEntries       = 100                               // entries kept although a snapshot covers them, for followers slightly behind
 )
 
-// state is what the log builds, and snapshots hold.
+// state is the replicated state, as stored in snapshots.
 type state struct {
 	Register *policy.Register `json:"register"`
 	Peers    map[uint64]Peer  `json:"peers"`
 }
 
-// Voter is a replica.
+// Voter is one replica of the Raft group.
 type Voter struct {
 	Self   Peer
 	terms  policy.Terms
@@ -81,35 +81,36 @@
 	state         state
 	conf          *raftpb.ConfState
 	applied       uint64
-	confIndex     uint64 // index of the last change of voters
+	confIndex     uint64 // log index of the last membership change
 	snapshotIndex uint64
 	term          uint64
 	vote          uint64
 	leader        uint64
 
 	nextTick      time.Duration
-	leaderHeardAt time.Duration // of a leader
+	leaderHeardAt time.Duration // last message from the leader
 	campaignAt    time.Duration
 	coordinator   *policy.Coordinator
 	token         uint64
 	reading       bool
-	readIndex     uint64 // confirmed once that is applied; 0: not yet confirmed
-	readWanted    bool   // a read
+	readIndex     uint64 // the read completes once this index is applied; 0: not yet confirmed
+	readWanted    bool   // the coordinator wants a confirmation
 	readAt        time.Duration
 	replace       *replacement
-	snapshotsSent map[uint64]time.Duration // sent, and not yet known to have come
+	snapshotsSent map[uint64]time.Duration // when a snapshot was sent to a peer that has not acknowledged it
 
 	err    error
 	out    []*raftpb.Message
 	grants []policy.Directed
 }
 
+// replacement is a voter change under way.
 type replacement struct {
 	old uint64
 	new Peer
 }
 
-// Bootstrap is the first state of a cluster: the same at all its first voters.
+// Bootstrap returns the initial state of a cluster, the same at all initial voters.
 func Bootstrap(voters []Peer) *raftpb.Snapshot {
 	s := state{Register: policy.NewRegister(), Peers: map[uint64]Peer{}}
 	conf := &raftpb.ConfState{}
@@ -125,8 +126,8 @@
 	return &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)), ConfState: conf}}
 }
 
-// NewVoter starts a replica from what its disk holds. One whose folder has never
-// been given a cluster's state waits to be made a voter.
+// NewVoter starts a replica from its disk. A replica whose folder has no cluster state
+// waits until it is made a voter.
 func NewVoter(disk Disk, terms policy.Terms, random func() uint64, now time.Duration) (*Voter, error) {
 	saved, err := disk.Load()
 	if err != nil {
@@ -164,8 +165,8 @@
 	return v, v.err
 }
 
-// recoverPanic turns a panic of the engine, which a disk that lost what it had sworn to
-// keep can cause, into an error: this replica steps back, the gateway goes on.
+// recoverPanic turns a panic of the Raft library into an error. A disk that lost synced
+// data can cause one. The replica then stops voting, while the gateway keeps running.
 func (v *Voter) recoverPanic(do func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -175,10 +176,10 @@
 	return do()
 }
 
-// Err is why this replica has stepped back; nil: it has not.
+// Err returns why this replica has stopped voting, or nil.
 func (v *Voter) Err() error { return v.err }
 
-// fail ends the replica: it gives no word any more.
+// fail stops the replica: it sends nothing any more.
 func (v *Voter) fail(err error) {
 	if v.err == nil {
 		v.err = err
@@ -186,20 +187,21 @@
 	v.coordinator, v.out, v.grants, v.leader = nil, nil, nil, 0
 }
 
+// resetElectionTimer draws a new time for the next campaign.
 func (v *Voter) resetElectionTimer(now time.Duration) {
 	v.campaignAt = now + electionTimeout + time.Duration(v.random()%uint64(electionTimeout))
 }
 
-// Leader is the leader as known here.
+// Leader returns the leader as known to this replica.
 func (v *Voter) Leader() (Peer, bool) {
 	p, ok := v.state.Peers[v.leader]
 	return p, ok && v.err == nil
 }
 
-// Leads reports whether this one is the leader, as far as it knows.
+// Leads reports whether this replica considers itself the leader.
 func (v *Voter) Leads() bool { return v.coordinator != nil }
 
-// Describe is the engine's state, for traces.
+// Describe returns Raft's state as text, for traces.
 func (v *Voter) Describe() string {
 	if v.rn == nil {
 		return "no engine"
@@ -208,7 +210,7 @@
 	return fmt.Sprintf("%x %v applied %d conf %v replace %v progress %v", v.Self.ID, s.BasicStatus, v.applied, v.conf, v.replace, s.Progress)
 }
 
-// Peers are the voters and learners, in order of their names.
+// Peers returns the voters and learners, sorted by name.
 func (v *Voter) Peers() []Peer {
 	return slices.SortedFunc(maps.Values(v.state.Peers), func(x, y Peer) int {
 		if x.Name != y.Name {
@@ -223,23 +225,23 @@
 	return slices.Contains(v.conf.Voters, id) || slices.Contains(v.conf.VotersOutgoing, id)
 }
 
-// Register is the state; it must not be changed.
+// Register returns the replicated register. The caller must not modify it.
 func (v *Voter) Register() *policy.Register { return v.state.Register }
 
-// Coordinator is the leader's part; nil: this one does not lead.
+// Coordinator returns the leader's coordinator, or nil if this replica doesn't lead.
 func (v *Voter) Coordinator() *policy.Coordinator { return v.coordinator }
 
-// Term is the one that this replica is in.
+// Term returns the replica's current term.
 func (v *Voter) Term() uint64 { return v.term }
 
-// Out takes messages to voters and grants to gateways.
+// Out returns and clears the pending messages to voters and grants to gateways.
 func (v *Voter) Out() (messages []*raftpb.Message, grants []policy.Directed) {
 	messages, grants = v.out, v.grants
 	v.out, v.grants = nil, nil
 	return messages, grants
 }
 
-// Step takes a message of another voter.
+// Step processes a message from another voter.
 func (v *Voter) Step(now time.Duration, m *raftpb.Message) {
 	if v.err != nil || m.GetTo() != v.Self.ID || raft.IsLocalMsg(m.GetType()) {
 		return
@@ -251,7 +253,7 @@
 			v.resetElectionTimer(now)
 		}
 	case raftpb.MsgProp, raftpb.MsgTimeoutNow:
-		return // nobody here sends such
+		return // voters never send these
 	}
 	v.run(now, func() error {
 		if err := v.rn.Step(m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) && !errors.Is(err, raft.ErrProposalDropped) {
@@ -261,8 +263,8 @@
 	})
 }
 
-// Renew takes a gateway's call. It reports whether this one leads; if not, the
-// gateway has to call another.
+// Renew processes a gateway's renewal. It reports whether this replica leads; if not, the
+// gateway has to try another voter.
 func (v *Voter) Renew(now time.Duration, member uint64, r policy.Renew) bool {
 	if v.coordinator == nil {
 		return false
@@ -272,11 +274,10 @@
 	return v.coordinator != nil
 }
 
-// ErrNotLeader is that only the leader takes proposals.
+// ErrNotLeader means that the request must go to the leader.
 var ErrNotLeader = errors.New("not the leader")
 
-// Propose puts a command into the log. Whether it comes to hold shows in the
-// register.
+// Propose proposes a command for the log. The register shows whether it is committed.
 func (v *Voter) Propose(now time.Duration, c policy.Command) error {
 	if v.coordinator == nil {
 		return ErrNotLeader
@@ -286,8 +287,9 @@
 	return err
 }
 
-// Replace makes new a voter in the place of old, which may be lost for good: first
-// it learns the log, then the two change places in one step. One at a time.
+// Replace replaces the voter old, which may be lost permanently, by new. new joins as a
+// learner, and once it has the log both swap in one joint change. Only one replacement
+// runs at a time.
 func (v *Voter) Replace(now time.Duration, old uint64, new Peer) error {
 	switch {
 	case v.coordinator == nil:
@@ -318,7 +320,7 @@
 	return err
 }
 
-// continueReplacement goes on with a replacement once the new one has the log.
+// continueReplacement promotes the new voter once it has caught up with the log.
 func (v *Voter) continueReplacement(now time.Duration) {
 	r := v.replace
 	if r == nil || v.coordinator == nil {
@@ -338,8 +340,9 @@
 	}
 }
 
-// retrySnapshots lets the engine try again where a snapshot may be lost, or an older one
-// than the log goes back to by now: by itself it would wait for good.
+// retrySnapshots reports unacknowledged snapshots to Raft as failed, so that it sends
+// another. A snapshot may have been lost or be older than the log's start by now, and
+// without the report Raft would wait for it forever.
 func (v *Voter) retrySnapshots(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(v.snapshotsSent)) {
 		if now-v.snapshotsSent[id] < 2*electionTimeout {
@@ -352,14 +355,14 @@
 	}
 }
 
-// Tick lets time pass; it wants to be called every 10 ms or so.
+// Tick processes the passing of time. It should be called about every 10 ms.
 func (v *Voter) Tick(now time.Duration) {
 	if v.err != nil {
 		return
 	}
 	if v.coordinator != nil {
 		for ; v.nextTick <= now; v.nextTick += heartbeatInterval {
-			if now-v.nextTick > electionTimeout { // this process stood still; so many beats at once would say nothing
+			if now-v.nextTick > electionTimeout { // the process was paused: skip the missed heartbeats
 				v.nextTick = now
 			}
 			v.run(now, func() error { v.rn.Tick(); return nil })
@@ -377,7 +380,7 @@
 	}
 	v.nextTick = now
 	if v.leader != 0 && now-v.leaderHeardAt >= electionTimeout {
-		v.run(now, v.rn.ForgetLeader) // from now on it would vote for another
+		v.run(now, v.rn.ForgetLeader) // so that this replica grants votes to other candidates
 	}
 	if now >= v.campaignAt && v.Votes(v.Self.ID) {
 		v.resetElectionTimer(now)
@@ -385,7 +388,7 @@
 	}
 }
 
-// Wait is the time until Tick has something to do.
+// Wait returns the time until the next Tick is due.
 func (v *Voter) Wait(now time.Duration) time.Duration {
 	if v.coordinator != nil {
 		if v.coordinator.Busy() {
@@ -396,6 +399,7 @@
 	return heartbeatInterval / 2
 }
 
+// run executes a Raft operation and processes its results.
 func (v *Voter) run(now time.Duration, what func() error) {
 	if v.err != nil {
 		return
@@ -407,7 +411,7 @@
 	v.processReady(now)
 }
 
-// processReady carries out what the engine wants: first it is kept, then said.
+// processReady stores and applies Raft's output. It saves to disk before messages go out.
 func (v *Voter) processReady(now time.Duration) {
 	if v.err == nil && v.rn != nil {
 		if err := v.recoverPanic(func() error { return v.drainReady(now) }); err != nil {
@@ -485,7 +489,7 @@
 	return v.takeSnapshot()
 }
 
-// updateRole takes note of who leads.
+// updateRole records the leader, and starts or ends the coordinator.
 func (v *Voter) updateRole(now time.Duration, s *raft.SoftState) {
 	v.leader = s.Lead
 	switch leads := s.RaftState == raft.StateLeader; {
@@ -499,8 +503,8 @@
 	}
 }
 
-// runCoordinator does what the leader's part wants. It reports whether the engine has more
-// to do after that.
+// runCoordinator carries out the coordinator's actions. It reports whether Raft may have
+// new output.
 func (v *Voter) runCoordinator(now time.Duration) (again bool, err error) {
 	if v.coordinator == nil {
 		return false, nil
@@ -570,13 +574,13 @@
 		known := slices.Concat(v.conf.Voters, v.conf.VotersOutgoing, v.conf.Learners, v.conf.LearnersNext)
 		maps.DeleteFunc(v.state.Peers, func(id uint64, _ Peer) bool { return !slices.Contains(known, id) })
 		v.confIndex = e.GetIndex()
-		v.snapshotIndex = 0 // a new one takes only a snapshot that knows it
+		v.snapshotIndex = 0 // take a snapshot now: a new member accepts only one whose configuration includes it
 	}
 	v.applied = e.GetIndex()
 	return nil
 }
 
-// takeSnapshot writes the state down once the log is long, and lets go of what it stands for.
+// takeSnapshot stores a snapshot once the log is long enough, and compacts the log.
 func (v *Voter) takeSnapshot() error {
 	if v.snapshotIndex != 0 && v.applied < v.snapshotIndex+snapshotInterval || v.applied == 0 {
 		return nil
@@ -593,15 +597,15 @@
 		return fmt.Errorf("disk: %w", err)
 	}
 	v.snapshotIndex = v.applied
-	// A follower that is a little behind needs no snapshot.
+	// Recent entries stay, so that a follower slightly behind needs no snapshot.
 	if first, err := v.mem.FirstIndex(); err != nil || v.applied <= first+keptEntries {
 		return err
 	}
 	return v.mem.Compact(v.applied - keptEntries)
 }
 
-// discardLogger is a logger for the engine: what matters shows in the state. Its panics
-// are caughtUp.
+// discardLogger drops Raft's log lines, since the relevant state is reported elsewhere.
+// recoverPanic catches its panics.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
