--- a/cmd/asterlab/policy.go
+++ b/cmd/asterlab/policy.go
@@ -21,7 +21,7 @@
 	c := &cobra.Command{Use: "cluster-seeds", Short: "Play seeds of the cluster's virtual world; the last line is the sum as JSON", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if trace {
-				r := world.Play(world.Options{Seed: from, Trace: func(at time.Duration, text string) { fmt.Printf("%12v %s\n", at, text) }})
+				r := world.Simulate(world.Options{Seed: from, Trace: func(at time.Duration, text string) { fmt.Printf("%12v %s\n", at, text) }})
 				fmt.Printf("%+v\n", r)
 				if len(r.Broken) > 0 {
 					return errBroken
--- a/internal/bench/policy.go
+++ b/internal/bench/policy.go
@@ -53,7 +53,7 @@
 				if done {
 					return
 				}
-				r := world.Play(world.Options{Seed: seed})
+				r := world.Simulate(world.Options{Seed: seed})
 				mu.Lock()
 				sum.Seeds++
 				sum.Committed += r.Committed
--- a/internal/cluster/world/world.go
+++ b/internal/cluster/world/world.go
@@ -23,17 +23,17 @@
 
 // Options of a play.
 type Options struct {
-	Seed    uint64
-	Voters  int           // 5
-	Others  int           // gateways that don't vote: 4
-	Lasts   time.Duration // with faults: 12 s
-	Trace   func(at time.Duration, text string)
-	NoFault bool
+	Seed          uint64
+	Voters        int           // 5
+	NonVoters     int           // gateways that don't vote: 4
+	FaultDuration time.Duration // with faults: 12 s
+	Trace         func(at time.Duration, text string)
+	NoFault       bool
 }
 
 // Result is what a play showed.
 type Result struct {
-	Broken                                   []Broken
+	Broken                                   []Violation
 	Changes, Committed, Withdrawn, Refused   int
 	Decided, Turned                          int
 	Kills, Stops, Cuts, Disks, Lost, Elected int
@@ -41,14 +41,14 @@
 	HeldMost                                 time.Duration
 }
 
-// Broken is a promise that did not hold.
-type Broken struct {
+// Violation is a promise that did not hold.
+type Violation struct {
 	Rule string // start, leaders, outcome, mixed, refused, liveness
 	At   time.Duration
 	What string
 }
 
-func (b Broken) String() string { return fmt.Sprintf("%s after %v: %s", b.Rule, b.At, b.What) }
+func (b Violation) String() string { return fmt.Sprintf("%s after %v: %s", b.Rule, b.At, b.What) }
 
 // World is one play.
 type World struct {
@@ -64,33 +64,33 @@
 	newest   int64 // version decided by so far
 	fates    map[uint64]policy.Change
 	texts    map[int64]string
-	calm     bool
+	healed   bool
 	proposed int
 	leaders  map[uint64]int // by term
 }
 
 // node is a process, and what of it is left when it is gone.
 type node struct {
-	index   int
-	name    string
-	votes   bool // has a disk
-	disk    *disk
-	peer    cluster.Peer
-	voter   *cluster.Voter
-	holder  *policy.Holder
-	id      uint64 // of this life
-	up      bool
-	stopped bool
-	life    int
-	rate    float64 // of its clock
-	base    time.Duration
-	began   time.Duration
-	lease   policy.Lease
-	target  int
-	inbox   []func() // came while it stood still
-	refuses bool
-	freeze  time.Duration // it stands still for so long once the leader's next answer is there
-	text    string
+	index        int
+	name         string
+	votes        bool // has a disk
+	disk         *disk
+	peer         cluster.Peer
+	voter        *cluster.Voter
+	holder       *policy.Holder
+	id           uint64 // of this life
+	up           bool
+	paused       bool
+	incarnation  int
+	clockRate    float64 // of its clock
+	clockBase    time.Duration
+	startedAt    time.Duration
+	lease        policy.Lease
+	target       int
+	inbox        []func() // came while it stood still
+	refuses      bool
+	pauseAtGrant time.Duration // it stands still for so long once the leader's next answer is there
+	text         string
 }
 
 type link struct {
@@ -138,7 +138,7 @@
 	if d.damaged {
 		return nil, cluster.ErrDamaged
 	}
-	return &cluster.Saved{Self: d.self, Cluster: "w", Hard: clone(d.hard), Snapshot: clone(d.snap), Entries: cloned(d.entries)}, nil
+	return &cluster.Saved{Self: d.self, Cluster: "w", Hard: clone(d.hard), Snapshot: clone(d.snap), Entries: cloneEntries(d.entries)}, nil
 }
 
 func clone[T proto.Message](m T) T {
@@ -148,7 +148,7 @@
 	return proto.Clone(m).(T)
 }
 
-func cloned(all []*raftpb.Entry) (c []*raftpb.Entry) {
+func cloneEntries(all []*raftpb.Entry) (c []*raftpb.Entry) {
 	for _, e := range all {
 		c = append(c, proto.Clone(e).(*raftpb.Entry))
 	}
@@ -193,7 +193,7 @@
 	if len(entries) > 0 {
 		first := entries[0].GetIndex()
 		d.entries = slices.DeleteFunc(d.entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= first })
-		d.entries = append(d.entries, cloned(entries)...)
+		d.entries = append(d.entries, cloneEntries(entries)...)
 	}
 	if hard != nil {
 		d.hard = clone(hard)
@@ -203,18 +203,18 @@
 // Terms of the plays.
 var Terms = policy.DefaultTerms
 
-// Play plays a seed.
-func Play(o Options) Result {
+// Simulate plays a seed.
+func Simulate(o Options) Result {
 	if o.Voters == 0 {
-		o.Voters, o.Others = 5, 4
+		o.Voters, o.NonVoters = 5, 4
 	}
-	if o.Lasts == 0 {
-		o.Lasts = 12 * time.Second
+	if o.FaultDuration == 0 {
+		o.FaultDuration = 12 * time.Second
 	}
 	w := &World{opt: o, rng: rand.New(rand.NewPCG(o.Seed, 0xc1)), links: map[[2]int]*link{}, fates: map[uint64]policy.Change{},
 		texts: map[int64]string{}, leaders: map[uint64]int{}}
 	var peers []cluster.Peer
-	for i := range o.Voters + o.Others {
+	for i := range o.Voters + o.NonVoters {
 		n := &node{index: i, name: fmt.Sprint("g-", i), votes: i < o.Voters, target: w.rng.IntN(o.Voters)}
 		if n.votes {
 			n.peer = cluster.Peer{ID: w.rng.Uint64() | 1, Name: n.name, Address: n.name}
@@ -230,14 +230,14 @@
 		}
 		w.start(n)
 	}
-	w.load()
+	w.startLoad()
 	if !o.NoFault {
-		for at := 800 * time.Millisecond; at < o.Lasts; at += time.Duration(w.rng.ExpFloat64() * float64(500*time.Millisecond)) {
-			w.at(at, w.fault)
+		for at := 800 * time.Millisecond; at < o.FaultDuration; at += time.Duration(w.rng.ExpFloat64() * float64(500*time.Millisecond)) {
+			w.schedule(at, w.injectFault)
 		}
 	}
-	w.at(o.Lasts, w.heal)
-	end := o.Lasts + 12*time.Second
+	w.schedule(o.FaultDuration, w.heal)
+	end := o.FaultDuration + 12*time.Second
 	for len(w.events) > 0 && w.events[0].at <= end && len(w.res.Broken) == 0 {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -247,34 +247,34 @@
 	return w.res
 }
 
-func (w *World) at(when time.Duration, do func()) {
+func (w *World) schedule(when time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{max(when, w.now), w.seq, do})
 }
 
-func (w *World) note(format string, args ...any) {
+func (w *World) trace(format string, args ...any) {
 	if w.opt.Trace != nil {
 		w.opt.Trace(w.now, fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *World) mix(x uint64) { w.res.Hash = (w.res.Hash ^ x) * 0x100000001b3 }
+func (w *World) updateHash(x uint64) { w.res.Hash = (w.res.Hash ^ x) * 0x100000001b3 }
 
-func (w *World) breaks(rule, format string, args ...any) {
-	w.res.Broken = append(w.res.Broken, Broken{rule, w.now, fmt.Sprintf(format, args...)})
+func (w *World) violation(rule, format string, args ...any) {
+	w.res.Broken = append(w.res.Broken, Violation{rule, w.now, fmt.Sprintf(format, args...)})
 }
 
 // clock is a node's own, which drifts.
 func (w *World) clock(n *node) time.Duration {
-	return n.base + time.Duration(float64(w.now-n.began)*n.rate)
+	return n.clockBase + time.Duration(float64(w.now-n.startedAt)*n.clockRate)
 }
 
 func (w *World) start(n *node) {
-	n.life++
-	n.up, n.stopped, n.inbox, n.lease, n.text = true, false, nil, policy.Lease{}, ""
+	n.incarnation++
+	n.up, n.paused, n.inbox, n.lease, n.text = true, false, nil, policy.Lease{}, ""
 	n.id = w.rng.Uint64() | 1
-	n.began, n.base = w.now, time.Duration(w.rng.Int64N(int64(time.Hour)))
-	n.rate = 1 + (w.rng.Float64()-0.5)*Terms.Drift*0.95
+	n.startedAt, n.clockBase = w.now, time.Duration(w.rng.Int64N(int64(time.Hour)))
+	n.clockRate = 1 + (w.rng.Float64()-0.5)*Terms.Drift*0.95
 	now := w.clock(n)
 	n.holder = policy.NewHolder(Terms, n.name, "", "")
 	n.voter = nil
@@ -283,51 +283,51 @@
 		v, err := cluster.NewVoter(n.disk, Terms, w.rng.Uint64, now)
 		switch {
 		case err != nil && !n.disk.damaged:
-			w.breaks("start", "%s does not start: %v", n.name, err)
+			w.violation("start", "%s does not start: %v", n.name, err)
 		case err == nil:
 			n.voter = v
 		}
 	}
-	w.note("%s starts, %x", n.name, n.id)
-	w.tick(n, n.life)
+	w.trace("%s starts, %x", n.name, n.id)
+	w.tick(n, n.incarnation)
 }
 
 func (w *World) kill(n *node) {
 	if n.up {
-		w.note("%s is killed", n.name)
+		w.trace("%s is killed", n.name)
 		w.res.Kills++
 		n.up = false
-		n.life++
+		n.incarnation++
 	}
 }
 
-// alive runs what a node does, now or once it goes on.
-func (w *World) alive(n *node, life int, do func()) {
+// runOnNode runs what a node does, now or once it goes on.
+func (w *World) runOnNode(n *node, incarnation int, do func()) {
 	switch {
-	case !n.up || n.life != life:
-	case n.stopped:
-		n.inbox = append(n.inbox, func() { w.alive(n, life, do) })
+	case !n.up || n.incarnation != incarnation:
+	case n.paused:
+		n.inbox = append(n.inbox, func() { w.runOnNode(n, incarnation, do) })
 	default:
 		do()
 		w.flush(n)
 	}
 }
 
-func (w *World) tick(n *node, life int) {
-	w.alive(n, life, func() {
+func (w *World) tick(n *node, incarnation int) {
+	w.runOnNode(n, incarnation, func() {
 		now := w.clock(n)
 		if n.voter != nil {
 			n.voter.Tick(now)
 		}
 		if n.up {
-			w.follow(n)
+			w.sendRenewal(n)
 		}
-		w.at(w.now+10*time.Millisecond+time.Duration(w.rng.Int64N(int64(time.Millisecond))), func() { w.tick(n, life) })
+		w.schedule(w.now+10*time.Millisecond+time.Duration(w.rng.Int64N(int64(time.Millisecond))), func() { w.tick(n, incarnation) })
 	})
 }
 
-// follow sends a gateway's call, to another voter if the one it knows says nothing.
-func (w *World) follow(n *node) {
+// sendRenewal sends a gateway's call, to another voter if the one it knows says nothing.
+func (w *World) sendRenewal(n *node) {
 	now := w.clock(n)
 	r := n.holder.Tick(now)
 	if r == nil {
@@ -363,10 +363,10 @@
 	}
 	if err := v.Err(); err != nil {
 		if !errors.Is(err, errDisk) {
-			w.breaks("start", "%s: %v", n.name, err)
+			w.violation("start", "%s: %v", n.name, err)
 		}
 		n.voter = nil // it steps back; the gateway goes on
-		w.note("%s steps back: %v", n.name, err)
+		w.trace("%s steps back: %v", n.name, err)
 		return
 	}
 	messages, grants := v.Out()
@@ -391,7 +391,7 @@
 		to := w.nodes[i]
 		w.send(n, to, func() {
 			if to.id == g.To {
-				w.granted(to, g.Grant)
+				w.deliverGrant(to, g.Grant)
 			}
 		})
 	}
@@ -399,20 +399,20 @@
 		if was, ok := w.leaders[v.Term()]; !ok {
 			w.leaders[v.Term()] = n.index
 			w.res.Elected++
-			w.note("%s leads in term %d", n.name, v.Term())
+			w.trace("%s leads in term %d", n.name, v.Term())
 		} else if was != n.index {
-			w.breaks("leaders", "%s and %s lead in term %d", n.name, w.nodes[was].name, v.Term())
+			w.violation("leaders", "%s and %s lead in term %d", n.name, w.nodes[was].name, v.Term())
 		}
 		if c := v.Coordinator(); c.Held > 0 {
 			w.res.HeldMost, c.Held = max(w.res.HeldMost, c.Held), 0
 		}
 	}
-	w.look(v.Register(), n)
+	w.checkRegister(v.Register(), n)
 }
 
-// look holds what a replica knows against what others did: one outcome a change,
+// checkRegister holds what a replica knows against what others did: one outcome a change,
 // one text a version.
-func (w *World) look(r *policy.Register, n *node) {
+func (w *World) checkRegister(r *policy.Register, n *node) {
 	for _, c := range r.Changes {
 		if c.Fate == policy.UnderWay {
 			continue
@@ -420,57 +420,57 @@
 		was, ok := w.fates[c.ID]
 		if !ok {
 			w.fates[c.ID] = c
-			w.note("change %x: %s %d %s", c.ID, c.Fate, c.Version, c.Why)
-			w.mix(c.ID ^ uint64(w.now))
+			w.trace("change %x: %s %d %s", c.ID, c.Fate, c.Version, c.Why)
+			w.updateHash(c.ID ^ uint64(w.now))
 		} else if was.Fate != c.Fate || was.Version != c.Version {
-			w.breaks("outcome", "change %x is %s as version %d, and at %s %s as %d", c.ID, was.Fate, was.Version, n.name, c.Fate, c.Version)
+			w.violation("outcome", "change %x is %s as version %d, and at %s %s as %d", c.ID, was.Fate, was.Version, n.name, c.Fate, c.Version)
 		}
 		if c.Fate == policy.Committed && c.Text != nil {
 			if text, ok := w.texts[c.Version]; ok && text != string(c.Text) {
-				w.breaks("outcome", "version %d has two texts", c.Version)
+				w.violation("outcome", "version %d has two texts", c.Version)
 			}
 			w.texts[c.Version] = string(c.Text)
 		}
 	}
 }
 
-// granted is a gateway's hearing of the leader.
-func (w *World) granted(n *node, g policy.Grant) {
-	if n.freeze > 0 && g.Lease > 0 { // the answer is there, and nobody reads it
-		w.stop(n, n.freeze)
-		n.freeze = 0
-		life := n.life
-		n.inbox = append(n.inbox, func() { w.alive(n, life, func() { w.granted(n, g) }) })
+// deliverGrant is a gateway's hearing of the leader.
+func (w *World) deliverGrant(n *node, g policy.Grant) {
+	if n.pauseAtGrant > 0 && g.Lease > 0 { // the answer is there, and nobody reads it
+		w.pause(n, n.pauseAtGrant)
+		n.pauseAtGrant = 0
+		incarnation := n.incarnation
+		n.inbox = append(n.inbox, func() { w.runOnNode(n, incarnation, func() { w.deliverGrant(n, g) }) })
 		return
 	}
 	now := w.clock(n)
-	what := n.holder.Grant(now, g)
-	if what.Adopt {
-		n.text = string(what.Grant.Text)
-	}
-	n.lease = what.Leased
-	if what.Check {
-		life := n.life
-		w.at(w.now+time.Duration(w.rng.Int64N(int64(5*time.Millisecond))), func() {
-			w.alive(n, life, func() {
+	result := n.holder.Grant(now, g)
+	if result.Adopt {
+		n.text = string(result.Grant.Text)
+	}
+	n.lease = result.Leased
+	if result.Check {
+		incarnation := n.incarnation
+		w.schedule(w.now+time.Duration(w.rng.Int64N(int64(5*time.Millisecond))), func() {
+			w.runOnNode(n, incarnation, func() {
 				refusal := ""
 				if n.refuses || string(g.Next) == "bad" {
 					refusal = "can't"
 				}
 				n.holder.Checked(g.Change, g.Next, refusal)
-				w.follow(n)
+				w.sendRenewal(n)
 			})
 		})
 		return
 	}
-	w.follow(n)
+	w.sendRenewal(n)
 }
 
 // send takes a message over a link, which may lose, delay or double it.
 func (w *World) send(from, to *node, do func()) {
-	life := to.life
+	incarnation := to.incarnation
 	if from == to {
-		w.at(w.now+time.Microsecond, func() { w.alive(to, life, do) })
+		w.schedule(w.now+time.Microsecond, func() { w.runOnNode(to, incarnation, do) })
 		return
 	}
 	l := w.links[[2]int{from.index, to.index}]
@@ -488,36 +488,36 @@
 		}
 	}
 	for range copies {
-		w.at(w.now+wait, func() {
-			if to.life != life { // a connection does not outlive a process
+		w.schedule(w.now+wait, func() {
+			if to.incarnation != incarnation { // a connection does not outlive a process
 				return
 			}
-			w.alive(to, life, do)
+			w.runOnNode(to, incarnation, do)
 		})
 		wait += time.Duration(w.rng.Int64N(int64(20 * time.Millisecond)))
 	}
 }
 
-// load is the requests that come to all gateways, and the operators' proposals.
-func (w *World) load() {
+// startLoad is the requests that come to all gateways, and the operators' proposals.
+func (w *World) startLoad() {
 	for _, n := range w.nodes {
 		var next func()
 		next = func() {
-			if n.up && !n.stopped {
+			if n.up && !n.paused {
 				w.decide(n)
 			}
-			w.at(w.now+time.Duration(w.rng.ExpFloat64()*float64(8*time.Millisecond)), next)
+			w.schedule(w.now+time.Duration(w.rng.ExpFloat64()*float64(8*time.Millisecond)), next)
 		}
-		w.at(0, next)
+		w.schedule(0, next)
 	}
 	var propose func()
 	propose = func() {
 		w.propose()
-		if w.now < w.opt.Lasts {
-			w.at(w.now+time.Duration(w.rng.ExpFloat64()*float64(900*time.Millisecond)), propose)
+		if w.now < w.opt.FaultDuration {
+			w.schedule(w.now+time.Duration(w.rng.ExpFloat64()*float64(900*time.Millisecond)), propose)
 		}
 	}
-	w.at(600*time.Millisecond, propose)
+	w.schedule(600*time.Millisecond, propose)
 }
 
 // decide takes a request at a gateway: by the lease it has, if its own clock says
@@ -528,22 +528,22 @@
 	}
 	w.res.Decided++
 	v := n.lease.Version
-	w.mix(uint64(v)<<32 ^ uint64(n.index) ^ uint64(w.now))
+	w.updateHash(uint64(v)<<32 ^ uint64(n.index) ^ uint64(w.now))
 	if v < w.newest {
-		w.breaks("mixed", "%s decides by version %d, %d has been decided by", n.name, v, w.newest)
+		w.violation("mixed", "%s decides by version %d, %d has been decided by", n.name, v, w.newest)
 	}
 	w.newest = max(w.newest, v)
 	if v > 0 && n.text != w.texts[v] {
-		w.breaks("mixed", "%s decides by %q in version %d", n.name, n.text, v)
+		w.violation("mixed", "%s decides by %q in version %d", n.name, n.text, v)
 	}
 	if n.text == "bad" {
-		w.breaks("refused", "%s decides by a policy that gateways refused", n.name)
+		w.violation("refused", "%s decides by a policy that gateways refused", n.name)
 	}
 }
 
 func (w *World) propose() {
 	for _, n := range w.nodes {
-		if n.up && !n.stopped && n.voter != nil && n.voter.Leads() {
+		if n.up && !n.paused && n.voter != nil && n.voter.Leads() {
 			w.proposed++
 			text := fmt.Sprint("policy ", w.proposed)
 			if w.rng.IntN(8) == 0 {
@@ -554,11 +554,11 @@
 				c.Base--
 			}
 			w.res.Changes++
-			life := n.life
-			w.alive(n, life, func() { n.voter.Propose(w.clock(n), c) })
+			incarnation := n.incarnation
+			w.runOnNode(n, incarnation, func() { n.voter.Propose(w.clock(n), c) })
 			if w.rng.IntN(10) == 0 {
-				w.at(w.now+time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), func() {
-					w.alive(n, life, func() {
+				w.schedule(w.now+time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), func() {
+					w.runOnNode(n, incarnation, func() {
 						if n.voter != nil {
 							n.voter.Propose(w.clock(n), policy.Command{Kind: policy.Withdraw, ID: c.ID, Why: "operator"})
 						}
@@ -593,9 +593,9 @@
 	return w.pick(func(n *node) bool { return n.up })
 }
 
-// fault draws one.
-func (w *World) fault() {
-	if w.calm {
+// injectFault draws one.
+func (w *World) injectFault() {
+	if w.healed {
 		return
 	}
 	n := w.victim()
@@ -606,14 +606,14 @@
 	switch w.rng.IntN(10) {
 	case 0, 1:
 		w.kill(n)
-		w.at(w.now+long, func() { w.back(n) })
+		w.schedule(w.now+long, func() { w.restart(n) })
 	case 2:
-		w.stop(n, long)
+		w.pause(n, long)
 	case 3:
-		n.freeze = 2*long + time.Millisecond
+		n.pauseAtGrant = 2*long + time.Millisecond
 	case 4: // one way, from or to all others
 		w.res.Cuts++
-		w.note("%s is cut off one way", n.name)
+		w.trace("%s is cut off one way", n.name)
 		out := w.rng.IntN(2) == 0
 		for _, x := range w.nodes {
 			if x != n && w.rng.IntN(5) > 0 {
@@ -623,7 +623,7 @@
 	case 5: // a split
 		w.res.Cuts++
 		side := w.rng.Uint64()
-		w.note("a split for %v: %b", long, side&0x1ff)
+		w.trace("a split for %v: %b", long, side&0x1ff)
 		for _, x := range w.nodes {
 			for _, y := range w.nodes {
 				if side>>x.index&1 != side>>y.index&1 {
@@ -636,35 +636,35 @@
 			if x != n {
 				l := w.link(n, x)
 				l.delay, l.loss = time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), w.rng.Float64()/2
-				w.at(w.now+long, func() { l.delay, l.loss = 0, 0 })
+				w.schedule(w.now+long, func() { l.delay, l.loss = 0, 0 })
 			}
 		}
 	case 7: // at its next write, which may be there or not
 		if n.disk != nil && n.voter != nil {
 			w.res.Disks++
 			n.disk.crash = n
-			w.at(w.now+long+100*time.Millisecond, func() { w.back(n) })
+			w.schedule(w.now+long+100*time.Millisecond, func() { w.restart(n) })
 		}
 	case 8:
 		if n.disk != nil && n.voter != nil {
 			w.res.Disks++
-			w.note("writes of %s fail", n.name)
+			w.trace("writes of %s fail", n.name)
 			n.disk.fails = true
-			w.at(w.now+long+100*time.Millisecond, func() { w.kill(n); w.back(n) })
+			w.schedule(w.now+long+100*time.Millisecond, func() { w.kill(n); w.restart(n) })
 		}
 	case 9:
 		n.refuses = true
-		w.at(w.now+long, func() { n.refuses = false })
+		w.schedule(w.now+long, func() { n.refuses = false })
 	}
 }
 
-// stop lets a process stand still.
-func (w *World) stop(n *node, long time.Duration) {
-	w.note("%s stands still for %v", n.name, long)
+// pause lets a process stand still.
+func (w *World) pause(n *node, long time.Duration) {
+	w.trace("%s stands still for %v", n.name, long)
 	w.res.Stops++
-	n.stopped = true
-	life := n.life
-	w.at(w.now+long, func() { w.goOn(n, life) })
+	n.paused = true
+	incarnation := n.incarnation
+	w.schedule(w.now+long, func() { w.resume(n, incarnation) })
 }
 
 func (w *World) link(a, b *node) *link {
@@ -681,13 +681,13 @@
 	}
 	l := w.link(a, b)
 	l.cut = true
-	w.at(w.now+long, func() { l.cut = false })
+	w.schedule(w.now+long, func() { l.cut = false })
 }
 
-func (w *World) goOn(n *node, life int) {
-	if n.up && n.life == life && n.stopped {
-		w.note("%s goes on", n.name)
-		n.stopped = false
+func (w *World) resume(n *node, incarnation int) {
+	if n.up && n.incarnation == incarnation && n.paused {
+		w.trace("%s goes on", n.name)
+		n.paused = false
 		w.decide(n) // before anything else
 		inbox := n.inbox
 		n.inbox = nil
@@ -697,24 +697,24 @@
 	}
 }
 
-// back starts a process again: with its disk, or once in a while on a new one, as
+// restart starts a process again: with its disk, or once in a while on a new one, as
 // a new peer that has no vote. A majority keeps its disks.
-func (w *World) back(n *node) {
+func (w *World) restart(n *node) {
 	if n.up {
 		return
 	}
-	if n.disk != nil && w.rng.IntN(6) == 0 && w.lost() < (w.opt.Voters-1)/2 {
-		w.note("%s has lost its disk", n.name)
+	if n.disk != nil && w.rng.IntN(6) == 0 && w.lostDisks() < (w.opt.Voters-1)/2 {
+		w.trace("%s has lost its disk", n.name)
 		w.res.Lost++
 		n.peer = cluster.Peer{ID: w.rng.Uint64() | 1, Name: n.name, Address: n.name}
 		n.disk = &disk{w: w, self: n.peer}
-		w.join(n, n.peer.ID)
+		w.replaceLostVoter(n, n.peer.ID)
 	}
 	w.start(n)
 }
 
-// lost counts the voters' names whose present disk has no vote.
-func (w *World) lost() (n int) {
+// lostDisks counts the voters' names whose present disk has no vote.
+func (w *World) lostDisks() (n int) {
 	for _, x := range w.nodes {
 		if x.disk == nil {
 			continue
@@ -730,47 +730,47 @@
 	return n
 }
 
-// join is the operators' replacing of the vote that was lost with a disk.
-func (w *World) join(n *node, id uint64) {
-	w.at(w.now+300*time.Millisecond, func() {
+// replaceLostVoter is the operators' replacing of the vote that was lost with a disk.
+func (w *World) replaceLostVoter(n *node, id uint64) {
+	w.schedule(w.now+300*time.Millisecond, func() {
 		if n.peer.ID != id {
 			return
 		}
 		for _, x := range w.nodes {
-			if x.up && !x.stopped && x.voter != nil && x.voter.Leads() {
+			if x.up && !x.paused && x.voter != nil && x.voter.Leads() {
 				if x.voter.Votes(id) {
 					return
 				}
 				for _, p := range x.voter.Peers() {
 					if p.Name == n.name && p.ID != id && x.voter.Votes(p.ID) {
-						w.alive(x, x.life, func() { x.voter.Replace(w.clock(x), p.ID, n.peer) })
+						w.runOnNode(x, x.incarnation, func() { x.voter.Replace(w.clock(x), p.ID, n.peer) })
 						break
 					}
 				}
 			}
 		}
-		w.join(n, id)
+		w.replaceLostVoter(n, id)
 	})
 }
 
 // heal ends all faults.
 func (w *World) heal() {
-	w.calm = true
-	w.note("all is well again")
+	w.healed = true
+	w.trace("all is well again")
 	for _, l := range w.links {
 		*l = link{}
 	}
 	for _, n := range w.nodes {
-		if n.refuses, n.freeze = false, 0; n.disk != nil {
+		if n.refuses, n.pauseAtGrant = false, 0; n.disk != nil {
 			n.disk.crash = nil
 		}
-		if n.stopped {
-			w.goOn(n, n.life)
+		if n.paused {
+			w.resume(n, n.incarnation)
 		}
 		if n.disk != nil && n.disk.fails || n.up && n.disk != nil && n.voter == nil {
 			w.kill(n)
 		}
-		w.back(n)
+		w.restart(n)
 	}
 }
 
@@ -800,21 +800,21 @@
 	for _, n := range w.nodes {
 		if n.voter != nil && n.voter.Leads() {
 			stage, seen := n.voter.Coordinator().Status(w.clock(n))
-			w.note("%s leads, %v, %+v", n.name, stage, seen)
+			w.trace("%s leads, %v, %+v", n.name, stage, seen)
 		}
-		w.note("%s calls g-%d, %d missed", n.name, n.target, n.holder.Missed())
+		w.trace("%s calls g-%d, %d missed", n.name, n.target, n.holder.Missed())
 		if n.voter != nil {
-			w.note("%s: %s", n.name, n.voter.Describe())
+			w.trace("%s: %s", n.name, n.voter.Describe())
 		}
 	}
 	for _, n := range w.nodes {
 		if n.lease.Until <= w.clock(n) || n.lease.Version != newest {
 			v, state := n.holder.State(w.clock(n))
-			w.breaks("liveness", "%s does not serve by version %d in the end: version %d, %s", n.name, newest, v, state)
+			w.violation("liveness", "%s does not serve by version %d in the end: version %d, %s", n.name, newest, v, state)
 		}
 		if n.voter != nil && n.voter.Register().Pending() != nil {
-			w.breaks("liveness", "%s: a change is under way for good", n.name)
+			w.violation("liveness", "%s: a change is under way for good", n.name)
 		}
 	}
-	w.mix(math.Float64bits(float64(w.res.Decided)))
+	w.updateHash(math.Float64bits(float64(w.res.Decided)))
 }
--- a/internal/cluster/world/world_test.go
+++ b/internal/cluster/world/world_test.go
@@ -8,22 +8,22 @@
 	"testing"
 )
 
-// plays is how many seeds; PLAYS in the environment asks for more.
-func plays() int {
+// seedCount is how many seeds; PLAYS in the environment asks for more.
+func seedCount() int {
 	if n, err := strconv.Atoi(os.Getenv("PLAYS")); err == nil {
 		return n
 	}
 	return 200
 }
 
-// playAll plays so many seeds side by side.
-func playAll(count int) []Result {
+// simulateAll plays so many seeds side by side.
+func simulateAll(count int) []Result {
 	all := make([]Result, count)
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i := range all {
 		slots <- struct{}{}
-		wg.Go(func() { all[i] = Play(Options{Seed: uint64(i)}); <-slots })
+		wg.Go(func() { all[i] = Simulate(Options{Seed: uint64(i)}); <-slots })
 	}
 	wg.Wait()
 	return all
@@ -34,7 +34,7 @@
 func TestSeeds(t *testing.T) {
 	t.Parallel()
 	var sum Result
-	for seed, r := range playAll(plays()) {
+	for seed, r := range simulateAll(seedCount()) {
 		for _, b := range r.Broken {
 			t.Errorf("seed %d: %s", seed, b)
 		}
@@ -53,8 +53,8 @@
 // A seed plays the same each time.
 func TestReplay(t *testing.T) {
 	t.Parallel()
-	for seed, a := range playAll(10) {
-		if b := Play(Options{Seed: uint64(seed)}); a.Hash != b.Hash {
+	for seed, a := range simulateAll(10) {
+		if b := Simulate(Options{Seed: uint64(seed)}); a.Hash != b.Hash {
 			t.Errorf("seed %d: %x and %x", seed, a.Hash, b.Hash)
 		}
 	}
