--- a/internal/cluster/world/world.go
+++ b/internal/cluster/world/world.go
@@ -1,7 +1,7 @@
-// Package world plays voters and gateways of a cluster in a virtual world: a seed
-// draws what goes wrong, and the same seed plays the same again. The voters, their
-// log and the conduct of a change are the program's own code; links, disks, clocks
-// and processes are this package's.
+// Package world simulates the voters and gateways of a cluster deterministically. A seed
+// determines all faults, and the same seed replays the same run. The voters, their log
+// and the coordination of a change are production code; links, disks, clocks and
+// processes are simulated.
 package world
 
 import (
@@ -21,27 +21,27 @@
 	"asterwell/internal/policy"
 )
 
-// Options of a play.
+// Options configures a simulation.
 type Options struct {
 	Seed          uint64
-	Voters        int           // 5
-	NonVoters     int           // gateways that don't vote: 4
-	FaultDuration time.Duration // with faults: 12 s
+	Voters        int           // default: 5
+	NonVoters     int           // gateways without a vote; default: 4
+	FaultDuration time.Duration // phase with faults; default: 12 s
 	Trace         func(at time.Duration, text string)
 	NoFault       bool
 }
 
-// Result is what a play showed.
+// Result is the outcome of a simulation.
 type Result struct {
 	Broken                                   []Violation
 	Changes, Committed, Withdrawn, Refused   int
 	Decided, Turned                          int
 	Kills, Stops, Cuts, Disks, Lost, Elected int
-	Hash                                     uint64 // of all that happened, in order
+	Hash                                     uint64 // of all events in order, to compare replays
 	HeldMost                                 time.Duration
 }
 
-// Violation is a promise that did not hold.
+// Violation is a violated invariant.
 type Violation struct {
 	Rule string // start, leaders, outcome, mixed, refused, liveness
 	At   time.Duration
@@ -50,7 +50,7 @@
 
 func (b Violation) String() string { return fmt.Sprintf("%s after %v: %s", b.Rule, b.At, b.What) }
 
-// World is one play.
+// World is the state of one simulation.
 type World struct {
 	opt    Options
 	rng    *rand.Rand
@@ -61,15 +61,15 @@
 	links  map[[2]int]*link
 	res    Result
 
-	newest   int64 // version decided by so far
+	newest   int64 // highest version that any gateway has decided by
 	fates    map[uint64]policy.Change
 	texts    map[int64]string
 	healed   bool
 	proposed int
-	leaders  map[uint64]int // by term
+	leaders  map[uint64]int // node index by term
 }
 
-// node is a process, and what of it is left when it is gone.
+// node is a process, with the state that survives a crash.
 type node struct {
 	index        int
 	name         string
@@ -78,18 +78,18 @@
 	peer         cluster.Peer
 	voter        *cluster.Voter
 	holder       *policy.Holder
-	id           uint64 // of this life
+	id           uint64 // of this incarnation of the process
 	up           bool
 	paused       bool
 	incarnation  int
-	clockRate    float64 // of its clock
+	clockRate    float64 // of its clock, relative to simulated time
 	clockBase    time.Duration
 	startedAt    time.Duration
 	lease        policy.Lease
 	target       int
-	inbox        []func() // came while it stood still
+	inbox        []func() // events that arrived while it was paused
 	refuses      bool
-	pauseAtGrant time.Duration // it stands still for so long once the leader's next answer is there
+	pauseAtGrant time.Duration // how long it pauses when the leader's next lease arrives; 0: not at all
 	text         string
 }
 
@@ -121,8 +121,8 @@
 	return e
 }
 
-// disk keeps what was synced. What was being written at a crash may be there, or
-// not; a batch is whole or gone, as with bbolt.
+// disk keeps synced writes. A write in progress at a crash is kept or lost as a whole, as
+// with bbolt.
 type disk struct {
 	w       *World
 	self    cluster.Peer
@@ -131,7 +131,7 @@
 	entries []*raftpb.Entry
 	fails   bool
 	damaged bool
-	crash   *node // at the next save
+	crash   *node // node that crashes at the next save; nil: none
 }
 
 func (d *disk) Load() (*cluster.Saved, error) {
@@ -180,7 +180,7 @@
 			write()
 		}
 		d.w.kill(n)
-		return errDisk // the process is gone; what it would say now is not heard
+		return errDisk // the process is gone, so this error has no further effect
 	}
 	write()
 	return nil
@@ -200,10 +200,10 @@
 	}
 }
 
-// Terms of the plays.
+// Terms are the timing parameters of all simulations.
 var Terms = policy.DefaultTerms
 
-// Simulate plays a seed.
+// Simulate runs the simulation of a seed.
 func Simulate(o Options) Result {
 	if o.Voters == 0 {
 		o.Voters, o.NonVoters = 5, 4
@@ -264,7 +264,7 @@
 	w.res.Broken = append(w.res.Broken, Violation{rule, w.now, fmt.Sprintf(format, args...)})
 }
 
-// clock is a node's own, which drifts.
+// clock returns the time on a node's own, drifting clock.
 func (w *World) clock(n *node) time.Duration {
 	return n.clockBase + time.Duration(float64(w.now-n.startedAt)*n.clockRate)
 }
@@ -301,7 +301,8 @@
 	}
 }
 
-// runOnNode runs what a node does, now or once it goes on.
+// runOnNode runs do if this incarnation of the node is alive, or once it resumes after a
+// pause.
 func (w *World) runOnNode(n *node, incarnation int, do func()) {
 	switch {
 	case !n.up || n.incarnation != incarnation:
@@ -326,7 +327,8 @@
 	})
 }
 
-// sendRenewal sends a gateway's call, to another voter if the one it knows says nothing.
+// sendRenewal sends a gateway's due renewal, to another voter if the present one doesn't
+// answer.
 func (w *World) sendRenewal(n *node) {
 	now := w.clock(n)
 	r := n.holder.Tick(now)
@@ -355,7 +357,7 @@
 	})
 }
 
-// flush sends what a node's voter wants said, and checks what it knows.
+// flush sends a voter's messages and grants, and checks its state.
 func (w *World) flush(n *node) {
 	v := n.voter
 	if v == nil || !n.up {
@@ -365,7 +367,7 @@
 		if !errors.Is(err, errDisk) {
 			w.violation("start", "%s: %v", n.name, err)
 		}
-		n.voter = nil // it steps back; the gateway goes on
+		n.voter = nil // the voter has stopped; the gateway continues
 		w.trace("%s steps back: %v", n.name, err)
 		return
 	}
@@ -410,8 +412,8 @@
 	w.checkRegister(v.Register(), n)
 }
 
-// checkRegister holds what a replica knows against what others did: one outcome a change,
-// one text a version.
+// checkRegister compares a replica's register with those seen before: each change has one
+// outcome and each version one text.
 func (w *World) checkRegister(r *policy.Register, n *node) {
 	for _, c := range r.Changes {
 		if c.Fate == policy.UnderWay {
@@ -434,9 +436,9 @@
 	}
 }
 
-// deliverGrant is a gateway's hearing of the leader.
+// deliverGrant passes a grant to a gateway.
 func (w *World) deliverGrant(n *node, g policy.Grant) {
-	if n.pauseAtGrant > 0 && g.Lease > 0 { // the answer is there, and nobody reads it
+	if n.pauseAtGrant > 0 && g.Lease > 0 { // the process pauses before it reads the answer
 		w.pause(n, n.pauseAtGrant)
 		n.pauseAtGrant = 0
 		incarnation := n.incarnation
@@ -466,7 +468,7 @@
 	w.sendRenewal(n)
 }
 
-// send takes a message over a link, which may lose, delay or double it.
+// send delivers a message over a link, which may lose, delay or duplicate it.
 func (w *World) send(from, to *node, do func()) {
 	incarnation := to.incarnation
 	if from == to {
@@ -489,7 +491,7 @@
 	}
 	for range copies {
 		w.schedule(w.now+wait, func() {
-			if to.incarnation != incarnation { // a connection does not outlive a process
+			if to.incarnation != incarnation { // connections end with their process
 				return
 			}
 			w.runOnNode(to, incarnation, do)
@@ -498,7 +500,7 @@
 	}
 }
 
-// startLoad is the requests that come to all gateways, and the operators' proposals.
+// startLoad schedules requests at all gateways and operators' proposals.
 func (w *World) startLoad() {
 	for _, n := range w.nodes {
 		var next func()
@@ -520,8 +522,8 @@
 	w.schedule(600*time.Millisecond, propose)
 }
 
-// decide takes a request at a gateway: by the lease it has, if its own clock says
-// that it still runs.
+// decide handles a request at a gateway if its lease is valid by its own clock, and checks
+// the version that it decides by.
 func (w *World) decide(n *node) {
 	if n.lease.Until <= w.clock(n) {
 		return
@@ -583,7 +585,7 @@
 	return all[w.rng.IntN(len(all))]
 }
 
-// leader is the one that leads in the highest term, if the draw wants it; else any.
+// victim picks the node for a fault: a leader in half of the draws, else any live node.
 func (w *World) victim() *node {
 	if w.rng.IntN(2) == 0 {
 		if n := w.pick(func(n *node) bool { return n.up && n.voter != nil && n.voter.Leads() }); n != nil {
@@ -593,7 +595,7 @@
 	return w.pick(func(n *node) bool { return n.up })
 }
 
-// injectFault draws one.
+// injectFault draws a fault and its duration.
 func (w *World) injectFault() {
 	if w.healed {
 		return
@@ -611,7 +613,7 @@
 		w.pause(n, long)
 	case 3:
 		n.pauseAtGrant = 2*long + time.Millisecond
-	case 4: // one way, from or to all others
+	case 4: // a one-way cut, from or to most others
 		w.res.Cuts++
 		w.trace("%s is cut off one way", n.name)
 		out := w.rng.IntN(2) == 0
@@ -620,7 +622,7 @@
 				w.cut(n, x, out, long)
 			}
 		}
-	case 5: // a split
+	case 5: // a network partition
 		w.res.Cuts++
 		side := w.rng.Uint64()
 		w.trace("a split for %v: %b", long, side&0x1ff)
@@ -639,7 +641,7 @@
 				w.schedule(w.now+long, func() { l.delay, l.loss = 0, 0 })
 			}
 		}
-	case 7: // at its next write, which may be there or not
+	case 7: // a crash at the next write, which may be kept or lost
 		if n.disk != nil && n.voter != nil {
 			w.res.Disks++
 			n.disk.crash = n
@@ -658,7 +660,7 @@
 	}
 }
 
-// pause lets a process stand still.
+// pause suspends a process for a while.
 func (w *World) pause(n *node, long time.Duration) {
 	w.trace("%s stands still for %v", n.name, long)
 	w.res.Stops++
@@ -688,7 +690,7 @@
 	if n.up && n.incarnation == incarnation && n.paused {
 		w.trace("%s goes on", n.name)
 		n.paused = false
-		w.decide(n) // before anything else
+		w.decide(n) // the worst case: a request is decided before anything else runs
 		inbox := n.inbox
 		n.inbox = nil
 		for _, do := range inbox {
@@ -697,8 +699,8 @@
 	}
 }
 
-// restart starts a process again: with its disk, or once in a while on a new one, as
-// a new peer that has no vote. A majority keeps its disks.
+// restart restarts a process with its disk, or sometimes with an empty one, as a new peer
+// without a vote. A majority always keeps its disks.
 func (w *World) restart(n *node) {
 	if n.up {
 		return
@@ -713,7 +715,7 @@
 	w.start(n)
 }
 
-// lostDisks counts the voters' names whose present disk has no vote.
+// lostDisks counts the voters by name whose present disk has no vote.
 func (w *World) lostDisks() (n int) {
 	for _, x := range w.nodes {
 		if x.disk == nil {
@@ -730,7 +732,7 @@
 	return n
 }
 
-// replaceLostVoter is the operators' replacing of the vote that was lost with a disk.
+// replaceLostVoter acts as the operator who replaces a voter that lost its disk.
 func (w *World) replaceLostVoter(n *node, id uint64) {
 	w.schedule(w.now+300*time.Millisecond, func() {
 		if n.peer.ID != id {
@@ -753,7 +755,7 @@
 	})
 }
 
-// heal ends all faults.
+// heal ends all faults and restarts what is down.
 func (w *World) heal() {
 	w.healed = true
 	w.trace("all is well again")
@@ -774,8 +776,8 @@
 	}
 }
 
-// finish checks that all has come to its end: no change under way, every gateway
-// serves by the newest version.
+// finish checks liveness: no change is pending, and every gateway serves by the newest
+// version.
 func (w *World) finish() {
 	for _, id := range slices.Sorted(maps.Keys(w.fates)) {
 		switch w.fates[id].Fate {
--- a/internal/cluster/world/world_test.go
+++ b/internal/cluster/world/world_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// seedCount is how many seeds; PLAYS in the environment asks for more.
+// seedCount returns the number of seeds. The environment variable PLAYS overrides it.
 func seedCount() int {
 	if n, err := strconv.Atoi(os.Getenv("PLAYS")); err == nil {
 		return n
@@ -16,7 +16,7 @@
 	return 200
 }
 
-// simulateAll plays so many seeds side by side.
+// simulateAll runs the first count seeds in parallel.
 func simulateAll(count int) []Result {
 	all := make([]Result, count)
 	var wg sync.WaitGroup
@@ -29,8 +29,8 @@
 	return all
 }
 
-// Drawn faults, disks included: one outcome a change, one policy at a time over
-// all gateways, and in the end all serve by the newest.
+// Under random faults, disk faults included, each change has one outcome, only one policy
+// is in use at a time, and in the end all gateways serve by the newest.
 func TestSeeds(t *testing.T) {
 	t.Parallel()
 	var sum Result
@@ -50,7 +50,7 @@
 	}
 }
 
-// A seed plays the same each time.
+// Replaying a seed gives the same run.
 func TestReplay(t *testing.T) {
 	t.Parallel()
 	for seed, a := range simulateAll(10) {
