--- a/internal/clustercli/clustercli.go
+++ b/internal/clustercli/clustercli.go
@@ -1,5 +1,5 @@
-// Package clustercli is the operators' side of the gateway's program: what is done at
-// the command line to a cluster that runs.
+// Package clustercli implements the operators' commands of the gateway's program, which
+// query and change a running cluster.
 package clustercli
 
 import (
@@ -25,25 +25,25 @@
 // Exit codes, for scripts.
 const (
 	Done      = 0
-	Wrong     = 1 // bad input, or a question that has no answer
-	Nobody    = 3 // no leader was reached: nothing has been done, as far as is known
-	Unknown   = 4 // what has become of it is not known yet: ask again by its id
-	Withdrawn = 5 // the change has been withdrawn, or refused
+	Wrong     = 1 // bad input, or a request that failed
+	Nobody    = 3 // no leader was reached; as far as is known, nothing was done
+	Unknown   = 4 // the outcome of the change is not known yet: query it by its ID
+	Withdrawn = 5 // the change was withdrawn or refused
 )
 
-// coded is an error with its exit code.
-type coded struct {
+// exitError is an error with an exit code.
+type exitError struct {
 	error
 	code int
 }
 
-// Run carries out the command of args, and returns the exit code.
-func Run(args []string, out, complaints io.Writer) int {
+// Run executes the command in args and returns the exit code.
+func Run(args []string, out, errOut io.Writer) int {
 	o := &operator{out: out}
 	root := &cobra.Command{Use: "asterwell", Short: "A gateway; without a command: serve", SilenceUsage: true, SilenceErrors: true}
 	root.SetArgs(args)
 	root.SetOut(out)
-	root.SetErr(complaints)
+	root.SetErr(errOut)
 	root.PersistentFlags().DurationVar(&o.limit, "timeout", 10*time.Second, "for an answer")
 	root.PersistentFlags().BoolVar(&o.json, "json", false, "answer in JSON")
 	root.AddCommand(o.policy(), o.cluster())
@@ -51,8 +51,8 @@
 	if err == nil {
 		return Done
 	}
-	fmt.Fprintln(complaints, "asterwell:", err)
-	var c coded
+	fmt.Fprintln(errOut, "asterwell:", err)
+	var c exitError
 	switch {
 	case errors.As(err, &c):
 		return c.code
@@ -62,13 +62,14 @@
 	return Wrong
 }
 
+// operator holds the options shared by all commands.
 type operator struct {
 	out   io.Writer
 	limit time.Duration
 	json  bool
 }
 
-// client reads the cluster's file, as the gateway does.
+// client returns a client for the cluster's file, which is found as the gateway does it.
 func (o *operator) client() (*cluster.Client, error) {
 	cfg, err := program.ReadCluster(os.Getenv)
 	if err != nil {
@@ -84,6 +85,7 @@
 	return &cluster.Client{Cfg: cfg, By: by}, nil
 }
 
+// ask sends a request to the leader.
 func (o *operator) ask(q cluster.Ask) (cluster.Reply, error) {
 	c, err := o.client()
 	if err != nil {
@@ -93,8 +95,8 @@
 	return c.Ask(q, o.limit)
 }
 
-// show prints the answer, in JSON or as text does.
-func (o *operator) show(r cluster.Reply, text func(w io.Writer)) error {
+// print writes the reply as JSON, or as text through a tab writer.
+func (o *operator) print(r cluster.Reply, text func(w io.Writer)) error {
 	if o.json {
 		e := json.NewEncoder(o.out)
 		e.SetIndent("", "  ")
@@ -133,7 +135,7 @@
 				return err
 			}
 			if r.Change != nil && r.Change.Fate == policy.Withdrawn {
-				return o.show(r, func(w io.Writer) { fmt.Fprintf(w, "change %x is withdrawn\n", r.Change.ID) })
+				return o.print(r, func(w io.Writer) { fmt.Fprintf(w, "change %x is withdrawn\n", r.Change.ID) })
 			}
 			return o.outcome(r)
 		}},
@@ -156,8 +158,8 @@
 	return p
 }
 
-// propose reads the file and checks what can be checked here, so that a slip of the
-// pen goes no further.
+// propose reads a policy file and validates it locally before it is sent, so that typing
+// errors don't reach the cluster. It then waits up to wait for the outcome.
 func (o *operator) propose(file string, base int64, wait time.Duration) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -183,23 +185,23 @@
 		time.Sleep(20 * time.Millisecond)
 		if next, e := o.ask(cluster.Ask{Do: "fate", ID: n}); e == nil {
 			r, err = next, nil
-		} else if errors.Is(err, cluster.ErrNobody) { // it may never have come in: the same change once more
+		} else if errors.Is(err, cluster.ErrNobody) { // the proposal may not have arrived: send the same change again
 			r, err = o.ask(cluster.Ask{Do: "propose", ID: n, Base: base, Text: text, AtMs: begun.UnixMilli()})
 		}
 	}
 	if err != nil {
-		return coded{fmt.Errorf("change %x: %w", n, err), Unknown}
+		return exitError{fmt.Errorf("change %x: %w", n, err), Unknown}
 	}
 	return o.outcome(r)
 }
 
-// outcome prints a change's, and makes it the exit code.
+// outcome prints the fate of a change and turns it into an exit code.
 func (o *operator) outcome(r cluster.Reply) error {
 	c := r.Change
 	if c == nil {
-		return coded{errors.New("nothing is known of it"), Unknown}
+		return exitError{errors.New("nothing is known of it"), Unknown}
 	}
-	if err := o.show(r, func(w io.Writer) {
+	if err := o.print(r, func(w io.Writer) {
 		switch c.Fate {
 		case policy.Committed:
 			fmt.Fprintf(w, "change %x is version %d\n", c.ID, c.Version)
@@ -210,7 +212,7 @@
 		return err
 	}
 	if c.Fate == policy.Withdrawn || c.Fate == policy.Refused {
-		return coded{fmt.Errorf("change %x is %s: %s", c.ID, c.Fate, c.Why), Withdrawn}
+		return exitError{fmt.Errorf("change %x is %s: %s", c.ID, c.Fate, c.Why), Withdrawn}
 	}
 	return nil
 }
@@ -220,7 +222,7 @@
 	if err != nil {
 		return err
 	}
-	return o.show(r, func(w io.Writer) {
+	return o.print(r, func(w io.Writer) {
 		fmt.Fprintf(w, "version %d, term %d, led by %s, votes: %v\n", r.Version, r.Term, r.Leader.Name, r.Votes)
 		if c := r.Change; c != nil {
 			fmt.Fprintf(w, "change %x by %s is under way: %s\n", c.ID, c.By, r.Stage)
@@ -237,7 +239,7 @@
 	if err != nil {
 		return err
 	}
-	return o.show(r, func(w io.Writer) {
+	return o.print(r, func(w io.Writer) {
 		fmt.Fprintln(w, "change\tbase\tfate\tversion\tby\tat\twhy")
 		for _, c := range r.Changes {
 			fmt.Fprintf(w, "%x\t%d\t%s\t%d\t%s\t%s\t%s\n", c.ID, c.Base, c.Fate, c.Version, c.By, time.UnixMilli(c.AtMs).UTC().Format(time.RFC3339), c.Why)
--- a/internal/clustercli/clustercli_test.go
+++ b/internal/clustercli/clustercli_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// What operators get for a slip of the pen, and where nobody answers: the place and
-// an exit code that scripts can tell apart.
+// Invalid input and an unreachable cluster give messages that name the place, and exit
+// codes that scripts can tell apart.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -39,9 +39,9 @@
 		{bad, "policy status", Wrong, "bad.json: "},
 	} {
 		t.Setenv("ASTERWELL_CLUSTER", c.file)
-		var out, complaints strings.Builder
-		if code := Run(strings.Fields(c.args), &out, &complaints); code != c.code || !strings.Contains(complaints.String(), c.says) {
-			t.Errorf("%s: exit code %d, want %d: %s", c.args, code, c.code, complaints.String())
+		var out, errOut strings.Builder
+		if code := Run(strings.Fields(c.args), &out, &errOut); code != c.code || !strings.Contains(errOut.String(), c.says) {
+			t.Errorf("%s: exit code %d, want %d: %s", c.args, code, c.code, errOut.String())
 		}
 	}
 }
