--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -18,8 +18,8 @@
 	By    string
 }
 
-// ErrNobody means that no leader was reached. There is none without a majority.
-var ErrNobody = errors.New("no leader was reached")
+// ErrNoLeader means that no leader was reached. There is none without a majority.
+var ErrNoLeader = errors.New("no leader was reached")
 
 // Ask sends a request to the leader. It tries one voter after another until it reaches
 // the leader or one that knows its address.
@@ -27,15 +27,15 @@
 	world := hostenv.Or(c.World)
 	end := world.Now().Add(limit)
 	peers := c.Cfg.seeds()
-	err = ErrNobody
+	err = ErrNoLeader
 	for first := true; first || world.Now().Before(end); first = false {
 		for i := 0; i < len(peers) && i < 20; i++ {
 			got, e := c.askMember(c.Cfg.Reach(peers[i].Name, peers[i].Address), peers[i].Name, q, min(limit, 7*time.Second))
 			switch {
 			case e != nil:
-				err = fmt.Errorf("%w: %s: %w", ErrNobody, peers[i].Name, e)
+				err = fmt.Errorf("%w: %s: %w", ErrNoLeader, peers[i].Name, e)
 			case got.Error == ErrNotLeader.Error():
-				err = ErrNobody
+				err = ErrNoLeader
 				if p := got.Leader; p != nil && i < 10 {
 					peers = append(peers[:i+1:i+1], append([]Named{{p.Name, p.Address}}, peers[i+1:]...)...)
 				}
@@ -45,7 +45,7 @@
 					}
 				}
 			case got.Ask:
-				err = fmt.Errorf("%w: %s: %s", ErrNobody, peers[i].Name, got.Error)
+				err = fmt.Errorf("%w: %s: %s", ErrNoLeader, peers[i].Name, got.Error)
 			case got.Error != "":
 				return got, errors.New(got.Error)
 			default:
--- a/internal/cluster/client_test.go
+++ b/internal/cluster/client_test.go
@@ -48,7 +48,7 @@
 		"no vote, then the leader":     {[]string{novote, leads}, nil},
 		"no vote, then a follower":     {[]string{novote, follows}, nil},
 		"one that was replaced":        {[]string{replaced}, nil},
-		"nobody leads":                 {[]string{novote}, ErrNobody},
+		"nobody leads":                 {[]string{novote}, ErrNoLeader},
 		"the leader's no is an answer": {[]string{novote, bad, leads}, errors.New("unknown change")},
 	} {
 		cfg := &Config{Cluster: "c"}
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -183,7 +183,7 @@
 		n.target = h.Leader.Name
 		if h.Term == 0 { // no grant, only the leader's address
 			if n.target != previous {
-				n.holder.Again()
+				n.holder.RenewNow()
 			}
 			return
 		}
@@ -192,7 +192,7 @@
 	if w.Adopt {
 		if err := n.gateway.Adopt(w.Grant.Version, w.Grant.Text); err != nil {
 			n.log.Error("policy can't be taken over", "version", w.Grant.Version, "error", err)
-			n.holder.Unable()
+			n.holder.AdoptFailed()
 		} else {
 			n.log.Info("policy", "version", w.Grant.Version)
 		}
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -47,8 +47,8 @@
 	Born  int64  `json:"born"` // Unix time in ns; 0: not supported by the file system
 }
 
-// ErrCopy means that a folder is a copy or was restored from one.
-var ErrCopy = errors.New("it is a copy: what its voter has said since is not in it")
+// ErrCopiedFolder means that a folder is a copy or was restored from one.
+var ErrCopiedFolder = errors.New("it is a copy: what its voter has said since is not in it")
 
 // fileOrigin returns the inode and birth time, which distinguish a file from its copies.
 func fileOrigin(file string) (inode uint64, born int64, err error) {
@@ -114,7 +114,7 @@
 	case was.Cluster != cluster:
 		err = fmt.Errorf("belongs to cluster %q, not %q", was.Cluster, cluster)
 	case was.Inode != inode || was.Born != born:
-		err = ErrCopy
+		err = ErrCopiedFolder
 	case was.Self.Name != self.Name:
 		err = fmt.Errorf("belongs to %s, not %s", was.Self.Name, self.Name)
 	}
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -68,7 +68,7 @@
 		t.Fatalf("%v %+v", err, saved)
 	}
 	if err := s.Form([]Peer{{ID: 5, Name: "a"}}); err == nil {
-		t.Error("a folder with a state is formed again")
+		t.Error("Form succeeds on a folder with a state")
 	}
 	snap := Bootstrap([]Peer{{ID: 5, Name: "a"}})
 	snap.Metadata.Index = new(uint64(4))
@@ -113,7 +113,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, err := NewVoter(s, policy.DefaultTerms, func() uint64 { return 1 }, 0); err == nil {
-			t.Errorf("%s: it votes", name)
+			t.Errorf("%s: a voter starts", name)
 		}
 		s.Close()
 	}
@@ -126,14 +126,14 @@
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(copied, "c", Peer{Name: "a"}); !errors.Is(err, ErrCopy) {
+	if _, err := Open(copied, "c", Peer{Name: "a"}); !errors.Is(err, ErrCopiedFolder) {
 		t.Errorf("a copy: %v", err)
 	}
 	if _, err := Open(folder, "d", Peer{Name: "a"}); err == nil {
 		t.Error("another cluster's folder is opened")
 	}
 	if _, err := Open(folder, "c", Peer{Name: "b"}); err == nil {
-		t.Error("another's folder is opened")
+		t.Error("another member's folder is opened")
 	}
 	junk := t.TempDir()
 	if err := os.WriteFile(filepath.Join(junk, storeFile), bytes.Repeat([]byte("junk"), 5000), 0o600); err != nil {
@@ -172,7 +172,7 @@
 		v.Tick(now)
 	}
 	if !v.Leads() {
-		t.Fatal("the only voter does not lead")
+		t.Fatal("the only voter is not elected")
 	}
 	v.Out()
 	d.fails = true
@@ -206,7 +206,7 @@
 	}
 	for n := range text {
 		if _, err := read(text[:n], 7); err == nil {
-			t.Errorf("%d bytes of it are taken", n)
+			t.Errorf("a frame cut to %d bytes is accepted", n)
 		}
 	}
 }
--- a/internal/cluster/world/world_test.go
+++ b/internal/cluster/world/world_test.go
@@ -46,7 +46,7 @@
 	}
 	t.Logf("%+v", sum)
 	if sum.Committed < 200 || sum.Withdrawn < 20 || sum.Refused < 20 || sum.Lost < 20 {
-		t.Errorf("the plays show too little: %+v", sum)
+		t.Errorf("too few outcomes were covered: %+v", sum)
 	}
 }
 
@@ -55,7 +55,7 @@
 	t.Parallel()
 	for seed, a := range simulateAll(10) {
 		if b := Simulate(Options{Seed: uint64(seed)}); a.Hash != b.Hash {
-			t.Errorf("seed %d: %x and %x", seed, a.Hash, b.Hash)
+			t.Errorf("seed %d: hashes of two runs differ: %x and %x", seed, a.Hash, b.Hash)
 		}
 	}
 }
--- a/internal/clustercli/clustercli.go
+++ b/internal/clustercli/clustercli.go
@@ -56,7 +56,7 @@
 	switch {
 	case errors.As(err, &c):
 		return c.code
-	case errors.Is(err, cluster.ErrNobody):
+	case errors.Is(err, cluster.ErrNoLeader):
 		return Nobody
 	}
 	return Wrong
@@ -185,7 +185,7 @@
 		time.Sleep(20 * time.Millisecond)
 		if next, e := o.ask(cluster.Ask{Do: "fate", ID: n}); e == nil {
 			r, err = next, nil
-		} else if errors.Is(err, cluster.ErrNobody) { // the proposal may not have arrived: send the same change again
+		} else if errors.Is(err, cluster.ErrNoLeader) { // the proposal may not have arrived: send the same change again
 			r, err = o.ask(cluster.Ask{Do: "propose", ID: n, Base: base, Text: text, AtMs: begun.UnixMilli()})
 		}
 	}
--- a/internal/policy/coordinator.go
+++ b/internal/policy/coordinator.go
@@ -189,7 +189,7 @@
 		g.Change, g.Next = p.ID, p.Text
 	}
 	if m.Version != g.Version {
-		if made := c.reg.Made(g.Version); made != 0 && made == m.Checked && m.Refusal == "" {
+		if made := c.reg.ChangeOf(g.Version); made != 0 && made == m.Checked && m.Refusal == "" {
 			g.Made = made
 		} else {
 			g.Text, _ = c.reg.Text(g.Version)
--- a/internal/policy/holder.go
+++ b/internal/policy/holder.go
@@ -79,8 +79,8 @@
 	return max(0, h.lastCallAt+h.terms.Renew-now)
 }
 
-// Again makes a renewal due at once, for another voter.
-func (h *Holder) Again() { h.urgent = true }
+// RenewNow makes a renewal due at once, for another voter.
+func (h *Holder) RenewNow() { h.urgent = true }
 
 // Missed returns the number of consecutive unanswered renewals. After a few of them the
 // caller should try another voter.
@@ -130,9 +130,9 @@
 	h.checked, h.checkedText, h.refusal, h.urgent = change, text, refusal, true
 }
 
-// Unable records that the gateway failed to adopt the version in force. It then has no
+// AdoptFailed records that the gateway failed to adopt the version in force. It then has no
 // version and decides no requests.
-func (h *Holder) Unable() { h.version, h.lease = -1, Lease{} }
+func (h *Holder) AdoptFailed() { h.version, h.lease = -1, Lease{} }
 
 // State returns the version and a status text for operators.
 func (h *Holder) State(now time.Duration) (version int64, state string) {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -46,10 +46,10 @@
 // Data in a later format is rejected.
 func TestLaterFormat(t *testing.T) {
 	if _, err := Decode([]byte(`{"format":99,"kind":"propose","id":1}`)); err == nil {
-		t.Error("a command of a later format is taken")
+		t.Error("a command of a later format is accepted")
 	}
 	if _, err := Restore([]byte(`{"format":99}`)); err == nil {
-		t.Error("a snapshot of a later format is taken")
+		t.Error("a snapshot of a later format is accepted")
 	}
 }
 
@@ -62,15 +62,15 @@
 			to := Quota{Rate: rapid.Float64Range(0.1, 100).Draw(t, "rate"), Burst: rapid.Float64Range(1, 200).Draw(t, "burst")}
 			room = Carry(room, to, 5)
 			if room > had || room > to.Burst {
-				t.Fatalf("%v units are free after a change, %v were, the burst is %v", room, had, to.Burst)
+				t.Fatalf("%v units available after a change, %v before; the burst is %v", room, had, to.Burst)
 			}
 		}
 		if had < 0 && room != had {
-			t.Fatalf("%v units were owed, %v are", had, room)
+			t.Fatalf("debt was %v units, is %v", had, room)
 		}
 	})
 	if got := Carry(math.Inf(1), Quota{1, 100}, 5); got != 20 {
-		t.Errorf("without a quota before: %v at each of 5 gateways, want an even part of 100", got)
+		t.Errorf("without an earlier quota: %v units at each of 5 gateways, want 20", got)
 	}
 }
 
@@ -175,7 +175,7 @@
 	f.silent[3] = false
 	f.run(time.Second)
 	if f.served() != 5 {
-		t.Errorf("back: %d serve", f.served())
+		t.Errorf("after it is back: %d serve", f.served())
 	}
 }
 
@@ -236,7 +236,7 @@
 		f.now += 5 * time.Second
 		f.c.Tick(f.now)
 		if turned := f.c.stage == Turning; turned == asked {
-			t.Errorf("asked at the end of the hold: %v, turned: %v", asked, turned)
+			t.Errorf("Still set: %v, turn proposed: %v", asked, turned)
 		}
 	}
 }
@@ -249,11 +249,11 @@
 	second := h.Tick(time.Second)
 	h.Grant(time.Second+1, Grant{Hold: 5})
 	if r := h.Tick(time.Second + 2); r == nil || r.Held != 5 {
-		t.Fatalf("the hold is not answered at once: %+v", r)
+		t.Fatalf("the hold is not acknowledged at once: %+v", r)
 	}
 	h.Grant(time.Second+3, Grant{Seq: second.Seq, Version: 0, Lease: time.Second})
 	if l, _ := h.Lease(); l.Until != 0 {
-		t.Errorf("a lease after the hold: %+v", l)
+		t.Errorf("an answer from before the hold gave a lease: %+v", l)
 	}
 }
 
@@ -267,7 +267,7 @@
 	before := h.Tick(f.now)
 	f.c.Renew(f.now, 1, *before)
 	if !f.c.Out().Read {
-		t.Fatal("the voters are not asked")
+		t.Fatal("no confirmation is requested")
 	}
 	f.now += 3 * time.Second // the leader's process is paused
 	late := h.Tick(f.now)
@@ -278,14 +278,14 @@
 		h.Grant(f.now, g.Grant)
 	}
 	if l, _ := h.Lease(); l.Until > f.now || !o.Read {
-		t.Errorf("a lease until %v at %v by an answer to what was asked before the call; another read: %v", l.Until, f.now, o.Read)
+		t.Errorf("lease until %v at %v by a confirmation requested before the renewal; another requested: %v", l.Until, f.now, o.Read)
 	}
 	f.c.Confirmed(f.now)
 	for _, g := range f.c.Out().Grants {
 		h.Grant(f.now, g.Grant)
 	}
 	if l, _ := h.Lease(); l.Until != f.now+DefaultTerms.Lease {
-		t.Errorf("a lease until %v at %v once the voters were asked again", l.Until, f.now)
+		t.Errorf("lease until %v at %v after the second confirmation", l.Until, f.now)
 	}
 	// A gateway that renews again because confirmations are slow still gets its lease.
 	first := h.Tick(f.now + DefaultTerms.Renew)
@@ -298,7 +298,7 @@
 		h.Grant(f.now+2*DefaultTerms.Renew, g.Grant)
 	}
 	if l, _ := h.Lease(); l.Until != f.now+DefaultTerms.Renew+DefaultTerms.Lease {
-		t.Errorf("a lease until %v from a call at %v", l.Until, f.now+DefaultTerms.Renew)
+		t.Errorf("lease until %v for a renewal at %v", l.Until, f.now+DefaultTerms.Renew)
 	}
 }
 
--- a/internal/policy/register.go
+++ b/internal/policy/register.go
@@ -164,8 +164,8 @@
 	return nil, false
 }
 
-// Made returns the ID of the change that became a version, or 0 if it is not kept.
-func (r *Register) Made(version int64) uint64 {
+// ChangeOf returns the ID of the change that became a version, or 0 if it is not kept.
+func (r *Register) ChangeOf(version int64) uint64 {
 	for i := len(r.Changes) - 1; i >= 0 && version > 0; i-- {
 		if c := &r.Changes[i]; c.Version == version && c.Fate == Committed {
 			return c.ID
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -129,7 +129,7 @@
 func (m *Machine) adopt(live *consensus.Doc, r sysconfig.Rollout) {
 	m.adopted, m.rollout = live.Version, r
 	m.out.Adopt, m.out.Gate = live, true
-	m.holder.Again()
+	m.holder.RenewNow()
 }
 
 // TextRead reports that a text has been read, and its rollout. A version that has been overtaken meanwhile
@@ -163,7 +163,7 @@
 }
 
 // SetUnable reports that this process can't put the live version in force.
-func (m *Machine) SetUnable() { m.holder.Unable() }
+func (m *Machine) SetUnable() { m.holder.AdoptFailed() }
 
 // SetNodes sets the live processes.
 func (m *Machine) SetNodes(nodes []Node) { m.nodes = nodes }
@@ -172,7 +172,7 @@
 func (m *Machine) SetPrimary(addr string) {
 	if addr != m.primary {
 		m.primary = addr
-		m.holder.Again()
+		m.holder.RenewNow()
 	}
 }
 
