--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -92,7 +92,7 @@
 			// The gateway works without a vote, by leases from the other voters. The damaged
 			// folder is left as it is.
 			n.noVoteReason = err.Error()
-			log.Error("no vote", "folder", cfg.Folder, "error", err)
+			log.Error("voter not started", "folder", cfg.Folder, "error", err)
 		}
 	}
 	if err := n.mesh.Listen(cfg.Listen); err != nil {
@@ -191,7 +191,7 @@
 	w := n.holder.Grant(n.now(), h.Grant)
 	if w.Adopt {
 		if err := n.gateway.Adopt(w.Grant.Version, w.Grant.Text); err != nil {
-			n.log.Error("policy can't be taken over", "version", w.Grant.Version, "error", err)
+			n.log.Error("cannot adopt policy", "version", w.Grant.Version, "error", err)
 			n.holder.AdoptFailed()
 		} else {
 			n.log.Info("policy", "version", w.Grant.Version)
@@ -469,7 +469,7 @@
 func (n *Node) flushVoter() {
 	if err := n.voter.Err(); err != nil && n.loggedErr == nil {
 		n.loggedErr = err
-		n.log.Error("stepped back", "error", err, "damaged", errors.Is(err, ErrDamaged))
+		n.log.Error("voter stopped", "error", err, "damaged", errors.Is(err, ErrDamaged))
 	}
 	if p, _ := n.voter.Leader(); p.Name != n.loggedLeader {
 		n.loggedLeader = p.Name
@@ -480,7 +480,7 @@
 	for _, m := range messages {
 		body, err := proto.Marshal(m)
 		if err != nil {
-			n.log.Error("message", "error", err)
+			n.log.Error("cannot encode Raft message", "error", err)
 			continue
 		}
 		f := &Frame{Kind: KindRaft, From: n.voterID, To: m.GetTo(), FromName: n.cfg.Name, Body: body}
