--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -92,7 +92,7 @@
 			// The gateway works without a vote, by leases from the other voters. The damaged
 			// folder is left as it is.
 			n.noVoteReason = err.Error()
-			log.Error("voter not started", "folder", cfg.Folder, "error", err)
+			log.Error("no vote", "folder", cfg.Folder, "error", err)
 		}
 	}
 	if err := n.mesh.Listen(cfg.Listen); err != nil {
@@ -469,7 +469,7 @@
 func (n *Node) flushVoter() {
 	if err := n.voter.Err(); err != nil && n.loggedErr == nil {
 		n.loggedErr = err
-		n.log.Error("voter stopped", "error", err, "damaged", errors.Is(err, ErrDamaged))
+		n.log.Error("stepped back", "error", err, "damaged", errors.Is(err, ErrDamaged))
 	}
 	if p, _ := n.voter.Leader(); p.Name != n.loggedLeader {
 		n.loggedLeader = p.Name
