--- a/internal/cluster/client_test.go
+++ b/internal/cluster/client_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// member answers each question with r.
+// member starts a server that answers every request with r.
 func member(t *testing.T, r Reply) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,8 +33,8 @@
 	return ln.Addr().String()
 }
 
-// A member without a vote, and one that does not lead, are passed over for those they
-// or the file name; an answer of the leader that is an error is the answer.
+// The client skips members without a vote and followers, and goes on to the members that
+// they or the file name. An error from the leader is final.
 func TestClientAsksOn(t *testing.T) {
 	leads := member(t, Reply{Version: 7})
 	novote := member(t, Reply{Ask: true, Error: "this member has stepped back: disk"})
@@ -48,7 +48,7 @@
 		"no vote, then the leader":     {[]string{novote, leads}, nil},
 		"no vote, then a follower":     {[]string{novote, follows}, nil},
 		"one that was replaced":        {[]string{replaced}, nil},
-		"nobody leads":                 {[]string{novote}, ErrNobody},
+		"nobody leads":                 {[]string{novote}, ErrNoLeader},
 		"the leader's no is an answer": {[]string{novote, bad, leads}, errors.New("unknown change")},
 	} {
 		cfg := &Config{Cluster: "c"}
--- a/internal/cluster/store_test.go
+++ b/internal/cluster/store_test.go
@@ -35,7 +35,7 @@
 	return s
 }
 
-func span10(t *testing.T, s *Store) (first, last uint64) {
+func entryRange(t *testing.T, s *Store) (first, last uint64) {
 	t.Helper()
 	saved, err := s.Load()
 	if err != nil {
@@ -47,8 +47,8 @@
 	return 0, 0
 }
 
-// What was saved is there after the folder is opened anew; a later leader's entries
-// end those behind them; a snapshot of another's takes the place of all.
+// Saved state survives reopening the folder. Entries of a later leader truncate the log
+// behind them, and a snapshot received from another voter replaces all entries.
 func TestStore(t *testing.T) {
 	folder := t.TempDir()
 	s := formed(t, folder)
@@ -68,38 +68,38 @@
 		t.Fatalf("%v %+v", err, saved)
 	}
 	if err := s.Form([]Peer{{ID: 5, Name: "a"}}); err == nil {
-		t.Error("a folder with a state is formed again")
+		t.Error("Form succeeds on a folder with a state")
 	}
 	snap := Bootstrap([]Peer{{ID: 5, Name: "a"}})
 	snap.Metadata.Index = new(uint64(4))
 	if err := s.Compact(snap); err != nil {
 		t.Fatal(err)
 	}
-	if first, last := span10(t, s); first != 5 || last != 7 {
+	if first, last := entryRange(t, s); first != 5 || last != 7 {
 		t.Errorf("entries %d to %d after its own snapshot at 4", first, last)
 	}
 	if err := s.Save(nil, nil, snap); err != nil {
 		t.Fatal(err)
 	}
-	if first, last := span10(t, s); last != 0 {
+	if first, last := entryRange(t, s); last != 0 {
 		t.Errorf("entries %d to %d after another's snapshot", first, last)
 	}
 	s.Close()
 }
 
-// A record that is damaged, a log with a hole, and one that ends before what was
-// committed are told, and nothing is made of them.
+// A damaged record, a gap in the log, and a log that ends before the commit index are
+// reported as ErrDamaged, and no voter starts from them.
 func TestDamage(t *testing.T) {
 	for name, harm := range map[string]func(tx *bbolt.Tx) error{
 		"a bit": func(tx *bbolt.Tx) error {
 			b := tx.Bucket(logBucket)
-			v := append([]byte(nil), b.Get(number(4))...)
+			v := append([]byte(nil), b.Get(indexKey(4))...)
 			v[2] ^= 1
-			return b.Put(number(4), v)
+			return b.Put(indexKey(4), v)
 		},
-		"a hole":       func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Delete(number(4)) },
-		"a lost end":   func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Delete(number(5)) },
-		"another's":    func(tx *bbolt.Tx) error { b := tx.Bucket(logBucket); return b.Put(number(5), b.Get(number(4))) },
+		"a hole":       func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Delete(indexKey(4)) },
+		"a lost end":   func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Delete(indexKey(5)) },
+		"another's":    func(tx *bbolt.Tx) error { b := tx.Bucket(logBucket); return b.Put(indexKey(5), b.Get(indexKey(4))) },
 		"a short vote": func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put([]byte("hard"), []byte{1}) },
 	} {
 		s := formed(t, t.TempDir())
@@ -113,27 +113,27 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, err := NewVoter(s, policy.DefaultTerms, func() uint64 { return 1 }, 0); err == nil {
-			t.Errorf("%s: it votes", name)
+			t.Errorf("%s: a voter starts", name)
 		}
 		s.Close()
 	}
 }
 
-// A copy, another's folder and one of another cluster are refused; garbage too.
+// Open rejects a copied folder, one of another member or cluster, and garbage.
 func TestFolders(t *testing.T) {
 	folder, copied := t.TempDir(), filepath.Join(t.TempDir(), "copy")
 	formed(t, folder).Close()
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(copied, "c", Peer{Name: "a"}); !errors.Is(err, ErrCopy) {
+	if _, err := Open(copied, "c", Peer{Name: "a"}); !errors.Is(err, ErrCopiedFolder) {
 		t.Errorf("a copy: %v", err)
 	}
 	if _, err := Open(folder, "d", Peer{Name: "a"}); err == nil {
 		t.Error("another cluster's folder is opened")
 	}
 	if _, err := Open(folder, "c", Peer{Name: "b"}); err == nil {
-		t.Error("another's folder is opened")
+		t.Error("another member's folder is opened")
 	}
 	junk := t.TempDir()
 	if err := os.WriteFile(filepath.Join(junk, storeFile), bytes.Repeat([]byte("junk"), 5000), 0o600); err != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// failing is a disk whose writes fail from a time on.
+// failing is a disk whose writes fail while fails is set.
 type failing struct {
 	*Store
 	fails bool
@@ -157,8 +157,8 @@
 	return f.Store.Save(h, e, s)
 }
 
-// A voter whose write fails gives no word any more, not even the one that it was
-// about to give.
+// A voter whose write fails sends nothing any more, not even the messages that were
+// waiting for that write.
 func TestWriteFails(t *testing.T) {
 	s := formed(t, t.TempDir())
 	defer s.Close()
@@ -172,7 +172,7 @@
 		v.Tick(now)
 	}
 	if !v.Leads() {
-		t.Fatal("the only voter does not lead")
+		t.Fatal("the only voter is not elected")
 	}
 	v.Out()
 	d.fails = true
@@ -192,10 +192,10 @@
 	if err != nil || got.FromName != "gw-1" || got.ToName != "gw-2" || string(got.Body) != "body" || got.From != 1 || got.To != 2 || got.Kind != KindAsk {
 		t.Fatalf("%v %+v", err, got)
 	}
-	if _, err := read(text, 8); !errors.Is(err, errStrange) {
+	if _, err := read(text, 8); !errors.Is(err, errForeignFrame) {
 		t.Errorf("another cluster's: %v", err)
 	}
-	for i := range text { // any one bit that is turned is seen
+	for i := range text { // every single-bit error is detected
 		for bit := range 8 {
 			spoilt := bytes.Clone(text)
 			spoilt[i] ^= 1 << bit
@@ -206,7 +206,7 @@
 	}
 	for n := range text {
 		if _, err := read(text[:n], 7); err == nil {
-			t.Errorf("%d bytes of it are taken", n)
+			t.Errorf("a frame cut to %d bytes is accepted", n)
 		}
 	}
 }
--- a/internal/cluster/world/world_test.go
+++ b/internal/cluster/world/world_test.go
@@ -8,33 +8,33 @@
 	"testing"
 )
 
-// plays is how many seeds; PLAYS in the environment asks for more.
-func plays() int {
+// seedCount returns the number of seeds. The environment variable PLAYS overrides it.
+func seedCount() int {
 	if n, err := strconv.Atoi(os.Getenv("PLAYS")); err == nil {
 		return n
 	}
 	return 200
 }
 
-// playAll plays so many seeds side by side.
-func playAll(count int) []Result {
+// simulateAll runs the first count seeds in parallel.
+func simulateAll(count int) []Result {
 	all := make([]Result, count)
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i := range all {
 		slots <- struct{}{}
-		wg.Go(func() { all[i] = Play(Options{Seed: uint64(i)}); <-slots })
+		wg.Go(func() { all[i] = Simulate(Options{Seed: uint64(i)}); <-slots })
 	}
 	wg.Wait()
 	return all
 }
 
-// Drawn faults, disks included: one outcome a change, one policy at a time over
-// all gateways, and in the end all serve by the newest.
+// Under random faults, disk faults included, each change has one outcome, only one policy
+// is in use at a time, and in the end all gateways serve by the newest.
 func TestSeeds(t *testing.T) {
 	t.Parallel()
 	var sum Result
-	for seed, r := range playAll(plays()) {
+	for seed, r := range simulateAll(seedCount()) {
 		for _, b := range r.Broken {
 			t.Errorf("seed %d: %s", seed, b)
 		}
@@ -46,16 +46,16 @@
 	}
 	t.Logf("%+v", sum)
 	if sum.Committed < 200 || sum.Withdrawn < 20 || sum.Refused < 20 || sum.Lost < 20 {
-		t.Errorf("the plays show too little: %+v", sum)
+		t.Errorf("too few outcomes were covered: %+v", sum)
 	}
 }
 
-// A seed plays the same each time.
+// Replaying a seed gives the same run.
 func TestReplay(t *testing.T) {
 	t.Parallel()
-	for seed, a := range playAll(10) {
-		if b := Play(Options{Seed: uint64(seed)}); a.Hash != b.Hash {
-			t.Errorf("seed %d: %x and %x", seed, a.Hash, b.Hash)
+	for seed, a := range simulateAll(10) {
+		if b := Simulate(Options{Seed: uint64(seed)}); a.Hash != b.Hash {
+			t.Errorf("seed %d: hashes of two runs differ: %x and %x", seed, a.Hash, b.Hash)
 		}
 	}
 }
