--- a/internal/faultrules/call.go
+++ b/internal/faultrules/call.go
@@ -63,7 +63,7 @@
 	}
 	m.calls = append(m.calls, c)
 	m.send(m.primary(), c.f)
-	return m.end()
+	return m.flush()
 }
 
 func (m *Machine) onAnswered(a Answered) {
@@ -73,7 +73,7 @@
 	}
 	c := m.calls[i]
 	if a.Ans.Outcome == Read && c.op == OpStop && m.bug != Numberless {
-		a.Ans.Outcome = c.stops(a.Ans.State)
+		a.Ans.Outcome = c.stopOutcome(a.Ans.State)
 	}
 	if a.Ans.Outcome == Read && c.op != OpGet {
 		if fence := a.Ans.State.Turn + 1; fence > c.f.Fence {
@@ -88,7 +88,7 @@
 
 // stops is how a stop ends by what is kept, which most members have confirmed since it was
 // called: a set that is not the newest is never in force again. Read: it has to be carried out.
-func (c *call) stops(s State) Outcome {
+func (c *call) stopOutcome(s State) Outcome {
 	if c.f.Doc.Version == 0 { // whatever comes later is not what it was meant for
 		c.f.Doc.Version = s.Version
 	}
@@ -102,13 +102,13 @@
 }
 
 // expire repeats calls, and ends those that took too long.
-func (m *Machine) expire() {
+func (m *Machine) tickCalls() {
 	m.calls = slices.DeleteFunc(m.calls, func(c *call) bool {
-		if m.now-c.at >= patience {
+		if m.now-c.at >= callTimeout {
 			m.out.Answers = append(m.out.Answers, Reply{c.f.ID, Answer{}})
 			return true
 		}
-		if m.now-c.sent >= againEvery {
+		if m.now-c.sent >= retryInterval {
 			c.sent = m.now
 			m.send(m.primary(), c.f)
 		}
--- a/internal/faultrules/doc.go
+++ b/internal/faultrules/doc.go
@@ -24,5 +24,5 @@
 //
 // Files: rule.go reads sets; judge.go is what requests are held against; record.go is what
 // is kept; machine.go is the shell, node.go what any process does, member.go what those with
-// a disk do, lead.go what the primary does, call.go operators' calls.
+// a disk do, primary.go what the primary does, call.go operators' calls.
 package faultrules
--- a/internal/faultrules/faultrules_test.go
+++ b/internal/faultrules/faultrules_test.go
@@ -42,13 +42,13 @@
 // force returns a judge with rules in force for good.
 func force(rules ...Rule) *Judge {
 	j := NewJudge()
-	j.adopt(0, 1, rules)
+	j.setRules(0, 1, rules)
 	n := len(rules)
 	till, parts := make([]time.Duration, n), make([]int, n)
 	for i := range rules {
 		till[i], parts[i] = time.Hour, rules[i].Budget
 	}
-	j.lease(till, parts, make([]int, n), make([]bool, n), 1)
+	j.applyLease(till, parts, make([]int, n), make([]bool, n), 1)
 	return j
 }
 
@@ -59,8 +59,8 @@
 	a, b := force(late, gone), force(late, gone)
 	delayed := 0
 	for i := range 10000 {
-		a.hear(a.seq) // as if all were on record
-		b.hear(b.seq)
+		a.settle(a.seq) // as if all were on record
+		b.settle(b.seq)
 		q := Request{ID: fmt.Sprint("id-", i), Tenant: "ship-1", Route: "renominate", Method: "POST"}
 		s, v := a.Strike(1, q)
 		if s2, v2 := b.Strike(time.Minute, q); s2.Rule != s.Rule || s2.Delay != s.Delay || v2 != v {
@@ -101,7 +101,7 @@
 	j.nodes = 2
 	hits := 0
 	for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
-		j.hear(j.seq)
+		j.settle(j.seq)
 		if _, v := j.Strike(at, Request{ID: fmt.Sprint(at), Tenant: "a"}); v == Hit {
 			hits++
 		}
@@ -114,16 +114,16 @@
 // TestPart: without a part a drawn request is short, until nothing is left at all.
 func TestPart(t *testing.T) {
 	j := NewJudge()
-	j.adopt(0, 1, []Rule{{Name: "r", Tenant: "a", Share: 1, Effect: VanishAfter, Budget: 2}})
+	j.setRules(0, 1, []Rule{{Name: "r", Tenant: "a", Share: 1, Effect: VanishAfter, Budget: 2}})
 	strike := func() Verdict { _, v := j.Strike(1, Request{ID: "1", Tenant: "a"}); return v }
 	if v := strike(); v != Pass {
 		t.Error("before a lease:", v)
 	}
-	j.lease([]time.Duration{time.Hour}, []int{1}, []int{0}, []bool{false}, 1)
+	j.applyLease([]time.Duration{time.Hour}, []int{1}, []int{0}, []bool{false}, 1)
 	if a, b := strike(), strike(); a != Hit || b != Short {
 		t.Error("with one part:", a, b)
 	}
-	j.lease([]time.Duration{time.Hour}, []int{1}, []int{0}, []bool{true}, 1)
+	j.applyLease([]time.Duration{time.Hour}, []int{1}, []int{0}, []bool{true}, 1)
 	if v := strike(); v != Pass {
 		t.Error("when all is handed out:", v)
 	}
@@ -155,9 +155,9 @@
 // back either.
 func TestTakenBack(t *testing.T) {
 	j := NewJudge()
-	j.adopt(0, 1, []Rule{{Name: "r", Tenant: "a", Share: 1, Effect: VanishAfter, Budget: 9}})
+	j.setRules(0, 1, []Rule{{Name: "r", Tenant: "a", Share: 1, Effect: VanishAfter, Budget: 9}})
 	lease := func(part, noted int) {
-		j.lease([]time.Duration{time.Hour}, []int{part}, []int{noted}, []bool{false}, 1)
+		j.applyLease([]time.Duration{time.Hour}, []int{part}, []int{noted}, []bool{false}, 1)
 	}
 	take := func() Strike {
 		s, v := j.Strike(1, Request{ID: "1", Tenant: "a"})
@@ -169,7 +169,7 @@
 	lease(3, 0)
 	first, second := take(), take()
 	lease(3, 1)
-	j.hear(first.Seq)
+	j.settle(first.Seq)
 	if a, b := j.Made(1, first), j.Made(1, second); a != Hit || b != Short {
 		t.Error("one on record:", a, b)
 	}
@@ -177,7 +177,7 @@
 	lease(4, 1)
 	again := take()
 	lease(4, 2)
-	j.hear(again.Seq)
+	j.settle(again.Seq)
 	if a, b, c := j.Made(1, first), j.Made(1, second), j.Made(1, again); a != Hit || b != Pass || c != Hit {
 		t.Error("after the rest was taken back:", a, b, c)
 	}
@@ -185,10 +185,10 @@
 		t.Error("made without a lease")
 	}
 	j.Unmade(second, Request{}, "not made")
-	if notes, _, _ := j.tally(); len(notes) != 1 || notes[0].K != 0 {
+	if notes, _, _ := j.pendingReport(); len(notes) != 1 || notes[0].K != 0 {
 		t.Error("gives back what was taken back:", notes)
 	}
-	j.adopt(1, 2, nil)
+	j.setRules(1, 2, nil)
 	if v := j.Made(1, again); v != Pass {
 		t.Error("made by a set that isn't held any more")
 	}
@@ -198,12 +198,12 @@
 func TestBackOnce(t *testing.T) {
 	var r Record
 	r.grant(0, "a", 1, 5)
-	if r.use(0, "a", 1, 6) || !r.use(0, "a", 1, 3) {
+	if r.recordUse(0, "a", 1, 6) || !r.recordUse(0, "a", 1, 3) {
 		t.Error("counts what was not handed out")
 	}
-	r.back(0, "a", 1, 4, 8) // is not on record
+	r.giveBack(0, "a", 1, 4, 8) // is not on record
 	for range 3 {
-		r.back(0, "a", 1, 3, 9)
+		r.giveBack(0, "a", 1, 3, 9)
 	}
 	if _, all := r.given(0, "", 0); all != 4 {
 		t.Error(all, "handed out")
@@ -217,11 +217,11 @@
 // used up its budget; who waited for it then waits for the next.
 func TestOverlap(t *testing.T) {
 	j := NewJudge()
-	j.adopt(0, 1, []Rule{{Name: "ended", Tenant: "a", Share: 1, Effect: VanishAfter, Budget: 9},
+	j.setRules(0, 1, []Rule{{Name: "ended", Tenant: "a", Share: 1, Effect: VanishAfter, Budget: 9},
 		{Name: "twice", Tenant: "a", Share: 1, Effect: Double, MostPerS: 1, Budget: 9},
 		{Name: "late", Tenant: "a", Share: 1, Effect: Delay, DelayMs: 5, Budget: 9}})
 	lease := func(late int, spent bool) {
-		j.lease([]time.Duration{10, time.Hour, time.Hour}, []int{9, 2, late}, []int{0, 0, 0}, []bool{false, spent, false}, 1)
+		j.applyLease([]time.Duration{10, time.Hour, time.Hour}, []int{9, 2, late}, []int{0, 0, 0}, []bool{false, spent, false}, 1)
 	}
 	strike := func(at time.Duration) (string, Verdict) {
 		s, v := j.Strike(at, Request{ID: "1", Tenant: "a"})
@@ -237,9 +237,9 @@
 			t.Error(i, rule, v)
 		}
 	}
-	j.hear(j.seq)
+	j.settle(j.seq)
 	leave := j.Queue("late")
-	if _, _, want := j.tally(); want[2] != 1 || !j.Due() {
+	if _, _, want := j.pendingReport(); want[2] != 1 || !j.Due() {
 		t.Error("nobody asks for the next rule's part:", want)
 	}
 	lease(1, true)
@@ -247,8 +247,8 @@
 	if rule, v := strike(4 * time.Second); rule != "late" || v != Hit {
 		t.Error("after its part came:", rule, v)
 	}
-	j.hear(j.seq)
-	if _, _, want := j.tally(); want[2] != 0 || j.Due() {
+	j.settle(j.seq)
+	if _, _, want := j.pendingReport(); want[2] != 0 || j.Due() {
 		t.Error("waits for ever:", want)
 	}
 }
--- a/internal/faultrules/judge.go
+++ b/internal/faultrules/judge.go
@@ -44,38 +44,38 @@
 
 // armed is a rule with what this process may do by it.
 type armed struct {
-	rule  Rule
-	till  fsm.Time
-	part  int // strikes handed out to this life
-	used  int
-	noted int    // of them are on record
-	voids []void // what was taken back
-	past  bool   // it belongs to a set that is held no more
-	waits int
-	spent bool    // nothing of the budget is left to hand out
-	room  float64 // doubles that may go now
-	at    fsm.Time
+	rule         Rule
+	until        fsm.Time
+	granted      int // strikes handed out to this life
+	used         int
+	recorded     int          // of them are on record
+	revoked      []revocation // what was taken back
+	superseded   bool         // it belongs to a set that is held no more
+	waiting      int
+	spent        bool    // nothing of the budget is left to hand out
+	doubleTokens float64 // doubles that may go now
+	refilledAt   fsm.Time
 }
 
 // Judge holds requests against the rules in force. Requests of all connections ask it; a
 // Machine arms it. While there are no rules, it costs one look at a flag.
 type Judge struct {
-	on    atomic.Bool
-	mu    sync.Mutex
-	rules []*armed
-	turn  uint64
-	nodes int
-	seq   uint64 // of the last note
-	heard uint64 // notes up to it are on record, or refused
-	notes []Note // above that
-	early bool   // for mutants
+	on         atomic.Bool
+	mu         sync.Mutex
+	rules      []*armed
+	turn       uint64
+	nodes      int
+	seq        uint64 // of the last note
+	settledSeq uint64 // notes up to it are on record, or refused
+	notes      []Note // above that
+	early      bool   // for mutants
 }
 
 // NewJudge returns one without rules.
 func NewJudge() *Judge { return &Judge{} }
 
 // drawn is alike on every process, and for every repeat of a request.
-func drawn(id string, r *Rule) float64 { return unit(id, r.Name) }
+func draw(id string, r *Rule) float64 { return unit(id, r.Name) }
 
 func unit(id, salt string) float64 {
 	var d xxhash.Digest
@@ -87,9 +87,9 @@
 }
 
 // Draws reports whether a request is in the rule's share.
-func (r *Rule) Draws(id string) bool { return drawn(id, r) < r.Share }
+func (r *Rule) Draws(id string) bool { return draw(id, r) < r.Share }
 
-func (r *Rule) fits(q Request) bool {
+func (r *Rule) matches(q Request) bool {
 	return r.Tenant == q.Tenant && (len(r.Routes) == 0 || slices.Contains(r.Routes, q.Route)) &&
 		(len(r.Methods) == 0 || slices.Contains(r.Methods, q.Method))
 }
@@ -104,22 +104,22 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if len(j.notes) >= mostNotes { // nobody takes them: rules rest
+	if len(j.notes) >= maxPendingNotes { // nobody takes them: rules rest
 		return Strike{}, Pass
 	}
 	for i, a := range j.rules {
 		r := &a.rule
-		if !r.fits(q) || now >= a.till || drawn(q.ID, r) >= r.Share {
+		if !r.matches(q) || now >= a.until || draw(q.ID, r) >= r.Share {
 			continue
 		}
-		if a.used >= a.part && a.spent || !a.allows(now, j.nodes) {
+		if a.used >= a.granted && a.spent || !a.allowsDouble(now, j.nodes) {
 			continue
 		}
-		if a.used >= a.part {
+		if a.used >= a.granted {
 			return Strike{Rule: r.Name}, Short
 		}
 		a.used++
-		a.room--
+		a.doubleTokens--
 		s := Strike{Rule: r.Name, Kind: r.Effect, of: a, k: a.used}
 		if r.Effect == Delay {
 			ms := r.DelayMs + max(0, r.ToMs-r.DelayMs)*unit(q.ID, "delay "+r.Name)
@@ -133,20 +133,20 @@
 
 // allows keeps doubles below what the rule may add to a service: each process has its even
 // share of the rate, and saves up one at the most.
-func (a *armed) allows(now fsm.Time, nodes int) bool {
+func (a *armed) allowsDouble(now fsm.Time, nodes int) bool {
 	if a.rule.Effect != Double {
 		return true
 	}
-	a.room = min(1, a.room+(now-a.at).Seconds()*a.rule.MostPerS/float64(max(nodes, 1)))
-	a.at = now
-	return a.room >= 1
+	a.doubleTokens = min(1, a.doubleTokens+(now-a.refilledAt).Seconds()*a.rule.MostPerS/float64(max(nodes, 1)))
+	a.refilledAt = now
+	return a.doubleTokens >= 1
 }
 
 // Queue says that one more request waits for a strike of a rule, until leave is called.
 func (j *Judge) Queue(rule string) (leave func()) {
 	add := func(a *armed, n int) {
 		j.mu.Lock()
-		a.waits += n
+		a.waiting += n
 		j.mu.Unlock()
 	}
 	j.mu.Lock()
@@ -168,45 +168,45 @@
 	if slices.ContainsFunc(j.notes, func(n Note) bool { return n.Of == 0 }) {
 		return true
 	}
-	return slices.ContainsFunc(j.rules, func(a *armed) bool { return a.waits > 0 && a.used >= a.part && !a.spent })
+	return slices.ContainsFunc(j.rules, func(a *armed) bool { return a.waiting > 0 && a.used >= a.granted && !a.spent })
 }
 
 // adopt takes other rules, none of which is in force yet.
-func (j *Judge) adopt(now fsm.Time, turn uint64, rules []Rule) {
+func (j *Judge) setRules(now fsm.Time, turn uint64, rules []Rule) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, a := range j.rules {
-		a.past = true
+		a.superseded = true
 	}
 	j.rules, j.turn = nil, turn
 	for _, r := range rules {
-		j.rules = append(j.rules, &armed{rule: r, room: 1, at: now})
+		j.rules = append(j.rules, &armed{rule: r, doubleTokens: 1, refilledAt: now})
 	}
 	j.on.Store(len(rules) > 0)
 }
 
 // lease puts the rules in force, each until its time.
-func (j *Judge) lease(till []fsm.Time, parts, noted []int, spent []bool, nodes int) {
+func (j *Judge) applyLease(till []fsm.Time, parts, noted []int, spent []bool, nodes int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.nodes = nodes
 	for i, a := range j.rules {
-		a.till = max(a.till, till[i])
-		a.noted, a.spent = max(a.noted, noted[i]), spent[i]
-		if a.part = max(parts[i], a.noted); a.part < a.used { // the rest was taken back
-			j.renumber(i, a.part)
+		a.until = max(a.until, till[i])
+		a.recorded, a.spent = max(a.recorded, noted[i]), spent[i]
+		if a.granted = max(parts[i], a.recorded); a.granted < a.used { // the rest was taken back
+			j.revokeAbove(i, a.granted)
 		}
 	}
 }
 
 // tally is what is to be on record, and the strikes taken and the requests that wait for one, of
 // each rule.
-func (j *Judge) tally() (notes []Note, used, want []int) {
+func (j *Judge) pendingReport() (notes []Note, used, want []int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	notes = slices.Clone(j.notes[:min(len(j.notes), notesAtOnce)])
+	notes = slices.Clone(j.notes[:min(len(j.notes), maxNotesPerMessage)])
 	for _, a := range j.rules {
-		used, want = append(used, a.used), append(want, a.waits)
+		used, want = append(used, a.used), append(want, a.waiting)
 	}
 	return notes, used, want
 }
--- a/internal/faultrules/machine.go
+++ b/internal/faultrules/machine.go
@@ -13,13 +13,13 @@
 const LeaseFor = time.Second
 
 const (
-	askEvery   = 250 * time.Millisecond
-	hurryEvery = 10 * time.Millisecond
-	beatEvery  = 200 * time.Millisecond
-	againEvery = 100 * time.Millisecond // what is not answered goes out again
-	pushEvery  = 300 * time.Millisecond
-	patience   = 800 * time.Millisecond // an operator's call ends within it
-	slack      = 200 * time.Millisecond // on its way a record doesn't age
+	askInterval       = 250 * time.Millisecond
+	urgentAskInterval = 10 * time.Millisecond
+	heartbeatInterval = 200 * time.Millisecond
+	retryInterval     = 100 * time.Millisecond // what is not answered goes out again
+	pushInterval      = 300 * time.Millisecond
+	callTimeout       = 800 * time.Millisecond // an operator's call ends within it
+	recordAgeMargin   = 200 * time.Millisecond // on its way a record doesn't age
 )
 
 // Config is what a process knows about itself.
@@ -66,50 +66,50 @@
 	Answer Answer
 }
 
-type held struct {
+type heldSend struct {
 	seq  uint64
 	send fsm.Send
 }
 
 // Machine is one process's part.
 type Machine struct {
-	c     Config
-	judge *Judge
-	rng   *rand.Rand
-	salt  uint64
-	now   fsm.Time
-	place Place
-	nodes []Node
-	out   Out
-	loop  []fsm.Send // to itself
-	bug   Bug
+	c         Config
+	judge     *Judge
+	rng       *rand.Rand
+	salt      uint64
+	now       fsm.Time
+	place     Place
+	nodes     []Node
+	out       Out
+	selfSends []fsm.Send // to itself
+	bug       Bug
 
 	// as any process: node.go
-	term    Term
-	turn    uint64
-	doc     Doc
-	rules   []Rule
-	ends    []fsm.Time // at the latest, by this clock
-	asked   fsm.Time
-	leased  Record // by which the newest lease went: its term and number
-	confirm bool   // the primary is to hear what is held
-	refused bool   // the set is not valid here
+	term        Term
+	turn        uint64
+	doc         Doc
+	rules       []Rule
+	ends        []fsm.Time // at the latest, by this clock
+	asked       fsm.Time
+	leaseRecord Record // by which the newest lease went: its term and number
+	confirm     bool   // the primary is to hear what is held
+	refused     bool   // the set is not valid here
 
 	// as a member: member.go
-	d       Disk
-	since   fsm.Time // when Kept was taken
-	sure    bool     // and it was in this life
-	dirty   bool
-	seq     uint64
-	written uint64
-	held    []held
-	logTerm Term // whose notes are here, so many of them
-	logUpTo uint64
-	fresh   []Entry // to be written
-
-	lead  *lead
-	rises uint64
-	calls []*call
+	d              Disk
+	keptAt         fsm.Time // when Kept was taken
+	ageKnown       bool     // and it was in this life
+	dirty          bool
+	seq            uint64
+	written        uint64
+	awaitingSync   []heldSend
+	logTerm        Term // whose notes are here, so many of them
+	logUpTo        uint64
+	unwrittenNotes []Entry // to be written
+
+	primaryState *primaryState
+	termsStarted uint64
+	calls        []*call
 }
 
 // New starts a process. A nil disk is an empty one, or none.
@@ -126,14 +126,14 @@
 
 // Awake reports whether anything is to be done here: if not, ticks do nothing.
 func (m *Machine) Awake() bool {
-	return len(m.rules) > 0 || m.confirm || m.lead != nil || len(m.calls) > 0 || m.judge.Backlog() > 0
+	return len(m.rules) > 0 || m.confirm || m.primaryState != nil || len(m.calls) > 0 || m.judge.Backlog() > 0
 }
 
 // Place takes agreement's view. It must be told before any input while Awake.
 func (m *Machine) Place(p Place) {
 	m.place = p
-	if m.lead != nil && (!p.Leads || p.N != m.lead.term.N || !slices.Equal(p.Members, m.lead.members)) {
-		m.lead = nil
+	if m.primaryState != nil && (!p.Leads || p.N != m.primaryState.term.N || !slices.Equal(p.Members, m.primaryState.members)) {
+		m.primaryState = nil
 	}
 }
 
@@ -144,20 +144,20 @@
 func (m *Machine) Tick(now fsm.Time) Out {
 	m.now = max(m.now, now)
 	if m.Awake() {
-		m.expire()
-		m.tend()
-		m.steer()
+		m.tickCalls()
+		m.tickNode()
+		m.tickPrimary()
 	}
-	return m.end()
+	return m.flush()
 }
 
 // Hurry asks for strikes at once if requests wait for them.
 func (m *Machine) Hurry(now fsm.Time) Out {
 	m.now = max(m.now, now)
-	if m.now-m.asked >= hurryEvery && m.judge.Due() {
+	if m.now-m.asked >= urgentAskInterval && m.judge.Due() {
 		m.ask()
 	}
-	return m.end()
+	return m.flush()
 }
 
 // Held is the set held here: the number of its turn, and its version.
@@ -169,28 +169,28 @@
 // Written says that a write, and all before it, are synced.
 func (m *Machine) Written(now fsm.Time, seq uint64) Out {
 	m.now, m.written = max(m.now, now), max(m.written, seq)
-	var rest []held
-	for _, h := range m.held {
+	var rest []heldSend
+	for _, h := range m.awaitingSync {
 		if h.seq <= m.written {
 			m.send(h.send.To, h.send.Msg)
 		} else {
 			rest = append(rest, h)
 		}
 	}
-	m.held = rest
-	return m.end()
+	m.awaitingSync = rest
+	return m.flush()
 }
 
 // Take takes a message.
 func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
 	m.now = max(m.now, now)
 	if m.c.Longest > 0 {
-		m.take(from, msg)
+		m.dispatch(from, msg)
 	}
-	return m.end()
+	return m.flush()
 }
 
-func (m *Machine) take(from string, msg any) {
+func (m *Machine) dispatch(from string, msg any) {
 	switch t := msg.(type) {
 	case Push:
 		m.onPush(t)
@@ -210,42 +210,42 @@
 		m.onBeaten(from, t)
 	case Claim, Append, Beat:
 		if m.c.Member {
-			m.takeMember(from, msg)
+			m.dispatchMember(from, msg)
 		}
 	}
 }
 
 func (m *Machine) send(to string, msg any) {
 	if to == m.c.Self {
-		m.loop = append(m.loop, fsm.Send{To: to, Msg: msg})
+		m.selfSends = append(m.selfSends, fsm.Send{To: to, Msg: msg})
 	} else if to != "" {
 		m.out.Send = append(m.out.Send, fsm.Send{To: to, Msg: msg})
 	}
 }
 
 // durable sends once what is known now is on disk.
-func (m *Machine) durable(to string, msg any) {
+func (m *Machine) sendAfterSync(to string, msg any) {
 	if m.dirty {
 		m.dirty = false
 		m.seq++
-		w := &Write{m.seq, m.d, m.fresh}
+		w := &Write{m.seq, m.d, m.unwrittenNotes}
 		if m.out.Write != nil {
 			w.Notes = append(m.out.Write.Notes, w.Notes...)
 		}
-		m.out.Write, m.fresh = w, nil
+		m.out.Write, m.unwrittenNotes = w, nil
 	}
 	if m.seq > m.written {
-		m.held = append(m.held, held{m.seq, fsm.Send{To: to, Msg: msg}})
+		m.awaitingSync = append(m.awaitingSync, heldSend{m.seq, fsm.Send{To: to, Msg: msg}})
 	} else {
 		m.send(to, msg)
 	}
 }
 
-func (m *Machine) end() Out {
-	for len(m.loop) > 0 {
-		s := m.loop[0]
-		m.loop = m.loop[1:]
-		m.take(m.c.Self, s.Msg)
+func (m *Machine) flush() Out {
+	for len(m.selfSends) > 0 {
+		s := m.selfSends[0]
+		m.selfSends = m.selfSends[1:]
+		m.dispatch(m.c.Self, s.Msg)
 	}
 	out := m.out
 	m.out = Out{}
--- a/internal/faultrules/message.go
+++ b/internal/faultrules/message.go
@@ -70,7 +70,7 @@
 
 // puts is the form of processes that put strikes on record before they make them. One that doesn't
 // never confirms a set: what was handed out to it couldn't be taken back.
-const puts = 1
+const formRecordsFirst = 1
 
 // Lease puts the rules of a turn in force from the stamp on: each for what it has left, none
 // for longer than For. Parts are what was ever handed out to the life that asked.
--- a/internal/faultrules/node.go
+++ b/internal/faultrules/node.go
@@ -43,11 +43,11 @@
 			}
 		}
 	}
-	m.judge.adopt(m.now, m.turn, m.rules)
+	m.judge.setRules(m.now, m.turn, m.rules)
 }
 
 // tend asks for the next lease, and drops rules that have ended whatever anybody says.
-func (m *Machine) tend() {
+func (m *Machine) tickNode() {
 	if len(m.rules) == 0 && !m.confirm && m.judge.Backlog() == 0 {
 		return
 	}
@@ -56,17 +56,17 @@
 		over = over && m.now >= end
 	}
 	if over && len(m.rules) > 0 && m.bug != Outlives {
-		m.drop()
+		m.endRules()
 	}
-	if wait := m.now - m.asked; wait >= askEvery || wait >= hurryEvery && m.judge.Due() {
+	if wait := m.now - m.asked; wait >= askInterval || wait >= urgentAskInterval && m.judge.Due() {
 		m.ask()
 	}
 }
 
 // drop ends the rules here; the turn is remembered.
-func (m *Machine) drop() {
+func (m *Machine) endRules() {
 	m.rules, m.ends = nil, nil
-	m.judge.adopt(m.now, m.turn, nil)
+	m.judge.setRules(m.now, m.turn, nil)
 	m.out.News = "fault rules ended"
 }
 
@@ -84,9 +84,9 @@
 	if m.turn == 0 {
 		return
 	}
-	notes, used, want := m.judge.tally()
+	notes, used, want := m.judge.pendingReport()
 	m.send(m.primary(), Ask{Turn: m.turn, Life: m.c.Life, Stamp: m.now, Used: used, Want: want, Body: xxhash.Sum64(m.doc.Body),
-		Notes: notes, Name: m.c.Name, Form: puts})
+		Notes: notes, Name: m.c.Name, Form: formRecordsFirst})
 }
 
 func (m *Machine) onLease(l Lease) {
@@ -94,25 +94,25 @@
 		return
 	}
 	if l.Turn != m.turn {
-		m.judge.hear(l.Heard)
+		m.judge.settle(l.Heard)
 		return
 	}
-	defer m.judge.hear(l.Heard) // who looks in between waits a little longer
-	m.confirm = false           // it has heard what is held
+	defer m.judge.settle(l.Heard) // who looks in between waits a little longer
+	m.confirm = false             // it has heard what is held
 	if len(m.rules) == 0 {
 		return
 	}
 	if l.Over {
-		m.drop()
+		m.endRules()
 		return
 	}
 	if n := len(m.rules); l.For <= 0 || len(l.Left) != n || len(l.Parts) != n || len(l.Spent) != n || len(l.Noted) != n {
 		return
 	}
-	if r := (Record{Term: l.Term, Seq: l.Seq}); m.leased.newer(r) { // overtaken: it may not know of the newest parts
+	if r := (Record{Term: l.Term, Seq: l.Seq}); m.leaseRecord.newer(r) { // overtaken: it may not know of the newest parts
 		return
 	} else {
-		m.leased = r
+		m.leaseRecord = r
 	}
 	till := make([]fsm.Time, len(m.rules))
 	for i := range till {
@@ -121,5 +121,5 @@
 			till[i] = l.Stamp + time.Hour
 		}
 	}
-	m.judge.lease(till, l.Parts, l.Noted, l.Spent, l.Nodes)
+	m.judge.applyLease(till, l.Parts, l.Noted, l.Spent, l.Nodes)
 }
--- a/internal/faultrules/note.go
+++ b/internal/faultrules/note.go
@@ -32,8 +32,8 @@
 }
 
 const (
-	mostNotes   = 1000 // that wait here to be on record; beyond that, rules rest
-	notesAtOnce = 64   // in a message
+	maxPendingNotes    = 1000 // that wait here to be on record; beyond that, rules rest
+	maxNotesPerMessage = 64   // in a message
 )
 
 // note puts one on its way. The lock is held.
@@ -53,9 +53,9 @@
 	switch {
 	case j.early:
 		return Hit
-	case a == nil || a.past || a.voided(s) || s.k > a.noted && s.Seq <= j.heard:
+	case a == nil || a.superseded || a.isRevoked(s) || s.k > a.recorded && s.Seq <= j.settledSeq:
 		return Pass
-	case s.Seq > j.heard || now >= a.till:
+	case s.Seq > j.settledSeq || now >= a.until:
 		return Short
 	}
 	return Hit
@@ -75,28 +75,28 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	n := Note{Of: s.Seq, Name: s.Rule, Kind: s.Kind, Delay: s.Delay, Request: q, Outcome: outcome}
-	if a := s.of; a != nil && !a.past && !a.voided(s) {
+	if a := s.of; a != nil && !a.superseded && !a.isRevoked(s) {
 		n.Turn, n.Rule, n.K = j.turn, slices.Index(j.rules, a), s.k
 	}
 	j.note(n)
 }
 
 // void is of the strikes above k that had been taken by the note seq.
-type void struct {
+type revocation struct {
 	seq uint64
 	k   int
 }
 
-func (a *armed) voided(s Strike) bool {
-	return slices.ContainsFunc(a.voids, func(v void) bool { return s.Seq <= v.seq && s.k > v.k })
+func (a *armed) isRevoked(s Strike) bool {
+	return slices.ContainsFunc(a.revoked, func(v revocation) bool { return s.Seq <= v.seq && s.k > v.k })
 }
 
 // renumber is for when strikes above k were taken back: others get their numbers, so that those
 // that had them are never made, and give nothing back. The lock is held.
-func (j *Judge) renumber(rule, k int) {
+func (j *Judge) revokeAbove(rule, k int) {
 	a := j.rules[rule]
 	a.used = k
-	a.voids = append(slices.DeleteFunc(a.voids, func(v void) bool { return v.k >= k }), void{j.seq, k})
+	a.revoked = append(slices.DeleteFunc(a.revoked, func(v revocation) bool { return v.k >= k }), revocation{j.seq, k})
 	for i, n := range j.notes {
 		if n.Of > 0 && n.Turn == j.turn && n.Rule == rule && n.K > k {
 			j.notes[i].K = 0
@@ -112,72 +112,72 @@
 }
 
 // hear drops what is on record.
-func (j *Judge) hear(seq uint64) {
+func (j *Judge) settle(seq uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.heard = max(j.heard, min(seq, j.seq))
-	for len(j.notes) > 0 && j.notes[0].Seq <= j.heard {
+	j.settledSeq = max(j.settledSeq, min(seq, j.seq))
+	for len(j.notes) > 0 && j.notes[0].Seq <= j.settledSeq {
 		j.notes = j.notes[1:]
 	}
 }
 
 // logged takes what a member is to keep of the notes that come with a record, and leaves out what
 // it has.
-func (m *Machine) logged(a Append) {
+func (m *Machine) appendNotes(a Append) {
 	if a.Record.Term != m.logTerm {
 		m.logTerm, m.logUpTo = a.Record.Term, 0
 	}
 	if skip := m.logUpTo - min(m.logUpTo, a.From); skip < uint64(len(a.Notes)) {
-		m.fresh, m.dirty = append(m.fresh, a.Notes[skip:]...), true
+		m.unwrittenNotes, m.dirty = append(m.unwrittenNotes, a.Notes[skip:]...), true
 		m.logUpTo = a.From + uint64(len(a.Notes))
 	}
 }
 
 // mostLog is how many notes a primary holds for members that are behind; they go without those
 // before.
-const mostLog = 4000
+const maxRetainedNotes = 4000
 
 // book puts on record what processes told of strikes, as far as they were handed out.
-func (m *Machine) book(r *Record) (more bool) {
-	l := m.lead
-	for _, addr := range sorted(l.tells) {
+func (m *Machine) recordNotes(r *Record) (more bool) {
+	l := m.primaryState
+	for _, addr := range sorted(l.noteSenders) {
 		a := l.asks[addr]
 		node := Node{addr, a.Life}
 		for _, n := range a.Notes {
-			if n.Seq <= l.seen[node] {
+			if n.Seq <= l.recordedNotes[node] {
 				continue
 			}
-			l.seen[node], more = n.Seq, true
+			l.recordedNotes[node], more = n.Seq, true
 			if n.Of > 0 && n.K > 0 && n.Turn == r.Turn {
-				r.back(n.Rule, addr, a.Life, n.K, n.Seq)
+				r.giveBack(n.Rule, addr, a.Life, n.K, n.Seq)
 			}
-			if n.Of == 0 && !(n.Turn == r.Turn && r.use(n.Rule, addr, a.Life, n.K)) {
+			if n.Of == 0 && !(n.Turn == r.Turn && r.recordUse(n.Rule, addr, a.Life, n.K)) {
 				continue // refused
 			}
 			l.notes = append(l.notes, Entry{a.Name, addr, a.Life, n})
 		}
 	}
-	clear(l.tells)
-	if cut := len(l.notes) - mostLog; cut > 0 {
+	clear(l.noteSenders)
+	if cut := len(l.notes) - maxRetainedNotes; cut > 0 {
 		l.notes, l.noteBase = l.notes[cut:], l.noteBase+uint64(cut)
 	}
 	return more
 }
 
 // news are the notes that a member lacks, and the number before the first.
-func (l *lead) news(member string) (from uint64, notes []Entry) {
-	from = max(l.noteBase, l.noted[member])
+func (l *primaryState) missingNotes(member string) (from uint64, notes []Entry) {
+	from = max(l.noteBase, l.memberNotes[member])
 	return from, l.notes[from-l.noteBase:]
 }
 
 // takenBack takes what was handed out to processes that are gone, and was not used.
-func (m *Machine) takenBack(r *Record) (more bool) {
-	if !m.kept().live() {
+func (m *Machine) reclaimParts(r *Record) (more bool) {
+	if !m.currentRecord().live() {
 		return false
 	}
 	var parts []Part
 	for _, p := range r.Parts {
-		if p.N > p.Used && !m.among(Node{p.Addr, p.Life}) {
+		if p.N > p.Used && !m.isLive(Node{p.Addr, p.Life}) {
 			more = true
 			if p.N = p.Used; m.bug == Regrants {
 				p.N = 0
--- a/internal/faultrules/lead.go
+++ b/internal/faultrules/primary.go
@@ -14,60 +14,60 @@
 )
 
 // lead is the primary's, while there is something to do.
-type lead struct {
-	term    Term
-	members []string
-	born    fsm.Time
-	claimed map[string]Claimed
-	serving bool // rec goes on from what a majority had
-
-	rec    Record // the newest, and whether it is kept
-	done   bool
-	kept   Record
-	rules  []Rule // of kept
-	left   []time.Duration
-	leftAt fsm.Time
-	acked  map[string]uint64
-	heard  map[string]fsm.Time // newest stamp that each member answered
-	sent   fsm.Time
-
-	ops    []op // waiting
-	doing  []op // to be answered when rec is kept
-	asks   map[string]Ask
-	wants  map[string]bool   // whose requests wait for strikes
-	tells  map[string]bool   // who told of strikes
-	served []string          // whose strikes are in rec
-	seen   map[Node]uint64   // their notes up to here are in rec
-	safe   map[Node]uint64   // and in kept
-	notes  []Entry           // of the term, after so many
-	noted  map[string]uint64 // so many has each member
-	holds  map[Node]uint64   // confirmed turns
-	active uint64            // the turn in force
-	rest   fsm.Time          // a lease of another turn may run until then
-	leased fsm.Time          // any lease may
-	pushed fsm.Time
+type primaryState struct {
+	term      Term
+	members   []string
+	startedAt fsm.Time
+	claimed   map[string]Claimed
+	serving   bool // rec goes on from what a majority had
+
+	rec             Record // the newest, and whether it is kept
+	committed       bool
+	committedRecord Record
+	rules           []Rule // of kept
+	left            []time.Duration
+	leftAt          fsm.Time
+	acked           map[string]uint64
+	ackStamps       map[string]fsm.Time // newest stamp that each member answered
+	sent            fsm.Time
+
+	ops            []pendingOp // waiting
+	committing     []pendingOp // to be answered when rec is kept
+	asks           map[string]Ask
+	strikeWaiters  map[string]bool   // whose requests wait for strikes
+	noteSenders    map[string]bool   // who told of strikes
+	awaitingCommit []string          // whose strikes are in rec
+	recordedNotes  map[Node]uint64   // their notes up to here are in rec
+	committedNotes map[Node]uint64   // and in kept
+	notes          []Entry           // of the term, after so many
+	memberNotes    map[string]uint64 // so many has each member
+	confirmedTurns map[Node]uint64   // confirmed turns
+	active         uint64            // the turn in force
+	activateAfter  fsm.Time          // a lease of another turn may run until then
+	leasesUntil    fsm.Time          // any lease may
+	pushed         fsm.Time
 
 	noteBase uint64
 }
 
-type op struct {
+type pendingOp struct {
 	from string
 	f    Forward
 	at   fsm.Time
 }
 
 // ample is how many strikes for each process are so many that some may lie idle.
-const ample = 8
+const ampleFactor = 8
 
 func majority(members []string) int { return len(members)/2 + 1 }
 
 func sorted(of map[string]bool) []string { return slices.Sorted(maps.Keys(of)) }
 
 // trim drops the notes that all members have.
-func (l *lead) trim() {
+func (l *primaryState) trim() {
 	low := l.noteBase + uint64(len(l.notes))
 	for _, to := range l.members {
-		low = min(low, l.noted[to])
+		low = min(low, l.memberNotes[to])
 	}
 	if low > l.noteBase {
 		l.notes, l.noteBase = l.notes[low-l.noteBase:], low
@@ -75,31 +75,31 @@
 }
 
 // among reports whether a life of a process is among the live ones.
-func (m *Machine) among(n Node) bool { return slices.Contains(m.nodes, n) }
+func (m *Machine) isLive(n Node) bool { return slices.Contains(m.nodes, n) }
 
 // rise begins a term if this process is the primary.
-func (m *Machine) rise() *lead {
-	if m.lead != nil || !m.place.Leads || len(m.place.Members) == 0 {
-		return m.lead
-	}
-	m.rises++
-	l := &lead{term: Term{m.place.N, m.c.Self, m.c.Life<<16 | m.rises}, members: slices.Clone(m.place.Members), born: m.now,
-		claimed: map[string]Claimed{}, acked: map[string]uint64{}, heard: map[string]fsm.Time{}, asks: map[string]Ask{},
-		wants: map[string]bool{}, tells: map[string]bool{}, seen: map[Node]uint64{}, safe: map[Node]uint64{},
-		noted: map[string]uint64{}, holds: map[Node]uint64{}, rest: m.now + LeaseFor}
-	m.lead = l
-	m.steer()
+func (m *Machine) startTerm() *primaryState {
+	if m.primaryState != nil || !m.place.Leads || len(m.place.Members) == 0 {
+		return m.primaryState
+	}
+	m.termsStarted++
+	l := &primaryState{term: Term{m.place.N, m.c.Self, m.c.Life<<16 | m.termsStarted}, members: slices.Clone(m.place.Members), startedAt: m.now,
+		claimed: map[string]Claimed{}, acked: map[string]uint64{}, ackStamps: map[string]fsm.Time{}, asks: map[string]Ask{},
+		strikeWaiters: map[string]bool{}, noteSenders: map[string]bool{}, recordedNotes: map[Node]uint64{}, committedNotes: map[Node]uint64{},
+		memberNotes: map[string]uint64{}, confirmedTurns: map[Node]uint64{}, activateAfter: m.now + LeaseFor}
+	m.primaryState = l
+	m.tickPrimary()
 	return l
 }
 
 // steer does what is due.
-func (m *Machine) steer() {
-	l := m.lead
+func (m *Machine) tickPrimary() {
+	l := m.primaryState
 	if l == nil {
 		return
 	}
 	if !l.serving {
-		if l.sent == 0 || m.now-l.sent >= againEvery {
+		if l.sent == 0 || m.now-l.sent >= retryInterval {
 			l.sent = m.now
 			for _, to := range l.members {
 				if _, ok := l.claimed[to]; !ok {
@@ -109,50 +109,50 @@
 		}
 		return
 	}
-	if l.done {
-		m.next()
+	if l.committed {
+		m.startNextOp()
 	}
-	if m.now-l.sent >= beatEvery || !l.done && m.now-l.sent >= againEvery {
+	if m.now-l.sent >= heartbeatInterval || !l.committed && m.now-l.sent >= retryInterval {
 		m.replicate()
 	}
-	if l.kept.Turn > 0 && m.now-l.pushed >= pushEvery {
+	if l.committedRecord.Turn > 0 && m.now-l.pushed >= pushInterval {
 		l.pushed = m.now
 		for _, n := range m.nodes {
-			if l.holds[n] != l.kept.Turn {
+			if l.confirmedTurns[n] != l.committedRecord.Turn {
 				m.push(n.Addr)
 			}
 		}
 	}
 	m.activate()
-	if l.done && len(l.ops) == 0 && !m.kept().live() && len(m.waits()) == 0 && m.now-l.born > LeaseFor {
-		m.lead = nil // asleep until somebody asks
+	if l.committed && len(l.ops) == 0 && !m.currentRecord().live() && len(m.unconfirmedNodes()) == 0 && m.now-l.startedAt > LeaseFor {
+		m.primaryState = nil // asleep until somebody asks
 	}
 }
 
 // replicate sends the record to members that lack it, and asks the others whether the
 // term stands.
 func (m *Machine) replicate() {
-	l := m.lead
+	l := m.primaryState
 	l.sent = m.now
 	for _, to := range l.members {
 		if l.acked[to] == l.rec.Seq {
-			m.send(to, Beat{l.term, m.now, m.now - l.leftAt + slack, l.rec.Seq})
+			m.send(to, Beat{l.term, m.now, m.now - l.leftAt + recordAgeMargin, l.rec.Seq})
 		} else {
-			from, notes := l.news(to)
-			m.send(to, Append{l.rec, m.now, m.now - l.leftAt + slack, from, notes})
+			from, notes := l.missingNotes(to)
+			m.send(to, Append{l.rec, m.now, m.now - l.leftAt + recordAgeMargin, from, notes})
 		}
 	}
 }
 
 func (m *Machine) onClaimed(from string, c Claimed) {
-	l := m.lead
+	l := m.primaryState
 	if l == nil || c.Term != l.term || l.serving || !slices.Contains(l.members, from) {
 		return
 	}
 	l.claimed[from] = c
 	sound := 0
 	for _, c := range l.claimed {
-		if !c.Record.Term.none() {
+		if !c.Record.Term.isZero() {
 			sound++
 		}
 	}
@@ -164,7 +164,7 @@
 			l.rec = c.Record
 		}
 	}
-	l.leftAt = l.born
+	l.leftAt = l.startedAt
 	l.left = make([]time.Duration, len(l.rec.Left)) // nobody knows: ended
 	first := true
 	for _, c := range l.claimed {
@@ -185,7 +185,7 @@
 
 // write makes a record the newest, and sends it to the members.
 func (m *Machine) write(r Record) {
-	l := m.lead
+	l := m.primaryState
 	r.Term, r.Seq = l.term, l.rec.Seq+1
 	if l.rec.Term != l.term {
 		r.Seq = 1
@@ -193,21 +193,21 @@
 	l.left = aged(l.left, m.now-l.leftAt)
 	l.leftAt = m.now
 	r.Left = slices.Clone(l.left)
-	l.rec, l.done = r, false
+	l.rec, l.committed = r, false
 	m.replicate()
 }
 
 func (m *Machine) onAppended(from string, a Appended) {
-	l := m.lead
+	l := m.primaryState
 	if l == nil || a.Term != l.term || !slices.Contains(l.members, from) {
 		return
 	}
-	l.heard[from] = max(l.heard[from], a.Stamp)
-	defer m.heed()
+	l.ackStamps[from] = max(l.ackStamps[from], a.Stamp)
+	defer m.resumeOps()
 	l.acked[from] = max(l.acked[from], a.Seq)
-	l.noted[from] = min(max(l.noted[from], a.Notes), l.noteBase+uint64(len(l.notes)))
+	l.memberNotes[from] = min(max(l.memberNotes[from], a.Notes), l.noteBase+uint64(len(l.notes)))
 	l.trim()
-	if l.done || !l.serving {
+	if l.committed || !l.serving {
 		return
 	}
 	n := 0
@@ -222,59 +222,59 @@
 }
 
 func (m *Machine) onBeaten(from string, b Beaten) {
-	if l := m.lead; l != nil && b.Term == l.term && slices.Contains(l.members, from) {
-		l.heard[from] = max(l.heard[from], b.Stamp)
-		m.heed()
+	if l := m.primaryState; l != nil && b.Term == l.term && slices.Contains(l.members, from) {
+		l.ackStamps[from] = max(l.ackStamps[from], b.Stamp)
+		m.resumeOps()
 	}
 }
 
 // heed takes up calls that wait for the members' word.
-func (m *Machine) heed() {
-	if l := m.lead; l != nil && l.done && len(l.ops) > 0 {
-		m.next()
+func (m *Machine) resumeOps() {
+	if l := m.primaryState; l != nil && l.committed && len(l.ops) > 0 {
+		m.startNextOp()
 	}
 }
 
 // commit: the record is kept, and may be told.
 func (m *Machine) commit() {
-	l := m.lead
-	other := l.kept.Turn != l.rec.Turn || l.rules == nil
-	l.done, l.kept, l.safe = true, l.rec, maps.Clone(l.seen)
+	l := m.primaryState
+	other := l.committedRecord.Turn != l.rec.Turn || l.rules == nil
+	l.committed, l.committedRecord, l.committedNotes = true, l.rec, maps.Clone(l.recordedNotes)
 	if other {
-		l.rest = max(l.rest, l.leased)
+		l.activateAfter = max(l.activateAfter, l.leasesUntil)
 		l.rules, l.pushed = []Rule{}, m.now
-		if set, err := Parse(l.kept.Doc.Body, m.c.Longest); err == nil {
+		if set, err := Parse(l.committedRecord.Doc.Body, m.c.Longest); err == nil {
 			l.rules = set.Rules
 		}
-		if l.kept.Turn > 0 {
+		if l.committedRecord.Turn > 0 {
 			for _, n := range m.nodes {
 				m.push(n.Addr)
 			}
 		}
 	}
-	for _, o := range l.doing {
+	for _, o := range l.committing {
 		m.answer(o, Done)
 	}
-	l.doing = nil
-	m.tell(l.served)
-	l.served = nil
-	m.next()
+	l.committing = nil
+	m.respondAll(l.awaitingCommit)
+	l.awaitingCommit = nil
+	m.startNextOp()
 }
 
 // tell answers asks again that had to wait.
-func (m *Machine) tell(who []string) {
+func (m *Machine) respondAll(who []string) {
 	for _, addr := range lo.Uniq(who) {
-		m.respond(addr, m.lead.asks[addr])
+		m.respond(addr, m.primaryState.asks[addr])
 	}
 }
 
 // next begins the next change if one waits.
-func (m *Machine) next() {
-	l := m.lead
-	for len(l.ops) > 0 && l.done {
+func (m *Machine) startNextOp() {
+	l := m.primaryState
+	for len(l.ops) > 0 && l.committed {
 		o := l.ops[0]
-		r := l.kept
-		if out, ends := m.idle(o.f, r); ends {
+		r := l.committedRecord
+		if out, ends := m.outcomeWithoutChange(o.f, r); ends {
 			if !m.confirmed(o) {
 				break // those behind it are as young
 			}
@@ -286,7 +286,7 @@
 		switch o.f.Op {
 		case OpStop:
 			r.Turn, r.Stopped, r.Parts = r.Turn+1, true, nil
-			l.doing = append(l.doing, o)
+			l.committing = append(l.committing, o)
 			m.write(r)
 		case OpPut:
 			set, err := Parse(o.f.Doc.Body, m.c.Longest)
@@ -294,23 +294,23 @@
 				m.answer(o, Busy)
 				continue
 			}
-			r.Sets = r.sets().With(o.f.Doc.Version, dedup.Digest(o.f.Doc.Body))
+			r.Sets = r.acceptedSets().With(o.f.Doc.Version, dedup.Digest(o.f.Doc.Body))
 			r.Turn, r.Doc, r.Stopped, r.Parts = r.Turn+1, o.f.Doc, false, nil
 			l.left, l.leftAt = nil, m.now
 			for i := range set.Rules {
 				l.left = append(l.left, set.Rules[i].Ends())
 			}
-			l.doing = append(l.doing, o)
+			l.committing = append(l.committing, o)
 			m.write(r)
 		}
 	}
-	if l.done {
-		m.allot()
+	if l.committed {
+		m.updateBudgets()
 	}
 }
 
 // idle is how a call ends that changes nothing, if it does.
-func (m *Machine) idle(f Forward, r Record) (out Outcome, ends bool) {
+func (m *Machine) outcomeWithoutChange(f Forward, r Record) (out Outcome, ends bool) {
 	switch f.Op {
 	case OpStop:
 		if r.Turn == 0 || r.Stopped {
@@ -318,7 +318,7 @@
 		}
 	case OpPut:
 		digest := dedup.Digest(f.Doc.Body)
-		known := r.sets().Lookup(f.Doc.Version, digest)
+		known := r.acceptedSets().Lookup(f.Doc.Version, digest)
 		switch {
 		case m.bug == Refuses && f.Doc.Version <= r.Doc.Version:
 			known = dedup.Conflicting
@@ -344,12 +344,12 @@
 
 // confirmed tells whether most members have said since a call came that the term stands: what
 // is kept here then is the newest. Until they have, they are asked.
-func (m *Machine) confirmed(o op) bool {
-	l := m.lead
-	if m.authority() >= o.at || m.bug == Unconfirmed {
+func (m *Machine) confirmed(o pendingOp) bool {
+	l := m.primaryState
+	if m.lastMajorityAck() >= o.at || m.bug == Unconfirmed {
 		return true
 	}
-	if l.sent < o.at || m.now-l.sent >= againEvery {
+	if l.sent < o.at || m.now-l.sent >= retryInterval {
 		m.replicate()
 	}
 	return false
@@ -357,18 +357,18 @@
 
 // allot puts strikes on record, takes back what nobody can use any more, and hands out strikes
 // to those whose requests wait for them.
-func (m *Machine) allot() {
-	l := m.lead
-	if l.active != l.kept.Turn || !m.kept().live() {
-		clear(l.wants)
-	}
-	r, told, who := l.kept, sorted(l.tells), sorted(l.wants)
-	more := m.book(&r)
-	more = m.takenBack(&r) || more
+func (m *Machine) updateBudgets() {
+	l := m.primaryState
+	if l.active != l.committedRecord.Turn || !m.currentRecord().live() {
+		clear(l.strikeWaiters)
+	}
+	r, told, who := l.committedRecord, sorted(l.noteSenders), sorted(l.strikeWaiters)
+	more := m.recordNotes(&r)
+	more = m.reclaimParts(&r) || more
 	if len(told) == 0 && len(who) == 0 && !more {
 		return
 	}
-	clear(l.wants)
+	clear(l.strikeWaiters)
 	for _, addr := range who {
 		a := l.asks[addr]
 		for i := range l.rules {
@@ -377,7 +377,7 @@
 			}
 			one, all := r.given(i, addr, a.Life)
 			want := a.Want[i]
-			if one == 0 && l.rules[i].Budget >= ample*len(m.nodes) {
+			if one == 0 && l.rules[i].Budget >= ampleFactor*len(m.nodes) {
 				want = max(want, 1)
 			}
 			if m.bug == PerNode {
@@ -385,8 +385,8 @@
 			}
 			free := l.rules[i].Budget - all
 			n := want - max(0, one-a.Used[i])
-			if n > 0 && free > ample*n*max(1, len(m.nodes)) {
-				n += free / (2 * ample * max(1, len(m.nodes))) // much is left
+			if n > 0 && free > ampleFactor*n*max(1, len(m.nodes)) {
+				n += free / (2 * ampleFactor * max(1, len(m.nodes))) // much is left
 			}
 			if n = min(n, free); n > 0 {
 				r.grant(i, addr, a.Life, n)
@@ -397,31 +397,31 @@
 	who = append(who, told...)
 	switch {
 	case !more: // there is nothing left, or it was a late word
-		m.tell(who)
+		m.respondAll(who)
 	case m.bug == Forgets:
-		l.kept.Parts, l.safe = r.Parts, maps.Clone(l.seen)
-		m.tell(who)
+		l.committedRecord.Parts, l.committedNotes = r.Parts, maps.Clone(l.recordedNotes)
+		m.respondAll(who)
 	default:
-		l.served = who
+		l.awaitingCommit = who
 		m.write(r)
 		if m.bug == Unkept {
-			l.safe, l.kept.Parts = maps.Clone(l.seen), r.Parts
-			m.tell(who)
+			l.committedNotes, l.committedRecord.Parts = maps.Clone(l.recordedNotes), r.Parts
+			m.respondAll(who)
 		}
 	}
 }
 
 // kept is the record with what is left by now.
-func (m *Machine) kept() Record {
-	r := m.lead.kept
-	r.Left = aged(m.lead.left, m.now-m.lead.leftAt)
+func (m *Machine) currentRecord() Record {
+	r := m.primaryState.committedRecord
+	r.Left = aged(m.primaryState.left, m.now-m.primaryState.leftAt)
 	return r
 }
 
 // waits are the live processes that have not confirmed.
-func (m *Machine) waits() (who []string) {
+func (m *Machine) unconfirmedNodes() (who []string) {
 	for _, n := range m.nodes {
-		if m.lead.kept.Turn > 0 && m.lead.holds[n] != m.lead.kept.Turn {
+		if m.primaryState.committedRecord.Turn > 0 && m.primaryState.confirmedTurns[n] != m.primaryState.committedRecord.Turn {
 			who = append(who, n.Addr)
 		}
 	}
@@ -430,59 +430,59 @@
 
 // activate puts the set in force once nothing speaks against it.
 func (m *Machine) activate() {
-	l := m.lead
-	if l.active == l.kept.Turn || !l.done {
+	l := m.primaryState
+	if l.active == l.committedRecord.Turn || !l.committed {
 		return
 	}
-	if m.bug == Hasty || len(m.waits()) == 0 && len(m.nodes) > 0 && m.now >= l.rest {
-		l.active = l.kept.Turn
-		m.tell(slices.Sorted(maps.Keys(l.asks)))
+	if m.bug == Hasty || len(m.unconfirmedNodes()) == 0 && len(m.nodes) > 0 && m.now >= l.activateAfter {
+		l.active = l.committedRecord.Turn
+		m.respondAll(slices.Sorted(maps.Keys(l.asks)))
 		for addr := range l.asks { // some strikes for those to come, if the budget is large
-			l.wants[addr] = true
+			l.strikeWaiters[addr] = true
 		}
-		m.allot()
+		m.updateBudgets()
 	}
 }
 
 // authority is when a majority last said that the term stands.
-func (m *Machine) authority() fsm.Time {
-	l := m.lead
+func (m *Machine) lastMajorityAck() fsm.Time {
+	l := m.primaryState
 	var at []fsm.Time
 	for _, addr := range l.members {
-		at = append(at, l.heard[addr])
+		at = append(at, l.ackStamps[addr])
 	}
 	slices.SortFunc(at, func(a, b fsm.Time) int { return cmp.Compare(b, a) })
 	return at[majority(l.members)-1]
 }
 
 func (m *Machine) push(to string) {
-	k := m.lead.kept
+	k := m.primaryState.committedRecord
 	m.send(to, Push{Term: k.Term, Turn: k.Turn, Doc: k.Doc, Stopped: k.Stopped || k.Turn == 0})
 }
 
 func (m *Machine) onAsk(from string, a Ask) {
-	l := m.rise()
-	if l == nil || a.Form < puts {
+	l := m.startTerm()
+	if l == nil || a.Form < formRecordsFirst {
 		return
 	}
 	l.asks[from] = a
 	if !l.serving || l.rules == nil { // nothing is kept in this term yet
 		return
 	}
-	if a.Turn != l.kept.Turn || a.Body != xxhash.Sum64(l.kept.Doc.Body) {
+	if a.Turn != l.committedRecord.Turn || a.Body != xxhash.Sum64(l.committedRecord.Doc.Body) {
 		m.push(from)
 		return
 	}
-	l.holds[Node{from, a.Life}] = a.Turn
+	l.confirmedTurns[Node{from, a.Life}] = a.Turn
 	m.activate()
 	if slices.ContainsFunc(a.Want, func(n int) bool { return n > 0 }) {
-		l.wants[from] = true
+		l.strikeWaiters[from] = true
 	}
 	if len(a.Notes) > 0 {
-		l.tells[from] = true
+		l.noteSenders[from] = true
 	}
-	if l.done {
-		m.allot()
+	if l.committed {
+		m.updateBudgets()
 	}
 	m.respond(from, a)
 }
@@ -490,15 +490,15 @@
 // respond gives a lease on what is kept. While another set or a stop is on its way to
 // being kept, nothing is renewed.
 func (m *Machine) respond(to string, a Ask) {
-	l, k := m.lead, m.kept()
+	l, k := m.primaryState, m.currentRecord()
 	if a.Turn != k.Turn {
 		return
 	}
 	out := Lease{Turn: k.Turn, Stamp: a.Stamp, Life: a.Life, Left: k.Left, Nodes: len(m.nodes), Over: !k.live(),
-		Heard: l.safe[Node{to, a.Life}], Term: k.Term, Seq: k.Seq}
+		Heard: l.committedNotes[Node{to, a.Life}], Term: k.Term, Seq: k.Seq}
 	if l.active == k.Turn && l.rec.Turn == k.Turn {
-		out.For = max(0, min(LeaseFor, m.authority()+LeaseFor-m.now))
-		l.leased = max(l.leased, m.now+out.For)
+		out.For = max(0, min(LeaseFor, m.lastMajorityAck()+LeaseFor-m.now))
+		l.leasesUntil = max(l.leasesUntil, m.now+out.For)
 	}
 	for i := range l.rules {
 		one, all := k.given(i, to, a.Life)
@@ -510,25 +510,25 @@
 }
 
 func (m *Machine) onForward(from string, f Forward) {
-	l := m.rise()
-	same := func(o op) bool { return o.f.ID == f.ID && o.f.Salt == f.Salt }
-	if l == nil || slices.ContainsFunc(l.ops, same) || slices.ContainsFunc(l.doing, same) {
+	l := m.startTerm()
+	same := func(o pendingOp) bool { return o.f.ID == f.ID && o.f.Salt == f.Salt }
+	if l == nil || slices.ContainsFunc(l.ops, same) || slices.ContainsFunc(l.committing, same) {
 		return
 	}
-	l.ops = append(l.ops, op{from, f, m.now})
-	if l.done {
-		m.next()
+	l.ops = append(l.ops, pendingOp{from, f, m.now})
+	if l.committed {
+		m.startNextOp()
 	}
 }
 
 // answer ends an operator's call, unless this process may be the primary no more.
-func (m *Machine) answer(o op, out Outcome) {
-	l := m.lead
-	if m.authority()+LeaseFor <= m.now {
+func (m *Machine) answer(o pendingOp, out Outcome) {
+	l := m.primaryState
+	if m.lastMajorityAck()+LeaseFor <= m.now {
 		return
 	}
-	k := m.kept()
-	s := State{Version: k.Doc.Version, Turn: k.Turn, Body: k.Doc.Body, Stopped: k.Stopped, Waits: m.waits(),
+	k := m.currentRecord()
+	s := State{Version: k.Doc.Version, Turn: k.Turn, Body: k.Doc.Body, Stopped: k.Stopped, Waits: m.unconfirmedNodes(),
 		Active: l.active == k.Turn && k.live(), Primary: m.c.Self, Lease: LeaseFor}
 	for i := range l.rules {
 		_, all := k.given(i, "", 0)
--- a/internal/faultrules/record.go
+++ b/internal/faultrules/record.go
@@ -20,7 +20,7 @@
 	return cmp.Or(cmp.Compare(t.N, o.N), cmp.Compare(t.By, o.By), cmp.Compare(t.Salt, o.Salt))
 }
 
-func (t Term) none() bool { return t == Term{} }
+func (t Term) isZero() bool { return t == Term{} }
 
 // Doc is a rule set as it was sent. Version 0 is none.
 type Doc struct {
@@ -52,7 +52,7 @@
 }
 
 // sets are the accepted ones, gathered where the version before has kept none.
-func (r Record) sets() dedup.History {
+func (r Record) acceptedSets() dedup.History {
 	switch {
 	case len(r.Sets) > 0:
 		return r.Sets
@@ -99,7 +99,7 @@
 
 // use counts the strikes of a life up to one; false: they weren't handed out. The record is
 // another one afterwards.
-func (r *Record) use(rule int, addr string, life uint64, k int) bool {
+func (r *Record) recordUse(rule int, addr string, life uint64, k int) bool {
 	for i, p := range r.Parts {
 		if p.Rule == rule && p.Addr == addr && p.Life == life && k <= p.N {
 			r.Parts = slices.Clone(r.Parts)
@@ -111,7 +111,7 @@
 }
 
 // back counts that a strike on record was never made, once. The record is another one afterwards.
-func (r *Record) back(rule int, addr string, life uint64, k int, seq uint64) {
+func (r *Record) giveBack(rule int, addr string, life uint64, k int, seq uint64) {
 	for i, p := range r.Parts {
 		if p.Rule == rule && p.Addr == addr && p.Life == life && k <= p.Used && seq > p.Seq {
 			r.Parts = slices.Clone(r.Parts)
--- a/internal/faultrules/rule.go
+++ b/internal/faultrules/rule.go
@@ -59,11 +59,11 @@
 
 // Bounds of what operators may ask for.
 const (
-	mostRules  = 64
-	mostName   = 128
-	mostBudget = 1_000_000
-	mostDelay  = 600_000 // ms
-	mostRate   = 1000
+	maxRules       = 64
+	maxNameBytes   = 128
+	maxBudget      = 1_000_000
+	maxDelayMs     = 600_000 // ms
+	maxDoublesPerS = 1000
 )
 
 // Parse reads and checks a set whole; its error joins a *Wrong for each key. longest is the
@@ -90,11 +90,11 @@
 	wrong(s.By == "", "By", "missing: who wants this")
 	wrong(s.Why == "", "Why", "missing: what for")
 	wrong(len(s.Rules) == 0, "Rules", "none; to end all rules, stop them")
-	wrong(len(s.Rules) > mostRules, "Rules", "more than %d", mostRules)
+	wrong(len(s.Rules) > maxRules, "Rules", "more than %d", maxRules)
 	seen := map[string]bool{}
 	for i := range s.Rules {
 		r, at := &s.Rules[i], fmt.Sprintf("Rules[%d].", i)
-		wrong(r.Name == "" || len(r.Name) > mostName, at+"Name", "needs 1 to %d bytes", mostName)
+		wrong(r.Name == "" || len(r.Name) > maxNameBytes, at+"Name", "needs 1 to %d bytes", maxNameBytes)
 		wrong(seen[r.Name], at+"Name", "%q is there twice", r.Name)
 		seen[r.Name] = true
 		wrong(r.Tenant == "", at+"Tenant", "missing: a rule is for one tenant")
@@ -105,13 +105,13 @@
 		}
 		wrong(!(r.Share > 0 && r.Share <= 1), at+"Share", "above 0, at most 1")
 		wrong(!(r.EndsS > 0 && r.EndsS <= longest.Seconds()), at+"EndsS", "above 0, at most %v here", longest.Seconds())
-		wrong(r.Budget < 1 || r.Budget > mostBudget, at+"Budget", "from 1 to %d", mostBudget)
+		wrong(r.Budget < 1 || r.Budget > maxBudget, at+"Budget", "from 1 to %d", maxBudget)
 		switch r.Effect {
 		case Delay:
-			wrong(!(r.DelayMs > 0 && r.DelayMs <= mostDelay), at+"DelayMs", "above 0, at most %d", mostDelay)
-			wrong(r.ToMs != 0 && !(r.ToMs >= r.DelayMs && r.ToMs <= mostDelay), at+"ToMs", "from DelayMs to %d", mostDelay)
+			wrong(!(r.DelayMs > 0 && r.DelayMs <= maxDelayMs), at+"DelayMs", "above 0, at most %d", maxDelayMs)
+			wrong(r.ToMs != 0 && !(r.ToMs >= r.DelayMs && r.ToMs <= maxDelayMs), at+"ToMs", "from DelayMs to %d", maxDelayMs)
 		case Double:
-			wrong(!(r.MostPerS > 0 && r.MostPerS <= mostRate), at+"MostPerS", "above 0, at most %d", mostRate)
+			wrong(!(r.MostPerS > 0 && r.MostPerS <= maxDoublesPerS), at+"MostPerS", "above 0, at most %d", maxDoublesPerS)
 		case VanishBefore, VanishAfter:
 		default:
 			wrong(true, at+"Effect", "%q is none of delay, vanish-before, vanish-after, double", r.Effect)
