--- a/internal/faultrules/bug.go
+++ b/internal/faultrules/bug.go
@@ -1,22 +1,22 @@
 package faultrules
 
-// Bug is a fault put in, to show that the tests find it.
+// Bug is a defect that tests inject to show that their checks detect it.
 type Bug uint8
 
-// The bugs.
+// The injectable bugs. Sound injects none.
 const (
 	Sound       Bug = iota
-	Outlives        // rules go on where nobody renews them
-	PerNode         // each process has the whole budget
-	Hasty           // in force before all have confirmed
-	Forgets         // what was handed out is not in the record
-	Obeys           // members take what is of lower terms
-	Early           // strikes befall requests before they are on record
-	Regrants        // what a process that is gone has used is handed out again
-	Unkept          // processes hear that notes are on record before they are
-	Refuses         // a set that was accepted is refused when it comes again
-	Confuses        // another text under the number held counts as the one accepted
-	Unconfirmed     // calls that change nothing are answered without asking the members
-	Unfenced        // a call that was held up changes what has come since
-	Numberless      // a stop ends whatever set is there
+	Outlives        // rules stay in force after their lease has expired
+	PerNode         // each process gets the whole budget
+	Hasty           // a set is activated before every live process has confirmed it
+	Forgets         // granted parts are not written to the record
+	Obeys           // members accept records of lower terms
+	Early           // strikes are applied before they are recorded
+	Regrants        // strikes used by a process that has gone are granted again
+	Unkept          // notes are acknowledged before they are committed
+	Refuses         // a repeated put of an accepted set is rejected
+	Confuses        // a different body with the current version counts as a repeat
+	Unconfirmed     // calls that change nothing are answered without a majority round
+	Unfenced        // a delayed call overrides later changes
+	Numberless      // a stop ends the current set, whatever version it names
 )
--- a/internal/faultrules/call.go
+++ b/internal/faultrules/call.go
@@ -7,54 +7,56 @@
 	"asterwell/internal/fsm"
 )
 
-// Outcome of an operator's call.
+// Outcome is the result of an operator's call.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Busy   Outcome = iota // nobody can take it now
-	Done                  // it is kept
-	Below                 // the version is not above the one held, or another text was accepted under it
-	Read                  // State tells
-	Absent                // a set that is to be stopped was never accepted: it may still come
+	Busy   Outcome = iota // no primary can serve the call now
+	Done                  // the change is committed
+	Below                 // the version is not above the current one, or was accepted with a different body
+	Read                  // nothing was changed: the answer is the State
+	Absent                // the set to stop was never accepted; its put may still arrive
 )
 
-// State is what operators see of the rules.
+// State is the status of the fault rules as shown to operators.
 type State struct {
 	Version uint32        `cbor:"1,keyasint,omitempty"`
 	Turn    uint64        `cbor:"2,keyasint,omitempty"`
 	Body    []byte        `cbor:"3,keyasint,omitempty" json:"-"`
 	Stopped bool          `cbor:"4,keyasint,omitempty"`
 	Active  bool          `cbor:"5,keyasint,omitempty"`
-	Waits   []string      `cbor:"6,keyasint,omitempty"` // who has not confirmed
+	Waits   []string      `cbor:"6,keyasint,omitempty"` // addresses of live processes that have not confirmed the set
 	Rules   []RuleState   `cbor:"7,keyasint,omitempty"`
 	Primary string        `cbor:"8,keyasint,omitempty"`
 	Lease   time.Duration `cbor:"9,keyasint,omitempty" json:"-"`
 }
 
-// RuleState is a rule's.
+// RuleState is the status of one rule.
 type RuleState struct {
 	Name   string  `cbor:"1,keyasint"`
 	LeftS  float64 `cbor:"2,keyasint"`
 	Budget int     `cbor:"3,keyasint"`
-	Given  int     `cbor:"4,keyasint"` // strikes handed out
-	Used   int     `cbor:"5,keyasint"` // strikes on record
+	Given  int     `cbor:"4,keyasint"` // strikes granted to processes
+	Used   int     `cbor:"5,keyasint"` // strikes recorded as used
 }
 
-// Answer ends a call.
+// Answer is the final response to an operator's call.
 type Answer struct {
 	Outcome Outcome `cbor:"1,keyasint,omitempty"`
 	State   State   `cbor:"2,keyasint"`
 }
 
+// call is an operator's call that waits for its answer.
 type call struct {
 	f        Forward
 	at, sent fsm.Time
-	op       Op // that is wanted; f only reads, until it is known which turn the call is for
+	op       Op // requested; f.Op stays OpGet until the turn for its fence is known
 }
 
-// Call makes an operator's call here; the answer comes once, in some Out.Answers. A stop is of
-// doc.Version, and does nothing to another set; 0: of the one that is kept when the call comes.
+// Call starts an operator's call at this process. Its answer is delivered exactly once, in the
+// Answers of a later Out. A stop applies to doc.Version only; with version 0, to the set that is
+// committed when the call arrives.
 func (m *Machine) Call(now fsm.Time, id uint64, op Op, doc Doc) Out {
 	m.now = max(m.now, now)
 	c := &call{f: Forward{ID: id, Salt: m.salt, Op: OpGet, Doc: doc}, at: m.now, sent: m.now, op: op}
@@ -86,10 +88,11 @@
 	m.out.Answers = append(m.out.Answers, Reply{a.ID, a.Ans})
 }
 
-// stops is how a stop ends by what is kept, which most members have confirmed since it was
-// called: a set that is not the newest is never in force again. Read: it has to be carried out.
+// stopOutcome decides a stop from the committed state, which a majority has confirmed since the
+// call was made. A set that is not the newest is never in force again, so stopping it is Done.
+// Read means that the stop still has to be carried out.
 func (c *call) stopOutcome(s State) Outcome {
-	if c.f.Doc.Version == 0 { // whatever comes later is not what it was meant for
+	if c.f.Doc.Version == 0 { // pin the current set: the stop must not apply to a later one
 		c.f.Doc.Version = s.Version
 	}
 	switch {
@@ -101,7 +104,7 @@
 	return Read
 }
 
-// expire repeats calls, and ends those that took too long.
+// tickCalls retries pending calls and answers those that timed out with Busy.
 func (m *Machine) tickCalls() {
 	m.calls = slices.DeleteFunc(m.calls, func(c *call) bool {
 		if m.now-c.at >= callTimeout {
--- a/internal/faultrules/judge.go
+++ b/internal/faultrules/judge.go
@@ -11,8 +11,8 @@
 	"asterwell/internal/fsm"
 )
 
-// Request is what rules look at. Tenant is the one whose key was proved. At is the time of
-// day in ms, for the record alone.
+// Request holds the properties of a request that rules match. Tenant is the authenticated
+// tenant. At is the wall-clock time in ms, used only for the record.
 type Request struct {
 	ID     string `cbor:"1,keyasint"`
 	Tenant string `cbor:"2,keyasint"`
@@ -21,62 +21,65 @@
 	At     int64  `cbor:"5,keyasint,omitempty"`
 }
 
-// Strike is what shall befall a request, once it is Made.
+// Strike is the effect chosen for a request. It may be applied once Made returns Hit.
 type Strike struct {
 	Rule  string
 	Kind  Kind
 	Delay time.Duration
-	Seq   uint64 // among the notes of this life
+	Seq   uint64 // of its note, within this incarnation
 	of    *armed
-	k     int // by this rule, of this life
+	k     int // ordinal among the strikes of this rule and incarnation
 }
 
-// Verdict on a request.
+// Verdict is the decision on a request or a strike.
 type Verdict uint8
 
-// The verdicts. Short: drawn, but no strike of the budget is here, or the strike is not on
-// record yet. Whoever asked may wait, and says so by Queue, and ask again.
+// The verdicts. Short means that the request was selected, but this process has no granted
+// strike left, or that the strike is not recorded yet. The caller may wait, announce that with
+// Queue, and ask again.
 const (
 	Pass Verdict = iota
 	Hit
 	Short
 )
 
-// armed is a rule with what this process may do by it.
+// armed is a rule with the budget and lease that this process holds for it.
 type armed struct {
 	rule         Rule
 	until        fsm.Time
-	granted      int // strikes handed out to this life
+	granted      int // strikes granted to this incarnation
 	used         int
-	recorded     int          // of them are on record
-	revoked      []revocation // what was taken back
-	superseded   bool         // it belongs to a set that is held no more
+	recorded     int          // used strikes that are on record
+	revoked      []revocation // strikes that were taken back
+	superseded   bool         // its set has been replaced
 	waiting      int
-	spent        bool    // nothing of the budget is left to hand out
-	doubleTokens float64 // doubles that may go now
+	spent        bool    // the whole budget has been granted
+	doubleTokens float64 // token bucket that limits the rate of doubles
 	refilledAt   fsm.Time
 }
 
-// Judge holds requests against the rules in force. Requests of all connections ask it; a
-// Machine arms it. While there are no rules, it costs one look at a flag.
+// Judge matches requests against the rules in force. It is safe for concurrent use by all
+// connections; a Machine supplies its rules and leases. Without rules, it costs one atomic load.
 type Judge struct {
 	on         atomic.Bool
 	mu         sync.Mutex
 	rules      []*armed
 	turn       uint64
 	nodes      int
-	seq        uint64 // of the last note
-	settledSeq uint64 // notes up to it are on record, or refused
-	notes      []Note // above that
-	early      bool   // for mutants
+	seq        uint64 // sequence number of the last note
+	settledSeq uint64 // notes up to this one are recorded or rejected
+	notes      []Note // notes after settledSeq
+	early      bool   // injected bug: see Early
 }
 
-// NewJudge returns one without rules.
+// NewJudge returns a Judge without rules.
 func NewJudge() *Judge { return &Judge{} }
 
-// drawn is alike on every process, and for every repeat of a request.
+// draw maps a request and rule to [0, 1). It is equal on every process and for each retry of the
+// request.
 func draw(id string, r *Rule) float64 { return unit(id, r.Name) }
 
+// unit hashes an ID and a salt to a number in [0, 1).
 func unit(id, salt string) float64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -86,7 +89,7 @@
 	return float64(d.Sum64()>>11) / (1 << 53)
 }
 
-// Draws reports whether a request is in the rule's share.
+// Draws reports whether the rule's share includes a request ID.
 func (r *Rule) Draws(id string) bool { return draw(id, r) < r.Share }
 
 func (r *Rule) matches(q Request) bool {
@@ -94,17 +97,17 @@
 		(len(r.Methods) == 0 || slices.Contains(r.Methods, q.Method))
 }
 
-// On reports whether there are rules at all.
+// On reports whether any rules are held.
 func (j *Judge) On() bool { return j.on.Load() }
 
-// Strike judges a request, and takes a strike of the budget if it is hit.
+// Strike matches a request against the rules, and uses one granted strike if it returns Hit.
 func (j *Judge) Strike(now fsm.Time, q Request) (Strike, Verdict) {
 	if !j.on.Load() || q.Tenant == "" || q.ID == "" {
 		return Strike{}, Pass
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if len(j.notes) >= maxPendingNotes { // nobody takes them: rules rest
+	if len(j.notes) >= maxPendingNotes { // notes are not being recorded: suspend the rules
 		return Strike{}, Pass
 	}
 	for i, a := range j.rules {
@@ -131,8 +134,8 @@
 	return Strike{}, Pass
 }
 
-// allows keeps doubles below what the rule may add to a service: each process has its even
-// share of the rate, and saves up one at the most.
+// allowsDouble limits the rate of doubles that the rule may add to a service: each process gets
+// an even share of the rate, with a burst of one.
 func (a *armed) allowsDouble(now fsm.Time, nodes int) bool {
 	if a.rule.Effect != Double {
 		return true
@@ -142,7 +145,7 @@
 	return a.doubleTokens >= 1
 }
 
-// Queue says that one more request waits for a strike of a rule, until leave is called.
+// Queue counts one more request as waiting for a strike of a rule, until leave is called.
 func (j *Judge) Queue(rule string) (leave func()) {
 	add := func(a *armed, n int) {
 		j.mu.Lock()
@@ -161,7 +164,7 @@
 	return func() { add(a, -1) }
 }
 
-// Due reports whether somebody waits for a strike, or for one to be on record.
+// Due reports whether a request waits for a strike to be granted or recorded.
 func (j *Judge) Due() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -171,7 +174,7 @@
 	return slices.ContainsFunc(j.rules, func(a *armed) bool { return a.waiting > 0 && a.used >= a.granted && !a.spent })
 }
 
-// adopt takes other rules, none of which is in force yet.
+// setRules replaces the rules. None is in force before applyLease.
 func (j *Judge) setRules(now fsm.Time, turn uint64, rules []Rule) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -185,22 +188,22 @@
 	j.on.Store(len(rules) > 0)
 }
 
-// lease puts the rules in force, each until its time.
-func (j *Judge) applyLease(till []fsm.Time, parts, noted []int, spent []bool, nodes int) {
+// applyLease brings each rule into force until its expiry, and updates its granted strikes.
+func (j *Judge) applyLease(until []fsm.Time, parts, noted []int, spent []bool, nodes int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.nodes = nodes
 	for i, a := range j.rules {
-		a.until = max(a.until, till[i])
+		a.until = max(a.until, until[i])
 		a.recorded, a.spent = max(a.recorded, noted[i]), spent[i]
-		if a.granted = max(parts[i], a.recorded); a.granted < a.used { // the rest was taken back
+		if a.granted = max(parts[i], a.recorded); a.granted < a.used { // the unrecorded strikes were taken back
 			j.revokeAbove(i, a.granted)
 		}
 	}
 }
 
-// tally is what is to be on record, and the strikes taken and the requests that wait for one, of
-// each rule.
+// pendingReport returns the notes to record and, for each rule, the number of used strikes and of
+// requests that wait for one.
 func (j *Judge) pendingReport() (notes []Note, used, want []int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/faultrules/machine.go
+++ b/internal/faultrules/machine.go
@@ -9,69 +9,71 @@
 	"asterwell/internal/fsm"
 )
 
-// LeaseFor is how long rules may strike at a process that hears nothing more.
+// LeaseFor is how long rules stay in force on a process that loses contact.
 const LeaseFor = time.Second
 
 const (
 	askInterval       = 250 * time.Millisecond
 	urgentAskInterval = 10 * time.Millisecond
 	heartbeatInterval = 200 * time.Millisecond
-	retryInterval     = 100 * time.Millisecond // what is not answered goes out again
+	retryInterval     = 100 * time.Millisecond // for unanswered messages
 	pushInterval      = 300 * time.Millisecond
-	callTimeout       = 800 * time.Millisecond // an operator's call ends within it
-	recordAgeMargin   = 200 * time.Millisecond // on its way a record doesn't age
+	callTimeout       = 800 * time.Millisecond // for an operator's call
+	recordAgeMargin   = 200 * time.Millisecond // upper bound on the transit time of a record, during which its age isn't counted
 )
 
-// Config is what a process knows about itself.
+// Config describes this process.
 type Config struct {
 	Self, Name string
 	Life, Seed uint64
-	Member     bool          // has a disk
-	Longest    time.Duration // that rules may live; 0: this deployment has none
-	Bug        Bug           // put in for tests
+	Member     bool          // a core member, with a disk
+	Longest    time.Duration // longest lifetime of a rule; 0 disables fault rules
+	Bug        Bug           // injected by tests
 }
 
-// Place is how agreement stands.
+// Place is the consensus layer's current view.
 type Place struct {
 	N       uint64 // epoch
 	Primary string
-	Leads   bool // it is this process
+	Leads   bool // this process is the primary
 	Members []string
 }
 
-// Node is a process that membership holds for live.
+// Node is one incarnation of a process that membership considers live.
 type Node struct {
 	Addr string
 	Life uint64
 }
 
-// Write asks to sync a disk's whole content.
+// Write asks the caller to replace and sync a member's stored state.
 type Write struct {
 	Seq   uint64
 	Disk  Disk
-	Notes []Entry // and what goes to the record's end; a Write that others overtake keeps these
+	Notes []Entry // to append to the strike log, even if a later Write supersedes Disk
 }
 
-// Out is what a machine wants done.
+// Out holds the actions that the machine asks its caller to perform.
 type Out struct {
 	Send    []fsm.Send
 	Write   *Write
 	Answers []Reply
-	News    string // worth a line in the log
+	News    string // a log line; empty for none
 }
 
-// Reply ends an operator's call.
+// Reply carries the answer to the operator's call with this ID.
 type Reply struct {
 	ID     uint64
 	Answer Answer
 }
 
+// heldSend is a message that waits for the write seq to be synced.
 type heldSend struct {
 	seq  uint64
 	send fsm.Send
 }
 
-// Machine is one process's part.
+// Machine is the fault-rule state machine of one process. It does no I/O: the caller passes in
+// time and messages and performs the actions in Out.
 type Machine struct {
 	c         Config
 	judge     *Judge
@@ -81,38 +83,38 @@
 	place     Place
 	nodes     []Node
 	out       Out
-	selfSends []fsm.Send // to itself
+	selfSends []fsm.Send // messages from this process to itself
 	bug       Bug
 
-	// as any process: node.go
+	// State of every process, see node.go.
 	term        Term
 	turn        uint64
 	doc         Doc
 	rules       []Rule
-	ends        []fsm.Time // at the latest, by this clock
+	ends        []fsm.Time // latest expiry of each rule, on the local clock
 	asked       fsm.Time
-	leaseRecord Record // by which the newest lease went: its term and number
-	confirm     bool   // the primary is to hear what is held
-	refused     bool   // the set is not valid here
+	leaseRecord Record // term and sequence number of the record behind the newest lease
+	mustConfirm bool   // the held set must still be confirmed to the primary
+	setInvalid  bool   // the set is not valid on this process
 
-	// as a member: member.go
+	// State of members, see member.go.
 	d              Disk
-	keptAt         fsm.Time // when Kept was taken
-	ageKnown       bool     // and it was in this life
+	keptAt         fsm.Time // when d.Kept was written by the primary, on the local clock
+	ageKnown       bool     // keptAt is valid: the record arrived in this incarnation
 	dirty          bool
 	seq            uint64
 	written        uint64
 	awaitingSync   []heldSend
-	logTerm        Term // whose notes are here, so many of them
+	logTerm        Term // logUpTo counts the notes of this term that are stored
 	logUpTo        uint64
-	unwrittenNotes []Entry // to be written
+	unwrittenNotes []Entry // for the next Write
 
 	primaryState *primaryState
 	termsStarted uint64
 	calls        []*call
 }
 
-// New starts a process. A nil disk is an empty one, or none.
+// New returns a Machine. A nil disk stands for an empty one or for none.
 func New(c Config, j *Judge, d *Disk, now fsm.Time) *Machine {
 	h := fnv.New64a()
 	h.Write([]byte(c.Self))
@@ -124,12 +126,12 @@
 	return m
 }
 
-// Awake reports whether anything is to be done here: if not, ticks do nothing.
+// Awake reports whether there is work to do. If not, Tick does nothing.
 func (m *Machine) Awake() bool {
-	return len(m.rules) > 0 || m.confirm || m.primaryState != nil || len(m.calls) > 0 || m.judge.Backlog() > 0
+	return len(m.rules) > 0 || m.mustConfirm || m.primaryState != nil || len(m.calls) > 0 || m.judge.Backlog() > 0
 }
 
-// Place takes agreement's view. It must be told before any input while Awake.
+// Place sets the consensus layer's view. While Awake, it must be called before any other input.
 func (m *Machine) Place(p Place) {
 	m.place = p
 	if m.primaryState != nil && (!p.Leads || p.N != m.primaryState.term.N || !slices.Equal(p.Members, m.primaryState.members)) {
@@ -137,10 +139,10 @@
 	}
 }
 
-// Nodes takes membership's view.
+// Nodes sets the live processes according to membership.
 func (m *Machine) Nodes(nodes []Node) { m.nodes = slices.Clone(nodes) }
 
-// Tick lets time pass.
+// Tick advances the clock and performs periodic work.
 func (m *Machine) Tick(now fsm.Time) Out {
 	m.now = max(m.now, now)
 	if m.Awake() {
@@ -151,7 +153,7 @@
 	return m.flush()
 }
 
-// Hurry asks for strikes at once if requests wait for them.
+// Hurry asks the primary for strikes immediately if requests wait for them.
 func (m *Machine) Hurry(now fsm.Time) Out {
 	m.now = max(m.now, now)
 	if m.now-m.asked >= urgentAskInterval && m.judge.Due() {
@@ -160,13 +162,13 @@
 	return m.flush()
 }
 
-// Held is the set held here: the number of its turn, and its version.
+// Held returns the turn and version of the set held by this process.
 func (m *Machine) Held() (turn uint64, version uint32) { return m.turn, m.doc.Version }
 
-// Holds tells whether rules are held that may be in force.
+// Holds reports whether this process holds rules that may be in force.
 func (m *Machine) Holds() bool { return len(m.rules) > 0 }
 
-// Written says that a write, and all before it, are synced.
+// Written reports that the write seq and all earlier ones are synced.
 func (m *Machine) Written(now fsm.Time, seq uint64) Out {
 	m.now, m.written = max(m.now, now), max(m.written, seq)
 	var rest []heldSend
@@ -181,7 +183,7 @@
 	return m.flush()
 }
 
-// Take takes a message.
+// Take handles a message from another process.
 func (m *Machine) Take(now fsm.Time, from string, msg any) Out {
 	m.now = max(m.now, now)
 	if m.c.Longest > 0 {
@@ -223,7 +225,7 @@
 	}
 }
 
-// durable sends once what is known now is on disk.
+// sendAfterSync sends a message once the current state is synced.
 func (m *Machine) sendAfterSync(to string, msg any) {
 	if m.dirty {
 		m.dirty = false
@@ -241,6 +243,7 @@
 	}
 }
 
+// flush handles the messages to itself and returns the collected actions.
 func (m *Machine) flush() Out {
 	for len(m.selfSends) > 0 {
 		s := m.selfSends[0]
--- a/internal/faultrules/member.go
+++ b/internal/faultrules/member.go
@@ -2,7 +2,8 @@
 
 import "asterwell/internal/fsm"
 
-// takeMember is what those with a disk do: they serve the highest term they promised.
+// dispatchMember handles messages to a member with a disk. It serves only the highest term that it
+// has promised.
 func (m *Machine) dispatchMember(from string, msg any) {
 	switch t := msg.(type) {
 	case Claim:
@@ -34,12 +35,13 @@
 	}
 }
 
-// Forget makes of what is on disk nothing that counts: the disk had been put back to an older state.
+// Forget discards the stored state, for a disk that was restored to an older state.
 func (m *Machine) Forget() {
 	m.d, m.ageKnown, m.dirty, m.awaitingSync = Disk{}, false, true, nil
 }
 
-// age corrects what a late message made of the record's age.
+// correctAge moves keptAt back if a message shows that the record is older than assumed, as after a
+// delayed Append.
 func (m *Machine) correctAge(term Term, seq uint64, by fsm.Time) {
 	if term == m.d.Kept.Term && seq == m.d.Kept.Seq && m.ageKnown {
 		m.keptAt = min(m.keptAt, m.now-by)
--- a/internal/faultrules/message.go
+++ b/internal/faultrules/message.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Claim asks a member to serve a term, and what it has.
+// Claim asks a member to promise a term and to return its record.
 type Claim struct {
 	Term Term `cbor:"1,keyasint"`
 }
 
-// Claimed answers: the time that the record is here, if Sure.
+// Claimed answers a Claim. Age is the record's age, valid if Sure.
 type Claimed struct {
 	Term   Term          `cbor:"1,keyasint"`
 	Record Record        `cbor:"2,keyasint"`
@@ -15,24 +15,24 @@
 	Sure   bool          `cbor:"4,keyasint,omitempty"`
 }
 
-// Append gives a member the record.
+// Append replicates the record to a member.
 type Append struct {
 	Record Record        `cbor:"1,keyasint"`
 	Stamp  time.Duration `cbor:"2,keyasint"`
-	Aged   time.Duration `cbor:"3,keyasint,omitempty"` // since the record told what is left
-	From   uint64        `cbor:"4,keyasint,omitempty"` // so many of the term's notes came before
+	Aged   time.Duration `cbor:"3,keyasint,omitempty"` // time since Record.Left was computed
+	From   uint64        `cbor:"4,keyasint,omitempty"` // number of the term's notes before Notes
 	Notes  []Entry       `cbor:"5,keyasint,omitempty"`
 }
 
-// Appended says that it is synced.
+// Appended acknowledges that the record is synced.
 type Appended struct {
 	Term  Term          `cbor:"1,keyasint"`
 	Seq   uint64        `cbor:"2,keyasint"`
 	Stamp time.Duration `cbor:"3,keyasint"`
-	Notes uint64        `cbor:"4,keyasint,omitempty"` // so many of the term's are here, or not needed
+	Notes uint64        `cbor:"4,keyasint,omitempty"` // number of the term's notes that are stored or not needed
 }
 
-// Beat asks a member that has the record whether the term still stands.
+// Beat is a heartbeat to a member that has the record: it asks whether the term is still current.
 type Beat struct {
 	Term  Term          `cbor:"1,keyasint"`
 	Stamp time.Duration `cbor:"2,keyasint"`
@@ -40,13 +40,13 @@
 	Seq   uint64        `cbor:"4,keyasint"`
 }
 
-// Beaten says that it does.
+// Beaten acknowledges a Beat.
 type Beaten struct {
 	Term  Term          `cbor:"1,keyasint"`
 	Stamp time.Duration `cbor:"2,keyasint"`
 }
 
-// Push brings a set that is kept.
+// Push sends a committed rule set to a process.
 type Push struct {
 	Term    Term   `cbor:"1,keyasint"`
 	Turn    uint64 `cbor:"2,keyasint"`
@@ -54,26 +54,27 @@
 	Stopped bool   `cbor:"4,keyasint,omitempty"`
 }
 
-// Ask confirms the set that a process holds, and asks for a lease. Want is how many requests
-// wait for a strike of each rule.
+// Ask confirms the set that a process holds and requests a lease. Want is the number of requests
+// that wait for a strike, for each rule.
 type Ask struct {
 	Turn  uint64        `cbor:"1,keyasint"`
 	Life  uint64        `cbor:"2,keyasint"`
 	Stamp time.Duration `cbor:"3,keyasint"`
 	Used  []int         `cbor:"4,keyasint,omitempty"`
 	Want  []int         `cbor:"5,keyasint,omitempty"`
-	Body  uint64        `cbor:"6,keyasint,omitempty"` // a hash of it
-	Notes []Note        `cbor:"7,keyasint,omitempty"` // that aren't known to be on record
+	Body  uint64        `cbor:"6,keyasint,omitempty"` // hash of the set's body
+	Notes []Note        `cbor:"7,keyasint,omitempty"` // not yet known to be recorded
 	Name  string        `cbor:"8,keyasint,omitempty"`
 	Form  uint8         `cbor:"9,keyasint,omitempty"`
 }
 
-// puts is the form of processes that put strikes on record before they make them. One that doesn't
-// never confirms a set: what was handed out to it couldn't be taken back.
+// formRecordsFirst is the Ask.Form of processes that record strikes before applying them. An Ask
+// of a lower form never confirms a set, because strikes granted to such a process couldn't be
+// taken back.
 const formRecordsFirst = 1
 
-// Lease puts the rules of a turn in force from the stamp on: each for what it has left, none
-// for longer than For. Parts are what was ever handed out to the life that asked.
+// Lease brings the rules of a turn into force from Stamp on: each for its remaining time, but none
+// for longer than For. Parts are the total strikes ever granted to the incarnation that asked.
 type Lease struct {
 	Turn  uint64          `cbor:"1,keyasint"`
 	Stamp time.Duration   `cbor:"2,keyasint"`
@@ -83,14 +84,14 @@
 	Parts []int           `cbor:"6,keyasint,omitempty"`
 	Spent []bool          `cbor:"7,keyasint,omitempty"`
 	Nodes int             `cbor:"8,keyasint,omitempty"`
-	Over  bool            `cbor:"9,keyasint,omitempty"`  // nothing of it will come into force again
-	Heard uint64          `cbor:"10,keyasint,omitempty"` // notes up to this one are on record, or refused
-	Noted []int           `cbor:"11,keyasint,omitempty"` // strikes on record, of each rule
-	Term  Term            `cbor:"12,keyasint"`           // of the record that this goes by
+	Over  bool            `cbor:"9,keyasint,omitempty"`  // no rule of the turn will be in force again
+	Heard uint64          `cbor:"10,keyasint,omitempty"` // notes up to this one are recorded or rejected
+	Noted []int           `cbor:"11,keyasint,omitempty"` // recorded strikes of each rule
+	Term  Term            `cbor:"12,keyasint"`           // of the record that the lease is based on
 	Seq   uint64          `cbor:"13,keyasint"`
 }
 
-// Op is what an operator wants.
+// Op is the kind of an operator's call.
 type Op uint8
 
 // The operators' calls.
@@ -100,25 +101,25 @@
 	OpGet
 )
 
-// Forward is an operator's call on its way to the primary. It may be repeated.
+// Forward carries an operator's call to the primary. It may be retried.
 type Forward struct {
 	ID   uint64 `cbor:"1,keyasint"`
 	Salt uint64 `cbor:"2,keyasint"`
 	Op   Op     `cbor:"3,keyasint"`
 	Doc  Doc    `cbor:"4,keyasint"`
-	// Fence is the turn that the caller knew, and 1: a call that comes later than what followed
-	// it changes nothing. 0: from one that doesn't know.
+	// Fence is one more than the turn that the caller saw, so that a call delayed past a later
+	// change has no effect. 0 means that the caller doesn't know the turn.
 	Fence uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Answered answers it.
+// Answered returns the answer to a Forward.
 type Answered struct {
 	ID   uint64 `cbor:"1,keyasint"`
 	Salt uint64 `cbor:"2,keyasint"`
 	Ans  Answer `cbor:"3,keyasint"`
 }
 
-// Messages lists what a Machine takes; the order stays.
+// Messages lists the message types that a Machine handles. Their order must not change.
 func Messages() []any {
 	return []any{Claim{}, Claimed{}, Append{}, Appended{}, Beat{}, Beaten{}, Push{}, Ask{}, Lease{}, Forward{}, Answered{}}
 }
--- a/internal/faultrules/node.go
+++ b/internal/faultrules/node.go
@@ -9,7 +9,7 @@
 	"asterwell/internal/fsm"
 )
 
-// onPush takes a set that the primary says is kept, and confirms it.
+// onPush adopts a committed set sent by the primary, and confirms it.
 func (m *Machine) onPush(p Push) {
 	c := p.Term.compare(m.term)
 	if c < 0 {
@@ -23,18 +23,18 @@
 	if !same || p.Stopped && len(m.rules) > 0 {
 		m.adopt(p)
 	}
-	if m.confirm = !m.refused; m.confirm {
+	if m.mustConfirm = !m.setInvalid; m.mustConfirm {
 		m.ask()
 	}
 }
 
-// adopt takes another set. It strikes nobody before there is a lease.
+// adopt replaces the held set. Its rules strike only once there is a lease.
 func (m *Machine) adopt(p Push) {
 	m.turn, m.doc, m.rules, m.ends = p.Turn, p.Doc, nil, nil
-	m.out.News, m.refused = "fault rules stopped", false
+	m.out.News, m.setInvalid = "fault rules stopped", false
 	if !p.Stopped {
 		set, err := Parse(p.Doc.Body, m.c.Longest)
-		if m.refused = err != nil; m.refused { // never confirmed, so never in force anywhere
+		if m.setInvalid = err != nil; m.setInvalid { // without this confirmation the set comes into force nowhere
 			m.out.News = "fault rules are not valid here: " + err.Error()
 		} else {
 			m.rules, m.out.News = set.Rules, "fault rules held"
@@ -46,16 +46,16 @@
 	m.judge.setRules(m.now, m.turn, m.rules)
 }
 
-// tend asks for the next lease, and drops rules that have ended whatever anybody says.
+// tickNode renews the lease, and ends rules whose local expiry has passed.
 func (m *Machine) tickNode() {
-	if len(m.rules) == 0 && !m.confirm && m.judge.Backlog() == 0 {
+	if len(m.rules) == 0 && !m.mustConfirm && m.judge.Backlog() == 0 {
 		return
 	}
-	over := true
+	allEnded := true
 	for _, end := range m.ends {
-		over = over && m.now >= end
+		allEnded = allEnded && m.now >= end
 	}
-	if over && len(m.rules) > 0 && m.bug != Outlives {
+	if allEnded && len(m.rules) > 0 && m.bug != Outlives {
 		m.endRules()
 	}
 	if wait := m.now - m.asked; wait >= askInterval || wait >= urgentAskInterval && m.judge.Due() {
@@ -63,15 +63,15 @@
 	}
 }
 
-// drop ends the rules here; the turn is remembered.
+// endRules drops the rules of this process but remembers their turn.
 func (m *Machine) endRules() {
 	m.rules, m.ends = nil, nil
 	m.judge.setRules(m.now, m.turn, nil)
 	m.out.News = "fault rules ended"
 }
 
-// primary is who is to be asked. One that started since the last election may not have heard of it
-// from agreement, and goes by who brought the rules.
+// primary returns the address of the primary. A process that started after the last election may
+// not know its result from consensus, and uses the sender of the rules instead.
 func (m *Machine) primary() string {
 	if m.place.Primary == "" || m.term.N > m.place.N {
 		return m.term.By
@@ -97,8 +97,8 @@
 		m.judge.settle(l.Heard)
 		return
 	}
-	defer m.judge.settle(l.Heard) // who looks in between waits a little longer
-	m.confirm = false             // it has heard what is held
+	defer m.judge.settle(l.Heard) // after the lease: a concurrent Made may return Short, but not a false Pass
+	m.mustConfirm = false         // the primary has the confirmation
 	if len(m.rules) == 0 {
 		return
 	}
@@ -109,17 +109,17 @@
 	if n := len(m.rules); l.For <= 0 || len(l.Left) != n || len(l.Parts) != n || len(l.Spent) != n || len(l.Noted) != n {
 		return
 	}
-	if r := (Record{Term: l.Term, Seq: l.Seq}); m.leaseRecord.newer(r) { // overtaken: it may not know of the newest parts
+	if r := (Record{Term: l.Term, Seq: l.Seq}); m.leaseRecord.newer(r) { // out of order: it may lack the newest parts
 		return
 	} else {
 		m.leaseRecord = r
 	}
-	till := make([]fsm.Time, len(m.rules))
-	for i := range till {
-		till[i] = min(l.Stamp+min(l.For, l.Left[i]), m.ends[i])
+	until := make([]fsm.Time, len(m.rules))
+	for i := range until {
+		until[i] = min(l.Stamp+min(l.For, l.Left[i]), m.ends[i])
 		if m.bug == Outlives {
-			till[i] = l.Stamp + time.Hour
+			until[i] = l.Stamp + time.Hour
 		}
 	}
-	m.judge.applyLease(till, l.Parts, l.Noted, l.Spent, l.Nodes)
+	m.judge.applyLease(until, l.Parts, l.Noted, l.Spent, l.Nodes)
 }
--- a/internal/faultrules/note.go
+++ b/internal/faultrules/note.go
@@ -7,36 +7,36 @@
 	"asterwell/internal/fsm"
 )
 
-// Note is a strike, or what became of one, on its way to the record. A strike befalls nobody
-// before its note is on the disks of a majority: so what a killed process was handed and has not
-// made can be taken back, and what it did is known.
+// Note reports a strike, or the outcome of one, for the record. A strike is applied only after its
+// note is on the disks of a majority. So the strikes that a killed process did not apply can be
+// taken back, and those that it applied are known.
 type Note struct {
-	Seq     uint64        `cbor:"1,keyasint"`           // of one life of a process, from 1
-	Of      uint64        `cbor:"2,keyasint,omitempty"` // the strike that came out so; 0: this is one
+	Seq     uint64        `cbor:"1,keyasint"`           // within one incarnation of a process, from 1
+	Of      uint64        `cbor:"2,keyasint,omitempty"` // Seq of the strike whose outcome this is; 0: this note is a strike
 	Turn    uint64        `cbor:"3,keyasint,omitempty"`
-	Rule    int           `cbor:"4,keyasint,omitempty"` // of the turn's, by place
-	K       int           `cbor:"5,keyasint,omitempty"` // the life's strikes by that rule, up to this; in an outcome: given back
-	Name    string        `cbor:"6,keyasint"`           // of the rule
+	Rule    int           `cbor:"4,keyasint,omitempty"` // index in the turn's set
+	K       int           `cbor:"5,keyasint,omitempty"` // the strike's ordinal for this rule and incarnation; in an outcome, the one given back
+	Name    string        `cbor:"6,keyasint"`           // name of the rule
 	Kind    Kind          `cbor:"7,keyasint"`
 	Delay   time.Duration `cbor:"8,keyasint,omitempty"`
 	Request Request       `cbor:"9,keyasint"`
 	Outcome string        `cbor:"10,keyasint,omitempty"`
 }
 
-// Entry is a note on record.
+// Entry is a recorded note with its origin.
 type Entry struct {
-	Node string `cbor:"1,keyasint"` // its name
+	Node string `cbor:"1,keyasint"` // name of the process
 	Addr string `cbor:"2,keyasint"`
 	Life uint64 `cbor:"3,keyasint"`
 	Note Note   `cbor:"4,keyasint"`
 }
 
 const (
-	maxPendingNotes    = 1000 // that wait here to be on record; beyond that, rules rest
-	maxNotesPerMessage = 64   // in a message
+	maxPendingNotes    = 1000 // unrecorded notes; at this limit, rules are suspended
+	maxNotesPerMessage = 64
 )
 
-// note puts one on its way. The lock is held.
+// note queues a note for the record. The caller holds j.mu.
 func (j *Judge) note(n Note) uint64 {
 	j.seq++
 	n.Seq = j.seq
@@ -44,8 +44,8 @@
 	return n.Seq
 }
 
-// Made reports whether a strike may befall its request now: Short, as long as it is not on
-// record; Pass, if it never will be. Its lease must last, too.
+// Made reports whether a strike may be applied to its request now. It returns Short while the
+// strike is not recorded or its lease has expired, and Pass if the strike is void.
 func (j *Judge) Made(now fsm.Time, s Strike) Verdict {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -61,7 +61,7 @@
 	return Hit
 }
 
-// Struck says what became of a strike.
+// Struck records the outcome of an applied strike.
 func (j *Judge) Struck(s Strike, q Request, outcome string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// Unmade says that a strike will never be made, so that the budget has it back.
+// Unmade records that a strike will never be applied, and returns it to the budget.
 func (j *Judge) Unmade(s Strike, q Request, outcome string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -81,7 +81,7 @@
 	j.note(n)
 }
 
-// void is of the strikes above k that had been taken by the note seq.
+// revocation voids the strikes with an ordinal above k whose note is not after seq.
 type revocation struct {
 	seq uint64
 	k   int
@@ -91,8 +91,9 @@
 	return slices.ContainsFunc(a.revoked, func(v revocation) bool { return s.Seq <= v.seq && s.k > v.k })
 }
 
-// renumber is for when strikes above k were taken back: others get their numbers, so that those
-// that had them are never made, and give nothing back. The lock is held.
+// revokeAbove voids the strikes of a rule with an ordinal above k, which were taken back. Later
+// strikes reuse these ordinals, so the voided ones are never applied and give nothing back to the
+// budget. The caller holds j.mu.
 func (j *Judge) revokeAbove(rule, k int) {
 	a := j.rules[rule]
 	a.used = k
@@ -104,14 +105,14 @@
 	}
 }
 
-// Backlog is how many notes wait to be on record.
+// Backlog returns the number of notes that wait to be recorded.
 func (j *Judge) Backlog() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.notes)
 }
 
-// hear drops what is on record.
+// settle drops the notes up to seq, which are recorded or rejected.
 func (j *Judge) settle(seq uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -121,8 +122,8 @@
 	}
 }
 
-// logged takes what a member is to keep of the notes that come with a record, and leaves out what
-// it has.
+// appendNotes queues the notes of an Append for the member's log, except those that it already
+// has.
 func (m *Machine) appendNotes(a Append) {
 	if a.Record.Term != m.logTerm {
 		m.logTerm, m.logUpTo = a.Record.Term, 0
@@ -133,12 +134,13 @@
 	}
 }
 
-// mostLog is how many notes a primary holds for members that are behind; they go without those
-// before.
+// maxRetainedNotes is how many notes the primary retains for members that lag behind. They miss
+// older notes.
 const maxRetainedNotes = 4000
 
-// book puts on record what processes told of strikes, as far as they were handed out.
-func (m *Machine) recordNotes(r *Record) (more bool) {
+// recordNotes adds the notes reported by processes to the record. Strikes that were not granted are
+// rejected.
+func (m *Machine) recordNotes(r *Record) (changed bool) {
 	l := m.primaryState
 	for _, addr := range sorted(l.noteSenders) {
 		a := l.asks[addr]
@@ -147,12 +149,12 @@
 			if n.Seq <= l.recordedNotes[node] {
 				continue
 			}
-			l.recordedNotes[node], more = n.Seq, true
+			l.recordedNotes[node], changed = n.Seq, true
 			if n.Of > 0 && n.K > 0 && n.Turn == r.Turn {
 				r.giveBack(n.Rule, addr, a.Life, n.K, n.Seq)
 			}
 			if n.Of == 0 && !(n.Turn == r.Turn && r.recordUse(n.Rule, addr, a.Life, n.K)) {
-				continue // refused
+				continue // not granted
 			}
 			l.notes = append(l.notes, Entry{a.Name, addr, a.Life, n})
 		}
@@ -161,24 +163,24 @@
 	if cut := len(l.notes) - maxRetainedNotes; cut > 0 {
 		l.notes, l.noteBase = l.notes[cut:], l.noteBase+uint64(cut)
 	}
-	return more
+	return changed
 }
 
-// news are the notes that a member lacks, and the number before the first.
+// missingNotes returns the notes that a member lacks, and how many of the term precede them.
 func (l *primaryState) missingNotes(member string) (from uint64, notes []Entry) {
 	from = max(l.noteBase, l.memberNotes[member])
 	return from, l.notes[from-l.noteBase:]
 }
 
-// takenBack takes what was handed out to processes that are gone, and was not used.
-func (m *Machine) reclaimParts(r *Record) (more bool) {
+// reclaimParts takes back the unused strikes granted to processes that have gone.
+func (m *Machine) reclaimParts(r *Record) (changed bool) {
 	if !m.currentRecord().live() {
 		return false
 	}
 	var parts []Part
 	for _, p := range r.Parts {
 		if p.N > p.Used && !m.isLive(Node{p.Addr, p.Life}) {
-			more = true
+			changed = true
 			if p.N = p.Used; m.bug == Regrants {
 				p.N = 0
 			}
@@ -187,8 +189,8 @@
 			parts = append(parts, p)
 		}
 	}
-	if more {
+	if changed {
 		r.Parts = parts
 	}
-	return more
+	return changed
 }
--- a/internal/faultrules/primary.go
+++ b/internal/faultrules/primary.go
@@ -13,57 +13,59 @@
 	"asterwell/internal/fsm"
 )
 
-// lead is the primary's, while there is something to do.
+// primaryState is the primary's state for one term. It exists only while there is work to do.
 type primaryState struct {
 	term      Term
 	members   []string
 	startedAt fsm.Time
 	claimed   map[string]Claimed
-	serving   bool // rec goes on from what a majority had
+	serving   bool // the claim succeeded: rec continues the newest record of a majority
 
-	rec             Record // the newest, and whether it is kept
+	rec             Record // newest record, being replicated unless committed
 	committed       bool
 	committedRecord Record
-	rules           []Rule // of kept
+	rules           []Rule // of committedRecord
 	left            []time.Duration
 	leftAt          fsm.Time
 	acked           map[string]uint64
-	ackStamps       map[string]fsm.Time // newest stamp that each member answered
+	ackStamps       map[string]fsm.Time // newest send time that each member has acknowledged
 	sent            fsm.Time
 
-	ops            []pendingOp // waiting
-	committing     []pendingOp // to be answered when rec is kept
+	ops            []pendingOp // queued
+	committing     []pendingOp // answered once rec is committed
 	asks           map[string]Ask
-	strikeWaiters  map[string]bool   // whose requests wait for strikes
-	noteSenders    map[string]bool   // who told of strikes
-	awaitingCommit []string          // whose strikes are in rec
-	recordedNotes  map[Node]uint64   // their notes up to here are in rec
-	committedNotes map[Node]uint64   // and in kept
-	notes          []Entry           // of the term, after so many
-	memberNotes    map[string]uint64 // so many has each member
-	confirmedTurns map[Node]uint64   // confirmed turns
+	strikeWaiters  map[string]bool   // processes with requests that wait for strikes
+	noteSenders    map[string]bool   // processes with unrecorded notes
+	awaitingCommit []string          // processes to answer once rec is committed
+	recordedNotes  map[Node]uint64   // highest note of each process in rec
+	committedNotes map[Node]uint64   // the same for committedRecord
+	notes          []Entry           // of the term, after the first noteBase
+	memberNotes    map[string]uint64 // number of notes that each member has
+	confirmedTurns map[Node]uint64   // newest turn that each process has confirmed
 	active         uint64            // the turn in force
-	activateAfter  fsm.Time          // a lease of another turn may run until then
-	leasesUntil    fsm.Time          // any lease may
+	activateAfter  fsm.Time          // leases of an earlier turn may be valid until then
+	leasesUntil    fsm.Time          // latest expiry of any granted lease
 	pushed         fsm.Time
 
 	noteBase uint64
 }
 
+// pendingOp is an operator's call that the primary has not answered yet.
 type pendingOp struct {
 	from string
 	f    Forward
 	at   fsm.Time
 }
 
-// ample is how many strikes for each process are so many that some may lie idle.
+// ampleFactor is the number of remaining strikes for each process from which on the primary grants
+// some in advance, though they may stay unused.
 const ampleFactor = 8
 
 func majority(members []string) int { return len(members)/2 + 1 }
 
 func sorted(of map[string]bool) []string { return slices.Sorted(maps.Keys(of)) }
 
-// trim drops the notes that all members have.
+// trim discards the notes that all members have stored.
 func (l *primaryState) trim() {
 	low := l.noteBase + uint64(len(l.notes))
 	for _, to := range l.members {
@@ -74,10 +76,11 @@
 	}
 }
 
-// among reports whether a life of a process is among the live ones.
+// isLive reports whether membership considers this incarnation live.
 func (m *Machine) isLive(n Node) bool { return slices.Contains(m.nodes, n) }
 
-// rise begins a term if this process is the primary.
+// startTerm begins a term if this process is the primary and has none. It returns the current
+// state, or nil on other processes.
 func (m *Machine) startTerm() *primaryState {
 	if m.primaryState != nil || !m.place.Leads || len(m.place.Members) == 0 {
 		return m.primaryState
@@ -92,7 +95,7 @@
 	return l
 }
 
-// steer does what is due.
+// tickPrimary performs the primary's periodic work.
 func (m *Machine) tickPrimary() {
 	l := m.primaryState
 	if l == nil {
@@ -125,12 +128,12 @@
 	}
 	m.activate()
 	if l.committed && len(l.ops) == 0 && !m.currentRecord().live() && len(m.unconfirmedNodes()) == 0 && m.now-l.startedAt > LeaseFor {
-		m.primaryState = nil // asleep until somebody asks
+		m.primaryState = nil // idle until the next request
 	}
 }
 
-// replicate sends the record to members that lack it, and asks the others whether the
-// term stands.
+// replicate sends the record to members that lack it, and a heartbeat to the others to confirm
+// the term.
 func (m *Machine) replicate() {
 	l := m.primaryState
 	l.sent = m.now
@@ -150,13 +153,13 @@
 		return
 	}
 	l.claimed[from] = c
-	sound := 0
+	withRecord := 0
 	for _, c := range l.claimed {
 		if !c.Record.Term.isZero() {
-			sound++
+			withRecord++
 		}
 	}
-	if sound < majority(l.members) && len(l.claimed) < len(l.members) {
+	if withRecord < majority(l.members) && len(l.claimed) < len(l.members) {
 		return
 	}
 	for _, c := range l.claimed {
@@ -165,7 +168,7 @@
 		}
 	}
 	l.leftAt = l.startedAt
-	l.left = make([]time.Duration, len(l.rec.Left)) // nobody knows: ended
+	l.left = make([]time.Duration, len(l.rec.Left)) // zero: rules whose age no member knows have ended
 	first := true
 	for _, c := range l.claimed {
 		if r := c.Record; r.Turn != l.rec.Turn || !c.Sure || len(r.Left) != len(l.left) {
@@ -183,7 +186,7 @@
 	m.write(l.rec)
 }
 
-// write makes a record the newest, and sends it to the members.
+// write makes r the newest record and replicates it.
 func (m *Machine) write(r Record) {
 	l := m.primaryState
 	r.Term, r.Seq = l.term, l.rec.Seq+1
@@ -228,19 +231,19 @@
 	}
 }
 
-// heed takes up calls that wait for the members' word.
+// resumeOps continues with calls that wait for a majority's confirmation.
 func (m *Machine) resumeOps() {
 	if l := m.primaryState; l != nil && l.committed && len(l.ops) > 0 {
 		m.startNextOp()
 	}
 }
 
-// commit: the record is kept, and may be told.
+// commit marks the record as committed, and answers the requests that wait for it.
 func (m *Machine) commit() {
 	l := m.primaryState
-	other := l.committedRecord.Turn != l.rec.Turn || l.rules == nil
+	newTurn := l.committedRecord.Turn != l.rec.Turn || l.rules == nil
 	l.committed, l.committedRecord, l.committedNotes = true, l.rec, maps.Clone(l.recordedNotes)
-	if other {
+	if newTurn {
 		l.activateAfter = max(l.activateAfter, l.leasesUntil)
 		l.rules, l.pushed = []Rule{}, m.now
 		if set, err := Parse(l.committedRecord.Doc.Body, m.c.Longest); err == nil {
@@ -261,14 +264,14 @@
 	m.startNextOp()
 }
 
-// tell answers asks again that had to wait.
-func (m *Machine) respondAll(who []string) {
-	for _, addr := range lo.Uniq(who) {
+// respondAll answers the latest Ask of each process.
+func (m *Machine) respondAll(addrs []string) {
+	for _, addr := range lo.Uniq(addrs) {
 		m.respond(addr, m.primaryState.asks[addr])
 	}
 }
 
-// next begins the next change if one waits.
+// startNextOp starts the next queued change, after answering the calls that change nothing.
 func (m *Machine) startNextOp() {
 	l := m.primaryState
 	for len(l.ops) > 0 && l.committed {
@@ -276,7 +279,7 @@
 		r := l.committedRecord
 		if out, ends := m.outcomeWithoutChange(o.f, r); ends {
 			if !m.confirmed(o) {
-				break // those behind it are as young
+				break // later calls are not confirmed either
 			}
 			l.ops = l.ops[1:]
 			m.answer(o, out)
@@ -290,7 +293,7 @@
 			m.write(r)
 		case OpPut:
 			set, err := Parse(o.f.Doc.Body, m.c.Longest)
-			if err != nil { // checked where it came in; this process's bounds differ
+			if err != nil { // validated by the process that accepted it; the limits here differ
 				m.answer(o, Busy)
 				continue
 			}
@@ -309,7 +312,8 @@
 	}
 }
 
-// idle is how a call ends that changes nothing, if it does.
+// outcomeWithoutChange returns the outcome of a call that changes nothing; ends is false for a call
+// that does.
 func (m *Machine) outcomeWithoutChange(f Forward, r Record) (out Outcome, ends bool) {
 	switch f.Op {
 	case OpStop:
@@ -326,9 +330,9 @@
 			known = dedup.Same
 		}
 		switch {
-		case known == dedup.Same: // another copy: as the rules stand by now, also stopped or replaced
+		case known == dedup.Same: // a retry: Done even if the set has been stopped or replaced since
 			return Done, true
-		case known == dedup.Unknown: // it may have been accepted long ago
+		case known == dedup.Unknown: // too old for the history: it may have been accepted
 			return Busy, true
 		case known == dedup.Conflicting || f.Doc.Version <= r.Doc.Version:
 			return Below, true
@@ -337,13 +341,13 @@
 		return Read, true
 	}
 	if f.Fence != 0 && f.Fence != r.Turn+1 {
-		return Read, true // it was meant for what stood before: the caller decides anew
+		return Read, true // the turn has changed since the caller read it; the caller decides again
 	}
 	return 0, false
 }
 
-// confirmed tells whether most members have said since a call came that the term stands: what
-// is kept here then is the newest. Until they have, they are asked.
+// confirmed reports whether a majority has acknowledged the term since the call arrived, so that
+// the committed record is the newest. If not, it sends heartbeats.
 func (m *Machine) confirmed(o pendingOp) bool {
 	l := m.primaryState
 	if m.lastMajorityAck() >= o.at || m.bug == Unconfirmed {
@@ -355,21 +359,21 @@
 	return false
 }
 
-// allot puts strikes on record, takes back what nobody can use any more, and hands out strikes
-// to those whose requests wait for them.
+// updateBudgets records reported strikes, takes back those granted to processes that have gone, and
+// grants strikes to processes whose requests wait for them.
 func (m *Machine) updateBudgets() {
 	l := m.primaryState
 	if l.active != l.committedRecord.Turn || !m.currentRecord().live() {
 		clear(l.strikeWaiters)
 	}
-	r, told, who := l.committedRecord, sorted(l.noteSenders), sorted(l.strikeWaiters)
-	more := m.recordNotes(&r)
-	more = m.reclaimParts(&r) || more
-	if len(told) == 0 && len(who) == 0 && !more {
+	r, reporters, addrs := l.committedRecord, sorted(l.noteSenders), sorted(l.strikeWaiters)
+	changed := m.recordNotes(&r)
+	changed = m.reclaimParts(&r) || changed
+	if len(reporters) == 0 && len(addrs) == 0 && !changed {
 		return
 	}
 	clear(l.strikeWaiters)
-	for _, addr := range who {
+	for _, addr := range addrs {
 		a := l.asks[addr]
 		for i := range l.rules {
 			if i >= len(a.Want) || i >= len(a.Used) {
@@ -386,49 +390,50 @@
 			free := l.rules[i].Budget - all
 			n := want - max(0, one-a.Used[i])
 			if n > 0 && free > ampleFactor*n*max(1, len(m.nodes)) {
-				n += free / (2 * ampleFactor * max(1, len(m.nodes))) // much is left
+				n += free / (2 * ampleFactor * max(1, len(m.nodes))) // grant some in advance
 			}
 			if n = min(n, free); n > 0 {
 				r.grant(i, addr, a.Life, n)
-				more = true
+				changed = true
 			}
 		}
 	}
-	who = append(who, told...)
+	addrs = append(addrs, reporters...)
 	switch {
-	case !more: // there is nothing left, or it was a late word
-		m.respondAll(who)
+	case !changed: // the budget is spent, or the reports were stale
+		m.respondAll(addrs)
 	case m.bug == Forgets:
 		l.committedRecord.Parts, l.committedNotes = r.Parts, maps.Clone(l.recordedNotes)
-		m.respondAll(who)
+		m.respondAll(addrs)
 	default:
-		l.awaitingCommit = who
+		l.awaitingCommit = addrs
 		m.write(r)
 		if m.bug == Unkept {
 			l.committedNotes, l.committedRecord.Parts = maps.Clone(l.recordedNotes), r.Parts
-			m.respondAll(who)
+			m.respondAll(addrs)
 		}
 	}
 }
 
-// kept is the record with what is left by now.
+// currentRecord returns the committed record with the remaining times as of now.
 func (m *Machine) currentRecord() Record {
 	r := m.primaryState.committedRecord
 	r.Left = aged(m.primaryState.left, m.now-m.primaryState.leftAt)
 	return r
 }
 
-// waits are the live processes that have not confirmed.
-func (m *Machine) unconfirmedNodes() (who []string) {
+// unconfirmedNodes returns the live processes that have not confirmed the committed turn.
+func (m *Machine) unconfirmedNodes() (addrs []string) {
 	for _, n := range m.nodes {
 		if m.primaryState.committedRecord.Turn > 0 && m.primaryState.confirmedTurns[n] != m.primaryState.committedRecord.Turn {
-			who = append(who, n.Addr)
+			addrs = append(addrs, n.Addr)
 		}
 	}
-	return who
+	return addrs
 }
 
-// activate puts the set in force once nothing speaks against it.
+// activate brings the committed set into force once every live process has confirmed it and earlier
+// leases have expired.
 func (m *Machine) activate() {
 	l := m.primaryState
 	if l.active == l.committedRecord.Turn || !l.committed {
@@ -437,14 +442,14 @@
 	if m.bug == Hasty || len(m.unconfirmedNodes()) == 0 && len(m.nodes) > 0 && m.now >= l.activateAfter {
 		l.active = l.committedRecord.Turn
 		m.respondAll(slices.Sorted(maps.Keys(l.asks)))
-		for addr := range l.asks { // some strikes for those to come, if the budget is large
+		for addr := range l.asks { // grant strikes in advance, if the budget is large
 			l.strikeWaiters[addr] = true
 		}
 		m.updateBudgets()
 	}
 }
 
-// authority is when a majority last said that the term stands.
+// lastMajorityAck returns the latest send time that a majority has acknowledged in this term.
 func (m *Machine) lastMajorityAck() fsm.Time {
 	l := m.primaryState
 	var at []fsm.Time
@@ -466,7 +471,7 @@
 		return
 	}
 	l.asks[from] = a
-	if !l.serving || l.rules == nil { // nothing is kept in this term yet
+	if !l.serving || l.rules == nil { // nothing is committed in this term yet
 		return
 	}
 	if a.Turn != l.committedRecord.Turn || a.Body != xxhash.Sum64(l.committedRecord.Doc.Body) {
@@ -487,8 +492,8 @@
 	m.respond(from, a)
 }
 
-// respond gives a lease on what is kept. While another set or a stop is on its way to
-// being kept, nothing is renewed.
+// respond grants a lease on the committed set. No lease is renewed while another set or a stop is
+// being replicated.
 func (m *Machine) respond(to string, a Ask) {
 	l, k := m.primaryState, m.currentRecord()
 	if a.Turn != k.Turn {
@@ -521,7 +526,7 @@
 	}
 }
 
-// answer ends an operator's call, unless this process may be the primary no more.
+// answer completes an operator's call, unless this process may have been replaced as primary.
 func (m *Machine) answer(o pendingOp, out Outcome) {
 	l := m.primaryState
 	if m.lastMajorityAck()+LeaseFor <= m.now {
--- a/internal/faultrules/record.go
+++ b/internal/faultrules/record.go
@@ -9,7 +9,8 @@
 	"asterwell/internal/fsm"
 )
 
-// Term is a primary's: its epoch in agreement, and a salt that no other start has.
+// Term identifies one tenure of a primary: its consensus epoch, and a salt that is unique for each
+// claim.
 type Term struct {
 	N    uint64 `cbor:"1,keyasint,omitempty"`
 	By   string `cbor:"2,keyasint,omitempty"`
@@ -22,36 +23,37 @@
 
 func (t Term) isZero() bool { return t == Term{} }
 
-// Doc is a rule set as it was sent. Version 0 is none.
+// Doc is a rule set as the operator sent it. Version 0 means none.
 type Doc struct {
 	Version uint32 `cbor:"1,keyasint,omitempty"`
 	Body    []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// Part is what one life of a process may strike by one rule.
+// Part is the share of a rule's budget granted to one incarnation of a process.
 type Part struct {
 	Rule int    `cbor:"1,keyasint,omitempty"`
 	Addr string `cbor:"2,keyasint"`
 	Life uint64 `cbor:"3,keyasint"`
 	N    int    `cbor:"4,keyasint"`
-	Used int    `cbor:"5,keyasint,omitempty"` // strikes that are on record
-	Back int    `cbor:"6,keyasint,omitempty"` // of those, given back
-	Seq  uint64 `cbor:"7,keyasint,omitempty"` // by notes up to this one
+	Used int    `cbor:"5,keyasint,omitempty"` // recorded strikes
+	Back int    `cbor:"6,keyasint,omitempty"` // of Used, returned to the budget
+	Seq  uint64 `cbor:"7,keyasint,omitempty"` // note of the last strike given back
 }
 
-// Record is all that is kept. Turn counts the sets and stops.
+// Record is the replicated state. Turn counts the accepted sets and stops.
 type Record struct {
 	Term    Term            `cbor:"1,keyasint"`
 	Seq     uint64          `cbor:"2,keyasint"`
 	Turn    uint64          `cbor:"3,keyasint,omitempty"`
 	Doc     Doc             `cbor:"4,keyasint"`
 	Stopped bool            `cbor:"5,keyasint,omitempty"`
-	Left    []time.Duration `cbor:"6,keyasint,omitempty"` // of each rule, when this was written
+	Left    []time.Duration `cbor:"6,keyasint,omitempty"` // remaining time of each rule when the record was written
 	Parts   []Part          `cbor:"7,keyasint,omitempty"`
-	Sets    dedup.History   `cbor:"8,keyasint,omitempty"` // accepted ones
+	Sets    dedup.History   `cbor:"8,keyasint,omitempty"` // history of accepted sets
 }
 
-// sets are the accepted ones, gathered where the version before has kept none.
+// acceptedSets returns the history of accepted sets. For a record of the previous software version,
+// which has no history, it starts from the current set.
 func (r Record) acceptedSets() dedup.History {
 	switch {
 	case len(r.Sets) > 0:
@@ -66,13 +68,13 @@
 	return cmp.Or(r.Term.compare(o.Term), cmp.Compare(r.Seq, o.Seq)) > 0
 }
 
-// live reports whether any rule may be in force.
+// live reports whether any rule may still be in force.
 func (r Record) live() bool {
 	return r.Turn > 0 && !r.Stopped && slices.ContainsFunc(r.Left, func(d time.Duration) bool { return d > 0 })
 }
 
-// given is what of a rule's budget was handed out; ever to one life, and in all without what was
-// given back.
+// given returns how much of a rule's budget was granted: to one incarnation in total, and to all
+// together less the strikes given back.
 func (r Record) given(rule int, addr string, life uint64) (one, all int) {
 	for _, p := range r.Parts {
 		if p.Rule == rule {
@@ -85,7 +87,7 @@
 	return one, all
 }
 
-// grant hands out more. The record is another one afterwards.
+// grant adds n strikes to a part. It copies Parts, so that copies of the record stay unchanged.
 func (r *Record) grant(rule int, addr string, life uint64, n int) {
 	r.Parts = slices.Clone(r.Parts)
 	for i, p := range r.Parts {
@@ -97,8 +99,8 @@
 	r.Parts = append(r.Parts, Part{Rule: rule, Addr: addr, Life: life, N: n})
 }
 
-// use counts the strikes of a life up to one; false: they weren't handed out. The record is
-// another one afterwards.
+// recordUse marks the strikes of an incarnation up to ordinal k as used. It returns false if they
+// were not granted. It copies Parts before a change.
 func (r *Record) recordUse(rule int, addr string, life uint64, k int) bool {
 	for i, p := range r.Parts {
 		if p.Rule == rule && p.Addr == addr && p.Life == life && k <= p.N {
@@ -110,7 +112,8 @@
 	return false
 }
 
-// back counts that a strike on record was never made, once. The record is another one afterwards.
+// giveBack returns to the budget a recorded strike that was never applied, once for each note. It
+// copies Parts before a change.
 func (r *Record) giveBack(rule int, addr string, life uint64, k int, seq uint64) {
 	for i, p := range r.Parts {
 		if p.Rule == rule && p.Addr == addr && p.Life == life && k <= p.Used && seq > p.Seq {
@@ -120,8 +123,8 @@
 	}
 }
 
-// used is how many strikes of a rule are on record; ever of one life, and in all without what was
-// given back.
+// used returns the number of recorded strikes of a rule: of one incarnation in total, and of all
+// together less the strikes given back.
 func (r Record) used(rule int, addr string, life uint64) (one, all int) {
 	for _, p := range r.Parts {
 		if p.Rule == rule {
@@ -134,7 +137,7 @@
 	return one, all
 }
 
-// aged is what is left after a time.
+// aged returns the remaining times after a duration has passed.
 func aged(left []time.Duration, by fsm.Time) []time.Duration {
 	out := slices.Clone(left)
 	for i := range out {
@@ -143,8 +146,8 @@
 	return out
 }
 
-// Disk is what a member must not forget.
+// Disk is the persistent state of a member.
 type Disk struct {
 	Promised Term   `cbor:"1,keyasint"`
-	Kept     Record `cbor:"2,keyasint"` // without a term: this disk remembers nothing
+	Kept     Record `cbor:"2,keyasint"` // a zero Term means that the disk holds no record
 }
