--- a/cmd/reed/faults.go
+++ b/cmd/reed/faults.go
@@ -118,7 +118,7 @@
 		return err
 	}
 	all, err := client.AllStrikes(ctx, func(at string) *adminclient.Client { return r.dial([]string{at}, c.Duration("within")) })
-	unheard := (*adminclient.Unheard)(nil)
+	unheard := (*adminclient.UnreachedError)(nil)
 	if err != nil && !errors.As(err, &unheard) {
 		return err
 	}
--- a/cmd/reed/main.go
+++ b/cmd/reed/main.go
@@ -60,13 +60,13 @@
 
 func code(err error) int {
 	var no *adminclient.Refused
-	var none *adminclient.Nobody
+	var none *adminclient.NoAnswerError
 	var over *adminclient.Overtaken
 	var superseded *adminclient.Superseded
-	var unread *adminclient.Unread
-	var unheard *adminclient.Unheard
-	var other *adminclient.Otherwise
-	var unsettled *adminclient.Unsettled
+	var unread *adminclient.ReadBackError
+	var unheard *adminclient.UnreachedError
+	var other *adminclient.OutcomeError
+	var unsettled *adminclient.UnsettledError
 	switch {
 	case err == nil:
 		return done
--- a/cmd/reed/main_test.go
+++ b/cmd/reed/main_test.go
@@ -43,7 +43,7 @@
 // unhurried is a client whose clock stands still but for its pauses, which it tells.
 func unhurried(at []string, within time.Duration) *adminclient.Client {
 	var now time.Time
-	return &adminclient.Client{At: at, Within: within, Now: func() time.Time { return now },
+	return &adminclient.Client{Addresses: at, Timeout: within, Now: func() time.Time { return now },
 		Pause: func(_ context.Context, d time.Duration) error {
 			now = now.Add(d)
 			fmt.Fprintln(os.Stderr, "pause", d)
--- a/cmd/reed/rollout.go
+++ b/cmd/reed/rollout.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if at := s.Leader(); at != "" && s.Rollout.Mode == "together" {
+	if at := s.PrimaryControlAddress(); at != "" && s.Rollout.Mode == "together" {
 		if of, _, err := r.dial([]string{at}, min(c.Duration("within"), time.Second)).Status(ctx); err == nil {
 			s = of
 		}
@@ -86,7 +86,7 @@
 			return p.Err
 		}
 		if at >= c.Duration("for") || client.Pause(ctx, watchEvery) != nil {
-			return &adminclient.Unsettled{Version: fmt.Sprintf("%08x", v)}
+			return &adminclient.UnsettledError{Version: fmt.Sprintf("%08x", v)}
 		}
 	}
 }
--- a/cmd/reed/show.go
+++ b/cmd/reed/show.go
@@ -66,7 +66,7 @@
 	}
 	var silent []string
 	if !c.Bool("here") {
-		silent = adminclient.Beats(ctx, s, r.dial)
+		silent = adminclient.FillHeartbeatAges(ctx, s, r.dial)
 	}
 	if c.Bool("json") {
 		return r.json(s)
@@ -105,8 +105,8 @@
 			return err
 		}
 		client = r.dial([]string{at}, c.Duration("within"))
-	} else if len(client.At) > 1 {
-		return fmt.Errorf("drain: which one? Give its NAME, or one address with --at, not %d", len(client.At))
+	} else if len(client.Addresses) > 1 {
+		return fmt.Errorf("drain: which one? Give its NAME, or one address with --at, not %d", len(client.Addresses))
 	}
 	a, err := client.Drain(ctx, !c.Bool("stop"), c.Bool("alone"))
 	if err != nil {
--- a/example/system/main_test.go
+++ b/example/system/main_test.go
@@ -102,7 +102,7 @@
 		return err
 	}
 	for _, n := range s.Nodes {
-		if duty := s.Duty(n); n.Addr == s.Mesh && slices.Contains([]string{"primary", "backup", "witness"}, duty) {
+		if duty := s.Role(n); n.Addr == s.Mesh && slices.Contains([]string{"primary", "backup", "witness"}, duty) {
 			return nil
 		}
 	}
--- a/internal/adminclient/calls.go
+++ b/internal/adminclient/calls.go
@@ -9,16 +9,16 @@
 	"net/http"
 )
 
-const configuration = "/api/configuration"
+const configurationPath = "/api/configuration"
 
-// Put sends a configuration. Since one that is not above the version held is
-// acknowledged too, it then reads back what is in force: *Overtaken if that differs, also
-// where the call was refused because another text was accepted under its number.
+// Put sends a configuration. A gateway also acknowledges one that is not above its current
+// version, so Put then reads back the configuration in force. It returns *Overtaken if that
+// differs, and also if the call was refused because another text was accepted under its number.
 func (c *Client) Put(ctx context.Context, body []byte) (*Answer, error) {
-	a, err := c.call(ctx, http.MethodPut, configuration, body)
-	if no := (*Refused)(nil); errors.As(err, &no) && no.Status == http.StatusConflict {
-		if held, unread := c.Get(ctx); unread == nil {
-			return nil, &Overtaken{Sent: epoch(body), Held: epoch(held.Body), Refused: true}
+	a, err := c.call(ctx, http.MethodPut, configurationPath, body)
+	if refused := (*Refused)(nil); errors.As(err, &refused) && refused.Status == http.StatusConflict {
+		if held, readErr := c.Get(ctx); readErr == nil {
+			return nil, &Overtaken{Sent: epochOf(body), Held: epochOf(held.Body), Refused: true}
 		}
 	}
 	if err != nil {
@@ -27,24 +27,24 @@
 	held, err := c.Get(ctx)
 	switch {
 	case err != nil:
-		return a, &Unread{err}
+		return a, &ReadBackError{err}
 	case !bytes.Equal(body, held.Body):
-		return a, &Overtaken{Sent: epoch(body), Held: epoch(held.Body)}
+		return a, &Overtaken{Sent: epochOf(body), Held: epochOf(held.Body)}
 	}
 	return a, nil
 }
 
-// Get reads the newest configuration, as it was sent.
+// Get returns the newest configuration, byte for byte as it was sent.
 func (c *Client) Get(ctx context.Context) (*Answer, error) {
-	return c.call(ctx, http.MethodGet, configuration, nil)
+	return c.call(ctx, http.MethodGet, configurationPath, nil)
 }
 
-// Log reads the last lines of one gateway.
+// Log returns the last log lines of one gateway.
 func (c *Client) Log(ctx context.Context) (*Answer, error) {
 	return c.call(ctx, http.MethodGet, "/api/log", nil)
 }
 
-// Status asks one gateway for what it knows.
+// Status returns one gateway's view of the system.
 func (c *Client) Status(ctx context.Context) (*Status, *Answer, error) {
 	a, err := c.call(ctx, http.MethodGet, "/api/status", nil)
 	if err != nil {
@@ -57,7 +57,8 @@
 	return s, a, nil
 }
 
-func epoch(body []byte) string {
+// epochOf returns the Epoch of a configuration, or "" if it has none.
+func epochOf(body []byte) string {
 	var c struct{ Epoch string }
 	json.Unmarshal(body, &c)
 	return c.Epoch
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,5 +1,5 @@
-// Package adminclient is the operators' client: it calls gateways at their control addresses
-// as the protocol says that operators do.
+// Package adminclient is the client of the admin API: it calls gateways at their control
+// addresses, with the retries and redirects that the protocol prescribes for operators.
 package adminclient
 
 import (
@@ -17,37 +17,37 @@
 	"time"
 )
 
-// Client calls one of several gateways, and goes on to the next where one fails.
+// Client calls one of several gateways, and retries with the next one on failure.
 type Client struct {
-	At     []string      // control addresses, host:port
-	Within time.Duration // for a call with all its tries
+	Addresses []string      // control addresses, host:port
+	Timeout   time.Duration // for a call, including its retries
 
-	// Now and Pause are the clock, which tests replace.
+	// Now and Pause are the clock. Tests replace them.
 	Now   func() time.Time
 	Pause func(ctx context.Context, d time.Duration) error
 
-	turn int // of At, where the next try goes
+	next int // counts failed attempts; modulo len(Addresses), it is the next gateway
 	http *http.Client
 }
 
-// Answer is a gateway's, and where it came from.
+// Answer is the body of a successful response, and the address of the gateway that sent it.
 type Answer struct {
 	At   string
 	Body []byte
 }
 
 const (
-	firstPause  = 100 * time.Millisecond
-	longestWait = 2 * time.Second // between two tries
-	silence     = time.Second     // one gateway may take, and as much again for a MiB
-	hops        = 2               // redirections that are followed
-	strikes     = 3               // answers of another 4xx that end a call
-	mostAnswer  = 64 << 20
+	initialBackoff  = 100 * time.Millisecond
+	maxBackoff      = 2 * time.Second // between attempts
+	attemptTimeout  = time.Second     // for one attempt; the same is added for each MiB of the body
+	maxRedirects    = 2               // followed in one attempt
+	maxClientErrors = 3               // 4xx responses, other than the final ones, that end a call
+	maxAnswerBytes  = 64 << 20
 )
 
-// New returns a client on the real clock.
+// New returns a client that uses the system clock.
 func New(at []string, within time.Duration) *Client {
-	return &Client{At: at, Within: within, Now: time.Now, Pause: pause}
+	return &Client{Addresses: at, Timeout: within, Now: time.Now, Pause: pause}
 }
 
 func pause(ctx context.Context, d time.Duration) error {
@@ -61,19 +61,20 @@
 	}
 }
 
-// call tries gateway after gateway. Its error is *Refused or *Nobody.
+// call tries the gateways in turn until one gives a final answer. Its error is *Refused or
+// *NoAnswerError.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) (*Answer, error) {
 	if c.http == nil {
 		c.http = &http.Client{Transport: &http.Transport{DisableCompression: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	}
-	end, wait, struck := c.Now().Add(c.Within), firstPause, 0
-	none := &Nobody{At: c.At}
+	deadline, backoff, clientErrors := c.Now().Add(c.Timeout), initialBackoff, 0
+	failure := &NoAnswerError{At: c.Addresses}
 	for {
-		if len(c.At) == 0 {
-			return nil, none
+		if len(c.Addresses) == 0 {
+			return nil, failure
 		}
-		r := c.follow(ctx, c.At[c.turn%len(c.At)], method, path, body)
+		r := c.attempt(ctx, c.Addresses[c.next%len(c.Addresses)], method, path, body)
 		if r.err == nil && r.status/100 == 2 {
 			return &Answer{At: r.at, Body: r.body}, nil
 		}
@@ -81,33 +82,33 @@
 			return nil, r.refused()
 		}
 		if r.status/100 == 4 && r.status != http.StatusRequestTimeout && r.status != http.StatusTooManyRequests {
-			if struck++; struck == strikes {
+			if clientErrors++; clientErrors == maxClientErrors {
 				return nil, r.refused()
 			}
 		}
-		c.turn++
-		none.Tries++
-		none.Sent = none.Sent || r.sent && (r.err != nil || r.status >= 500)
-		none.Last = r.trouble()
-		pauseFor := max(wait, min(r.after, longestWait))
-		if c.Now().Add(pauseFor).After(end) || c.Pause(ctx, pauseFor) != nil {
-			return nil, none
+		c.next++
+		failure.Tries++
+		failure.Sent = failure.Sent || r.sent && (r.err != nil || r.status >= 500)
+		failure.Last = r.lastError()
+		delay := max(backoff, min(r.retryAfter, maxBackoff))
+		if c.Now().Add(delay).After(deadline) || c.Pause(ctx, delay) != nil {
+			return nil, failure
 		}
-		wait = min(2*wait, longestWait)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// reply is what became of one try.
+// reply is the result of one attempt.
 type reply struct {
-	at     string
-	status int
-	body   []byte
-	after  time.Duration // Retry-After
-	sent   bool          // it was written to a gateway
-	err    error
+	at         string
+	status     int
+	body       []byte
+	retryAfter time.Duration // from the Retry-After header
+	sent       bool          // the request may have reached a gateway
+	err        error
 }
 
-// final: the text is at fault, not the gateway.
+// final reports whether the request itself was rejected, so that no other gateway would accept it.
 func (r *reply) final() bool {
 	switch r.status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed,
@@ -121,43 +122,44 @@
 	return &Refused{At: r.at, Status: r.status, Why: strings.TrimSpace(string(r.body))}
 }
 
-func (r *reply) trouble() error {
+func (r *reply) lastError() error {
 	if r.err != nil {
 		return fmt.Errorf("%s: %w", r.at, r.err)
 	}
 	return r.refused()
 }
 
-// follow makes one try, and goes where a gateway sends it.
-func (c *Client) follow(ctx context.Context, at, method, path string, body []byte) *reply {
+// attempt sends the request to one gateway and follows redirects.
+func (c *Client) attempt(ctx context.Context, at, method, path string, body []byte) *reply {
 	to := &url.URL{Scheme: "http", Host: at, Path: path}
 	sent := false
 	for hop := 0; ; hop++ {
-		r, next := c.once(ctx, to, method, body)
+		r, next := c.roundTrip(ctx, to, method, body)
 		r.sent = r.sent || sent
-		if next == nil || hop == hops {
+		if next == nil || hop == maxRedirects {
 			return r
 		}
 		to, sent = next, r.sent
 	}
 }
 
-func (c *Client) once(ctx context.Context, to *url.URL, method string, body []byte) (*reply, *url.URL) {
+// roundTrip sends one HTTP request. It returns the target of a redirect, if there is one.
+func (c *Client) roundTrip(ctx context.Context, to *url.URL, method string, body []byte) (*reply, *url.URL) {
 	r := &reply{at: to.Host}
-	ctx, stop := context.WithTimeout(ctx, silence+time.Duration(len(body)>>20)*silence)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+time.Duration(len(body)>>20)*attemptTimeout)
+	defer cancel()
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }})
 	defer func() { r.sent = sent.Load() }()
-	q, err := http.NewRequestWithContext(ctx, method, to.String(), bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, to.String(), bytes.NewReader(body))
 	if err != nil {
 		r.err = err
 		return r, nil
 	}
 	if len(body) > 0 {
-		q.Header.Set("Content-Type", "application/json")
+		request.Header.Set("Content-Type", "application/json")
 	}
-	a, err := c.http.Do(q)
+	response, err := c.http.Do(request)
 	if err != nil {
 		if ue := (*url.Error)(nil); errors.As(err, &ue) {
 			err = ue.Err
@@ -165,16 +167,16 @@
 		r.err = err
 		return r, nil
 	}
-	defer a.Body.Close()
-	r.status = a.StatusCode
-	if r.body, r.err = io.ReadAll(io.LimitReader(a.Body, mostAnswer+1)); len(r.body) > mostAnswer {
-		r.err = fmt.Errorf("an answer of more than %d MiB", mostAnswer>>20)
+	defer response.Body.Close()
+	r.status = response.StatusCode
+	if r.body, r.err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1)); len(r.body) > maxAnswerBytes {
+		r.err = fmt.Errorf("an answer of more than %d MiB", maxAnswerBytes>>20)
 	}
-	if s, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
-		r.after = time.Duration(s * float64(time.Second))
+	if s, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
+		r.retryAfter = time.Duration(s * float64(time.Second))
 	}
-	if a.StatusCode == http.StatusTemporaryRedirect {
-		if next, err := to.Parse(a.Header.Get("Location")); err == nil && next.Scheme == "http" && next.Host != "" {
+	if response.StatusCode == http.StatusTemporaryRedirect {
+		if next, err := to.Parse(response.Header.Get("Location")); err == nil && next.Scheme == "http" && next.Host != "" {
 			return r, next
 		}
 	}
--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Refused is a gateway's final no.
+// Refused reports that a gateway rejected the call for good.
 type Refused struct {
 	At     string
 	Status int
@@ -21,30 +21,30 @@
 	return fmt.Sprintf("%s: %d: %s", e.At, e.Status, why)
 }
 
-// Nobody tells that no gateway gave a clear answer. Unless one was Sent the call, it
-// has certainly not been carried out.
-type Nobody struct {
+// NoAnswerError reports that no gateway gave a definite answer. If Sent is false, the call was
+// certainly not carried out.
+type NoAnswerError struct {
 	At    []string
 	Tries int
 	Sent  bool
 	Last  error
 }
 
-func (e *Nobody) Error() string {
+func (e *NoAnswerError) Error() string {
 	if len(e.At) == 0 {
 		return "no gateway is named: use --at, --from or REED_AT"
 	}
 	return fmt.Sprintf("no clear answer in %d tries at %s; the last: %v", e.Tries, strings.Join(e.At, ", "), e.Last)
 }
 
-func (e *Nobody) Unwrap() error { return e.Last }
+func (e *NoAnswerError) Unwrap() error { return e.Last }
 
-// Overtaken tells that another configuration is in force than the one sent. That was
-// acknowledged, or Refused as its number has another text.
+// Overtaken reports that another configuration is in force than the one sent. The sent one was
+// acknowledged, or it was Refused because another text was accepted under its number.
 type Overtaken struct {
 	Sent, Held string
 	Refused    bool
-	Kept       bool // Held is the newest that is kept, whether in force or not
+	Kept       bool // Held is the newest stored version, whether in force or not
 }
 
 func (e *Overtaken) Error() string {
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%s is in force, not %s", e.Held, e.Sent)
 }
 
-// Superseded tells that a set of fault rules was accepted before, and has been stopped or
+// Superseded reports that a set of fault rules was accepted earlier, but has been stopped or
 // replaced since.
 type Superseded struct{ Sent, Held uint32 }
 
@@ -71,18 +71,18 @@
 	return fmt.Sprintf("version %d was accepted, and version %d has taken its place", e.Sent, e.Held)
 }
 
-// Otherwise tells that a version's rollout has ended in another way than was wanted.
-type Otherwise struct{ Version, How string }
+// OutcomeError reports that a version's rollout ended in another way than requested.
+type OutcomeError struct{ Version, How string }
 
-func (e *Otherwise) Error() string { return e.Version + " is " + e.How }
+func (e *OutcomeError) Error() string { return e.Version + " is " + e.How }
 
-// Unsettled tells that a version's rollout had not ended when the time was over.
-type Unsettled struct{ Version string }
+// UnsettledError reports that a version's rollout did not end before the timeout.
+type UnsettledError struct{ Version string }
 
-func (e *Unsettled) Error() string { return e.Version + " is not settled yet" }
+func (e *UnsettledError) Error() string { return e.Version + " is not settled yet" }
 
-// Unread tells that a configuration was acknowledged, and then could not be read back.
-type Unread struct{ Err error }
+// ReadBackError reports that a change was acknowledged, but its result could not be read.
+type ReadBackError struct{ Err error }
 
-func (e *Unread) Error() string { return "acknowledged, but not read back: " + e.Err.Error() }
-func (e *Unread) Unwrap() error { return e.Err }
+func (e *ReadBackError) Error() string { return "acknowledged, but not read back: " + e.Err.Error() }
+func (e *ReadBackError) Unwrap() error { return e.Err }
--- a/internal/adminclient/faults.go
+++ b/internal/adminclient/faults.go
@@ -20,9 +20,9 @@
 	"asterwell/internal/memberlist"
 )
 
-const faults = "/api/faults"
+const faultsPath = "/api/faults"
 
-// Faults is how fault rules stand.
+// Faults is the status of the fault rules.
 type Faults struct {
 	Version         uint32
 	Turn            uint64
@@ -34,25 +34,25 @@
 	Set             json.RawMessage
 }
 
-// FaultRule is how one stands.
+// FaultRule is the status of one rule.
 type FaultRule struct {
 	Name                string
 	LeftS               float64
 	Budget, Given, Used int
 }
 
-// Strike is what befell one request.
+// Strike is the recorded effect of a fault rule on one request.
 type Strike struct {
 	At                                      time.Time
-	AgoMs                                   int64 // by a clock that nobody sets, where its process still runs
+	AgoMs                                   int64 // by the monotonic clock, if the process still runs
 	Rule, Effect, Tenant, Route, Method, ID string
 	DelayMs                                 float64
 	Node, Outcome                           string
-	Life, Seq                               uint64 // tell it from others of the node
+	Life, Seq                               uint64 // identify the strike among those of the node
 }
 
-// PutFaults sends a set of fault rules. A set that was accepted before is acknowledged as it
-// stands: *Superseded if it is not the one that counts any more.
+// PutFaults sends a set of fault rules. A set that was accepted before is acknowledged with the
+// current status. The error is *Superseded if it has been stopped or replaced since.
 func (c *Client) PutFaults(ctx context.Context, body []byte) (*Faults, *Answer, error) {
 	f, a, err := c.faults(ctx, http.MethodPut, body)
 	if err != nil {
@@ -66,12 +66,12 @@
 	return f, a, nil
 }
 
-// Faults reads the fault rules and how they stand.
+// Faults returns the fault rules and their status.
 func (c *Client) Faults(ctx context.Context) (*Faults, *Answer, error) {
 	return c.faults(ctx, http.MethodGet, nil)
 }
 
-// StopFaults stops the set of fault rules that is kept now.
+// StopFaults stops the current set of fault rules.
 func (c *Client) StopFaults(ctx context.Context) (*Faults, *Answer, error) {
 	f, a, err := c.Faults(ctx)
 	if err != nil || f.Version == 0 {
@@ -80,12 +80,12 @@
 	return c.StopFaultsOf(ctx, f.Version)
 }
 
-// StopFaultsOf stops a set of fault rules, and no other, however often it is sent and whenever it
-// comes. *Superseded: another has taken its place.
+// StopFaultsOf stops the set of fault rules with this version and no other, even if the call is
+// repeated or delayed. The error is *Superseded if another set has replaced it.
 func (c *Client) StopFaultsOf(ctx context.Context, version uint32) (*Faults, *Answer, error) {
-	f, a, err := c.faultsAt(ctx, http.MethodDelete, fmt.Sprint(faults, "/", version), nil)
+	f, a, err := c.faultsAt(ctx, http.MethodDelete, fmt.Sprint(faultsPath, "/", version), nil)
 	if r := (*Refused)(nil); errors.As(err, &r) && r.Status == http.StatusNotFound && strings.HasPrefix(r.Why, "no such call") {
-		f, a, err = c.faults(ctx, http.MethodDelete, nil) // a gateway of the version before
+		f, a, err = c.faults(ctx, http.MethodDelete, nil) // a gateway of the previous software version
 	}
 	if err == nil && f.Version != version {
 		return f, a, &Superseded{Sent: version, Held: f.Version}
@@ -94,7 +94,7 @@
 }
 
 func (c *Client) faults(ctx context.Context, method string, body []byte) (*Faults, *Answer, error) {
-	return c.faultsAt(ctx, method, faults, body)
+	return c.faultsAt(ctx, method, faultsPath, body)
 }
 
 func (c *Client) faultsAt(ctx context.Context, method, path string, body []byte) (*Faults, *Answer, error) {
@@ -109,10 +109,10 @@
 	return f, a, nil
 }
 
-// Unheard are the processes that did not tell what they have on record.
-type Unheard struct{ Why map[string]error }
+// UnreachedError names the processes whose strikes could not be read, with the reason for each.
+type UnreachedError struct{ Why map[string]error }
 
-func (e *Unheard) Error() string {
+func (e *UnreachedError) Error() string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(e.Why)) {
 		all = append(all, fmt.Sprintf("%s (%v)", name, e.Why[name]))
@@ -120,12 +120,12 @@
 	return "not heard: " + strings.Join(all, ", ")
 }
 
-// UnderWay is the outcome of a strike of which no more is known.
+// UnderWay is the outcome of a strike whose result is not known yet.
 const UnderWay = "under way"
 
-// AllStrikes reads what all processes that the first one knows have on record: live ones have
-// their own in memory, those with a disk everybody's. What is on record at several is there once.
-// An *Unheard comes with what others told.
+// AllStrikes collects the recorded strikes of all processes that the first one knows: live processes
+// have their own in memory, members with a disk those of all. Duplicates are merged.
+// If some processes fail, it returns an *UnreachedError with the strikes of the others.
 func (c *Client) AllStrikes(ctx context.Context, to func(at string) *Client) ([]Strike, error) {
 	s, _, err := c.Status(ctx)
 	if err != nil {
@@ -137,7 +137,7 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	known, unheard := map[key]Strike{}, map[string]error{}
+	known, failed := map[key]Strike{}, map[string]error{}
 	for _, n := range s.Nodes {
 		if n.State == state(memberlist.Gone.String()) || n.Control == "" {
 			continue
@@ -147,12 +147,12 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				unheard[n.Name] = err
+				failed[n.Name] = err
 			}
 			for _, s := range some {
 				k := key{s.Node, s.Life, s.Seq}
 				if old, ok := known[k]; !ok || old.Outcome == UnderWay || s.Node == n.Name && s.Outcome != UnderWay {
-					known[k] = s // itself it knows best
+					known[k] = s // the node itself has the latest outcome
 				}
 			}
 		})
@@ -161,13 +161,13 @@
 	all := slices.SortedFunc(maps.Values(known), func(a, b Strike) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Seq, b.Seq))
 	})
-	if len(unheard) > 0 {
-		return all, &Unheard{unheard}
+	if len(failed) > 0 {
+		return all, &UnreachedError{failed}
 	}
 	return all, nil
 }
 
-// Strikes reads what one gateway has on record.
+// Strikes returns the strikes recorded at one gateway.
 func (c *Client) Strikes(ctx context.Context) ([]Strike, error) {
 	a, err := c.call(ctx, http.MethodGet, "/api/strikes", nil)
 	if err != nil {
@@ -180,7 +180,7 @@
 	return all, nil
 }
 
-// Write prints how the rules stand.
+// Write prints the status of the rules.
 func (f *Faults) Write(to io.Writer) error {
 	switch {
 	case f.Version == 0:
@@ -205,7 +205,7 @@
 	return w.Flush()
 }
 
-// WriteStrikes prints strikes.
+// WriteStrikes prints a table of strikes.
 func WriteStrikes(to io.Writer, all []Strike) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "AT\tNODE\tRULE\tEFFECT\tTENANT\tROUTE\tMETHOD\tREQUEST\tOUTCOME")
--- a/internal/adminclient/rollout.go
+++ b/internal/adminclient/rollout.go
@@ -14,14 +14,14 @@
 	"asterwell/internal/rollout"
 )
 
-// Rollout is how the taking up of a configuration stands.
+// Rollout is the status of a configuration rollout.
 type Rollout struct{ rollout.Status }
 
-// Withdrawal is what has come of a version that was to be withdrawn.
+// Withdrawal is the result of withdrawing a version.
 type Withdrawal struct{ Version, Outcome, Live, Newest string }
 
-// Withdraw asks that a version which is not live yet never be. Its error is *Otherwise if
-// that is live already, *Overtaken if a higher one is kept.
+// Withdraw asks that a version that is not live yet never goes live. Its error is *OutcomeError if
+// the version is live already, and *Overtaken if a higher one is stored.
 func (c *Client) Withdraw(ctx context.Context, version string) (*Withdrawal, *Answer, error) {
 	a, err := c.call(ctx, http.MethodDelete, "/api/rollout/"+version, nil)
 	if err != nil {
@@ -29,22 +29,22 @@
 	}
 	w := new(Withdrawal)
 	if err := json.Unmarshal(a.Body, w); err != nil {
-		return nil, a, &Unread{fmt.Errorf("%s: %w", a.At, err)}
+		return nil, a, &ReadBackError{fmt.Errorf("%s: %w", a.At, err)}
 	}
 	switch w.Outcome {
 	case "withdrawn":
 		return w, a, nil
 	case "live":
-		return w, a, &Otherwise{version, "live already, and stays so"}
+		return w, a, &OutcomeError{version, "live already, and stays so"}
 	case "overtaken":
 		return w, a, &Overtaken{Sent: version, Held: w.Newest, Kept: true}
 	}
-	return w, a, &Unread{fmt.Errorf("%s does not tell how it ended", a.At)} // a version of the program before
+	return w, a, &ReadBackError{fmt.Errorf("%s does not tell how it ended", a.At)} // an older software version
 }
 
-// Leader is the control address of the primary, which alone knows what each node says;
-// empty: it is the one that was asked, or nobody knows it.
-func (s *Status) Leader() string {
+// PrimaryControlAddress returns the control address of the primary, the only node that knows
+// every node's progress. It is empty if the primary is unknown or answered itself.
+func (s *Status) PrimaryControlAddress() string {
 	n, _ := lo.Find(s.Nodes, func(n Node) bool { return n.Addr == s.Pact.Primary })
 	if s.Rollout.Leads || n.Addr == s.Mesh {
 		return ""
@@ -52,7 +52,7 @@
 	return n.Control
 }
 
-// Write prints it: one line on what is live, one on what is to be, then the nodes.
+// Write prints the live version, the newest one if it differs, and the state of the nodes.
 func (r *Rollout) Write(to io.Writer) error {
 	fmt.Fprintf(to, "live %08x, taken up by %s\n", r.Live, r.Mode)
 	if r.Newest != r.Live {
--- a/internal/adminclient/show.go
+++ b/internal/adminclient/show.go
@@ -18,8 +18,8 @@
 	"asterwell/internal/adminapi"
 )
 
-// show reads what one gateway shows.
-func show[T any](ctx context.Context, c *Client, what string) (*T, *Answer, error) {
+// fetch reads a resource of the admin API from one gateway.
+func fetch[T any](ctx context.Context, c *Client, what string) (*T, *Answer, error) {
 	a, err := c.call(ctx, http.MethodGet, "/api/"+what, nil)
 	if err != nil {
 		return nil, nil, err
@@ -31,54 +31,54 @@
 	return v, a, nil
 }
 
-// Members asks one gateway for all gateways.
+// Members returns one gateway's view of all gateways.
 func (c *Client) Members(ctx context.Context) (*adminapi.Members, *Answer, error) {
-	return show[adminapi.Members](ctx, c, "members")
+	return fetch[adminapi.Members](ctx, c, "members")
 }
 
-// Epochs asks one gateway for what it has seen of agreement.
+// Epochs returns the consensus epochs that one gateway has seen.
 func (c *Client) Epochs(ctx context.Context) (*adminapi.Epochs, *Answer, error) {
-	return show[adminapi.Epochs](ctx, c, "epochs")
+	return fetch[adminapi.Epochs](ctx, c, "epochs")
 }
 
-// Quotas asks one gateway what its decisions about quotas went by.
+// Quotas returns the basis of one gateway's quota decisions.
 func (c *Client) Quotas(ctx context.Context) (*adminapi.Quotas, *Answer, error) {
-	return show[adminapi.Quotas](ctx, c, "quotas")
+	return fetch[adminapi.Quotas](ctx, c, "quotas")
 }
 
-// Services asks one gateway for all servers.
+// Services returns one gateway's view of all servers.
 func (c *Client) Services(ctx context.Context) (*adminapi.Services, *Answer, error) {
-	return show[adminapi.Services](ctx, c, "services")
+	return fetch[adminapi.Services](ctx, c, "services")
 }
 
 const (
-	mostHomes = 64 // that are asked for the age of beats
-	atOnce    = 8
+	maxHomes           = 64 // home gateways that are asked for heartbeat ages
+	maxConcurrentCalls = 8
 )
 
-// Beats asks the homes of servers for the age of beats that did not come to the gateway
-// that told of them, once each. It returns the homes that did not answer.
-func Beats(ctx context.Context, s *adminapi.Services, dial func(at []string, within time.Duration) *Client) (silent []string) {
+// FillHeartbeatAges asks the home gateways of servers, once each, for the age of those heartbeats
+// that the answering gateway did not receive itself. It returns the homes that did not answer.
+func FillHeartbeatAges(ctx context.Context, s *adminapi.Services, dial func(at []string, within time.Duration) *Client) (unanswered []string) {
 	var homes []string
 	for _, v := range s.Servers {
-		if v.BeatS == nil && v.HomeAt != "" && !slices.Contains(homes, v.HomeAt) && len(homes) < mostHomes {
+		if v.BeatS == nil && v.HomeAt != "" && !slices.Contains(homes, v.HomeAt) && len(homes) < maxHomes {
 			homes = append(homes, v.HomeAt)
 		}
 	}
 	var mu sync.Mutex
 	beats := map[string]*float64{}
-	for some := range slices.Chunk(homes, atOnce) {
+	for some := range slices.Chunk(homes, maxConcurrentCalls) {
 		var all sync.WaitGroup
 		for _, at := range some {
 			all.Go(func() {
-				told, _, err := dial([]string{at}, 0).Services(ctx)
+				answer, _, err := dial([]string{at}, 0).Services(ctx)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
-					silent = append(silent, at)
+					unanswered = append(unanswered, at)
 					return
 				}
-				for _, v := range told.Servers {
+				for _, v := range answer.Servers {
 					if v.HomeAt == at && v.BeatS != nil {
 						beats[v.ID] = v.BeatS
 					}
@@ -90,58 +90,59 @@
 	for i, v := range s.Servers {
 		s.Servers[i].BeatS = cmp.Or(v.BeatS, beats[v.ID])
 	}
-	slices.Sort(silent)
-	return silent
+	slices.Sort(unanswered)
+	return unanswered
 }
 
-// Drain makes the one gateway that the client calls send clients elsewhere, or take them
-// again. Unless alone, it refuses where they would have nowhere to go.
+// Drain makes the called gateway send clients elsewhere, or accept them again. Unless alone is set,
+// the gateway refuses to drain if no other gateway could take its clients.
 func (c *Client) Drain(ctx context.Context, on, alone bool) (*Answer, error) {
 	what := lo.Ternary(on, lo.Ternary(alone, "start-alone", "start"), "stop")
 	return c.call(ctx, http.MethodPost, "/api/drain/"+what, nil)
 }
 
-// WriteMembers prints the gateways by zone and name.
+// WriteMembers prints the gateways, sorted by zone and name.
 func WriteMembers(to io.Writer, m *adminapi.Members) error {
-	fmt.Fprintf(to, "as %s sees it%s%s\n\n", m.Asked, lo.Ternary(m.Draining, "; it drains", ""), apart(m.ContactS))
+	fmt.Fprintf(to, "as %s sees it%s%s\n\n", m.Asked, lo.Ternary(m.Draining, "; it drains", ""), contactWarning(m.ContactS))
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tZONE\tCONTROL\tCORE\tSTATE\tFOR\tREADY\tHOLDS\tNEWS\tSTARTED\tWATCHED BY")
 	slices.SortFunc(m.Gateways, func(a, b adminapi.Gateway) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
 	})
-	far := false
+	unwatched := false
 	for _, g := range m.Gateways {
-		news := age(g.NewsS)
+		news := formatDuration(g.NewsS)
 		switch {
 		case g.Addr == m.Mesh:
 			news = "itself"
 		case !g.Watched:
-			news, far = news+" *", true
+			news, unwatched = news+" *", true
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", g.Name, g.Zone, cmp.Or(g.Control, "-"), yes(g.Core), g.State, age(g.ForS),
-			yes(g.Ready), g.Holds, news, clock(g.Started), cmp.Or(strings.Join(g.Watchers, " "), "-"))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", g.Name, g.Zone, cmp.Or(g.Control, "-"), yesNo(g.Core), g.State, formatDuration(g.ForS),
+			yesNo(g.Ready), g.Holds, news, formatTime(g.Started), cmp.Or(strings.Join(g.Watchers, " "), "-"))
 	}
-	if err := w.Flush(); err != nil || !far {
+	if err := w.Flush(); err != nil || !unwatched {
 		return err
 	}
 	_, err := fmt.Fprintln(to, "\n* not watched from here: only changes are heard of. Its watchers know whether it beats.")
 	return err
 }
 
-// apart marks what a gateway shows that is not in touch with most of the core.
-func apart(contact *float64) string {
+// contactWarning returns a warning if the gateway is out of contact with a majority of the core,
+// since its data may be stale.
+func contactWarning(contact *float64) string {
 	switch {
 	case contact == nil || *contact >= 0 && *contact < 1:
 		return ""
 	case *contact < 0:
 		return "; it has had NO CONTACT with most of the core since its start"
 	}
-	return fmt.Sprintf("; it has had NO CONTACT with most of the core for %s: what it shows may be as old", age(*contact))
+	return fmt.Sprintf("; it has had NO CONTACT with most of the core for %s: what it shows may be as old", formatDuration(*contact))
 }
 
-// WriteServices prints servers by service.
+// WriteServices prints the servers, grouped by service.
 func WriteServices(to io.Writer, s *adminapi.Services) error {
-	fmt.Fprintf(to, "as %s sees it%s\n\n", s.Asked, apart(s.ContactS))
+	fmt.Fprintf(to, "as %s sees it%s\n\n", s.Asked, contactWarning(s.ContactS))
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVICE\tSERVER\tENDPOINT\tZONE\tPHASE\tWARM-UP LEFT\tLAST BEAT\tHOME")
 	slices.SortStableFunc(s.Servers, func(a, b adminapi.Server) int {
@@ -150,47 +151,48 @@
 	for _, v := range s.Servers {
 		beat, warm := "unknown", "-"
 		if v.BeatS != nil {
-			beat = age(*v.BeatS)
+			beat = formatDuration(*v.BeatS)
 		}
 		if v.WarmLeftS > 0 {
-			warm = age(v.WarmLeftS)
+			warm = formatDuration(v.WarmLeftS)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", v.Service, v.ID, v.Endpoint, v.Zone, v.Phase, warm, beat, cmp.Or(v.Home, "-"))
 	}
 	return w.Flush()
 }
 
-// WriteEpochs prints who does what, and the changes of it, the newest first.
+// WriteEpochs prints the roles of the core members in each epoch and what changed, newest first.
 func WriteEpochs(to io.Writer, e *adminapi.Epochs) error {
 	if len(e.Epochs) == 0 {
 		_, err := fmt.Fprintf(to, "as %s sees it: no epoch; the core has not agreed, or can't be reached from there\n", e.Asked)
 		return err
 	}
-	fmt.Fprintf(to, "as %s (%s) sees it%s\n\n", e.Asked, e.Role, apart(e.ContactS))
+	fmt.Fprintf(to, "as %s (%s) sees it%s\n\n", e.Asked, e.Role, contactWarning(e.ContactS))
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "KNOWN SINCE\tEPOCH\tPRIMARY\tBACKUP\tWITNESS\tWHAT CHANGED")
 	for i := len(e.Epochs) - 1; i >= 0; i-- {
 		now := e.Epochs[i]
 		what := "first that it saw since its start"
 		if i > 0 {
-			what = changed(e.Epochs[i-1], now)
+			what = describeChange(e.Epochs[i-1], now)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", clock(now.At), now.Epoch, does(now, "primary"), does(now, "backup"), does(now, "witness"), what)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", formatTime(now.At), now.Epoch, namesWithRole(now, "primary"), namesWithRole(now, "backup"), namesWithRole(now, "witness"), what)
 	}
 	return w.Flush()
 }
 
-func does(e adminapi.Epoch, what string) string {
+// namesWithRole lists the core members with a role in an epoch.
+func namesWithRole(e adminapi.Epoch, what string) string {
 	names := lo.FilterMap(e.Seats, func(s adminapi.CoreMember, _ int) (string, bool) { return s.Name, s.Does == what })
 	return cmp.Or(strings.Join(names, " "), "-")
 }
 
-// changed tells in words what one epoch has otherwise than the one before.
-func changed(was, is adminapi.Epoch) string {
-	duty := func(e adminapi.Epoch) map[string]adminapi.CoreMember {
+// describeChange describes how the roles of an epoch differ from the previous one.
+func describeChange(was, is adminapi.Epoch) string {
+	byAddr := func(e adminapi.Epoch) map[string]adminapi.CoreMember {
 		return lo.KeyBy(e.Seats, func(s adminapi.CoreMember) string { return s.Addr })
 	}
-	old, now := duty(was), duty(is)
+	old, now := byAddr(was), byAddr(is)
 	var words []string
 	for _, s := range is.Seats {
 		if o, ok := old[s.Addr]; !ok {
@@ -207,12 +209,12 @@
 	return cmp.Or(strings.Join(words, ", "), "none: the same agreed anew")
 }
 
-func yes(is bool) string { return lo.Ternary(is, "yes", "no") }
+func yesNo(is bool) string { return lo.Ternary(is, "yes", "no") }
 
-func clock(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05Z") }
+func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05Z") }
 
-// age is a time for people.
-func age(s float64) string {
+// formatDuration formats seconds with a unit that suits their size.
+func formatDuration(s float64) string {
 	switch {
 	case s < 10:
 		return fmt.Sprintf("%.1f s", s)
@@ -226,9 +228,9 @@
 	return fmt.Sprintf("%.0f d", s/86400)
 }
 
-// WriteQuotas prints what one gateway's decisions about quotas went by.
+// WriteQuotas prints the basis of one gateway's quota decisions.
 func WriteQuotas(to io.Writer, q *adminapi.Quotas) error {
-	fmt.Fprintf(to, "as %s sees it%s\n\n", q.Asked, apart(q.ContactS))
+	fmt.Fprintf(to, "as %s sees it%s\n\n", q.Asked, contactWarning(q.ContactS))
 	fmt.Fprintf(to, "reads %s, another one %d times, unanswered for %d ms\n", cmp.Or(q.Holder, "nobody"), q.HolderChanges, q.UnansweredMs)
 	fmt.Fprintf(to, "shares for %d gateways, %d in touch\n", q.SharesFor, q.InTouch)
 	fmt.Fprintf(to, "behind its holder in %d answers, by %.1f units at the most\n\n", q.BehindAnswers, q.BehindUnits)
--- a/internal/adminclient/status.go
+++ b/internal/adminclient/status.go
@@ -16,28 +16,28 @@
 	"asterwell/internal/rollout"
 )
 
-// Status is what one gateway knows: of itself, of agreement, of the others.
+// Status is one gateway's view of itself, of the consensus and of the other processes.
 type Status struct {
 	Name, Mesh     string
 	ContactS       *float64 // as in adminapi.Members
 	Ready, Leaving bool
-	Version        string // of the configuration in force there
-	Pact           Pact
+	Version        string // configuration in force at this gateway
+	Pact           Consensus
 	Rollout        rollout.Status
 	Turns          Turns
 	Nodes          []Node
 	Servers        []Server
 }
 
-// Turns is what that gateway has held in turns and refused since its start: InTurn where
-// one took too long, Unleased where nothing could be decided.
+// Turns counts the requests that the gateway has held for their turn since its start, and those it
+// refused: InTurn because a turn took too long, Unleased because no decision was possible.
 type Turns struct {
 	Held, InTurn, Unleased int64
 	HeldMostMs             float64
 }
 
-// Pact is agreement as that gateway sees it; the addresses are of the mesh.
-type Pact struct {
+// Consensus is the gateway's view of the consensus group. Addresses are mesh addresses.
+type Consensus struct {
 	Role             string
 	Epoch            uint64
 	Primary          string
@@ -53,28 +53,29 @@
 	Held                      uint32
 }
 
-// Server is one life of a server.
+// Server is one incarnation of a server.
 type Server struct {
 	ID, Addr, Service, Zone string
 	Capacity                int
 	Phase                   phase
 }
 
-// state and phase are words; a gateway may send their numbers.
+// state and phase are names. Gateways may send them as numbers.
 type (
 	state string
 	phase string
 )
 
 func (s *state) UnmarshalJSON(b []byte) error {
-	return word(b, (*string)(s), func(n uint8) string { return memberlist.State(n).String() })
+	return unmarshalName(b, (*string)(s), func(n uint8) string { return memberlist.State(n).String() })
 }
 
 func (p *phase) UnmarshalJSON(b []byte) error {
-	return word(b, (*string)(p), func(n uint8) string { return registry.Phase(n).String() })
+	return unmarshalName(b, (*string)(p), func(n uint8) string { return registry.Phase(n).String() })
 }
 
-func word(b []byte, to *string, name func(uint8) string) error {
+// unmarshalName decodes a name, or a number that it translates with name.
+func unmarshalName(b []byte, to *string, name func(uint8) string) error {
 	var n uint8
 	if err := json.Unmarshal(b, &n); err != nil {
 		return json.Unmarshal(b, to)
@@ -83,9 +84,9 @@
 	return nil
 }
 
-// Duty is what a process does in agreement. Of itself a gateway knows whether it still
-// has its seat; others go by the address alone.
-func (s *Status) Duty(n Node) string {
+// Role returns the role of a process in the consensus group. A gateway knows of itself whether it
+// is still a member; other processes are identified by address alone.
+func (s *Status) Role(n Node) string {
 	switch {
 	case n.Addr == s.Mesh && n.Member && s.Pact.Role == "follower":
 		return "joining"
@@ -101,15 +102,15 @@
 	return "-"
 }
 
-// Write prints two tables: the processes, and the servers by service and phase.
+// Write prints a table of the processes, and one of the servers by service and phase.
 func (s *Status) Write(to io.Writer) error {
 	fmt.Fprintf(to, "as %s sees it: epoch %d, primary %s, configuration %s%s\n\n", s.Name, s.Pact.Epoch,
-		cmp.Or(s.named(s.Pact.Primary), "none"), s.Version, apart(s.ContactS))
+		cmp.Or(s.nodeName(s.Pact.Primary), "none"), s.Version, contactWarning(s.ContactS))
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tZONE\tROLE\tSTATE\tHOLDS\tREADY\tCONTROL")
 	slices.SortFunc(s.Nodes, func(a, b Node) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
 	for _, n := range s.Nodes {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%08x\t%s\t%s\n", n.Name, n.Zone, s.Duty(n), n.State, n.Held,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%08x\t%s\t%s\n", n.Name, n.Zone, s.Role(n), n.State, n.Held,
 			lo.Ternary(n.Ready, "yes", "no"), n.Control)
 	}
 	if err := w.Flush(); err != nil {
@@ -117,20 +118,20 @@
 	}
 	fmt.Fprintln(w, "\nSERVICE\tSERVERS\tPHASES")
 	by := lo.GroupBy(s.Servers, func(v Server) string { return v.Service })
-	for _, service := range sorted(by) {
+	for _, service := range sortedKeys(by) {
 		phases := lo.CountValuesBy(by[service], func(v Server) string { return string(v.Phase) })
-		texts := lo.Map(sorted(phases), func(p string, _ int) string { return fmt.Sprintf("%d %s", phases[p], p) })
+		texts := lo.Map(sortedKeys(phases), func(p string, _ int) string { return fmt.Sprintf("%d %s", phases[p], p) })
 		fmt.Fprintf(w, "%s\t%d\t%s\n", service, len(by[service]), strings.Join(texts, ", "))
 	}
 	return w.Flush()
 }
 
-func (s *Status) named(addr string) string {
+func (s *Status) nodeName(addr string) string {
 	n, _ := lo.Find(s.Nodes, func(n Node) bool { return n.Addr == addr })
 	return cmp.Or(n.Name, addr)
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	keys := lo.Keys(m)
 	slices.Sort(keys)
 	return keys
--- a/internal/bench/faultlosses.go
+++ b/internal/bench/faultlosses.go
@@ -172,7 +172,7 @@
 			outcomes[s.Outcome]++
 		}
 	}
-	if un := (*adminclient.Unheard)(nil); errors.As(err, &un) {
+	if un := (*adminclient.UnreachedError)(nil); errors.As(err, &un) {
 		err = nil // what only it had is missing, and that is told
 	}
 	return ids, outcomes, err
