--- a/internal/faultrules/world/contact_test.go
+++ b/internal/faultrules/world/contact_test.go
@@ -7,25 +7,25 @@
 	"asterwell/internal/faultrules"
 )
 
-// TestDeposedReads: a primary that was followed says nothing of the rules, from its first moment.
+// TestDeposedReads checks that a replaced primary answers no reads.
 func TestDeposedReads(t *testing.T) {
 	t.Parallel()
 	if w, ok := Deposed(faultrules.Sound); !ok || w.Broken != "" || w.Reads != 0 {
 		t.Errorf("taken: %v; %d reads; %s %s", ok, w.Reads, w.Broken, w.Detail)
 	}
 	if w, ok := Deposed(faultrules.Unconfirmed); !ok || w.Broken != "STALE" {
-		t.Errorf("the guard taken out is not met: %v, %s", ok, w.Broken)
+		t.Errorf("the injected bug is not detected: %v, %s", ok, w.Broken)
 	}
 }
 
-// late plays a stop whose way to the primary is held up until its caller has long been told
-// that nobody could take it, and another set has been put.
-func late(t *testing.T, bug faultrules.Bug) faultrules.State {
+// delayedStop delays a stop on its way to the primary until its caller has been answered Busy and
+// another set has been put.
+func delayedStop(t *testing.T, bug faultrules.Bug) faultrules.State {
 	w := New(1, bug, 5, 3)
 	w.Run(time.Second)
-	w.Put(w.procs[1], long("a"), nil)
+	w.Put(w.procs[1], longRule("a"), nil)
 	w.Run(3 * time.Second)
-	w.hold(w.procs[4], w.procs[0], func(msg any) bool {
+	w.holdMessages(w.procs[4], w.procs[0], func(msg any) bool {
 		f, ok := msg.(faultrules.Forward)
 		return ok && f.Op == faultrules.OpStop
 	})
@@ -33,13 +33,13 @@
 	w.Stop(w.procs[4], func(a faultrules.Answer) { first = a })
 	w.Run(2 * time.Second)
 	if first.Outcome != faultrules.Busy {
-		t.Fatal("the call that is held up gets an answer:", first)
+		t.Fatal("the delayed call is not answered with Busy:", first)
 	}
 	w.Stop(w.procs[3], nil)
 	w.Run(2 * time.Second)
-	w.Put(w.procs[1], long("b"), nil)
+	w.Put(w.procs[1], longRule("b"), nil)
 	w.Run(4 * time.Second)
-	w.release()
+	w.releaseMessages()
 	w.Run(2 * time.Second)
 	var last faultrules.State
 	w.Read(w.procs[1], func(a faultrules.Answer) { last = a.State })
@@ -47,30 +47,30 @@
 	return last
 }
 
-// TestLateStop: a call changes what stood when it was made, and nothing that came since.
+// TestLateStop checks that a delayed stop does not affect a set that was put after the call.
 func TestLateStop(t *testing.T) {
 	t.Parallel()
-	if s := late(t, faultrules.Sound); s.Version != 2 || s.Stopped || !s.Active {
-		t.Errorf("a stop from before has stopped it: %+v", s)
+	if s := delayedStop(t, faultrules.Sound); s.Version != 2 || s.Stopped || !s.Active {
+		t.Errorf("a stop sent before the put has stopped the set: %+v", s)
 	}
-	if s := late(t, faultrules.Unfenced); !s.Stopped {
-		t.Errorf("the guard taken out is not met: %+v", s)
+	if s := delayedStop(t, faultrules.Unfenced); !s.Stopped {
+		t.Errorf("the injected bug is not detected: %+v", s)
 	}
 }
 
-// TestStopAgain: a stop ends the set that it names, and no other, whenever a copy of it comes and
-// whoever leads by then; one for a set that was never accepted is not acknowledged.
+// TestStopAgain checks that a repeated stop ends only the set that it names, even if the primary has
+// changed, and that a stop of a set that was never accepted is not acknowledged.
 func TestStopAgain(t *testing.T) {
 	again := func(bug faultrules.Bug, between func(w *World)) (*World, faultrules.Answer, faultrules.State) {
 		w := New(1, bug, 5, 3)
 		w.Run(time.Second)
-		w.Put(w.procs[1], long("a"), nil)
+		w.Put(w.procs[1], longRule("a"), nil)
 		w.Run(3 * time.Second)
 		var first, last faultrules.Answer
 		w.StopOf(w.procs[4], 1, func(a faultrules.Answer) { first = a })
 		between(w)
 		w.Run(3 * time.Second)
-		w.Put(w.procs[2], long("b"), nil)
+		w.Put(w.procs[2], longRule("b"), nil)
 		w.Run(4 * time.Second)
 		w.StopOf(w.procs[3], 1, func(a faultrules.Answer) { last = a })
 		w.Run(2 * time.Second)
@@ -95,14 +95,14 @@
 		}
 	}
 	if w, _, _ := again(faultrules.Numberless, func(*World) {}); w.Broken != "SPARED" {
-		t.Errorf("the guard taken out is not met: %s", w.Broken)
+		t.Errorf("the injected bug is not detected: %s", w.Broken)
 	}
 	w := New(1, faultrules.Sound, 5, 3)
 	var early faultrules.Answer
 	w.Run(time.Second)
 	w.StopOf(w.procs[3], 1, func(a faultrules.Answer) { early = a })
 	w.Run(time.Second)
-	if put(t, w, w.procs[1], long("a")); early.Outcome != faultrules.Absent {
-		t.Errorf("a stop of what has not come gets %d", early.Outcome)
+	if put(t, w, w.procs[1], longRule("a")); early.Outcome != faultrules.Absent {
+		t.Errorf("a stop of a set that was not put yet gets %d", early.Outcome)
 	}
 }
--- a/internal/faultrules/world/day.go
+++ b/internal/faultrules/world/day.go
@@ -6,14 +6,14 @@
 	"asterwell/internal/faultrules"
 )
 
-// Play plays the day of a seed: rules come and are stopped, and what can go wrong does.
+// Play runs the random scenario of a seed: rules are put and stopped while faults are injected.
 func Play(seed uint64, bug faultrules.Bug) *World {
 	w := New(seed, bug, 5, 3)
 	w.Traffic(20*ms, nil)
-	w.reads(70 * ms)
+	w.scheduleReads(70 * ms)
 	for range 25 {
-		w.trouble()
-		w.Run(100*ms + w.upTo(1500*ms))
+		w.injectFault()
+		w.Run(100*ms + w.randomDuration(1500*ms))
 		if w.Broken != "" {
 			return w
 		}
@@ -25,16 +25,17 @@
 	w.Run(3 * time.Second)
 	w.Stop(w.Leader(), nil)
 	w.Run(3 * time.Second)
-	if w.Broken == "" && w.stopped == 0 {
-		w.breaks("STUCK", "all is well, and a stop is not acknowledged")
+	if w.Broken == "" && w.stopAckedAt == 0 {
+		w.violate("STUCK", "all is well, and a stop is not acknowledged")
 	}
 	return w
 }
 
-func (w *World) trouble() {
+// injectFault performs a random operator call or fault.
+func (w *World) injectFault() {
 	p := w.procs[w.rng.IntN(len(w.procs))]
 	switch w.rng.IntN(16) {
-	case 14, 15: // also of one that has been replaced, or has not come yet
+	case 14, 15: // possibly of a set that was replaced or not put yet
 		if p.up {
 			w.StopOf(p, 1+w.rng.Uint32N(w.version+2), nil)
 		}
@@ -58,7 +59,7 @@
 		w.Cut(p)
 	case 6:
 		w.Mend()
-	case 7: // a member at a time
+	case 7: // at most one member is down at a time
 		down := false
 		for _, o := range w.procs {
 			down = down || o.member && !o.up
@@ -71,13 +72,13 @@
 			w.Boot(o)
 		}
 	case 9:
-		w.Freeze(p, w.upTo(4*time.Second))
-	default: // agreement names another, who mostly can be reached
-		if p.member && p.up && !p.blind {
+		w.Freeze(p, w.randomDuration(4*time.Second))
+	default: // consensus elects another primary
+		if p.member && p.up && !p.consensusBlind {
 			old := w.Leader()
 			w.Lead(p)
 			if w.rng.IntN(2) == 0 {
-				old.blind = true // and goes on as before
+				old.consensusBlind = true // the old primary does not learn of it and carries on
 			}
 		}
 	}
--- a/internal/faultrules/world/rules.go
+++ b/internal/faultrules/world/rules.go
@@ -9,55 +9,58 @@
 	"asterwell/internal/faultrules"
 )
 
-// Rules is what is judged, and what came of the day.
+// Rules holds the invariants that a simulation checks, their first violation, and statistics.
 type Rules struct {
 	Broken, Detail string
 	At             time.Duration
 
-	sets    map[uint32]*set // by version
-	turn    uint64          // the newest that struck
-	stopped time.Duration   // when the last stop was acknowledged; 0: not since a put
+	sets        map[uint32]*set // by version
+	turn        uint64          // newest turn that struck
+	stopAckedAt time.Duration   // when the last stop was acknowledged; 0 for never
 
-	afterStrike func(*Proc) // what a test does right after a strike
+	afterStrike func(*Proc) // test hook, called after each strike
 
-	stopTurn uint64          // every set before it is stopped
-	meant    map[uint32]bool // sets that a stop was sent for
-	open     int             // stops under way that named none
-	ended    map[uint32]bool // by an acknowledged stop
-	told     uint64          // the newest turn that an acknowledgement told
+	stopTurn     uint64          // sets of lower turns are stopped
+	stopAllowed  map[uint32]bool // sets for which a stop was sent
+	unnamedStops int             // pending stops without a version
+	ackedStops   map[uint32]bool // versions with an acknowledged stop
+	ackedTurn    uint64          // newest acknowledged turn
 
 	Requests, Strikes, Messages int
-	Others                      int // requests of others
+	Others                      int // requests of the other tenant
 	OthersStruck                int
-	Missed                      int // drawn, in force, and gone without a strike for want of a part
-	Void                        int // drawn, and not on record in time
+	Missed                      int // selected by a rule in force, but no strike was granted in time
+	Void                        int // selected, but not recorded in time
 	OverBudget, AfterEnd        int
-	AfterStop                   time.Duration // the latest strike after a stop's acknowledgement
+	AfterStop                   time.Duration // longest time from a stop's acknowledgement to a later strike
 	Stops, Reads                int
 }
 
+// set is a rule set that was put, with the answers and strikes seen for it.
 type set struct {
-	ack    time.Duration
-	rules  []faultrules.Rule
-	struck map[string]int
+	ackedAt time.Duration
+	rules   []faultrules.Rule
+	struck  map[string]int
 
-	body   []byte
-	taken  string // the text that was acknowledged
-	denied map[string]bool
+	body          []byte
+	ackedBody     string // the acknowledged body
+	refusedBodies map[string]bool
 }
 
+// The tenants. Rules apply to Struck only.
 const (
 	Struck = "shipper-1"
-	other  = "shipper-10" // the first is its beginning
+	other  = "shipper-10" // has Struck as a prefix
 )
 
-func (w *World) breaks(rule, form string, args ...any) {
+// violate records the first violation of an invariant, which ends the simulation.
+func (w *World) violate(rule, form string, args ...any) {
 	if w.Broken == "" {
 		w.Broken, w.At, w.Detail = rule, w.now, fmt.Sprintf(form, args...)
 	}
 }
 
-// Put sends a set to a process; done may be nil.
+// Put sends a rule set to a process. done may be nil.
 func (w *World) Put(p *Proc, rules []faultrules.Rule, done func(faultrules.Answer)) {
 	w.version++
 	body, err := json.Marshal(faultrules.Set{Version: w.version, By: "op", Why: "exercise", Rules: rules})
@@ -68,120 +71,121 @@
 	if w.sets == nil {
 		w.sets = map[uint32]*set{}
 	}
-	of := &set{rules: rules, struck: map[string]int{}, body: body, denied: map[string]bool{}}
+	of := &set{rules: rules, struck: map[string]int{}, body: body, refusedBodies: map[string]bool{}}
 	w.sets[w.version] = of
-	if w.open > 0 {
-		w.mean(w.version)
+	if w.unnamedStops > 0 {
+		w.allowStop(w.version)
 	}
 	p.call(faultrules.OpPut, doc, func(a faultrules.Answer) {
 		if a.Outcome == faultrules.Done && a.State.Version == doc.Version && !a.State.Stopped {
-			of.ack = w.now
-			w.told = max(w.told, a.State.Turn)
+			of.ackedAt = w.now
+			w.ackedTurn = max(w.ackedTurn, a.State.Turn)
 		}
-		w.judged(of, body, a)
+		w.checkPutAnswer(of, body, a)
 		if done != nil {
 			done(a)
 		}
 	})
 }
 
-// Again sends one of the sets once more, or another text under its number.
+// Again sends an earlier set again, or a different body under its version.
 func (w *World) Again(p *Proc, version uint32, other bool) {
 	of := w.sets[version]
 	body := of.body
 	if other {
 		body = bytes.Replace(body, []byte(`"exercise"`), []byte(`"another exercise"`), 1)
 	}
-	p.call(faultrules.OpPut, faultrules.Doc{Version: version, Body: body}, func(a faultrules.Answer) { w.judged(of, body, a) })
+	p.call(faultrules.OpPut, faultrules.Doc{Version: version, Body: body}, func(a faultrules.Answer) { w.checkPutAnswer(of, body, a) })
 }
 
-// judged: of a number one text is acknowledged, and what was is never refused.
-func (w *World) judged(of *set, body []byte, a faultrules.Answer) {
+// checkPutAnswer checks that only one body is acknowledged for a version, and that an acknowledged
+// body is never refused.
+func (w *World) checkPutAnswer(of *set, body []byte, a faultrules.Answer) {
 	text := string(body)
 	switch a.Outcome {
 	case faultrules.Done:
-		if of.taken != "" && of.taken != text {
-			w.breaks("TEXTS", "two texts of one number are acknowledged: %s and %s", of.taken, text)
+		if of.ackedBody != "" && of.ackedBody != text {
+			w.violate("TEXTS", "two texts of one number are acknowledged: %s and %s", of.ackedBody, text)
 		}
-		if of.taken = text; of.denied[text] {
-			w.breaks("TEXTS", "%s was refused, and is acknowledged", text)
+		if of.ackedBody = text; of.refusedBodies[text] {
+			w.violate("TEXTS", "%s was refused, and is acknowledged", text)
 		}
 	case faultrules.Below:
-		if of.denied[text] = true; of.taken == text {
-			w.breaks("REFUSED", "%s was acknowledged, and is refused", text)
+		if of.refusedBodies[text] = true; of.ackedBody == text {
+			w.violate("REFUSED", "%s was acknowledged, and is refused", text)
 		}
 	}
 }
 
-// Stop stops whatever set is kept when the call comes to a process.
+// Stop stops the set that is committed when the call arrives.
 func (w *World) Stop(p *Proc, done func(faultrules.Answer)) {
 	for v := range w.sets {
-		w.mean(v)
+		w.allowStop(v)
 	}
-	w.open++
+	w.unnamedStops++
 	w.stop(p, 0, func(a faultrules.Answer) {
-		w.open--
+		w.unnamedStops--
 		if done != nil {
 			done(a)
 		}
 	})
 }
 
-// StopOf stops a set, whether it is the newest or another one by then.
+// StopOf stops the set with this version, whether or not it is the newest.
 func (w *World) StopOf(p *Proc, version uint32, done func(faultrules.Answer)) {
-	w.mean(version)
+	w.allowStop(version)
 	w.stop(p, version, done)
 }
 
-func (w *World) mean(version uint32) { w.meant[version] = true }
+func (w *World) allowStop(version uint32) { w.stopAllowed[version] = true }
 
 func (w *World) stop(p *Proc, version uint32, done func(faultrules.Answer)) {
 	p.call(faultrules.OpStop, faultrules.Doc{Version: version}, func(a faultrules.Answer) {
 		switch a.Outcome {
 		case faultrules.Done:
-			w.stopped, w.stopTurn = w.now, max(w.stopTurn, a.State.Turn)
-			w.told = max(w.told, a.State.Turn)
+			w.stopAckedAt, w.stopTurn = w.now, max(w.stopTurn, a.State.Turn)
+			w.ackedTurn = max(w.ackedTurn, a.State.Turn)
 			w.Stops++
-			w.ended[version] = true
+			w.ackedStops[version] = true
 		case faultrules.Absent:
-			if version > 0 && w.ended[version] {
-				w.breaks("REFUSED", "the stop of set %d was acknowledged, and is refused", version)
+			if version > 0 && w.ackedStops[version] {
+				w.violate("REFUSED", "the stop of set %d was acknowledged, and is refused", version)
 			}
 		}
-		w.spared(a)
+		w.checkStopRequested(a)
 		if done != nil {
 			done(a)
 		}
 	})
 }
 
-// spared: no set is stopped but those that a stop was sent for.
-func (w *World) spared(a faultrules.Answer) {
-	if s := a.State; s.Stopped && s.Version > 0 && !w.meant[s.Version] {
-		w.breaks("SPARED", "set %d is stopped, and nobody asked for it", s.Version)
+// checkStopRequested checks that a stopped set is one for which a stop was sent.
+func (w *World) checkStopRequested(a faultrules.Answer) {
+	if s := a.State; s.Stopped && s.Version > 0 && !w.stopAllowed[s.Version] {
+		w.violate("SPARED", "set %d is stopped, and nobody asked for it", s.Version)
 	}
 }
 
-// Read asks a process how the rules stand: an answer must know of all that was acknowledged
-// before.
+// Read asks a process for the status of the rules, and checks that the answer includes every change
+// acknowledged before the call.
 func (w *World) Read(p *Proc, done func(faultrules.Answer)) {
-	floor := w.told
+	floor := w.ackedTurn
 	p.call(faultrules.OpGet, faultrules.Doc{}, func(a faultrules.Answer) {
 		if a.Outcome == faultrules.Read {
 			w.Reads++
 			if a.State.Turn < floor {
-				w.breaks("STALE", "%s reads turn %d, %d was acknowledged", p.Name, a.State.Turn, floor)
+				w.violate("STALE", "%s reads turn %d, %d was acknowledged", p.Name, a.State.Turn, floor)
 			}
 		}
-		w.spared(a)
+		w.checkStopRequested(a)
 		if done != nil {
 			done(a)
 		}
 	})
 }
 
-// reads has one process after the other asked.
-func (w *World) reads(pace time.Duration) {
+// scheduleReads reads the status from each process in turn.
+func (w *World) scheduleReads(pace time.Duration) {
 	n := 0
 	w.every(pace, func() {
 		n++
@@ -192,13 +196,14 @@
 }
 
 func (p *Proc) call(op faultrules.Op, doc faultrules.Doc, done func(faultrules.Answer)) {
-	p.last++
-	id := p.last
+	p.lastCall++
+	id := p.lastCall
 	p.calls[id] = done
 	p.input(func() faultrules.Out { return p.m.Call(p.clock(), id, op, doc) })
 }
 
-// Traffic sends each process requests at a pace, of the struck tenant and of another.
+// Traffic periodically sends each process a request of the struck tenant and one of another. to, if
+// set, selects the processes.
 func (w *World) Traffic(pace time.Duration, to func(*Proc) bool) {
 	w.every(pace, func() {
 		for _, p := range w.procs {
@@ -210,14 +215,14 @@
 			id := fmt.Sprintf("r%d", w.Requests)
 			if _, v := p.judge.Strike(p.clock(), faultrules.Request{ID: id, Tenant: other, Route: "renominate", Method: "POST"}); v != faultrules.Pass {
 				w.OthersStruck++
-				w.breaks("OTHERS", "%s strikes %s", p.Name, other)
+				w.violate("OTHERS", "%s strikes %s", p.Name, other)
 			}
 			p.strike(id, w.now, nil)
 		}
 	})
 }
 
-// strike is what the data plane does with a request, waiting for a part if it must.
+// strike handles a request as the data plane does, waiting for a granted strike if necessary.
 func (p *Proc) strike(id string, since time.Duration, leave func()) {
 	w := p.w
 	q := faultrules.Request{ID: id, Tenant: Struck, Route: "renominate", Method: "POST"}
@@ -228,18 +233,18 @@
 	switch {
 	case v == faultrules.Hit:
 		p.hurry()
-		p.made(s, q, w.now)
-	case v == faultrules.Short && w.now-since >= patience:
+		p.applyWhenRecorded(s, q, w.now)
+	case v == faultrules.Short && w.now-since >= strikeTimeout:
 		w.Missed++
 	case v == faultrules.Short:
 		leave := p.judge.Queue(s.Rule)
 		p.hurry()
-		p.soon(func() { p.strike(id, since, leave) })
+		p.retrySoon(func() { p.strike(id, since, leave) })
 	}
 }
 
-// made waits until a strike is on record, and lets it befall its request.
-func (p *Proc) made(s faultrules.Strike, q faultrules.Request, since time.Duration) {
+// applyWhenRecorded waits until a strike is recorded, and then applies it.
+func (p *Proc) applyWhenRecorded(s faultrules.Strike, q faultrules.Request, since time.Duration) {
 	w := p.w
 	switch v := p.judge.Made(p.clock(), s); {
 	case v == faultrules.Hit:
@@ -247,9 +252,9 @@
 		if p.judge.Struck(s, q, "ran"); w.afterStrike != nil {
 			w.afterStrike(p)
 		}
-	case v == faultrules.Short && w.now-since < patience:
+	case v == faultrules.Short && w.now-since < strikeTimeout:
 		p.hurry()
-		p.soon(func() { p.made(s, q, since) })
+		p.retrySoon(func() { p.applyWhenRecorded(s, q, since) })
 	default:
 		w.Void++
 		p.judge.Unmade(s, q, "not made")
@@ -258,20 +263,21 @@
 
 func (p *Proc) hurry() { p.input(func() faultrules.Out { return p.m.Hurry(p.clock()) }) }
 
-func (p *Proc) soon(do func()) {
+// retrySoon runs do after a short delay, unless the process restarts first.
+func (p *Proc) retrySoon(do func()) {
 	life := p.life
-	p.w.after(max(5*ms, p.thaws-p.w.now), func() {
+	p.w.after(max(5*ms, p.frozenUntil-p.w.now), func() {
 		switch {
 		case !p.up || p.life != life:
 		case p.frozen():
-			p.soon(do)
+			p.retrySoon(do)
 		default:
 			do()
 		}
 	})
 }
 
-// recorded is how many members have a note of a life on their disks.
+// recorded counts the members that have a note on disk.
 func (w *World) recorded(addr string, life, seq uint64) (n int) {
 	for _, p := range w.procs {
 		for _, e := range p.log {
@@ -284,22 +290,23 @@
 	return n
 }
 
+// struck checks the invariants for an applied strike.
 func (w *World) struck(p *Proc, s faultrules.Strike) {
-	if n := w.recorded(p.addr, p.number(), s.Seq); n <= len(w.members)/2 {
-		w.breaks("RECORD", "strike %d of %s, life %d, is on %d of %d disks", s.Seq, p.Name, p.life, n, len(w.members))
+	if n := w.recorded(p.addr, p.incarnation(), s.Seq); n <= len(w.members)/2 {
+		w.violate("RECORD", "strike %d of %s, life %d, is on %d of %d disks", s.Seq, p.Name, p.life, n, len(w.members))
 	}
 	turn, version := p.m.Held()
 	w.Strikes++
 	p.Strikes++
 	of := w.sets[version]
 	if turn < w.turn {
-		w.breaks("ORDER", "%s strikes by set %d after others by set %d", p.Name, turn, w.turn)
+		w.violate("ORDER", "%s strikes by set %d after others by set %d", p.Name, turn, w.turn)
 	}
 	if turn > w.turn {
 		w.turn = turn
 		for _, o := range w.procs {
 			if held, _ := o.m.Held(); o.up && o.settled(p) && held < turn {
-				w.breaks("ACTIVE", "%s strikes by set %d, which %s does not hold", p.Name, turn, o.Name)
+				w.violate("ACTIVE", "%s strikes by set %d, which %s does not hold", p.Name, turn, o.Name)
 			}
 		}
 	}
@@ -310,22 +317,22 @@
 		}
 		if of.struck[r.Name] > r.Budget {
 			w.OverBudget++
-			w.breaks("BUDGET", "%d strikes of %d by set %d", of.struck[r.Name], r.Budget, turn)
+			w.violate("BUDGET", "%d strikes of %d by set %d", of.struck[r.Name], r.Budget, turn)
 		}
-		if of.ack > 0 && w.now > of.ack+r.Ends() {
+		if of.ackedAt > 0 && w.now > of.ackedAt+r.Ends() {
 			w.AfterEnd++
-			w.breaks("END", "%s strikes %v after the end", p.Name, w.now-of.ack-r.Ends())
+			w.violate("END", "%s strikes %v after the end", p.Name, w.now-of.ackedAt-r.Ends())
 		}
 	}
-	if w.stopped > 0 && turn < w.stopTurn {
-		w.AfterStop = max(w.AfterStop, w.now-w.stopped)
-		if w.now > w.stopped+faultrules.LeaseFor {
-			w.breaks("STOP", "%s strikes %v after the stop", p.Name, w.now-w.stopped)
+	if w.stopAckedAt > 0 && turn < w.stopTurn {
+		w.AfterStop = max(w.AfterStop, w.now-w.stopAckedAt)
+		if w.now > w.stopAckedAt+faultrules.LeaseFor {
+			w.violate("STOP", "%s strikes %v after the stop", p.Name, w.now-w.stopAckedAt)
 		}
 	}
 }
 
-// StruckBy is what rule r of the newest set has struck.
+// StruckBy returns the number of strikes by rule "r" of the newest set.
 func (w *World) StruckBy() int {
 	if s := w.sets[w.version]; s != nil {
 		return s.struck["r"]
@@ -333,8 +340,9 @@
 	return 0
 }
 
-// settled: it has run for a while, as has its way to another, and membership knows that.
+// settled reports whether a process has been up and connected to another for long enough that
+// membership considers it live.
 func (p *Proc) settled(to *Proc) bool {
 	w := p.w
-	return !p.frozen() && w.now-p.booted > gone && !w.apart(p, to, 0) && w.now-w.changed > gone
+	return !p.frozen() && w.now-p.booted > failureTimeout && !w.disconnected(p, to, 0) && w.now-w.topologyChangedAt > failureTimeout
 }
--- a/internal/faultrules/world/world.go
+++ b/internal/faultrules/world/world.go
@@ -1,7 +1,6 @@
-// Package world plays fault rules in simulated time: processes with their disks, links that
-// are cut, a primary that is lost or doesn't know that it is not one any more, a tenant that
-// is struck and others that must not be. What it checks is in rules.go, what may befall the
-// processes in day.go.
+// Package world simulates fault rules in virtual time: processes with disks, cut links, a primary
+// that fails or doesn't know that it has been replaced, a tenant that rules strike and another that
+// they must not. The checked invariants are in rules.go, the injected faults in day.go.
 package world
 
 import (
@@ -17,64 +16,64 @@
 )
 
 const (
-	ms       = time.Millisecond
-	tick     = 50 * ms
-	gone     = 1300 * ms // without a way there: membership holds it for gone
-	Longest  = time.Hour
-	patience = 300 * ms // of a drawn request for its strike
+	ms             = time.Millisecond
+	tickInterval   = 50 * ms
+	failureTimeout = 1300 * ms // after which membership considers an unreachable process gone
+	Longest        = time.Hour
+	strikeTimeout  = 300 * ms // how long a selected request waits for its strike
 )
 
-// World is one day.
+// World is one simulation.
 type World struct {
-	rng   *rand.Rand
-	now   time.Duration
-	queue fsm.EventQueue
-	order uint64
-	bug   faultrules.Bug
-
-	procs   []*Proc
-	by      map[string]*Proc
-	members []string
-	cuts    map[[2]string]time.Duration
-	held    *hold
-	epoch   uint64
-	primary string
-	version uint32
-	changed time.Duration // when a way was cut or mended, or another became the primary
+	rng           *rand.Rand
+	now           time.Duration
+	queue         fsm.EventQueue
+	eventSequence uint64
+	bug           faultrules.Bug
+
+	procs             []*Proc
+	byAddr            map[string]*Proc
+	members           []string
+	cuts              map[[2]string]time.Duration
+	heldLink          *heldLink
+	epoch             uint64
+	primary           string
+	version           uint32
+	topologyChangedAt time.Duration // last change of a link or of the primary
 
 	Rules
 }
 
-// Proc is a machine and the process on it.
+// Proc is a simulated process with its disk.
 type Proc struct {
-	w       *World
-	Name    string
-	addr    string
-	member  bool
-	m       *faultrules.Machine
-	judge   *faultrules.Judge
-	start   time.Duration
-	life    int
-	booted  time.Duration
-	up      bool
-	blind   bool // it hears nothing of agreement: an old primary goes on
-	unaware bool // it started after the last election, and agreement has told it nothing
-	old     bool // of a version that doesn't put strikes on record
-	thaws   time.Duration
-	disk    []byte
-	log     []faultrules.Entry // beside it
-	synced  time.Duration      // when the last write will be: they come in their order
-	Strikes int
-	calls   map[uint64]func(faultrules.Answer)
-	last    uint64
+	w              *World
+	Name           string
+	addr           string
+	member         bool
+	m              *faultrules.Machine
+	judge          *faultrules.Judge
+	start          time.Duration
+	life           int
+	booted         time.Duration
+	up             bool
+	consensusBlind bool // gets no consensus updates: an old primary carries on
+	epochUnknown   bool // started after the last election and does not know its result
+	noRecording    bool // runs a software version that doesn't record strikes
+	frozenUntil    time.Duration
+	disk           []byte
+	log            []faultrules.Entry // strike log, stored beside disk
+	synced         time.Duration      // when the last write completes: writes complete in order
+	Strikes        int
+	calls          map[uint64]func(faultrules.Answer)
+	lastCall       uint64
 }
 
-// New starts so many processes, the first of which have disks and the very first is primary.
+// New starts a simulation. The first processes are members with disks, and the first is the primary.
 func New(seed uint64, bug faultrules.Bug, nodes, members int) *World {
-	w := &World{Rules: Rules{meant: map[uint32]bool{}, ended: map[uint32]bool{}}, rng: rand.New(rand.NewPCG(seed, 0xfa17)), bug: bug, by: map[string]*Proc{}, cuts: map[[2]string]time.Duration{}}
+	w := &World{Rules: Rules{stopAllowed: map[uint32]bool{}, ackedStops: map[uint32]bool{}}, rng: rand.New(rand.NewPCG(seed, 0xfa17)), bug: bug, byAddr: map[string]*Proc{}, cuts: map[[2]string]time.Duration{}}
 	for i := range nodes {
 		p := &Proc{w: w, Name: fmt.Sprintf("n%d", i+1), addr: fmt.Sprintf("10.1.0.%d:7000", i+1), member: i < members}
-		w.procs, w.by[p.addr] = append(w.procs, p), p
+		w.procs, w.byAddr[p.addr] = append(w.procs, p), p
 		if p.member {
 			w.members = append(w.members, p.addr)
 		}
@@ -86,22 +85,22 @@
 	return w
 }
 
-// Now is the day's time.
+// Now returns the simulated time since the start.
 func (w *World) Now() time.Duration { return w.now }
 
-// Procs are the processes.
+// Procs returns all processes.
 func (w *World) Procs() []*Proc { return w.procs }
 
 func (w *World) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, fsm.Event{At: w.now + d, Sequence: w.order, Run: do})
+	w.eventSequence++
+	heap.Push(&w.queue, fsm.Event{At: w.now + d, Sequence: w.eventSequence, Run: do})
 }
 
 func (w *World) every(d time.Duration, do func()) {
 	w.after(d, func() { do(); w.every(d, do) })
 }
 
-// Run lets time pass, unless a rule is broken.
+// Run advances the time by d. It stops processing events at the first violation.
 func (w *World) Run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].At <= end && w.Broken == "" {
@@ -114,10 +113,10 @@
 
 func (p *Proc) clock() fsm.Time { return time.Hour + p.w.now - p.start }
 
-func (p *Proc) frozen() bool { return p.thaws > p.w.now }
+func (p *Proc) frozen() bool { return p.frozenUntil > p.w.now }
 
 func (p *Proc) boot() {
-	p.up, p.thaws, p.blind, p.unaware = true, 0, false, !p.member && p.life > 0
+	p.up, p.frozenUntil, p.consensusBlind, p.epochUnknown = true, 0, false, !p.member && p.life > 0
 	p.life++
 	p.booted = p.w.now
 	p.start, p.calls = p.w.now-time.Duration(p.w.rng.Int64N(int64(time.Hour))), map[uint64]func(faultrules.Answer){}
@@ -129,59 +128,60 @@
 		}
 	}
 	p.judge = faultrules.NewJudge()
-	p.m = faultrules.New(faultrules.Config{Self: p.addr, Name: p.Name, Life: p.number(), Seed: p.w.rng.Uint64(), Member: p.member, Longest: Longest, Bug: p.w.bug},
+	p.m = faultrules.New(faultrules.Config{Self: p.addr, Name: p.Name, Life: p.incarnation(), Seed: p.w.rng.Uint64(), Member: p.member, Longest: Longest, Bug: p.w.bug},
 		p.judge, d, p.clock())
 	life := p.life
 	p.w.after(0, func() { p.tick(life) })
 }
 
-func (p *Proc) number() uint64 { return uint64(1000 + p.life) }
+func (p *Proc) incarnation() uint64 { return uint64(1000 + p.life) }
 
 func (p *Proc) tick(life int) {
 	if !p.up || p.life != life {
 		return
 	}
 	p.input(func() faultrules.Out { return p.m.Tick(p.clock()) })
-	next := tick
+	next := tickInterval
 	if p.frozen() {
-		next = p.thaws - p.w.now
+		next = p.frozenUntil - p.w.now
 	}
 	p.w.after(next, func() { p.tick(life) })
 }
 
-// input gives something to a process once it has thawed.
+// input runs a step of a process, or defers it while the process is frozen.
 func (p *Proc) input(do func() faultrules.Out) {
 	if !p.up {
 		return
 	}
 	if life := p.life; p.frozen() {
-		p.w.after(p.thaws-p.w.now, func() {
+		p.w.after(p.frozenUntil-p.w.now, func() {
 			if p.life == life {
 				p.input(do)
 			}
 		})
 		return
 	}
-	p.see()
-	p.carry(do())
+	p.updateViews()
+	p.perform(do())
 }
 
-// see tells a process what membership and agreement know. Its own word goes first.
-func (p *Proc) see() {
+// updateViews passes the current views of membership and consensus to a process.
+func (p *Proc) updateViews() {
 	w := p.w
 	var nodes []faultrules.Node
 	for _, o := range w.procs {
-		if o.up && !w.apart(p, o, gone) {
-			nodes = append(nodes, faultrules.Node{Addr: o.addr, Life: o.number()})
+		if o.up && !w.disconnected(p, o, failureTimeout) {
+			nodes = append(nodes, faultrules.Node{Addr: o.addr, Life: o.incarnation()})
 		}
 	}
 	p.m.Nodes(nodes)
-	if leader := w.by[w.primary]; !p.blind && !p.unaware && (p == leader || !w.apart(p, leader, 0)) {
+	if leader := w.byAddr[w.primary]; !p.consensusBlind && !p.epochUnknown && (p == leader || !w.disconnected(p, leader, 0)) {
 		p.m.Place(faultrules.Place{N: w.epoch, Primary: w.primary, Leads: p == leader, Members: w.members})
 	}
 }
 
-func (p *Proc) carry(out faultrules.Out) {
+// perform carries out the actions that a machine asked for.
+func (p *Proc) perform(out faultrules.Out) {
 	w, life := p.w, p.life
 	if out.Write != nil {
 		data, err := cbor.Marshal(out.Write.Disk)
@@ -189,7 +189,7 @@
 			panic(err)
 		}
 		seq, notes := out.Write.Seq, out.Write.Notes
-		p.synced = max(p.synced, w.now+2*ms+w.upTo(8*ms))
+		p.synced = max(p.synced, w.now+2*ms+w.randomDuration(8*ms))
 		w.after(p.synced-w.now, func() {
 			if p.up && p.life == life {
 				p.disk, p.log = data, append(p.log, notes...)
@@ -199,27 +199,27 @@
 	}
 	for _, s := range out.Send {
 		w.Messages++
-		to := w.by[s.To]
+		to := w.byAddr[s.To]
 		if to == nil {
 			panic("nobody at " + s.To)
 		}
 		reach := to.life
-		d := 200*time.Microsecond + w.upTo(ms)
+		d := 200*time.Microsecond + w.randomDuration(ms)
 		if w.rng.IntN(50) == 0 {
-			d += w.upTo(300 * ms)
+			d += w.randomDuration(300 * ms)
 		}
 		msg := s.Msg
-		if a, ok := msg.(faultrules.Ask); ok && p.old {
+		if a, ok := msg.(faultrules.Ask); ok && p.noRecording {
 			a.Form = 0
 			msg = a
 		}
 		deliver := func() {
-			if to.life == reach && !w.severed(p, to) {
+			if to.life == reach && !w.linkCut(p, to) {
 				to.input(func() faultrules.Out { return to.m.Take(to.clock(), p.addr, msg) })
 			}
 		}
-		if h := w.held; h != nil && h.from == p && h.to == to && h.fits(msg) {
-			h.ice = append(h.ice, deliver)
+		if h := w.heldLink; h != nil && h.from == p && h.to == to && h.matches(msg) {
+			h.messages = append(h.messages, deliver)
 			continue
 		}
 		w.after(d, deliver)
@@ -232,15 +232,18 @@
 	}
 }
 
-func (w *World) upTo(d time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(d))) }
+func (w *World) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(w.rng.Int64N(int64(d)))
+}
 
-func (w *World) severed(from, to *Proc) bool {
+func (w *World) linkCut(from, to *Proc) bool {
 	_, cut := w.cuts[[2]string{from.addr, to.addr}]
 	return cut
 }
 
-// apart tells whether two have had no way both ways for so long.
-func (w *World) apart(a, b *Proc, so time.Duration) bool {
+// disconnected reports whether a link between two processes has been cut, in either direction, for at
+// least so long.
+func (w *World) disconnected(a, b *Proc, so time.Duration) bool {
 	for _, link := range [][2]string{{a.addr, b.addr}, {b.addr, a.addr}} {
 		if since, cut := w.cuts[link]; cut && w.now-since >= so {
 			return true
@@ -249,61 +252,63 @@
 	return false
 }
 
-// Cut cuts a process off from the others, so that it hears nothing of agreement either.
+// Cut partitions a process from all others, and from consensus updates.
 func (w *World) Cut(p *Proc) {
 	for _, o := range w.procs {
 		if o != p {
 			w.cuts[[2]string{p.addr, o.addr}], w.cuts[[2]string{o.addr, p.addr}] = w.now, w.now
 		}
 	}
-	p.blind, w.changed = true, w.now
+	p.consensusBlind, w.topologyChangedAt = true, w.now
 }
 
-// hold keeps messages from one to another, until they are released.
-type hold struct {
+// heldLink holds back matching messages between two processes until they are released.
+type heldLink struct {
 	from, to *Proc
-	fits     func(msg any) bool
-	ice      []func()
+	matches  func(msg any) bool
+	messages []func()
 }
 
-func (w *World) hold(from, to *Proc, fits func(msg any) bool) {
-	w.held = &hold{from: from, to: to, fits: fits}
+func (w *World) holdMessages(from, to *Proc, matches func(msg any) bool) {
+	w.heldLink = &heldLink{from: from, to: to, matches: matches}
 }
 
-func (w *World) release() {
-	for _, do := range w.held.ice {
+func (w *World) releaseMessages() {
+	for _, do := range w.heldLink.messages {
 		w.after(ms, do)
 	}
-	w.held = nil
+	w.heldLink = nil
 }
 
-// Mend ends all cuts.
+// Mend restores all links.
 func (w *World) Mend() {
 	clear(w.cuts)
-	w.changed = w.now
+	w.topologyChangedAt = w.now
 	for _, p := range w.procs {
-		p.blind = false
+		p.consensusBlind = false
 	}
 }
 
-// Kill ends a process; Boot starts it anew, Wipe without its disk.
+// Kill stops a process. Its disk is kept.
 func (w *World) Kill(p *Proc) { p.up = false }
+
+// Boot restarts a process that is down.
 func (w *World) Boot(p *Proc) {
 	if !p.up {
 		p.boot()
 	}
 }
 
-// Freeze lets a process stand still.
-func (w *World) Freeze(p *Proc, d time.Duration) { p.thaws = w.now + d }
+// Freeze pauses a process for a duration.
+func (w *World) Freeze(p *Proc, d time.Duration) { p.frozenUntil = w.now + d }
 
-// Lead makes a process the primary of the next epoch.
+// Lead makes a process the primary of a new epoch.
 func (w *World) Lead(p *Proc) {
-	w.epoch, w.primary, w.changed = w.epoch+1, p.addr, w.now
+	w.epoch, w.primary, w.topologyChangedAt = w.epoch+1, p.addr, w.now
 	for _, o := range w.procs {
-		o.unaware = false
+		o.epochUnknown = false
 	}
 }
 
-// Leader is the primary.
-func (w *World) Leader() *Proc { return w.by[w.primary] }
+// Leader returns the current primary.
+func (w *World) Leader() *Proc { return w.byAddr[w.primary] }
--- a/internal/faultrules/world/world_test.go
+++ b/internal/faultrules/world/world_test.go
@@ -13,24 +13,25 @@
 	return []faultrules.Rule{{Name: "r", Tenant: Struck, Share: share, Effect: faultrules.VanishBefore, EndsS: ends, Budget: budget}}
 }
 
-// put puts a set that must be kept.
+// put puts a set and requires that it is acknowledged.
 func put(t *testing.T, w *World, p *Proc, rules []faultrules.Rule) {
 	t.Helper()
 	kept := false
 	w.Put(p, rules, func(a faultrules.Answer) { kept = a.Outcome == faultrules.Done })
 	w.Run(500 * ms)
 	if !kept {
-		t.Fatal("not kept")
+		t.Fatal("put is not acknowledged")
 	}
 }
 
-func sound(t *testing.T, w *World) {
+func requireNoViolation(t *testing.T, w *World) {
 	t.Helper()
 	if w.Broken != "" {
 		t.Fatalf("%s at %v: %s", w.Broken, w.At, w.Detail)
 	}
 }
 
+// TestIdle checks that processes send no messages without rules, and none after rules have ended.
 func TestIdle(t *testing.T) {
 	t.Parallel()
 	w := New(1, faultrules.Sound, 10, 3)
@@ -46,17 +47,18 @@
 	if w.Messages != before {
 		t.Error("after the end:", w.Messages-before, "messages")
 	}
-	sound(t, w)
+	requireNoViolation(t, w)
 }
 
-// TestEveryNode: thirty processes at once, a share of 30% and 100 strikes.
+// TestEveryNode checks that 30 processes together use exactly a budget of 100 strikes at a share of
+// 30%, and that each strikes with a large budget.
 func TestEveryNode(t *testing.T) {
 	t.Parallel()
 	w := New(2, faultrules.Sound, 30, 3)
 	w.Traffic(50*ms, nil)
 	put(t, w, w.procs[20], rule(0.3, 60, 100))
 	w.Run(20 * time.Second)
-	sound(t, w)
+	requireNoViolation(t, w)
 	if w.StruckBy() != 100 || w.Missed > 0 {
 		t.Error(w.StruckBy(), "struck,", w.Missed, "missed")
 	}
@@ -67,11 +69,11 @@
 			t.Error(p.Name, "struck", p.Strikes)
 		}
 	}
-	sound(t, w)
+	requireNoViolation(t, w)
 }
 
-// TestCut: one that is cut off keeps a set from being in force until it is gone, and is left
-// with a lease at the most.
+// TestCut checks that a partitioned process delays the activation of a set until membership
+// considers it gone, and that after a stop it strikes for at most the length of a lease.
 func TestCut(t *testing.T) {
 	t.Parallel()
 	w := New(3, faultrules.Sound, 6, 3)
@@ -79,24 +81,24 @@
 	w.Cut(w.procs[5])
 	put(t, w, w.procs[1], rule(1, 60, 100000))
 	if w.Strikes != 0 {
-		t.Error("in force before the one that is cut off is gone")
+		t.Error("in force before the partitioned process is gone")
 	}
 	w.Run(3 * time.Second)
 	if w.Strikes == 0 {
-		t.Error("not in force when it is gone")
+		t.Error("not in force once the partitioned process is gone")
 	}
 	if w.procs[5].Strikes != 0 {
-		t.Error("strikes where it never came")
+		t.Error("the partitioned process strikes")
 	}
 	w.Mend()
 	w.Run(2 * time.Second)
 	if w.procs[5].Strikes == 0 {
-		t.Error("not there after the cut")
+		t.Error("no strikes after the partition has ended")
 	}
 	w.Cut(w.procs[4])
 	w.Stop(w.procs[2], nil)
 	w.Run(5 * time.Second)
-	sound(t, w)
+	requireNoViolation(t, w)
 	if w.Stops != 1 || w.AfterStop > faultrules.LeaseFor {
 		t.Error(w.Stops, "stops,", w.AfterStop)
 	}
@@ -104,11 +106,11 @@
 	before := w.Strikes
 	w.Run(5 * time.Second)
 	if w.Strikes != before {
-		t.Error("strikes after the cut by rules that were stopped")
+		t.Error("stopped rules strike after the partition has ended")
 	}
 }
 
-// TestEnd: the end passes while a process is cut off, and while another primary comes.
+// TestEnd checks the expiry of rules while a process is partitioned and the primary changes.
 func TestEnd(t *testing.T) {
 	t.Parallel()
 	w := New(4, faultrules.Sound, 6, 3)
@@ -125,10 +127,11 @@
 	w.Run(10 * time.Second)
 	w.Mend()
 	w.Run(3 * time.Second)
-	sound(t, w)
+	requireNoViolation(t, w)
 }
 
-// TestPrimary: the primary is lost at each moment of a put; the old one doesn't know.
+// TestPrimary checks that a put and its budget survive the loss of the primary at any moment,
+// whether it is killed or is partitioned and doesn't know of its successor.
 func TestPrimary(t *testing.T) {
 	t.Parallel()
 	for at := time.Duration(0); at < 60*ms; at += 3 * ms {
@@ -142,7 +145,7 @@
 	t.Parallel()
 	w := New(uint64(at), faultrules.Sound, 6, 3)
 	w.Traffic(10*ms, nil)
-	put(t, w, w.procs[1], rule(1, 1, 1)) // the first ever needs all that have a disk
+	put(t, w, w.procs[1], rule(1, 1, 1)) // the first record needs an answer from all members
 	acks := 0
 	w.Put(w.procs[4], rule(0.5, 20, 200), func(a faultrules.Answer) {
 		if a.Outcome == faultrules.Done {
@@ -162,13 +165,13 @@
 	w.Mend()
 	w.Boot(w.procs[0])
 	w.Run(3 * time.Second)
-	sound(t, w)
+	requireNoViolation(t, w)
 	if acks != 1 || w.StruckBy() != 200 {
 		t.Error("acknowledged", acks, "struck", w.StruckBy())
 	}
 }
 
-// TestRestart: processes that start anew have none of the budget that their last life had.
+// TestRestart checks that restarted processes don't reuse the strikes of their previous incarnation.
 func TestRestart(t *testing.T) {
 	t.Parallel()
 	w := New(5, faultrules.Sound, 5, 3)
@@ -185,13 +188,14 @@
 		w.Run(200 * ms)
 	}
 	w.Run(10 * time.Second)
-	sound(t, w)
+	requireNoViolation(t, w)
 	if n := w.StruckBy(); n < 100 || n > 150 {
 		t.Error("struck", n)
 	}
 }
 
-func play(from, to uint64, bug faultrules.Bug) []*World {
+// playSeeds runs the scenarios of a range of seeds, eight at a time.
+func playSeeds(from, to uint64, bug faultrules.Bug) []*World {
 	all := make([]*World, to-from)
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, 8)
@@ -206,10 +210,11 @@
 	return all
 }
 
+// TestDays checks that 200 random scenarios violate no invariant.
 func TestDays(t *testing.T) {
 	t.Parallel()
 	strikes, missed := 0, 0
-	for i, w := range play(0, 200, faultrules.Sound) {
+	for i, w := range playSeeds(0, 200, faultrules.Sound) {
 		if w.Broken != "" {
 			t.Errorf("seed %d: %s at %v: %s", i+1, w.Broken, w.At, w.Detail)
 		}
@@ -217,12 +222,12 @@
 		missed += w.Missed
 	}
 	if strikes < 1000 {
-		t.Error("hardly anything was struck:", strikes)
+		t.Error("too few strikes for a meaningful test:", strikes)
 	}
 	t.Log(strikes, "struck,", missed, "missed")
 }
 
-// TestBugs: each fault put in is found.
+// TestBugs checks that each injected bug violates the expected invariant.
 func TestBugs(t *testing.T) {
 	t.Parallel()
 	for bug, rule := range map[faultrules.Bug]string{faultrules.Outlives: "END", faultrules.PerNode: "BUDGET", faultrules.Hasty: "ACTIVE",
@@ -230,19 +235,19 @@
 		faultrules.Refuses: "REFUSED", faultrules.Confuses: "TEXTS", faultrules.Numberless: "SPARED"} {
 		by, days := map[string]int{}, 0
 		for ; days < 300 && by[rule] == 0; days += 25 {
-			for _, w := range play(uint64(days), uint64(days+25), bug) {
+			for _, w := range playSeeds(uint64(days), uint64(days+25), bug) {
 				by[w.Broken]++
 			}
 		}
 		t.Log(bug, by)
 		if by[rule] == 0 {
-			t.Errorf("bug %d is not found by %s: %v", bug, rule, by)
+			t.Errorf("bug %d does not violate %s: %v", bug, rule, by)
 		}
 	}
 }
 
-// TestMoments: whatever befalls a process in the middle of a step, nobody is struck who must not
-// be, and what was handed out and not used comes back.
+// TestMoments injects each fault at several moments of each operation. It checks that no invariant
+// is violated, and that unused strikes return to the budget.
 func TestMoments(t *testing.T) {
 	t.Parallel()
 	troubles := map[string]func(*World){
@@ -267,7 +272,7 @@
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, 8)
 	for step, begin := range steps {
-		for trouble, befall := range troubles {
+		for trouble, inject := range troubles {
 			for at := time.Duration(0); at < 60*ms; at += 12 * ms {
 				wg.Go(func() {
 					slots <- struct{}{}
@@ -275,10 +280,10 @@
 					w := New(uint64(at)+7, faultrules.Sound, 7, 3)
 					w.Kill(w.procs[6])
 					w.Traffic(10*ms, nil)
-					put(t, w, w.procs[1], rule(1, 1, 1)) // the first ever needs all that have a disk
+					put(t, w, w.procs[1], rule(1, 1, 1)) // the first record needs an answer from all members
 					begin(w)
 					w.Run(at)
-					befall(w)
+					inject(w)
 					w.Run(2500 * ms)
 					w.Mend()
 					for _, p := range w.procs {
@@ -290,7 +295,7 @@
 					}
 					switch n := w.StruckBy(); {
 					case step == "stop" || step == "end":
-						if step == "stop" && w.Stops == 0 { // the primary had it, and nobody else
+						if step == "stop" && w.Stops == 0 { // only the primary had received it
 							w.Stop(w.procs[2], nil)
 							w.Run(2 * time.Second)
 						}
@@ -298,8 +303,8 @@
 						if w.Run(2 * time.Second); w.Strikes != before || step == "stop" && w.Stops != 1 {
 							t.Errorf("%s, %s after %v: %d strikes, %d stops", step, trouble, at, w.Strikes-before, w.Stops)
 						}
-					case step == "put" && n == 0 && (trouble == "the primary" || trouble == "deposed"): // the primary had it, and nobody else
-					case n < 198: // two at the most were on record when their process was killed
+					case step == "put" && n == 0 && (trouble == "the primary" || trouble == "deposed"): // only the primary had received it
+					case n < 198: // at most two were recorded but not applied when their process was killed
 						t.Errorf("%s, %s after %v: %d of 200", step, trouble, at, n)
 					}
 				})
@@ -309,8 +314,8 @@
 	wg.Wait()
 }
 
-// TestGivenBack: a process is killed again and again right after a strike. What it was handed
-// besides goes to others.
+// TestGivenBack checks that the unused strikes of a process that is repeatedly killed after a strike
+// go to other processes.
 func TestGivenBack(t *testing.T) {
 	t.Parallel()
 	w := New(8, faultrules.Sound, 6, 3)
@@ -325,27 +330,28 @@
 	}
 	put(t, w, w.procs[1], rule(0.05, 600, 600))
 	w.Run(60 * time.Second)
-	sound(t, w)
+	requireNoViolation(t, w)
 	if n := w.StruckBy(); kills < 5 || n < 600-kills || n > 600 {
 		t.Error(kills, "killed,", n, "struck of 600")
 	}
 }
 
-// TestOlder: while a process is up that doesn't put strikes on record, no set is in force.
+// TestOlder checks that no set comes into force while a process is up whose software version doesn't
+// record strikes.
 func TestOlder(t *testing.T) {
 	t.Parallel()
 	w := New(9, faultrules.Sound, 5, 3)
 	w.Traffic(10*ms, nil)
-	w.procs[4].old = true
+	w.procs[4].noRecording = true
 	put(t, w, w.procs[1], rule(1, 60, 100000))
 	if w.Run(3 * time.Second); w.Strikes > 0 {
-		t.Error(w.Strikes, "strikes beside an older process")
+		t.Error(w.Strikes, "strikes while a process of an older version is up")
 	}
 	w.Kill(w.procs[4])
 	w.Boot(w.procs[4])
-	w.procs[4].old = false
+	w.procs[4].noRecording = false
 	if w.Run(3 * time.Second); w.procs[4].Strikes == 0 {
-		t.Error("not in force once it is newer")
+		t.Error("not in force after the process was upgraded")
 	}
-	sound(t, w)
+	requireNoViolation(t, w)
 }
