--- a/internal/faultrules/call.go
+++ b/internal/faultrules/call.go
@@ -68,7 +68,7 @@
 	return m.flush()
 }
 
-func (m *Machine) onAnswered(a Answered) {
+func (m *Machine) onForwardReply(a ForwardReply) {
 	i := slices.IndexFunc(m.calls, func(c *call) bool { return c.f.ID == a.ID && c.f.Salt == a.Salt })
 	if i < 0 {
 		return
--- a/internal/faultrules/faultrules_test.go
+++ b/internal/faultrules/faultrules_test.go
@@ -145,7 +145,7 @@
 		if took := out.Write != nil; took != (bug == Obeys) {
 			t.Error(bug, out)
 		}
-		if out = m.Take(4, "b", Beat{Term: Term{N: 2, By: "b"}}); len(out.Send) != 1 && bug == Sound {
+		if out = m.Take(4, "b", Heartbeat{Term: Term{N: 2, By: "b"}}); len(out.Send) != 1 && bug == Sound {
 			t.Error("heartbeat of the promised term is not acknowledged")
 		}
 	}
--- a/internal/faultrules/judge.go
+++ b/internal/faultrules/judge.go
@@ -49,7 +49,7 @@
 	until        fsm.Time
 	granted      int // strikes granted to this incarnation
 	used         int
-	recorded     int          // used strikes that are on record
+	recorded     int          // used strikes that have been recorded
 	revoked      []revocation // strikes that were taken back
 	superseded   bool         // its set has been replaced
 	waiting      int
--- a/internal/faultrules/machine.go
+++ b/internal/faultrules/machine.go
@@ -202,15 +202,15 @@
 		m.onAsk(from, t)
 	case Forward:
 		m.onForward(from, t)
-	case Answered:
-		m.onAnswered(t)
-	case Claimed:
-		m.onClaimed(from, t)
-	case Appended:
-		m.onAppended(from, t)
-	case Beaten:
-		m.onBeaten(from, t)
-	case Claim, Append, Beat:
+	case ForwardReply:
+		m.onForwardReply(t)
+	case ClaimReply:
+		m.onClaimReply(from, t)
+	case AppendReply:
+		m.onAppendReply(from, t)
+	case HeartbeatReply:
+		m.onHeartbeatReply(from, t)
+	case Claim, Append, Heartbeat:
 		if m.c.Member {
 			m.dispatchMember(from, msg)
 		}
--- a/internal/faultrules/member.go
+++ b/internal/faultrules/member.go
@@ -14,7 +14,7 @@
 			m.d.Promised, m.dirty = t.Term, true
 		}
 		age := m.now - m.keptAt
-		m.sendAfterSync(from, Claimed{Term: t.Term, Record: m.d.Kept, Age: age, Sure: m.ageKnown})
+		m.sendAfterSync(from, ClaimReply{Term: t.Term, Record: m.d.Kept, Age: age, Sure: m.ageKnown})
 	case Append:
 		r := t.Record
 		if r.Term.compare(m.d.Promised) < 0 && m.bug != Obeys {
@@ -26,11 +26,11 @@
 		}
 		m.correctAge(r.Term, r.Seq, t.Aged)
 		m.appendNotes(t)
-		m.sendAfterSync(from, Appended{Term: r.Term, Seq: r.Seq, Stamp: t.Stamp, Notes: t.From + uint64(len(t.Notes))})
-	case Beat:
+		m.sendAfterSync(from, AppendReply{Term: r.Term, Seq: r.Seq, Stamp: t.Stamp, Notes: t.From + uint64(len(t.Notes))})
+	case Heartbeat:
 		if t.Term == m.d.Promised {
 			m.correctAge(t.Term, t.Seq, t.Aged)
-			m.send(from, Beaten{t.Term, t.Stamp})
+			m.send(from, HeartbeatReply{t.Term, t.Stamp})
 		}
 	}
 }
--- a/internal/faultrules/message.go
+++ b/internal/faultrules/message.go
@@ -7,8 +7,8 @@
 	Term Term `cbor:"1,keyasint"`
 }
 
-// Claimed answers a Claim. Age is the record's age, valid if Sure.
-type Claimed struct {
+// ClaimReply answers a Claim. Age is the record's age, valid if Sure.
+type ClaimReply struct {
 	Term   Term          `cbor:"1,keyasint"`
 	Record Record        `cbor:"2,keyasint"`
 	Age    time.Duration `cbor:"3,keyasint,omitempty"`
@@ -24,24 +24,24 @@
 	Notes  []Entry       `cbor:"5,keyasint,omitempty"`
 }
 
-// Appended acknowledges that the record is synced.
-type Appended struct {
+// AppendReply acknowledges that the record is synced.
+type AppendReply struct {
 	Term  Term          `cbor:"1,keyasint"`
 	Seq   uint64        `cbor:"2,keyasint"`
 	Stamp time.Duration `cbor:"3,keyasint"`
 	Notes uint64        `cbor:"4,keyasint,omitempty"` // number of the term's notes that are stored or not needed
 }
 
-// Beat is a heartbeat to a member that has the record: it asks whether the term is still current.
-type Beat struct {
+// Heartbeat asks a member that has the record whether the term is still current.
+type Heartbeat struct {
 	Term  Term          `cbor:"1,keyasint"`
 	Stamp time.Duration `cbor:"2,keyasint"`
 	Aged  time.Duration `cbor:"3,keyasint,omitempty"`
 	Seq   uint64        `cbor:"4,keyasint"`
 }
 
-// Beaten acknowledges a Beat.
-type Beaten struct {
+// HeartbeatReply acknowledges a Heartbeat.
+type HeartbeatReply struct {
 	Term  Term          `cbor:"1,keyasint"`
 	Stamp time.Duration `cbor:"2,keyasint"`
 }
@@ -112,8 +112,8 @@
 	Fence uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Answered returns the answer to a Forward.
-type Answered struct {
+// ForwardReply returns the answer to a Forward.
+type ForwardReply struct {
 	ID   uint64 `cbor:"1,keyasint"`
 	Salt uint64 `cbor:"2,keyasint"`
 	Ans  Answer `cbor:"3,keyasint"`
@@ -121,5 +121,5 @@
 
 // Messages lists the message types that a Machine handles. Their order must not change.
 func Messages() []any {
-	return []any{Claim{}, Claimed{}, Append{}, Appended{}, Beat{}, Beaten{}, Push{}, Ask{}, Lease{}, Forward{}, Answered{}}
+	return []any{Claim{}, ClaimReply{}, Append{}, AppendReply{}, Heartbeat{}, HeartbeatReply{}, Push{}, Ask{}, Lease{}, Forward{}, ForwardReply{}}
 }
--- a/internal/faultrules/primary.go
+++ b/internal/faultrules/primary.go
@@ -18,7 +18,7 @@
 	term      Term
 	members   []string
 	startedAt fsm.Time
-	claimed   map[string]Claimed
+	claimed   map[string]ClaimReply
 	serving   bool // the claim succeeded: rec continues the newest record of a majority
 
 	rec             Record // newest record, being replicated unless committed
@@ -87,7 +87,7 @@
 	}
 	m.termsStarted++
 	l := &primaryState{term: Term{m.place.N, m.c.Self, m.c.Life<<16 | m.termsStarted}, members: slices.Clone(m.place.Members), startedAt: m.now,
-		claimed: map[string]Claimed{}, acked: map[string]uint64{}, ackStamps: map[string]fsm.Time{}, asks: map[string]Ask{},
+		claimed: map[string]ClaimReply{}, acked: map[string]uint64{}, ackStamps: map[string]fsm.Time{}, asks: map[string]Ask{},
 		strikeWaiters: map[string]bool{}, noteSenders: map[string]bool{}, recordedNotes: map[Node]uint64{}, committedNotes: map[Node]uint64{},
 		memberNotes: map[string]uint64{}, confirmedTurns: map[Node]uint64{}, activateAfter: m.now + LeaseFor}
 	m.primaryState = l
@@ -139,7 +139,7 @@
 	l.sent = m.now
 	for _, to := range l.members {
 		if l.acked[to] == l.rec.Seq {
-			m.send(to, Beat{l.term, m.now, m.now - l.leftAt + recordAgeMargin, l.rec.Seq})
+			m.send(to, Heartbeat{l.term, m.now, m.now - l.leftAt + recordAgeMargin, l.rec.Seq})
 		} else {
 			from, notes := l.missingNotes(to)
 			m.send(to, Append{l.rec, m.now, m.now - l.leftAt + recordAgeMargin, from, notes})
@@ -147,7 +147,7 @@
 	}
 }
 
-func (m *Machine) onClaimed(from string, c Claimed) {
+func (m *Machine) onClaimReply(from string, c ClaimReply) {
 	l := m.primaryState
 	if l == nil || c.Term != l.term || l.serving || !slices.Contains(l.members, from) {
 		return
@@ -200,7 +200,7 @@
 	m.replicate()
 }
 
-func (m *Machine) onAppended(from string, a Appended) {
+func (m *Machine) onAppendReply(from string, a AppendReply) {
 	l := m.primaryState
 	if l == nil || a.Term != l.term || !slices.Contains(l.members, from) {
 		return
@@ -224,7 +224,7 @@
 	}
 }
 
-func (m *Machine) onBeaten(from string, b Beaten) {
+func (m *Machine) onHeartbeatReply(from string, b HeartbeatReply) {
 	if l := m.primaryState; l != nil && b.Term == l.term && slices.Contains(l.members, from) {
 		l.ackStamps[from] = max(l.ackStamps[from], b.Stamp)
 		m.resumeOps()
@@ -544,5 +544,5 @@
 		_, r.Used = k.used(i, "", 0)
 		s.Rules = append(s.Rules, r)
 	}
-	m.send(o.from, Answered{o.f.ID, o.f.Salt, Answer{out, s}})
+	m.send(o.from, ForwardReply{o.f.ID, o.f.Salt, Answer{out, s}})
 }
