--- a/internal/bench/controlcut.go
+++ b/internal/bench/controlcut.go
@@ -89,7 +89,7 @@
 func cutFinds(i int, scripts map[string]string) bool {
 	if i == len(cutGuards) {
 		w, taken := world.Deposed(faultrules.Unconfirmed)
-		sound, _ := world.Deposed(faultrules.Sound)
+		sound, _ := world.Deposed(faultrules.NoBug)
 		return taken && w.Broken == "STALE" && sound.Broken == ""
 	}
 	g := cutGuards[i]
--- a/internal/bench/controlorders.go
+++ b/internal/bench/controlorders.go
@@ -159,7 +159,7 @@
 		at := seed + uint64(i)
 		key, why := ordersDay(at, systemsim.Sound)
 		met(fmt.Sprint("orders, seed ", at), key, why)
-		key, why = faultSetsDay(at, faultrules.Sound)
+		key, why = faultSetsDay(at, faultrules.NoBug)
 		met(fmt.Sprint("fault rules, seed ", at), key, why)
 	})
 	scripts := systemsim.ControlScripts()
@@ -194,9 +194,12 @@
 		func(uint64) bool { return drains(drainpermit.BugGrantWhileRequesting) },
 		func(s uint64) bool { key, _ := ordersDay(s, systemsim.Confirms); return key != "" },
 		func(s uint64) bool { key, _ := ordersDay(s, systemsim.Forgets); return key != "" },
-		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Refuses); return key != "" },
-		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Confuses); return key != "" },
-		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.Numberless); return key == otherStopped },
+		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.RejectsRetries); return key != "" },
+		func(s uint64) bool { key, _ := faultSetsDay(s, faultrules.IgnoresBody); return key != "" },
+		func(s uint64) bool {
+			key, _ := faultSetsDay(s, faultrules.IgnoresStopVersion)
+			return key == otherStopped
+		},
 		func(s uint64) bool { return ordersWalk(s, 1, consensus.BugAnyBody) != "" },
 		func(s uint64) bool { // met by one schedule of 30 to some thousands: hunted once, in many
 			return s == seed && walkFinds(ordersBounds(consensus.BugDropLedger), consensus.NoPair, seed, orderSteps)
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -286,7 +286,7 @@
 	for i := range worlds {
 		wg.Go(func() {
 			slots <- struct{}{}
-			worlds[i] = world.Play(o.Seed*100000+uint64(i), faultrules.Sound)
+			worlds[i] = world.Play(o.Seed*100000+uint64(i), faultrules.NoBug)
 			<-slots
 		})
 	}
--- a/internal/faultrules/call.go
+++ b/internal/faultrules/call.go
@@ -74,7 +74,7 @@
 		return
 	}
 	c := m.calls[i]
-	if a.Ans.Outcome == Read && c.op == OpStop && m.bug != Numberless {
+	if a.Ans.Outcome == Read && c.op == OpStop && m.bug != IgnoresStopVersion {
 		a.Ans.Outcome = c.stopOutcome(a.Ans.State)
 	}
 	if a.Ans.Outcome == Read && c.op != OpGet {
--- a/internal/faultrules/faultrules_test.go
+++ b/internal/faultrules/faultrules_test.go
@@ -132,7 +132,7 @@
 
 // TestTerms checks that a member that has promised a term rejects records of lower terms.
 func TestTerms(t *testing.T) {
-	for _, bug := range []Bug{Sound, Obeys} {
+	for _, bug := range []Bug{NoBug, AcceptsLowerTerms} {
 		m := New(Config{Self: "a", Life: 1, Member: true, Longest: time.Hour, Bug: bug}, NewJudge(), nil, 0)
 		out := m.Take(1, "b", Claim{Term{N: 2, By: "b"}})
 		if out.Write == nil || len(out.Send) > 0 {
@@ -142,10 +142,10 @@
 			t.Fatal("claim not answered after the sync")
 		}
 		out = m.Take(3, "c", Append{Record: Record{Term: Term{N: 1, By: "c"}, Seq: 7, Turn: 9}})
-		if took := out.Write != nil; took != (bug == Obeys) {
+		if took := out.Write != nil; took != (bug == AcceptsLowerTerms) {
 			t.Error(bug, out)
 		}
-		if out = m.Take(4, "b", Heartbeat{Term: Term{N: 2, By: "b"}}); len(out.Send) != 1 && bug == Sound {
+		if out = m.Take(4, "b", Heartbeat{Term: Term{N: 2, By: "b"}}); len(out.Send) != 1 && bug == NoBug {
 			t.Error("heartbeat of the promised term is not acknowledged")
 		}
 	}
--- a/internal/faultrules/judge.go
+++ b/internal/faultrules/judge.go
@@ -69,7 +69,7 @@
 	seq        uint64 // sequence number of the last note
 	settledSeq uint64 // notes up to this one are recorded or rejected
 	notes      []Note // notes after settledSeq
-	early      bool   // injected bug: see Early
+	early      bool   // injected bug StrikesUnrecorded
 }
 
 // NewJudge returns a Judge without rules.
--- a/internal/faultrules/machine.go
+++ b/internal/faultrules/machine.go
@@ -119,7 +119,7 @@
 	h := fnv.New64a()
 	h.Write([]byte(c.Self))
 	m := &Machine{c: c, judge: j, bug: c.Bug, rng: rand.New(rand.NewPCG(c.Seed^0xba9e, h.Sum64())), now: now}
-	m.salt, j.early = m.rng.Uint64(), c.Bug == Early
+	m.salt, j.early = m.rng.Uint64(), c.Bug == StrikesUnrecorded
 	if c.Member && d != nil {
 		m.d = *d
 	}
--- a/internal/faultrules/member.go
+++ b/internal/faultrules/member.go
@@ -17,10 +17,10 @@
 		m.sendAfterSync(from, ClaimReply{Term: t.Term, Record: m.d.Kept, Age: age, Sure: m.ageKnown})
 	case Append:
 		r := t.Record
-		if r.Term.compare(m.d.Promised) < 0 && m.bug != Obeys {
+		if r.Term.compare(m.d.Promised) < 0 && m.bug != AcceptsLowerTerms {
 			return
 		}
-		if r.newer(m.d.Kept) || m.bug == Obeys {
+		if r.newer(m.d.Kept) || m.bug == AcceptsLowerTerms {
 			m.d.Promised, m.d.Kept, m.dirty = r.Term, r, true
 			m.keptAt, m.ageKnown = m.now-t.Aged, true
 		}
--- a/internal/faultrules/node.go
+++ b/internal/faultrules/node.go
@@ -55,7 +55,7 @@
 	for _, end := range m.ends {
 		allEnded = allEnded && m.now >= end
 	}
-	if allEnded && len(m.rules) > 0 && m.bug != Outlives {
+	if allEnded && len(m.rules) > 0 && m.bug != IgnoresExpiry {
 		m.endRules()
 	}
 	if wait := m.now - m.asked; wait >= askInterval || wait >= urgentAskInterval && m.judge.Due() {
@@ -117,7 +117,7 @@
 	until := make([]fsm.Time, len(m.rules))
 	for i := range until {
 		until[i] = min(l.Stamp+min(l.For, l.Left[i]), m.ends[i])
-		if m.bug == Outlives {
+		if m.bug == IgnoresExpiry {
 			until[i] = l.Stamp + time.Hour
 		}
 	}
--- a/internal/faultrules/primary.go
+++ b/internal/faultrules/primary.go
@@ -324,9 +324,9 @@
 		digest := dedup.Digest(f.Doc.Body)
 		known := r.acceptedSets().Lookup(f.Doc.Version, digest)
 		switch {
-		case m.bug == Refuses && f.Doc.Version <= r.Doc.Version:
+		case m.bug == RejectsRetries && f.Doc.Version <= r.Doc.Version:
 			known = dedup.Conflicting
-		case m.bug == Confuses && f.Doc.Version == r.Doc.Version:
+		case m.bug == IgnoresBody && f.Doc.Version == r.Doc.Version:
 			known = dedup.Same
 		}
 		switch {
@@ -402,13 +402,13 @@
 	switch {
 	case !changed: // the budget is spent, or the reports were stale
 		m.respondAll(addrs)
-	case m.bug == Forgets:
+	case m.bug == SkipsRecord:
 		l.committedRecord.Parts, l.committedNotes = r.Parts, maps.Clone(l.recordedNotes)
 		m.respondAll(addrs)
 	default:
 		l.awaitingCommit = addrs
 		m.write(r)
-		if m.bug == Unkept {
+		if m.bug == AcksUncommitted {
 			l.committedNotes, l.committedRecord.Parts = maps.Clone(l.recordedNotes), r.Parts
 			m.respondAll(addrs)
 		}
@@ -439,7 +439,7 @@
 	if l.active == l.committedRecord.Turn || !l.committed {
 		return
 	}
-	if m.bug == Hasty || len(m.unconfirmedNodes()) == 0 && len(m.nodes) > 0 && m.now >= l.activateAfter {
+	if m.bug == ActivatesEarly || len(m.unconfirmedNodes()) == 0 && len(m.nodes) > 0 && m.now >= l.activateAfter {
 		l.active = l.committedRecord.Turn
 		m.respondAll(slices.Sorted(maps.Keys(l.asks)))
 		for addr := range l.asks { // grant strikes in advance, if the budget is large
--- a/internal/faultrules/world/contact_test.go
+++ b/internal/faultrules/world/contact_test.go
@@ -10,7 +10,7 @@
 // TestDeposedReads checks that a replaced primary answers no reads.
 func TestDeposedReads(t *testing.T) {
 	t.Parallel()
-	if w, ok := Deposed(faultrules.Sound); !ok || w.Broken != "" || w.Reads != 0 {
+	if w, ok := Deposed(faultrules.NoBug); !ok || w.Broken != "" || w.Reads != 0 {
 		t.Errorf("taken: %v; %d reads; %s %s", ok, w.Reads, w.Broken, w.Detail)
 	}
 	if w, ok := Deposed(faultrules.Unconfirmed); !ok || w.Broken != "STALE" {
@@ -50,7 +50,7 @@
 // TestLateStop checks that a delayed stop does not affect a set that was put after the call.
 func TestLateStop(t *testing.T) {
 	t.Parallel()
-	if s := delayedStop(t, faultrules.Sound); s.Version != 2 || s.Stopped || !s.Active {
+	if s := delayedStop(t, faultrules.NoBug); s.Version != 2 || s.Stopped || !s.Active {
 		t.Errorf("a stop sent before the put has stopped the set: %+v", s)
 	}
 	if s := delayedStop(t, faultrules.Unfenced); !s.Stopped {
@@ -88,16 +88,16 @@
 			"killed": func(w *World) { w.Run(at); w.Kill(w.procs[0]); w.Lead(w.procs[1]) },
 			"cut":    func(w *World) { w.Run(at); w.Cut(w.procs[0]); w.Lead(w.procs[1]); w.Run(5 * time.Second); w.Mend() },
 		} {
-			w, a, s := again(faultrules.Sound, between)
+			w, a, s := again(faultrules.NoBug, between)
 			if w.Broken != "" || a.Outcome != faultrules.Done || s.Version != 2 || s.Stopped || !s.Active {
 				t.Errorf("%s after %v: the second copy gets %d, then %+v; %s %s", name, at, a.Outcome, s, w.Broken, w.Detail)
 			}
 		}
 	}
-	if w, _, _ := again(faultrules.Numberless, func(*World) {}); w.Broken != "SPARED" {
+	if w, _, _ := again(faultrules.IgnoresStopVersion, func(*World) {}); w.Broken != "SPARED" {
 		t.Errorf("the injected bug is not detected: %s", w.Broken)
 	}
-	w := New(1, faultrules.Sound, 5, 3)
+	w := New(1, faultrules.NoBug, 5, 3)
 	var early faultrules.Answer
 	w.Run(time.Second)
 	w.StopOf(w.procs[3], 1, func(a faultrules.Answer) { early = a })
--- a/internal/faultrules/world/world_test.go
+++ b/internal/faultrules/world/world_test.go
@@ -34,7 +34,7 @@
 // TestIdle checks that processes send no messages without rules, and none after rules have ended.
 func TestIdle(t *testing.T) {
 	t.Parallel()
-	w := New(1, faultrules.Sound, 10, 3)
+	w := New(1, faultrules.NoBug, 10, 3)
 	w.Traffic(10*ms, nil)
 	w.Run(time.Minute)
 	if w.Messages != 0 || w.Strikes != 0 {
@@ -54,7 +54,7 @@
 // 30%, and that each strikes with a large budget.
 func TestEveryNode(t *testing.T) {
 	t.Parallel()
-	w := New(2, faultrules.Sound, 30, 3)
+	w := New(2, faultrules.NoBug, 30, 3)
 	w.Traffic(50*ms, nil)
 	put(t, w, w.procs[20], rule(0.3, 60, 100))
 	w.Run(20 * time.Second)
@@ -76,7 +76,7 @@
 // considers it gone, and that after a stop it strikes for at most the length of a lease.
 func TestCut(t *testing.T) {
 	t.Parallel()
-	w := New(3, faultrules.Sound, 6, 3)
+	w := New(3, faultrules.NoBug, 6, 3)
 	w.Traffic(10*ms, nil)
 	w.Cut(w.procs[5])
 	put(t, w, w.procs[1], rule(1, 60, 100000))
@@ -113,7 +113,7 @@
 // TestEnd checks the expiry of rules while a process is partitioned and the primary changes.
 func TestEnd(t *testing.T) {
 	t.Parallel()
-	w := New(4, faultrules.Sound, 6, 3)
+	w := New(4, faultrules.NoBug, 6, 3)
 	w.Traffic(10*ms, nil)
 	put(t, w, w.procs[1], rule(1, 4, 100000))
 	w.Run(2 * time.Second)
@@ -143,7 +143,7 @@
 
 func primaryLost(t *testing.T, at time.Duration, kill bool) {
 	t.Parallel()
-	w := New(uint64(at), faultrules.Sound, 6, 3)
+	w := New(uint64(at), faultrules.NoBug, 6, 3)
 	w.Traffic(10*ms, nil)
 	put(t, w, w.procs[1], rule(1, 1, 1)) // the first record needs an answer from all members
 	acks := 0
@@ -174,7 +174,7 @@
 // TestRestart checks that restarted processes don't reuse the strikes of their previous incarnation.
 func TestRestart(t *testing.T) {
 	t.Parallel()
-	w := New(5, faultrules.Sound, 5, 3)
+	w := New(5, faultrules.NoBug, 5, 3)
 	w.Traffic(10*ms, nil)
 	put(t, w, w.procs[1], rule(0.2, 60, 150))
 	for i := range 40 {
@@ -214,7 +214,7 @@
 func TestDays(t *testing.T) {
 	t.Parallel()
 	strikes, missed := 0, 0
-	for i, w := range playSeeds(0, 200, faultrules.Sound) {
+	for i, w := range playSeeds(0, 200, faultrules.NoBug) {
 		if w.Broken != "" {
 			t.Errorf("seed %d: %s at %v: %s", i+1, w.Broken, w.At, w.Detail)
 		}
@@ -230,9 +230,9 @@
 // TestBugs checks that each injected bug violates the expected invariant.
 func TestBugs(t *testing.T) {
 	t.Parallel()
-	for bug, rule := range map[faultrules.Bug]string{faultrules.Outlives: "END", faultrules.PerNode: "BUDGET", faultrules.Hasty: "ACTIVE",
-		faultrules.Forgets: "RECORD", faultrules.Early: "RECORD", faultrules.Regrants: "BUDGET", faultrules.Unkept: "RECORD",
-		faultrules.Refuses: "REFUSED", faultrules.Confuses: "TEXTS", faultrules.Numberless: "SPARED"} {
+	for bug, rule := range map[faultrules.Bug]string{faultrules.IgnoresExpiry: "END", faultrules.PerNode: "BUDGET", faultrules.ActivatesEarly: "ACTIVE",
+		faultrules.SkipsRecord: "RECORD", faultrules.StrikesUnrecorded: "RECORD", faultrules.Regrants: "BUDGET", faultrules.AcksUncommitted: "RECORD",
+		faultrules.RejectsRetries: "REFUSED", faultrules.IgnoresBody: "TEXTS", faultrules.IgnoresStopVersion: "SPARED"} {
 		by, days := map[string]int{}, 0
 		for ; days < 300 && by[rule] == 0; days += 25 {
 			for _, w := range playSeeds(uint64(days), uint64(days+25), bug) {
@@ -277,7 +277,7 @@
 				wg.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
-					w := New(uint64(at)+7, faultrules.Sound, 7, 3)
+					w := New(uint64(at)+7, faultrules.NoBug, 7, 3)
 					w.Kill(w.procs[6])
 					w.Traffic(10*ms, nil)
 					put(t, w, w.procs[1], rule(1, 1, 1)) // the first record needs an answer from all members
@@ -318,7 +318,7 @@
 // go to other processes.
 func TestGivenBack(t *testing.T) {
 	t.Parallel()
-	w := New(8, faultrules.Sound, 6, 3)
+	w := New(8, faultrules.NoBug, 6, 3)
 	w.Traffic(5*ms, nil)
 	kills := 0
 	w.afterStrike = func(p *Proc) {
@@ -340,7 +340,7 @@
 // record strikes.
 func TestOlder(t *testing.T) {
 	t.Parallel()
-	w := New(9, faultrules.Sound, 5, 3)
+	w := New(9, faultrules.NoBug, 5, 3)
 	w.Traffic(10*ms, nil)
 	w.procs[4].noRecording = true
 	put(t, w, w.procs[1], rule(1, 60, 100000))
--- a/internal/systemsim/bug.go
+++ b/internal/systemsim/bug.go
@@ -67,7 +67,7 @@
 	case Unasked:
 		return controlplane.Bugs{FaultRules: faultrules.Unconfirmed}
 	case Numberless:
-		return controlplane.Bugs{FaultRules: faultrules.Numberless}
+		return controlplane.Bugs{FaultRules: faultrules.IgnoresStopVersion}
 	case Uncalled:
 		return controlplane.Bugs{Drain: drainpermit.BugNoPermission}
 	case Outdated:
