--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -18,70 +18,70 @@
 	"asterwell/internal/policy"
 )
 
-// Gateway is what a member does with policies.
+// Gateway holds the callbacks through which a member applies policies.
 type Gateway struct {
-	Check func(text []byte) error                // whether it could take this one over
-	Adopt func(version int64, text []byte) error // from now on this one is in force; no text: its own file
-	Lease func(l policy.Lease, holds bool)       // what may be decided by; holds: for a moment nothing, it will be over soon
+	Check func(text []byte) error                // returns an error if the gateway could not adopt this policy
+	Adopt func(version int64, text []byte) error // puts a version in force; no text: the gateway's own file
+	Lease func(l policy.Lease, holds bool)       // sets the lease to decide by; holds: decisions pause briefly
 }
 
-// Node is a member: a gateway's side, and where it has a folder a voter's.
+// Node is a cluster member: a gateway's lease holder and, if it has a folder, a voter.
 type Node struct {
-	cfg     *Config
-	world   hostenv.Host
-	now     func() time.Duration
-	log     *slog.Logger
-	gateway Gateway
-	id      uint64 // of this process
-	mesh    *mesh.Mesh[*Frame]
-	holder  *policy.Holder
-	hbox    *mailbox.Box[any]
-	store   *Store
-	voter   *Voter
-	vbox    *mailbox.Box[any]
-	voterID uint64
-	bad     string // why there is no voter, though there is a folder
+	cfg          *Config
+	world        hostenv.Host
+	now          func() time.Duration
+	log          *slog.Logger
+	gateway      Gateway
+	id           uint64 // incarnation of this process
+	mesh         *mesh.Mesh[*Frame]
+	holder       *policy.Holder
+	holderInbox  *mailbox.Box[any]
+	store        *Store
+	voter        *Voter
+	voterInbox   *mailbox.Box[any]
+	voterID      uint64
+	noVoteReason string // why there is no voter although a folder is configured
 
-	halt atomic.Bool
+	stopping atomic.Bool
 
-	// The holder's own.
-	peers  []Peer // voters as last heard of
-	target string
-	turn   int
-	told   policy.Lease
-	holds  bool
-	heldAt time.Duration
+	// Used only by Run's goroutine.
+	peers          []Peer // latest known voters
+	target         string
+	peerIndex      int
+	publishedLease policy.Lease
+	holds          bool
+	heldAt         time.Duration
 
-	// The voter's own.
-	members map[uint64]*reached
-	met     map[uint64]*pipe // voters that have said something, by the way it came
-	waits   []*waiter
-	was     error
-	saw     string // the leader last told of in the log
+	// Used only by the voter's goroutine.
+	members          map[uint64]*memberConn
+	voterConns       map[uint64]*conn // connections by which voters have sent messages, by voter ID
+	pendingProposals []*pendingProposal
+	loggedErr        error
+	loggedLeader     string // the leader last logged
 }
 
-// reached is the way to a gateway, and which voters it has been told of.
-type reached struct {
-	p    *pipe // nil: it is this process's own
-	told uint64
+// memberConn is the connection to a gateway, and the membership change last sent to it.
+type memberConn struct {
+	p             *conn // nil: this process's own gateway
+	sentConfIndex uint64
 }
 
-// Heard is what a voter says to a gateway.
-type Heard struct {
+// GrantMessage is a voter's message to a gateway.
+type GrantMessage struct {
 	policy.Grant
-	Leader *Peer  `json:"leader,omitempty"` // call this one
+	Leader *Peer  `json:"leader,omitempty"` // send renewals to this voter
 	Voters []Peer `json:"voters,omitempty"`
 }
 
-// New puts a member together. Name is the gateway's; digest stands for its own
-// file's policy.
+// New creates a member and starts listening. name is the gateway's name, digest the
+// digest of the policy in its own file.
 func New(world hostenv.Host, cfg *Config, name, digest string, now func() time.Duration, log *slog.Logger, g Gateway) (*Node, error) {
 	world = hostenv.OrReal(world)
 	if cfg.Name == "" {
 		cfg.Name = name
 	}
-	n := &Node{cfg: cfg, world: world, now: now, log: log, gateway: g, id: world.Random() | 1, hbox: mailbox.NewBox[any](world),
-		vbox: mailbox.NewBox[any](world), members: map[uint64]*reached{}, met: map[uint64]*pipe{}}
+	n := &Node{cfg: cfg, world: world, now: now, log: log, gateway: g, id: world.Random() | 1, holderInbox: mailbox.NewBox[any](world),
+		voterInbox: mailbox.NewBox[any](world), members: map[uint64]*memberConn{}, voterConns: map[uint64]*conn{}}
 	n.holder = policy.NewHolder(cfg.Terms(), cfg.Name, cfg.Zone, digest)
 	n.mesh = mesh.New(mesh.Options[*Frame]{Env: world, Codec: codec(clusterNumber(cfg.Cluster)), Handle: n.handle, MaxInbound: cfg.Connections})
 	for _, v := range cfg.seeds() {
@@ -89,8 +89,9 @@
 	}
 	if cfg.Folder != "" {
 		if err := n.open(); err != nil {
-			// The gateway can go on by the others' word. Nothing is made of a folder that can't be trusted.
-			n.bad = err.Error()
+			// The gateway works without a vote, by leases from the other voters. The damaged
+			// folder is left as it is.
+			n.noVoteReason = err.Error()
 			log.Error("no vote", "folder", cfg.Folder, "error", err)
 		}
 	}
@@ -114,33 +115,33 @@
 	return nil
 }
 
-// Run is the gateway's side, until Stop.
+// Run runs the lease holder, and starts the voter, until Stop.
 func (n *Node) Run() {
 	if n.voter != nil {
-		n.world.Go(n.vote)
+		n.world.Go(n.runVoter)
 	}
-	for !n.halt.Load() {
+	for !n.stopping.Load() {
 		now := n.now()
-		for _, m := range n.hbox.Take(max(time.Millisecond, min(n.holder.Wait(now), 100*time.Millisecond))) {
-			if h, ok := m.(*Heard); ok {
-				n.heard(h)
+		for _, m := range n.holderInbox.Take(max(time.Millisecond, min(n.holder.Wait(now), 100*time.Millisecond))) {
+			if h, ok := m.(*GrantMessage); ok {
+				n.handleGrant(h)
 			}
 		}
 		n.publish()
-		n.call()
+		n.sendRenewal()
 	}
 }
 
-// Stop ends it.
+// Stop ends the member.
 func (n *Node) Stop() {
-	n.halt.Store(true)
+	n.stopping.Store(true)
 	n.mesh.Close()
-	n.hbox.Put(nil)
-	n.vbox.Put(nil)
+	n.holderInbox.Put(nil)
+	n.voterInbox.Put(nil)
 }
 
-// handle takes a frame, on its connection's goroutine.
-func (n *Node) handle(p *pipe, f *Frame) {
+// handle dispatches a received frame. It runs on the connection's goroutine.
+func (n *Node) handle(p *conn, f *Frame) {
 	if f.To != 0 && f.To != n.id && f.To != n.voterID {
 		n.mesh.Counts.Stale.Add(1)
 		return
@@ -148,41 +149,41 @@
 	switch f.Kind {
 	case KindRaft, KindRenew, KindAsk:
 		if n.voter != nil {
-			n.vbox.Put(arrived{p, f})
+			n.voterInbox.Put(receivedFrame{p, f})
 		} else if f.Kind == KindAsk {
-			n.reply(p, f, Reply{Ask: true, Error: "this member has no vote" + map[bool]string{true: ": " + n.bad}[n.bad != ""]})
+			n.reply(p, f, Reply{Ask: true, Error: "this member has no vote" + map[bool]string{true: ": " + n.noVoteReason}[n.noVoteReason != ""]})
 		}
 	case KindGrant:
-		var h Heard
+		var h GrantMessage
 		if err := json.Unmarshal(f.Body, &h); err != nil {
 			n.mesh.Counts.Damaged.Add(1)
 			return
 		}
-		n.hbox.Put(&h)
+		n.holderInbox.Put(&h)
 	}
 }
 
-type arrived struct {
-	p *pipe // nil: this process's own gateway
+// receivedFrame is a frame for the voter with its connection.
+type receivedFrame struct {
+	p *conn // nil: this process's own gateway
 	f *Frame
 }
 
-// The gateway's side.
-
-func (n *Node) heard(h *Heard) {
+// handleGrant processes a voter's message.
+func (n *Node) handleGrant(h *GrantMessage) {
 	if len(h.Voters) > 0 {
 		n.peers = h.Voters
 	}
 	if h.Leader == nil && h.Term == 0 {
-		n.target = "" // it knows no leader either
+		n.target = "" // that voter knows no leader
 		return
 	}
 	if h.Leader != nil {
-		was := n.target
+		previous := n.target
 		n.target = h.Leader.Name
-		if h.Term == 0 { // no grant: only where to call
-			if n.target != was {
-				n.holder.Again()
+		if h.Term == 0 { // no grant, only the leader's address
+			if n.target != previous {
+				n.holder.RenewNow()
 			}
 			return
 		}
@@ -190,8 +191,8 @@
 	w := n.holder.Grant(n.now(), h.Grant)
 	if w.Adopt {
 		if err := n.gateway.Adopt(w.Grant.Version, w.Grant.Text); err != nil {
-			n.log.Error("policy can't be taken over", "version", w.Grant.Version, "error", err)
-			n.holder.Unable()
+			n.log.Error("cannot adopt policy", "version", w.Grant.Version, "error", err)
+			n.holder.AdoptFailed()
 		} else {
 			n.log.Info("policy", "version", w.Grant.Version)
 		}
@@ -205,33 +206,33 @@
 	}
 }
 
-// publish tells the core what it may decide by.
+// publish passes a changed lease to the gateway.
 func (n *Node) publish() {
 	l, holds := n.holder.Lease()
-	if l != n.told || holds != n.holds {
+	if l != n.publishedLease || holds != n.holds {
 		if now := n.now(); holds && !n.holds {
 			n.heldAt = now
 		} else if !holds && n.holds && l.Until > now {
 			n.log.Info("held", "ms", float64(now-n.heldAt)/1e6, "version", l.Version)
 		}
-		n.told, n.holds = l, holds
+		n.publishedLease, n.holds = l, holds
 		n.gateway.Lease(l, holds)
 	}
 }
 
-// call sends what the gateway has to say, to the leader as it knows it, or from one
-// voter to the next.
-func (n *Node) call() {
+// sendRenewal sends a due renewal to the known leader, or to the voters in turn if the
+// leader is unknown or doesn't answer.
+func (n *Node) sendRenewal() {
 	r := n.holder.Tick(n.now())
 	if r == nil || len(n.peers) == 0 {
 		return
 	}
 	if n.holder.Missed() > 1 || n.target == "" {
-		n.turn++
-		if n.turn == 1 { // not all at the same one
-			n.turn += int(n.world.Random() % uint64(len(n.peers)))
+		n.peerIndex++
+		if n.peerIndex == 1 { // start at a random voter to spread the load
+			n.peerIndex += int(n.world.Random() % uint64(len(n.peers)))
 		}
-		n.target = n.peers[n.turn%len(n.peers)].Name
+		n.target = n.peers[n.peerIndex%len(n.peers)].Name
 	}
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -240,7 +241,7 @@
 	f := &Frame{Kind: KindRenew, From: n.id, FromName: n.cfg.Name, ToName: n.target, Body: body}
 	if n.target == n.cfg.Name {
 		if n.voter != nil {
-			n.vbox.Put(arrived{nil, f})
+			n.voterInbox.Put(receivedFrame{nil, f})
 		}
 		return
 	}
@@ -252,9 +253,7 @@
 	n.mesh.ConnTo(n.cfg.Reach(n.target, n.peers[i].Address)).Send(f)
 }
 
-// The voter's side.
-
-// Ask is an operator's question.
+// Ask is an operator's request.
 type Ask struct {
 	Do      string          `json:"do"` // propose, withdraw, status, history, show, replace, fate
 	ID      uint64          `json:"id,omitempty"`
@@ -267,31 +266,31 @@
 	New     Peer            `json:"new,omitzero"`
 }
 
-// Reply answers it.
+// Reply is the answer to an Ask.
 type Reply struct {
-	Error   string           `json:"error,omitempty"`
-	Leader  *Peer            `json:"leader,omitempty"` // ask this one
-	Ask     bool             `json:"ask,omitempty"`    // this one has no vote: ask another
-	Version int64            `json:"version"`
-	Change  *policy.Change   `json:"change,omitempty"`
-	Changes []policy.Change  `json:"changes,omitempty"`
-	Stage   string           `json:"stage,omitempty"`
-	Members []policy.Seen    `json:"members,omitempty"`
-	Voters  []Peer           `json:"voters,omitempty"`
-	Votes   []string         `json:"votes,omitempty"`
-	Term    uint64           `json:"term,omitempty"`
-	Counts  map[string]int64 `json:"counts,omitempty"`
+	Error   string                `json:"error,omitempty"`
+	Leader  *Peer                 `json:"leader,omitempty"` // send the request to this voter
+	Ask     bool                  `json:"ask,omitempty"`    // this member has no vote: try another
+	Version int64                 `json:"version"`
+	Change  *policy.Change        `json:"change,omitempty"`
+	Changes []policy.Change       `json:"changes,omitempty"`
+	Stage   string                `json:"stage,omitempty"`
+	Members []policy.MemberStatus `json:"members,omitempty"`
+	Voters  []Peer                `json:"voters,omitempty"`
+	Votes   []string              `json:"votes,omitempty"`
+	Term    uint64                `json:"term,omitempty"`
+	Counts  map[string]int64      `json:"counts,omitempty"`
 }
 
-// waiter is a proposal whose entry is not yet applied.
-type waiter struct {
-	p     *pipe
+// pendingProposal is an operator's proposal whose entry is not yet applied.
+type pendingProposal struct {
+	p     *conn
 	f     *Frame
 	id    uint64
 	until time.Duration
 }
 
-func (n *Node) reply(p *pipe, f *Frame, r Reply) {
+func (n *Node) reply(p *conn, f *Frame, r Reply) {
 	body, err := json.Marshal(r)
 	if err != nil {
 		panic(err)
@@ -299,21 +298,22 @@
 	p.Send(&Frame{Kind: KindReply, From: n.voterID, To: f.From, FromName: n.cfg.Name, ToName: f.FromName, Body: body})
 }
 
-func (n *Node) vote() {
-	for !n.halt.Load() {
-		got := n.vbox.Take(max(time.Millisecond, n.voter.Wait(n.now())))
+// runVoter runs the voter until Stop.
+func (n *Node) runVoter() {
+	for !n.stopping.Load() {
+		got := n.voterInbox.Take(max(time.Millisecond, n.voter.Wait(n.now())))
 		for _, m := range got {
-			if a, ok := m.(arrived); ok {
-				n.take(a)
+			if a, ok := m.(receivedFrame); ok {
+				n.handleVoterFrame(a)
 			}
 		}
 		n.voter.Tick(n.now())
-		n.say()
+		n.flushVoter()
 	}
 	n.store.Close()
 }
 
-func (n *Node) take(a arrived) {
+func (n *Node) handleVoterFrame(a receivedFrame) {
 	now := n.now()
 	switch f := a.f; f.Kind {
 	case KindRaft:
@@ -322,7 +322,7 @@
 			n.mesh.Counts.Damaged.Add(1)
 			return
 		}
-		n.met[f.From] = a.p
+		n.voterConns[f.From] = a.p
 		n.voter.Step(now, m)
 	case KindRenew:
 		var r policy.Renew
@@ -331,17 +331,17 @@
 			return
 		}
 		if m := n.members[f.From]; m == nil {
-			n.members[f.From] = &reached{p: a.p}
+			n.members[f.From] = &memberConn{p: a.p}
 		} else {
 			m.p = a.p
 		}
 		if !n.voter.Renew(now, f.From, r) {
-			h := Heard{Voters: n.voter.Peers()}
+			h := GrantMessage{Voters: n.voter.Peers()}
 			if p, ok := n.voter.Leader(); ok {
 				h.Leader = &p
 			}
 			if h.Leader != nil || len(h.Voters) > 0 {
-				n.tell(f.From, a.p, &h)
+				n.sendGrant(f.From, a.p, &h)
 			}
 		}
 	case KindAsk:
@@ -354,7 +354,7 @@
 	}
 }
 
-func (n *Node) answer(now time.Duration, a arrived, q Ask) {
+func (n *Node) answer(now time.Duration, a receivedFrame, q Ask) {
 	v := n.voter
 	r := Reply{Version: v.Register().Version, Term: v.Term()}
 	if p, ok := v.Leader(); ok && !v.Leads() {
@@ -396,7 +396,7 @@
 			n.reply(a.p, a.f, r)
 			return
 		}
-		n.waits = append(n.waits, &waiter{a.p, a.f, c.ID, now + 5*time.Second})
+		n.pendingProposals = append(n.pendingProposals, &pendingProposal{a.p, a.f, c.ID, now + 5*time.Second})
 		n.settle(now)
 		return
 	case "fate":
@@ -416,7 +416,7 @@
 		}
 	case "status":
 		var stage policy.Stage
-		stage, r.Members = v.Conduct().Status(now)
+		stage, r.Members = v.Coordinator().Status(now)
 		r.Stage = stage.String()
 		if p := v.Register().Pending(); p != nil {
 			c := *p
@@ -447,9 +447,9 @@
 	n.reply(a.p, a.f, r)
 }
 
-// settle answers proposals whose entry has come to hold, or may never.
+// settle answers proposals whose entry is applied, or whose outcome can't be learned here.
 func (n *Node) settle(now time.Duration) {
-	n.waits = slices.DeleteFunc(n.waits, func(w *waiter) bool {
+	n.pendingProposals = slices.DeleteFunc(n.pendingProposals, func(w *pendingProposal) bool {
 		r := Reply{Version: n.voter.Register().Version, Term: n.voter.Term(), Change: n.voter.Register().Find(w.id)}
 		switch {
 		case r.Change != nil && n.voter.Err() == nil:
@@ -465,14 +465,14 @@
 	})
 }
 
-// say sends what the voter has to say.
-func (n *Node) say() {
-	if err := n.voter.Err(); err != nil && n.was == nil {
-		n.was = err
+// flushVoter logs the voter's state changes and sends its messages and grants.
+func (n *Node) flushVoter() {
+	if err := n.voter.Err(); err != nil && n.loggedErr == nil {
+		n.loggedErr = err
 		n.log.Error("stepped back", "error", err, "damaged", errors.Is(err, ErrDamaged))
 	}
-	if p, _ := n.voter.Leader(); p.Name != n.saw {
-		n.saw = p.Name
+	if p, _ := n.voter.Leader(); p.Name != n.loggedLeader {
+		n.loggedLeader = p.Name
 		n.log.Info("leader", "name", p.Name, "term", n.voter.Term())
 	}
 	messages, grants := n.voter.Out()
@@ -480,14 +480,14 @@
 	for _, m := range messages {
 		body, err := proto.Marshal(m)
 		if err != nil {
-			n.log.Error("message", "error", err)
+			n.log.Error("cannot encode Raft message", "error", err)
 			continue
 		}
 		f := &Frame{Kind: KindRaft, From: n.voterID, To: m.GetTo(), FromName: n.cfg.Name, Body: body}
 		if i := slices.IndexFunc(peers, func(p Peer) bool { return p.ID == m.GetTo() }); i >= 0 {
 			f.ToName = peers[i].Name
 			n.mesh.ConnTo(n.cfg.Reach(peers[i].Name, peers[i].Address)).Send(f)
-		} else if p := n.met[m.GetTo()]; p != nil { // one that is made a voter has no list of them yet
+		} else if p := n.voterConns[m.GetTo()]; p != nil { // a new voter doesn't have the list of voters yet
 			p.Send(f)
 		}
 	}
@@ -496,24 +496,24 @@
 		if !ok {
 			continue
 		}
-		h := &Heard{Grant: g.Grant}
-		if m.told != n.voter.changed {
-			h.Voters, m.told = peers, n.voter.changed
+		h := &GrantMessage{Grant: g.Grant}
+		if m.sentConfIndex != n.voter.confIndex {
+			h.Voters, m.sentConfIndex = peers, n.voter.confIndex
 		}
-		n.tell(g.To, m.p, h)
+		n.sendGrant(g.To, m.p, h)
 	}
-	if len(n.waits) > 0 {
+	if len(n.pendingProposals) > 0 {
 		n.settle(n.now())
 	}
-	if len(n.members) > 4*n.cfg.Connections { // those that are long gone
+	if len(n.members) > 4*n.cfg.Connections { // mostly members that are gone; live ones return with their next renewal
 		clear(n.members)
 	}
 }
 
-// tell says something to a gateway; its own is in this process.
-func (n *Node) tell(member uint64, p *pipe, h *Heard) {
+// sendGrant sends a message to a gateway, directly if it is in this process.
+func (n *Node) sendGrant(member uint64, p *conn, h *GrantMessage) {
 	if p == nil {
-		n.hbox.Put(h)
+		n.holderInbox.Put(h)
 		return
 	}
 	body, err := json.Marshal(h)
