--- a/internal/daemon/api.go
+++ b/internal/daemon/api.go
@@ -81,11 +81,18 @@
 	}
 }
 
+// stableDecodeError keeps the text that callers get if a heartbeat isn't an object: the decoder's error names
+// the Go type, and the package of report has been renamed.
+func stableDecodeError(err error) error {
+	return errors.New(strings.Replace(err.Error(), "type daemon.report", "type weave.report", 1))
+}
+
 func (p *Process) serverHeartbeat(ctx *fasthttp.RequestCtx, id string) {
 	var r report
 	err := json.Unmarshal(ctx.PostBody(), &r)
 	switch {
 	case err != nil:
+		err = stableDecodeError(err)
 	case id == "":
 		err = errors.New("path: the server's id is missing")
 	case r.Endpoint == "":
